--- a/crates/workswood-core/src/jobs/advice.rs
+++ b/crates/workswood-core/src/jobs/advice.rs
@@ -1,7 +1,7 @@
 //! Which workers may run a step, where only the adviser knows.
 //!
-//! The adviser takes one call at a time from each host and needs time for each
-//! worker that a call names. So each host, the lease holder first, has one call
+//! The adviser takes one call at a time from each entry and needs time for each
+//! worker that a call names. So each entry, the lease holder first, has one call
 //! under way at a time, about few workers: those that the placement would take
 //! next ([`advice_batch`](super::advice_batch)). Steps that wait come first, in
 //! the order of their tasks; while none does, steps that will open soon. What the
@@ -23,7 +23,7 @@
 use super::worker::Verdict;
 
 /// An answer is waited for this much longer than the adviser should need: the
-/// way there and back on a busy host takes a hundred milliseconds.
+/// way there and back on a busy entry takes a hundred milliseconds.
 const PATIENCE: Duration = Duration::from_millis(300);
 /// After calls without an answer, the wait grows to this at most.
 const MOST_PATIENCE: Duration = Duration::from_secs(5);
@@ -31,8 +31,8 @@
 const FIRST_PAUSE: Duration = Duration::from_millis(50);
 /// up to this: an adviser that is back is heard of soon;
 const MOST_PAUSE: Duration = Duration::from_secs(1);
-/// or up to this for a host that fails while others are answered: each try with a
-/// host that is gone delays a step.
+/// or up to this for an entry that fails while others are answered: each try with a
+/// gone entry delays a step.
 const MOST_PAUSE_BESIDE: Duration = Duration::from_secs(8);
 /// Doublings after which waits and pauses are at their longest.
 const MOST_DOUBLINGS: u32 = 8;
@@ -46,7 +46,7 @@
 pub struct AdvicePolicy {
     /// Whether it is asked about steps that open soon.
     pub ahead: bool,
-    /// How many other hosts have calls under way for the lease holder. Each host
+    /// How many other entries have calls under way for the lease holder. Each entry
     /// has a turn of its own at the adviser: at 0.3 s a call the holder alone has
     /// three steps a second advised.
     pub helpers: usize,
@@ -70,7 +70,7 @@
     due: Duration,
 }
 
-/// Calls by one host: its turn at the adviser is its own.
+/// Calls by one entry: its turn at the adviser is its own.
 #[derive(Debug, Default)]
 struct Lane {
     call: Option<Call>,
@@ -104,7 +104,7 @@
     }
 
     /// How long the answer to a call is waited for that should take `work`, when
-    /// every host has had so many failures in a row.
+    /// every entry has had so many failures in a row.
     fn patience(&self, work: Duration, failures: u32) -> Duration {
         let slack = PATIENCE * (1 << failures.min(MOST_DOUBLINGS)) + self.late;
         work + slack.min(MOST_PATIENCE)
@@ -118,14 +118,14 @@
     pub(super) jobs: BTreeSet<JobKey>,
     /// Of the workers asked about, those that were good, by queue.
     shares: HashMap<QueueId, Share>,
-    /// Calls by host; the first is the lease holder.
+    /// Calls by entry; the first is the lease holder.
     lanes: Vec<Lane>,
     /// Step of the last call that failed; others go first.
     failed: Option<StepId>,
 }
 
 impl AdviceState {
-    /// A host that may call now, those whose last calls went well first.
+    /// An entry that may call now, those whose last calls went well first.
     fn free_lane(&self, now: Duration, most_calls: usize) -> Option<usize> {
         if self.lanes.iter().filter(|l| l.call.is_some()).count() >= most_calls {
             return None;
@@ -134,12 +134,12 @@
         free.min_by_key(|(n, l)| (l.failures, *n)).map(|(n, _)| n)
     }
 
-    /// Whether the last call of some other host was answered.
+    /// Whether the last call of some other entry was answered.
     fn others_answered(&self, lane: usize) -> bool {
         self.lanes.iter().enumerate().any(|(n, l)| n != lane && l.answered)
     }
 
-    /// Failures in a row that every host has had: with more, it is the adviser that
+    /// Failures in a row that every entry has had: with more, it is the adviser that
     /// is slow or away.
     fn common_failures(&self) -> u32 {
         self.lanes.iter().map(|l| l.failures).min().unwrap_or(0)
@@ -209,12 +209,12 @@
         }
     }
 
-    /// Tells how many hosts may call the adviser, the lease holder included.
-    pub fn set_advice_hosts(&mut self, hosts: usize) {
-        let hosts = hosts.max(1);
-        // A host that is gone may have a call under way.
+    /// Tells how many entries may call the adviser, the lease holder included.
+    pub fn set_advice_entries(&mut self, entries: usize) {
+        let entries = entries.max(1);
+        // An entry that is gone may have a call under way.
         let under_way = self.advice.lanes.iter().rposition(|l| l.call.is_some()).map_or(0, |n| n + 1);
-        self.advice.lanes.resize_with(hosts.max(under_way), Lane::default);
+        self.advice.lanes.resize_with(entries.max(under_way), Lane::default);
     }
 
     /// Takes the outcome of a call in.
@@ -288,11 +288,11 @@
         while let Some(lane) = self.advice.free_lane(self.now, most_calls) {
             let Some((step, workers, cfg)) = steps.find_map(|w| self.call_for(&w, &pools)) else { return };
             let failures = self.advice.common_failures();
-            let host = &mut self.advice.lanes[lane];
-            let before = host.busy_until.saturating_sub(self.now);
+            let entry = &mut self.advice.lanes[lane];
+            let before = entry.busy_until.saturating_sub(self.now);
             let work = before + cfg.decide + cfg.each * workers.len() as u32;
-            let patience = host.patience(work, failures);
-            host.call = Some(Call { step, due: self.now + work });
+            let patience = entry.patience(work, failures);
+            entry.call = Some(Call { step, due: self.now + work });
             self.actions.push(Action::Advise { lane, step, workers, patience });
         }
     }
--- a/crates/workswood-core/src/jobs/claim.rs
+++ b/crates/workswood-core/src/jobs/claim.rs
@@ -1,10 +1,10 @@
 //! When a process claims the scheduler lease.
 //!
-//! Hosts differ. The holder looks at every worker about three times a second and
-//! reads all state when it takes over; on a small host that takes seconds in
-//! which nobody gets an answer. So a host claims a free lease the later the less
+//! Entries differ. The holder looks at every worker about three times a second and
+//! reads all state when it takes over; on a small entry that takes seconds in
+//! which nobody gets an answer. So an entry claims a free lease the later the less
 //! it can carry, and one that can carry far more takes the lease over from a
-//! small host once both have been up for some time.
+//! small entry once both have been up for some time.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 use crate::ids::{Incarnation, Term};
 
-/// Workers that a host can look after as holder.
+/// Workers that an entry can look after as holder.
 pub type Strength = u32;
 
 /// Workers that one core can look after, looks, starts and decisions together.
@@ -20,10 +20,10 @@
 /// Workers that one Mbit/s carries: three looks a second of a kilobyte each,
 /// with as much again for state and orders.
 const WORKERS_PER_MBPS: f64 = 35.0;
-/// A host that can look after as many workers claims at once: with relays, a
+/// An entry that can look after as many workers claims at once: with relays, a
 /// holder need not look after more by itself.
 const ENOUGH: Strength = 450;
-/// How long a host waits before a claim that could carry no worker at all; less
+/// How long an entry waits before a claim that could carry no worker at all; less
 /// than it takes to notice that a holder is gone.
 const LONGEST_DELAY: Duration = Duration::from_millis(1500);
 /// A holder that has not renewed for this long is taken to be gone: three
@@ -31,16 +31,16 @@
 pub const EXPIRES: Duration = Duration::from_millis(1800);
 /// A holder is replaced by one that can carry this many times as much.
 const FAR_STRONGER: Strength = 2;
-/// How long holder and candidate must have been there before that: a host that
+/// How long holder and candidate must have been there before that: an entry that
 /// restarts again and again must not take the lease each time.
 const SETTLED: Duration = Duration::from_secs(4);
 
-/// Hosts of each data centre that hear of each renewal: one may be lost with the holder.
+/// Entries of each data centre that hear of each renewal: one may be lost with the holder.
 const HEARS_HERE: usize = 2;
-/// Hosts that do at least, where data centres are few.
+/// Entries that do at least, where data centres are few.
 const HEARS: usize = 8;
 
-/// Workers that a host can look after with this many cores and a link of this
+/// Workers that an entry can look after with this many cores and a link of this
 /// many Mbit/s.
 pub fn strength(cores: f64, link_mbps: f64) -> Strength {
     (cores * WORKERS_PER_CORE).min(link_mbps * WORKERS_PER_MBPS) as Strength
@@ -51,7 +51,7 @@
 pub struct HolderSeen {
     /// Its incarnation.
     pub id: Incarnation,
-    /// Name of its host.
+    /// Name of its entry.
     pub name: String,
     /// Its term.
     pub term: Term,
@@ -66,7 +66,7 @@
 pub struct Candidate {
     /// This life of the process.
     pub id: Incarnation,
-    /// Name of its host.
+    /// Name of its entry.
     pub name: String,
     /// What it can carry.
     pub strength: Strength,
@@ -116,15 +116,15 @@
     }
 }
 
-/// A part of a time that is the same for a host whenever it is worked out: what all do now and then, they
+/// A part of a time that is the same for an entry whenever it is worked out: what all do now and then, they
 /// do not do at once.
 pub fn spread(name: &str, most: Duration) -> Duration {
     most.mul_f64(xxh3_64(name.as_bytes()) as f64 / u64::MAX as f64)
 }
 
-/// A host that may claim the lease, as others know it.
+/// An entry that may claim the lease, as others know it.
 #[derive(Clone, Copy, Debug)]
-pub struct Host<'a> {
+pub struct Entry<'a> {
     /// Its name.
     pub name: &'a str,
     /// Where it stands.
@@ -133,19 +133,19 @@
     pub strength: Strength,
 }
 
-/// Whether a host is one of those that hear of each renewal of the lease, and claim it as soon as it
+/// Whether an entry is one of those that hear of each renewal of the lease, and claim it as soon as it
 /// expires: the strongest of each data centre, and of all. If all of them are lost, others find out
 /// later; the rest would be woken for nothing.
-pub fn hears_renewals<'a>(own: &str, hosts: impl Iterator<Item = Host<'a>> + Clone) -> bool {
-    let Some(own) = hosts.clone().find(|h| h.name == own) else { return true };
-    let stronger = |h: &Host<'_>| (h.strength, h.name) > (own.strength, own.name);
-    let before = hosts.filter(stronger);
+pub fn hears_renewals<'a>(own: &str, entries: impl Iterator<Item = Entry<'a>> + Clone) -> bool {
+    let Some(own) = entries.clone().find(|h| h.name == own) else { return true };
+    let stronger = |h: &Entry<'_>| (h.strength, h.name) > (own.strength, own.name);
+    let before = entries.filter(stronger);
     let here = before.clone().filter(|h| h.data_centre == own.data_centre).count();
     here < HEARS_HERE || before.count() < HEARS
 }
 
 impl Candidate {
-    /// How long this host lets stronger ones claim a free lease first.
+    /// How long this entry lets stronger ones claim a free lease first.
     fn delay(&self) -> Duration {
         let lacking = 1.0 - f64::from(self.strength.min(ENOUGH)) / f64::from(ENOUGH);
         LONGEST_DELAY.mul_f64(lacking)
--- a/crates/workswood-core/src/jobs/crash.rs
+++ b/crates/workswood-core/src/jobs/crash.rs
@@ -32,7 +32,7 @@
 pub struct CrashPolicy {
     /// A run that had lasted for less than this when its worker was last heard is suspected of
     /// having crashed it. Tasks that crash their worker do so within some ten milliseconds; the
-    /// answer to their start comes a few times that later on a busy host.
+    /// answer to their start comes a few times that later on a busy entry.
     #[serde(with = "humantime_serde")]
     pub young: Duration,
     /// A task that was lost with so many workers is suspected however long it had run.
@@ -81,7 +81,7 @@
 const MOST_SURER: usize = 2;
 /// A start without an answer explains a crash that was noticed within this time: a task that
 /// crashes its worker does so within some ten milliseconds, a refused connection is
-/// noticed within some more, and a busy host takes a few times that to see it.
+/// noticed within some more, and a busy entry takes a few times that to see it.
 const PROMPT: Duration = Duration::from_millis(300);
 /// A worker that leaves without a word answers for longer than this after it was taken from the list
 /// (2 s at least on the prepared platform); an answer of one that crashed may be on its way for as long.
--- a/crates/workswood-core/src/jobs/handover.rs
+++ b/crates/workswood-core/src/jobs/handover.rs
@@ -4,7 +4,7 @@
 //! each other. So a machine is marked on record before an order for it is sent,
 //! and the mark is dropped when nothing of that order can follow any more. A new
 //! holder waits only for machines that it finds marked; all others it may order
-//! at once, which matters when demand turns while the holder changes. A host that
+//! at once, which matters when demand turns while the holder changes. An entry that
 //! takes its own lease back waits for nothing: orders of its former life are
 //! those of the same holder, and carry a lower token.
 
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -23,7 +23,7 @@
 //! * [`machine`] holds what is known of one machine.
 //! * [`map`] is a map whose order is the same in every run.
 //! * [`order`] decides which waiting task is next, and [`waiting`] keeps them.
-//! * [`relays`] decides which host speaks with which workers, and [`follow`] what is new
+//! * [`relays`] decides which entry speaks with which workers, and [`follow`] what is new
 //!   in what a worker lists.
 //! * [`types`] holds the events that go in and the batches that come out.
 //! * [`sched`] takes events in; [`ends`], [`settle`], [`place`], [`share`] and
@@ -88,7 +88,7 @@
 pub use job::{Job, JobRecord, Outcome, OverRecord, Phase, Run, Shown, Task};
 pub use machine::{Machine, MachineReply, MachineState};
 pub use policy::Policy;
-pub use relays::{RelayHost, RelayPolicy};
+pub use relays::{RelayEntry, RelayPolicy};
 pub use sched::Scheduler;
 pub use spec::{JobKey, JobSpec, Repeat, StepId, StepSpec, TaskId};
 pub use types::{
--- a/crates/workswood-core/src/jobs/policy.rs
+++ b/crates/workswood-core/src/jobs/policy.rs
@@ -37,7 +37,7 @@
     pub calls: CallPolicy,
     /// When the adviser is asked.
     pub advice: AdvicePolicy,
-    /// Which hosts speak with workers for the lease holder.
+    /// Which entries speak with workers for the lease holder.
     pub relays: RelayPolicy,
 }
 
@@ -241,7 +241,7 @@
 pub struct HealthPolicy {
     /// What a worker said last is believed for this long when budgets are
     /// counted: a look waits 0.9 s for news, and an answer needs some time on a
-    /// busy host. A worker that has been silent for longer may have lost what
+    /// busy entry. A worker that has been silent for longer may have lost what
     /// it ran.
     #[serde(with = "humantime_serde")]
     pub believed_for: Duration,
@@ -312,7 +312,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CallPolicy {
-    /// Whether hosts that the store turns away have others write for them.
+    /// Whether entries that the store turns away have others write for them.
     pub help: bool,
     /// Whether a look that seems to be lost is sent again before it is given up.
     pub look_again: bool,
--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -1,8 +1,8 @@
-//! Which host speaks with which workers for the lease holder.
+//! Which entry speaks with which workers for the lease holder.
 //!
-//! One process decides, but it would need a strong host to look at each of a thousand
+//! One process decides, but it would need a strong entry to look at each of a thousand
 //! workers three times a second and to send them all their starts. So beyond what it
-//! can attend itself, the holder shares its workers out among other entry hosts, the
+//! can attend itself, the holder shares its workers out among other entries, the
 //! *relays*: each looks at its workers, extends their leases, sends orders and tells
 //! what is new.
 //!
@@ -38,9 +38,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelayPolicy {
-    /// Most workers of one relay: a host that hangs holds up no more than these.
+    /// Most workers of one relay: an entry that hangs holds up no more than these.
     pub most_workers: usize,
-    /// Share of the workers that a host could look after as lease holder that it attends
+    /// Share of the workers that an entry could look after as lease holder that it attends
     /// as a relay; it has callers of its own, and turns of demand ask for double.
     pub share: f64,
     /// Room that relays have beyond the workers they attend, as a share.
@@ -56,9 +56,9 @@
     }
 }
 
-/// A host that may be a relay.
+/// An entry that may be a relay.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RelayHost {
+pub struct RelayEntry {
     /// Its name.
     pub name: HostId,
     /// Where it stands.
@@ -67,7 +67,7 @@
     pub strength: Strength,
 }
 
-/// A host that is one.
+/// An entry that is one.
 #[derive(Debug)]
 struct Relay {
     data_centre: DataCentre,
@@ -79,12 +79,12 @@
     workers: BTreeSet<WorkerId>,
 }
 
-/// Hosts that may be relays, those that are, and who waits for one.
+/// Entries that may be relays, those that are, and who waits for one.
 #[derive(Debug, Default)]
 pub struct Relays {
-    hosts: BTreeMap<HostId, RelayHost>,
+    entries: BTreeMap<HostId, RelayEntry>,
     active: BTreeMap<HostId, Relay>,
-    /// Hosts that are not chosen before a time.
+    /// Entries that are not chosen before a time.
     shunned: BTreeMap<HostId, Duration>,
     /// Workers without a relay.
     waiting: BTreeSet<WorkerId>,
@@ -107,9 +107,9 @@
         self.active.get(relay).map_or(Duration::ZERO, |r| r.heard)
     }
 
-    /// Whether a host may be chosen.
-    fn may_serve(&self, host: &RelayHost, now: Duration) -> bool {
-        self.shunned.get(&host.name).is_none_or(|until| *until <= now)
+    /// Whether an entry may be chosen.
+    fn may_serve(&self, entry: &RelayEntry, now: Duration) -> bool {
+        self.shunned.get(&entry.name).is_none_or(|until| *until <= now)
     }
 
     /// Relays of a data centre; with `None` of all.
@@ -119,8 +119,8 @@
 }
 
 /// A number that is the same wherever it is worked out, and different for each pair.
-fn rank(host: &str, other: &str) -> u64 {
-    xxh3_64(format!("{host}/{other}").as_bytes())
+fn rank(entry: &str, other: &str) -> u64 {
+    xxh3_64(format!("{entry}/{other}").as_bytes())
 }
 
 impl Scheduler {
@@ -134,10 +134,10 @@
         (self.token << RELAY_BITS) | u64::from(relay)
     }
 
-    /// Hosts that may be relays; the holder is not one of them.
-    pub fn set_relay_hosts(&mut self, hosts: Vec<RelayHost>) {
-        let others = hosts.into_iter().filter(|h| h.name != self.holder);
-        self.relays.hosts = others.map(|h| (h.name.clone(), h)).collect();
+    /// Entries that may be relays; the holder is not one of them.
+    pub fn set_relay_entries(&mut self, entries: Vec<RelayEntry>) {
+        let others = entries.into_iter().filter(|h| h.name != self.holder);
+        self.relays.entries = others.map(|h| (h.name.clone(), h)).collect();
     }
 
     /// Workers that the holder attends by itself if there are no more.
@@ -152,7 +152,7 @@
 
     /// Whether the workers are shared out.
     fn wants_relays(&self) -> bool {
-        self.workers.len() > self.own_room() && !self.relays.hosts.is_empty()
+        self.workers.len() > self.own_room() && !self.relays.entries.is_empty()
     }
 
     /// Has a worker attended anew: nothing is sent to it before it has answered.
@@ -240,10 +240,10 @@
 
     fn give_relay(&mut self, id: &WorkerId) {
         let Some(info) = self.workers.get(id).and_then(|w| w.info.clone()) else { return };
-        let host = self.choose_relay(&info.data_centre, &info.machine);
+        let entry = self.choose_relay(&info.data_centre, &info.machine);
         let before = self.relays.given.get(id.name()).copied().unwrap_or(0);
         let Some(mut w) = self.workers.get_mut(id) else { return };
-        w.relay = Some(host.clone());
+        w.relay = Some(entry.clone());
         w.relays = 1 + w.relays.max(before);
         let relays = w.relays;
         drop(w);
@@ -251,11 +251,11 @@
             self.note_relays(id, relays);
         }
         let token = self.worker_token(relays);
-        self.open_relay(&host);
-        let Some(r) = self.relays.active.get_mut(&host) else { return };
+        self.open_relay(&entry);
+        let Some(r) = self.relays.active.get_mut(&entry) else { return };
         r.workers.insert(id.clone());
         if r.up {
-            self.relays.orders.push(Action::Watch { relay: host, info: (*info).clone(), token });
+            self.relays.orders.push(Action::Watch { relay: entry, info: (*info).clone(), token });
         }
     }
 
@@ -265,13 +265,13 @@
         *given = relays.max(*given);
     }
 
-    /// Makes a host a relay unless it is one.
-    fn open_relay(&mut self, host: &HostId) {
-        if self.relays.active.contains_key(host) {
+    /// Makes an entry a relay unless it is one.
+    fn open_relay(&mut self, entry: &HostId) {
+        if self.relays.active.contains_key(entry) {
             return;
         }
-        let own = *host == self.holder;
-        let known = self.relays.hosts.get(host);
+        let own = *entry == self.holder;
+        let known = self.relays.entries.get(entry);
         let relay = Relay {
             data_centre: known.map(|h| h.data_centre.clone()).unwrap_or_default(),
             most_workers: self.relay_room(known.map_or(self.strength, |h| h.strength)),
@@ -279,14 +279,14 @@
             heard: self.now,
             workers: BTreeSet::new(),
         };
-        self.relays.active.insert(host.clone(), relay);
+        self.relays.active.insert(entry.clone(), relay);
         if !own {
-            self.notes.push(format_args!("event=relay_opened relay={host}"));
-            self.relays.orders.push(Action::OpenRelay(host.clone()));
+            self.notes.push(format_args!("event=relay_opened relay={entry}"));
+            self.relays.orders.push(Action::OpenRelay(entry.clone()));
         }
     }
 
-    /// The host that attends a machine's worker: one of its data centre, if there is
+    /// The entry that attends a machine's worker: one of its data centre, if there is
     /// one, else any; the holder itself where there are few workers or no relays.
     fn choose_relay(&mut self, dc: &DataCentre, machine: &HostId) -> HostId {
         if !self.wants_relays() {
@@ -310,15 +310,15 @@
         let mut room: usize =
             self.relays.of(dc_name).filter(|(n, _)| others(n)).map(|(_, r)| r.most_workers).sum();
         while room < wanted {
-            let Some(next) = self.next_host(dc_name) else { return };
+            let Some(next) = self.next_entry(dc_name) else { return };
             self.open_relay(&next);
             room += self.relays.active.get(&next).map_or(1, |r| r.most_workers);
         }
     }
 
-    /// The next host to become a relay: the strongest, then by a hash of its name.
-    fn next_host(&self, dc: Option<&str>) -> Option<HostId> {
-        let idle = self.relays.hosts.values().filter(|h| !self.relays.active.contains_key(&h.name));
+    /// The next entry to become a relay: the strongest, then by a hash of its name.
+    fn next_entry(&self, dc: Option<&str>) -> Option<HostId> {
+        let idle = self.relays.entries.values().filter(|h| !self.relays.active.contains_key(&h.name));
         let here = idle.filter(|h| dc.is_none_or(|dc| h.data_centre == dc));
         let may = here.filter(|h| self.relays.may_serve(h, self.now));
         let best = may.max_by_key(|h| (self.relay_room(h.strength), rank(&h.name, "")));
@@ -380,38 +380,38 @@
     }
 
     /// A relay takes orders from now on.
-    pub(super) fn relay_up(&mut self, host: &HostId) {
-        let Some(r) = self.relays.active.get_mut(host) else { return };
+    pub(super) fn relay_up(&mut self, entry: &HostId) {
+        let Some(r) = self.relays.active.get_mut(entry) else { return };
         r.up = true;
         r.heard = self.now;
         let workers: Vec<WorkerId> = r.workers.iter().cloned().collect();
-        self.notes.push(format_args!("event=relay_up relay={host} workers={}", workers.len()));
+        self.notes.push(format_args!("event=relay_up relay={entry} workers={}", workers.len()));
         for id in workers {
             let Some(w) = self.workers.get(&id) else { continue };
             let Some(info) = &w.info else { continue };
             let (info, token) = ((**info).clone(), self.worker_token(w.relays));
-            self.relays.orders.push(Action::Watch { relay: host.clone(), info, token });
+            self.relays.orders.push(Action::Watch { relay: entry.clone(), info, token });
         }
     }
 
     /// A relay was heard of.
-    pub(super) fn relay_heard(&mut self, host: &HostId) {
-        if let Some(r) = self.relays.active.get_mut(host) {
+    pub(super) fn relay_heard(&mut self, entry: &HostId) {
+        if let Some(r) = self.relays.active.get_mut(entry) {
             r.heard = self.now;
         }
     }
 
     /// A relay is lost, or could not be reached. Leases that it extended end by a time.
-    pub(super) fn relay_down(&mut self, host: &HostId, lease_end: Duration, may_return: bool) {
-        let Some(r) = self.relays.active.remove(host) else { return };
+    pub(super) fn relay_down(&mut self, entry: &HostId, lease_end: Duration, may_return: bool) {
+        let Some(r) = self.relays.active.remove(entry) else { return };
         self.notes.push(format_args!(
-            "event=relay_lost relay={host} workers={} was_up={} may_return={may_return}",
+            "event=relay_lost relay={entry} workers={} was_up={} may_return={may_return}",
             r.workers.len(),
             r.up
         ));
         if !(may_return && r.up) {
             let until = self.now + self.policy.relays.shun_for;
-            self.relays.shunned.insert(host.clone(), until);
+            self.relays.shunned.insert(entry.clone(), until);
         }
         for id in r.workers {
             let bound = if r.up { lease_end } else { Duration::ZERO };
@@ -421,15 +421,15 @@
     }
 
     /// A relay is about to stop: its workers go to others while it still answers.
-    pub(super) fn relay_leaving(&mut self, host: &HostId) {
-        let Some(r) = self.relays.active.get(host) else { return };
+    pub(super) fn relay_leaving(&mut self, entry: &HostId) {
+        let Some(r) = self.relays.active.get(entry) else { return };
         let workers: Vec<WorkerId> = r.workers.iter().cloned().collect();
-        self.notes.push(format_args!("event=relay_leaving relay={host} workers={}", workers.len()));
+        self.notes.push(format_args!("event=relay_leaving relay={entry} workers={}", workers.len()));
         let until = self.now + self.policy.relays.shun_for;
-        self.relays.shunned.insert(host.clone(), until);
+        self.relays.shunned.insert(entry.clone(), until);
         workers.iter().for_each(|id| self.attend(id));
-        self.relays.active.remove(host);
-        self.relays.orders.push(Action::CloseRelay(host.clone()));
+        self.relays.active.remove(entry);
+        self.relays.orders.push(Action::CloseRelay(entry.clone()));
     }
 
     /// Shares workers out that the holder still attends although there are relays.
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -43,9 +43,9 @@
     pub since: Duration,
     /// Fencing token of this term.
     pub token: Term,
-    /// Name of the host that holds the lease.
+    /// Name of the entry that holds the lease.
     pub holder: String,
-    /// Workers that this host can look after.
+    /// Workers that this entry can look after.
     pub strength: Strength,
     /// Bounds.
     pub limits: Limits,
@@ -282,10 +282,10 @@
             Event::Machines(list, asked) => self.machines_listed(list, asked),
             Event::Wave(wave, rec) => self.wave_asked(wave, rec),
             Event::MachineOrdered(machine, reply) => self.machine_ordered(&machine, reply),
-            Event::RelayUp(host) => self.relay_up(&host),
-            Event::RelayHeard(host) => self.relay_heard(&host),
-            Event::RelayLeaving(host) => self.relay_leaving(&host),
-            Event::RelayDown(host, lease_end, may_return) => self.relay_down(&host, lease_end, may_return),
+            Event::RelayUp(entry) => self.relay_up(&entry),
+            Event::RelayHeard(entry) => self.relay_heard(&entry),
+            Event::RelayLeaving(entry) => self.relay_leaving(&entry),
+            Event::RelayDown(entry, lease_end, may_return) => self.relay_down(&entry, lease_end, may_return),
             Event::InboxRead(at) => self.inbox_read = at,
             Event::Tick => self.tick(),
         }
--- a/crates/workswood-core/src/jobs/types.rs
+++ b/crates/workswood-core/src/jobs/types.rs
@@ -154,7 +154,7 @@
 /// A call to the adviser, and what came of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Advised {
-    /// Which host called; 0 is this one.
+    /// Which entry called; 0 is this one.
     pub lane: usize,
     /// The step that it was about.
     pub step: StepId,
@@ -202,9 +202,9 @@
 /// What is to be done once the records of the batch are stored.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Make a host a relay.
+    /// Make an entry a relay.
     OpenRelay(HostId),
-    /// A host is a relay no longer.
+    /// An entry is a relay no longer.
     CloseRelay(HostId),
     /// Have a relay attend a worker from now on.
     Watch {
@@ -239,7 +239,7 @@
     },
     /// Ask the adviser which of these workers may run a step.
     Advise {
-        /// Which host calls; 0 is this one.
+        /// Which entry calls; 0 is this one.
         lane: usize,
         /// The step.
         step: StepId,
--- a/crates/workswood-core/src/jobs/worker.rs
+++ b/crates/workswood-core/src/jobs/worker.rs
@@ -189,7 +189,7 @@
     pub reachable: bool,
     /// Whether the answer to the present look is late.
     pub doubted: bool,
-    /// The host that attends it, once one does.
+    /// The entry that attends it, once one does.
     pub relay: Option<HostId>,
     /// How many it has had in this term.
     pub relays: u32,
--- a/crates/workswood-core/src/jobs/workspace.rs
+++ b/crates/workswood-core/src/jobs/workspace.rs
@@ -12,7 +12,7 @@
 use super::spec::Room;
 use crate::ids::WorkspaceId;
 
-/// Whose a job is: a number made from the name of its workspace, so that every host and
+/// Whose a job is: a number made from the name of its workspace, so that every entry and
 /// each version of the configuration come to the same one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Owner(u64);
--- a/crates/workswood-test-support/src/advised_world.rs
+++ b/crates/workswood-test-support/src/advised_world.rs
@@ -54,7 +54,7 @@
     actions.iter().filter_map(start).collect()
 }
 
-/// An answer to this host's call: some of the workers are good.
+/// An answer to this entry's call: some of the workers are good.
 pub fn advice(step: StepId, asked: &[WorkerId], good: &[WorkerId], valid: Duration) -> Event {
     let ticket = |id: &WorkerId| (id.clone(), format!("for-{id}").as_str().into());
     let answer = Advice { good: good.iter().map(ticket).collect(), valid: Some(valid) };
--- a/crates/workswood-test-support/src/job_node.rs
+++ b/crates/workswood-test-support/src/job_node.rs
@@ -2,7 +2,7 @@
 
 use workswood::util::job_settings::JobSettings;
 
-/// Good settings for a host of this name.
+/// Good settings for an entry of this name.
 pub fn settings(name: &str) -> JobSettings {
     let text = serde_json::json!({
         "name": name, "data_centre": "north", "callers": "127.0.0.1:0", "readiness": "127.0.0.1:0",
--- a/crates/workswood-test-support/src/job_world/holder.rs
+++ b/crates/workswood-test-support/src/job_world/holder.rs
@@ -134,17 +134,17 @@
     fn hear_relays(&mut self, n: usize) {
         let now = self.now;
         let talks: Vec<(HostId, u64)> =
-            self.holders[n].talks.iter().map(|(host, t)| (host.clone(), t.number)).collect();
-        for (host, number) in talks {
+            self.holders[n].talks.iter().map(|(entry, t)| (entry.clone(), t.number)).collect();
+        for (entry, number) in talks {
             for msg in self.take_for_holder(number) {
-                self.hear(n, &host, msg);
+                self.hear(n, &entry, msg);
             }
-            let Some(t) = self.holders[n].talks.get(&host).filter(|t| t.number == number) else { continue };
-            let broken = self.sessions.get(&number).is_none_or(|s| !s.kept_by_relay && !self.is_cut(&host));
+            let Some(t) = self.holders[n].talks.get(&entry).filter(|t| t.number == number) else { continue };
+            let broken = self.sessions.get(&number).is_none_or(|s| !s.kept_by_relay && !self.is_cut(&entry));
             // A holder does not give itself up.
-            let silent = host != self.holders[n].sched.holder && t.heard + RELAY_SILENT < now;
+            let silent = entry != self.holders[n].sched.holder && t.heard + RELAY_SILENT < now;
             if broken || silent {
-                self.give_up(n, &host, broken && t.up);
+                self.give_up(n, &entry, broken && t.up);
             }
         }
     }
@@ -160,21 +160,21 @@
         taken
     }
 
-    fn hear(&mut self, n: usize, host: &HostId, msg: ToHolder) {
+    fn hear(&mut self, n: usize, entry: &HostId, msg: ToHolder) {
         let now = self.now;
         let h = &mut self.holders[n];
-        let Some(t) = h.talks.get_mut(host) else { return };
+        let Some(t) = h.talks.get_mut(entry) else { return };
         match msg {
             ToHolder::Ready => {
                 t.up = true;
                 t.heard = now;
-                h.sched.handle(Event::RelayUp(host.clone()));
+                h.sched.handle(Event::RelayUp(entry.clone()));
             }
             ToHolder::Beat(sent) => {
                 t.heard = now;
                 t.granted = h.renewed + GRACE;
                 let (number, left) = (t.number, t.granted.saturating_sub(now));
-                h.sched.handle(Event::RelayHeard(host.clone()));
+                h.sched.handle(Event::RelayHeard(entry.clone()));
                 self.tell_relay(number, ToRelay::Grant { sent, left });
             }
             ToHolder::LifeOver(id, silent) => {
@@ -183,7 +183,7 @@
             ToHolder::Restarted(id, started, silent) => {
                 h.sched.handle(Event::Restarted(id, started, now.saturating_sub(silent)));
             }
-            ToHolder::Leaving => h.sched.handle(Event::RelayLeaving(host.clone())),
+            ToHolder::Leaving => h.sched.handle(Event::RelayLeaving(entry.clone())),
             ToHolder::News(id, token, news) => {
                 let news = match news {
                     News::Unanswered { lease_end, heard } => {
@@ -196,14 +196,14 @@
         }
     }
 
-    fn give_up(&mut self, n: usize, host: &HostId, may_return: bool) {
+    fn give_up(&mut self, n: usize, entry: &HostId, may_return: bool) {
         let h = &mut self.holders[n];
-        let Some(t) = h.talks.remove(host) else { return };
+        let Some(t) = h.talks.remove(entry) else { return };
         if let Some(s) = self.sessions.get_mut(&t.number) {
             s.kept_by_holder = false;
         }
         let end = t.granted + lease_span(LEASE, limits().drift);
-        h.sched.handle(Event::RelayDown(host.clone(), end, may_return));
+        h.sched.handle(Event::RelayDown(entry.clone(), end, may_return));
     }
 
     fn tell_relay(&mut self, number: u64, msg: ToRelay) {
@@ -263,9 +263,9 @@
     /// Sends an action to the relay that it concerns.
     fn send(&mut self, n: usize, action: Action) {
         match action {
-            Action::OpenRelay(host) => self.open(n, host),
-            Action::CloseRelay(host) => {
-                if let Some(t) = self.holders[n].talks.remove(&host)
+            Action::OpenRelay(entry) => self.open(n, entry),
+            Action::CloseRelay(entry) => {
+                if let Some(t) = self.holders[n].talks.remove(&entry)
                     && let Some(s) = self.sessions.get_mut(&t.number)
                 {
                     s.kept_by_holder = false;
@@ -303,12 +303,12 @@
     }
 
     /// Opens a session with a relay.
-    pub(super) fn open(&mut self, n: usize, host: HostId) {
+    pub(super) fn open(&mut self, n: usize, entry: HostId) {
         let (now, term) = (self.now, self.holders[n].sched.token);
         self.session += 1;
         let number = self.session;
-        let own = host == self.holders[n].sched.holder;
-        let at = self.relays.iter().position(|r| r.name == host);
+        let own = entry == self.holders[n].sched.holder;
+        let at = self.relays.iter().position(|r| r.name == entry);
         let reached = at.is_some_and(|at| {
             let r = &mut self.relays[at];
             let there = !r.cut && !r.leaving && r.paused_until <= now;
@@ -316,7 +316,7 @@
         });
         let mut session = Session {
             term,
-            relay: host.clone(),
+            relay: entry.clone(),
             to_relay: Default::default(),
             to_holder: Default::default(),
             kept_by_holder: true,
@@ -327,7 +327,7 @@
         }
         self.sessions.insert(number, session);
         let talk = Talk { number, up: own, heard: now, granted: Duration::ZERO };
-        self.holders[n].talks.insert(host, talk);
+        self.holders[n].talks.insert(entry, talk);
     }
 
     /// Carries a call to the adviser out, unless it is lost.
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -24,7 +24,7 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{
-    EndKind, Event, JobKey, JobRecord, JobSpec, Limits, Owner, QueueConfig, RelayHost, SchedConfig,
+    EndKind, Event, JobKey, JobRecord, JobSpec, Limits, Owner, QueueConfig, RelayEntry, SchedConfig,
     Scheduler, ServiceConfig, Shown, StepSpec, TaskId, WorkerInfo, WorkerRecord, Workspace, Workspaces,
 };
 
@@ -205,7 +205,7 @@
         World::build(workers, 0, luck, true)
     }
 
-    /// Likewise without an adviser; four hosts attend the workers for the holder, each two
+    /// Likewise without an adviser; four entries attend the workers for the holder, each two
     /// of them at most.
     pub fn relayed(workers: usize, luck: Luck) -> World {
         World::build(workers, 4, luck, false)
@@ -329,16 +329,16 @@
         self.open(self.holders.len() - 1, own);
     }
 
-    /// Tells a scheduler of the hosts that may be relays.
+    /// Tells a scheduler of the entries that may be relays.
     fn set_relays(&self, sched: &mut Scheduler) {
         let others = self.relays.iter().filter(|r| r.own.is_none());
-        let host = |r: &SimRelay| RelayHost {
+        let entry = |r: &SimRelay| RelayEntry {
             name: r.name.clone(),
             data_centre: "north".to_string(),
             strength: 100,
         };
         sched.policy.relays.most_workers = if self.relays.is_empty() { usize::MAX } else { RELAY_ROOM };
-        sched.set_relay_hosts(others.map(host).collect());
+        sched.set_relay_entries(others.map(entry).collect());
     }
 
     /// Pauses the present holder.
--- a/src/workswood/ops/job_status/mod.rs
+++ b/src/workswood/ops/job_status/mod.rs
@@ -50,7 +50,7 @@
     pub machines: std::result::Result<Vec<Machine>, String>,
 }
 
-/// Reads the status with the settings of any host.
+/// Reads the status with the settings of any entry.
 pub async fn run(path: &str) -> Result<JobsStatus> {
     let settings = JobSettings::read(path)?;
     let addresses =
--- a/src/workswood/ops/job_status/sum.rs
+++ b/src/workswood/ops/job_status/sum.rs
@@ -45,7 +45,7 @@
 /// The lease holder, as the store has it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HolderStatus {
-    /// Name of its host.
+    /// Name of its entry.
     pub name: String,
     /// This life of its process.
     pub id: String,
--- a/src/workswood/ops/jobs/lead.rs
+++ b/src/workswood/ops/jobs/lead.rs
@@ -119,9 +119,9 @@
         status: status_tx,
         over: over_tx,
         machines_read: Duration::ZERO,
-        hosts_seen: 0,
+        entries_seen: 0,
     };
-    owner.know_hosts();
+    owner.know_entries();
     owner.run(&mut rx, tasks).await;
 }
 
@@ -144,8 +144,8 @@
     over: mpsc::UnboundedSender<Vec<JobKey>>,
     /// When the list of machines was last asked for.
     machines_read: Duration,
-    /// The list of hosts that the scheduler knows.
-    hosts_seen: u64,
+    /// The list of entries that the scheduler knows.
+    entries_seen: u64,
 }
 
 impl Owner {
@@ -197,8 +197,8 @@
     fn tick(&mut self, tasks: &mut JoinSet<()>) {
         self.clock();
         let own = self.node.settings.peers.to_string();
-        self.sched.set_advice_hosts(1 + self.node.peers.others(&own).len());
-        self.know_hosts();
+        self.sched.set_advice_entries(1 + self.node.peers.others(&own).len());
+        self.know_entries();
         self.sched.handle(Event::Tick);
         let (m, tally) = (&self.node.metrics, &self.sched.tally);
         m.lives_lost.set(tally.lives_lost as i64);
@@ -213,10 +213,10 @@
         }
     }
 
-    /// Tells the scheduler which hosts may be relays.
-    fn know_hosts(&mut self) {
-        if let Some(hosts) = self.node.peers.news_of_hosts(&mut self.hosts_seen) {
-            self.sched.set_relay_hosts(hosts);
+    /// Tells the scheduler which entries may be relays.
+    fn know_entries(&mut self) {
+        if let Some(entries) = self.node.peers.news_of_entries(&mut self.entries_seen) {
+            self.sched.set_relay_entries(entries);
         }
     }
 
--- a/src/workswood/ops/jobs/limits.rs
+++ b/src/workswood/ops/jobs/limits.rs
@@ -13,7 +13,7 @@
 /// ran on a lost worker to be started again.
 const WORKER_LEASE: Duration = Duration::from_millis(5000);
 /// A holder that is overtaken may send orders to machines until it has read of
-/// that; a few times the way from the store on a busy host.
+/// that; a few times the way from the store on a busy entry.
 const HANDOVER_MARGIN: Duration = Duration::from_millis(300);
 /// Share by which a worker's clock may run slow, from the platform's pages.
 const DRIFT: f64 = 0.02;
--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -1,6 +1,6 @@
-//! The process of an entry host that queues and runs jobs.
+//! The process of an entry that queues and runs jobs.
 //!
-//! Every entry host runs the same process. Each one takes jobs from callers
+//! Every entry runs the same process. Each one takes jobs from callers
 //! and writes them into the platform's store; the one that holds the scheduler
 //! lease decides where their tasks run. A [`Node`] is what the tasks of a
 //! process share:
@@ -16,7 +16,7 @@
 //! * [`relay`] speaks with workers, for the lease holder here or elsewhere;
 //! * [`shown`] holds what callers may be told; [`ask`] puts callers' questions to the lease holder, and [`help`] does what
 //!   other processes ask for, whose listeners are in [`peers`];
-//! * [`usage`] tells in the log what a busy host is used for;
+//! * [`usage`] tells in the log what a busy entry is used for;
 //! * [`stop`] ends the process without cutting anything off.
 
 pub mod advice;
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -2,7 +2,7 @@
 //!
 //! Every process keeps a record in the store of where its peers reach it, and
 //! reads those of the others now and then: by the time that the store turns a
-//! host away, it is too late to ask there who could help.
+//! entry away, it is too late to ask there who could help.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -14,8 +14,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 use workswood_core::ids::{DataCentre, Offset, UnixMs};
-use workswood_core::jobs::RelayHost;
-use workswood_core::jobs::claim::{self, Host, Strength};
+use workswood_core::jobs::RelayEntry;
+use workswood_core::jobs::claim::{self, Entry, Strength};
 use workswood_liveness::HalfOpen;
 use workswood_peers::{CallError, Link, Msg};
 use workswood_platform::jobs::{Guard, KeyedRecord, StoreError, Topic};
@@ -45,7 +45,7 @@
 /// Pause after a failed read or append.
 const PAUSE: Duration = Duration::from_millis(500);
 
-/// Stored form of a process, under the name of its host.
+/// Stored form of a process, under the name of its entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct PeerRecord {
     /// Its peer listener.
@@ -63,7 +63,7 @@
 /// The other processes, as they were last read.
 #[derive(Default)]
 struct Roster {
-    by_host: BTreeMap<String, PeerRecord>,
+    by_entry: BTreeMap<String, PeerRecord>,
     /// Counts the readings that told something new.
     version: u64,
 }
@@ -89,8 +89,8 @@
 }
 
 impl PeerRecord {
-    fn as_host<'a>(&'a self, name: &'a str) -> Host<'a> {
-        Host { name, data_centre: &self.data_centre, strength: self.strength }
+    fn as_entry<'a>(&'a self, name: &'a str) -> Entry<'a> {
+        Entry { name, data_centre: &self.data_centre, strength: self.strength }
     }
 
     /// Whether it says the same as another, written at any time.
@@ -167,15 +167,15 @@
         kept.link.clone()
     }
 
-    /// Notes where the process of a host listens for its peers, and how many workers it could look after.
-    pub fn know(&self, host: &str, peers: &str, strength: Strength) {
+    /// Notes where the process of an entry listens for its peers, and how many workers it could look after.
+    pub fn know(&self, entry: &str, peers: &str, strength: Strength) {
         let rec = PeerRecord { peers: peers.to_string(), at: 0, data_centre: DataCentre::new(), strength };
-        self.roster.lock().by_host.insert(host.to_string(), rec);
+        self.roster.lock().by_entry.insert(entry.to_string(), rec);
     }
 
-    /// Where the process of a host listens for its peers.
-    pub fn address_of(&self, host: &str) -> Option<String> {
-        self.roster.lock().by_host.get(host).map(|rec| rec.peers.clone())
+    /// Where the process of an entry listens for its peers.
+    pub fn address_of(&self, entry: &str) -> Option<String> {
+        self.roster.lock().by_entry.get(entry).map(|rec| rec.peers.clone())
     }
 
     /// Has the records read soon.
@@ -183,43 +183,43 @@
         self.wanted.notify_one();
     }
 
-    /// Hosts that may be relays, if they changed since the list that was seen.
-    pub fn news_of_hosts(&self, seen: &mut u64) -> Option<Vec<RelayHost>> {
+    /// Entries that may be relays, if they changed since the list that was seen.
+    pub fn news_of_entries(&self, seen: &mut u64) -> Option<Vec<RelayEntry>> {
         let roster = self.roster.lock();
         if roster.version == *seen {
             return None;
         }
         *seen = roster.version;
-        // Hosts of versions before this one say no strength, and can't be relays.
-        let known = roster.by_host.iter().filter(|(_, rec)| rec.strength > 0);
-        let host = |(name, rec): (&String, &PeerRecord)| RelayHost {
+        // Entries of versions before this one say no strength, and can't be relays.
+        let known = roster.by_entry.iter().filter(|(_, rec)| rec.strength > 0);
+        let entry = |(name, rec): (&String, &PeerRecord)| RelayEntry {
             name: name.clone(),
             data_centre: rec.data_centre.clone(),
             strength: rec.strength,
         };
-        Some(known.map(host).collect())
+        Some(known.map(entry).collect())
     }
 
-    /// Whether a host is one of those that hear of each renewal of the lease.
+    /// Whether an entry is one of those that hear of each renewal of the lease.
     pub fn hears_renewals(&self, own: &str) -> bool {
         let roster = self.roster.lock();
-        let hosts = roster.by_host.iter().map(|(name, rec)| rec.as_host(name));
-        claim::hears_renewals(own, hosts)
+        let entries = roster.by_entry.iter().map(|(name, rec)| rec.as_entry(name));
+        claim::hears_renewals(own, entries)
     }
 
     /// Takes in the records as they were read.
-    fn set_roster(&self, by_host: BTreeMap<String, PeerRecord>) {
+    fn set_roster(&self, by_entry: BTreeMap<String, PeerRecord>) {
         let mut roster = self.roster.lock();
-        let same = roster.by_host.len() == by_host.len()
-            && roster.by_host.iter().zip(&by_host).all(|((a, x), (b, y))| a == b && x.same_as(y));
-        roster.by_host = by_host;
+        let same = roster.by_entry.len() == by_entry.len()
+            && roster.by_entry.iter().zip(&by_entry).all(|((a, x), (b, y))| a == b && x.same_as(y));
+        roster.by_entry = by_entry;
         roster.version += u64::from(!same);
     }
 
     /// All other processes by their listeners, always in the same order.
     pub fn others(&self, own: &str) -> Vec<String> {
         let roster = self.roster.lock();
-        roster.by_host.values().map(|rec| &rec.peers).filter(|a| *a != own).cloned().collect()
+        roster.by_entry.values().map(|rec| &rec.peers).filter(|a| *a != own).cloned().collect()
     }
 
     /// Up to `count` other processes that may help, by their listeners; another
@@ -227,7 +227,7 @@
     pub fn helpers(&self, own: &str, count: usize) -> Vec<String> {
         let roster = self.roster.lock();
         let others: Vec<&String> =
-            roster.by_host.values().map(|rec| &rec.peers).filter(|a| *a != own).collect();
+            roster.by_entry.values().map(|rec| &rec.peers).filter(|a| *a != own).collect();
         let turn = self.turn.fetch_add(1, Ordering::Relaxed);
         (0..others.len().min(count)).map(|n| others[(turn + n) % others.len()].clone()).collect()
     }
@@ -282,18 +282,18 @@
 /// The records of all processes as they were read, and where to read on.
 #[derive(Default)]
 struct Records {
-    by_host: BTreeMap<String, PeerRecord>,
+    by_entry: BTreeMap<String, PeerRecord>,
     next: Option<Offset>,
 }
 
 impl Records {
     fn take(&mut self, rec: KeyedRecord) {
         let Some(value) = rec.value.as_deref() else {
-            self.by_host.remove(&rec.key);
+            self.by_entry.remove(&rec.key);
             return;
         };
         match serde_json::from_slice::<PeerRecord>(value) {
-            Ok(peer) => drop(self.by_host.insert(rec.key, peer)),
+            Ok(peer) => drop(self.by_entry.insert(rec.key, peer)),
             Err(e) => log::error!("event=record_not_read code=203 key={} error=\"{e}\"", rec.key),
         }
     }
@@ -312,7 +312,7 @@
         Some(tail) => (tail.records, tail.next),
         None => {
             let newest = node.platform.newest(Topic::Peers).await?;
-            known.by_host.clear();
+            known.by_entry.clear();
             (newest.records, newest.next)
         }
     };
@@ -320,10 +320,10 @@
     known.next = Some(next);
     let now = node.wall();
     let age = |peer: &PeerRecord| Duration::from_millis(now.saturating_sub(peer.at));
-    let old = known.by_host.iter().filter(|(_, peer)| age(peer) > KEPT_FOR);
-    let old: Vec<KeyedRecord> = old.map(|(host, _)| drop_record(host.clone())).collect();
-    let fresh = known.by_host.iter().filter(|(_, peer)| age(peer) < FRESH_FOR);
-    node.peers.set_roster(fresh.map(|(host, peer)| (host.clone(), peer.clone())).collect());
+    let old = known.by_entry.iter().filter(|(_, peer)| age(peer) > KEPT_FOR);
+    let old: Vec<KeyedRecord> = old.map(|(entry, _)| drop_record(entry.clone())).collect();
+    let fresh = known.by_entry.iter().filter(|(_, peer)| age(peer) < FRESH_FOR);
+    node.peers.set_roster(fresh.map(|(entry, peer)| (entry.clone(), peer.clone())).collect());
     if old.is_empty() {
         return Ok(());
     }
--- a/src/workswood/util/job_settings.rs
+++ b/src/workswood/util/job_settings.rs
@@ -14,7 +14,7 @@
 /// Environment variable with the path of the settings file.
 pub const PATH_VARIABLE: &str = "WORKSWOOD_SETTINGS";
 
-/// Until a connection that went silent is given up and the same is read over a new one, a busy host takes
+/// Until a connection that went silent is given up and the same is read over a new one, a busy entry takes
 /// a few times the 150 ms that it takes a calm one.
 const RECONNECT_WITHIN: Duration = Duration::from_millis(1000);
 /// The store answers within 30 s at the latest.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobSettings {
-    /// Name of the host, used in logs and leases.
+    /// Name of the entry, used in logs and leases.
     pub name: String,
     /// Data centre that it stands in.
     pub data_centre: DataCentre,
@@ -39,7 +39,7 @@
     /// The platform's store.
     pub store: String,
     /// Streams that a topic of the store may be divided into; the same on all
-    /// hosts.
+    /// entries.
     #[serde(default = "default_parts")]
     pub store_parts: u16,
     /// The platform's machine service.
@@ -47,10 +47,10 @@
     /// The service that says which workers may run a step, if there is one.
     #[serde(default)]
     pub adviser: Option<String>,
-    /// Share of a core that the host gives the process.
+    /// Share of a core that the process gets.
     #[serde(default = "default_cores")]
     pub cores: f64,
-    /// Bandwidth of the host's link, in Mbit/s.
+    /// Bandwidth of the entry's link, in Mbit/s.
     #[serde(default = "default_link")]
     pub link_mbps: f64,
     /// Longest lease that workers accept, in milliseconds.
@@ -60,7 +60,7 @@
     /// Orders to machines a second that the platform takes.
     #[serde(default = "default_machine_orders")]
     pub machine_orders_per_s: f64,
-    /// Within which time a host has to be up to date again after trouble with its connections, in
+    /// Within which time an entry has to be up to date again after trouble with its connections, in
     /// milliseconds.
     #[serde(default = "default_in_step")]
     pub in_step_within_ms: u64,
@@ -94,7 +94,7 @@
     3_000
 }
 
-/// A whole core: a host that does not say is taken to be a large one.
+/// A whole core: an entry that does not say is taken to be a large one.
 fn default_cores() -> f64 {
     1.0
 }
@@ -119,7 +119,7 @@
             return Err("`name` and `data_centre` must not be empty".to_string());
         }
         if self.peers.ip().is_unspecified() {
-            return Err("`peers` is told to other hosts and needs an address, not 0.0.0.0".to_string());
+            return Err("`peers` is told to other entries and needs an address, not 0.0.0.0".to_string());
         }
         for (field, value) in [("store", &self.store), ("machines", &self.machines)] {
             if value.parse::<SocketAddr>().is_err() {
@@ -161,12 +161,12 @@
         self.adviser.as_deref().filter(|a| !a.is_empty())
     }
 
-    /// Workers that this host can look after as lease holder.
+    /// Workers that this entry can look after as lease holder.
     pub fn strength(&self) -> Strength {
         claim::strength(self.cores, self.link_mbps)
     }
 
-    /// How long a host that does not lead waits for news on one connection. What comes on a connection
+    /// How long an entry that does not lead waits for news on one connection. What comes on a connection
     /// that has gone silent is heard that late, and over a new one some hundred milliseconds later.
     pub fn news_wait(&self) -> Duration {
         Duration::from_millis(self.in_step_within_ms).saturating_sub(RECONNECT_WITHIN).min(LONGEST_NEWS_WAIT)
--- a/tests/testsuite/advice_protocol.rs
+++ b/tests/testsuite/advice_protocol.rs
@@ -1,4 +1,4 @@
-//! The adapter against a stand-in of the adviser, and calls by other hosts.
+//! The adapter against a stand-in of the adviser, and calls by other entries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -151,13 +151,13 @@
 }
 
 #[tokio::test]
-async fn other_hosts_call_too() {
+async fn other_entries_call_too() {
     let (a, c) = adviser().await;
     // The holder itself does not reach the adviser.
     let holder = process("entry-1", client(Some(NOWHERE.to_string()))).await;
     let helper = process("entry-2", c).await;
     assert_eq!(call(&holder, 0).await, AdviceReply::NotSent);
-    assert_eq!(call(&holder, 1).await, AdviceReply::NotSent, "no other host is known yet");
+    assert_eq!(call(&holder, 1).await, AdviceReply::NotSent, "no other entry is known yet");
     holder.peers.know("entry-2", &helper.settings.peers.to_string(), 600);
     assert_eq!(answered(call(&holder, 1).await).good.len(), 2);
     assert_eq!(call(&holder, 2).await, AdviceReply::NotSent);
@@ -167,5 +167,5 @@
     assert_eq!(call(&holder, 1).await, AdviceReply::NoAnswer);
     assert_eq!(answered(call(&holder, 1).await).valid, Some(ms(700)));
     holder.peers.know("entry-2", NOWHERE, 600);
-    assert_eq!(call(&holder, 1).await, AdviceReply::NotSent, "that host is gone");
+    assert_eq!(call(&holder, 1).await, AdviceReply::NotSent, "that entry is gone");
 }
--- a/tests/testsuite/advice_tickets.rs
+++ b/tests/testsuite/advice_tickets.rs
@@ -262,15 +262,15 @@
 }
 
 #[test]
-fn hosts_call_side_by_side() {
+fn entries_call_side_by_side() {
     let mut world = advised(4, cfg());
-    world.sched.set_advice_hosts(3);
+    world.sched.set_advice_entries(3);
     for n in 1..6 {
         world.sched.handle(Event::Submitted(n, Arc::new(job(vec![step(1, vec![])], n))));
     }
     let first = calls(&world.tick());
     assert_eq!(first.iter().map(|(lane, s, _)| (*lane, s.job)).collect::<Vec<_>>(), [(0, 1), (1, 2), (2, 3)]);
-    // The second host fails: while the others are free, it is not asked again.
+    // The second entry fails: while the others are free, it is not asked again.
     let (_, step_id, ids) = &first[1];
     world.sched.handle(failed(1, *step_id, ids, AdviceReply::NotSent));
     world.at(1000);
@@ -278,24 +278,24 @@
     world.sched.handle(advice(*step_id, ids, ids, ms(3000)));
     let lanes: Vec<usize> = calls(&world.tick()).iter().map(|c| c.0).collect();
     assert_eq!(lanes, [0, 1]);
-    // A host that is gone frees its lane when its call is over.
-    world.sched.set_advice_hosts(1);
+    // An entry that is gone frees its lane when its call is over.
+    world.sched.set_advice_entries(1);
     let (_, step_id, ids) = &first[2];
     world.sched.handle(failed(2, *step_id, ids, AdviceReply::NoAnswer));
-    world.sched.set_advice_hosts(1);
+    world.sched.set_advice_entries(1);
     assert!(calls(&world.tick()).is_empty());
 }
 
 #[test]
-fn host_that_is_gone_delays_little() {
+fn entry_that_is_gone_delays_little() {
     let mut world = advised(4, cfg());
-    world.sched.set_advice_hosts(2);
+    world.sched.set_advice_entries(2);
     for n in 1..200 {
         world.sched.handle(Event::Submitted(n, Arc::new(job(vec![step(1, vec![])], n))));
     }
     let mut at = 0;
     let (mut lost, mut waited) = (0, ms(0));
-    // The first host is always answered, with nobody good; the second one never.
+    // The first entry is always answered, with nobody good; the second one never.
     for _ in 0..200 {
         at += 150;
         world.at(at);
--- a/tests/testsuite/lease_claims.rs
+++ b/tests/testsuite/lease_claims.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use workswood_core::jobs::claim::{
-    Ages, Candidate, EXPIRES, HolderSeen, Host, Reason, hears_renewals, strength,
+    Ages, Candidate, EXPIRES, Entry, HolderSeen, Reason, hears_renewals, strength,
 };
 
 const MS: Duration = Duration::from_millis(1);
@@ -64,33 +64,34 @@
     assert_eq!(large().reason_to_claim(Some(&holder), settled), Some(Reason::FarStronger));
     assert_eq!(small().reason_to_claim(Some(&held_by(&large())), settled), None);
     let alike = HolderSeen { id: "c".into(), name: "other".into(), ..held_by(&large()) };
-    assert_eq!(large().reason_to_claim(Some(&alike), settled), None, "alike hosts leave each other alone");
+    assert_eq!(large().reason_to_claim(Some(&alike), settled), None, "alike entries leave each other alone");
     let silent = HolderSeen { strength: None, ..holder };
     assert_eq!(large().reason_to_claim(Some(&silent), settled), None, "an older program does not say");
 }
 
-fn host(name: &str, data_centre: &'static str, strength: u32) -> (String, &'static str, u32) {
+fn entry(name: &str, data_centre: &'static str, strength: u32) -> (String, &'static str, u32) {
     (name.to_string(), data_centre, strength)
 }
 
-/// Hosts that hear of each renewal, of these.
-fn hearing(hosts: &[(String, &'static str, u32)]) -> Vec<String> {
-    let all =
-        || hosts.iter().map(|(name, data_centre, strength)| Host { name, data_centre, strength: *strength });
-    hosts.iter().map(|h| h.0.clone()).filter(|own| hears_renewals(own, all())).collect()
+/// Entries that hear of each renewal, of these.
+fn hearing(entries: &[(String, &'static str, u32)]) -> Vec<String> {
+    let all = || {
+        entries.iter().map(|(name, data_centre, strength)| Entry { name, data_centre, strength: *strength })
+    };
+    entries.iter().map(|h| h.0.clone()).filter(|own| hears_renewals(own, all())).collect()
 }
 
 #[test]
 fn few_hear_renewals() {
-    let small: Vec<_> = (0..6).map(|n| host(&format!("h{n}"), "north", 600)).collect();
-    assert_eq!(hearing(&small).len(), 6, "where hosts are few, all do");
-    let mut fleet: Vec<_> = (0..500).map(|n| host(&format!("h{n}"), "north", n % 100)).collect();
-    fleet.extend([host("s1", "south", 5), host("s2", "south", 4), host("s3", "south", 3)]);
+    let small: Vec<_> = (0..6).map(|n| entry(&format!("h{n}"), "north", 600)).collect();
+    assert_eq!(hearing(&small).len(), 6, "where entries are few, all do");
+    let mut fleet: Vec<_> = (0..500).map(|n| entry(&format!("h{n}"), "north", n % 100)).collect();
+    fleet.extend([entry("s1", "south", 5), entry("s2", "south", 4), entry("s3", "south", 3)]);
     let hear = hearing(&fleet);
     assert_eq!(hear.len(), 8 + 2, "{hear:?}");
     assert!(hear.contains(&"s1".to_string()) && hear.contains(&"s2".to_string()), "some of each data centre");
     assert!(hear.contains(&"h499".to_string()) && hear.contains(&"h99".to_string()), "the strongest ones");
     let all =
-        || fleet.iter().map(|(name, data_centre, strength)| Host { name, data_centre, strength: *strength });
+        || fleet.iter().map(|(name, data_centre, strength)| Entry { name, data_centre, strength: *strength });
     assert!(hears_renewals("unknown", all()), "whoever is not on record yet");
 }
