--- a/crates/workswood-core/src/jobs/config.rs
+++ b/crates/workswood-core/src/jobs/config.rs
@@ -52,7 +52,7 @@
     /// Whether its workers refuse what does not fit. The scheduler does not read
     /// it: it places only what fits.
     pub guards_room: bool,
-    /// Whether its machines are off and unpaid.
+    /// Whether its hosts are off and unpaid.
     pub spare: bool,
 }
 
--- a/crates/workswood-core/src/jobs/crash.rs
+++ b/crates/workswood-core/src/jobs/crash.rs
@@ -198,11 +198,11 @@
 pub(super) enum LifeEnd {
     /// Its address is answered by another life.
     OtherLife,
-    /// The list of machines shows its machine without it.
-    NotOnMachine,
-    /// Its machine was ordered down for maintenance.
+    /// The list of hosts shows its host without it.
+    NotOnHost,
+    /// Its host was ordered down for maintenance.
     Upkeep,
-    /// Its machine was ordered to another pool.
+    /// Its host was ordered to another pool.
     Moved,
     /// It answers no more, and is not listed any more.
     Gone,
@@ -213,7 +213,7 @@
     pub(super) fn label(self) -> &'static str {
         match self {
             LifeEnd::OtherLife => "other_life",
-            LifeEnd::NotOnMachine => "machine_listed_without_it",
+            LifeEnd::NotOnHost => "machine_listed_without_it",
             LifeEnd::Upkeep => "upkeep",
             LifeEnd::Moved => "moved",
             LifeEnd::Gone => "gone",
@@ -222,7 +222,7 @@
 
     /// Whether nobody ordered it.
     fn is_sudden(self) -> bool {
-        matches!(self, LifeEnd::OtherLife | LifeEnd::NotOnMachine | LifeEnd::Gone)
+        matches!(self, LifeEnd::OtherLife | LifeEnd::NotOnHost | LifeEnd::Gone)
     }
 }
 
@@ -284,7 +284,7 @@
         }
         // Of one that only records of runs speak of, nothing says otherwise.
         let Some(info) = &w.info else { return true };
-        !info.draining && !self.is_ordered_since(&info.machine, w.known_since)
+        !info.draining && !self.is_ordered_since(&info.host, w.known_since)
     }
 
     fn lost(&self, id: &WorkerId, task: &TaskId, attempt: u32) -> Option<Lost> {
--- a/crates/workswood-core/src/jobs/crash_rate.rs
+++ b/crates/workswood-core/src/jobs/crash_rate.rs
@@ -16,7 +16,7 @@
 const WINDOW: Duration = Duration::from_secs(10);
 /// Before anything is seen, workers are taken to crash this often,
 const SUPPOSED_CRASHES: f64 = 0.5;
-/// in so many seconds of one worker: a little more than once in two hours a machine would
+/// in so many seconds of one worker: a little more than once in two hours a host would
 /// let a single crash in the first seconds of a term look like many.
 const SUPPOSED_SECONDS: f64 = 60.0;
 /// Tasks that crash their workers come in rows: of one job class, or from one caller.
--- a/crates/workswood-core/src/jobs/evacuation.rs
+++ b/crates/workswood-core/src/jobs/evacuation.rs
@@ -1,12 +1,12 @@
 //! Data centres that are being evacuated: nothing begins there until operators take them back.
 //!
 //! What runs there goes on: its workers answer, and moving it would take it away from its callers for
-//! the time of a start. The machines of such a data centre count neither as room nor as part of their
+//! the time of a start. The hosts of such a data centre count neither as room nor as part of their
 //! pools, so that the others get what is missing.
 
 use std::collections::BTreeSet;
 
-use super::machine::Machine;
+use super::host::Host;
 use super::sched::Scheduler;
 use crate::ids::DataCentre;
 
@@ -26,14 +26,14 @@
         self.place_again.extend(self.ready.keys().cloned());
     }
 
-    /// Whether work may begin on a machine, as far as its data centre is concerned.
-    pub(super) fn stands_open(&self, m: &Machine) -> bool {
+    /// Whether work may begin on a host, as far as its data centre is concerned.
+    pub(super) fn stands_open(&self, m: &Host) -> bool {
         !self.evacuated.contains(&m.data_centre)
     }
 
-    /// Adds up the room of all machines on which work may begin.
+    /// Adds up the room of all hosts on which work may begin.
     pub(super) fn measure_fleet(&mut self) {
-        let open = self.machines.values().filter(|m| self.stands_open(m));
+        let open = self.hosts.values().filter(|m| self.stands_open(m));
         self.fleet_cpu = open.map(|m| m.capacity.cpu_millis).sum();
     }
 
--- a/crates/workswood-core/src/jobs/machine.rs
+++ b/crates/workswood-core/src/jobs/host.rs
@@ -1,4 +1,4 @@
-//! Machines, and the answers to orders to them.
+//! Hosts, and the answers to orders to them.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 /// An order without an outcome is sent again after this time.
 pub(super) const ORDER_AGAIN: Duration = Duration::from_millis(1500);
 
-/// State of a machine.
+/// State of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MachineState {
+pub enum HostState {
     /// It works, or could.
     Up,
     /// It changes its pool.
@@ -22,15 +22,15 @@
     Down,
 }
 
-/// A machine, as the platform lists it.
+/// A host, as the platform lists it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Machine {
+pub struct Host {
     /// Its name.
     pub name: HostId,
     /// The service whose pool it is in.
     pub pool: ServiceId,
     /// Its state.
-    pub state: MachineState,
+    pub state: HostState,
     /// Where it stands.
     pub data_centre: DataCentre,
     /// Kind and rack.
@@ -41,14 +41,14 @@
     pub worker: Option<WorkerId>,
 }
 
-/// Answer to an order to a machine.
+/// Answer to an order to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MachineReply {
+pub enum HostReply {
     /// Done, now or before.
     Done,
-    /// Not now: the machine is busy.
+    /// Not now: the host is busy.
     Busy,
-    /// Never: no such machine, or not part of this wave.
+    /// Never: no such host, or not part of this wave.
     Impossible,
     /// Another holder has used a higher token for it.
     Fenced,
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -20,7 +20,7 @@
 //! * [`job`] holds the state of one job and its stored form, [`known`] all of them.
 //! * [`worker`] holds what is known of one worker, its room and its lease;
 //!   [`worker_id`] is its name, and [`workers`] holds all of them.
-//! * [`machine`] holds what is known of one machine.
+//! * [`host`] holds what is known of one host.
 //! * [`map`] is a map whose order is the same in every run.
 //! * [`order`] decides which waiting task is next, and [`waiting`] keeps them.
 //! * [`relays`] decides which entry speaks with which workers, and [`follow`] what is new
@@ -33,11 +33,11 @@
 //! * [`advice`] asks ahead which workers may run a step, where only some may:
 //!   `advice_need` says which steps want it, [`advice_batch`] whom to ask about.
 //! * [`claim`] decides which process runs the scheduler.
-//! * [`wave`] decides which machine is maintained next, and [`upkeep`] orders it down.
-//! * [`handover`] keeps a new holder off machines that were just ordered.
+//! * [`wave`] decides which host is maintained next, and [`upkeep`] orders it down.
+//! * [`handover`] keeps a new holder off hosts that were just ordered.
 //! * [`policy`] holds what these decisions are tuned by.
-//! * [`need`] works out how many machines each pool needs, and [`pools`]
-//!   decides which machine changes its pool; [`moves`] brings it there.
+//! * [`need`] works out how many hosts each pool needs, and [`pools`]
+//!   decides which host changes its pool; [`moves`] brings it there.
 
 pub mod accounts;
 pub mod advice;
@@ -53,10 +53,10 @@
 pub mod evict;
 pub mod follow;
 pub mod handover;
+pub mod host;
 pub mod job;
 pub mod known;
 mod lives;
-pub mod machine;
 pub mod map;
 pub mod moves;
 pub mod need;
@@ -85,8 +85,8 @@
 pub use advice::AdvicePolicy;
 pub use config::{AdviceConfig, QueueConfig, SchedConfig, ServiceConfig};
 pub use follow::Follow;
+pub use host::{Host, HostReply, HostState};
 pub use job::{Job, JobRecord, Outcome, OverRecord, Phase, Run, Shown, Task};
-pub use machine::{Machine, MachineReply, MachineState};
 pub use policy::Policy;
 pub use relays::{RelayEntry, RelayPolicy};
 pub use sched::Scheduler;
--- a/crates/workswood-core/src/jobs/need.rs
+++ b/crates/workswood-core/src/jobs/need.rs
@@ -1,4 +1,4 @@
-//! How many machines the pool of each service needs.
+//! How many hosts the pool of each service needs.
 //!
 //! The need comes from what runs, what waits and what came in lately. It rises
 //! at once and falls slowly, at two speeds: demand that fell often comes back.
@@ -13,16 +13,16 @@
 use super::spec::{JobKey, Room};
 use crate::ids::ServiceId;
 
-/// Need of a service in machines, falling from its peaks at two speeds.
+/// Need of a service in hosts, falling from its peaks at two speeds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Need {
     /// What it could use now.
     pub now: f64,
-    /// What it will be able to use when a machine that is sent for now has come.
+    /// What it will be able to use when a host that is sent for now has come.
     pub soon: f64,
     /// What it keeps when another pool is short.
     pub lend: f64,
-    /// What it keeps before machines are turned off.
+    /// What it keeps before hosts are turned off.
     pub keep: f64,
 }
 
@@ -30,18 +30,18 @@
 struct Wanted {
     /// Whether anything does.
     any: bool,
-    /// How many machines it fills.
+    /// How many hosts it fills.
     load: f64,
-    /// Cores of a machine; 0 if there is none to go by.
+    /// Cores of a host; 0 if there is none to go by.
     cores: f64,
-    /// Machines that lasting tasks need because only so many may share one.
+    /// Hosts that lasting tasks need because only so many may share one.
     apart: f64,
 }
 
 impl Wanted {
-    /// Machines that are needed while the work that comes in keeps so many cores
+    /// Hosts that are needed while the work that comes in keeps so many cores
     /// busy, when each is filled to such a share.
-    fn machines(&self, offered: f64, full: f64) -> f64 {
+    fn hosts(&self, offered: f64, full: f64) -> f64 {
         if self.cores == 0.0 {
             return if self.any { self.apart.max(1.0) } else { self.apart };
         }
@@ -50,11 +50,11 @@
 }
 
 impl Scheduler {
-    /// Works out how many machines each service needs.
+    /// Works out how many hosts each service needs.
     pub(super) fn work_out_need(&mut self, count: &PoolCount) {
         let passed = self.now.saturating_sub(self.pools.worked_out).as_secs_f64();
         self.pools.worked_out = self.now;
-        let all = self.machines.len() as f64;
+        let all = self.hosts.len() as f64;
         let policy = &self.policy.need;
         let (lend_falls, keep_falls) = (passed * policy.lend_per_s * all, passed * policy.forget_per_s * all);
         let services: Vec<ServiceId> = self.config.services.keys().cloned().collect();
@@ -65,14 +65,14 @@
         }
     }
 
-    /// Need of a service whose pool has so many machines, when it falls by so many
+    /// Need of a service whose pool has so many hosts, when it falls by so many
     /// at most.
     fn need_after(&mut self, service: &ServiceId, have: f64, lend_falls: f64, keep_falls: f64) -> Need {
         let policy = &self.policy.need;
         let wanted = self.wanted(service);
         let offered = self.offered(service);
-        let now = wanted.machines(offered, policy.full);
-        let soon = wanted.machines(self.offered_soon(service), policy.full).max(now);
+        let now = wanted.hosts(offered, policy.full);
+        let soon = wanted.hosts(self.offered_soon(service), policy.full).max(now);
         let before = self.pools.need.get(service).copied().unwrap_or_default();
         // Before its first work, a pool is taken to be of the right size.
         let known = self.pools.worked.contains(service) || now > 0.0;
@@ -82,7 +82,7 @@
             self.pools.worked.insert(service.clone());
         }
         // What a turn is taken to want is kept like what is in use: the signs of
-        // it come and go with single jobs, and its machines would with them.
+        // it come and go with single jobs, and its hosts would with them.
         Need { now, soon, lend: lend.max(now), keep: keep.max(soon) }
     }
 
@@ -97,7 +97,7 @@
             any: room != Room::default(),
             load: cpu.max(mem),
             cores: size.cpu_millis as f64 / 1000.0,
-            apart: f64::from(self.machines_apart(service)),
+            apart: f64::from(self.hosts_apart(service)),
         }
     }
 
@@ -110,14 +110,14 @@
     }
 
     /// Room that is waited for by tasks whose job can be in time, and by others. What a limit
-    /// keeps from beginning asks for no machines.
+    /// keeps from beginning asks for no hosts.
     fn waiting_room(&self, service: &ServiceId) -> (Room, Room) {
         let waiting = self.ready.get(service);
         waiting.map(|w| w.room_within(|owner| self.left_of_limit(owner))).unwrap_or_default()
     }
 
-    /// Machines that lasting tasks need because only so many may share one.
-    fn machines_apart(&self, service: &ServiceId) -> u32 {
+    /// Hosts that lasting tasks need because only so many may share one.
+    fn hosts_apart(&self, service: &ServiceId) -> u32 {
         let jobs = self.jobs.lasting(service).filter(|j| j.open());
         let steps = jobs.flat_map(|j| &j.spec.steps).filter(|s| s.lasting && s.most_per_worker > 0);
         steps.map(|s| s.count.div_ceil(s.most_per_worker)).max().unwrap_or(0)
@@ -194,8 +194,8 @@
         if demand.jobs(self.now, policy.arrivals) < policy.turn_jobs {
             return 0.0;
         }
-        let size = self.machines.values().map(|m| m.capacity.cpu_millis).max().unwrap_or(0) as f64 / 1000.0;
-        if recent < size * self.machines_share(policy.turn_least) {
+        let size = self.hosts.values().map(|m| m.capacity.cpu_millis).max().unwrap_or(0) as f64 / 1000.0;
+        if recent < size * self.hosts_share(policy.turn_least) {
             return 0.0;
         }
         // What this turn has shown so far tells nothing about the rest of it.
--- a/crates/workswood-core/src/jobs/place.rs
+++ b/crates/workswood-core/src/jobs/place.rs
@@ -218,8 +218,8 @@
     }
 
     /// What speaks against a worker; smaller is better. Among equals the one
-    /// with the least room left is filled up: tasks spread over all machines
-    /// would leave none empty, and only an empty machine can go to a pool that is
+    /// with the least room left is filled up: tasks spread over all hosts
+    /// would leave none empty, and only an empty host can go to a pool that is
     /// short of them, be turned off or be maintained without a loss.
     pub(super) fn cost(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> (bool, usize, u32, u64) {
         let far = step.near.as_ref().is_some_and(|rack| {
@@ -236,12 +236,12 @@
             return 0;
         }
         let beside = match (step.fills, step.target) {
-            // Beside others that fill: a machine with one of them is never empty.
+            // Beside others that fill: a host with one of them is never empty.
             (true, _) if !policy.fills_beside => 2 * w.serves.len() + usize::from(w.fills.is_empty()),
             (false, Some(_)) => w.fills.len(),
             _ => 0,
         };
-        // Apart from tasks that are alike, on machines where some task lasts already.
+        // Apart from tasks that are alike, on hosts where some task lasts already.
         let alike = if step.fills { 0 } else { same_step(w, id) };
         let together = 2 * alike + usize::from(w.lasting.is_empty());
         beside * MOST_ALIKE + together
--- a/crates/workswood-core/src/jobs/policy.rs
+++ b/crates/workswood-core/src/jobs/policy.rs
@@ -21,11 +21,11 @@
     pub order: OrderPolicy,
     /// Which worker a task is started on.
     pub placement: PlacementPolicy,
-    /// How many machines a pool needs.
+    /// How many hosts a pool needs.
     pub need: NeedPolicy,
-    /// Which machines change their pool.
+    /// Which hosts change their pool.
     pub pools: PoolPolicy,
-    /// When machines are maintained.
+    /// When hosts are maintained.
     pub waves: WavePolicy,
     /// Which workers are believed and used.
     pub health: HealthPolicy,
@@ -53,7 +53,7 @@
     /// Weight of the newest end in the mean of a queue: about the last 30 count.
     pub newest: f64,
     /// From so much room on that the waiting tasks of a service ask for whose job can be in time, as a
-    /// share of the room of all machines, those with the least work left go first: not all can be
+    /// share of the room of all hosts, those with the least work left go first: not all can be
     /// in time any more. Before that, those that must begin first do. A share that is much smaller is
     /// reached at the start of each turn, where all can be in time.
     pub overload: f64,
@@ -94,7 +94,7 @@
     /// ones apart. Smaller tasks behind may fit where larger ones don't; with
     /// many of them the large ones would never find room.
     pub most_misses: usize,
-    /// Whether filling tasks go to machines that serve.
+    /// Whether filling tasks go to hosts that serve.
     pub fills_beside: bool,
 }
 
@@ -104,11 +104,11 @@
     }
 }
 
-/// How many machines a pool needs.
+/// How many hosts a pool needs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct NeedPolicy {
-    /// Share of a machine's room that is planned to be in use.
+    /// Share of a host's room that is planned to be in use.
     pub full: f64,
     /// How much a waiting task counts whose job is late: it is worth little,
     /// but it was accepted.
@@ -118,7 +118,7 @@
     #[serde(with = "humantime_serde")]
     pub arrivals: Duration,
     /// How far ahead a rise of the work that comes in is drawn out: the time
-    /// that a machine needs to get to another pool.
+    /// that a host needs to get to another pool.
     #[serde(with = "humantime_serde")]
     pub ahead: Duration,
     /// The work that comes in is taken to rise to this multiple at most.
@@ -129,7 +129,7 @@
     /// How long that time before is.
     #[serde(with = "humantime_serde")]
     pub turn_after: Duration,
-    /// It has to keep this share of all machines busy, lest a single job counts
+    /// It has to keep this share of all hosts busy, lest a single job counts
     /// as a turn.
     pub turn_least: f64,
     /// So many jobs have to have come in: a single one may be as large as many.
@@ -137,7 +137,7 @@
     /// Share of the highest rate seen that a turn is taken to come to; 0 takes
     /// none to come.
     pub turn_share: f64,
-    /// A turn is taken to want this many times the machines that operators gave
+    /// A turn is taken to want this many times the hosts that operators gave
     /// the pool, until more is known.
     pub turn_first: f64,
     /// but no more than this many times what comes in now, which the last third of `arrivals` tells: where
@@ -151,10 +151,10 @@
     /// only shown how little it asks for in between.
     pub turn_any: bool,
     /// How fast the need falls that counts when another pool is short, as a
-    /// share of all machines a second: a machine that is idle here is wanted
+    /// share of all hosts a second: a host that is idle here is wanted
     /// there.
     pub lend_per_s: f64,
-    /// How fast the need falls that counts when machines are turned off,
+    /// How fast the need falls that counts when hosts are turned off,
     /// likewise: the next turn of demand may come soon.
     pub forget_per_s: f64,
 }
@@ -182,19 +182,19 @@
     }
 }
 
-/// Which machines change their pool.
+/// Which hosts change their pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PoolPolicy {
-    /// Machines that a pool keeps above its need, as a share of all machines.
+    /// Hosts that a pool keeps above its need, as a share of all hosts.
     pub margin: f64,
-    /// A pool gives machines up only when it has more than it needs by this
-    /// share of all machines.
+    /// A pool gives hosts up only when it has more than it needs by this
+    /// share of all hosts.
     pub surplus: f64,
-    /// Share of all machines that may be under way at a time. A turn of demand
-    /// wants several times a pool's machines within a task's time.
+    /// Share of all hosts that may be under way at a time. A turn of demand
+    /// wants several times a pool's hosts within a task's time.
     pub most_moves: f64,
-    /// Longest time that a machine is kept from new work before its move is
+    /// Longest time that a host is kept from new work before its move is
     /// given up.
     #[serde(with = "humantime_serde")]
     pub empty_for: Duration,
@@ -206,20 +206,20 @@
     }
 }
 
-/// When machines are maintained.
+/// When hosts are maintained.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WavePolicy {
-    /// Share of a wave's time that is planned for; the rest is for machines
+    /// Share of a wave's time that is planned for; the rest is for hosts
     /// that come back late.
     pub use_of_time: f64,
-    /// The same while some pool is short of machines.
+    /// The same while some pool is short of hosts.
     pub use_when_short: f64,
-    /// A machine is begun this long before it has to be finished: emptying, and
+    /// A host is begun this long before it has to be finished: emptying, and
     /// the maintenance itself.
     #[serde(with = "humantime_serde")]
     pub ahead: Duration,
-    /// Longest time that short tasks are given to end before a machine goes down.
+    /// Longest time that short tasks are given to end before a host goes down.
     #[serde(with = "humantime_serde")]
     pub empty_for: Duration,
 }
--- a/crates/workswood-core/src/jobs/pool_count.rs
+++ b/crates/workswood-core/src/jobs/pool_count.rs
@@ -1,92 +1,92 @@
-//! Machines of all pools, counted once for a round of decisions.
+//! Hosts of all pools, counted once for a round of decisions.
 //!
-//! A turn of demand moves hundreds of machines in one round. What each decision
+//! A turn of demand moves hundreds of hosts in one round. What each decision
 //! asks for is counted in one pass before, and kept up with what the round
-//! decides: counted anew for each machine, a round would grow with the square of the machines.
+//! decides: counted anew for each host, a round would grow with the square of the hosts.
 
 use std::collections::BTreeMap;
 
+use super::host::{Host, HostState};
 use super::job::WorkerId;
-use super::machine::{Machine, MachineState};
 use super::sched::Scheduler;
 use crate::ids::{HostId, ServiceId};
 
-/// Machines of one pool that may go to another now, with their workers.
+/// Hosts of one pool that may go to another now, with their workers.
 type Free = BTreeMap<HostId, Option<WorkerId>>;
 
-/// Machines of all pools, as they are in one round.
+/// Hosts of all pools, as they are in one round.
 #[derive(Debug, Default)]
 pub(super) struct PoolCount {
     /// How many each pool has or is about to get.
     have: BTreeMap<ServiceId, usize>,
-    /// Free machines by pool, once something asked for them.
+    /// Free hosts by pool, once something asked for them.
     free: Option<BTreeMap<ServiceId, Free>>,
 }
 
 impl PoolCount {
-    /// Machines that a pool has or is about to get.
+    /// Hosts that a pool has or is about to get.
     pub(super) fn of(&self, service: &ServiceId) -> usize {
         self.have.get(service).copied().unwrap_or(0)
     }
 
-    /// Free machines by pool.
+    /// Free hosts by pool.
     pub(super) fn free(&mut self, sched: &Scheduler) -> &BTreeMap<ServiceId, Free> {
-        self.free.get_or_insert_with(|| sched.free_machines())
+        self.free.get_or_insert_with(|| sched.free_hosts())
     }
 
-    /// A free machine goes to another pool; returns its worker.
-    pub(super) fn take(&mut self, machine: &HostId, from: &ServiceId, to: &ServiceId) -> Option<WorkerId> {
+    /// A free host goes to another pool; returns its worker.
+    pub(super) fn take(&mut self, host: &HostId, from: &ServiceId, to: &ServiceId) -> Option<WorkerId> {
         self.leaves(from);
         *self.have.entry(to.clone()).or_default() += 1;
-        self.free.as_mut()?.get_mut(from)?.remove(machine)?
+        self.free.as_mut()?.get_mut(from)?.remove(host)?
     }
 
-    /// A machine of a pool stays there no longer.
+    /// A host of a pool stays there no longer.
     pub(super) fn leaves(&mut self, pool: &ServiceId) {
         let have = self.have.entry(pool.clone()).or_default();
         *have = have.saturating_sub(1);
     }
 }
 
-/// Whether a machine works, or will without an order of ours.
-pub(super) fn works(m: &Machine) -> bool {
-    matches!(m.state, MachineState::Up | MachineState::Moving)
+/// Whether a host works, or will without an order of ours.
+pub(super) fn works(m: &Host) -> bool {
+    matches!(m.state, HostState::Up | HostState::Moving)
 }
 
 impl Scheduler {
-    /// Counts the machines that each pool has or is about to get.
+    /// Counts the hosts that each pool has or is about to get.
     pub(super) fn count_pools(&self) -> PoolCount {
         let mut have: BTreeMap<ServiceId, usize> = BTreeMap::new();
         let mut add = |pool: &ServiceId| match have.get_mut(pool) {
             Some(n) => *n += 1,
             None => _ = have.insert(pool.clone(), 1),
         };
-        let taken = self.taken_machines();
-        let leaves = |m: &Machine| {
+        let taken = self.taken_hosts();
+        let leaves = |m: &Host| {
             let moving = || self.pools.moving.get(&m.name).is_some_and(|v| v.to != m.pool);
             taken.contains(&m.name) && (moving() || self.wave_takes(&m.name))
         };
-        let stay = self.machines.values().filter(|m| works(m) && self.stands_open(m) && !leaves(m));
+        let stay = self.hosts.values().filter(|m| works(m) && self.stands_open(m) && !leaves(m));
         stay.for_each(|m| add(&m.pool));
         let moving = self.pools.moving.iter();
-        let comes = |m: &Machine, to: &ServiceId| m.pool != *to && self.stands_open(m);
-        let come = moving.filter(|(name, v)| self.machines.get(*name).is_none_or(|m| comes(m, &v.to)));
+        let comes = |m: &Host, to: &ServiceId| m.pool != *to && self.stands_open(m);
+        let come = moving.filter(|(name, v)| self.hosts.get(*name).is_none_or(|m| comes(m, &v.to)));
         come.for_each(|(_, v)| add(&v.to));
         PoolCount { have, free: None }
     }
 
-    /// Machines that may go to another pool now, by pool: those that are off, and
+    /// Hosts that may go to another pool now, by pool: those that are off, and
     /// of the others those whose worker answers and runs nothing. One that has
     /// just come may go on at once: to a new lease holder every worker is new, and it would be held up.
-    fn free_machines(&self) -> BTreeMap<ServiceId, Free> {
+    fn free_hosts(&self) -> BTreeMap<ServiceId, Free> {
         let spare = self.spare_pool();
-        let taken = self.taken_machines();
-        let may_move = |m: &&Machine| {
-            let up = m.state == MachineState::Up && self.stands_open(m);
+        let taken = self.taken_hosts();
+        let may_move = |m: &&Host| {
+            let up = m.state == HostState::Up && self.stands_open(m);
             up && !taken.contains(&m.name) && self.may_order(&m.name)
         };
         let mut free: BTreeMap<ServiceId, Free> = BTreeMap::new();
-        for m in self.machines.values().filter(may_move) {
+        for m in self.hosts.values().filter(may_move) {
             let worker = self.worker_on(&m.name).or(m.worker.as_ref());
             if spare.as_ref() == Some(&m.pool) || worker.is_some_and(|id| self.stands_empty(id)) {
                 free.entry(m.pool.clone()).or_default().insert(m.name.clone(), worker.cloned());
@@ -100,12 +100,12 @@
         self.workers.get(id).is_some_and(|w| w.reachable && w.runs.is_empty())
     }
 
-    /// The worker of a machine by the workers' own statements. A life that is not
+    /// The worker of a host by the workers' own statements. A life that is not
     /// listed may be cut off and still run tasks; one that is over may be listed for
     /// a while, but does not answer. A new lease holder is told of both, and a
-    /// machine would be taken for empty whose present life is busy.
-    pub(super) fn worker_on(&self, machine: &HostId) -> Option<&WorkerId> {
-        let lives = self.workers.on_machine(machine).iter();
+    /// host would be taken for empty whose present life is busy.
+    pub(super) fn worker_on(&self, host: &HostId) -> Option<&WorkerId> {
+        let lives = self.workers.on_host(host).iter();
         let known = lives.filter_map(|id| Some((id, self.workers.get(id)?)));
         let counts = known.filter(|(_, w)| w.listed || !w.runs.is_empty());
         let best = counts.max_by_key(|(id, w)| (w.reachable, w.listed, !w.runs.is_empty(), *id));
--- a/crates/workswood-core/src/jobs/pools.rs
+++ b/crates/workswood-core/src/jobs/pools.rs
@@ -1,10 +1,10 @@
-//! Which machine changes its pool.
+//! Which host changes its pool.
 //!
-//! Demand turns among services within seconds, and machines that stand idle in
-//! a pool are paid for. So a pool that has more to do than its machines can
-//! carry gets machines that are off, or empty ones of a pool that has more than
+//! Demand turns among services within seconds, and hosts that stand idle in
+//! a pool are paid for. So a pool that has more to do than its hosts can
+//! carry gets hosts that are off, or empty ones of a pool that has more than
 //! it needs; a pool that has had too many for some time gives some up. What
-//! runs on a machine dies when it moves: only empty machines do. How a move goes
+//! runs on a host dies when it moves: only empty hosts do. How a move goes
 //! on is in [`moves`](super::moves).
 
 use std::cmp::Reverse;
@@ -25,17 +25,17 @@
 /// What the pools look like to the planner.
 #[derive(Debug, Default)]
 pub struct PoolState {
-    /// Moves under way, by machine.
+    /// Moves under way, by host.
     pub moving: BTreeMap<HostId, Moving>,
-    /// Need of each service, in machines.
+    /// Need of each service, in hosts.
     pub(super) need: BTreeMap<ServiceId, Need>,
     /// Moves that the platform says can't be.
     pub(super) impossible: BTreeSet<(HostId, ServiceId)>,
-    /// Pools of machines that moved lately; the list may be older than that.
+    /// Pools of hosts that moved lately; the list may be older than that.
     pub(super) moved: BTreeMap<HostId, (Duration, ServiceId)>,
     /// Work that came in lately, by service.
     pub(super) demand: BTreeMap<ServiceId, Demand>,
-    /// Machines that each pool had before any work came in.
+    /// Hosts that each pool had before any work came in.
     pub(super) declared: BTreeMap<ServiceId, usize>,
     /// Services that have had work.
     pub(super) worked: BTreeSet<ServiceId>,
@@ -50,50 +50,50 @@
 
 /// A service's pool as it stands.
 struct Pool {
-    /// Machines that it needs.
+    /// Hosts that it needs.
     need: Need,
-    /// Machines that it has or is about to get.
+    /// Hosts that it has or is about to get.
     have: f64,
 }
 
 impl Scheduler {
-    /// Whether some service's machines are off, so that pools can change.
+    /// Whether some service's hosts are off, so that pools can change.
     pub(super) fn spare_pool(&self) -> Option<ServiceId> {
         let mut spare = self.config.services.values().filter(|s| s.spare).map(|s| s.name.clone());
         spare.next()
     }
 
-    /// Services whose machines are on.
+    /// Services whose hosts are on.
     fn working_services(&self) -> Vec<ServiceId> {
         self.config.services.values().filter(|s| !s.spare).map(|s| s.name.clone()).collect()
     }
 
-    /// A share of all machines, at least one. What is right for 50 machines and
+    /// A share of all hosts, at least one. What is right for 50 hosts and
     /// for 350 is a share: demand, and what is put aside for it, grow alike.
-    pub(super) fn machines_share(&self, share: f64) -> f64 {
-        (self.machines.len() as f64 * share).round().max(1.0)
+    pub(super) fn hosts_share(&self, share: f64) -> f64 {
+        (self.hosts.len() as f64 * share).round().max(1.0)
     }
 
-    /// Machines that a pool keeps above its need.
+    /// Hosts that a pool keeps above its need.
     fn margin(&self) -> f64 {
-        self.machines_share(self.policy.pools.margin)
+        self.hosts_share(self.policy.pools.margin)
     }
 
-    /// Notes how many machines operators gave each pool. Once work has come in,
+    /// Notes how many hosts operators gave each pool. Once work has come in,
     /// pools are as we have made them.
     pub(super) fn note_declared(&mut self) {
         if !self.pools.demand.is_empty() || !self.pools.moving.is_empty() || !self.pools.worked.is_empty() {
             return;
         }
         self.pools.declared.clear();
-        for m in self.machines.values() {
+        for m in self.hosts.values() {
             *self.pools.declared.entry(m.pool.clone()).or_insert(0) += 1;
         }
     }
 
     /// Goes on with moves, and decides on new ones.
     pub(super) fn run_pools(&mut self) {
-        if self.machines.is_empty() {
+        if self.hosts.is_empty() {
             return;
         }
         let mut count = self.count_pools();
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The line of the log on a service's pool; counts are of machines.
+    /// The line of the log on a service's pool; counts are of hosts.
     fn pool_note(&self, count: &PoolCount, service: &ServiceId) -> String {
         let Pool { need, have } = self.pool(count, service);
         let (used, size) = (self.workers.room_in_use(service), self.workers.largest(service));
@@ -133,29 +133,29 @@
         )
     }
 
-    /// The pool of a service: what it needs, and the machines that stay or come.
+    /// The pool of a service: what it needs, and the hosts that stay or come.
     fn pool(&self, count: &PoolCount, service: &ServiceId) -> Pool {
         let need = self.pools.need.get(service).copied().unwrap_or_default();
         Pool { need, have: count.of(service) as f64 }
     }
 
-    /// Whether a machine's pool does without it. One on which nothing begins is not counted.
-    pub(super) fn can_spare(&self, count: &PoolCount, machine: &HostId) -> bool {
-        let Some(m) = self.machines.get(machine) else { return false };
+    /// Whether a host's pool does without it. One on which nothing begins is not counted.
+    pub(super) fn can_spare(&self, count: &PoolCount, host: &HostId) -> bool {
+        let Some(m) = self.hosts.get(host) else { return false };
         if !self.stands_open(m) || self.config.services.get(&m.pool).is_some_and(|s| s.spare) {
             return true;
         }
         self.has_surplus(count, &m.pool)
     }
 
-    /// Whether a pool has a machine more than it keeps when another is short.
+    /// Whether a pool has a host more than it keeps when another is short.
     fn has_surplus(&self, count: &PoolCount, service: &ServiceId) -> bool {
         let pool = self.pool(count, service);
         pool.have >= (pool.need.lend + self.margin()).ceil() + 1.0
     }
 
-    /// Whether a pool has fewer machines than it could use now. Before its first work, a pool is taken to be
-    /// of the right size, also while its machines come up.
+    /// Whether a pool has fewer hosts than it could use now. Before its first work, a pool is taken to be
+    /// of the right size, also while its hosts come up.
     fn is_short(&self, count: &PoolCount, service: &ServiceId) -> bool {
         if !self.pools.worked.contains(service) {
             return false;
@@ -164,64 +164,58 @@
         pool.have < (pool.need.soon + self.margin()).ceil()
     }
 
-    /// Services whose pools have fewer machines than they could use now.
+    /// Services whose pools have fewer hosts than they could use now.
     pub(super) fn short_pools(&self, count: &PoolCount) -> Vec<ServiceId> {
         self.working_services().into_iter().filter(|s| self.is_short(count, s)).collect()
     }
 
-    /// Whether as many machines are under way as may be.
+    /// Whether as many hosts are under way as may be.
     fn most_moves_begun(&self, to_spare: bool) -> bool {
         self.pools.moving.len() as f64 >= self.most_moves(to_spare)
     }
 
-    /// Brings machines to pools that are short of them.
+    /// Brings hosts to pools that are short of them.
     fn fill_pools(&mut self, spare: &ServiceId, count: &mut PoolCount) {
         let mut services = self.working_services();
-        // The one that lacks most first, by tenths of a machine.
+        // The one that lacks most first, by tenths of a host.
         let short = |p: &Pool| ((p.need.soon - p.have) * 10.0) as i64;
         services.sort_by_key(|s| (Reverse(short(&self.pool(count, s))), s.clone()));
         for s in &services {
             while self.is_short(count, s) && !self.most_moves_begun(false) {
-                let found = self.free_machine(spare, s, count);
-                let found = found.or_else(|| self.surplus_machine(&services, s, count));
-                let Some(machine) = found else { break };
-                self.move_free(machine, s, count);
+                let found = self.free_host(spare, s, count);
+                let found = found.or_else(|| self.surplus_host(&services, s, count));
+                let Some(host) = found else { break };
+                self.move_free(host, s, count);
             }
         }
     }
 
-    /// A machine of a pool that has more than it needs.
-    fn surplus_machine(
-        &self,
-        services: &[ServiceId],
-        to: &ServiceId,
-        count: &mut PoolCount,
-    ) -> Option<HostId> {
+    /// A host of a pool that has more than it needs.
+    fn surplus_host(&self, services: &[ServiceId], to: &ServiceId, count: &mut PoolCount) -> Option<HostId> {
         let donors = services.iter().filter(|s| *s != to).filter(|s| self.has_surplus(count, s));
         let donors: Vec<&ServiceId> = donors.collect();
-        donors.into_iter().filter_map(|s| self.free_machine(s, to, count)).min()
+        donors.into_iter().filter_map(|s| self.free_host(s, to, count)).min()
     }
 
-    /// A machine of a pool that may go to another now, the first by name.
-    fn free_machine(&self, from: &ServiceId, to: &ServiceId, count: &mut PoolCount) -> Option<HostId> {
+    /// A host of a pool that may go to another now, the first by name.
+    fn free_host(&self, from: &ServiceId, to: &ServiceId, count: &mut PoolCount) -> Option<HostId> {
         let here = count.free(self).get(from)?;
         let may = |m: &&HostId| !self.pools.impossible.contains(&((*m).clone(), to.clone()));
         here.keys().find(may).cloned()
     }
 
-    /// Begins the move of a free machine.
-    fn move_free(&mut self, machine: HostId, to: &ServiceId, count: &mut PoolCount) {
-        let Some(from) = self.machines.get(&machine).map(|m| m.pool.clone()) else { return };
-        let worker = count.take(&machine, &from, to);
-        self.begin_move(machine, to.clone(), worker);
+    /// Begins the move of a free host.
+    fn move_free(&mut self, host: HostId, to: &ServiceId, count: &mut PoolCount) {
+        let Some(from) = self.hosts.get(&host).map(|m| m.pool.clone()) else { return };
+        let worker = count.take(&host, &from, to);
+        self.begin_move(host, to.clone(), worker);
     }
 
-    /// Sends machines off that their pools have not needed for some time.
+    /// Sends hosts off that their pools have not needed for some time.
     fn trim_pools(&mut self, spare: &ServiceId, count: &mut PoolCount) {
         for s in self.working_services() {
             let pool = self.pool(count, &s);
-            let keeps =
-                (pool.need.keep + self.margin()).ceil() + self.machines_share(self.policy.pools.surplus);
+            let keeps = (pool.need.keep + self.margin()).ceil() + self.hosts_share(self.policy.pools.surplus);
             if pool.have < keeps {
                 continue;
             }
@@ -230,8 +224,8 @@
                 if self.most_moves_begun(true) {
                     return;
                 }
-                let Some(machine) = self.free_machine(&s, spare, count) else { break };
-                self.move_free(machine, spare, count);
+                let Some(host) = self.free_host(&s, spare, count) else { break };
+                self.move_free(host, spare, count);
             }
         }
     }
--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -6,7 +6,7 @@
 //! *relays*: each looks at its workers, extends their leases, sends orders and tells
 //! what is new.
 //!
-//! * A worker belongs to a machine, and so does its relay: a change of pool changes
+//! * A worker belongs to a host, and so does its relay: a change of pool changes
 //!   nothing. It is chosen among relays of its data centre by a hash of both names, so
 //!   that the next holder chooses the same one.
 //! * There are as many relays as the workers of a data centre ask for.
@@ -240,7 +240,7 @@
 
     fn give_relay(&mut self, id: &WorkerId) {
         let Some(info) = self.workers.get(id).and_then(|w| w.info.clone()) else { return };
-        let entry = self.choose_relay(&info.data_centre, &info.machine);
+        let entry = self.choose_relay(&info.data_centre, &info.host);
         let before = self.relays.given.get(id.name()).copied().unwrap_or(0);
         let Some(mut w) = self.workers.get_mut(id) else { return };
         w.relay = Some(entry.clone());
@@ -286,18 +286,18 @@
         }
     }
 
-    /// The entry that attends a machine's worker: one of its data centre, if there is
+    /// The entry that attends a host's worker: one of its data centre, if there is
     /// one, else any; the holder itself where there are few workers or no relays.
-    fn choose_relay(&mut self, dc: &DataCentre, machine: &HostId) -> HostId {
+    fn choose_relay(&mut self, dc: &DataCentre, host: &HostId) -> HostId {
         if !self.wants_relays() {
             return self.holder.clone();
         }
         let here = self.workers.count_in(dc);
         self.open_enough(Some(dc), here);
-        let found = self.best_relay(Some(dc), machine);
+        let found = self.best_relay(Some(dc), host);
         let found = found.or_else(|| {
             self.open_enough(None, self.workers.len());
-            self.best_relay(None, machine)
+            self.best_relay(None, host)
         });
         found.unwrap_or_else(|| self.least_loaded())
     }
@@ -325,10 +325,10 @@
         best.map(|h| h.name.clone())
     }
 
-    fn best_relay(&self, dc: Option<&DataCentre>, machine: &str) -> Option<HostId> {
+    fn best_relay(&self, dc: Option<&DataCentre>, host: &str) -> Option<HostId> {
         let open = self.relays.of(dc.map(String::as_str));
         let open = open.filter(|(name, r)| **name != self.holder && !r.is_full());
-        open.max_by_key(|(name, _)| rank(name, machine)).map(|(name, _)| name.clone())
+        open.max_by_key(|(name, _)| rank(name, host)).map(|(name, _)| name.clone())
     }
 
     /// The relay that attends the fewest workers; the holder if there is none.
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -9,9 +9,9 @@
 use super::config::SchedConfig;
 use super::crash_rate::CrashRate;
 use super::handover::OrderMarks;
+use super::host::Host;
 use super::job::{Job, JobRecord, Outcome, OverRecord, Phase, Shown, Task, WorkerId};
 use super::known::{Jobs, OverJob};
-use super::machine::Machine;
 use super::map::Map;
 use super::notes::Notes;
 use super::order::{Durations, place_of};
@@ -67,7 +67,7 @@
     pub(super) trials: Map<ServiceId, BTreeSet<(Duration, TaskId)>>,
     /// Data centres in which nothing begins.
     pub(super) evacuated: BTreeSet<DataCentre>,
-    /// Processor room of all machines on which work may begin, in thousandths of a core, as they were
+    /// Processor room of all hosts on which work may begin, in thousandths of a core, as they were
     /// last listed.
     pub(super) fleet_cpu: u64,
     /// What workspaces have sent lately, against their shares.
@@ -76,15 +76,15 @@
     pub(super) crash_rate: CrashRate,
     /// How long tasks take.
     pub(super) durations: Durations,
-    /// Machines, as last listed.
-    pub machines: Map<HostId, Machine>,
+    /// Hosts, as last listed.
+    pub hosts: Map<HostId, Host>,
     /// When that list was asked for.
-    pub(super) machines_asked: Duration,
-    /// Machines that were ordered about lately.
+    pub(super) hosts_asked: Duration,
+    /// Hosts that were ordered about lately.
     pub(super) marks: OrderMarks,
     /// Waves by number.
     pub waves: BTreeMap<u64, WaveState>,
-    /// Moves of machines, and what pools need.
+    /// Moves of hosts, and what pools need.
     pub(super) pools: PoolState,
     /// Calls to the adviser.
     pub(super) advice: AdviceState,
@@ -102,7 +102,7 @@
     over: Vec<JobKey>,
     /// Jobs forgotten since the last batch.
     dropped: Vec<(JobKey, QueueId, Owner)>,
-    /// Machines that get no new work, as workers know it.
+    /// Hosts that get no new work, as workers know it.
     pub(super) cordoned: BTreeSet<HostId>,
     /// When runs were last looked at that make no progress.
     slow_checked: Duration,
@@ -159,8 +159,8 @@
             shares: Shares::default(),
             crash_rate: CrashRate::default(),
             durations: Durations::default(),
-            machines: Map::default(),
-            machines_asked: Duration::ZERO,
+            hosts: Map::default(),
+            hosts_asked: Duration::ZERO,
             marks: OrderMarks::default(),
             waves: BTreeMap::new(),
             pools: PoolState::default(),
@@ -279,9 +279,9 @@
             Event::Restarted(id, started, heard) => self.restarted(&id, started, heard),
             Event::Relayed(id, token, news) => self.relayed(&id, token, news),
             Event::Advised(a) => self.advised(a),
-            Event::Machines(list, asked) => self.machines_listed(list, asked),
+            Event::Hosts(list, asked) => self.hosts_listed(list, asked),
             Event::Wave(wave, rec) => self.wave_asked(wave, rec),
-            Event::MachineOrdered(machine, reply) => self.machine_ordered(&machine, reply),
+            Event::HostOrdered(host, reply) => self.host_ordered(&host, reply),
             Event::RelayUp(entry) => self.relay_up(&entry),
             Event::RelayHeard(entry) => self.relay_heard(&entry),
             Event::RelayLeaving(entry) => self.relay_leaving(&entry),
@@ -586,8 +586,8 @@
             batch.records.push(Record::Wave(n, wave.record.clone()));
             batch.waves.push((n, wave.complete()));
         }
-        for (machine, marked) in self.marks.take_changes() {
-            batch.records.push(Record::Ordered(machine, marked.then(|| self.holder.clone())));
+        for (host, marked) in self.marks.take_changes() {
+            batch.records.push(Record::Ordered(host, marked.then(|| self.holder.clone())));
         }
         batch.inbox_read = self.inbox_read;
         batch.actions = std::mem::take(&mut self.actions);
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/settle.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use super::crash::LifeEnd;
+use super::host::HostState;
 use super::job::{FULL_PACE, Phase, Run, WorkerId};
-use super::machine::MachineState;
 use super::sched::Scheduler;
 use super::spec::{StepSpec, TaskId};
 use super::types::{Action, StartReply, StopReply};
@@ -54,7 +54,7 @@
             return;
         }
         let now = self.now;
-        let cordoned = self.is_cordoned(&info.machine);
+        let cordoned = self.is_cordoned(&info.host);
         let evacuated = self.evacuated.contains(&info.data_centre);
         let mut w = self.workers.get_or_insert_with(&id, || Worker::unknown(now, now));
         w.cordoned = cordoned;
@@ -72,7 +72,7 @@
         if fresh {
             self.notes.push(format_args!(
                 "event=worker_listed worker={id} service={} address={} machine={}",
-                info.service, info.address, info.machine
+                info.service, info.address, info.host
             ));
             if !recorded {
                 self.dirty_workers.insert(id.clone());
@@ -86,7 +86,7 @@
         self.note_life(&id);
     }
 
-    /// Ends lives that a list of machines shows to be over: their machine is
+    /// Ends lives that a list of hosts shows to be over: their host is
     /// down or off, or has another life. The list of workers does not tell: entries
     /// linger, and may be written late by a life that is over. `asked` is when
     /// the list was asked for; what was known before can't be newer than it.
@@ -94,12 +94,12 @@
         let spare = self.spare_pool();
         let over = |id: &WorkerId, w: &Worker| {
             let Some(info) = &w.info else { return false };
-            let Some(m) = self.machines.get(&info.machine) else { return false };
+            let Some(m) = self.hosts.get(&info.host) else { return false };
             let other = match (m.state, &m.worker) {
                 // The list names workers, not their lives.
-                (MachineState::Up, Some(listed)) => listed.name() != id.name(),
-                (MachineState::Down, None) => true,
-                (MachineState::Up, None) => spare.as_ref() == Some(&m.pool),
+                (HostState::Up, Some(listed)) => listed.name() != id.name(),
+                (HostState::Down, None) => true,
+                (HostState::Up, None) => spare.as_ref() == Some(&m.pool),
                 _ => false,
             };
             other && !w.reachable && w.known_since < asked
@@ -107,7 +107,7 @@
         let over: Vec<WorkerId> =
             self.workers.iter().filter(|(id, w)| over(id, w)).map(|(id, _)| id.clone()).collect();
         for id in over {
-            self.life_over(&id, LifeEnd::NotOnMachine);
+            self.life_over(&id, LifeEnd::NotOnHost);
         }
     }
 
--- a/crates/workswood-core/src/jobs/types.rs
+++ b/crates/workswood-core/src/jobs/types.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use super::config::SchedConfig;
+use super::host::{Host, HostReply};
 use super::job::{JobRecord, Shown, WorkerId};
-use super::machine::{Machine, MachineReply};
 use super::spec::{JobKey, JobSpec, QueueId, StepId, TaskId};
 use super::wave::{Wave, WaveRecord};
 use super::worker::{Report, WorkerInfo, WorkerRecord};
@@ -28,10 +28,10 @@
     pub grace: Duration,
     /// Share by which a worker's clock may run slow.
     pub drift: f64,
-    /// A new holder waits this long before its first order to a machine.
-    pub machine_handover: Duration,
-    /// Orders to machines a second that the platform takes; it turns others away.
-    pub machine_orders_per_s: f64,
+    /// A new holder waits this long before its first order to a host.
+    pub host_handover: Duration,
+    /// Orders to hosts a second that the platform takes; it turns others away.
+    pub host_orders_per_s: f64,
     /// How long ended jobs are kept for questions.
     pub keep_ended: Duration,
     /// How far ahead of its due time a round may be opened.
@@ -72,12 +72,12 @@
     Restarted(WorkerId, UnixMs, Duration),
     /// The outcome of a call to the adviser.
     Advised(Advised),
-    /// The list of machines, and when it was asked for.
-    Machines(Vec<Machine>, Duration),
+    /// The list of hosts, and when it was asked for.
+    Hosts(Vec<Host>, Duration),
     /// An operator asks for maintenance, or a predecessor's progress with it.
     Wave(Wave, Option<WaveRecord>),
-    /// The outcome of an order to a machine.
-    MachineOrdered(HostId, MachineReply),
+    /// The outcome of an order to a host.
+    HostOrdered(HostId, HostReply),
     /// A relay takes orders.
     RelayUp(HostId),
     /// A relay was heard of.
@@ -252,9 +252,9 @@
     Stop(WorkerId, TaskId, u32),
     /// Let a task work at a share, in percent.
     Pace(WorkerId, TaskId, u32, u32),
-    /// Maintain a machine as part of a wave.
+    /// Maintain a host as part of a wave.
     Upkeep(HostId, u64),
-    /// Give a machine to another pool.
+    /// Give a host to another pool.
     Move(HostId, ServiceId),
 }
 
@@ -271,7 +271,7 @@
     Worker(WorkerId, WorkerRecord),
     /// A life of a worker is forgotten.
     DropWorker(WorkerId),
-    /// Name of the holder that has given a machine an order lately, or is about
+    /// Name of the holder that has given a host an order lately, or is about
     /// to; `None` if none has.
     Ordered(HostId, Option<String>),
 }
--- a/crates/workswood-core/src/jobs/wave.rs
+++ b/crates/workswood-core/src/jobs/wave.rs
@@ -1,6 +1,6 @@
-//! Maintenance waves: which machine goes down next, and when.
+//! Maintenance waves: which host goes down next, and when.
 //!
-//! A machine passes through these states: it is emptied (no new work, lasting
+//! A host passes through these states: it is emptied (no new work, lasting
 //! tasks moved off within their budgets), ordered down (the order is on
 //! record first), down, and finished when it is up again with another life of
 //! its worker. The orders themselves are in [`upkeep`](super::upkeep).
@@ -10,20 +10,20 @@
 
 use serde::{Deserialize, Serialize};
 
+use super::host::{Host, HostState};
 use super::job::WorkerId;
-use super::machine::{Machine, MachineState};
 use super::map::{Map, Set};
 use super::policy::WavePolicy;
 use super::pool_count::works;
 use super::sched::Scheduler;
 use crate::ids::{HostId, ServiceId};
 
-/// A machine that is off is listed as under maintenance within this time
+/// A host that is off is listed as under maintenance within this time
 /// after its order was confirmed, if it is at all.
 const OFF_SETTLES: Duration = Duration::from_millis(1500);
 
-/// A machine that no list has shown for this long was taken away for good: lists
-/// are asked for every 0.6 s, and a machine that changes its pool or is maintained
+/// A host that no list has shown for this long was taken away for good: lists
+/// are asked for every 0.6 s, and a host that changes its pool or is maintained
 /// stays listed.
 const GONE_AFTER: Duration = Duration::from_millis(4000);
 
@@ -32,8 +32,8 @@
 pub struct Wave {
     /// Its number.
     pub number: u64,
-    /// Machines to maintain.
-    pub machines: Vec<HostId>,
+    /// Hosts to maintain.
+    pub hosts: Vec<HostId>,
     /// Time allowed for all of them.
     pub within: Duration,
     /// How many may be down at once.
@@ -43,13 +43,13 @@
 /// The stored progress of a wave.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WaveRecord {
-    /// Machines ordered down, with the life of the worker at that time.
+    /// Hosts ordered down, with the life of the worker at that time.
     #[serde(default)]
     pub ordered: BTreeMap<HostId, Option<String>>,
-    /// Machines whose order was confirmed.
+    /// Hosts whose order was confirmed.
     #[serde(default)]
     pub down: BTreeSet<HostId>,
-    /// Machines that are up again.
+    /// Hosts that are up again.
     #[serde(default)]
     pub finished: BTreeSet<HostId>,
 }
@@ -61,29 +61,29 @@
     pub wave: Wave,
     /// What is on record.
     pub record: WaveRecord,
-    /// Machines that are being emptied, and since when.
+    /// Hosts that are being emptied, and since when.
     pub emptying: BTreeMap<HostId, Duration>,
     /// When each order was last sent.
     pub sent: BTreeMap<HostId, Duration>,
     /// When each order was confirmed, as far as this scheduler heard it.
     pub confirmed: BTreeMap<HostId, Duration>,
-    /// Machines whose order may yet be carried out though it was not answered.
+    /// Hosts whose order may yet be carried out though it was not answered.
     pub unsure: BTreeSet<HostId>,
-    /// Machines that the list does not show, and since when.
+    /// Hosts that the list does not show, and since when.
     pub absent: BTreeMap<HostId, Duration>,
-    /// Machines that were taken away; they need no maintenance.
+    /// Hosts that were taken away; they need no maintenance.
     pub gone: BTreeSet<HostId>,
     /// When we heard of it.
     pub heard: Duration,
 }
 
-/// Whether a machine is back from maintenance: its worker has another life.
+/// Whether a host is back from maintenance: its worker has another life.
 /// One that is off in its pool has no worker, before and after; the life on record
 /// may be one that ended when it was turned off. A list that was asked for before the order was confirmed may be older than the
-/// maintenance: with a life on record that is not the latest (the machine has
-/// just changed its pool), it would show the machine as back at once.
+/// maintenance: with a life on record that is not the latest (the host has
+/// just changed its pool), it would show the host as back at once.
 fn is_back(
-    m: &Machine,
+    m: &Host,
     off: bool,
     before: &Option<String>,
     confirmed: Option<&Duration>,
@@ -92,13 +92,13 @@
     let Some(confirmed) = confirmed.filter(|at| **at < asked) else { return false };
     match (&m.worker, m.state) {
         // The list names workers; one that started again may go by its name of before.
-        (Some(id), MachineState::Up) => match before.as_deref().map(WorkerId::from) {
+        (Some(id), HostState::Up) => match before.as_deref().map(WorkerId::from) {
             Some(life) if life.name() == id.name() => {
                 life.started().is_some() && *confirmed + OFF_SETTLES < asked
             }
             Some(_) | None => true,
         },
-        (None, MachineState::Up | MachineState::Down) if off || before.is_none() => {
+        (None, HostState::Up | HostState::Down) if off || before.is_none() => {
             *confirmed + OFF_SETTLES < asked
         }
         _ => false,
@@ -106,16 +106,16 @@
 }
 
 impl WaveState {
-    /// Whether every machine of it has been maintained, or was taken away.
+    /// Whether every host of it has been maintained, or was taken away.
     pub fn complete(&self) -> bool {
-        self.wave.machines.iter().all(|m| self.record.finished.contains(m) || self.gone.contains(m))
+        self.wave.hosts.iter().all(|m| self.record.finished.contains(m) || self.gone.contains(m))
     }
 
-    /// Takes in which machines a list shows; returns whether some count as taken
+    /// Takes in which hosts a list shows; returns whether some count as taken
     /// away now that did not before, or the other way round.
-    fn note_absent(&mut self, machines: &Map<HostId, Machine>, asked: Duration) -> bool {
+    fn note_absent(&mut self, hosts: &Map<HostId, Host>, asked: Duration) -> bool {
         let before = self.gone.len();
-        let absent = self.wave.machines.iter().filter(|m| !machines.contains_key(*m));
+        let absent = self.wave.hosts.iter().filter(|m| !hosts.contains_key(*m));
         let absent = absent.map(|m| (m.clone(), self.absent.get(m).copied().unwrap_or(asked)));
         self.absent = absent.collect();
         let gone = self.absent.iter().filter(|(_, since)| **since + GONE_AFTER <= asked);
@@ -123,34 +123,34 @@
         self.gone.len() != before
     }
 
-    /// How many machines should be finished or under way by now.
+    /// How many hosts should be finished or under way by now.
     fn planned(&self, now: Duration, short: bool, policy: &WavePolicy) -> usize {
         let used = if short { policy.use_when_short } else { policy.use_of_time };
         let passed = now.saturating_sub(self.heard).as_secs_f64() + policy.ahead.as_secs_f64();
         let within = self.wave.within.as_secs_f64() * used;
         let share = if within > 0.0 { (passed / within).min(1.0) } else { 1.0 };
-        (self.wave.machines.len() as f64 * share).ceil() as usize
+        (self.wave.hosts.len() as f64 * share).ceil() as usize
     }
 
-    /// Whether nothing has been begun yet with a machine of it.
-    fn waits(&self, machine: &HostId) -> bool {
-        let begun = self.record.ordered.contains_key(machine) || self.emptying.contains_key(machine);
-        !begun && !self.record.finished.contains(machine)
+    /// Whether nothing has been begun yet with a host of it.
+    fn waits(&self, host: &HostId) -> bool {
+        let begun = self.record.ordered.contains_key(host) || self.emptying.contains_key(host);
+        !begun && !self.record.finished.contains(host)
     }
 
-    /// Whether a machine is emptied for it, or is or may be down.
-    fn takes(&self, machine: &HostId) -> bool {
-        let ordered = self.record.ordered.contains_key(machine) && !self.record.finished.contains(machine);
-        ordered || self.emptying.contains_key(machine)
+    /// Whether a host is emptied for it, or is or may be down.
+    fn takes(&self, host: &HostId) -> bool {
+        let ordered = self.record.ordered.contains_key(host) && !self.record.finished.contains(host);
+        ordered || self.emptying.contains_key(host)
     }
 
-    /// Machines that are emptied for it, or are or may be down.
+    /// Hosts that are emptied for it, or are or may be down.
     fn taken(&self) -> impl Iterator<Item = &HostId> {
         let down = self.record.ordered.keys().filter(|m| !self.record.finished.contains(*m));
         self.emptying.keys().chain(down)
     }
 
-    /// Machines that are, or may be, down for it.
+    /// Hosts that are, or may be, down for it.
     pub(super) fn down_now(&self) -> usize {
         self.record.ordered.keys().filter(|m| !self.record.finished.contains(*m)).count()
     }
@@ -165,7 +165,7 @@
         }
         self.notes.push(format_args!(
             "event=wave_known wave={number} machines={} most_at_once={}",
-            wave.machines.len(),
+            wave.hosts.len(),
             wave.most_at_once
         ));
         let record = rec.unwrap_or_default();
@@ -188,44 +188,44 @@
         self.dirty_waves.insert(number);
     }
 
-    /// The platform's list of machines was read.
-    pub(super) fn machines_listed(&mut self, list: Vec<Machine>, asked: Duration) {
+    /// The platform's list of hosts was read.
+    pub(super) fn hosts_listed(&mut self, list: Vec<Host>, asked: Duration) {
         // Answers may overtake one another; an older list tells nothing new.
-        if asked < self.machines_asked {
+        if asked < self.hosts_asked {
             return;
         }
-        self.machines_asked = asked;
-        self.machines = list.into_iter().map(|m| (m.name.clone(), m)).collect();
+        self.hosts_asked = asked;
+        self.hosts = list.into_iter().map(|m| (m.name.clone(), m)).collect();
         self.measure_fleet();
         self.correct_list();
         self.note_declared();
         self.end_listed_over(asked);
-        self.finish_machines(asked);
+        self.finish_hosts(asked);
     }
 
-    /// Whether the list of machines is needed.
-    pub fn wants_machines(&self) -> bool {
+    /// Whether the list of hosts is needed.
+    pub fn wants_hosts(&self) -> bool {
         self.waves.values().any(|w| !w.complete()) || self.config.services.values().any(|s| s.spare)
     }
 
-    /// Marks machines as finished that are up again with another life.
-    fn finish_machines(&mut self, asked: Duration) {
+    /// Marks hosts as finished that are up again with another life.
+    fn finish_hosts(&mut self, asked: Duration) {
         let spare = self.spare_pool();
         for (number, w) in &mut self.waves {
-            if !self.machines.is_empty() && w.note_absent(&self.machines, asked) {
+            if !self.hosts.is_empty() && w.note_absent(&self.hosts, asked) {
                 self.dirty_waves.insert(*number);
             }
             let waiting: Vec<HostId> =
                 w.record.down.iter().filter(|m| !w.record.finished.contains(*m)).cloned().collect();
             for name in waiting {
                 let before = w.record.ordered.get(&name).cloned().flatten();
-                let back = match self.machines.get(&name) {
+                let back = match self.hosts.get(&name) {
                     Some(m) => {
                         let off = spare.as_ref() == Some(&m.pool);
                         is_back(m, off, &before, w.confirmed.get(&name), asked)
                     }
-                    // A machine that was taken away needs no maintenance.
-                    None => !self.machines.is_empty(),
+                    // A host that was taken away needs no maintenance.
+                    None => !self.hosts.is_empty(),
                 };
                 if back {
                     w.record.finished.insert(name);
@@ -244,32 +244,32 @@
         self.set_cordons();
     }
 
-    /// Whether a machine gets no new work: it moves, or a wave takes it.
-    pub(super) fn is_cordoned(&self, machine: &HostId) -> bool {
-        self.pools.moving.contains_key(machine) || self.wave_takes(machine)
+    /// Whether a host gets no new work: it moves, or a wave takes it.
+    pub(super) fn is_cordoned(&self, host: &HostId) -> bool {
+        self.pools.moving.contains_key(host) || self.wave_takes(host)
     }
 
-    /// Whether some wave empties a machine or has it down.
-    pub(super) fn wave_takes(&self, machine: &HostId) -> bool {
-        self.waves.values().any(|w| w.takes(machine))
+    /// Whether some wave empties a host or has it down.
+    pub(super) fn wave_takes(&self, host: &HostId) -> bool {
+        self.waves.values().any(|w| w.takes(host))
     }
 
-    /// Machines that get no new work: they move, or a wave takes them.
-    pub(super) fn taken_machines(&self) -> Set<&HostId> {
+    /// Hosts that get no new work: they move, or a wave takes them.
+    pub(super) fn taken_hosts(&self) -> Set<&HostId> {
         let waves = self.waves.values().filter(|w| !w.complete()).flat_map(WaveState::taken);
         self.pools.moving.keys().chain(waves).collect()
     }
 
-    /// Keeps new work away from machines that are to go down.
+    /// Keeps new work away from hosts that are to go down.
     fn set_cordons(&mut self) {
-        let taken: BTreeSet<HostId> = self.taken_machines().into_iter().cloned().collect();
+        let taken: BTreeSet<HostId> = self.taken_hosts().into_iter().cloned().collect();
         let changed: Vec<(HostId, bool)> = taken
             .symmetric_difference(&self.cordoned)
-            .map(|machine| (machine.clone(), taken.contains(machine)))
+            .map(|host| (host.clone(), taken.contains(host)))
             .collect();
         self.cordoned = taken;
-        for (machine, cordoned) in changed {
-            for id in self.workers.on_machine(&machine).to_vec() {
+        for (host, cordoned) in changed {
+            for id in self.workers.on_host(&host).to_vec() {
                 self.set_cordon(&id, cordoned);
             }
         }
@@ -285,7 +285,7 @@
 
     /// Goes on with one wave.
     fn run_wave(&mut self, n: u64) {
-        if self.machines.is_empty() {
+        if self.hosts.is_empty() {
             return;
         }
         self.order_again(n);
@@ -293,7 +293,7 @@
         self.order_empty(n);
     }
 
-    /// Picks machines to empty: idle ones that their pool can spare at any
+    /// Picks hosts to empty: idle ones that their pool can spare at any
     /// time, others only as the wave's time runs out.
     fn start_emptying(&mut self, n: u64) {
         let Some(w) = self.waves.get(&n) else { return };
@@ -317,7 +317,7 @@
             room -= 1;
             behind = behind.saturating_sub(1);
             self.notes.push(format_args!("event=machine_emptying wave={n} machine={m} spared={spared}"));
-            if let Some(m) = self.machines.get(&m).filter(|m| works(m) && self.stands_open(m)) {
+            if let Some(m) = self.hosts.get(&m).filter(|m| works(m) && self.stands_open(m)) {
                 count.leaves(&m.pool);
             }
             let now = self.now;
@@ -327,27 +327,27 @@
         }
     }
 
-    /// Machines of a wave that wait, those of pools that are short last, those
+    /// Hosts of a wave that wait, those of pools that are short last, those
     /// with the least on them first; each with its lasting tasks and processor
     /// use.
     fn next_to_empty(&self, w: &WaveState, short: &[ServiceId]) -> Vec<(usize, u64, HostId)> {
-        let free = |m: &&HostId| self.machines.contains_key(*m) && !self.pools.moving.contains_key(*m);
-        let waiting = w.wave.machines.iter().filter(|m| w.waits(m)).filter(free);
+        let free = |m: &&HostId| self.hosts.contains_key(*m) && !self.pools.moving.contains_key(*m);
+        let waiting = w.wave.hosts.iter().filter(|m| w.waits(m)).filter(free);
         let mut waiting: Vec<(bool, (usize, u64, HostId))> =
             waiting.map(|m| (self.stands_in(m, short), self.load_on(m, self.worker_on(m)))).collect();
         waiting.sort();
         waiting.into_iter().map(|(_, load)| load).collect()
     }
 
-    /// Whether a machine stands in one of these pools.
+    /// Whether a host stands in one of these pools.
     fn stands_in(&self, m: &HostId, pools: &[ServiceId]) -> bool {
-        self.machines.get(m).is_some_and(|m| pools.contains(&m.pool))
+        self.hosts.get(m).is_some_and(|m| pools.contains(&m.pool))
     }
 
-    /// Lasting tasks and processor use on a machine, by its worker's statement or
-    /// the list of machines.
+    /// Lasting tasks and processor use on a host, by its worker's statement or
+    /// the list of hosts.
     fn load_on(&self, m: &HostId, says: Option<&WorkerId>) -> (usize, u64, HostId) {
-        let id = says.or_else(|| self.machines.get(m).and_then(|m| m.worker.as_ref()));
+        let id = says.or_else(|| self.hosts.get(m).and_then(|m| m.worker.as_ref()));
         let lasting = id.map_or(0, |id| self.lasting_runs(id).len());
         let used = id.and_then(|id| self.workers.get(id)).map_or(0, |w| w.used.cpu_millis);
         (lasting, used, m.clone())
--- a/crates/workswood-core/src/jobs/worker.rs
+++ b/crates/workswood-core/src/jobs/worker.rs
@@ -26,8 +26,8 @@
     pub address: String,
     /// Where it stands.
     pub data_centre: DataCentre,
-    /// Machine that it is a life of; empty if it does not say.
-    pub machine: HostId,
+    /// Host that it is a life of; empty if it does not say.
+    pub host: HostId,
     /// Its whole room.
     pub capacity: Room,
     /// Its kind and its rack.
@@ -54,8 +54,9 @@
     pub address: String,
     /// The service whose pool it stood in.
     pub service: ServiceId,
-    /// Machine that it is a life of.
-    pub machine: HostId,
+    /// Host that it is a life of.
+    #[serde(rename = "machine")]
+    pub host: HostId,
     /// Where it stands; empty in records of versions before this one.
     #[serde(default)]
     pub data_centre: DataCentre,
@@ -76,7 +77,7 @@
         WorkerRecord {
             address: self.address.clone(),
             service: self.service.clone(),
-            machine: self.machine.clone(),
+            host: self.host.clone(),
             data_centre: self.data_centre.clone(),
         }
     }
@@ -89,7 +90,7 @@
             service: rec.service,
             address: rec.address,
             data_centre: rec.data_centre,
-            machine: rec.machine,
+            host: rec.host,
             capacity: Room::default(),
             labels: Vec::new(),
             draining: false,
--- a/crates/workswood-core/src/jobs/workers.rs
+++ b/crates/workswood-core/src/jobs/workers.rs
@@ -1,7 +1,7 @@
 //! All lives of workers, with what is asked of many of them at once.
 //!
 //! Which worker has room for a task, what a service's pool carries, who is silent
-//! and what lives stand on a machine is asked for each task or each tick. So these
+//! and what lives stand on a host is asked for each task or each tick. So these
 //! answers are kept as workers change. A worker is changed through a [`WorkerMut`],
 //! which brings them up to date when it is dropped.
 
@@ -51,7 +51,7 @@
 #[derive(Debug, Default)]
 struct Index {
     pools: Map<ServiceId, Pool>,
-    by_machine: Map<HostId, Vec<WorkerId>>,
+    by_host: Map<HostId, Vec<WorkerId>>,
     by_data_centre: Map<DataCentre, usize>,
     /// Lives by the name of their worker.
     by_name: Map<String, Vec<WorkerId>>,
@@ -186,9 +186,9 @@
         })
     }
 
-    /// Lives that say they stand on a machine.
-    pub fn on_machine(&self, machine: &str) -> &[WorkerId] {
-        self.index.by_machine.get(machine).map(Vec::as_slice).unwrap_or_default()
+    /// Lives that say they stand on a host.
+    pub fn on_host(&self, host: &str) -> &[WorkerId] {
+        self.index.by_host.get(host).map(Vec::as_slice).unwrap_or_default()
     }
 
     /// Lives of the worker of a name.
@@ -270,17 +270,17 @@
         if w.listed {
             *pool.capacities.entry(in_order(&info.capacity)).or_default() += 1;
         }
-        self.by_machine.entry(info.machine.clone()).or_default().push(id.clone());
+        self.by_host.entry(info.host.clone()).or_default().push(id.clone());
         *self.by_data_centre.entry(info.data_centre.clone()).or_default() += 1;
         set(&mut self.leaving, id, info.draining);
     }
 
     fn leave_pool(&mut self, id: &WorkerId, kept: &mut Kept) {
         let Some(info) = kept.info.take() else { return };
-        if let Some(lives) = self.by_machine.get_mut(&info.machine) {
+        if let Some(lives) = self.by_host.get_mut(&info.host) {
             lives.retain(|other| other != id);
             if lives.is_empty() {
-                self.by_machine.remove(&info.machine);
+                self.by_host.remove(&info.host);
             }
         }
         if let Some(n) = self.by_data_centre.get_mut(&info.data_centre) {
--- a/crates/workswood-platform/src/jobs.rs
+++ b/crates/workswood-platform/src/jobs.rs
@@ -1,4 +1,4 @@
-//! What running jobs needs of a platform: a keyed store, workers, machines.
+//! What running jobs needs of a platform: a keyed store, workers, hosts.
 //!
 //! [`JobPlatform`] is the edge. Its implementations decode what a platform
 //! says into the types of the core; nothing else knows a platform's words.
@@ -12,7 +12,7 @@
 use workswood_core::ids::{DataCentre, HostId, Offset, ServiceId, Term, UnixMs};
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{
-    AdviceReply, Listing, Machine, MachineReply, SchedConfig, StepId, TaskId, Wave, WorkerAddress, WorkerInfo,
+    AdviceReply, Host, HostReply, Listing, SchedConfig, StepId, TaskId, Wave, WorkerAddress, WorkerInfo,
 };
 
 /// One of the streams that a topic is divided into.
@@ -223,16 +223,11 @@
         patience: Duration,
     ) -> BoxFuture<'a, AdviceReply>;
 
-    /// Lists all machines.
-    fn machines(&self) -> BoxFuture<'_, Result<Vec<Machine>, StoreError>>;
-    /// Maintains a machine as part of a wave.
-    fn upkeep(&self, holder: &str, token: Term, machine: HostId, wave: u64) -> BoxFuture<'_, MachineReply>;
-    /// Gives a machine to another pool.
-    fn move_machine(
-        &self,
-        holder: &str,
-        token: Term,
-        machine: HostId,
-        pool: ServiceId,
-    ) -> BoxFuture<'_, MachineReply>;
+    /// Lists all hosts.
+    fn hosts(&self) -> BoxFuture<'_, Result<Vec<Host>, StoreError>>;
+    /// Maintains a host as part of a wave.
+    fn upkeep(&self, holder: &str, token: Term, host: HostId, wave: u64) -> BoxFuture<'_, HostReply>;
+    /// Gives a host to another pool.
+    fn move_host(&self, holder: &str, token: Term, host: HostId, pool: ServiceId)
+    -> BoxFuture<'_, HostReply>;
 }
--- a/crates/workswood-test-support/src/advised_world.rs
+++ b/crates/workswood-test-support/src/advised_world.rs
@@ -6,8 +6,8 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{Action, Advice, AdviceConfig, AdviceReply, Advised, Event, SchedConfig, StepId};
 
+use crate::host_world::HostWorld;
 use crate::job_world::{QUEUE, config};
-use crate::machine_world::MachineWorld;
 
 /// A queue of the same service without advice.
 pub const PLAIN: &str = "plain";
@@ -25,8 +25,8 @@
 }
 
 /// A scheduler that knows this many idle workers, and a queue with advice.
-pub fn advised(workers: usize, cfg: AdviceConfig) -> MachineWorld {
-    let mut world = MachineWorld::new(workers);
+pub fn advised(workers: usize, cfg: AdviceConfig) -> HostWorld {
+    let mut world = HostWorld::new(workers);
     world.sched.handle(Event::Config(Arc::new(advised_config(cfg, 2))));
     world
 }
--- a/crates/workswood-test-support/src/machine_world.rs
+++ b/crates/workswood-test-support/src/host_world.rs
@@ -1,7 +1,7 @@
-//! A scheduler with machines and their workers, event by event.
+//! A scheduler with hosts and their workers, event by event.
 //!
 //! The real [`Scheduler`] decides; a test hands it lists, reports and ticks at
-//! times of its choice, and looks at the orders to machines that come out.
+//! times of its choice, and looks at the orders to hosts that come out.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,24 +10,24 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{
-    Action, Event, Follow, Limits, Listing, Machine, MachineState, News, Record, ReportedRun, Scheduler,
+    Action, Event, Follow, Host, HostState, Limits, Listing, News, Record, ReportedRun, Scheduler,
     ServiceConfig, StartReply, TaskId, Wave, WorkerInfo,
 };
 
 use crate::job_world::{SERVICE, config};
 
-/// Service whose machines are off.
+/// Service whose hosts are off.
 pub const SPARE: &str = "spare";
-/// A second service whose machines are on.
+/// A second service whose hosts are on.
 pub const OTHER: &str = "other-desk";
 
 /// A scheduler, and what came out of it.
-pub struct MachineWorld {
+pub struct HostWorld {
     /// The scheduler.
     pub sched: Scheduler,
     /// All actions that ticks told.
     pub actions: Vec<Action>,
-    /// Machines on record as ordered about lately.
+    /// Hosts on record as ordered about lately.
     pub ordered: Vec<String>,
     /// What whoever attends a worker has told of it, and when it last answered.
     attended: BTreeMap<WorkerId, (Follow, Duration)>,
@@ -36,45 +36,45 @@
 /// An answer to a look is late after this time; that is told.
 const LATE: Duration = Duration::from_millis(1100);
 
-/// Room of each machine and its worker.
+/// Room of each host and its worker.
 fn room() -> Room {
     Room { cpu_millis: 4000, mem_mb: 8000, gpus: 0 }
 }
 
-/// Limits with which a new holder waits for no machine.
+/// Limits with which a new holder waits for no host.
 pub fn limits() -> Limits {
     Limits {
         lease: Duration::from_secs(5),
         longest_lease: Duration::from_secs(10),
         grace: Duration::from_secs(4),
         drift: 0.02,
-        machine_handover: Duration::ZERO,
-        machine_orders_per_s: 64.0,
+        host_handover: Duration::ZERO,
+        host_orders_per_s: 64.0,
         keep_ended: Duration::from_secs(60),
         early: Duration::ZERO,
     }
 }
 
-/// A life of the worker on machine `m-n`.
+/// A life of the worker on host `m-n`.
 pub fn worker(n: usize, life: usize) -> WorkerInfo {
     WorkerInfo {
         id: format!("w-{n}-{life}").as_str().into(),
         service: SERVICE.to_string(),
         address: format!("10.0.0.{n}:80"),
         data_centre: "north".to_string(),
-        machine: format!("m-{n}"),
+        host: format!("m-{n}"),
         capacity: room(),
         labels: Vec::new(),
         draining: false,
     }
 }
 
-/// Machine `m-n`, up in a pool, with a life of its worker if it has one.
-pub fn machine(n: usize, pool: &str, life: Option<usize>) -> Machine {
-    Machine {
+/// Host `m-n`, up in a pool, with a life of its worker if it has one.
+pub fn host(n: usize, pool: &str, life: Option<usize>) -> Host {
+    Host {
         name: format!("m-{n}"),
         pool: pool.to_string(),
-        state: MachineState::Up,
+        state: HostState::Up,
         data_centre: "north".to_string(),
         labels: Vec::new(),
         capacity: room(),
@@ -95,15 +95,15 @@
     })
 }
 
-impl MachineWorld {
+impl HostWorld {
     /// A scheduler that knows this many workers, each idle in its first life.
-    pub fn new(workers: usize) -> MachineWorld {
+    pub fn new(workers: usize) -> HostWorld {
         let mut cfg = config();
         let spare = ServiceConfig { name: SPARE.to_string(), guards_room: true, spare: true };
         cfg.services.insert(SPARE.to_string(), spare);
         let other = ServiceConfig { name: OTHER.to_string(), guards_room: true, spare: false };
         cfg.services.insert(OTHER.to_string(), other);
-        let mut world = MachineWorld {
+        let mut world = HostWorld {
             sched: Scheduler::new(1, limits(), Duration::ZERO, 0),
             actions: Vec::new(),
             ordered: Vec::new(),
@@ -182,8 +182,8 @@
         let batch = self.sched.take_batch();
         for rec in &batch.records {
             match rec {
-                Record::Ordered(machine, Some(_)) => self.ordered.push(machine.clone()),
-                Record::Ordered(machine, None) => self.ordered.retain(|m| m != machine),
+                Record::Ordered(host, Some(_)) => self.ordered.push(host.clone()),
+                Record::Ordered(host, None) => self.ordered.retain(|m| m != host),
                 _ => {}
             }
         }
@@ -191,14 +191,14 @@
         batch.actions
     }
 
-    /// The list of machines is asked for and read at this time.
-    pub fn list(&mut self, machines: Vec<Machine>) {
+    /// The list of hosts is asked for and read at this time.
+    pub fn list(&mut self, hosts: Vec<Host>) {
         let now = self.sched.now;
-        self.sched.handle(Event::Machines(machines, now));
+        self.sched.handle(Event::Hosts(hosts, now));
     }
 }
 
-/// Machines that are ordered down.
+/// Hosts that are ordered down.
 pub fn upkeeps(actions: &[Action]) -> Vec<String> {
     let name = |a: &Action| match a {
         Action::Upkeep(m, _) => Some(m.clone()),
@@ -207,7 +207,7 @@
     actions.iter().filter_map(name).collect()
 }
 
-/// Machines that are ordered to move, each with the pool that gets it.
+/// Hosts that are ordered to move, each with the pool that gets it.
 pub fn moves(actions: &[Action]) -> Vec<(String, String)> {
     let of = |a: &Action| match a {
         Action::Move(m, pool) => Some((m.clone(), pool.clone())),
@@ -216,8 +216,8 @@
     actions.iter().filter_map(of).collect()
 }
 
-/// Wave 1, of machines by their numbers, within 20 s.
-pub fn wave(machines: &[usize], most_at_once: usize) -> Wave {
-    let machines = machines.iter().map(|n| format!("m-{n}")).collect();
-    Wave { number: 1, machines, within: Duration::from_secs(20), most_at_once }
+/// Wave 1, of hosts by their numbers, within 20 s.
+pub fn wave(hosts: &[usize], most_at_once: usize) -> Wave {
+    let hosts = hosts.iter().map(|n| format!("m-{n}")).collect();
+    Wave { number: 1, hosts, within: Duration::from_secs(20), most_at_once }
 }
--- a/crates/workswood-test-support/src/job_world/holder.rs
+++ b/crates/workswood-test-support/src/job_world/holder.rs
@@ -235,7 +235,7 @@
                 Record::DropWorker(id) => {
                     self.stored_workers.remove(id);
                 }
-                // The model has no machines and no waves.
+                // The model has no hosts and no waves.
                 Record::DropJob(_) | Record::Wave(..) | Record::Ordered(..) => {}
             }
         }
--- a/crates/workswood-test-support/src/lib.rs
+++ b/crates/workswood-test-support/src/lib.rs
@@ -11,20 +11,20 @@
 //! * [`job_world`] is workers, a store and lease holders on injected time.
 //! * [`keys`] draws random schedules of requests that may not be repeated.
 //! * [`live`] starts entries over sockets.
-//! * [`machine_world`] is one scheduler with machines, event by event.
+//! * [`host_world`] is one scheduler with hosts, event by event.
 //! * [`turn_store`] is a store that takes appends in turn, on the test's clock.
 
 pub mod advised_world;
 pub mod cut;
 pub mod files;
 pub mod history;
+pub mod host_world;
 pub mod job_entry;
 pub mod job_node;
 pub mod job_world;
 pub mod keys;
 pub mod live;
 pub mod log;
-pub mod machine_world;
 pub mod one;
 pub mod platform;
 pub mod program;
--- a/crates/workswood-test-support/src/turn_store.rs
+++ b/crates/workswood-test-support/src/turn_store.rs
@@ -13,7 +13,7 @@
 use workswood_core::ids::{HostId, Offset, ServiceId, Term};
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{
-    AdviceReply, Listing, Machine, MachineReply, ReportedRun, StepId, TaskId, WorkerAddress, WorkerInfo,
+    AdviceReply, Host, HostReply, Listing, ReportedRun, StepId, TaskId, WorkerAddress, WorkerInfo,
 };
 use workswood_platform::jobs::{
     Guard, JobPlatform, KeyedRecord, Newest, OperatorItem, StartOrder, StoreError, Tail, Topic, WorkerClock,
@@ -49,7 +49,7 @@
     leases: Mutex<u64>,
     /// Starts of tasks that were sent.
     starts: Mutex<u64>,
-    /// Orders to machines.
+    /// Orders to hosts.
     orders: Mutex<u64>,
     /// Records of the lease, if the store keeps them, and how often they were read.
     lease: Mutex<Option<Vec<KeyedRecord>>>,
@@ -132,7 +132,7 @@
         *self.starts.lock()
     }
 
-    /// Orders to machines so far.
+    /// Orders to hosts so far.
     pub fn orders(&self) -> u64 {
         *self.orders.lock()
     }
@@ -280,18 +280,18 @@
         async { AdviceReply::NotSent }.boxed()
     }
 
-    fn machines(&self) -> BoxFuture<'_, Result<Vec<Machine>, StoreError>> {
+    fn hosts(&self) -> BoxFuture<'_, Result<Vec<Host>, StoreError>> {
         away()
     }
 
-    fn upkeep(&self, _: &str, _: Term, _: HostId, _: u64) -> BoxFuture<'_, MachineReply> {
+    fn upkeep(&self, _: &str, _: Term, _: HostId, _: u64) -> BoxFuture<'_, HostReply> {
         *self.orders.lock() += 1;
-        async { MachineReply::Later }.boxed()
+        async { HostReply::Later }.boxed()
     }
 
-    fn move_machine(&self, _: &str, _: Term, _: HostId, _: ServiceId) -> BoxFuture<'_, MachineReply> {
+    fn move_host(&self, _: &str, _: Term, _: HostId, _: ServiceId) -> BoxFuture<'_, HostReply> {
         *self.orders.lock() += 1;
-        async { MachineReply::Later }.boxed()
+        async { HostReply::Later }.boxed()
     }
 }
 
--- a/src/bin/workswood/commands/model.rs
+++ b/src/bin/workswood/commands/model.rs
@@ -7,7 +7,7 @@
 /// Its command line.
 pub fn cli() -> Command {
     Command::new("model")
-        .about("Play the scheduler against simulated machines and callers, and compare policies")
+        .about("Play the scheduler against simulated hosts and callers, and compare policies")
         .arg(Arg::new("file").value_name("FILE").required(true).help("the fleet, its load and its faults"))
         .arg(
             Arg::new("vary")
--- a/src/workswood/ops/bench/mod.rs
+++ b/src/workswood/ops/bench/mod.rs
@@ -31,7 +31,7 @@
     Bench { name: "decision", about: "time of one routing decision by endpoints" },
     Bench { name: "fold", about: "time of a fold and bytes of state by hosts and keys" },
     Bench { name: "plan", about: "time of planning by hosts, and the three measures at 1x, 10x and 480x" },
-    Bench { name: "pools", about: "time of a round of the scheduler at 50, 350 and 3,000 machines" },
+    Bench { name: "pools", about: "time of a round of the scheduler at 50, 350 and 3,000 hosts" },
     Bench { name: "proxy", about: "requests over an entry against direct ones" },
     Bench { name: "commit", about: "added time and appends at 10, 100 and 1,000 keyed requests a second" },
     Bench { name: "config", about: "time until a change is in force on 6 entries, over 200 changes" },
--- a/src/workswood/ops/bench/pools.rs
+++ b/src/workswood/ops/bench/pools.rs
@@ -1,4 +1,4 @@
-//! Time of a round of the scheduler by machines, while demand turns and a wave
+//! Time of a round of the scheduler by hosts, while demand turns and a wave
 //! goes on.
 
 use std::collections::BTreeMap;
@@ -8,15 +8,15 @@
 use workswood_core::ids::{HostId, ServiceId};
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{
-    Action, Event, JobSpec, Limits, Machine, MachineReply, MachineState, News, QueueConfig, Report,
-    SchedConfig, Scheduler, ServiceConfig, StepSpec, Wave, WorkerInfo,
+    Action, Event, Host, HostReply, HostState, JobSpec, Limits, News, QueueConfig, Report, SchedConfig,
+    Scheduler, ServiceConfig, StepSpec, Wave, WorkerInfo,
 };
 
 use super::stats::median;
 
-/// The service whose machines are off.
+/// The service whose hosts are off.
 const SPARE: &str = "off";
-/// Services whose machines are on.
+/// Services whose hosts are on.
 const WORKING: [&str; 3] = ["a", "b", "c"];
 /// The queue that jobs come in by.
 const QUEUE: &str = "queue";
@@ -26,51 +26,50 @@
 const QUIET: usize = 20;
 /// Rounds from when demand turns.
 const TURN: usize = 25;
-/// Room of a machine.
-const MACHINE: Room = Room { cpu_millis: 4000, mem_mb: 8000, gpus: 0 };
+/// Room of a host.
+const HOST: Room = Room { cpu_millis: 4000, mem_mb: 8000, gpus: 0 };
 
-/// A scheduler with machines whose orders are all carried out at once.
+/// A scheduler with hosts whose orders are all carried out at once.
 struct Fleet {
     sched: Scheduler,
-    machines: BTreeMap<HostId, Machine>,
+    hosts: BTreeMap<HostId, Host>,
     /// Moves and maintenance that were ordered.
     orders: usize,
 }
 
-/// Prints the time of a round by machines.
+/// Prints the time of a round by hosts.
 pub fn run() {
     crate::outln!("machines quiet_round_ms turn_round_median_ms turn_round_worst_ms orders");
-    for machines in [50, 350, 3_000] {
-        let mut fleet = Fleet::new(machines);
+    for hosts in [50, 350, 3_000] {
+        let mut fleet = Fleet::new(hosts);
         let quiet: Vec<f64> = (0..QUIET).map(|_| fleet.round()).collect();
-        fleet.turn(machines);
+        fleet.turn(hosts);
         let turn: Vec<f64> = (0..TURN).map(|_| fleet.round()).collect();
         let worst = turn.iter().copied().fold(0.0, f64::max);
         let (quiet, turn) = (median(quiet), median(turn));
-        crate::outln!("{machines} {quiet:.2} {turn:.2} {worst:.2} {}", fleet.orders);
+        crate::outln!("{hosts} {quiet:.2} {turn:.2} {worst:.2} {}", fleet.orders);
     }
 }
 
 impl Fleet {
-    /// Idle machines, a quarter of them off, and a wave over all of them.
+    /// Idle hosts, a quarter of them off, and a wave over all of them.
     fn new(count: usize) -> Fleet {
         let mut sched = Scheduler::new(1, limits(), Duration::ZERO, 0);
         sched.handle(Event::Config(Arc::new(config())));
-        let machines: BTreeMap<HostId, Machine> =
-            (0..count).map(machine).map(|m| (m.name.clone(), m)).collect();
-        let mut fleet = Fleet { sched, machines, orders: 0 };
+        let hosts: BTreeMap<HostId, Host> = (0..count).map(host).map(|m| (m.name.clone(), m)).collect();
+        let mut fleet = Fleet { sched, hosts, orders: 0 };
         fleet.list();
-        let names = fleet.machines.keys().cloned().collect();
+        let names = fleet.hosts.keys().cloned().collect();
         let within = Duration::from_secs(600);
-        let wave = Wave { number: 1, machines: names, within, most_at_once: count / 20 };
+        let wave = Wave { number: 1, hosts: names, within, most_at_once: count / 20 };
         fleet.sched.handle(Event::Wave(wave, None));
         fleet
     }
 
-    /// Shows the scheduler all machines, and workers that are new, as idle.
+    /// Shows the scheduler all hosts, and workers that are new, as idle.
     fn list(&mut self) {
         let now = self.sched.now;
-        for m in self.machines.values() {
+        for m in self.hosts.values() {
             let Some(info) = worker(m) else { continue };
             let id = info.id.clone();
             if self.sched.workers.contains_key(&id) {
@@ -83,18 +82,18 @@
             let token = self.sched.token_of(&id).unwrap_or(0);
             self.sched.handle(Event::Relayed(id, token, News::Reported(report)));
         }
-        self.sched.handle(Event::Machines(self.machines.values().cloned().collect(), now));
+        self.sched.handle(Event::Hosts(self.hosts.values().cloned().collect(), now));
     }
 
-    /// Jobs for one service that fill half of all machines.
-    fn turn(&mut self, machines: usize) {
+    /// Jobs for one service that fill half of all hosts.
+    fn turn(&mut self, hosts: usize) {
         let step = StepSpec {
             count: 4,
             room: Room { cpu_millis: 2000, mem_mb: 100, gpus: 0 },
             estimate: Duration::from_secs(2),
             ..StepSpec::default()
         };
-        for key in 1..=(machines as u64 / 4) {
+        for key in 1..=(hosts as u64 / 4) {
             let spec = JobSpec {
                 queue: QUEUE.to_string(),
                 service: WORKING[0].to_string(),
@@ -130,12 +129,12 @@
             _ => return,
         };
         self.orders += 1;
-        if let Some(m) = self.machines.get_mut(&name) {
+        if let Some(m) = self.hosts.get_mut(&name) {
             let life = self.orders;
             m.pool = pool.unwrap_or_else(|| m.pool.clone());
             m.worker = (m.pool != SPARE).then(|| format!("w-{name}-{life}").as_str().into());
         }
-        self.sched.handle(Event::MachineOrdered(name, MachineReply::Done));
+        self.sched.handle(Event::HostOrdered(name, HostReply::Done));
     }
 }
 
@@ -145,8 +144,8 @@
         longest_lease: Duration::from_secs(10),
         grace: Duration::from_secs(4),
         drift: 0.02,
-        machine_handover: Duration::ZERO,
-        machine_orders_per_s: 64.0,
+        host_handover: Duration::ZERO,
+        host_orders_per_s: 64.0,
         keep_ended: Duration::from_secs(60),
         early: Duration::ZERO,
     }
@@ -173,30 +172,30 @@
     SchedConfig { version: 1, queues, services, ..SchedConfig::default() }
 }
 
-fn machine(n: usize) -> Machine {
+fn host(n: usize) -> Host {
     let pools: Vec<ServiceId> = WORKING.into_iter().chain([SPARE]).map(str::to_string).collect();
     let pool = pools[n % pools.len()].clone();
     let name = format!("m-{n:05}");
     let worker = (pool != SPARE).then(|| format!("w-{name}-0").as_str().into());
-    Machine {
+    Host {
         name,
         pool,
-        state: MachineState::Up,
+        state: HostState::Up,
         data_centre: "north".to_string(),
         labels: Vec::new(),
-        capacity: MACHINE,
+        capacity: HOST,
         worker,
     }
 }
 
-/// The worker of a machine, if it has one.
-fn worker(m: &Machine) -> Option<WorkerInfo> {
+/// The worker of a host, if it has one.
+fn worker(m: &Host) -> Option<WorkerInfo> {
     Some(WorkerInfo {
         id: m.worker.clone()?,
         service: m.pool.clone(),
         address: String::new(),
         data_centre: m.data_centre.clone(),
-        machine: m.name.clone(),
+        host: m.name.clone(),
         capacity: m.capacity,
         labels: Vec::new(),
         draining: false,
--- a/src/workswood/ops/job_status/mod.rs
+++ b/src/workswood/ops/job_status/mod.rs
@@ -1,7 +1,7 @@
 //! `status` of `workswood jobs`: who holds the lease, and how jobs, pools and waves
 //! stand.
 //!
-//! It is read from the store and the machine service, not from a process: it tells
+//! It is read from the store and the host service, not from a process: it tells
 //! as much while no process holds the lease. Nothing is written. [`sum()`] makes the
 //! status of what was read.
 
@@ -13,7 +13,7 @@
 use futures::future::try_join_all;
 use snafu::ResultExt;
 use workswood_adapter::{Addresses, PlatformClient};
-use workswood_core::jobs::Machine;
+use workswood_core::jobs::Host;
 use workswood_platform::jobs::{JobPlatform, KeyedRecord, Part, StoreError, Topic};
 
 pub use sum::{HolderStatus, JobsStatus, PoolStatus, QueueStatus, WaveStatus, sum};
@@ -46,15 +46,15 @@
     pub workers: Vec<KeyedRecord>,
     /// What operators are told.
     pub published: Vec<KeyedRecord>,
-    /// Machines, or why they are not known.
-    pub machines: std::result::Result<Vec<Machine>, String>,
+    /// Hosts, or why they are not known.
+    pub hosts: std::result::Result<Vec<Host>, String>,
 }
 
 /// Reads the status with the settings of any entry.
 pub async fn run(path: &str) -> Result<JobsStatus> {
     let settings = JobSettings::read(path)?;
     let addresses =
-        Addresses { store: settings.store.clone(), machines: settings.machines.clone(), adviser: None };
+        Addresses { store: settings.store.clone(), machines: settings.hosts.clone(), adviser: None };
     let platform = PlatformClient::new(addresses);
     let parts: Vec<Part> = inbox::parts(settings.store_parts).collect();
     let seen = read(&platform, &parts).await.context(StoreSnafu { address: &settings.store })?;
@@ -73,8 +73,8 @@
         platform.newest(Topic::Workers),
         platform.newest(Topic::Status),
     )?;
-    // The store may do without the machine service; the rest is told all the same.
-    let machines = platform.machines().await.map_err(why_unknown);
+    // The store may do without the host service; the rest is told all the same.
+    let hosts = platform.hosts().await.map_err(why_unknown);
     Ok(Seen {
         at: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64,
         lease: lease.records.into_iter().next_back(),
@@ -84,11 +84,11 @@
         state: state.records,
         workers: workers.records,
         published: published.records,
-        machines,
+        hosts,
     })
 }
 
-/// Why the machine service told nothing.
+/// Why the host service told nothing.
 fn why_unknown(e: StoreError) -> String {
     match e {
         StoreError::NotDone { text } => format!("refused: {text}"),
--- a/src/workswood/ops/job_status/sum.rs
+++ b/src/workswood/ops/job_status/sum.rs
@@ -6,7 +6,7 @@
 use workswood_core::ids::{DataCentre, HostId, Term, UnixMs, WorkspaceId};
 use workswood_core::jobs::spec::{Room, parse_job};
 use workswood_core::jobs::{
-    JobKey, JobRecord, JobSpec, Machine, MachineState, Outcome, SchedConfig, Wave, WaveRecord,
+    Host, HostState, JobKey, JobRecord, JobSpec, Outcome, SchedConfig, Wave, WaveRecord,
 };
 use workswood_platform::jobs::{JobPlatform, KeyedRecord, OperatorItem};
 
@@ -32,10 +32,11 @@
     pub queues: Vec<QueueStatus>,
     /// Workspaces in force.
     pub workspaces: Vec<WorkspaceStatus>,
-    /// Machines and workers by pool.
+    /// Hosts and workers by pool.
     pub pools: Vec<PoolStatus>,
-    /// Why machines are not known, if they are not.
-    pub machines_error: Option<String>,
+    /// Why hosts are not known, if they are not.
+    #[serde(rename = "machines_error")]
+    pub hosts_error: Option<String>,
     /// Waves that operators asked for.
     pub waves: Vec<WaveStatus>,
     /// Records that can't be read.
@@ -105,20 +106,20 @@
     pub limit: Room,
 }
 
-/// Machines and workers of a pool.
+/// Hosts and workers of a pool.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct PoolStatus {
     /// The service whose pool it is.
     pub pool: String,
-    /// Whether its machines are off.
+    /// Whether its hosts are off.
     pub spare: bool,
-    /// Machines that are up.
+    /// Hosts that are up.
     pub up: usize,
-    /// Machines that change their pool.
+    /// Hosts that change their pool.
     pub moving: usize,
-    /// Machines that are being maintained.
+    /// Hosts that are being maintained.
     pub upkeep: usize,
-    /// Machines that are down.
+    /// Hosts that are down.
     pub down: usize,
     /// Workers that are listed.
     pub workers: usize,
@@ -131,15 +132,16 @@
 pub struct WaveStatus {
     /// Its number.
     pub wave: u64,
-    /// Machines to maintain.
-    pub machines: usize,
+    /// Hosts to maintain.
+    #[serde(rename = "machines")]
+    pub hosts: usize,
     /// How many may be down at once.
     pub most_at_once: usize,
     /// Time allowed for all of them.
     pub within_ms: u64,
-    /// Machines with which nothing has begun that is on record.
+    /// Hosts with which nothing has begun that is on record.
     pub waiting: Vec<HostId>,
-    /// Machines that are, or may be, down for it.
+    /// Hosts that are, or may be, down for it.
     pub down: Vec<HostId>,
     /// How many are up again.
     pub finished: usize,
@@ -229,7 +231,7 @@
         queues,
         workspaces,
         pools,
-        machines_error: seen.machines.as_ref().err().cloned(),
+        hosts_error: seen.hosts.as_ref().err().cloned(),
         waves: waves.into_iter().map(wave).collect(),
         unread: reader.unread,
     }
@@ -339,7 +341,7 @@
     for s in cfg.services.values() {
         all.entry(s.name.clone()).or_default().spare = s.spare;
     }
-    for m in seen.machines.iter().flatten() {
+    for m in seen.hosts.iter().flatten() {
         all.entry(m.pool.clone()).or_default().count(m);
     }
     for rec in &seen.workers {
@@ -355,12 +357,12 @@
 }
 
 impl PoolStatus {
-    fn count(&mut self, m: &Machine) {
+    fn count(&mut self, m: &Host) {
         match m.state {
-            MachineState::Up => self.up += 1,
-            MachineState::Moving => self.moving += 1,
-            MachineState::Upkeep => self.upkeep += 1,
-            MachineState::Down => self.down += 1,
+            HostState::Up => self.up += 1,
+            HostState::Moving => self.moving += 1,
+            HostState::Upkeep => self.upkeep += 1,
+            HostState::Down => self.down += 1,
         }
     }
 }
@@ -368,15 +370,15 @@
 fn wave_status(w: &Wave, rec: WaveRecord, complete: bool) -> WaveStatus {
     let finished = |m: &&HostId| rec.finished.contains(*m);
     let down = rec.ordered.keys().filter(|m| !rec.finished.contains(*m));
-    let waiting = w.machines.iter().filter(|m| !rec.ordered.contains_key(*m) && !finished(m));
+    let waiting = w.hosts.iter().filter(|m| !rec.ordered.contains_key(*m) && !finished(m));
     WaveStatus {
         wave: w.number,
-        machines: w.machines.len(),
+        hosts: w.hosts.len(),
         most_at_once: w.most_at_once,
         within_ms: w.within.as_millis() as u64,
         waiting: waiting.cloned().collect(),
         down: down.cloned().collect(),
-        finished: w.machines.iter().filter(finished).count(),
+        finished: w.hosts.iter().filter(finished).count(),
         complete,
     }
 }
--- a/src/workswood/ops/job_status/text.rs
+++ b/src/workswood/ops/job_status/text.rs
@@ -3,7 +3,7 @@
 use super::sum::{HolderStatus, JobsStatus, PoolStatus, QueueStatus, WaveStatus, WorkspaceStatus};
 use crate::util::table::columns;
 
-/// Names of machines that are shown of each wave.
+/// Names of hosts that are shown of each wave.
 const SHOWN: usize = 6;
 
 fn head(names: &[&str]) -> Vec<String> {
@@ -42,15 +42,15 @@
         out += &format!("\n{}", columns(&rows));
     }
     let mut pools = vec![head(&["pool", "up", "moving", "upkeep", "down", "workers", "leaving"])];
-    pools.extend(s.pools.iter().map(|p| pool(p, s.machines_error.is_none())));
+    pools.extend(s.pools.iter().map(|p| pool(p, s.hosts_error.is_none())));
     out += &format!("\n{}", columns(&pools));
-    if let Some(e) = &s.machines_error {
-        out += &format!("machines are not known: {e}\n");
+    if let Some(e) = &s.hosts_error {
+        out += &format!("hosts are not known: {e}\n");
     }
     if s.waves.is_empty() {
         return out + "\nno waves\n";
     }
-    let mut waves = vec![head(&["wave", "machines", "at once", "within s", "waiting", "down", "done", ""])];
+    let mut waves = vec![head(&["wave", "hosts", "at once", "within s", "waiting", "down", "done", ""])];
     waves.extend(s.waves.iter().map(wave));
     out + &format!("\n{}", columns(&waves))
 }
@@ -91,8 +91,8 @@
 
 fn pool(p: &PoolStatus, known: bool) -> Vec<String> {
     let mut row = vec![if p.spare { format!("{} (off)", p.pool) } else { p.pool.clone() }];
-    let machines = [p.up, p.moving, p.upkeep, p.down];
-    row.extend(machines.iter().map(|n| if known { n.to_string() } else { "-".to_string() }));
+    let hosts = [p.up, p.moving, p.upkeep, p.down];
+    row.extend(hosts.iter().map(|n| if known { n.to_string() } else { "-".to_string() }));
     row.extend([p.workers.to_string(), p.draining.to_string()]);
     row
 }
@@ -105,7 +105,7 @@
         (false, true) if w.waiting.is_empty() => String::new(),
         (false, true) => format!("waiting: {}", named(&w.waiting)),
     };
-    let counts = [w.machines, w.most_at_once, (w.within_ms / 1000) as usize, w.waiting.len(), w.down.len()];
+    let counts = [w.hosts, w.most_at_once, (w.within_ms / 1000) as usize, w.waiting.len(), w.down.len()];
     let mut row = vec![w.wave.to_string()];
     row.extend(counts.iter().map(usize::to_string));
     row.extend([w.finished.to_string(), note]);
--- a/src/workswood/ops/jobs/feeds.rs
+++ b/src/workswood/ops/jobs/feeds.rs
@@ -1,4 +1,4 @@
-//! Brings the scheduler what it reads from the store and the machine service,
+//! Brings the scheduler what it reads from the store and the host service,
 //! and tells operators how waves stand.
 //!
 //! These tasks end with the scheduler. An event that is sent after it has ended
@@ -108,12 +108,12 @@
     .await;
 }
 
-/// Reads the list of machines once and hands it to the scheduler.
-pub(super) async fn read_machines(node: Arc<Node>, l: Arc<Leading>) {
+/// Reads the list of hosts once and hands it to the scheduler.
+pub(super) async fn read_hosts(node: Arc<Node>, l: Arc<Leading>) {
     let asked = node.now();
-    match node.platform.machines().await {
+    match node.platform.hosts().await {
         Ok(list) => {
-            let _ = l.tx.send(Event::Machines(list, asked));
+            let _ = l.tx.send(Event::Hosts(list, asked));
         }
         Err(e) => log::warn!("event=machines_not_read error=\"{e}\""),
     }
--- a/src/workswood/ops/jobs/lead.rs
+++ b/src/workswood/ops/jobs/lead.rs
@@ -16,9 +16,9 @@
 use workswood_platform::jobs::{Guard, KeyedRecord, StoreError, Topic};
 
 use super::advice::{self, AdviceCall};
-use super::feeds::{InboxProgress, publish_waves, read_inbox, read_machines, read_workers};
+use super::feeds::{InboxProgress, publish_waves, read_hosts, read_inbox, read_workers};
+use super::host_orders::{self, HostOrder};
 use super::load::{Loaded, load};
-use super::machine_orders::{self, MachineOrder};
 use super::node::{Leading, Node};
 use super::record::{inbox_drop, state_record};
 use super::renew;
@@ -36,8 +36,8 @@
 const PAUSE: Duration = Duration::from_millis(60);
 /// Events taken in before a batch is closed.
 const MOST_EVENTS: usize = 512;
-/// Time between two readings of the list of machines while a wave runs.
-const MACHINES_EVERY: Duration = Duration::from_millis(600);
+/// Time between two readings of the list of hosts while a wave runs.
+const HOSTS_EVERY: Duration = Duration::from_millis(600);
 
 /// Starts the scheduler for a term.
 pub fn start(node: &Arc<Node>, term: u64) {
@@ -118,7 +118,7 @@
         number: 1,
         status: status_tx,
         over: over_tx,
-        machines_read: Duration::ZERO,
+        hosts_read: Duration::ZERO,
         entries_seen: 0,
     };
     owner.know_entries();
@@ -142,8 +142,8 @@
     status: watch::Sender<BTreeMap<u64, bool>>,
     /// Jobs that the inbox need not hold any more.
     over: mpsc::UnboundedSender<Vec<JobKey>>,
-    /// When the list of machines was last asked for.
-    machines_read: Duration,
+    /// When the list of hosts was last asked for.
+    hosts_read: Duration,
     /// The list of entries that the scheduler knows.
     entries_seen: u64,
 }
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Tells the scheduler that time passed, and has machines listed if it
+    /// Tells the scheduler that time passed, and has hosts listed if it
     /// needs them.
     fn tick(&mut self, tasks: &mut JoinSet<()>) {
         self.clock();
@@ -207,9 +207,9 @@
         let (fullest, at_work) = self.sched.use_of_limits();
         m.fullest_workspace.set((fullest * 100.0) as i64);
         m.workspaces_at_work.set(at_work as i64);
-        if self.sched.wants_machines() && self.node.now() > self.machines_read + MACHINES_EVERY {
-            self.machines_read = self.node.now();
-            tasks.spawn(read_machines(self.node.clone(), self.l.clone()));
+        if self.sched.wants_hosts() && self.node.now() > self.hosts_read + HOSTS_EVERY {
+            self.hosts_read = self.node.now();
+            tasks.spawn(read_hosts(self.node.clone(), self.l.clone()));
         }
     }
 
@@ -279,11 +279,11 @@
     fn act(&mut self, action: Action, tasks: &mut JoinSet<()>) {
         let (node, l) = (self.node.clone(), self.l.clone());
         match action {
-            Action::Upkeep(machine, wave) => {
-                tasks.spawn(machine_orders::give(node, l, machine, MachineOrder::Upkeep(wave)));
+            Action::Upkeep(host, wave) => {
+                tasks.spawn(host_orders::give(node, l, host, HostOrder::Upkeep(wave)));
             }
-            Action::Move(machine, pool) => {
-                tasks.spawn(machine_orders::give(node, l, machine, MachineOrder::Move(pool)));
+            Action::Move(host, pool) => {
+                tasks.spawn(host_orders::give(node, l, host, HostOrder::Move(pool)));
             }
             Action::Advise { lane, step, workers, patience } => {
                 tasks.spawn(advice::ask(node, l, AdviceCall { lane, step, workers, patience }));
--- a/src/workswood/ops/jobs/limits.rs
+++ b/src/workswood/ops/jobs/limits.rs
@@ -12,7 +12,7 @@
 /// before it ends (1.8 s to notice, a second to load), short enough for what
 /// ran on a lost worker to be started again.
 const WORKER_LEASE: Duration = Duration::from_millis(5000);
-/// A holder that is overtaken may send orders to machines until it has read of
+/// A holder that is overtaken may send orders to hosts until it has read of
 /// that; a few times the way from the store on a busy entry.
 const HANDOVER_MARGIN: Duration = Duration::from_millis(300);
 /// Share by which a worker's clock may run slow, from the platform's pages.
@@ -44,8 +44,8 @@
         longest_lease: Duration::from_millis(s.longest_lease_ms),
         grace: GRACE,
         drift: DRIFT,
-        machine_handover: Duration::from_millis(s.machine_handover_ms) + HANDOVER_MARGIN,
-        machine_orders_per_s: s.machine_orders_per_s,
+        host_handover: Duration::from_millis(s.host_handover_ms) + HANDOVER_MARGIN,
+        host_orders_per_s: s.host_orders_per_s,
         keep_ended: Duration::from_secs_f64(s.keep_ended_s),
         early: Duration::from_millis(s.early_ms) / 2,
     }
--- a/src/workswood/ops/jobs/load.rs
+++ b/src/workswood/ops/jobs/load.rs
@@ -56,8 +56,8 @@
     for (id, rec) in state.workers {
         sched.restore_worker(id, rec);
     }
-    for (machine, holder) in state.ordered {
-        sched.restore_mark(machine, &holder);
+    for (host, holder) in state.ordered {
+        sched.restore_mark(host, &holder);
     }
     let records = inbox.into_iter().flat_map(|(_, n)| n.records).collect();
     restore(&mut sched, records, state.jobs);
@@ -81,7 +81,7 @@
     jobs: HashMap<JobKey, JobRecord>,
     waves: HashMap<u64, WaveRecord>,
     workers: HashMap<WorkerId, WorkerRecord>,
-    /// Machines that were ordered about lately, and by which holder.
+    /// Hosts that were ordered about lately, and by which holder.
     ordered: Vec<(HostId, String)>,
 }
 
@@ -106,8 +106,8 @@
                 }
             }
             // The version before wrote no name: some other holder.
-            Some(StateKey::Ordered(machine)) => {
-                s.ordered.push((machine, serde_json::from_slice(&value).unwrap_or_default()));
+            Some(StateKey::Ordered(host)) => {
+                s.ordered.push((host, serde_json::from_slice(&value).unwrap_or_default()));
             }
             None => log::error!("event=record_not_read code=203 key={}", rec.key),
         }
--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -25,6 +25,7 @@
 pub mod follow;
 mod front;
 pub mod help;
+pub mod host_orders;
 pub mod inbox;
 pub mod job_spec;
 pub mod job_state;
@@ -32,7 +33,6 @@
 pub mod lease;
 pub mod limits;
 mod load;
-pub mod machine_orders;
 pub mod node;
 pub mod operators;
 pub mod peers;
@@ -83,7 +83,7 @@
     let peer_listener = listen(settings.peers).await?;
     let addresses = Addresses {
         store: settings.store.clone(),
-        machines: settings.machines.clone(),
+        machines: settings.hosts.clone(),
         adviser: settings.adviser().map(str::to_string),
     };
     let (half_open, traffic) = (HalfOpen::default(), Traffic::default());
--- a/src/workswood/ops/jobs/record.rs
+++ b/src/workswood/ops/jobs/record.rs
@@ -4,7 +4,7 @@
 //! the digits; `-` and 16 hex digits for its owner follow where a workspace owns the job, so that
 //! what another workspace writes of the same number replaces nothing. The state holds a job's state under its digits and a wave's
 //! progress under `wave-` and its number, and a life of a worker under
-//! `worker-` and its id. A machine that was ordered about lately has a record
+//! `worker-` and its id. A host that was ordered about lately has a record
 //! under `ordered-` and its name.
 
 use std::fmt;
@@ -27,7 +27,7 @@
 const WAVE: &str = "wave-";
 /// Start of the key of a life of a worker.
 const WORKER: &str = "worker-";
-/// Start of the key of a machine that was ordered about lately.
+/// Start of the key of a host that was ordered about lately.
 const ORDERED: &str = "ordered-";
 
 /// A key of the inbox. Keys of one job stand together.
@@ -58,7 +58,7 @@
     Wave(u64),
     /// A life of a worker.
     Worker(WorkerId),
-    /// A machine that was ordered about lately.
+    /// A host that was ordered about lately.
     Ordered(HostId),
 }
 
@@ -84,8 +84,8 @@
     if let Some(id) = key.strip_prefix(WORKER) {
         return Some(StateKey::Worker(id.into()));
     }
-    if let Some(machine) = key.strip_prefix(ORDERED) {
-        return Some(StateKey::Ordered(machine.to_string()));
+    if let Some(host) = key.strip_prefix(ORDERED) {
+        return Some(StateKey::Ordered(host.to_string()));
     }
     parse_job(key).map(StateKey::Job)
 }
@@ -145,8 +145,8 @@
         Record::DropJob(job) => drop_record(job_key(*job)),
         Record::Wave(n, progress) => value_record(format!("{WAVE}{n}"), progress),
         Record::Worker(id, worker) => value_record(format!("{WORKER}{id}"), worker),
-        Record::Ordered(machine, Some(holder)) => value_record(format!("{ORDERED}{machine}"), holder),
-        Record::Ordered(machine, None) => drop_record(format!("{ORDERED}{machine}")),
+        Record::Ordered(host, Some(holder)) => value_record(format!("{ORDERED}{host}"), holder),
+        Record::Ordered(host, None) => drop_record(format!("{ORDERED}{host}")),
         Record::DropWorker(id) => drop_record(format!("{WORKER}{id}")),
     }
 }
--- a/src/workswood/ops/late/account.rs
+++ b/src/workswood/ops/late/account.rs
@@ -11,7 +11,7 @@
 use super::line::Line;
 use crate::util::table;
 
-/// Machines of all pools in one second, and what they need; summed up over the
+/// Hosts of all pools in one second, and what they need; summed up over the
 /// lines of that second.
 #[derive(Clone, Copy, Debug, Default)]
 struct PoolSecond {
@@ -90,16 +90,12 @@
         format!("{}{}", table::columns(&rows), self.pool_line())
     }
 
-    /// One line about machines in pools.
+    /// One line about hosts in pools.
     fn pool_line(&self) -> String {
         let seconds = self.pools.len().max(1) as f64;
         let have: f64 = self.pools.values().map(|p| p.have).sum();
         let need: f64 = self.pools.values().map(|p| p.need).sum();
-        format!(
-            "machines in pools, mean of {seconds} s: {:.1}, needed {:.1}\n",
-            have / seconds,
-            need / seconds
-        )
+        format!("hosts in pools, mean of {seconds} s: {:.1}, needed {:.1}\n", have / seconds, need / seconds)
     }
 }
 
--- a/src/workswood/ops/model/agenda.rs
+++ b/src/workswood/ops/model/agenda.rs
@@ -11,11 +11,11 @@
 pub enum Happening {
     /// The scheduler is told that time has passed.
     Tick,
-    /// The scheduler reads the list of machines.
+    /// The scheduler reads the list of hosts.
     List,
     /// A job is handed in, by its place among the jobs of the run.
     HandIn(usize),
-    /// A machine arrives in its pool, or is up again.
+    /// A host arrives in its pool, or is up again.
     Arrives(usize),
     /// A worker is looked at; `true` goes on looking for ever.
     Look(usize, WorkerId, bool),
@@ -23,11 +23,11 @@
     Starts(WorkerId, TaskId, u32),
     /// A task has done its work.
     Ends(WorkerId, TaskId, u32),
-    /// A worker crashes on its machine.
+    /// A worker crashes on its host.
     Crashes(usize, WorkerId),
     /// The stop of a task reaches its worker.
     Stops(WorkerId, TaskId, u32),
-    /// An order reaches a machine.
+    /// An order reaches a host.
     Ordered(HostId, Order),
     /// The store has the records of a batch.
     Stored(Batch),
@@ -39,7 +39,7 @@
     TakesOver,
 }
 
-/// An order to a machine.
+/// An order to a host.
 #[derive(Clone)]
 pub enum Order {
     /// Change the pool.
--- a/src/workswood/ops/model/bound.rs
+++ b/src/workswood/ops/model/bound.rs
@@ -1,4 +1,4 @@
-//! How many machines a run's own jobs need at least.
+//! How many hosts a run's own jobs need at least.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,15 +13,15 @@
 /// The need is worked out for spans of this length.
 const SLOT: Duration = Duration::from_millis(50);
 
-/// Machines that a run's own jobs need, as means over the run.
+/// Hosts that a run's own jobs need, as means over the run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Bound {
     /// If the work could be cut at will, and were spread over the whole run: no
     /// policy that does all the work has fewer.
     pub least: f64,
     /// With a perfect forecast and no delay: each task runs as soon as it may, on
-    /// as few machines of its pool as hold the room that is in use, and each
-    /// machine is sent for as long ahead as its move takes.
+    /// as few hosts of its pool as hold the room that is in use, and each
+    /// host is sent for as long ahead as its move takes.
     pub forecast: f64,
 }
 
@@ -34,8 +34,8 @@
     let slots = slot_of(end).max(1) as f64;
     let size = spec.cpu_millis;
     let room: u64 = in_use.values().flatten().sum();
-    let machines: u64 = in_use.values().map(|room| machines_sent_for(room, size)).sum();
-    Bound { least: room as f64 / size as f64 / slots, forecast: machines as f64 / slots }
+    let hosts: u64 = in_use.values().map(|room| hosts_sent_for(room, size)).sum();
+    Bound { least: room as f64 / size as f64 / slots, forecast: hosts as f64 / slots }
 }
 
 fn slot_of(at: Duration) -> usize {
@@ -70,8 +70,8 @@
     begins
 }
 
-/// Sum over all slots of the machines of a pool, each sent for ahead.
-fn machines_sent_for(room: &[u64], size: u64) -> u64 {
+/// Sum over all slots of the hosts of a pool, each sent for ahead.
+fn hosts_sent_for(room: &[u64], size: u64) -> u64 {
     let ahead = slot_of(MOVE);
     let needed: Vec<u64> = room.iter().map(|r| r.div_ceil(size)).collect();
     let sent_for = |from: usize| {
--- a/src/workswood/ops/model/carry.rs
+++ b/src/workswood/ops/model/carry.rs
@@ -22,7 +22,7 @@
     pub workers: BTreeMap<WorkerId, WorkerRecord>,
     /// Progress of waves.
     pub waves: BTreeMap<u64, WaveRecord>,
-    /// Who ordered machines lately.
+    /// Who ordered hosts lately.
     pub ordered: BTreeMap<HostId, String>,
 }
 
@@ -34,8 +34,8 @@
             Record::Wave(n, wave) => drop(self.waves.insert(n, wave)),
             Record::Worker(id, w) => drop(self.workers.insert(id, w)),
             Record::DropWorker(id) => drop(self.workers.remove(&id)),
-            Record::Ordered(machine, Some(holder)) => drop(self.ordered.insert(machine, holder)),
-            Record::Ordered(machine, None) => drop(self.ordered.remove(&machine)),
+            Record::Ordered(host, Some(holder)) => drop(self.ordered.insert(host, holder)),
+            Record::Ordered(host, None) => drop(self.ordered.remove(&host)),
         }
     }
 }
@@ -69,8 +69,8 @@
         batch.records.into_iter().for_each(|r| self.stored.take(r));
         batch.shown.iter().for_each(|shown| self.show(shown));
         for (worker, number) in batch.forget {
-            if let Some(n) = self.machine_of(&worker) {
-                self.machines[n].forget(number);
+            if let Some(n) = self.host_of(&worker) {
+                self.hosts[n].forget(number);
             }
         }
         batch.actions.into_iter().for_each(|action| self.act(action));
@@ -91,15 +91,15 @@
                 self.after(WAY, Happening::Stops(worker, task, attempt));
             }
             Action::Watch { info, .. } => {
-                if let Some(n) = self.machine_of(&info.id) {
-                    self.machines[n].follow = Follow::default();
+                if let Some(n) = self.host_of(&info.id) {
+                    self.hosts[n].follow = Follow::default();
                     self.after(WAY, Happening::Look(n, info.id, true));
                 }
             }
-            Action::Move(machine, pool) => {
-                self.after(WAY, Happening::Ordered(machine, Order::Move(pool)));
+            Action::Move(host, pool) => {
+                self.after(WAY, Happening::Ordered(host, Order::Move(pool)));
             }
-            Action::Upkeep(machine, _) => self.after(WAY, Happening::Ordered(machine, Order::Upkeep)),
+            Action::Upkeep(host, _) => self.after(WAY, Happening::Ordered(host, Order::Upkeep)),
             // No queue of the model has advice.
             Action::Unwatch(_)
             | Action::Pace(..)
--- a/src/workswood/ops/model/deployment.rs
+++ b/src/workswood/ops/model/deployment.rs
@@ -6,9 +6,9 @@
 
 use super::spec::{ModelSpec, ServiceSpec};
 
-/// Name of the pool whose machines are off.
+/// Name of the pool whose hosts are off.
 pub const SPARE: &str = "off";
-/// Data centres that the machines stand in, by turns.
+/// Data centres that the hosts stand in, by turns.
 pub const DATA_CENTRES: usize = 4;
 /// A start that reaches a worker later than this after its data centre was evacuated was decided in spite of that:
 /// several times what a write and the way there take.
@@ -19,12 +19,12 @@
 pub const WAY: Duration = Duration::from_millis(8);
 /// Time between two ticks of the scheduler, as the process has it.
 pub const TICK: Duration = Duration::from_millis(150);
-/// Time between two lists of machines, as the process has it.
+/// Time between two lists of hosts, as the process has it.
 pub const LIST: Duration = Duration::from_millis(600);
 /// Time between two looks at a worker that has nothing to tell, as the process
 /// has it.
 pub const LOOK: Duration = Duration::from_millis(900);
-/// How long a machine takes to another pool; seen on the prepared platform.
+/// How long a host takes to another pool; seen on the prepared platform.
 pub const MOVE: Duration = Duration::from_millis(1500);
 /// How long its maintenance takes; likewise.
 pub const UPKEEP: Duration = Duration::from_millis(2000);
@@ -56,8 +56,8 @@
         longest_lease: Duration::from_secs(10),
         grace: Duration::from_secs(4),
         drift: 0.02,
-        machine_handover: Duration::from_millis(3300),
-        machine_orders_per_s: 64.0,
+        host_handover: Duration::from_millis(3300),
+        host_orders_per_s: 64.0,
         keep_ended: Duration::from_secs(120),
         early: Duration::ZERO,
     }
--- a/src/workswood/ops/model/faults.rs
+++ b/src/workswood/ops/model/faults.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use workswood_core::jobs::job::WorkerId;
-use workswood_core::jobs::{Event, MachineState, News, Scheduler};
+use workswood_core::jobs::{Event, HostState, News, Scheduler};
 
 use super::agenda::Happening;
 use super::deployment::{CRASH_AWAY, LEASE, TAKEOVER, config, limits};
@@ -26,8 +26,8 @@
         s.handle(Event::Evacuated(self.evacuated.keys().cloned().collect()));
         self.restore(&mut s);
         self.sched = Some(s);
-        for n in 0..self.machines.len() {
-            if self.machines[n].serves() {
+        for n in 0..self.hosts.len() {
+            if self.hosts[n].serves() {
                 self.list_worker(n);
             }
         }
@@ -37,8 +37,8 @@
         for (id, rec) in &self.stored.workers {
             s.restore_worker(id.clone(), rec.clone());
         }
-        for (machine, holder) in &self.stored.ordered {
-            s.restore_mark(machine.clone(), holder);
+        for (host, holder) in &self.stored.ordered {
+            s.restore_mark(host.clone(), holder);
         }
         for j in self.jobs.iter().filter(|j| j.at <= self.now) {
             s.restore(j.key, Some(Arc::clone(&j.spec)), self.stored.jobs.get(&j.key).cloned());
@@ -88,26 +88,25 @@
         self.tell(Event::Evacuated(evacuated));
     }
 
-    /// The machines on which most runs fall silent, and come back as another life.
+    /// The hosts on which most runs fall silent, and come back as another life.
     fn darken(&mut self, count: usize, lasts: Duration) {
-        let mut busiest: Vec<usize> =
-            (0..self.machines.len()).filter(|n| self.machines[*n].serves()).collect();
-        busiest.sort_by_key(|n| Reverse(self.machines[*n].runs()));
+        let mut busiest: Vec<usize> = (0..self.hosts.len()).filter(|n| self.hosts[*n].serves()).collect();
+        busiest.sort_by_key(|n| Reverse(self.hosts[*n].runs()));
         busiest.into_iter().take(count).for_each(|n| self.end_worker(n, lasts));
     }
 
     /// A worker crashes, unless it is gone already.
     pub(super) fn crash(&mut self, n: usize, worker: &WorkerId) {
-        if self.machine_of(worker) == Some(n) {
+        if self.host_of(worker) == Some(n) {
             self.crashes += 1;
             self.end_worker(n, CRASH_AWAY);
         }
     }
 
-    /// A worker's life ends, and the machine comes back with another one.
+    /// A worker's life ends, and the host comes back with another one.
     fn end_worker(&mut self, n: usize, away: Duration) {
-        let worker = self.machines[n].worker().clone();
-        self.machines[n].end_life(MachineState::Down);
+        let worker = self.hosts[n].worker().clone();
+        self.hosts[n].end_life(HostState::Down);
         let (lease_end, heard) = (self.now + LEASE, self.now);
         self.tell_of(worker, News::Unanswered { lease_end, heard });
         self.after(away, Happening::Arrives(n));
--- a/src/workswood/ops/model/figures.rs
+++ b/src/workswood/ops/model/figures.rs
@@ -23,15 +23,16 @@
     pub worst: f64,
     /// Standard deviation of `worst` over the runs.
     pub worst_spread: f64,
-    /// Mean number of machines that are on.
-    pub machines: f64,
-    /// Mean number of machines that the running tasks fill.
+    /// Mean number of hosts that are on.
+    #[serde(rename = "machines")]
+    pub hosts: f64,
+    /// Mean number of hosts that the running tasks fill.
     pub busy: f64,
     /// Mean number that no policy can do with less of; see [`Bound`](super::bound::Bound).
     pub least: f64,
     /// Mean number with a perfect forecast and no delay; likewise.
     pub forecast: f64,
-    /// Machines that changed their pool.
+    /// Hosts that changed their pool.
     pub moves: f64,
     /// Workers that crashed under a task.
     pub crashes: f64,
@@ -45,7 +46,7 @@
 }
 
 impl Figures {
-    /// Figures of a run from its jobs and when each was done; machines and moves
+    /// Figures of a run from its jobs and when each was done; hosts and moves
     /// are filled in by who counted them.
     pub fn of(jobs: &[ModelJob], done: &BTreeMap<u64, Duration>) -> Figures {
         let mut all: Earned = (0.0, 0.0);
@@ -82,7 +83,7 @@
             in_time: mean(|f| f.in_time),
             worst,
             worst_spread: variance.sqrt(),
-            machines: mean(|f| f.machines),
+            hosts: mean(|f| f.hosts),
             busy: mean(|f| f.busy),
             least: mean(|f| f.least),
             forecast: mean(|f| f.forecast),
--- a/src/workswood/ops/model/fleet.rs
+++ b/src/workswood/ops/model/fleet.rs
@@ -1,4 +1,4 @@
-//! Machines, and the tasks that run on them.
+//! Hosts, and the tasks that run on them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{
-    EndKind, Follow, Listing, Machine, MachineState, Report, ReportedEnd, ReportedRun, TaskId, WorkerInfo,
+    EndKind, Follow, Host, HostState, Listing, Report, ReportedEnd, ReportedRun, TaskId, WorkerInfo,
 };
 
 use super::deployment::{DATA_CENTRES, SPARE};
@@ -33,15 +33,15 @@
     }
 }
 
-/// A machine of the model, with the present life of its worker.
-pub struct ModelMachine {
+/// A host of the model, with the present life of its worker.
+pub struct ModelHost {
     number: usize,
     name: HostId,
     worker: WorkerId,
     /// Its pool.
     pub pool: ServiceId,
     /// Its state.
-    pub state: MachineState,
+    pub state: HostState,
     /// Its worker has had so many lives.
     life: u32,
     /// Tasks that run.
@@ -60,15 +60,15 @@
     format!("model-{number}")
 }
 
-impl ModelMachine {
-    /// A machine that is up.
-    pub fn new(number: usize, pool: ServiceId) -> ModelMachine {
-        ModelMachine {
+impl ModelHost {
+    /// A host that is up.
+    pub fn new(number: usize, pool: ServiceId) -> ModelHost {
+        ModelHost {
             number,
             name: format!("m-{number:05}"),
             worker: worker_of(number, 0),
             pool,
-            state: MachineState::Up,
+            state: HostState::Up,
             life: 0,
             running: BTreeMap::new(),
             used: 0,
@@ -100,7 +100,7 @@
             service: self.pool.clone(),
             address: self.name.clone(),
             data_centre: self.data_centre(),
-            machine: self.name.clone(),
+            host: self.name.clone(),
             capacity: room,
             labels: Vec::new(),
             draining: false,
@@ -109,7 +109,7 @@
 
     /// Whether its worker is there: it is up, and on.
     pub fn serves(&self) -> bool {
-        self.state == MachineState::Up && self.pool != SPARE
+        self.state == HostState::Up && self.pool != SPARE
     }
 
     /// Room that its tasks take, in thousandths of a core.
@@ -118,8 +118,8 @@
     }
 
     /// How the platform lists it.
-    pub fn listed(&self, room: Room) -> Machine {
-        Machine {
+    pub fn listed(&self, room: Room) -> Host {
+        Host {
             name: self.name.clone(),
             pool: self.pool.clone(),
             state: self.state,
@@ -131,7 +131,7 @@
     }
 
     /// Its worker's life is over, with all that ran.
-    pub fn end_life(&mut self, state: MachineState) {
+    pub fn end_life(&mut self, state: HostState) {
         self.state = state;
         self.life += 1;
         self.worker = worker_of(self.number, self.life);
@@ -190,7 +190,7 @@
     }
 }
 
-/// A life of the worker on a machine.
-fn worker_of(machine: usize, life: u32) -> WorkerId {
-    format!("w-{machine:05}-{life}").into()
+/// A life of the worker on a host.
+fn worker_of(host: usize, life: u32) -> WorkerId {
+    format!("w-{host:05}-{life}").into()
 }
--- a/src/workswood/ops/model/machines.rs
+++ b/src/workswood/ops/model/hosts.rs
@@ -1,25 +1,25 @@
-//! What machines and their workers do in a run.
+//! What hosts and their workers do in a run.
 
 use rand::Rng;
 use workswood_core::ids::HostId;
 use workswood_core::invariant;
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::spec::Room;
-use workswood_core::jobs::{EndKind, Event, MachineReply, MachineState, News, StartReply, StopReply, TaskId};
+use workswood_core::jobs::{EndKind, Event, HostReply, HostState, News, StartReply, StopReply, TaskId};
 
 use super::agenda::{Happening, Order};
 use super::deployment::{
     CRASH_AFTER, EVACUATED_WITHIN, LATE_REPORT, LIST, LOOK, MOVE, SPARE, UPKEEP, WARM_UP, WAY,
 };
-use super::fleet::{ModelMachine, ModelRun};
+use super::fleet::{ModelHost, ModelRun};
 use super::world::World;
 
 impl World<'_> {
-    pub(super) fn make_machines(&mut self) {
-        let pools = self.spec.services.iter().map(|s| (s.name.clone(), s.machines));
+    pub(super) fn make_hosts(&mut self) {
+        let pools = self.spec.services.iter().map(|s| (s.name.clone(), s.hosts));
         let pools = pools.chain([(SPARE.to_string(), self.spec.spare)]);
         for pool in pools.flat_map(|(name, count)| std::iter::repeat_n(name, count)) {
-            self.machines.push(ModelMachine::new(self.machines.len(), pool));
+            self.hosts.push(ModelHost::new(self.hosts.len(), pool));
         }
     }
 
@@ -27,38 +27,38 @@
         Room { cpu_millis: self.spec.cpu_millis, mem_mb: self.spec.mem_mb, gpus: 0 }
     }
 
-    /// The machine on which a life of a worker runs, if it still does.
-    pub(super) fn machine_of(&self, worker: &WorkerId) -> Option<usize> {
+    /// The host on which a life of a worker runs, if it still does.
+    pub(super) fn host_of(&self, worker: &WorkerId) -> Option<usize> {
         let number = worker.split('-').nth(1)?.parse::<usize>().ok()?;
-        let m = self.machines.get(number)?;
+        let m = self.hosts.get(number)?;
         (m.worker() == worker && m.serves()).then_some(number)
     }
 
     /// A worker that is up is listed, and looked at from then on.
     pub(super) fn list_worker(&mut self, n: usize) {
-        let info = self.machines[n].info(self.room());
+        let info = self.hosts[n].info(self.room());
         self.tell(Event::WorkerListed(info));
     }
 
     pub(super) fn list(&mut self) {
         let room = self.room();
-        let list = self.machines.iter().map(|m| m.listed(room)).collect();
-        self.tell(Event::Machines(list, self.now));
+        let list = self.hosts.iter().map(|m| m.listed(room)).collect();
+        self.tell(Event::Hosts(list, self.now));
         self.after(LIST, Happening::List);
     }
 
     pub(super) fn arrives(&mut self, n: usize) {
-        self.machines[n].state = MachineState::Up;
-        if self.machines[n].serves() {
+        self.hosts[n].state = HostState::Up;
+        if self.hosts[n].serves() {
             self.list_worker(n);
         }
     }
 
     pub(super) fn look(&mut self, n: usize, worker: WorkerId, again: bool) {
-        if self.machine_of(&worker) != Some(n) {
+        if self.host_of(&worker) != Some(n) {
             return;
         }
-        let report = self.machines[n].report(self.now);
+        let report = self.hosts[n].report(self.now);
         self.tell_of(worker.clone(), News::Reported(report));
         if again && self.sched.is_some() {
             self.after(LOOK, Happening::Look(n, worker, true));
@@ -66,7 +66,7 @@
     }
 
     pub(super) fn starts(&mut self, worker: WorkerId, task: TaskId, attempt: u32) {
-        let reply = match self.machine_of(&worker) {
+        let reply = match self.host_of(&worker) {
             Some(n) => {
                 self.run(n, worker.clone(), task, attempt);
                 StartReply::Taken
@@ -74,20 +74,20 @@
             None => StartReply::NotSent,
         };
         let now = self.now;
-        if let Some(n) = self.machine_of(&worker) {
-            self.machines[n].follow.started(task, attempt, reply, now);
+        if let Some(n) = self.host_of(&worker) {
+            self.hosts[n].follow.started(task, attempt, reply, now);
         }
         self.tell_of(worker, News::Started(task, attempt, reply));
     }
 
     /// Nothing that was decided after a data centre was evacuated begins there.
     fn check_evacuated(&self, n: usize, task: &TaskId) {
-        let since = self.evacuated.get(&self.machines[n].data_centre());
+        let since = self.evacuated.get(&self.hosts[n].data_centre());
         let late = since.is_some_and(|at| self.now > *at + EVACUATED_WITHIN);
         invariant::check(!late, || format!("{task} begins in an evacuated data centre"));
     }
 
-    /// A task runs on a machine, and ends when it really does.
+    /// A task runs on a host, and ends when it really does.
     fn run(&mut self, n: usize, worker: WorkerId, task: TaskId, attempt: u32) {
         self.check_evacuated(n, &task);
         // Jobs are numbered from 1 on, in the order in which they are kept.
@@ -100,13 +100,13 @@
         if job.crashes && task.step == 0 && task.index == 0 {
             self.after(CRASH_AFTER, Happening::Crashes(n, worker.clone()));
         }
-        self.machines[n].begin_task(task, run);
+        self.hosts[n].begin_task(task, run);
         self.after(ends_after, Happening::Ends(worker, task, attempt));
     }
 
     pub(super) fn ends(&mut self, worker: WorkerId, task: TaskId, attempt: u32, kind: EndKind) {
-        let Some(n) = self.machine_of(&worker) else { return };
-        if !self.machines[n].end_task(task, attempt, kind) {
+        let Some(n) = self.host_of(&worker) else { return };
+        if !self.hosts[n].end_task(task, attempt, kind) {
             return;
         }
         let late = self.luck.random::<f64>() < self.late_reports;
@@ -117,28 +117,28 @@
     pub(super) fn stops(&mut self, worker: WorkerId, task: TaskId, attempt: u32) {
         self.ends(worker.clone(), task, attempt, EndKind::Stopped);
         let now = self.now;
-        if let Some(n) = self.machine_of(&worker) {
-            self.machines[n].follow.stop_taken(task, attempt, now);
+        if let Some(n) = self.host_of(&worker) {
+            self.hosts[n].follow.stop_taken(task, attempt, now);
         }
         self.tell_of(worker, News::Stopped(task, attempt, StopReply::Taken));
     }
 
-    pub(super) fn ordered(&mut self, machine: HostId, order: Order) {
-        let Some(n) = self.machines.iter().position(|m| *m.name() == machine) else { return };
-        if self.machines[n].state != MachineState::Up {
-            self.tell(Event::MachineOrdered(machine, MachineReply::Busy));
+    pub(super) fn ordered(&mut self, host: HostId, order: Order) {
+        let Some(n) = self.hosts.iter().position(|m| *m.name() == host) else { return };
+        if self.hosts[n].state != HostState::Up {
+            self.tell(Event::HostOrdered(host, HostReply::Busy));
             return;
         }
         let (state, takes) = match &order {
-            Order::Move(_) => (MachineState::Moving, MOVE),
-            Order::Upkeep => (MachineState::Upkeep, UPKEEP),
+            Order::Move(_) => (HostState::Moving, MOVE),
+            Order::Upkeep => (HostState::Upkeep, UPKEEP),
         };
-        self.machines[n].end_life(state);
+        self.hosts[n].end_life(state);
         if let Order::Move(pool) = order {
-            self.machines[n].pool = pool;
+            self.hosts[n].pool = pool;
             self.moves += 1;
         }
         self.after(takes, Happening::Arrives(n));
-        self.tell(Event::MachineOrdered(machine, MachineReply::Done));
+        self.tell(Event::HostOrdered(host, HostReply::Done));
     }
 }
--- a/src/workswood/ops/model/load.rs
+++ b/src/workswood/ops/model/load.rs
@@ -31,7 +31,7 @@
 const TASK_MEM_MB: u64 = 100;
 /// Time that a lasting task takes: longer than any run.
 const FOREVER: Duration = Duration::from_secs(7200);
-/// Lasting tasks of a service that may share a machine.
+/// Lasting tasks of a service that may share a host.
 const LASTING_SHARE: u32 = 2;
 /// Worth of a job for itself; its work adds to it,
 const WORTH: f64 = 0.3;
--- a/src/workswood/ops/model/mod.rs
+++ b/src/workswood/ops/model/mod.rs
@@ -1,4 +1,4 @@
-//! `model`: the scheduler against simulated workers, machines, store and callers.
+//! `model`: the scheduler against simulated workers, hosts, store and callers.
 //!
 //! The real scheduler decides, on injected time. The same file and seed give the
 //! same figures. It is the place where a policy is tried on many seeds before it
@@ -7,11 +7,11 @@
 //! * [`spec`] is the file that describes a fleet, its load and its faults.
 //! * [`load`] draws the jobs that callers hand in.
 //! * [`deployment`] holds times and bounds of the deployments known to us.
-//! * [`fleet`] is machines and the tasks that run on them.
+//! * [`fleet`] is hosts and the tasks that run on them.
 //! * [`agenda`] is what is to happen in a run, and when.
 //! * [`world`] is a run: its scheduler decides, [`carry`] carries out what it says,
-//!   [`machines`] do as they are told, and [`faults`] come in between.
-//! * [`figures`] is what one run showed, and [`bound`] how few machines would do.
+//!   [`hosts`] do as they are told, and [`faults`] come in between.
+//! * [`figures`] is what one run showed, and [`bound`] how few hosts would do.
 //! * [`vary`] is one value of a policy, in several variants, and [`compare`] their
 //!   figures side by side.
 
@@ -23,8 +23,8 @@
 mod faults;
 pub mod figures;
 pub mod fleet;
+mod hosts;
 pub mod load;
-mod machines;
 pub mod spec;
 pub mod vary;
 pub mod world;
--- a/src/workswood/ops/model/spec.rs
+++ b/src/workswood/ops/model/spec.rs
@@ -10,8 +10,8 @@
 
 /// Longest time that may be played.
 const LONGEST: Duration = Duration::from_secs(3600);
-/// Most machines.
-const MOST_MACHINES: usize = 10_000;
+/// Most hosts.
+const MOST_HOSTS: usize = 10_000;
 
 /// As on the deployments known to us.
 fn default_peak() -> f64 {
@@ -39,11 +39,11 @@
     /// Outside its turn it asks for this share of its mean.
     #[serde(default = "default_rest")]
     pub rest: f64,
-    /// Thousandths of a core of each machine.
+    /// Thousandths of a core of each host.
     pub cpu_millis: u64,
-    /// Memory of each machine in MB.
+    /// Memory of each host in MB.
     pub mem_mb: u64,
-    /// Machines that are off at the beginning.
+    /// Hosts that are off at the beginning.
     pub spare: usize,
     /// Services, in the order of their turns.
     pub services: Vec<ServiceSpec>,
@@ -64,8 +64,9 @@
 pub struct ServiceSpec {
     /// Its name.
     pub name: ServiceId,
-    /// Machines of its pool at the beginning.
-    pub machines: usize,
+    /// Hosts of its pool at the beginning.
+    #[serde(rename = "machines")]
+    pub hosts: usize,
     /// Mean number of jobs a second over all turns.
     pub jobs_per_s: f64,
     /// Mean number of steps of a job.
@@ -94,7 +95,7 @@
     /// When it is asked for.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// Share of all machines.
+    /// Share of all hosts.
     pub share: f64,
     /// Time allowed for all of them.
     #[serde(with = "humantime_serde")]
@@ -125,7 +126,7 @@
     HolderDies,
     /// The store takes this many times as long for an append.
     StoreSlow(f64),
-    /// So many of the busiest machines fall silent, with what runs there.
+    /// So many of the busiest hosts fall silent, with what runs there.
     MachinesDark(usize),
     /// This share of the workers' reports is heard half a second late.
     ReportsLate(f64),
@@ -145,12 +146,12 @@
 
     /// Checks what the model relies on.
     pub fn check(&self) -> Result<(), String> {
-        let machines = self.spare + self.services.iter().map(|s| s.machines).sum::<usize>();
+        let hosts = self.spare + self.services.iter().map(|s| s.hosts).sum::<usize>();
         if self.services.is_empty() {
             return Err("name at least one service under `services`".to_string());
         }
-        if machines == 0 || machines > MOST_MACHINES {
-            return Err(format!("`spare` and `machines` must come to 1 to {MOST_MACHINES}, not {machines}"));
+        if hosts == 0 || hosts > MOST_HOSTS {
+            return Err(format!("`spare` and `machines` must come to 1 to {MOST_HOSTS}, not {hosts}"));
         }
         if self.cpu_millis == 0 {
             return Err("`cpu_millis` must be above 0".to_string());
--- a/src/workswood/ops/model/world.rs
+++ b/src/workswood/ops/model/world.rs
@@ -15,7 +15,7 @@
 use super::carry::Stored;
 use super::deployment::{AFTER, SPARE, TICK};
 use super::figures::Figures;
-use super::fleet::ModelMachine;
+use super::fleet::ModelHost;
 use super::load::{self, BEFORE, ModelJob};
 use super::spec::ModelSpec;
 
@@ -34,7 +34,7 @@
     /// Whether a batch is on its way to the store.
     pub writing: bool,
     pub stored: Stored,
-    pub machines: Vec<ModelMachine>,
+    pub hosts: Vec<ModelHost>,
     pub jobs: Vec<ModelJob>,
     /// When jobs were done.
     pub done: BTreeMap<JobKey, Duration>,
@@ -48,7 +48,7 @@
     pub luck: StdRng,
     pub moves: usize,
     pub crashes: usize,
-    /// Seconds of machines that are on, and that tasks fill.
+    /// Seconds of hosts that are on, and that tasks fill.
     on: f64,
     busy: f64,
     /// Until when they are counted.
@@ -63,7 +63,7 @@
         if at > end {
             break;
         }
-        w.count_machines(at);
+        w.count_hosts(at);
         w.now = at;
         w.happens(what);
         w.decide();
@@ -71,7 +71,7 @@
     let seconds = w.now.as_secs_f64().max(1.0);
     let bound = bound::of(spec, &w.jobs, end);
     Figures {
-        machines: w.on / seconds,
+        hosts: w.on / seconds,
         busy: w.busy / seconds,
         least: bound.least,
         forecast: bound.forecast,
@@ -93,7 +93,7 @@
             term: 0,
             writing: false,
             stored: Stored::default(),
-            machines: Vec::new(),
+            hosts: Vec::new(),
             done: BTreeMap::new(),
             wave: None,
             store_factor: 1.0,
@@ -107,7 +107,7 @@
             counted: Duration::ZERO,
             jobs,
         };
-        w.make_machines();
+        w.make_hosts();
         w.take_over();
         w.plan();
         w
@@ -161,7 +161,7 @@
             Happening::Ends(worker, task, attempt) => self.ends(worker, task, attempt, EndKind::Done),
             Happening::Crashes(n, worker) => self.crash(n, &worker),
             Happening::Stops(worker, task, attempt) => self.stops(worker, task, attempt),
-            Happening::Ordered(machine, order) => self.ordered(machine, order),
+            Happening::Ordered(host, order) => self.ordered(host, order),
             Happening::Stored(batch) => {
                 self.writing = false;
                 self.carry_out(batch);
@@ -186,23 +186,22 @@
         if self.wave.is_some() || self.now < BEFORE + w.at {
             return;
         }
-        let count = (self.machines.len() as f64 * w.share) as usize;
-        // Every so many machines, so that each pool has some.
-        let stride = self.machines.len() / count.max(1);
-        let machines = self.machines.iter().step_by(stride.max(1)).take(count).map(|m| m.name().clone());
-        let wave =
-            Wave { number: 1, machines: machines.collect(), within: w.within, most_at_once: w.most_at_once };
+        let count = (self.hosts.len() as f64 * w.share) as usize;
+        // Every so many hosts, so that each pool has some.
+        let stride = self.hosts.len() / count.max(1);
+        let hosts = self.hosts.iter().step_by(stride.max(1)).take(count).map(|m| m.name().clone());
+        let wave = Wave { number: 1, hosts: hosts.collect(), within: w.within, most_at_once: w.most_at_once };
         self.wave = Some(wave.clone());
         self.tell(Event::Wave(wave, None));
     }
 
-    /// Counts machines that are on, and what tasks fill of them, until a time.
-    fn count_machines(&mut self, until: Duration) {
+    /// Counts hosts that are on, and what tasks fill of them, until a time.
+    fn count_hosts(&mut self, until: Duration) {
         let passed = (until - self.counted).as_secs_f64();
         self.counted = until;
-        let on = self.machines.iter().filter(|m| m.pool != SPARE).count();
+        let on = self.hosts.iter().filter(|m| m.pool != SPARE).count();
         self.on += on as f64 * passed;
-        let used: u64 = self.machines.iter().map(ModelMachine::used).sum();
+        let used: u64 = self.hosts.iter().map(ModelHost::used).sum();
         self.busy += used as f64 / self.spec.cpu_millis as f64 * passed;
     }
 }
--- a/src/workswood/util/job_settings.rs
+++ b/src/workswood/util/job_settings.rs
@@ -42,8 +42,9 @@
     /// entries.
     #[serde(default = "default_parts")]
     pub store_parts: u16,
-    /// The platform's machine service.
-    pub machines: String,
+    /// The platform's host service.
+    #[serde(rename = "machines")]
+    pub hosts: String,
     /// The service that says which workers may run a step, if there is one.
     #[serde(default)]
     pub adviser: Option<String>,
@@ -55,11 +56,12 @@
     pub link_mbps: f64,
     /// Longest lease that workers accept, in milliseconds.
     pub longest_lease_ms: u64,
-    /// How long a new lease holder waits before orders to machines.
-    pub machine_handover_ms: u64,
-    /// Orders to machines a second that the platform takes.
-    #[serde(default = "default_machine_orders")]
-    pub machine_orders_per_s: f64,
+    /// How long a new lease holder waits before orders to hosts.
+    #[serde(rename = "machine_handover_ms")]
+    pub host_handover_ms: u64,
+    /// Orders to hosts a second that the platform takes.
+    #[serde(rename = "machine_orders_per_s", default = "default_host_orders")]
+    pub host_orders_per_s: f64,
     /// Within which time an entry has to be up to date again after trouble with its connections, in
     /// milliseconds.
     #[serde(default = "default_in_step")]
@@ -84,8 +86,8 @@
     1
 }
 
-/// As many as the platforms of 50 machines take.
-fn default_machine_orders() -> f64 {
+/// As many as the platforms of 50 hosts take.
+fn default_host_orders() -> f64 {
     64.0
 }
 
@@ -121,7 +123,7 @@
         if self.peers.ip().is_unspecified() {
             return Err("`peers` is told to other entries and needs an address, not 0.0.0.0".to_string());
         }
-        for (field, value) in [("store", &self.store), ("machines", &self.machines)] {
+        for (field, value) in [("store", &self.store), ("machines", &self.hosts)] {
             if value.parse::<SocketAddr>().is_err() {
                 return Err(format!("`{field}` must be an IP address and port, not `{value}`"));
             }
@@ -141,7 +143,7 @@
         if self.longest_lease_ms < 1_000 {
             return Err("`longest_lease_ms` must be at least 1000".to_string());
         }
-        if !(self.machine_orders_per_s >= 1.0 && self.machine_orders_per_s.is_finite()) {
+        if !(self.host_orders_per_s >= 1.0 && self.host_orders_per_s.is_finite()) {
             return Err("`machine_orders_per_s` must be at least 1".to_string());
         }
         if self.in_step_within_ms < 2_000 {
--- a/tests/testsuite/advice_tickets.rs
+++ b/tests/testsuite/advice_tickets.rs
@@ -12,8 +12,8 @@
 use workswood_test_support::advised_world::{
     PLAIN, advice, advised, advised_config, asked, calls, failed, started,
 };
+use workswood_test_support::host_world::{HostWorld, worker};
 use workswood_test_support::job_world::{job, step};
-use workswood_test_support::machine_world::{MachineWorld, worker};
 
 const STEP: StepId = StepId { job: 1, round: 0, step: 0 };
 
@@ -26,7 +26,7 @@
 }
 
 /// A world whose job 1 of this many tasks waits, and the workers asked about.
-fn waiting(workers: usize, tasks: u32) -> (MachineWorld, Vec<WorkerId>) {
+fn waiting(workers: usize, tasks: u32) -> (HostWorld, Vec<WorkerId>) {
     let mut world = advised(workers, cfg());
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![step(tasks, vec![])], 0))));
     let actions = world.tick();
@@ -37,7 +37,7 @@
 }
 
 /// What ends at a worker: a task of job 1 fails there.
-fn fails(world: &mut MachineWorld, worker: &WorkerId, attempt: u32) {
+fn fails(world: &mut HostWorld, worker: &WorkerId, attempt: u32) {
     let task = TaskId { job: 1, round: 0, step: 0, index: 0 };
     let end = ReportedEnd {
         number: u64::from(attempt),
@@ -84,7 +84,7 @@
     world.sched.handle(advice(STEP, &ids, &ids, ms(3000)));
     assert_eq!(started(&world.tick()).len(), 4, "the worker is full");
     // Made at 105 ms at the earliest, good for 3 s, used until 250 ms before its end.
-    let free = |world: &mut MachineWorld, at: u64| {
+    let free = |world: &mut HostWorld, at: u64| {
         world.at(at);
         fails(world, &ids[0], 1);
         world.tick()
@@ -179,7 +179,7 @@
 #[test]
 fn slow_adviser_gets_time() {
     let (mut world, ids) = waiting(2, 1);
-    let patience = |world: &MachineWorld| match world.actions.last() {
+    let patience = |world: &HostWorld| match world.actions.last() {
         Some(Action::Advise { patience, .. }) => *patience,
         other => panic!("no call but {other:?}"),
     };
--- a/tests/testsuite/chance_crashes.rs
+++ b/tests/testsuite/chance_crashes.rs
@@ -17,23 +17,23 @@
     Action, EndKind, Event, JobSpec, Listing, News, Outcome, Owner, ReportedEnd, ReportedRun, Shown,
     StepSpec, TaskId,
 };
+use workswood_test_support::host_world::{HostWorld, host, listed, worker};
 use workswood_test_support::job_world::{ATTEMPTS, SERVICE, job, step};
-use workswood_test_support::machine_world::{MachineWorld, listed, machine, worker};
 
-const MACHINES: usize = 12;
+const HOSTS: usize = 12;
 
 fn task(index: u32) -> TaskId {
     TaskId { job: 1, round: 0, step: 0, index }
 }
 
-/// A step of lasting tasks on machines of their own, of which one may be away.
+/// A step of lasting tasks on hosts of their own, of which one may be away.
 fn lasting(count: u32) -> StepSpec {
     StepSpec { lasting: true, may_miss: 1, most_per_worker: 1, ..step(count, vec![]) }
 }
 
-/// Machines, and what runs on which of them.
+/// Hosts, and what runs on which of them.
 struct Site {
-    world: MachineWorld,
+    world: HostWorld,
     lives: Vec<usize>,
     runs: BTreeMap<TaskId, (usize, Action)>,
     ms: u64,
@@ -41,12 +41,8 @@
 
 impl Site {
     fn new(spec: JobSpec) -> Site {
-        let mut site = Site {
-            world: MachineWorld::new(MACHINES),
-            lives: vec![0; MACHINES],
-            runs: BTreeMap::new(),
-            ms: 100,
-        };
+        let mut site =
+            Site { world: HostWorld::new(HOSTS), lives: vec![0; HOSTS], runs: BTreeMap::new(), ms: 100 };
         site.world.at(100);
         site.list();
         site.world.sched.handle(Event::Submitted(1, Arc::new(spec)));
@@ -55,8 +51,8 @@
     }
 
     fn list(&mut self) {
-        let machines = self.lives.iter().enumerate().map(|(n, life)| machine(n, SERVICE, Some(*life)));
-        self.world.list(machines.collect());
+        let hosts = self.lives.iter().enumerate().map(|(n, life)| host(n, SERVICE, Some(*life)));
+        self.world.list(hosts.collect());
     }
 
     /// Plays for some time; the workers take what they are told to start, and list it.
@@ -65,7 +61,7 @@
         while self.ms < end {
             self.ms += 100;
             self.world.at(self.ms);
-            for n in 0..MACHINES {
+            for n in 0..HOSTS {
                 let here = self.runs.values().filter(|(on, _)| *on == n).map(|(_, a)| a.clone());
                 let here: Vec<Action> = here.collect();
                 self.world.report(n, self.lives[n], &here);
@@ -79,7 +75,7 @@
         for a in actions {
             match a {
                 Action::Start { worker, task, attempt, .. } => {
-                    let n = worker.split('-').nth(1).and_then(|n| n.parse().ok()).expect("a machine");
+                    let n = worker.split('-').nth(1).and_then(|n| n.parse().ok()).expect("a host");
                     self.world.taken(worker, *task, *attempt);
                     self.runs.insert(*task, (n, a.clone()));
                 }
@@ -91,7 +87,7 @@
         }
     }
 
-    /// A worker crashes, and its machine comes back with another one.
+    /// A worker crashes, and its host comes back with another one.
     fn crash(&mut self, n: usize) {
         self.runs.retain(|_, (on, _)| *on != n);
         let (id, now) = (worker(n, self.lives[n]).id, self.world.sched.now);
@@ -105,14 +101,14 @@
         self.go_on(100);
     }
 
-    fn machine_of(&self, index: u32) -> Option<usize> {
+    fn host_of(&self, index: u32) -> Option<usize> {
         self.runs.get(&task(index)).map(|(n, _)| *n)
     }
 
-    /// A machine on which nothing runs, another one each time.
-    fn idle_machine(&self, turn: usize) -> usize {
+    /// A host on which nothing runs, another one each time.
+    fn idle_host(&self, turn: usize) -> usize {
         let busy = |n: &usize| self.runs.values().any(|(on, _)| on == n);
-        (turn..turn + MACHINES).map(|n| n % MACHINES).find(|n| !busy(n)).expect("most are idle")
+        (turn..turn + HOSTS).map(|n| n % HOSTS).find(|n| !busy(n)).expect("most are idle")
     }
 
     /// What a worker lists.
@@ -130,8 +126,8 @@
     let mut site = Site::new(job(vec![lasting(4)], 0));
     for second in 0..20 {
         let under_task = matches!(second, 12 | 14 | 17 | 18);
-        let own = site.machine_of(0).filter(|_| under_task);
-        let n = own.unwrap_or_else(|| site.idle_machine(second));
+        let own = site.host_of(0).filter(|_| under_task);
+        let n = own.unwrap_or_else(|| site.idle_host(second));
         site.crash(n);
         site.go_on(800);
     }
@@ -147,7 +143,7 @@
 fn chance_keeps_nobody_waiting() {
     let mut site = Site::new(job(vec![step(30, vec![])], 0));
     (0..12).for_each(|second| {
-        let n = site.idle_machine(second);
+        let n = site.idle_host(second);
         site.crash(n);
         site.go_on(300);
     });
@@ -156,7 +152,7 @@
         tasks.filter(|t| t.suspicion.is_some()).count()
     };
     for second in 0..4 {
-        let n = site.machine_of(second * 7).expect("it runs");
+        let n = site.host_of(second * 7).expect("it runs");
         site.crash(n);
         assert_eq!(suspected(&site), 0, "after {second}");
         site.go_on(300);
@@ -167,7 +163,7 @@
 fn session_goes_on_without_its_crashing_task() {
     let mut site = Site::new(job(vec![lasting(4)], 0));
     let mut crashes = 0;
-    while let Some(n) = site.machine_of(0) {
+    while let Some(n) = site.host_of(0) {
         crashes += 1;
         assert!(crashes <= 3, "it is started without end");
         site.crash(n);
--- a/tests/testsuite/changing_room.rs
+++ b/tests/testsuite/changing_room.rs
@@ -7,8 +7,8 @@
 use workswood_core::jobs::{
     Action, EndKind, Event, Listing, News, Owner, ReportedEnd, ReportedRun, StopReply, TaskId, WorkerInfo,
 };
+use workswood_test_support::host_world::{HostWorld, worker};
 use workswood_test_support::job_world::{job, step};
-use workswood_test_support::machine_world::{MachineWorld, worker};
 
 /// The only worker, with room for so many tasks of one core.
 fn with_room(cores: u64) -> WorkerInfo {
@@ -16,7 +16,7 @@
 }
 
 /// A job of so many tasks of one core each.
-fn submit(world: &mut MachineWorld, key: u64, tasks: u32) -> Vec<Action> {
+fn submit(world: &mut HostWorld, key: u64, tasks: u32) -> Vec<Action> {
     let spec = Arc::new(job(vec![step(tasks, vec![])], 100));
     world.sched.handle(Event::Submitted(key, spec));
     world.tick()
@@ -38,18 +38,18 @@
     ReportedEnd { number, task, attempt, kind: EndKind::Done, checkpoint: String::new() }
 }
 
-fn list(world: &mut MachineWorld, running: Vec<ReportedRun>, ended: Vec<ReportedEnd>) {
+fn list(world: &mut HostWorld, running: Vec<ReportedRun>, ended: Vec<ReportedEnd>) {
     world.answers(&worker(0, 0).id, Listing { running, ended });
 }
 
 /// The worker takes what it was told to start.
-fn take(world: &mut MachineWorld, runs: &[(TaskId, u32)]) {
+fn take(world: &mut HostWorld, runs: &[(TaskId, u32)]) {
     runs.iter().for_each(|(task, attempt)| world.taken(&worker(0, 0).id, *task, *attempt));
 }
 
 #[test]
 fn nothing_beyond_what_is_left() {
-    let mut world = MachineWorld::new(1);
+    let mut world = HostWorld::new(1);
     world.at(100);
     let runs = starts(&submit(&mut world, 1, 4));
     assert_eq!(runs.len(), 4);
@@ -69,7 +69,7 @@
 
 #[test]
 fn no_room_at_all() {
-    let mut world = MachineWorld::new(1);
+    let mut world = HostWorld::new(1);
     world.at(100);
     world.sched.handle(Event::WorkerListed(with_room(0)));
     assert_eq!(starts(&submit(&mut world, 1, 1)), []);
@@ -79,7 +79,7 @@
 
 #[test]
 fn stopping_still_counts() {
-    let mut world = MachineWorld::new(1);
+    let mut world = HostWorld::new(1);
     world.at(100);
     let runs = starts(&submit(&mut world, 1, 4));
     take(&mut world, &runs);
@@ -100,7 +100,7 @@
 /// A start that was lost on its way, or sent by an earlier holder, may be carried out late.
 #[test]
 fn unwanted_run_counts_until_it_ends() {
-    let mut world = MachineWorld::new(1);
+    let mut world = HostWorld::new(1);
     world.at(100);
     let runs = starts(&submit(&mut world, 1, 1));
     take(&mut world, &runs);
--- a/tests/testsuite/crash_evidence.rs
+++ b/tests/testsuite/crash_evidence.rs
@@ -5,26 +5,26 @@
 
 use workswood_core::jobs::crash::{Crash, Evidence};
 use workswood_core::jobs::{Action, Event, JobSpec, News, Outcome, Shown, TaskId};
+use workswood_test_support::host_world::{HostWorld, host, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
-use workswood_test_support::machine_world::{MachineWorld, machine, worker};
 
-/// Machines of the world.
-const MACHINES: usize = 4;
+/// Hosts of the world.
+const HOSTS: usize = 4;
 
 fn task(job: u64, index: u32) -> TaskId {
     TaskId { job, round: 0, step: 0, index }
 }
 
-fn listed(lives: &[usize]) -> Vec<workswood_core::jobs::Machine> {
-    lives.iter().enumerate().map(|(n, life)| machine(n, SERVICE, Some(*life))).collect()
+fn listed(lives: &[usize]) -> Vec<workswood_core::jobs::Host> {
+    lives.iter().enumerate().map(|(n, life)| host(n, SERVICE, Some(*life))).collect()
 }
 
-fn submit(world: &mut MachineWorld, key: u64, spec: JobSpec) -> Vec<Action> {
+fn submit(world: &mut HostWorld, key: u64, spec: JobSpec) -> Vec<Action> {
     world.sched.handle(Event::Submitted(key, Arc::new(spec)));
     world.tick()
 }
 
-/// Starts among actions: which task, on which machine.
+/// Starts among actions: which task, on which host.
 fn starts(actions: &[Action]) -> Vec<(TaskId, usize)> {
     let of = |a: &Action| match a {
         Action::Start { worker, task, .. } => Some((*task, worker.split('-').nth(1)?.parse::<usize>().ok()?)),
@@ -34,7 +34,7 @@
 }
 
 /// The workers take all starts.
-fn take(world: &mut MachineWorld, actions: &[Action]) {
+fn take(world: &mut HostWorld, actions: &[Action]) {
     for a in actions {
         if let Action::Start { worker, task, attempt, .. } = a {
             world.taken(worker, *task, *attempt);
@@ -42,14 +42,14 @@
     }
 }
 
-/// A machine's worker crashes and comes back as another life, a second later.
-fn crash(world: &mut MachineWorld, n: usize, lives: &mut [usize]) -> Vec<Action> {
+/// A host's worker crashes and comes back as another life, a second later.
+fn crash(world: &mut HostWorld, n: usize, lives: &mut [usize]) -> Vec<Action> {
     let heard = world.sched.now;
     lose(world, n, lives, heard)
 }
 
 /// Likewise; it was last heard at a time.
-fn lose(world: &mut MachineWorld, n: usize, lives: &mut [usize], heard: Duration) -> Vec<Action> {
+fn lose(world: &mut HostWorld, n: usize, lives: &mut [usize], heard: Duration) -> Vec<Action> {
     let (now, id) = (world.sched.now, worker(n, lives[n]).id);
     let end = now + Duration::from_secs(5);
     world.tells(&id, News::Unanswered { lease_end: end, heard });
@@ -61,9 +61,9 @@
     world.tick()
 }
 
-fn world() -> (MachineWorld, Vec<usize>) {
-    let mut world = MachineWorld::new(MACHINES);
-    let lives = vec![0; MACHINES];
+fn world() -> (HostWorld, Vec<usize>) {
+    let mut world = HostWorld::new(HOSTS);
+    let lives = vec![0; HOSTS];
     world.at(100);
     world.list(listed(&lives));
     world.at(200);
@@ -71,7 +71,7 @@
 }
 
 /// A lasting task that a worker took, and one that it takes half a second later.
-fn old_and_young(world: &mut MachineWorld) -> (TaskId, TaskId, usize) {
+fn old_and_young(world: &mut HostWorld) -> (TaskId, TaskId, usize) {
     let mut lasting = step(1, vec![]);
     lasting.lasting = true;
     let first = submit(world, 1, job(vec![lasting], 200));
@@ -150,10 +150,10 @@
     let actions = submit(&mut world, 1, job(vec![step(1, vec![])], 200));
     take(&mut world, &actions);
     let at = starts(&actions)[0].1;
-    // The machine is maintained while its task runs; the answer to the order is lost.
+    // The host is maintained while its task runs; the answer to the order is lost.
     let wave = workswood_core::jobs::Wave {
         number: 1,
-        machines: vec![format!("m-{at}")],
+        hosts: vec![format!("m-{at}")],
         within: Duration::from_secs(1),
         most_at_once: 1,
     };
@@ -214,7 +214,7 @@
     let began = world.sched.now.as_millis() as u64;
     for ms in (began..began + 11_000).step_by(500) {
         world.at(ms);
-        (0..MACHINES).for_each(|n| {
+        (0..HOSTS).for_each(|n| {
             let runs = if n == at { actions.clone() } else { Vec::new() };
             world.report(n, lives[n], &runs);
         });
--- a/tests/testsuite/crashing_tasks.rs
+++ b/tests/testsuite/crashing_tasks.rs
@@ -3,7 +3,7 @@
 //! What users saw: in its turn of demand one service stopped serving, and its workers
 //! crashed ten times a second for as long as the hosts had power. Some of its jobs had a task that
 //! takes its worker down ten milliseconds after its start, with all that runs there. Each
-//! such run was settled once the machine was listed with another life, and the task
+//! such run was settled once the host was listed with another life, and the task
 //! was placed anew within the next batch, as if it had never been tried; it was started up to
 //! 145 times. A run counted only when its worker told that it had ended, and a worker that
 //! crashes tells nothing.
--- a/tests/testsuite/demand_history.rs
+++ b/tests/testsuite/demand_history.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use workswood_core::jobs::demand::Demand;
-use workswood_core::jobs::{Event, JobSpec, MachineReply, Owner};
+use workswood_core::jobs::{Event, HostReply, JobSpec, Owner};
+use workswood_test_support::host_world::{HostWorld, host, moves, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
-use workswood_test_support::machine_world::{MachineWorld, machine, moves, worker};
 
 const WINDOW: Duration = Duration::from_secs(1);
 
@@ -46,15 +46,15 @@
     Arc::new(job(vec![step(tasks, vec![])], accepted))
 }
 
-/// Machines that move to a pool of one machine within the first second of a
+/// Hosts that move to a pool of one host within the first second of a
 /// turn of demand, when the service has had a turn before or not.
 fn moved_in_first_second(turn_before: bool) -> usize {
-    let mut world = MachineWorld::new(1);
+    let mut world = HostWorld::new(1);
     world.sched.policy.need.turn_share = 0.8;
     world.sched.policy.need.turn_least = 0.01;
     world.sched.wall = 60_000;
-    let mut machines = vec![machine(0, SERVICE, Some(0))];
-    machines.extend((1..30).map(|n| machine(n, "spare", None)));
+    let mut hosts = vec![host(0, SERVICE, Some(0))];
+    hosts.extend((1..30).map(|n| host(n, "spare", None)));
     if turn_before {
         world.sched.restore(7, Some(work(80, 20_000)), None);
         world.sched.restore_demand();
@@ -62,14 +62,14 @@
         world.sched.take_batch();
     }
     world.sched.now = Duration::from_secs(1);
-    world.sched.handle(Event::Machines(machines, world.sched.now));
+    world.sched.handle(Event::Hosts(hosts, world.sched.now));
     hand_in(&mut world, 4, 4);
     world.tick();
     moves(&world.actions).len()
 }
 
 /// Hands in so many jobs with so many tasks each.
-fn hand_in(world: &mut MachineWorld, jobs: u64, tasks: u32) {
+fn hand_in(world: &mut HostWorld, jobs: u64, tasks: u32) {
     for n in 0..jobs {
         world.sched.handle(Event::Submitted(100 + n, work(tasks, 60_000)));
     }
@@ -78,19 +78,19 @@
 #[test]
 fn turn_known_from_records() {
     let (without, with) = (moved_in_first_second(false), moved_in_first_second(true));
-    assert!(with > without, "{with} machines with a turn on record, {without} without");
+    assert!(with > without, "{with} hosts with a turn on record, {without} without");
 }
 
-/// Machines that move to a pool that operators gave four when its first work
+/// Hosts that move to a pool that operators gave four when its first work
 /// comes in, of 16 tasks in all.
-fn moved_at_first(turn_first: f64, jobs: u64) -> (usize, MachineWorld) {
-    let mut world = MachineWorld::new(1);
+fn moved_at_first(turn_first: f64, jobs: u64) -> (usize, HostWorld) {
+    let mut world = HostWorld::new(1);
     world.sched.policy.need.turn_first = turn_first;
     world.sched.policy.need.turn_least = 0.01;
     world.sched.wall = 60_000;
-    let mut machines: Vec<_> = (0..4).map(|n| machine(n, SERVICE, Some(0))).collect();
-    machines.extend((4..40).map(|n| machine(n, "spare", None)));
-    world.list(machines);
+    let mut hosts: Vec<_> = (0..4).map(|n| host(n, SERVICE, Some(0))).collect();
+    hosts.extend((4..40).map(|n| host(n, "spare", None)));
+    world.list(hosts);
     world.at(1000);
     world.sched.wall = 60_000;
     hand_in(&mut world, jobs, 16 / jobs as u32);
@@ -101,27 +101,27 @@
 #[test]
 fn first_turn_by_declared_pool() {
     let (with, without) = (moved_at_first(3.0, 4).0, moved_at_first(0.0, 4).0);
-    assert!(with > without, "{with} and {without} machines");
+    assert!(with > without, "{with} and {without} hosts");
 }
 
 #[test]
 fn one_large_job_is_no_turn() {
     let (several, one) = (moved_at_first(3.0, 4).0, moved_at_first(3.0, 1).0);
-    assert!(one < several, "{one} and {several} machines");
+    assert!(one < several, "{one} and {several} hosts");
 }
 
 #[test]
-fn machines_of_a_turn_are_kept() {
+fn hosts_of_a_turn_are_kept() {
     let (moved, mut world) = moved_at_first(3.0, 4);
     let sent: Vec<String> = moves(&world.actions).into_iter().map(|(m, _)| m).collect();
     for m in &sent {
-        world.sched.handle(Event::MachineOrdered(m.clone(), MachineReply::Done));
+        world.sched.handle(Event::HostOrdered(m.clone(), HostReply::Done));
     }
     // They have come; the first jobs are done, and the next ones on their way.
-    let mut machines: Vec<_> = (0..4).map(|n| machine(n, SERVICE, Some(0))).collect();
+    let mut hosts: Vec<_> = (0..4).map(|n| host(n, SERVICE, Some(0))).collect();
     for n in 4..40 {
         let came = sent.contains(&format!("m-{n}"));
-        machines.push(if came { machine(n, SERVICE, Some(0)) } else { machine(n, "spare", None) });
+        hosts.push(if came { host(n, SERVICE, Some(0)) } else { host(n, "spare", None) });
         if came {
             world.sched.handle(Event::WorkerListed(worker(n, 0)));
             world.report(n, 0, &[]);
@@ -131,23 +131,23 @@
     world.actions.clear();
     for t in 0..3 {
         world.at(2400 + t * 150);
-        world.list(machines.clone());
+        world.list(hosts.clone());
         world.tick();
     }
     let sent_off = moves(&world.actions).len();
-    assert!(sent_off * 2 < moved, "{sent_off} of {moved} machines sent off again as soon as they have come");
+    assert!(sent_off * 2 < moved, "{sent_off} of {moved} hosts sent off again as soon as they have come");
 }
 
-/// Machines that move to a pool that operators gave four at its first turn, after
+/// Hosts that move to a pool that operators gave four at its first turn, after
 /// one small job 40 s before.
 fn moved_after_little(turn_any: bool) -> usize {
-    let mut world = MachineWorld::new(1);
+    let mut world = HostWorld::new(1);
     world.sched.policy.need.turn_any = turn_any;
     world.sched.policy.need.turn_least = 0.01;
     world.sched.policy.need.turn_first = 3.0;
-    let mut machines: Vec<_> = (0..4).map(|n| machine(n, SERVICE, Some(0))).collect();
-    machines.extend((4..40).map(|n| machine(n, "spare", None)));
-    world.list(machines);
+    let mut hosts: Vec<_> = (0..4).map(|n| host(n, SERVICE, Some(0))).collect();
+    hosts.extend((4..40).map(|n| host(n, "spare", None)));
+    world.list(hosts);
     world.at(1000);
     world.sched.wall = 60_000;
     world.sched.restore(7, Some(work(1, 20_000)), None);
@@ -161,5 +161,5 @@
 #[test]
 fn little_work_tells_no_turn() {
     let (with, without) = (moved_after_little(true), moved_after_little(false));
-    assert!(with > without, "{with} and {without} machines");
+    assert!(with > without, "{with} and {without} hosts");
 }
--- a/tests/testsuite/evacuated_centres.rs
+++ b/tests/testsuite/evacuated_centres.rs
@@ -9,15 +9,15 @@
 use workswood::ops::jobs::operators::Evacuations;
 use workswood::ops::jobs::relay::order::{Order, StartTask};
 use workswood::ops::jobs::relay::{Grant, Relay, Sink};
-use workswood_core::jobs::{Action, Event, Machine, News, StartReply, TaskId, WorkerInfo};
+use workswood_core::jobs::{Action, Event, Host, News, StartReply, TaskId, WorkerInfo};
+use workswood_test_support::host_world::{HostWorld, SPARE, host, listed, moves, worker};
 use workswood_test_support::job_node::settings;
 use workswood_test_support::job_world::{SERVICE, job, step};
-use workswood_test_support::machine_world::{MachineWorld, SPARE, listed, machine, moves, worker};
 use workswood_test_support::turn_store::TurnStore;
 
 const SOUTH: &str = "south";
 
-fn evacuate(world: &mut MachineWorld, data_centres: &[&str]) {
+fn evacuate(world: &mut HostWorld, data_centres: &[&str]) {
     let names: BTreeSet<String> = data_centres.iter().map(|n| n.to_string()).collect();
     world.sched.handle(Event::Evacuated(names));
 }
@@ -27,19 +27,19 @@
     WorkerInfo { data_centre: SOUTH.to_string(), ..worker(n, 0) }
 }
 
-fn southern_machine(n: usize, pool: &str, life: Option<usize>) -> Machine {
-    Machine { data_centre: SOUTH.to_string(), ..machine(n, pool, life) }
+fn southern_host(n: usize, pool: &str, life: Option<usize>) -> Host {
+    Host { data_centre: SOUTH.to_string(), ..host(n, pool, life) }
 }
 
 /// Two workers of four cores each, the second one in the other data centre.
-fn two_centres() -> MachineWorld {
-    let mut world = MachineWorld::new(1);
+fn two_centres() -> HostWorld {
+    let mut world = HostWorld::new(1);
     world.sched.handle(Event::WorkerListed(southern(1)));
     world.report(1, 0, &[]);
     world
 }
 
-fn hand_in(world: &mut MachineWorld, key: u64, tasks: u32) {
+fn hand_in(world: &mut HostWorld, key: u64, tasks: u32) {
     let spec = job(vec![step(tasks, vec![])], world.sched.wall);
     world.sched.handle(Event::Submitted(key, Arc::new(spec)));
 }
@@ -77,7 +77,7 @@
 
 #[test]
 fn new_worker_there() {
-    let mut world = MachineWorld::new(0);
+    let mut world = HostWorld::new(0);
     evacuate(&mut world, &[SOUTH]);
     world.sched.handle(Event::WorkerListed(southern(1)));
     world.report(1, 0, &[]);
@@ -118,15 +118,15 @@
     }
 }
 
-/// The room that is left is too small: a machine that is off comes, of the data centre that is open.
+/// The room that is left is too small: a host that is off comes, of the data centre that is open.
 #[test]
 fn pool_is_filled_elsewhere() {
     let mut world = two_centres();
     world.list(vec![
-        machine(0, SERVICE, Some(0)),
-        southern_machine(1, SERVICE, Some(0)),
-        southern_machine(6, SPARE, None),
-        machine(7, SPARE, None),
+        host(0, SERVICE, Some(0)),
+        southern_host(1, SERVICE, Some(0)),
+        southern_host(6, SPARE, None),
+        host(7, SPARE, None),
     ]);
     hand_in(&mut world, 1, 8);
     world.at(150);
@@ -137,7 +137,7 @@
     assert_eq!(moves(&world.actions), [("m-7".to_string(), SERVICE.to_string())]);
 }
 
-/// What runs on an evacuated machine asks for no other one.
+/// What runs on an evacuated host asks for no other one.
 #[test]
 fn work_there_is_no_need() {
     let mut world = two_centres();
--- a/tests/testsuite/eviction_budget.rs
+++ b/tests/testsuite/eviction_budget.rs
@@ -4,19 +4,19 @@
 use std::time::Duration;
 
 use workswood_core::jobs::{Action, Event, News};
+use workswood_test_support::host_world::{HostWorld, host, wave, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
-use workswood_test_support::machine_world::{MachineWorld, machine, wave, worker};
 
 /// When a worker that answered a moment ago ends its lease.
-fn lease_end(world: &MachineWorld) -> Duration {
+fn lease_end(world: &HostWorld) -> Duration {
     world.sched.now + Duration::from_secs(6)
 }
 
 /// Three workers, and a job of two lasting tasks of which one may be away; it
 /// runs on two of them. Returns the starts.
-fn world_with_job() -> (MachineWorld, Vec<Action>) {
-    let mut world = MachineWorld::new(3);
-    world.list((0..3).map(|n| machine(n, SERVICE, Some(0))).collect());
+fn world_with_job() -> (HostWorld, Vec<Action>) {
+    let mut world = HostWorld::new(3);
+    world.list((0..3).map(|n| host(n, SERVICE, Some(0))).collect());
     let mut lasting = step(2, vec![]);
     lasting.lasting = true;
     lasting.most_per_worker = 1;
@@ -33,7 +33,7 @@
 }
 
 /// Every worker but those named lists what it was told to start.
-fn report_all(world: &mut MachineWorld, starts: &[Action], silent: &[usize]) {
+fn report_all(world: &mut HostWorld, starts: &[Action], silent: &[usize]) {
     for n in (0..3).filter(|n| !silent.contains(n)) {
         let here = |a: &&Action| matches!(a, Action::Start { worker: w, .. } if *w == worker(n, 0).id);
         let own: Vec<Action> = starts.iter().filter(here).cloned().collect();
@@ -49,9 +49,9 @@
     (0..3).filter(on).collect()
 }
 
-/// How many stops a wave over one machine leads to within some seconds, while
+/// How many stops a wave over one host leads to within some seconds, while
 /// another worker is silent or not.
-fn stops_in_wave(over: usize, silent: &[usize], mut world: MachineWorld, starts: &[Action]) -> usize {
+fn stops_in_wave(over: usize, silent: &[usize], mut world: HostWorld, starts: &[Action]) -> usize {
     world.sched.handle(Event::Wave(wave(&[over], 1), None));
     let mut stops = 0;
     for t in 1..20 {
--- a/tests/testsuite/eviction_handover.rs
+++ b/tests/testsuite/eviction_handover.rs
@@ -7,8 +7,8 @@
 use workswood_core::jobs::{
     Action, EndKind, Event, JobRecord, JobSpec, Listing, ReportedEnd, ReportedRun, TaskId,
 };
+use workswood_test_support::host_world::{HostWorld, host, wave, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
-use workswood_test_support::machine_world::{MachineWorld, machine, wave, worker};
 
 /// Workers; the lasting tasks stand on all but the last.
 const WORKERS: usize = 4;
@@ -38,22 +38,22 @@
     }
 }
 
-/// A holder that has heard of all machines and their idle workers.
-fn holder(at: u64) -> MachineWorld {
-    let mut world = MachineWorld::new(WORKERS);
+/// A holder that has heard of all hosts and their idle workers.
+fn holder(at: u64) -> HostWorld {
+    let mut world = HostWorld::new(WORKERS);
     world.at(at);
     world.sched.since = world.sched.now;
-    world.list((0..WORKERS).map(|n| machine(n, SERVICE, Some(0))).collect());
+    world.list((0..WORKERS).map(|n| host(n, SERVICE, Some(0))).collect());
     world
 }
 
 /// Worker `n` answers with these runs and ends.
-fn answer(world: &mut MachineWorld, n: usize, running: Vec<ReportedRun>, ended: Vec<ReportedEnd>) {
+fn answer(world: &mut HostWorld, n: usize, running: Vec<ReportedRun>, ended: Vec<ReportedEnd>) {
     world.answers(&worker(n, 0).id, Listing { running, ended });
 }
 
 /// Every worker lists the task that it was first given.
-fn answer_all(world: &mut MachineWorld, tasks: &[Option<TaskId>]) {
+fn answer_all(world: &mut HostWorld, tasks: &[Option<TaskId>]) {
     for (n, task) in tasks.iter().enumerate() {
         answer(world, n, task.iter().copied().map(listed).collect(), Vec::new());
     }
@@ -69,7 +69,7 @@
 
 /// A first holder whose tasks are at work, the task of each worker, and the
 /// record of the job.
-fn first_holder() -> (MachineWorld, Vec<Option<TaskId>>, JobRecord) {
+fn first_holder() -> (HostWorld, Vec<Option<TaskId>>, JobRecord) {
     let mut world = holder(100);
     world.sched.handle(Event::Submitted(1, spec()));
     let mut tasks = vec![None; WORKERS];
@@ -85,8 +85,8 @@
     (world, tasks, job_record(batch.records).expect("starts are on record"))
 }
 
-/// A holder that evicts for a wave over one machine. Returns the tasks, the
-/// number of that machine, and what is stored when the stop is sent.
+/// A holder that evicts for a wave over one host. Returns the tasks, the
+/// number of that host, and what is stored when the stop is sent.
 fn evict_one() -> (Vec<Option<TaskId>>, usize, JobRecord) {
     let (mut world, tasks, mut stored) = first_holder();
     let over = first(&tasks);
@@ -115,7 +115,7 @@
 }
 
 /// The next holder, from what is stored.
-fn next_holder(record: &JobRecord) -> MachineWorld {
+fn next_holder(record: &JobRecord) -> HostWorld {
     let stored = serde_json::to_string(record).expect("a record is JSON");
     let mut next = holder(TAKEN_OVER);
     next.sched.restore(1, Some(spec()), Some(serde_json::from_str(&stored).expect("it is read back")));
@@ -135,7 +135,7 @@
 
 /// Ticks of the next holder, each after all workers answered; returns all tasks
 /// that it stops.
-fn run_next(next: &mut MachineWorld, tasks: &[Option<TaskId>], from: u64, ticks: u64) -> Vec<TaskId> {
+fn run_next(next: &mut HostWorld, tasks: &[Option<TaskId>], from: u64, ticks: u64) -> Vec<TaskId> {
     let mut stopped = Vec::new();
     for t in 0..ticks {
         next.at(from + t * TICK);
@@ -183,7 +183,7 @@
 
 /// The latest start of a task is taken; returns the number of the worker, and
 /// the run as it lists it.
-fn begun(next: &mut MachineWorld, task: TaskId) -> (usize, ReportedRun) {
+fn begun(next: &mut HostWorld, task: TaskId) -> (usize, ReportedRun) {
     let start = next.actions.iter().rev().find_map(|a| match a {
         Action::Start { worker: id, task: t, attempt, .. } if *t == task => Some((id.clone(), *attempt)),
         _ => None,
--- a/tests/testsuite/foreign_entries.rs
+++ b/tests/testsuite/foreign_entries.rs
@@ -10,8 +10,8 @@
 use workswood_adapter_standin::StoreStandin;
 use workswood_core::jobs::{Action, Event};
 use workswood_platform::jobs::{JobPlatform, KeyedRecord, Topic};
+use workswood_test_support::host_world::{HostWorld, worker};
 use workswood_test_support::job_world::config;
-use workswood_test_support::machine_world::{MachineWorld, worker};
 
 fn client(store: &str) -> PlatformClient {
     PlatformClient::new(Addresses { store: store.into(), machines: store.into(), adviser: None })
@@ -137,7 +137,7 @@
 
 #[test]
 fn service_that_is_not_named() {
-    let mut world = MachineWorld::new(1);
+    let mut world = HostWorld::new(1);
     let mut other = worker(7, 0);
     other.service = "unheard-of".to_string();
     world.sched.handle(Event::WorkerListed(other.clone()));
@@ -158,7 +158,7 @@
 
 #[test]
 fn service_no_longer_named_in_its_entry() {
-    let mut world = MachineWorld::new(1);
+    let mut world = HostWorld::new(1);
     let mut changed = worker(0, 0);
     changed.service = "unheard-of".to_string();
     world.sched.handle(Event::WorkerListed(changed));
--- a/tests/testsuite/job_limits.rs
+++ b/tests/testsuite/job_limits.rs
@@ -8,8 +8,8 @@
 use workswood_core::jobs::{
     Action, Event, Job, JobSpec, News, Outcome, Owner, Repeat, Scheduler, Shown, WorkerInfo,
 };
+use workswood_test_support::host_world::limits;
 use workswood_test_support::job_world::{SERVICE, config, job, step};
-use workswood_test_support::machine_world::limits;
 
 fn scheduler() -> Scheduler {
     let mut s = Scheduler::new(1, limits(), Duration::from_secs(1), 1000);
@@ -24,7 +24,7 @@
         service: SERVICE.to_string(),
         address: "10.0.0.1:80".to_string(),
         data_centre: "north".to_string(),
-        machine: "m".to_string(),
+        host: "m".to_string(),
         capacity: workswood_core::jobs::spec::Room { cpu_millis: cores * 1000, mem_mb: 8000, gpus: 0 },
         labels: Vec::new(),
         draining: false,
--- a/tests/testsuite/job_status.rs
+++ b/tests/testsuite/job_status.rs
@@ -10,16 +10,16 @@
 use workswood_test_support::program::{Program, free_ports};
 
 const SERVICE: &str = "desk";
-const MACHINES: [&str; 3] = ["m-1", "m-2", "m-3"];
+const HOSTS: [&str; 3] = ["m-1", "m-2", "m-3"];
 /// Longest wait for the status to show something.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// Settings of a host whose store and machine service listen there.
-fn settings(folder: &Path, store: &str, machines: &str) -> (PathBuf, std::net::SocketAddr) {
+/// Settings of an entry whose store and host service listen there.
+fn settings(folder: &Path, store: &str, hosts: &str) -> (PathBuf, std::net::SocketAddr) {
     let ports = free_ports("127.79.0.1", 4);
     let settings = serde_json::json!({
         "name": "entry-1", "data_centre": "north", "callers": ports[0], "readiness": ports[1],
-        "peers": ports[2], "metrics": ports[3], "store": store, "machines": machines, "store_parts": 4,
+        "peers": ports[2], "metrics": ports[3], "store": store, "machines": hosts, "store_parts": 4,
         "longest_lease_ms": 10000, "machine_handover_ms": 3000, "keep_ended_s": 120, "stop_within_s": 6,
     });
     std::fs::create_dir_all(folder).expect("a folder");
@@ -51,8 +51,8 @@
 async fn live_system() {
     let folder = std::env::temp_dir().join(format!("workswood-status-{}", std::process::id()));
     let store = StoreStandin::start().await;
-    let machines = MachinesStandin::start(SERVICE, &MACHINES).await;
-    let (path, callers) = settings(&folder, &store.address.to_string(), &machines.address.to_string());
+    let hosts = MachinesStandin::start(SERVICE, &HOSTS).await;
+    let (path, callers) = settings(&folder, &store.address.to_string(), &hosts.address.to_string());
     store.declare(&config(SERVICE, 7));
     let before = until(&path, |_| true);
     assert_eq!((&before["holder"], &before["config_version"]), (&Value::Null, &Value::from(7)));
@@ -72,7 +72,7 @@
     assert_eq!((&pool["pool"], &pool["up"], &pool["workers"]), (&SERVICE.into(), &3.into(), &1.into()));
     store.declare_wave(4, &["m-2", "m-3"], 5, 1);
     let open = String::from_utf8(status(&path, &[]).stdout).expect("it is text");
-    assert!(open.contains("\nwave  machines  at once  within s"), "{open}");
+    assert!(open.contains("\nwave  hosts  at once  within s"), "{open}");
     let wave = until(&path, |s| s["waves"][0]["complete"] == true);
     assert_eq!((&wave["waves"][0]["wave"], &wave["waves"][0]["finished"]), (&4.into(), &2.into()));
     let text = String::from_utf8(status(&path, &[]).stdout).expect("it is text");
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn machines_not_known() {
+async fn hosts_not_known() {
     let folder = std::env::temp_dir().join(format!("workswood-status-gone-{}", std::process::id()));
     let store = StoreStandin::start().await;
     let (path, _) = settings(&folder, &store.address.to_string(), "127.0.0.1:1");
@@ -98,7 +98,7 @@
     let told = told.await.expect("it is asked");
     let text = String::from_utf8_lossy(&told.stdout).into_owned();
     assert!(told.status.success() && text.contains("\ndesk  -   -"), "{text}");
-    assert!(text.contains("machines are not known: refused: "), "{text}");
+    assert!(text.contains("hosts are not known: refused: "), "{text}");
     drop(store);
     std::fs::remove_dir_all(folder).expect("the folder is ours");
 }
--- a/tests/testsuite/late_jobs.rs
+++ b/tests/testsuite/late_jobs.rs
@@ -113,6 +113,6 @@
     lines.iter().filter_map(|l| line::parse(l)).for_each(|l| account.take(&l));
     let table = account.table();
     let last: Vec<&str> = table.lines().rev().take(2).collect();
-    assert_eq!(last[0], "machines in pools, mean of 1 s: 12.0, needed 7.5");
+    assert_eq!(last[0], "hosts in pools, mean of 1 s: 12.0, needed 7.5");
     assert!(last[1].starts_with("all     1     1"), "{table}");
 }
--- a/tests/testsuite/lingering_lives.rs
+++ b/tests/testsuite/lingering_lives.rs
@@ -1,22 +1,22 @@
-//! Entries of lives that are over hide nothing of what runs on a machine.
+//! Entries of lives that are over hide nothing of what runs on a host.
 
 use std::sync::Arc;
 
 use workswood_core::jobs::{Action, Event};
+use workswood_test_support::host_world::{HostWorld, host, upkeeps, wave, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
-use workswood_test_support::machine_world::{MachineWorld, machine, upkeeps, wave, worker};
 
-/// Number of the machine.
+/// Number of the host.
 const M: usize = 0;
 
-/// A lasting task that must not be missed runs on one life of the machine's
-/// worker, and the entry of another is listed still. Returns the machines that a
+/// A lasting task that must not be missed runs on one life of the host's
+/// worker, and the entry of another is listed still. Returns the hosts that a
 /// wave orders down within some seconds.
 fn ordered_down(life: usize, lingering: usize) -> Vec<String> {
-    let mut world = MachineWorld::new(0);
+    let mut world = HostWorld::new(0);
     world.sched.handle(Event::WorkerListed(worker(M, life)));
     world.report(M, life, &[]);
-    world.list(vec![machine(M, SERVICE, Some(life))]);
+    world.list(vec![host(M, SERVICE, Some(life))]);
     let mut lasting = step(1, vec![]);
     lasting.lasting = true;
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![lasting], 0))));
@@ -26,7 +26,7 @@
         world.taken(id, *task, *attempt);
     }
     assert_eq!(starts.iter().filter(|a| matches!(a, Action::Start { .. })).count(), 1, "{starts:?}");
-    // The latest list of machines is older, and tells nothing of that entry.
+    // The latest list of hosts is older, and tells nothing of that entry.
     world.at(100);
     world.sched.handle(Event::WorkerListed(worker(M, lingering)));
     world.sched.handle(Event::Wave(wave(&[M], 1), None));
--- a/tests/testsuite/lost_looks.rs
+++ b/tests/testsuite/lost_looks.rs
@@ -9,8 +9,8 @@
 use workswood::ops::jobs::relay::link::WorkerLink;
 use workswood::ops::jobs::relay::{Grant, Shared, Sink, look};
 use workswood_core::jobs::{Event, News};
+use workswood_test_support::host_world::worker;
 use workswood_test_support::job_node::settings;
-use workswood_test_support::machine_world::worker;
 use workswood_test_support::turn_store::TurnStore;
 
 /// Longest time, over 10 s, in which the scheduler hears nothing of a busy worker
--- a/tests/testsuite/order_marks.rs
+++ b/tests/testsuite/order_marks.rs
@@ -1,16 +1,16 @@
-//! Marks of machines that were ordered about lately.
+//! Marks of hosts that were ordered about lately.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood_core::jobs::{Event, MachineReply};
+use workswood_core::jobs::{Event, HostReply};
+use workswood_test_support::host_world::{HostWorld, SPARE, host, moves};
 use workswood_test_support::job_world::{SERVICE, job, step};
-use workswood_test_support::machine_world::{MachineWorld, SPARE, machine, moves};
 
-/// A new holder of this name, after one that ordered machine 7 about lately.
-fn holder_after_entry_1(name: &str) -> MachineWorld {
-    let mut world = MachineWorld::new(1);
-    world.sched.limits.machine_handover = Duration::from_secs(3);
+/// A new holder of this name, after one that ordered host 7 about lately.
+fn holder_after_entry_1(name: &str) -> HostWorld {
+    let mut world = HostWorld::new(1);
+    world.sched.limits.host_handover = Duration::from_secs(3);
     world.sched.holder = name.to_string();
     world.sched.restore_mark("m-7".to_string(), "entry-1");
     world
@@ -18,14 +18,14 @@
 
 #[test]
 fn order_on_record_before() {
-    let mut world = MachineWorld::new(1);
-    world.list(vec![machine(0, SERVICE, Some(0)), machine(7, SPARE, None)]);
+    let mut world = HostWorld::new(1);
+    world.list(vec![host(0, SERVICE, Some(0)), host(7, SPARE, None)]);
     world.at(150);
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![step(12, vec![])], 100))));
     world.tick();
     assert_eq!(moves(&world.actions).len(), 1);
     assert_eq!(world.ordered, ["m-7"], "in the batch whose records are stored before the order is sent");
-    world.sched.handle(Event::MachineOrdered("m-7".to_string(), MachineReply::Done));
+    world.sched.handle(Event::HostOrdered("m-7".to_string(), HostReply::Done));
     world.at(300);
     world.tick();
     assert_eq!(world.ordered, [""; 0], "with no time to wait, the mark is dropped");
@@ -34,7 +34,7 @@
 #[test]
 fn new_holder_waits_for_ordered() {
     let mut world = holder_after_entry_1("entry-2");
-    let list = || vec![machine(0, SERVICE, Some(0)), machine(7, SPARE, None), machine(8, SPARE, None)];
+    let list = || vec![host(0, SERVICE, Some(0)), host(7, SPARE, None), host(8, SPARE, None)];
     world.list(list());
     world.at(150);
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![step(30, vec![])], 100))));
@@ -47,7 +47,7 @@
     world.at(2900);
     world.tick();
     assert!(moves(&world.actions).iter().all(|(m, _)| m == "m-8"), "a predecessor may have ordered m-7");
-    world.sched.handle(Event::MachineOrdered("m-8".to_string(), MachineReply::Done));
+    world.sched.handle(Event::HostOrdered("m-8".to_string(), HostReply::Done));
     world.at(3050);
     world.sched.handle(Event::Submitted(2, Arc::new(job(vec![step(30, vec![])], 3000))));
     world.tick();
@@ -57,7 +57,7 @@
 #[test]
 fn own_former_life_waits_for_nothing() {
     let mut world = holder_after_entry_1("entry-1");
-    world.list(vec![machine(0, SERVICE, Some(0)), machine(7, SPARE, None)]);
+    world.list(vec![host(0, SERVICE, Some(0)), host(7, SPARE, None)]);
     world.at(150);
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![step(30, vec![])], 100))));
     world.tick();
@@ -67,7 +67,7 @@
 #[test]
 fn order_names_its_holder() {
     let mut world = holder_after_entry_1("entry-2");
-    world.list(vec![machine(0, SERVICE, Some(0)), machine(7, SPARE, None)]);
+    world.list(vec![host(0, SERVICE, Some(0)), host(7, SPARE, None)]);
     world.at(3050);
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![step(30, vec![])], 3000))));
     world.tick();
--- a/tests/testsuite/over_jobs.rs
+++ b/tests/testsuite/over_jobs.rs
@@ -19,8 +19,8 @@
 use workswood_core::jobs::{
     Batch, Event, Job, JobRecord, JobSpec, Outcome, OverRecord, Owner, Scheduler, Shown,
 };
+use workswood_test_support::host_world::limits;
 use workswood_test_support::job_world::{QUEUE, SERVICE, config, job, step};
-use workswood_test_support::machine_world::limits;
 
 const NOW: Duration = Duration::from_secs(1);
 
--- a/tests/testsuite/policy_model.rs
+++ b/tests/testsuite/policy_model.rs
@@ -37,7 +37,7 @@
 fn calm_fleet_is_in_time() {
     let f = mean(&calm(), 3);
     assert!(f.in_time > 0.99, "{f:?}");
-    assert!(f.jobs > 50.0 && f.machines < 41.0, "{f:?}");
+    assert!(f.jobs > 50.0 && f.hosts < 41.0, "{f:?}");
     assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
 }
 
@@ -56,7 +56,7 @@
 }
 
 /// Half of the data centres are evacuated, one after the other and while the holder dies: nothing begins there,
-/// and the machines of the others carry what they can.
+/// and the hosts of the others carry what they can.
 #[test]
 fn evacuated_centres() {
     let mut spec = calm();
@@ -144,7 +144,7 @@
     // Two tasks of 0.8 cores for two seconds, then one for a second: 4 core-seconds.
     let one = bound::of(&spec, &[two_steps(1, 4000, 800, [2000, 1000])], end);
     assert!((one.least - 0.4).abs() < 1e-9, "{one:?}");
-    // 1.6 cores take two machines, sent for 1.5 s ahead; then one for a second.
+    // 1.6 cores take two hosts, sent for 1.5 s ahead; then one for a second.
     assert!((one.forecast - (2.0 * 3.5 + 1.0) / 10.0).abs() < 1e-9, "{one:?}");
     // What goes on at the end of the run counts up to it.
     let cut = bound::of(&spec, &[two_steps(1, 9000, 500, [2000, 1000])], end);
@@ -155,7 +155,7 @@
 fn bound_below_run() {
     for seed in 1..4 {
         let f = world::play(&calm(), &Policy::default(), seed);
-        assert!(f.least <= f.busy && f.least <= f.forecast && f.forecast <= f.machines, "{f:?}");
+        assert!(f.least <= f.busy && f.least <= f.forecast && f.forecast <= f.hosts, "{f:?}");
     }
 }
 
@@ -250,7 +250,7 @@
 #[test]
 fn one_run_plays() {
     let f = world::play(&example(), &Policy::default(), 1);
-    assert!(f.moves > 10.0 && f.busy > 5.0 && f.busy < f.machines, "{f:?}");
+    assert!(f.moves > 10.0 && f.busy > 5.0 && f.busy < f.hosts, "{f:?}");
 }
 
 /// In time at four times the load of the example: 0.21 where those always go first that must begin
