--- a/tests/testsuite/pool_moves.rs
+++ b/tests/testsuite/pool_moves.rs
@@ -1,15 +1,15 @@
-//! Which machines are moved between pools.
+//! Which hosts are moved between pools.
 
 use std::sync::Arc;
 
-use workswood_core::jobs::{Action, Event, Machine};
+use workswood_core::jobs::{Action, Event, Host};
+use workswood_test_support::host_world::{HostWorld, OTHER, SPARE, host, moves, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
-use workswood_test_support::machine_world::{MachineWorld, OTHER, SPARE, machine, moves, worker};
 
 #[test]
-fn short_pool_gets_machine() {
-    let mut world = MachineWorld::new(1);
-    world.list(vec![machine(0, SERVICE, Some(0)), machine(7, SPARE, None)]);
+fn short_pool_gets_host() {
+    let mut world = HostWorld::new(1);
+    world.list(vec![host(0, SERVICE, Some(0)), host(7, SPARE, None)]);
     world.at(150);
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![step(12, vec![])], 100))));
     world.tick();
@@ -19,11 +19,11 @@
 }
 
 #[test]
-fn busy_machine_stays() {
-    let mut world = MachineWorld::new(3);
-    world.list((0..3).map(|n| machine(n, SERVICE, Some(0))).collect());
+fn busy_host_stays() {
+    let mut world = HostWorld::new(3);
+    world.list((0..3).map(|n| host(n, SERVICE, Some(0))).collect());
     world.at(100);
-    // Four fit on each of the three machines.
+    // Four fit on each of the three hosts.
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![step(15, vec![])], 100))));
     let starts = world.sched.take_batch().actions;
     assert_eq!(starts.len(), 12);
@@ -36,12 +36,12 @@
         world.at(100 + t * 150);
         world.tick();
     }
-    assert_eq!(moves(&world.actions), [], "each machine runs something");
+    assert_eq!(moves(&world.actions), [], "each host runs something");
 }
 
 #[test]
 fn new_holder_moves_at_once() {
-    let mut world = MachineWorld::new(0);
+    let mut world = HostWorld::new(0);
     // Known from a predecessor's records only, and idle.
     for n in 0..4 {
         let id = worker(n, 0).id;
@@ -53,28 +53,28 @@
     other.service = OTHER.to_string();
     world.sched.handle(Event::WorkerListed(other));
     world.report(9, 0, &[]);
-    let mut machines: Vec<Machine> = (0..4).map(|n| machine(n, SERVICE, Some(0))).collect();
-    machines.push(machine(9, OTHER, Some(0)));
-    world.list(machines);
+    let mut hosts: Vec<Host> = (0..4).map(|n| host(n, SERVICE, Some(0))).collect();
+    hosts.push(host(9, OTHER, Some(0)));
+    world.list(hosts);
     world.at(150);
     let mut demand = job(vec![step(12, vec![])], 100);
     demand.service = OTHER.to_string();
     world.sched.handle(Event::Submitted(1, Arc::new(demand)));
     world.tick();
     let moved = moves(&world.actions);
-    assert!(moved.iter().any(|(_, to)| to == OTHER), "an idle machine is wanted there now: {moved:?}");
+    assert!(moved.iter().any(|(_, to)| to == OTHER), "an idle host is wanted there now: {moved:?}");
 }
 
-/// Many machines have nothing to do, and the platform takes ten orders a second: no more are sent, and
-/// a pool that is short of machines goes before those that have too many.
+/// Many hosts have nothing to do, and the platform takes ten orders a second: no more are sent, and
+/// a pool that is short of hosts goes before those that have too many.
 #[test]
 fn orders_keep_to_the_rate() {
     const IDLE: usize = 200;
-    let mut world = MachineWorld::new(IDLE);
-    world.sched.limits.machine_orders_per_s = 10.0;
-    let mut machines: Vec<Machine> = (0..IDLE).map(|n| machine(n, SERVICE, Some(0))).collect();
-    machines.push(machine(900, SPARE, None));
-    world.list(machines);
+    let mut world = HostWorld::new(IDLE);
+    world.sched.limits.host_orders_per_s = 10.0;
+    let mut hosts: Vec<Host> = (0..IDLE).map(|n| host(n, SERVICE, Some(0))).collect();
+    hosts.push(host(900, SPARE, None));
+    world.list(hosts);
     world.at(150);
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![step(1, vec![])], 100))));
     for t in 1..200 {
--- a/tests/testsuite/restarted_workers.rs
+++ b/tests/testsuite/restarted_workers.rs
@@ -12,8 +12,8 @@
     Action, EndKind, Event, Listing, News, Report, ReportedEnd, TaskId, WorkerAddress, WorkerInfo,
 };
 use workswood_platform::jobs::KeyedRecord;
+use workswood_test_support::host_world::{HostWorld, host, listed, upkeeps, wave, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
-use workswood_test_support::machine_world::{MachineWorld, listed, machine, upkeeps, wave, worker};
 
 /// A life of the only worker, by when it started.
 fn life(started: u64) -> WorkerInfo {
@@ -25,8 +25,8 @@
 }
 
 /// Four cores; one task is placed on the life that started at 10.
-fn one_task() -> (MachineWorld, Vec<Action>) {
-    let mut world = MachineWorld::new(0);
+fn one_task() -> (HostWorld, Vec<Action>) {
+    let mut world = HostWorld::new(0);
     world.sched.handle(Event::WorkerListed(life(10)));
     world.answers(&life(10).id, nothing());
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![step(1, vec![])], 0))));
@@ -133,7 +133,7 @@
 fn overtaken_news_of_a_restart() {
     let (mut world, _) = one_task();
     world.sched.handle(Event::WorkerListed(life(30)));
-    let token = |world: &MachineWorld| world.sched.token_of(&life(30).id);
+    let token = |world: &HostWorld| world.sched.token_of(&life(30).id);
     world.answers(&life(30).id, nothing());
     let before = token(&world);
     world.sched.handle(Event::Restarted(life(10).id, 20, Duration::ZERO));
@@ -145,7 +145,7 @@
 /// Tokens rise from life to life, also where the one before was forgotten meanwhile.
 #[test]
 fn tokens_rise() {
-    let mut world = MachineWorld::new(0);
+    let mut world = HostWorld::new(0);
     let mut last = 0;
     for started in [10, 20, 30] {
         let id = life(started).id;
@@ -171,7 +171,7 @@
     world.tells(&life(20).id, lost);
     world.at(10_900);
     assert_eq!(starts(&world.tick()), [], "it may run there still");
-    world.sched.handle(Event::WorkerListed(WorkerInfo { machine: "m-1".to_string(), ..worker(1, 0) }));
+    world.sched.handle(Event::WorkerListed(WorkerInfo { host: "m-1".to_string(), ..worker(1, 0) }));
     world.report(1, 0, &[]);
     world.at(11_700);
     world.tick();
@@ -191,7 +191,7 @@
         let tasks = rec.rounds.iter_mut().flatten().flatten();
         tasks.for_each(|t| t.runs.iter_mut().for_each(|(worker, _)| *worker = before.clone()));
         first.tick();
-        let mut world = MachineWorld::new(0);
+        let mut world = HostWorld::new(0);
         world.sched.restore_worker(before.clone(), life(10).record());
         world.sched.restore(1, Some(Arc::new(job(vec![step(1, vec![])], 0))), Some(rec));
         world.sched.handle(Event::WorkerListed(life(20)));
@@ -201,13 +201,13 @@
     }
 }
 
-/// The list of machines names the worker, not its life: it ends no life, and shows a machine as back
+/// The list of hosts names the worker, not its life: it ends no life, and shows a host as back
 /// from maintenance although the name is the same.
 #[test]
-fn machines_name_the_worker() {
-    let mut world = MachineWorld::new(0);
+fn hosts_name_the_worker() {
+    let mut world = HostWorld::new(0);
     let listed = || {
-        let mut m = machine(0, SERVICE, None);
+        let mut m = host(0, SERVICE, None);
         m.worker = Some(WorkerId::life("w", None));
         m
     };
@@ -225,7 +225,7 @@
     }
     assert!(upkeeps(&world.actions).iter().all(|m| m == "m-0"));
     assert!(!world.actions.is_empty(), "it is ordered down");
-    world.sched.handle(Event::MachineOrdered("m-0".to_string(), workswood_core::jobs::MachineReply::Done));
+    world.sched.handle(Event::HostOrdered("m-0".to_string(), workswood_core::jobs::HostReply::Done));
     world.at(3300);
     world.list(vec![listed()]);
     assert!(!world.sched.waves[&1].complete(), "it may not have begun to go down");
--- a/tests/testsuite/store_protocol.rs
+++ b/tests/testsuite/store_protocol.rs
@@ -147,10 +147,10 @@
 
 #[tokio::test]
 async fn any_sign_in_page_names() {
-    let machines = MachinesStandin::start("desk", &["m-1", "m-2", "m-3", "m-4", "m-5"]).await;
-    let address = machines.address.to_string();
+    let hosts = MachinesStandin::start("desk", &["m-1", "m-2", "m-3", "m-4", "m-5"]).await;
+    let address = hosts.address.to_string();
     let c = PlatformClient::new(Addresses { store: address.clone(), machines: address, adviser: None });
-    let list = c.machines().await.expect("all pages are read");
+    let list = c.hosts().await.expect("all pages are read");
     let names: Vec<&str> = list.iter().map(|m| m.name.as_str()).collect();
     assert_eq!(names, ["m-1", "m-2", "m-3", "m-4", "m-5"]);
 }
--- a/tests/testsuite/suspended_host.rs
+++ b/tests/testsuite/suspended_host.rs
@@ -8,15 +8,15 @@
 
 use tokio::sync::{mpsc, watch};
 use workswood::ops::jobs::Node;
+use workswood::ops::jobs::host_orders::{HostOrder, give};
 use workswood::ops::jobs::limits::LeaseTimes;
-use workswood::ops::jobs::machine_orders::{MachineOrder, give};
 use workswood::ops::jobs::node::Leading;
 use workswood::ops::jobs::relay::link::WorkerLink;
 use workswood::ops::jobs::relay::{Grant, Shared, Sink, look};
 use workswood::util::clock::Clock;
-use workswood_core::jobs::{Event, MachineReply};
+use workswood_core::jobs::{Event, HostReply};
+use workswood_test_support::host_world::worker;
 use workswood_test_support::job_node::settings;
-use workswood_test_support::machine_world::worker;
 use workswood_test_support::turn_store::TurnStore;
 
 /// How long a right lasts here, and a suspension that is longer.
@@ -60,17 +60,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_machine_is_ordered() {
+async fn no_host_is_ordered() {
     let (store, node) = process();
     let (tx, mut rx) = mpsc::unbounded_channel();
     let leading = Arc::new(Leading::new(1, node.now(), RIGHT, tx, watch::Sender::new(false)));
-    let order = || give(node.clone(), leading.clone(), "m-1".to_string(), MachineOrder::Upkeep(1));
+    let order = || give(node.clone(), leading.clone(), "m-1".to_string(), HostOrder::Upkeep(1));
     order().await;
     assert_eq!(store.orders(), 1);
-    assert!(matches!(rx.recv().await, Some(Event::MachineOrdered(..))));
+    assert!(matches!(rx.recv().await, Some(Event::HostOrdered(..))));
     node.clock().suspend(SUSPENDED);
     order().await;
     assert_eq!(store.orders(), 1, "a successor may have ordered it");
     let outcome = rx.recv().await;
-    assert!(matches!(outcome, Some(Event::MachineOrdered(_, MachineReply::Later))), "{outcome:?}");
+    assert!(matches!(outcome, Some(Event::HostOrdered(_, HostReply::Later))), "{outcome:?}");
 }
--- a/tests/testsuite/task_packing.rs
+++ b/tests/testsuite/task_packing.rs
@@ -1,14 +1,14 @@
-//! Tasks fill up one machine before the next.
+//! Tasks fill up one host before the next.
 
 use std::sync::Arc;
 
 use workswood_core::jobs::{Action, Event, StepSpec};
+use workswood_test_support::host_world::HostWorld;
 use workswood_test_support::job_world::{job, step};
-use workswood_test_support::machine_world::MachineWorld;
 
 /// Workers on which three jobs of one task each are started, one after the other.
 fn workers_used(task: &StepSpec) -> Vec<String> {
-    let mut world = MachineWorld::new(3);
+    let mut world = HostWorld::new(3);
     for n in 1..4 {
         world.sched.handle(Event::Submitted(n, Arc::new(job(vec![task.clone()], 100))));
     }
@@ -28,22 +28,22 @@
 }
 
 #[test]
-fn tasks_fill_one_machine() {
+fn tasks_fill_one_host() {
     let used = workers_used(&step(1, vec![]));
     assert_eq!(used.len(), 1, "the others stay empty, and can go where they are needed: {used:?}");
 }
 
 #[test]
-fn filling_tasks_share_machine() {
+fn filling_tasks_share_host() {
     let mut fills = step(1, vec![]);
     (fills.lasting, fills.fills) = (true, true);
     let used = workers_used(&fills);
-    assert_eq!(used.len(), 1, "each machine with one of them is never empty: {used:?}");
+    assert_eq!(used.len(), 1, "each host with one of them is never empty: {used:?}");
 }
 
 #[test]
-fn lasting_steps_share_machines() {
-    let mut world = MachineWorld::new(6);
+fn lasting_steps_share_hosts() {
+    let mut world = HostWorld::new(6);
     for n in 1..3 {
         let mut lasting = step(2, vec![]);
         (lasting.lasting, lasting.most_per_worker) = (true, 1);
--- a/tests/testsuite/worker_index.rs
+++ b/tests/testsuite/worker_index.rs
@@ -11,7 +11,7 @@
 use workswood_core::jobs::workers::Workers;
 
 const SERVICES: [&str; 2] = ["desk", "till"];
-const MACHINES: [&str; 3] = ["m-0", "m-1", "m-2"];
+const HOSTS: [&str; 3] = ["m-0", "m-1", "m-2"];
 
 fn info(u: &mut Unstructured<'_>, id: &WorkerId) -> Result<WorkerInfo> {
     Ok(WorkerInfo {
@@ -19,7 +19,7 @@
         service: u.choose(&SERVICES)?.to_string(),
         address: "10.0.0.1:80".to_string(),
         data_centre: "north".to_string(),
-        machine: u.choose(&MACHINES)?.to_string(),
+        host: u.choose(&HOSTS)?.to_string(),
         capacity: Room { cpu_millis: u.int_in_range(2..=5)? * 1000, mem_mb: 800, gpus: 0 },
         labels: Vec::new(),
         draining: u.ratio(1, 4)?,
@@ -73,10 +73,10 @@
         let largest = listed.filter_map(|(_, w)| w.info.as_ref()).map(|i| i.capacity.cpu_millis).max();
         assert_eq!(all.largest(service).cpu_millis, largest.unwrap_or(0));
     }
-    for machine in MACHINES {
-        let here = all.iter().filter(|(_, w)| w.info.as_ref().is_some_and(|i| i.machine == machine));
+    for host in HOSTS {
+        let here = all.iter().filter(|(_, w)| w.info.as_ref().is_some_and(|i| i.host == host));
         let mut here: Vec<&WorkerId> = here.map(|(id, _)| id).collect();
-        let mut kept: Vec<&WorkerId> = all.on_machine(machine).iter().collect();
+        let mut kept: Vec<&WorkerId> = all.on_host(host).iter().collect();
         here.sort();
         kept.sort();
         assert_eq!(kept, here);
--- a/tests/testsuite/worker_lives.rs
+++ b/tests/testsuite/worker_lives.rs
@@ -1,16 +1,16 @@
-//! What the list of machines and the entries of workers tell of lives.
+//! What the list of hosts and the entries of workers tell of lives.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use workswood_core::jobs::{Action, Event, News};
+use workswood_test_support::host_world::{HostWorld, host, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
-use workswood_test_support::machine_world::{MachineWorld, machine, worker};
 
 #[test]
 fn other_life_ends_runs() {
-    let mut world = MachineWorld::new(1);
-    world.list(vec![machine(0, SERVICE, Some(0))]);
+    let mut world = HostWorld::new(1);
+    world.list(vec![host(0, SERVICE, Some(0))]);
     world.at(100);
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![step(1, vec![])], 100))));
     let starts = world.sched.take_batch().actions;
@@ -21,20 +21,20 @@
         News::Unanswered { lease_end: Duration::from_secs(6), heard: Duration::from_millis(100) },
     );
     // The list was asked for before the life was known: it tells nothing.
-    world.sched.handle(Event::Machines(vec![machine(0, SERVICE, Some(9))], Duration::ZERO));
+    world.sched.handle(Event::Hosts(vec![host(0, SERVICE, Some(9))], Duration::ZERO));
     assert!(world.sched.workers.contains_key(&worker(0, 0).id));
-    world.list(vec![machine(0, SERVICE, Some(1))]);
-    assert!(!world.sched.workers.contains_key(&worker(0, 0).id), "another life stands on its machine");
+    world.list(vec![host(0, SERVICE, Some(1))]);
+    assert!(!world.sched.workers.contains_key(&worker(0, 0).id), "another life stands on its host");
 }
 
 #[test]
 fn lingering_entry_ends_nothing() {
-    let mut world = MachineWorld::new(1);
+    let mut world = HostWorld::new(1);
     world.at(100);
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![step(1, vec![])], 100))));
     let starts = world.sched.take_batch().actions;
     world.report(0, 0, &starts);
-    // An entry of another life on the same machine, written late.
+    // An entry of another life on the same host, written late.
     world.sched.handle(Event::WorkerListed(worker(0, 5)));
     let actions = world.sched.take_batch().actions;
     let again = actions.iter().any(|a| matches!(a, Action::Start { .. }));
--- a/tests/testsuite/worker_protocol.rs
+++ b/tests/testsuite/worker_protocol.rs
@@ -37,7 +37,7 @@
     let w = WorkerStandin::start("i-1", Duration::from_millis(30)).await;
     let c = client();
     let info = info(&c, &w, "i-1");
-    assert_eq!((info.service.as_str(), info.machine.as_str()), ("desk", "m-1"));
+    assert_eq!((info.service.as_str(), info.host.as_str()), ("desk", "m-1"));
     assert_eq!(info.capacity.cpu_millis, 4000);
     let (clock, first) =
         c.look(&info.reached_at(), 7, 0, None, Duration::ZERO).await.expect("it is looked at");
--- a/tests/testsuite/workspace_limits.rs
+++ b/tests/testsuite/workspace_limits.rs
@@ -12,8 +12,8 @@
     Action, EndKind, Event, Job, JobSpec, Listing, News, Owner, Report, ReportedEnd, SchedConfig, StartReply,
     StepId, TaskId, Workspace, Workspaces,
 };
+use workswood_test_support::host_world::HostWorld;
 use workswood_test_support::job_world::{QUEUE, config, job, step};
-use workswood_test_support::machine_world::MachineWorld;
 
 /// Thousandths of a core.
 fn cpu(millis: u64) -> Room {
@@ -38,14 +38,14 @@
 }
 
 /// Eight workers of four cores each, and workspaces with limits.
-fn world(limits: &[(&str, u64)]) -> MachineWorld {
-    let mut world = MachineWorld::new(8);
+fn world(limits: &[(&str, u64)]) -> HostWorld {
+    let mut world = HostWorld::new(8);
     world.sched.handle(configured(2, limits));
     world.at(100);
     world
 }
 
-fn submit(world: &mut MachineWorld, key: u64, spec: JobSpec) -> Vec<Action> {
+fn submit(world: &mut HostWorld, key: u64, spec: JobSpec) -> Vec<Action> {
     world.sched.handle(Event::Submitted(key, Arc::new(spec)));
     starts(world.sched.take_batch().actions)
 }
@@ -54,7 +54,7 @@
     actions.into_iter().filter(|a| matches!(a, Action::Start { .. })).collect()
 }
 
-fn taken(world: &mut MachineWorld, starts: &[Action]) {
+fn taken(world: &mut HostWorld, starts: &[Action]) {
     for a in starts {
         if let Action::Start { worker, task, attempt, .. } = a {
             world.taken(worker, *task, *attempt);
@@ -231,9 +231,9 @@
     assert_eq!(use_by_share(Owner::PUBLIC, &cpu(4000), None), 0);
 }
 
-/// Machines are not asked for by what a limit keeps from beginning.
+/// Hosts are not asked for by what a limit keeps from beginning.
 #[test]
-fn limited_work_needs_no_machines() {
+fn limited_work_needs_no_hosts() {
     let mut world = world(&[("north", 2000)]);
     submit(&mut world, 1, of("north", 40));
     let waiting = world.sched.room_wanted(&workswood_test_support::job_world::SERVICE.to_string());
