--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -61,6 +61,7 @@
 mod slot_dispatch;
 mod state_checkpoints;
 mod store_protocol;
+mod stored_formats;
 mod suspended_host;
 mod task_packing;
 mod wave_orders;
--- /dev/null
+++ b/tests/testsuite/stored_formats.rs
@@ -0,0 +1,398 @@
+//! Texts and bytes as this version stores and sends them are read and written back unchanged.
+//!
+//! A type or field that is renamed without its written name makes one of these tests fail. The texts are in
+//! the folder beside this file: a name in each line, then what is written; bytes are in hex.
+
+use std::time::Duration;
+
+use prost::Message;
+use workswood::ops::jobs::record::{
+    InboxItem, StateKey, cancel_record, drop_record, inbox_key, job_record, state_key, state_record,
+};
+use workswood::ops::jobs::relay::order::{Order, What};
+use workswood::ops::jobs::relay::wire::{read_news, read_orders, write_news, write_orders};
+use workswood::ops::jobs::{job_spec, job_state};
+use workswood_core::jobs::crash::{Crash, Evidence};
+use workswood_core::jobs::{
+    EndKind, JobRecord, JobSpec, Outcome, Owner, Record, Report, StartReply, StopReply, TaskId,
+};
+use workswood_peers::relay::{RelayNews, RelayOrders};
+use workswood_peers::{AdviceOutcome, Frame, HandInOutcome, JobState, Msg};
+use workswood_platform::jobs::KeyedRecord;
+
+const PEER_FRAMES: &str = include_str!("stored_formats/peer_frames.txt");
+const SCHEDULER_STATE: &str = include_str!("stored_formats/scheduler_state.txt");
+const INBOX: &str = include_str!("stored_formats/inbox.txt");
+const EARLIER_JOBS: &str = include_str!("stored_formats/earlier_jobs.txt");
+
+/// The lines of a file, each as its name and its text.
+fn lines(file: &str) -> Vec<(&str, &str)> {
+    file.lines().map(|line| line.split_once(' ').expect("a name and a text")).collect()
+}
+
+/// The text of a name in a file.
+fn text<'a>(file: &'a str, name: &str) -> &'a str {
+    let found = lines(file).into_iter().find(|(n, _)| *n == name);
+    found.unwrap_or_else(|| panic!("there is no line {name}")).1
+}
+
+fn from_hex(hex: &str) -> Vec<u8> {
+    let byte = |n: usize| u8::from_str_radix(&hex[n..n + 2], 16).expect("hex digits");
+    (0..hex.len()).step_by(2).map(byte).collect()
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+fn millis(n: u64) -> Duration {
+    Duration::from_millis(n)
+}
+
+fn message(name: &str) -> Msg {
+    let frame = Frame::decode(from_hex(text(PEER_FRAMES, name)).as_slice());
+    frame.expect("a frame").msg.expect("a message that is known")
+}
+
+macro_rules! message {
+    ($kind:ident $name:literal) => {
+        match message($name) {
+            Msg::$kind(m) => m,
+            _ => panic!("{} is another message", $name),
+        }
+    };
+}
+
+/// Processes of the version before and after an upgrade must understand each other's messages.
+#[test]
+fn peer_frames() {
+    let all = lines(PEER_FRAMES);
+    assert_eq!(all.len(), 39);
+    for (n, (name, hex)) in all.into_iter().enumerate() {
+        let frame = Frame::decode(from_hex(hex).as_slice()).expect(name);
+        assert!(frame.msg.is_some(), "{name}");
+        assert_eq!(frame.call, 500 + n as u64, "{name}");
+        assert_eq!(to_hex(&frame.encode_to_vec()), hex, "{name}");
+    }
+}
+
+/// Fields of a message that are exchanged for one another, or have another tag.
+#[test]
+fn peer_message_fields() {
+    let m = message!(Hello "hello");
+    assert_eq!((m.version, m.token.as_str(), m.from.as_str()), (3, "secret", "entry-1#1"));
+    let m = message!(Beats "beats");
+    let own = m.own.expect("the sender's own");
+    assert_eq!((own.address.as_str(), own.id.as_str()), ("10.0.0.1:7001", "entry-1#1"));
+    assert_eq!((own.data_centre.as_str(), own.number, own.next, own.stopping), ("north", 41, 91, true));
+    assert_eq!(m.others[0].number, 42);
+    assert_eq!((m.open[0].instance.as_str(), m.open[0].requests), ("shop/3", 5));
+    let m = message!(SlotAsk "slot-ask");
+    assert_eq!((m.service.as_str(), m.slots, m.from.as_str()), ("shop", 6, "entry-1#1"));
+    let m = message!(SlotLoan "slot-loan");
+    assert_eq!((m.loans[1].id, m.loans[1].endpoint.as_str()), (72, "shop/2"));
+    let m = message!(SlotState "slot-state");
+    assert_eq!((m.service.as_str(), m.from.as_str()), ("shop", "entry-2#1"));
+    assert_eq!((m.kept, m.returned), (vec![71, 300], vec![72]));
+    let m = message!(KeyReply "key-reply");
+    assert_eq!((m.known, m.roster.len()), (true, 2));
+    let m = message!(JobAsk "job-ask");
+    assert_eq!((m.job, m.owner), (0x0123_4567_89ab_cdef, Some(0xfedc_ba98_7654_3210)));
+    assert_eq!(message!(JobAsk "job-ask-of-earlier-version").owner, None);
+    let m = message!(PendingReply "pending-reply");
+    assert_eq!((m.current, m.pending), (true, 42));
+    let m = message!(HandIn "hand-in");
+    assert_eq!((m.records[0].key.as_str(), m.within_ms), ("00000000000000ab", 700));
+    assert_eq!(m.records[0].value.as_ref(), [1, 2, 255]);
+    let m = message!(AdviceAsk "advice-ask");
+    assert_eq!((m.job, m.round, m.step, m.within_ms), (1_000, 2, 3, 800));
+    assert_eq!(m.workers, ["w-1@5", "w-2"]);
+    let m = message!(RelayOpen "relay-open");
+    assert_eq!((m.term, m.session, m.holder.as_str()), (7, 8, "entry-9"));
+    let m = message!(ConfigReply "config-reply");
+    let (evacuated, holder) = (m.evacuated.expect("evacuated"), m.holder.expect("a holder"));
+    assert_eq!((m.record.as_ref(), evacuated.age_ms), (b"config".as_slice(), 1_500));
+    assert_eq!(evacuated.data_centres, ["north", "south"]);
+    assert_eq!((holder.id.as_str(), holder.peers.as_str(), holder.term), ("entry-3#9", "10.0.0.3:7001", 21));
+}
+
+/// Outcomes and states that are told by another number.
+#[test]
+fn peer_message_numbers() {
+    let states = [
+        (message!(JobReply "job-reply-queued"), Some(JobState::Queued)),
+        (message!(JobReply "job-reply-running"), Some(JobState::Running)),
+        (message!(JobReply "job-reply-completed"), Some(JobState::Completed)),
+        (message!(JobReply "job-reply-failed"), Some(JobState::Failed)),
+        (message!(JobReply "job-reply-canceled"), Some(JobState::Canceled)),
+        (message!(JobReply "job-reply-unknown"), None),
+    ];
+    for (reply, state) in states {
+        assert!(reply.current);
+        assert_eq!(reply.state.map(|s| JobState::try_from(s).expect("a state")), state);
+    }
+    let stored: Vec<_> = message!(HandInReply "hand-in-reply").outcomes().collect();
+    assert_eq!(stored, [HandInOutcome::Unknown, HandInOutcome::Stored, HandInOutcome::NotStored]);
+    let advice = [
+        (message!(AdviceReply "advice-reply-no-answer"), AdviceOutcome::NoAnswer),
+        (message!(AdviceReply "advice-reply-answered"), AdviceOutcome::Answered),
+        (message!(AdviceReply "advice-reply-busy"), AdviceOutcome::Busy),
+        (message!(AdviceReply "advice-reply-refused"), AdviceOutcome::Refused),
+        (message!(AdviceReply "advice-reply-not-sent"), AdviceOutcome::NotSent),
+    ];
+    for (reply, outcome) in &advice {
+        assert_eq!(reply.outcome(), *outcome);
+    }
+    let answered = &advice[1].0;
+    assert_eq!((answered.good[0].worker.as_str(), answered.good[0].ticket.as_str()), ("w-1", "t-1"));
+    assert_eq!(answered.valid_ms, Some(60_000));
+}
+
+fn task() -> TaskId {
+    TaskId { job: 0x0123_4567_89ab_cdef, round: 1, step: 2, index: 3 }
+}
+
+/// Orders that a relay takes for other ones than the lease holder sent.
+#[test]
+fn relay_orders() {
+    let m = message!(RelayOrders "relay-orders");
+    assert_eq!(m.grant.map(|g| (g.beat, g.ms)), Some((5, 1_800)));
+    let orders = read_orders(m.orders.clone()).expect("orders that are known");
+    let written = RelayOrders { orders: write_orders(orders.clone()), ..m.clone() };
+    assert_eq!(to_hex(&written.encode_to_vec()), to_hex(&m.encode_to_vec()));
+    assert_eq!(orders.iter().map(|(n, _)| *n).collect::<Vec<_>>(), (11..20).collect::<Vec<_>>());
+    let Order::Attend { worker, token } = &orders[0].1 else { panic!("{:?}", orders[0]) };
+    assert_eq!((worker.id.name(), worker.id.started(), *token), ("w-1", Some(1_700_000_000_123), 77));
+    assert_eq!((worker.address.as_str(), worker.data_centre.as_str()), ("10.0.1.1:9000", "north"));
+    let Order::Attend { worker, .. } = &orders[1].1 else { panic!("{:?}", orders[1]) };
+    assert_eq!(worker.id.started(), None);
+    assert_eq!((&orders[2].1, &orders[3].1), (&Order::Leave, &Order::Forget(19)));
+    assert_eq!(orders[4].1, Order::Figures(true));
+    let Order::Start(start) = &orders[5].1 else { panic!("{:?}", orders[5]) };
+    assert_eq!((start.task, start.attempt, start.text.as_ref()), (task(), 4, "run this"));
+    assert_eq!((start.checkpoint.as_str(), start.ticket.as_deref()), ("c-17", Some("ticket-1")));
+    let Order::Start(start) = &orders[6].1 else { panic!("{:?}", orders[6]) };
+    assert_eq!((start.text.as_ref(), &start.ticket), ("run this", &None));
+    assert_eq!(orders[7].1, Order::Stop { task: task(), attempt: 5 });
+    assert_eq!(orders[8].1, Order::Pace { task: task(), attempt: 6, percent: 45 });
+}
+
+fn check_report(report: &Report) {
+    let running = &report.running[0];
+    assert_eq!((report.whole, running.task, running.attempt), (true, task(), 8));
+    assert_eq!((running.checkpoint.as_str(), running.percent, running.figure), ("c-18", 55, 1_234));
+    assert_eq!(running.still, millis(2_500));
+    assert_eq!(report.gone, [(TaskId { index: 9, ..task() }, 10)]);
+    let kinds: Vec<EndKind> = report.ended.iter().map(|e| e.kind).collect();
+    let known = [EndKind::Done, EndKind::Failed, EndKind::Stopped];
+    assert_eq!((&kinds[..3], kinds.len()), (known.as_slice(), 6));
+    assert_eq!(kinds[3..], [EndKind::Lapsed, EndKind::Broken, EndKind::Alone]);
+    let end = &report.ended[5];
+    assert_eq!((end.number, end.task, end.attempt, end.checkpoint.as_str()), (36, task(), 7, "e-5"));
+}
+
+/// What a relay told to be read as this: the rest of a lease is written rounded up by a millisecond.
+fn as_told((number, what): (u32, What)) -> (u32, What) {
+    let what = match what {
+        What::Unanswered { leased, silent } => What::Unanswered { leased: leased - millis(1), silent },
+        other => other,
+    };
+    (number, what)
+}
+
+/// News of workers that the lease holder takes for other ones than its relay told.
+#[test]
+fn relay_news() {
+    let m = message!(RelayNews "relay-news");
+    assert_eq!((m.beat, m.leaving), (6, true));
+    let news: Vec<_> = m.news.iter().map(|n| read_news(n.clone()).expect("news that are known")).collect();
+    let told = news.iter().cloned().map(as_told).collect();
+    let written = RelayNews { news: write_news(told), ..m.clone() };
+    assert_eq!(to_hex(&written.encode_to_vec()), to_hex(&m.encode_to_vec()));
+    assert_eq!(news.iter().map(|(n, _)| *n).collect::<Vec<_>>(), (21..37).collect::<Vec<_>>());
+    let What::Reported(report) = &news[0].1 else { panic!("{:?}", news[0]) };
+    check_report(report);
+    assert_eq!(news[1].1, What::Doubted);
+    assert_eq!(news[2].1, What::Unanswered { leased: millis(1_501), silent: millis(900) });
+    assert_eq!(news[3].1, What::LifeOver(millis(901)));
+    assert_eq!(news[4].1, What::Restarted(1_700_000_000_456, millis(902)));
+    assert_eq!(news[5].1, What::Fenced);
+    let replies = [
+        StartReply::Taken,
+        StartReply::Refused,
+        StartReply::Ticket,
+        StartReply::Unwell,
+        StartReply::Unsure,
+        StartReply::NoAnswer,
+        StartReply::NotSent,
+        StartReply::Deposed,
+    ];
+    for (reply, (_, what)) in replies.into_iter().zip(&news[6..14]) {
+        assert_eq!(*what, What::Started { task: task(), attempt: 11, reply });
+    }
+    assert_eq!(news[14].1, What::Stopped { task: task(), attempt: 12, reply: StopReply::Taken });
+    assert_eq!(news[15].1, What::Stopped { task: task(), attempt: 13, reply: StopReply::NoAnswer });
+}
+
+/// A line of a file as a record of the store: JSON, bytes in hex, or that its key is dropped.
+fn keyed((key, value): (&str, &str)) -> KeyedRecord {
+    let value = match value {
+        "dropped" => return drop_record(key.to_string()),
+        json if json.starts_with(['{', '"']) => json.as_bytes().to_vec(),
+        hex => from_hex(hex),
+    };
+    KeyedRecord { key: key.to_string(), value: Some(value.into()) }
+}
+
+/// A record of the scheduler's state, read as a new lease holder reads it.
+fn read_state(rec: &KeyedRecord) -> Record {
+    let value = rec.value.as_deref();
+    match (state_key(&rec.key).expect("a key of the state"), value) {
+        (StateKey::Job(job), Some(value)) => {
+            Record::Job(job, job_state::decode(value).expect("a job's state"))
+        }
+        (StateKey::Job(job), None) => Record::DropJob(job),
+        (StateKey::Wave(n), value) => {
+            Record::Wave(n, serde_json::from_slice(value.expect("a value")).expect("a wave's progress"))
+        }
+        (StateKey::Worker(id), Some(value)) => {
+            Record::Worker(id, serde_json::from_slice(value).expect("a worker"))
+        }
+        (StateKey::Worker(id), None) => Record::DropWorker(id),
+        (StateKey::Ordered(machine), value) => {
+            Record::Ordered(machine, value.map(|v| serde_json::from_slice(v).expect("a holder's name")))
+        }
+    }
+}
+
+fn state_of(key: &str) -> Record {
+    read_state(&keyed((key, text(SCHEDULER_STATE, key))))
+}
+
+fn job_state_of(key: &str) -> JobRecord {
+    match state_of(key) {
+        Record::Job(_, state) => state,
+        other => panic!("{other:?}"),
+    }
+}
+
+/// A new lease holder reads what one of the version before has recorded, and the other way around.
+#[test]
+fn scheduler_state() {
+    let all = lines(SCHEDULER_STATE);
+    assert_eq!(all.len(), 10);
+    for line in all {
+        let stored = keyed(line);
+        assert_eq!(state_record(&read_state(&stored)), stored, "{}", line.0);
+    }
+    let Record::Wave(12, wave) = state_of("wave-12") else { panic!("another record") };
+    assert_eq!((&wave.ordered["m-1"], &wave.ordered["m-2"]), (&Some("w-1@5".to_string()), &None));
+    assert!(wave.down.contains("m-1") && wave.finished.contains("m-3"));
+    let Record::Worker(id, worker) = state_of("worker-w-1@1700000000000") else { panic!("another record") };
+    assert_eq!((id.name(), id.started()), ("w-1", Some(1_700_000_000_000)));
+    assert_eq!((worker.address.as_str(), worker.service.as_str()), ("10.0.1.1:9000", "till"));
+    assert_eq!((worker.machine.as_str(), worker.data_centre.as_str()), ("m-1", "north"));
+    let Record::Ordered(machine, holder) = state_of("ordered-m-1") else { panic!("another record") };
+    assert_eq!((machine.as_str(), holder.as_deref()), ("m-1", Some("entry-4")));
+}
+
+/// Fields of a job's state that are exchanged for one another, or have another tag.
+#[test]
+fn job_state_fields() {
+    let job = job_state_of("00000000000000ab");
+    assert_eq!((job.cancelled, job.begun, job.outcome), (true, true, Some(Outcome::Failed)));
+    check_tasks(&job);
+    let done: Vec<bool> = job.rounds[0][1].iter().map(|t| t.done).collect();
+    assert_eq!(done, (0..11).map(|n| n % 3 == 0).collect::<Vec<_>>());
+    assert_eq!(job.rounds[1], [vec![]]);
+    let ended = [
+        ("00000000000000ac", Outcome::Completed, Some(123_456)),
+        ("00000000000000ad", Outcome::Failed, None),
+        ("00000000000000ae", Outcome::Canceled, Some(0)),
+    ];
+    for (key, outcome, work) in ended {
+        let job = job_state_of(key);
+        let over = job.over.expect("it is over");
+        assert_eq!((job.outcome, over.work, over.accepted), (Some(outcome), work, 1_700_000_000_789));
+        assert_eq!((over.queue.as_str(), over.service.as_str()), ("desk", "till"));
+        assert_eq!((over.room.cpu_millis, over.room.mem_mb, over.room.gpus), (1_500, 2_048, 2));
+        assert_eq!(over.owner, Owner::of(Some("team-a")));
+    }
+}
+
+/// The tasks of the first step: one done, two that run, one given up, and one with all that is stored.
+fn check_tasks(job: &JobRecord) {
+    let tasks = &job.rounds[0][0];
+    assert_eq!((tasks.len(), tasks[0].done, tasks[1].done), (5, true, false));
+    assert_eq!(tasks[1].runs, [("w-1@1700000000000".into(), 1)].into());
+    assert_eq!((tasks[2].attempt, tasks[3].attempt, tasks[3].given_up), (2, 3, true));
+    let full = &tasks[4];
+    assert_eq!((full.attempt, full.checkpoint.as_str()), (9, "c-5"));
+    assert_eq!((&full.failed, &full.evicted), (&[1, 2].into(), &[6].into()));
+    let runs: Vec<_> = full.runs.iter().map(|(worker, attempt)| (worker.as_str(), *attempt)).collect();
+    assert_eq!(runs, [("w-2", 6), ("w-3", 7)]);
+    let crash = |evidence, within| Crash { evidence, within };
+    assert_eq!(full.crashes.0[&3], crash(Evidence::Explains, Some(millis(40))));
+    assert_eq!(full.crashes.0[&4], crash(Evidence::Beside, Some(millis(0))));
+    assert_eq!(full.crashes.0[&5], crash(Evidence::Supposed, None));
+}
+
+fn inbox_spec(key: &str) -> JobSpec {
+    let stored = keyed((key, text(INBOX, key)));
+    job_spec::decode(&stored.value.expect("a value")).expect("a job")
+}
+
+/// Jobs and cancels that a host of another version has accepted.
+#[test]
+fn inbox() {
+    let all = lines(INBOX);
+    assert_eq!(all.len(), 4);
+    for line in all {
+        let stored = keyed(line);
+        let key = inbox_key(line.0).expect("a key of the inbox");
+        let written = match key.what {
+            InboxItem::Job => job_record(key.job, &inbox_spec(line.0)),
+            InboxItem::Cancel => cancel_record(key.job, key.owner),
+        };
+        assert_eq!(written, stored, "{}", line.0);
+        assert_eq!(key.drop_record(), drop_record(line.0.to_string()));
+    }
+    check_spec(&inbox_spec("00000000000000ab-828a5f41ad4304c3"));
+    let open = inbox_spec("00000000000000ac");
+    assert_eq!((open.workspace, open.repeat), (None, None));
+}
+
+fn check_spec(spec: &JobSpec) {
+    assert_eq!((spec.queue.as_str(), spec.service.as_str()), ("desk", "till"));
+    assert_eq!((spec.workspace.as_deref(), spec.priority, spec.max_attempts), (Some("team-a"), 5, 6));
+    assert_eq!((spec.text.as_ref(), spec.accepted), ("run this \"text\"", 1_700_000_000_321));
+    let repeat = spec.repeat.expect("rounds");
+    assert_eq!((repeat.count, repeat.start, repeat.every), (4, 1_700_000_060_000, millis(90_000)));
+    let step = &spec.steps[2];
+    assert_eq!((step.room.cpu_millis, step.room.mem_mb, step.room.gpus), (500, 256, 1));
+    assert_eq!((step.count, step.most_per_worker, step.may_miss), (3, 2, 4));
+    assert_eq!((step.estimate, step.target, &step.after), (millis(1_250), Some(millis(350)), &vec![0, 1]));
+    let texts = [&step.label, &step.near, &step.image].map(|t| t.as_deref());
+    assert_eq!(texts, [Some("ssd"), Some("north-r1"), Some("img:7")]);
+    assert!(step.checkpointing && step.gang && step.same_rack);
+    assert!(step.speculative && step.lasting && step.fills);
+}
+
+/// Jobs and their state as versions before this one have stored them, in JSON.
+#[test]
+fn jobs_of_earlier_versions() {
+    for name in ["state", "state-of-completed", "state-of-failed"] {
+        let json = text(EARLIER_JOBS, name);
+        let state = job_state::decode(json.as_bytes()).expect("a job's state");
+        assert_eq!(serde_json::to_string(&state).expect("JSON"), json);
+    }
+    let read = |name: &str| job_state::decode(text(EARLIER_JOBS, name).as_bytes()).expect("a job's state");
+    assert_eq!((read("state").cancelled, read("state").outcome), (true, Some(Outcome::Canceled)));
+    check_tasks(&read("state"));
+    assert_eq!(read("state-of-completed").outcome, Some(Outcome::Completed));
+    assert_eq!(read("state-of-failed").outcome, Some(Outcome::Failed));
+    let json = text(EARLIER_JOBS, "spec");
+    let spec = job_spec::decode(json.as_bytes()).expect("a job");
+    assert_eq!(serde_json::to_string(&spec).expect("JSON"), json);
+    check_spec(&spec);
+}
