--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -6,24 +6,52 @@
 use std::time::Duration;
 
 use prost::Message;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::Value;
 use workswood::ops::jobs::record::{
     InboxItem, StateKey, cancel_record, drop_record, inbox_key, job_record, state_key, state_record,
 };
 use workswood::ops::jobs::relay::order::{Order, What};
 use workswood::ops::jobs::relay::wire::{read_news, read_orders, write_news, write_orders};
 use workswood::ops::jobs::{job_spec, job_state};
+use workswood::ops::model;
+use workswood::ops::model::compare::{Gain, Variant};
+use workswood::ops::model::spec::FaultKind;
+use workswood::ops::model::{Comparison, Figures};
+use workswood::util::job_settings::JobSettings;
+use workswood::util::settings::Settings;
+use workswood_core::code::{Code, Ran};
+use workswood_core::fleet::{Class, FleetFile, parse};
+use workswood_core::fold::{Assembler, JobPhase, KeyState, Phase, Stance, State};
 use workswood_core::jobs::crash::{Crash, Evidence};
+use workswood_core::jobs::policy::ShareOrder;
 use workswood_core::jobs::{
     EndKind, JobRecord, JobSpec, Outcome, Owner, Record, Report, StartReply, StopReply, TaskId,
 };
+use workswood_core::plan::{Act, HostState, Seen, Stop, WaveStatus};
+use workswood_core::record::{DrainReason, Duty, End, Envelope, FORMAT, HostStep, Record as LogRecord};
+use workswood_operators::{ApplyReply, ApplyRequest, Status};
 use workswood_peers::relay::{RelayNews, RelayOrders};
 use workswood_peers::{AdviceOutcome, Frame, HandInOutcome, JobState, Msg};
+use workswood_platform::ReadReply;
 use workswood_platform::jobs::KeyedRecord;
 
 const PEER_FRAMES: &str = include_str!("stored_formats/peer_frames.txt");
 const SCHEDULER_STATE: &str = include_str!("stored_formats/scheduler_state.txt");
 const INBOX: &str = include_str!("stored_formats/inbox.txt");
 const EARLIER_JOBS: &str = include_str!("stored_formats/earlier_jobs.txt");
+const LOG_ENVELOPE: &str = include_str!("stored_formats/log_envelope.json");
+const FOLD_STATE: &str = include_str!("stored_formats/fold_state.json");
+const FOLD_CHECKPOINT: &str = include_str!("stored_formats/fold_checkpoint.json");
+const ENTRY_SETTINGS: &str = include_str!("stored_formats/entry_settings.json");
+const JOB_SETTINGS: &str = include_str!("stored_formats/job_settings.json");
+const FLEET_FILE: &str = include_str!("stored_formats/fleet_file.json");
+const MODEL_FILE: &str = include_str!("stored_formats/model_file.json");
+const MODEL_COMPARISON: &str = include_str!("stored_formats/model_comparison.json");
+const OPERATORS: &str = include_str!("stored_formats/operators.txt");
+const CODES: &str = include_str!("stored_formats/codes.txt");
+const PLATFORM: &str = include_str!("stored_formats/platform.txt");
 
 /// The lines of a file, each as its name and its text.
 fn lines(file: &str) -> Vec<(&str, &str)> {
@@ -396,3 +424,350 @@
     assert_eq!(serde_json::to_string(&spec).expect("JSON"), json);
     check_spec(&spec);
 }
+
+/// One text of a file that holds nothing else.
+fn whole(file: &str) -> &str {
+    file.strip_suffix('\n').expect("a line")
+}
+
+fn from_json<T: DeserializeOwned>(json: &str) -> T {
+    serde_json::from_str(json).expect("it is read")
+}
+
+fn to_json<T: Serialize>(value: &T) -> String {
+    serde_json::to_string(value).expect("it is written")
+}
+
+/// Whether a text is read and written back unchanged; returns what was read.
+fn read_back<T: DeserializeOwned + Serialize>(json: &str) -> T {
+    let value: T = from_json(json);
+    assert_eq!(to_json(&value), json);
+    value
+}
+
+/// Processes of another version fold the log to the same state: a record whose kind or field has another
+/// name is taken for one of an unknown kind.
+#[test]
+fn log_envelope() {
+    let env: Envelope = read_back(whole(LOG_ENVELOPE));
+    assert_eq!((env.v, env.from.as_str(), env.seq, env.at), (1, "entry-1#1", 12, 1_764_640_000_123));
+    assert_eq!(env.records.len(), 34);
+    let known = env.records.iter().position(|r| matches!(r, LogRecord::Unknown(_)));
+    assert_eq!(known, Some(33), "only the last record is of an unknown kind");
+    let LogRecord::Apply { id, base, author, file } = &env.records[0] else { panic!("another record") };
+    assert_eq!((id.as_str(), *base, author.as_str()), ("c-1", 4, "ann"));
+    check_fleet(file);
+    let LogRecord::Take { duty, holder, term, seen } = &env.records[1] else { panic!("another record") };
+    assert_eq!((*duty, holder.as_str(), *term, *seen), (Duty::Planner, "entry-1#1", 5, 6));
+    assert!(matches!(env.records[2], LogRecord::Renew { duty: Duty::Checkpointer, term: 7 }));
+    assert!(matches!(env.records[3], LogRecord::GiveUp { duty: Duty::Planner, term: 8 }));
+    check_host_records(&env.records[5..18]);
+    let LogRecord::Claim { digest, last_moment, deferred, .. } = &env.records[22] else {
+        panic!("another record")
+    };
+    let deferred = deferred.as_ref().expect("a deferred request");
+    assert_eq!((*digest, *last_moment, deferred.repeatable), (15, 16, true));
+    assert_eq!((deferred.method.as_str(), deferred.path.as_str()), ("POST", "/d?x=1"));
+    let LogRecord::Finish { end, .. } = &env.records[24] else { panic!("another record") };
+    assert_eq!(*end, End::Answered { status: 200, body: Some("b2s=".to_string()) });
+}
+
+/// Records of one host, a record for each step.
+fn check_host_records(records: &[LogRecord]) {
+    let steps = records.iter().map(|r| match r {
+        LogRecord::Host { term: 10, generation: 11, step, .. } => step,
+        other => panic!("{other:?}"),
+    });
+    let steps: Vec<&HostStep> = steps.collect();
+    assert!(matches!(steps[0], HostStep::Seen { cpus: 16, memory_gib: 64, accelerators: 2, .. }));
+    assert_eq!((steps[1], steps[2]), (&HostStep::Health { up: true }, &HostStep::Foreign { foreign: true }));
+    let moved = DrainReason::Move { to: "batch".to_string() };
+    assert_eq!(*steps[4], HostStep::Drain { reason: moved });
+    let maintained = DrainReason::Maintain { name: "kernel".to_string() };
+    assert_eq!(*steps[5], HostStep::Drain { reason: maintained });
+    assert_eq!(*steps[6], HostStep::Drain { reason: DrainReason::Release });
+    assert_eq!((steps[7], steps[8], steps[9]), (&HostStep::Drained, &HostStep::Undrain, &HostStep::Flip));
+    assert_eq!(*steps[10], HostStep::Reboot { boot: "b-1".to_string() });
+    assert_eq!((steps[11], steps[12]), (&HostStep::Return, &HostStep::Forget));
+}
+
+/// A process that starts takes a state over that another version has written.
+#[test]
+fn fold_state() {
+    let text = whole(FOLD_STATE);
+    let state = State::from_text(text).expect("a state");
+    assert_eq!(state.text(), text);
+    let file = &state.files["shop"];
+    assert_eq!((file.version, file.offset, file.change.as_str(), file.digest), (3, 60, "c-1", 61));
+    check_fleet(&file.file);
+    let lease = &state.leases[&Duty::Checkpointer];
+    assert_eq!((&lease.holder, lease.term, lease.renewals), (&None, 7, 8));
+    let host = &state.hosts["h-6"];
+    assert_eq!((host.generation, host.offset, host.since), (106, 206, 306));
+    assert_eq!((host.pool_generation, host.act_generation), (406, 506));
+    let rebooting = Phase::Rebooting { name: "kernel".to_string(), boot: "b-1".to_string() };
+    assert_eq!((&host.phase, host.maintained.len()), (&rebooting, 1));
+    assert!(matches!(state.hosts["h-4"].phase, Phase::Drained(DrainReason::Release)));
+    let key = &state.keys["order-1"];
+    assert_eq!((key.digest, key.last_moment, key.attempts), (601, 1_764_640_000_001, 3));
+    assert_eq!(key.state, KeyState::Running { holder: "entry-1#1".to_string() });
+    let job = &state.jobs["report-3"];
+    assert_eq!((&job.phase, job.token, job.since), (&JobPhase::Failed, 63, 64));
+    assert_eq!((job.failures, job.losses, state.jobs["report-0"].losses), (1, 3, 0));
+    assert_eq!((state.unknown, state.host_moves, state.instance_moves), (66, 67, 68));
+    assert_eq!((state.next, state.roster_generation), (70, 9));
+}
+
+/// The checkpoint of a state has another digest, or can't be put together.
+#[test]
+fn fold_checkpoint() {
+    let mut state = State::from_text(whole(FOLD_STATE)).expect("a state");
+    let holder = "entry-1#1".to_string();
+    let take = LogRecord::Take { duty: Duty::Checkpointer, holder: holder.clone(), term: 8, seen: 8 };
+    let records = vec![take, LogRecord::Mark { term: 8 }];
+    let env = Envelope { v: FORMAT, from: holder, seq: 66, at: 1_764_640_000_500, records };
+    assert_eq!(state.fold(70, &env), [Ok(()), Ok(())]);
+    let written: Vec<String> = state.checkpoint().iter().map(to_json).collect();
+    assert_eq!(written, [whole(FOLD_CHECKPOINT)]);
+    let read = Assembler::default().take(&read_back(whole(FOLD_CHECKPOINT)));
+    assert_eq!(read.expect("the one part is the whole state").text(), state.text());
+}
+
+/// The path of a file that is read by its path.
+fn path(name: &str) -> String {
+    format!("{}/{name}", env!("CARGO_MANIFEST_DIR"))
+}
+
+/// A settings file of an entry process that no longer reads, or of which a field is left out.
+#[test]
+fn entry_settings() {
+    let name = "tests/testsuite/stored_formats/entry_settings.json";
+    let s = Settings::read(&path(name)).expect("good settings");
+    assert_eq!(to_json(&s), whole(ENTRY_SETTINGS));
+    assert_eq!((s.name.as_str(), s.data_centre.as_str()), ("entry-1", "north"));
+    let ports = [s.callers, s.operators, s.peers, s.platform].map(|a| a.port());
+    assert_eq!((ports, s.seeds.len()), ([8001, 8002, 8003, 8004], 2));
+    assert_eq!(
+        (s.operators_token_file.as_str(), s.peers_token_file.as_str()),
+        ("operators.token", "peers.token")
+    );
+    assert_eq!((s.balancer_lag, s.stop_limit), (millis(4_500), millis(61_000)));
+    assert_eq!((s.checkpoint_every, s.appends_per_second), (millis(62_500), 91));
+}
+
+/// Likewise of a process that runs jobs; every value of the policy differs from its default.
+#[test]
+fn job_settings() {
+    let s =
+        JobSettings::read(&path("tests/testsuite/stored_formats/job_settings.json")).expect("good settings");
+    assert_eq!(to_json(&s), whole(JOB_SETTINGS));
+    let ports = [s.callers, s.readiness, s.peers, s.metrics].map(|a| a.port());
+    assert_eq!((ports, s.store_parts), ([8011, 8012, 8013, 8014], 3));
+    assert_eq!((s.store.as_str(), s.machines.as_str()), ("10.0.0.2:9001", "10.0.0.2:9002"));
+    assert_eq!((s.adviser(), s.cores, s.link_mbps), (Some("10.0.0.2:9003"), 0.125, 20.5));
+    assert_eq!((s.longest_lease_ms, s.machine_handover_ms, s.in_step_within_ms), (10_001, 3_002, 3_003));
+    assert_eq!((s.machine_orders_per_s, s.early_ms), (65.5, 104));
+    assert_eq!((s.keep_ended_s, s.stop_within_s), (120.5, 6.25));
+    let p = &s.policy;
+    assert_eq!((p.order.enough_ends, p.order.shares), (9, ShareOrder::Excess));
+    assert_eq!((p.placement.most_misses, p.need.turn_jobs, p.pools.margin), (9, 4, 0.01875));
+    assert_eq!((p.waves.ahead, p.health.shun_one_of), (millis(4_007), 4));
+    assert_eq!((p.crashes.suspect_after, p.pace.step, p.calls.help), (4, 16, false));
+    assert_eq!((p.advice.helpers, p.relays.most_workers), (6, 101));
+    for (name, order) in [("plain", ShareOrder::Plain), ("dominant", ShareOrder::Dominant)] {
+        let other = whole(JOB_SETTINGS).replace("\"excess\"", &format!("\"{name}\""));
+        assert_eq!(read_back::<JobSettings>(&other).policy.order.shares, order);
+    }
+}
+
+fn check_fleet(file: &FleetFile) {
+    assert_eq!((file.objective.moves, file.objective.rollout, file.objective.buffer), (2, 3, 4));
+    let (host, pool) = (&file.hosts[0], &file.pools[0]);
+    assert_eq!((host.cpus, host.memory_gib, host.accelerators), (16, 64, 2));
+    assert_eq!((pool.min_cpus, pool.min_memory_gib, pool.min_accelerators), (8, 32, 1));
+    let service = &file.services[0];
+    assert_eq!((service.instances, service.cpus, service.memory_gib), (3, 5, 9));
+    assert_eq!((service.slots, service.window, service.connections), (7, 10, 65));
+    let budget = &service.budget;
+    assert_eq!((budget.min_available, budget.max_unavailable_per_data_centre), (2, Some(1)));
+    assert!(budget.reserve_rack);
+    let classes: Vec<Class> = service.routes.iter().map(|r| r.class).collect();
+    assert_eq!(classes, Class::ALL);
+    let m = &file.maintenance[0];
+    assert_eq!((m.duration, m.start, m.deadline), (millis(600_000), 1_764_640_800_000, 1_764_900_000_000));
+    assert_eq!((m.keep_clear[0].from, m.keep_clear[0].to), (1_764_700_000_000, 1_764_710_000_000));
+    assert_eq!((m.max_parallel, m.paused), (4, true));
+    assert_eq!((file.teams[0].quota_cpus, file.jobs[0].cpus, file.jobs[0].memory_gib), (40, 3, 6));
+    assert_eq!((file.jobs[0].class, file.jobs[0].repeatable), (Class::Later, true));
+}
+
+fn example(name: &str) -> String {
+    std::fs::read_to_string(path(&format!("examples/{name}.json"))).expect("an example")
+}
+
+fn json(text: &str) -> Value {
+    from_json(text)
+}
+
+/// Whether all that an operator wrote stands in what was read; times may be worded otherwise.
+fn holds(read: &Value, wrote: &Value) -> bool {
+    match (read, wrote) {
+        (Value::Object(read), Value::Object(wrote)) => {
+            wrote.iter().all(|(field, value)| read.get(field).is_some_and(|r| holds(r, value)))
+        }
+        (Value::Array(read), Value::Array(wrote)) => {
+            read.len() == wrote.len() && read.iter().zip(wrote).all(|(r, w)| holds(r, w))
+        }
+        (Value::String(read), Value::String(wrote)) => {
+            let time = |text: &str| humantime::parse_duration(text).ok();
+            read == wrote || time(read).is_some_and(|t| Some(t) == time(wrote))
+        }
+        (Value::Number(read), Value::Number(wrote)) => read.as_f64() == wrote.as_f64(),
+        _ => read == wrote,
+    }
+}
+
+/// Operators' fleet files that no longer read, or of which a field is left out.
+#[test]
+fn fleet_files() {
+    let file = parse(FLEET_FILE).expect("a good file");
+    assert_eq!(to_json(&file), whole(FLEET_FILE));
+    check_fleet(&file);
+    for name in ["factoring", "gridlark"] {
+        let example = example(name);
+        let file = parse(&example).expect("a good file");
+        assert!(holds(&json(&to_json(&file)), &json(&example)), "{name}");
+        assert_eq!(parse(&to_json(&file)).expect("what was written is read"), file);
+    }
+}
+
+/// Files of the model that no longer read, or of which a field is left out.
+#[test]
+fn model_files() {
+    let spec = model::read(&path("tests/testsuite/stored_formats/model_file.json")).expect("a good file");
+    assert_eq!(to_json(&spec), whole(MODEL_FILE));
+    let kinds: Vec<FaultKind> = spec.faults.iter().map(|f| f.kind).collect();
+    assert_eq!(kinds[..2], [FaultKind::HolderDies, FaultKind::StoreSlow(2.5)]);
+    assert_eq!(kinds[2..4], [FaultKind::MachinesDark(3), FaultKind::ReportsLate(0.25)]);
+    assert_eq!(kinds[4..], [FaultKind::TasksCrash(0.125), FaultKind::Evacuated(1)]);
+    assert_eq!((spec.lasts, spec.turn, spec.peak, spec.rest), (millis(42_500), millis(8_250), 4.5, 0.0625));
+    for name in ["model-crashes", "model-overload", "model-turns"] {
+        let spec = model::read(&path(&format!("examples/{name}.json"))).expect("a good file");
+        assert!(holds(&json(&to_json(&spec)), &json(&example(name))), "{name}");
+    }
+}
+
+/// Commands and entry hosts of two versions, and operators' tools that read what they say.
+#[test]
+fn operators_api() {
+    let request: ApplyRequest = read_back(text(OPERATORS, "apply-request"));
+    assert_eq!((request.id.as_str(), request.base, request.wait_ms), ("c-1", 4, 5_000));
+    assert_eq!((request.author.as_str(), request.text.as_str()), ("ann", "{}"));
+    let accepted: ApplyReply = read_back(text(OPERATORS, "apply-accepted"));
+    assert_eq!(accepted, ApplyReply::Accepted { version: 5, offset: 6, behind: vec!["entry-2".to_string()] });
+    let refused: ApplyReply = read_back(text(OPERATORS, "apply-refused"));
+    let ApplyReply::Refused { code: Code::StaleBase, issues, .. } = refused else { panic!("{refused:?}") };
+    assert_eq!((issues[0].code, issues[0].path.as_str()), (204, "pools[0].size"));
+    let unknown: ApplyReply = read_back(text(OPERATORS, "apply-unknown"));
+    assert_eq!(unknown, ApplyReply::Unknown { code: Code::ApplyUnknown });
+    let status: Status = read_back(text(OPERATORS, "status"));
+    assert!(status.ready && status.log_up && status.entries[0].on_roster);
+    assert_eq!((status.next, status.entries[0].next, status.files[0].offset), (70, 69, 60));
+    assert_eq!((status.keys, status.open_deferred, status.unknown_records), (11, 12, 13));
+    assert_eq!((status.invariants_broken, status.host_moves, status.instance_moves), (14, 15, 16));
+    let pool = &status.hosts[0];
+    assert_eq!(
+        (pool.active, &pool.away[0], &pool.down[0], &pool.foreign[0]),
+        (4, &"h-1".into(), &"h-2".into(), &"h-3".into())
+    );
+}
+
+/// The names of codes, which answers to operators carry.
+#[test]
+fn code_names() {
+    let written: Vec<String> = Code::ALL.iter().map(|c| format!("{} {}", c.number(), to_json(c))).collect();
+    assert_eq!(written, CODES.lines().collect::<Vec<_>>());
+    for (code, (_, json)) in Code::ALL.iter().zip(lines(CODES)) {
+        assert_eq!(from_json::<Code>(json), *code);
+    }
+    assert_eq!(
+        read_back::<[Ran; 3]>(r#"["run","not-run","unknown"]"#),
+        [Ran::Run, Ran::NotRun, Ran::Unknown]
+    );
+}
+
+/// Where waves and budgets stand, which is within what `status` tells.
+#[test]
+fn waves_and_budgets() {
+    let at = |day: u32| format!("2026-12-0{day}T02:00:00Z");
+    let stops = [
+        Stop::Finished,
+        Stop::Paused,
+        Stop::NotYet { start: at(2) },
+        Stop::Deadline { deadline: at(3) },
+        Stop::KeepClear { from: at(4) },
+        Stop::Canary { host: "h-1".to_string() },
+        Stop::Unwell { host: "h-2".to_string() },
+        Stop::Budget { service: "shop".to_string() },
+        Stop::MaxParallel,
+        Stop::HostsMissing { host: "h-3".to_string() },
+        Stop::Running,
+    ];
+    let wave = |(n, stop)| WaveStatus {
+        name: format!("wave-{n}"),
+        done: 1,
+        away: vec!["h-4".to_string()],
+        left: 2,
+        stop,
+    };
+    let waves: Vec<WaveStatus> = stops.into_iter().enumerate().map(wave).collect();
+    assert_eq!(to_json(&waves), text(OPERATORS, "waves"));
+    let budget = Stance { service: "shop".to_string(), available: 3, min_available: 2, slack: -1 };
+    assert_eq!(to_json(&[budget]), text(OPERATORS, "budgets"));
+}
+
+/// Calls to the platform and its answers.
+#[test]
+fn platform_api() {
+    let read: ReadReply = read_back(text(PLATFORM, "read"));
+    assert_eq!((read.first, read.head, read.records[0].offset), (3, 9, 4));
+    let acts: Vec<Act> = read_back(text(PLATFORM, "acts"));
+    let (host, task) = ("h-1".to_string(), "shop/1".to_string());
+    assert_eq!(acts[0], Act::SetPool { host: host.clone(), pool: "web".to_string(), token: 1 });
+    assert_eq!(acts[1], Act::Drain { host: host.clone(), token: 2 });
+    assert_eq!(acts[2], Act::Undrain { host: host.clone(), token: 3 });
+    assert_eq!(acts[3], Act::Reboot { host: host.clone(), boot: "b-1".to_string(), token: 4 });
+    assert_eq!(acts[4], Act::Start { host: host.clone(), task: task.clone(), token: 5 });
+    assert_eq!(acts[5], Act::Stop { host, task, token: 6 });
+    let seen: Seen = read_back(text(PLATFORM, "hosts"));
+    let states = ["h-1", "h-2", "h-3"].map(|h| seen.hosts[h].state);
+    assert_eq!(states, [HostState::Live, HostState::Leaving, HostState::Down]);
+    let host = &seen.hosts["h-1"];
+    assert_eq!((host.draining, host.drained, host.token), (true, true, 8));
+    assert_eq!(
+        (host.tasks[0].ended, host.tasks[1].ended, host.tasks[1].used_millis),
+        (None, Some(true), 1_500)
+    );
+}
+
+/// Figures of the model as `--json` tells them.
+#[test]
+fn model_comparison() {
+    let figures = |n: f64| Figures {
+        jobs: n,
+        in_time: n + 0.5,
+        worst: n + 1.0,
+        worst_spread: n + 1.5,
+        machines: n + 2.0,
+        busy: n + 2.5,
+        least: n + 3.0,
+        forecast: n + 3.5,
+        moves: n + 4.0,
+        crashes: n + 4.5,
+    };
+    let gain = Some(Gain { in_time: 0.25, error: 0.125 });
+    let variant =
+        Variant { name: "full=0.5".to_string(), mean: figures(1.0), gain, runs: vec![figures(2.0)] };
+    let told = Comparison { first_seed: 3, seeds: 2, variants: vec![variant] };
+    assert_eq!(to_json(&told), whole(MODEL_COMPARISON));
+}
