--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -3,31 +3,44 @@
 //! A type or field that is renamed without its written name makes one of these tests fail. The texts are in
 //! the folder beside this file: a name in each line, then what is written; bytes are in hex.
 
+use std::sync::Arc;
 use std::time::Duration;
 
+use futures::FutureExt;
+use futures::future::BoxFuture;
+use parking_lot::Mutex;
 use prost::Message;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
+use workswood::ops::explain::job::{HostLog, account};
+use workswood::ops::job_status::{self, sum};
+use workswood::ops::jobs::node::Holder;
+use workswood::ops::jobs::operators::Evacuations;
 use workswood::ops::jobs::record::{
     InboxItem, StateKey, cancel_record, drop_record, inbox_key, job_record, state_key, state_record,
 };
 use workswood::ops::jobs::relay::order::{Order, What};
 use workswood::ops::jobs::relay::wire::{read_news, read_orders, write_news, write_orders};
-use workswood::ops::jobs::{job_spec, job_state};
+use workswood::ops::jobs::{Node, job_spec, job_state, lease, peers};
 use workswood::ops::model;
 use workswood::ops::model::compare::{Gain, Variant};
 use workswood::ops::model::spec::FaultKind;
 use workswood::ops::model::{Comparison, Figures};
 use workswood::util::job_settings::JobSettings;
 use workswood::util::settings::Settings;
+use workswood_adapter::{Addresses, PlatformClient};
 use workswood_core::code::{Code, Ran};
 use workswood_core::fleet::{Class, FleetFile, parse};
 use workswood_core::fold::{Assembler, JobPhase, KeyState, Phase, Stance, State};
+use workswood_core::ids::{HostId, Offset, ServiceId, Term};
 use workswood_core::jobs::crash::{Crash, Evidence};
+use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::policy::ShareOrder;
+use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{
-    EndKind, JobRecord, JobSpec, Outcome, Owner, Record, Report, StartReply, StopReply, TaskId,
+    AdviceReply, EndKind, JobRecord, JobSpec, Listing, Machine, MachineReply, MachineState, Outcome, Owner,
+    Record, Report, SchedConfig, StartReply, StepId, StopReply, TaskId, WorkerAddress, WorkerInfo,
 };
 use workswood_core::plan::{Act, HostState, Seen, Stop, WaveStatus};
 use workswood_core::record::{DrainReason, Duty, End, Envelope, FORMAT, HostStep, Record as LogRecord};
@@ -35,7 +48,11 @@
 use workswood_peers::relay::{RelayNews, RelayOrders};
 use workswood_peers::{AdviceOutcome, Frame, HandInOutcome, JobState, Msg};
 use workswood_platform::ReadReply;
-use workswood_platform::jobs::KeyedRecord;
+use workswood_platform::jobs::{
+    Guard, JobPlatform, KeyedRecord, Newest, OperatorItem, StartOrder, StoreError, Tail, Topic, WorkerClock,
+    WorkerError,
+};
+use workswood_test_support::job_node::settings;
 
 const PEER_FRAMES: &str = include_str!("stored_formats/peer_frames.txt");
 const SCHEDULER_STATE: &str = include_str!("stored_formats/scheduler_state.txt");
@@ -52,6 +69,10 @@
 const OPERATORS: &str = include_str!("stored_formats/operators.txt");
 const CODES: &str = include_str!("stored_formats/codes.txt");
 const PLATFORM: &str = include_str!("stored_formats/platform.txt");
+const LEASE_AND_PEERS: &str = include_str!("stored_formats/lease_and_peers.txt");
+const OPERATOR_RECORDS: &str = include_str!("stored_formats/operator_records.txt");
+const JOBS_SHOWN: &str = include_str!("stored_formats/jobs_shown.txt");
+const JOB_LOG: &str = include_str!("stored_formats/job_log.txt");
 
 /// The lines of a file, each as its name and its text.
 fn lines(file: &str) -> Vec<(&str, &str)> {
@@ -771,3 +792,238 @@
     let told = Comparison { first_seed: 3, seeds: 2, variants: vec![variant] };
     assert_eq!(to_json(&told), whole(MODEL_COMPARISON));
 }
+
+/// A store of one topic. It runs on the clock of the test; nothing else answers.
+struct OneTopic {
+    topic: Topic,
+    records: Mutex<Vec<KeyedRecord>>,
+}
+
+impl OneTopic {
+    fn new(topic: Topic, first: KeyedRecord) -> Arc<OneTopic> {
+        Arc::new(OneTopic { topic, records: Mutex::new(vec![first]) })
+    }
+
+    /// The first record that a process appends: its key and its text.
+    async fn appended(&self) -> (String, String) {
+        let appended = async {
+            while self.records.lock().len() == 1 {
+                tokio::time::sleep(millis(100)).await;
+            }
+        };
+        tokio::time::timeout(millis(60_000), appended).await.expect("a record is appended");
+        let KeyedRecord { key, value } = self.records.lock()[1].clone();
+        (key, String::from_utf8(value.expect("a value").to_vec()).expect("JSON"))
+    }
+
+    fn read(&self, topic: Topic, from: Offset) -> Result<Tail, StoreError> {
+        let records = self.records.lock();
+        let next = records.len() as Offset;
+        let read = records.iter().skip(from as usize).cloned().collect();
+        if topic == self.topic { Ok(Tail { records: read, next }) } else { Err(not_done()) }
+    }
+}
+
+fn not_done() -> StoreError {
+    StoreError::NotDone { text: "nothing but one topic is here".to_string() }
+}
+
+fn no_worker<T: Send + 'static>() -> BoxFuture<'static, Result<T, WorkerError>> {
+    async { Err(WorkerError::NotSent) }.boxed()
+}
+
+impl JobPlatform for OneTopic {
+    fn append(
+        &self,
+        topic: Topic,
+        records: Vec<KeyedRecord>,
+        _: Guard,
+    ) -> BoxFuture<'_, Result<Offset, StoreError>> {
+        let appended = self.read(topic, 0).map(|tail| tail.next);
+        if appended.is_ok() {
+            self.records.lock().extend(records);
+        }
+        async { appended }.boxed()
+    }
+
+    fn newest(&self, topic: Topic) -> BoxFuture<'_, Result<Newest, StoreError>> {
+        let tail = self.read(topic, 0);
+        async { tail.map(|t| Newest { records: t.records, next: t.next }) }.boxed()
+    }
+
+    fn tail(&self, topic: Topic, from: Offset, wait: Duration) -> BoxFuture<'_, Result<Tail, StoreError>> {
+        async move {
+            tokio::time::sleep(wait).await;
+            self.read(topic, from)
+        }
+        .boxed()
+    }
+
+    fn operator_item(&self, _: &KeyedRecord) -> Result<Option<OperatorItem>, String> {
+        Ok(None)
+    }
+
+    fn worker_info(&self, _: &KeyedRecord) -> Result<WorkerInfo, String> {
+        Err("no workers here".to_string())
+    }
+
+    fn wave_status(&self, number: u64, _: bool) -> KeyedRecord {
+        drop_record(number.to_string())
+    }
+
+    fn look<'a>(
+        &'a self,
+        _: &'a WorkerAddress,
+        _: Term,
+        _: u64,
+        _: Option<WorkerClock>,
+        _: Duration,
+    ) -> BoxFuture<'a, Result<(WorkerClock, Listing), WorkerError>> {
+        no_worker()
+    }
+
+    fn start<'a>(
+        &'a self,
+        _: &'a WorkerAddress,
+        _: Term,
+        _: StartOrder,
+    ) -> BoxFuture<'a, Result<(), WorkerError>> {
+        no_worker()
+    }
+
+    fn stop<'a>(
+        &'a self,
+        _: &'a WorkerAddress,
+        _: Term,
+        _: TaskId,
+        _: u32,
+    ) -> BoxFuture<'a, Result<(), WorkerError>> {
+        no_worker()
+    }
+
+    fn pace<'a>(
+        &'a self,
+        _: &'a WorkerAddress,
+        _: Term,
+        _: TaskId,
+        _: u32,
+        _: u32,
+    ) -> BoxFuture<'a, Result<(), WorkerError>> {
+        no_worker()
+    }
+
+    fn advise<'a>(&'a self, _: StepId, _: &'a [WorkerId], _: Duration) -> BoxFuture<'a, AdviceReply> {
+        async { AdviceReply::NotSent }.boxed()
+    }
+
+    fn machines(&self) -> BoxFuture<'_, Result<Vec<Machine>, StoreError>> {
+        async { Err(not_done()) }.boxed()
+    }
+
+    fn upkeep(&self, _: &str, _: Term, _: HostId, _: u64) -> BoxFuture<'_, MachineReply> {
+        async { MachineReply::Later }.boxed()
+    }
+
+    fn move_machine(&self, _: &str, _: Term, _: HostId, _: ServiceId) -> BoxFuture<'_, MachineReply> {
+        async { MachineReply::Later }.boxed()
+    }
+}
+
+/// A process that follows the lease in a store whose newest record is this one.
+fn lease_follower(text: &str) -> (Arc<OneTopic>, Arc<Node>) {
+    let store = OneTopic::new(Topic::Lease, keyed(("holder", text)));
+    let node = Arc::new(Node::new(settings("entry-1"), store.clone()));
+    node.configure(Arc::new(SchedConfig { version: 1, ..SchedConfig::default() }), "config".into());
+    node.operators.evacuate(Evacuations::default());
+    tokio::spawn(lease::run(node.clone()));
+    (store, node)
+}
+
+/// Who holds the lease, as a process takes it from this record.
+async fn holder_read(text: &str) -> Arc<Holder> {
+    let (_, node) = lease_follower(text);
+    tokio::time::sleep(millis(100)).await;
+    node.holder.load_full().expect("the holder is known")
+}
+
+/// A process does not see that the lease is held by one of another version, or claims it in another form.
+#[tokio::test(start_paused = true)]
+async fn lease_record() {
+    let held = holder_read(text(LEASE_AND_PEERS, "lease-held")).await;
+    assert_eq!((held.id.as_str(), held.peers.as_str()), ("a1", "10.0.0.3:7001"));
+    assert_eq!((held.term, held.released), (7, false));
+    let earlier = holder_read(text(LEASE_AND_PEERS, "lease-of-earlier-version")).await;
+    assert_eq!((earlier.term, earlier.released), (8, false));
+    let released = text(LEASE_AND_PEERS, "lease-released");
+    assert!(holder_read(released).await.released);
+    let (store, node) = lease_follower(released);
+    let (key, claimed) = store.appended().await;
+    assert_eq!(claimed.replace(&node.id, "ID"), text(LEASE_AND_PEERS, "lease-claimed"));
+    assert_eq!(key, "holder");
+}
+
+/// Processes of two versions do not find each other.
+#[tokio::test(start_paused = true)]
+async fn peer_record() {
+    let other = text(LEASE_AND_PEERS, "peer-read");
+    let store = OneTopic::new(Topic::Peers, keyed(("entry-7", other)));
+    let node = Arc::new(Node::new(settings("entry-1"), store.clone()));
+    tokio::spawn(peers::run(node.clone()));
+    let (key, written) = store.appended().await;
+    assert_eq!(node.peers.address_of("entry-7").as_deref(), Some("10.0.0.7:7001"));
+    let hosts = node.peers.news_of_hosts(&mut 0).expect("they are known");
+    assert_eq!((hosts[0].name.as_str(), hosts[0].data_centre.as_str()), ("entry-7", "south"));
+    assert_eq!((hosts.len(), hosts[0].strength), (1, 1_200));
+    let at = json(&written)["at"].as_u64().expect("when it was written");
+    assert_eq!(written.replace(&at.to_string(), "AT"), text(LEASE_AND_PEERS, "peer-written"));
+    assert_eq!(key, "entry-1");
+}
+
+fn machine(name: &str, state: MachineState) -> Machine {
+    Machine {
+        name: name.to_string(),
+        pool: "till".to_string(),
+        state,
+        data_centre: "north".to_string(),
+        labels: Vec::new(),
+        capacity: Room::default(),
+        worker: None,
+    }
+}
+
+/// Operators' tools that read `status --jobs --json`.
+#[test]
+fn jobs_status() {
+    let away = "127.0.0.1:1".to_string();
+    let platform = PlatformClient::new(Addresses { store: away.clone(), machines: away, adviser: None });
+    let records = |file| lines(file).into_iter().map(keyed).collect();
+    let states = [MachineState::Up, MachineState::Moving, MachineState::Upkeep, MachineState::Down];
+    let mut seen = job_status::Seen {
+        at: 1_700_000_100_000,
+        lease: Some(keyed(("holder", text(LEASE_AND_PEERS, "lease-held")))),
+        renewed: true,
+        operators: records(OPERATOR_RECORDS),
+        inbox: records(INBOX),
+        state: records(SCHEDULER_STATE),
+        workers: vec![keyed(("w-9", "\"no worker\""))],
+        published: vec![platform.wave_status(12, true)],
+        machines: Ok(states.map(|state| machine("m-1", state)).into()),
+    };
+    assert_eq!(to_json(&sum(&platform, &seen)), text(JOBS_SHOWN, "status"));
+    let open = JobRecord { outcome: None, ..job_state_of("00000000000000ab") };
+    let spec = inbox_spec("00000000000000ab-828a5f41ad4304c3");
+    seen.inbox.extend([1, 2, 3, 4, 5, 6].map(|job| job_record(job, &spec)));
+    seen.state.extend([4, 5].map(|job| state_record(&Record::Job(job, JobRecord::default()))));
+    seen.state.push(state_record(&Record::Job(6, open)));
+    seen.machines = Err("no answer: late".to_string());
+    seen.lease = Some(keyed(("holder", text(LEASE_AND_PEERS, "lease-released"))));
+    assert_eq!(to_json(&sum(&platform, &seen)), text(JOBS_SHOWN, "status-with-open-jobs"));
+}
+
+/// Operators' tools that read `explain --json` of a job.
+#[test]
+fn job_account() {
+    let log = HostLog { host: "entry-1".to_string(), text: JOB_LOG.to_string() };
+    let told = account(0xa1, &[log]).expect("there are lines about it");
+    assert_eq!(to_json(&told), text(JOBS_SHOWN, "account"));
+}
