--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -3,6 +3,7 @@
 //! A type or field that is renamed without its written name makes one of these tests fail. The texts are in
 //! the folder beside this file: a name in each line, then what is written; bytes are in hex.
 
+use std::fmt::Debug;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -15,6 +16,7 @@
 use serde_json::Value;
 use workswood::ops::explain::job::{HostLog, account};
 use workswood::ops::job_status::{self, sum};
+use workswood::ops::jobs::inbox::Stored;
 use workswood::ops::jobs::node::Holder;
 use workswood::ops::jobs::operators::Evacuations;
 use workswood::ops::jobs::record::{
@@ -32,7 +34,7 @@
 use workswood_adapter::{Addresses, PlatformClient};
 use workswood_core::code::{Code, Ran};
 use workswood_core::fleet::{Class, FleetFile, parse};
-use workswood_core::fold::{Assembler, JobPhase, KeyState, Phase, Stance, State};
+use workswood_core::fold::{Assembler, JobPhase, KeyState, Phase, Stance, State, Void};
 use workswood_core::ids::{HostId, Offset, ServiceId, Term};
 use workswood_core::jobs::crash::{Crash, Evidence};
 use workswood_core::jobs::job::WorkerId;
@@ -42,11 +44,12 @@
     AdviceReply, EndKind, JobRecord, JobSpec, Listing, Machine, MachineReply, MachineState, Outcome, Owner,
     Record, Report, SchedConfig, StartReply, StepId, StopReply, TaskId, WorkerAddress, WorkerInfo,
 };
+use workswood_core::member::Liveness;
 use workswood_core::plan::{Act, HostState, Seen, Stop, WaveStatus};
 use workswood_core::record::{DrainReason, Duty, End, Envelope, FORMAT, HostStep, Record as LogRecord};
 use workswood_operators::{ApplyReply, ApplyRequest, Status};
 use workswood_peers::relay::{RelayNews, RelayOrders};
-use workswood_peers::{AdviceOutcome, Frame, HandInOutcome, JobState, Msg};
+use workswood_peers::{AdviceOutcome, CallError, Frame, HandInOutcome, JobState, Msg};
 use workswood_platform::ReadReply;
 use workswood_platform::jobs::{
     Guard, JobPlatform, KeyedRecord, Newest, OperatorItem, StartOrder, StoreError, Tail, Topic, WorkerClock,
@@ -72,6 +75,7 @@
 const LEASE_AND_PEERS: &str = include_str!("stored_formats/lease_and_peers.txt");
 const OPERATOR_RECORDS: &str = include_str!("stored_formats/operator_records.txt");
 const JOBS_SHOWN: &str = include_str!("stored_formats/jobs_shown.txt");
+const DECISIONS: &str = include_str!("stored_formats/decisions.txt");
 const JOB_LOG: &str = include_str!("stored_formats/job_log.txt");
 
 /// The lines of a file, each as its name and its text.
@@ -1027,3 +1031,83 @@
     let told = account(0xa1, &[log]).expect("there are lines about it");
     assert_eq!(to_json(&told), text(JOBS_SHOWN, "account"));
 }
+
+/// What `{:?}` makes of some values, one after the other.
+fn debug<T: Debug>(values: &[T]) -> Vec<String> {
+    values.iter().map(|v| format!("{v:?}")).collect()
+}
+
+/// Status texts that are made with `{:?}` and change with the name of a variant.
+#[test]
+fn debug_names_in_status() {
+    assert_eq!(debug(&[Liveness::Alive, Liveness::Suspect, Liveness::Dead]), ["Alive", "Suspect", "Dead"]);
+    assert_eq!(debug(&Duty::ALL), ["Planner", "Checkpointer"]);
+    let stops = [
+        Stop::Deadline { deadline: "d".to_string() },
+        Stop::Unwell { host: "h".to_string() },
+        Stop::Budget { service: "s".to_string() },
+        Stop::HostsMissing { host: "h".to_string() },
+    ];
+    let written = [
+        r#"Deadline { deadline: "d" }"#,
+        r#"Unwell { host: "h" }"#,
+        r#"Budget { service: "s" }"#,
+        r#"HostsMissing { host: "h" }"#,
+    ];
+    assert_eq!(debug(&stops), written);
+    let voids = [Void::Term, Void::Generation, Void::Phase, Void::Missing, Void::Budget("s".to_string())];
+    assert_eq!(debug(&voids), ["Term", "Generation", "Phase", "Missing", r#"Budget("s")"#]);
+    let voids = [Void::KeyTaken, Void::Expired, Void::Unknown, Void::Repeated];
+    assert_eq!(debug(&voids), ["KeyTaken", "Expired", "Unknown", "Repeated"]);
+    let stale = Void::Stale { version: 1, author: "a".to_string() };
+    let claimed = Void::Claimed { what: "w".to_string(), file: "f".to_string() };
+    let written = [r#"Stale { version: 1, author: "a" }"#, r#"Claimed { what: "w", file: "f" }"#];
+    assert_eq!(debug(&[stale, claimed]), written);
+}
+
+/// Values of log lines that are made with `{:?}`; `explain` and `late` read some of them.
+#[test]
+fn debug_names_in_logs() {
+    let outcomes = [Outcome::Completed, Outcome::Failed, Outcome::Canceled];
+    assert_eq!(debug(&outcomes), ["Completed", "Failed", "Canceled"]);
+    assert_eq!(debug(&[Stored::Yes, Stored::No, Stored::Unknown]), ["Yes", "No", "Unknown"]);
+    let kinds = [EndKind::Done, EndKind::Failed, EndKind::Stopped];
+    assert_eq!(debug(&kinds), ["Done", "Failed", "Stopped"]);
+    let kinds = [EndKind::Lapsed, EndKind::Broken, EndKind::Alone];
+    assert_eq!(debug(&kinds), ["Lapsed", "Broken", "Alone"]);
+    let replies = [StartReply::Taken, StartReply::Refused, StartReply::Ticket, StartReply::Unwell];
+    assert_eq!(debug(&replies), ["Taken", "Refused", "Ticket", "Unwell"]);
+    let replies = [StartReply::Unsure, StartReply::NoAnswer, StartReply::NotSent, StartReply::Deposed];
+    assert_eq!(debug(&replies), ["Unsure", "NoAnswer", "NotSent", "Deposed"]);
+    let replies = [MachineReply::Done, MachineReply::Busy, MachineReply::Impossible];
+    assert_eq!(debug(&replies), ["Done", "Busy", "Impossible"]);
+    let replies = [MachineReply::Fenced, MachineReply::NoAnswer, MachineReply::Later];
+    assert_eq!(debug(&replies), ["Fenced", "NoAnswer", "Later"]);
+    let states = [MachineState::Up, MachineState::Moving, MachineState::Upkeep, MachineState::Down];
+    assert_eq!(debug(&states), ["Up", "Moving", "Upkeep", "Down"]);
+    let errors = [WorkerError::Fenced, WorkerError::Refused, WorkerError::Ticket, WorkerError::Unwell];
+    assert_eq!(debug(&errors), ["Fenced", "Refused", "Ticket", "Unwell"]);
+    let errors = [WorkerError::OtherLife, WorkerError::Restarted(5), WorkerError::NotSent];
+    assert_eq!(debug(&errors), ["OtherLife", "Restarted(5)", "NotSent"]);
+    assert_eq!(debug(&[WorkerError::NoAnswer]), ["NoAnswer"]);
+    let topics = [Topic::Lease, Topic::Inbox(3), Topic::State, Topic::Operators];
+    assert_eq!(debug(&topics), ["Lease", "Inbox(3)", "State", "Operators"]);
+    assert_eq!(debug(&[Topic::Workers, Topic::Status, Topic::Peers]), ["Workers", "Status", "Peers"]);
+    assert_eq!(debug(&[CallError::NotSent, CallError::NoAnswer]), ["NotSent", "NoAnswer"]);
+}
+
+/// Decisions of the planner, which entry hosts log with `{:?}`.
+#[test]
+fn debug_names_of_decisions() {
+    let env: Envelope = from_json(whole(LOG_ENVELOPE));
+    let step = |r: &LogRecord| match r {
+        LogRecord::Host { step, .. } => Some(format!("{step:?}")),
+        LogRecord::Instance { step, .. } => Some(format!("{step:?}")),
+        LogRecord::Job { step, .. } => Some(format!("{step:?}")),
+        _ => None,
+    };
+    let steps: Vec<String> = env.records.iter().filter_map(step).collect();
+    let acts: Vec<Act> = from_json(text(PLATFORM, "acts"));
+    let written: Vec<String> = steps.into_iter().chain(debug(&acts)).collect();
+    assert_eq!(written, DECISIONS.lines().collect::<Vec<_>>());
+}
