--- /dev/null
+++ b/tests/testsuite/stored_formats.rs
@@ -0,0 +1,1113 @@
+//! Texts and bytes as this version stores and sends them are read and written back unchanged.
+//!
+//! A type or field that is renamed without its written name makes one of these tests fail. The texts are in
+//! the folder beside this file: a name in each line, then what is written; bytes are in hex.
+
+use std::fmt::Debug;
+use std::sync::Arc;
+use std::time::Duration;
+
+use futures::FutureExt;
+use futures::future::BoxFuture;
+use parking_lot::Mutex;
+use prost::Message;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::Value;
+use workswood::ops::explain::job::{HostLog, account};
+use workswood::ops::job_status::{self, sum};
+use workswood::ops::jobs::inbox::Stored;
+use workswood::ops::jobs::node::Holder;
+use workswood::ops::jobs::operators::Evacuations;
+use workswood::ops::jobs::record::{
+    InboxItem, StateKey, cancel_record, drop_record, inbox_key, job_record, state_key, state_record,
+};
+use workswood::ops::jobs::relay::order::{Order, What};
+use workswood::ops::jobs::relay::wire::{read_news, read_orders, write_news, write_orders};
+use workswood::ops::jobs::{Node, job_spec, job_state, lease, peers};
+use workswood::ops::model;
+use workswood::ops::model::compare::{Gain, Variant};
+use workswood::ops::model::spec::FaultKind;
+use workswood::ops::model::{Comparison, Figures};
+use workswood::util::job_settings::JobSettings;
+use workswood::util::settings::Settings;
+use workswood_adapter::{Addresses, PlatformClient};
+use workswood_core::code::{Code, Ran};
+use workswood_core::fleet::{Class, FleetFile, parse};
+use workswood_core::fold::{Assembler, JobPhase, KeyState, Phase, Stance, State, Void};
+use workswood_core::ids::{HostId, Offset, ServiceId, Term};
+use workswood_core::jobs::crash::{Crash, Evidence};
+use workswood_core::jobs::job::WorkerId;
+use workswood_core::jobs::policy::ShareOrder;
+use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::{
+    AdviceReply, EndKind, JobRecord, JobSpec, Listing, Machine, MachineReply, MachineState, Outcome, Owner,
+    Record, Report, SchedConfig, StartReply, StepId, StopReply, TaskId, WorkerAddress, WorkerInfo,
+};
+use workswood_core::member::Liveness;
+use workswood_core::plan::{Act, HostState, Seen, Stop, WaveStatus};
+use workswood_core::record::{DrainReason, Duty, End, Envelope, FORMAT, HostStep, Record as LogRecord};
+use workswood_operators::{ApplyReply, ApplyRequest, Status};
+use workswood_peers::relay::{RelayNews, RelayOrders};
+use workswood_peers::{AdviceOutcome, CallError, Frame, HandInOutcome, JobState, Msg};
+use workswood_platform::ReadReply;
+use workswood_platform::jobs::{
+    Guard, JobPlatform, KeyedRecord, Newest, OperatorItem, StartOrder, StoreError, Tail, Topic, WorkerClock,
+    WorkerError,
+};
+use workswood_test_support::job_node::settings;
+
+const PEER_FRAMES: &str = include_str!("stored_formats/peer_frames.txt");
+const SCHEDULER_STATE: &str = include_str!("stored_formats/scheduler_state.txt");
+const INBOX: &str = include_str!("stored_formats/inbox.txt");
+const EARLIER_JOBS: &str = include_str!("stored_formats/earlier_jobs.txt");
+const LOG_ENVELOPE: &str = include_str!("stored_formats/log_envelope.json");
+const FOLD_STATE: &str = include_str!("stored_formats/fold_state.json");
+const FOLD_CHECKPOINT: &str = include_str!("stored_formats/fold_checkpoint.json");
+const ENTRY_SETTINGS: &str = include_str!("stored_formats/entry_settings.json");
+const JOB_SETTINGS: &str = include_str!("stored_formats/job_settings.json");
+const FLEET_FILE: &str = include_str!("stored_formats/fleet_file.json");
+const MODEL_FILE: &str = include_str!("stored_formats/model_file.json");
+const MODEL_COMPARISON: &str = include_str!("stored_formats/model_comparison.json");
+const OPERATORS: &str = include_str!("stored_formats/operators.txt");
+const CODES: &str = include_str!("stored_formats/codes.txt");
+const PLATFORM: &str = include_str!("stored_formats/platform.txt");
+const LEASE_AND_PEERS: &str = include_str!("stored_formats/lease_and_peers.txt");
+const OPERATOR_RECORDS: &str = include_str!("stored_formats/operator_records.txt");
+const JOBS_SHOWN: &str = include_str!("stored_formats/jobs_shown.txt");
+const DECISIONS: &str = include_str!("stored_formats/decisions.txt");
+const JOB_LOG: &str = include_str!("stored_formats/job_log.txt");
+
+/// The lines of a file, each as its name and its text.
+fn lines(file: &str) -> Vec<(&str, &str)> {
+    file.lines().map(|line| line.split_once(' ').expect("a name and a text")).collect()
+}
+
+/// The text of a name in a file.
+fn text<'a>(file: &'a str, name: &str) -> &'a str {
+    let found = lines(file).into_iter().find(|(n, _)| *n == name);
+    found.unwrap_or_else(|| panic!("there is no line {name}")).1
+}
+
+fn from_hex(hex: &str) -> Vec<u8> {
+    let byte = |n: usize| u8::from_str_radix(&hex[n..n + 2], 16).expect("hex digits");
+    (0..hex.len()).step_by(2).map(byte).collect()
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+fn millis(n: u64) -> Duration {
+    Duration::from_millis(n)
+}
+
+fn message(name: &str) -> Msg {
+    let frame = Frame::decode(from_hex(text(PEER_FRAMES, name)).as_slice());
+    frame.expect("a frame").msg.expect("a message that is known")
+}
+
+macro_rules! message {
+    ($kind:ident $name:literal) => {
+        match message($name) {
+            Msg::$kind(m) => m,
+            _ => panic!("{} is another message", $name),
+        }
+    };
+}
+
+/// Processes of the version before and after an upgrade must understand each other's messages.
+#[test]
+fn peer_frames() {
+    let all = lines(PEER_FRAMES);
+    assert_eq!(all.len(), 39);
+    for (n, (name, hex)) in all.into_iter().enumerate() {
+        let frame = Frame::decode(from_hex(hex).as_slice()).expect(name);
+        assert!(frame.msg.is_some(), "{name}");
+        assert_eq!(frame.call, 500 + n as u64, "{name}");
+        assert_eq!(to_hex(&frame.encode_to_vec()), hex, "{name}");
+    }
+}
+
+/// Fields of a message that are exchanged for one another, or have another tag.
+#[test]
+fn peer_message_fields() {
+    let m = message!(Hello "hello");
+    assert_eq!((m.version, m.token.as_str(), m.from.as_str()), (3, "secret", "entry-1#1"));
+    let m = message!(Beats "beats");
+    let own = m.own.expect("the sender's own");
+    assert_eq!((own.address.as_str(), own.id.as_str()), ("10.0.0.1:7001", "entry-1#1"));
+    assert_eq!((own.data_centre.as_str(), own.number, own.next, own.stopping), ("north", 41, 91, true));
+    assert_eq!(m.others[0].number, 42);
+    assert_eq!((m.open[0].instance.as_str(), m.open[0].requests), ("shop/3", 5));
+    let m = message!(SlotAsk "slot-ask");
+    assert_eq!((m.service.as_str(), m.slots, m.from.as_str()), ("shop", 6, "entry-1#1"));
+    let m = message!(SlotLoan "slot-loan");
+    assert_eq!((m.loans[1].id, m.loans[1].endpoint.as_str()), (72, "shop/2"));
+    let m = message!(SlotState "slot-state");
+    assert_eq!((m.service.as_str(), m.from.as_str()), ("shop", "entry-2#1"));
+    assert_eq!((m.kept, m.returned), (vec![71, 300], vec![72]));
+    let m = message!(KeyReply "key-reply");
+    assert_eq!((m.known, m.roster.len()), (true, 2));
+    let m = message!(JobAsk "job-ask");
+    assert_eq!((m.job, m.owner), (0x0123_4567_89ab_cdef, Some(0xfedc_ba98_7654_3210)));
+    assert_eq!(message!(JobAsk "job-ask-of-earlier-version").owner, None);
+    let m = message!(PendingReply "pending-reply");
+    assert_eq!((m.current, m.pending), (true, 42));
+    let m = message!(HandIn "hand-in");
+    assert_eq!((m.records[0].key.as_str(), m.within_ms), ("00000000000000ab", 700));
+    assert_eq!(m.records[0].value.as_ref(), [1, 2, 255]);
+    let m = message!(AdviceAsk "advice-ask");
+    assert_eq!((m.job, m.round, m.step, m.within_ms), (1_000, 2, 3, 800));
+    assert_eq!(m.workers, ["w-1@5", "w-2"]);
+    let m = message!(RelayOpen "relay-open");
+    assert_eq!((m.term, m.session, m.holder.as_str()), (7, 8, "entry-9"));
+    let m = message!(ConfigReply "config-reply");
+    let (evacuated, holder) = (m.evacuated.expect("evacuated"), m.holder.expect("a holder"));
+    assert_eq!((m.record.as_ref(), evacuated.age_ms), (b"config".as_slice(), 1_500));
+    assert_eq!(evacuated.data_centres, ["north", "south"]);
+    assert_eq!((holder.id.as_str(), holder.peers.as_str(), holder.term), ("entry-3#9", "10.0.0.3:7001", 21));
+}
+
+/// Outcomes and states that are told by another number.
+#[test]
+fn peer_message_numbers() {
+    let states = [
+        (message!(JobReply "job-reply-queued"), Some(JobState::Queued)),
+        (message!(JobReply "job-reply-running"), Some(JobState::Running)),
+        (message!(JobReply "job-reply-completed"), Some(JobState::Completed)),
+        (message!(JobReply "job-reply-failed"), Some(JobState::Failed)),
+        (message!(JobReply "job-reply-canceled"), Some(JobState::Canceled)),
+        (message!(JobReply "job-reply-unknown"), None),
+    ];
+    for (reply, state) in states {
+        assert!(reply.current);
+        assert_eq!(reply.state.map(|s| JobState::try_from(s).expect("a state")), state);
+    }
+    let stored: Vec<_> = message!(HandInReply "hand-in-reply").outcomes().collect();
+    assert_eq!(stored, [HandInOutcome::Unknown, HandInOutcome::Stored, HandInOutcome::NotStored]);
+    let advice = [
+        (message!(AdviceReply "advice-reply-no-answer"), AdviceOutcome::NoAnswer),
+        (message!(AdviceReply "advice-reply-answered"), AdviceOutcome::Answered),
+        (message!(AdviceReply "advice-reply-busy"), AdviceOutcome::Busy),
+        (message!(AdviceReply "advice-reply-refused"), AdviceOutcome::Refused),
+        (message!(AdviceReply "advice-reply-not-sent"), AdviceOutcome::NotSent),
+    ];
+    for (reply, outcome) in &advice {
+        assert_eq!(reply.outcome(), *outcome);
+    }
+    let answered = &advice[1].0;
+    assert_eq!((answered.good[0].worker.as_str(), answered.good[0].ticket.as_str()), ("w-1", "t-1"));
+    assert_eq!(answered.valid_ms, Some(60_000));
+}
+
+fn task() -> TaskId {
+    TaskId { job: 0x0123_4567_89ab_cdef, round: 1, step: 2, index: 3 }
+}
+
+/// Orders that a relay takes for other ones than the lease holder sent.
+#[test]
+fn relay_orders() {
+    let m = message!(RelayOrders "relay-orders");
+    assert_eq!(m.grant.map(|g| (g.beat, g.ms)), Some((5, 1_800)));
+    let orders = read_orders(m.orders.clone()).expect("orders that are known");
+    let written = RelayOrders { orders: write_orders(orders.clone()), ..m.clone() };
+    assert_eq!(to_hex(&written.encode_to_vec()), to_hex(&m.encode_to_vec()));
+    assert_eq!(orders.iter().map(|(n, _)| *n).collect::<Vec<_>>(), (11..20).collect::<Vec<_>>());
+    let Order::Attend { worker, token } = &orders[0].1 else { panic!("{:?}", orders[0]) };
+    assert_eq!((worker.id.name(), worker.id.started(), *token), ("w-1", Some(1_700_000_000_123), 77));
+    assert_eq!((worker.address.as_str(), worker.data_centre.as_str()), ("10.0.1.1:9000", "north"));
+    let Order::Attend { worker, .. } = &orders[1].1 else { panic!("{:?}", orders[1]) };
+    assert_eq!(worker.id.started(), None);
+    assert_eq!((&orders[2].1, &orders[3].1), (&Order::Leave, &Order::Forget(19)));
+    assert_eq!(orders[4].1, Order::Figures(true));
+    let Order::Start(start) = &orders[5].1 else { panic!("{:?}", orders[5]) };
+    assert_eq!((start.task, start.attempt, start.text.as_ref()), (task(), 4, "run this"));
+    assert_eq!((start.checkpoint.as_str(), start.ticket.as_deref()), ("c-17", Some("ticket-1")));
+    let Order::Start(start) = &orders[6].1 else { panic!("{:?}", orders[6]) };
+    assert_eq!((start.text.as_ref(), &start.ticket), ("run this", &None));
+    assert_eq!(orders[7].1, Order::Stop { task: task(), attempt: 5 });
+    assert_eq!(orders[8].1, Order::Pace { task: task(), attempt: 6, percent: 45 });
+}
+
+fn check_report(report: &Report) {
+    let running = &report.running[0];
+    assert_eq!((report.whole, running.task, running.attempt), (true, task(), 8));
+    assert_eq!((running.checkpoint.as_str(), running.percent, running.figure), ("c-18", 55, 1_234));
+    assert_eq!(running.still, millis(2_500));
+    assert_eq!(report.gone, [(TaskId { index: 9, ..task() }, 10)]);
+    let kinds: Vec<EndKind> = report.ended.iter().map(|e| e.kind).collect();
+    let known = [EndKind::Done, EndKind::Failed, EndKind::Stopped];
+    assert_eq!((&kinds[..3], kinds.len()), (known.as_slice(), 6));
+    assert_eq!(kinds[3..], [EndKind::Lapsed, EndKind::Broken, EndKind::Alone]);
+    let end = &report.ended[5];
+    assert_eq!((end.number, end.task, end.attempt, end.checkpoint.as_str()), (36, task(), 7, "e-5"));
+}
+
+/// What a relay told to be read as this: the rest of a lease is written rounded up by a millisecond.
+fn as_told((number, what): (u32, What)) -> (u32, What) {
+    let what = match what {
+        What::Unanswered { leased, silent } => What::Unanswered { leased: leased - millis(1), silent },
+        other => other,
+    };
+    (number, what)
+}
+
+/// News of workers that the lease holder takes for other ones than its relay told.
+#[test]
+fn relay_news() {
+    let m = message!(RelayNews "relay-news");
+    assert_eq!((m.beat, m.leaving), (6, true));
+    let news: Vec<_> = m.news.iter().map(|n| read_news(n.clone()).expect("news that are known")).collect();
+    let told = news.iter().cloned().map(as_told).collect();
+    let written = RelayNews { news: write_news(told), ..m.clone() };
+    assert_eq!(to_hex(&written.encode_to_vec()), to_hex(&m.encode_to_vec()));
+    assert_eq!(news.iter().map(|(n, _)| *n).collect::<Vec<_>>(), (21..37).collect::<Vec<_>>());
+    let What::Reported(report) = &news[0].1 else { panic!("{:?}", news[0]) };
+    check_report(report);
+    assert_eq!(news[1].1, What::Doubted);
+    assert_eq!(news[2].1, What::Unanswered { leased: millis(1_501), silent: millis(900) });
+    assert_eq!(news[3].1, What::LifeOver(millis(901)));
+    assert_eq!(news[4].1, What::Restarted(1_700_000_000_456, millis(902)));
+    assert_eq!(news[5].1, What::Fenced);
+    let replies = [
+        StartReply::Taken,
+        StartReply::Refused,
+        StartReply::Ticket,
+        StartReply::Unwell,
+        StartReply::Unsure,
+        StartReply::NoAnswer,
+        StartReply::NotSent,
+        StartReply::Deposed,
+    ];
+    for (reply, (_, what)) in replies.into_iter().zip(&news[6..14]) {
+        assert_eq!(*what, What::Started { task: task(), attempt: 11, reply });
+    }
+    assert_eq!(news[14].1, What::Stopped { task: task(), attempt: 12, reply: StopReply::Taken });
+    assert_eq!(news[15].1, What::Stopped { task: task(), attempt: 13, reply: StopReply::NoAnswer });
+}
+
+/// A line of a file as a record of the store: JSON, bytes in hex, or that its key is dropped.
+fn keyed((key, value): (&str, &str)) -> KeyedRecord {
+    let value = match value {
+        "dropped" => return drop_record(key.to_string()),
+        json if json.starts_with(['{', '"']) => json.as_bytes().to_vec(),
+        hex => from_hex(hex),
+    };
+    KeyedRecord { key: key.to_string(), value: Some(value.into()) }
+}
+
+/// A record of the scheduler's state, read as a new lease holder reads it.
+fn read_state(rec: &KeyedRecord) -> Record {
+    let value = rec.value.as_deref();
+    match (state_key(&rec.key).expect("a key of the state"), value) {
+        (StateKey::Job(job), Some(value)) => {
+            Record::Job(job, job_state::decode(value).expect("a job's state"))
+        }
+        (StateKey::Job(job), None) => Record::DropJob(job),
+        (StateKey::Wave(n), value) => {
+            Record::Wave(n, serde_json::from_slice(value.expect("a value")).expect("a wave's progress"))
+        }
+        (StateKey::Worker(id), Some(value)) => {
+            Record::Worker(id, serde_json::from_slice(value).expect("a worker"))
+        }
+        (StateKey::Worker(id), None) => Record::DropWorker(id),
+        (StateKey::Ordered(machine), value) => {
+            Record::Ordered(machine, value.map(|v| serde_json::from_slice(v).expect("a holder's name")))
+        }
+    }
+}
+
+fn state_of(key: &str) -> Record {
+    read_state(&keyed((key, text(SCHEDULER_STATE, key))))
+}
+
+fn job_state_of(key: &str) -> JobRecord {
+    match state_of(key) {
+        Record::Job(_, state) => state,
+        other => panic!("{other:?}"),
+    }
+}
+
+/// A new lease holder reads what one of the version before has recorded, and the other way around.
+#[test]
+fn scheduler_state() {
+    let all = lines(SCHEDULER_STATE);
+    assert_eq!(all.len(), 10);
+    for line in all {
+        let stored = keyed(line);
+        assert_eq!(state_record(&read_state(&stored)), stored, "{}", line.0);
+    }
+    let Record::Wave(12, wave) = state_of("wave-12") else { panic!("another record") };
+    assert_eq!((&wave.ordered["m-1"], &wave.ordered["m-2"]), (&Some("w-1@5".to_string()), &None));
+    assert!(wave.down.contains("m-1") && wave.finished.contains("m-3"));
+    let Record::Worker(id, worker) = state_of("worker-w-1@1700000000000") else { panic!("another record") };
+    assert_eq!((id.name(), id.started()), ("w-1", Some(1_700_000_000_000)));
+    assert_eq!((worker.address.as_str(), worker.service.as_str()), ("10.0.1.1:9000", "till"));
+    assert_eq!((worker.machine.as_str(), worker.data_centre.as_str()), ("m-1", "north"));
+    let Record::Ordered(machine, holder) = state_of("ordered-m-1") else { panic!("another record") };
+    assert_eq!((machine.as_str(), holder.as_deref()), ("m-1", Some("entry-4")));
+}
+
+/// Fields of a job's state that are exchanged for one another, or have another tag.
+#[test]
+fn job_state_fields() {
+    let job = job_state_of("00000000000000ab");
+    assert_eq!((job.cancelled, job.begun, job.outcome), (true, true, Some(Outcome::Failed)));
+    check_tasks(&job);
+    let done: Vec<bool> = job.rounds[0][1].iter().map(|t| t.done).collect();
+    assert_eq!(done, (0..11).map(|n| n % 3 == 0).collect::<Vec<_>>());
+    assert_eq!(job.rounds[1], [vec![]]);
+    let ended = [
+        ("00000000000000ac", Outcome::Completed, Some(123_456)),
+        ("00000000000000ad", Outcome::Failed, None),
+        ("00000000000000ae", Outcome::Canceled, Some(0)),
+    ];
+    for (key, outcome, work) in ended {
+        let job = job_state_of(key);
+        let over = job.over.expect("it is over");
+        assert_eq!((job.outcome, over.work, over.accepted), (Some(outcome), work, 1_700_000_000_789));
+        assert_eq!((over.queue.as_str(), over.service.as_str()), ("desk", "till"));
+        assert_eq!((over.room.cpu_millis, over.room.mem_mb, over.room.gpus), (1_500, 2_048, 2));
+        assert_eq!(over.owner, Owner::of(Some("team-a")));
+    }
+}
+
+/// The tasks of the first step: one done, two that run, one given up, and one with all that is stored.
+fn check_tasks(job: &JobRecord) {
+    let tasks = &job.rounds[0][0];
+    assert_eq!((tasks.len(), tasks[0].done, tasks[1].done), (5, true, false));
+    assert_eq!(tasks[1].runs, [("w-1@1700000000000".into(), 1)].into());
+    assert_eq!((tasks[2].attempt, tasks[3].attempt, tasks[3].given_up), (2, 3, true));
+    let full = &tasks[4];
+    assert_eq!((full.attempt, full.checkpoint.as_str()), (9, "c-5"));
+    assert_eq!((&full.failed, &full.evicted), (&[1, 2].into(), &[6].into()));
+    let runs: Vec<_> = full.runs.iter().map(|(worker, attempt)| (worker.as_str(), *attempt)).collect();
+    assert_eq!(runs, [("w-2", 6), ("w-3", 7)]);
+    let crash = |evidence, within| Crash { evidence, within };
+    assert_eq!(full.crashes.0[&3], crash(Evidence::Explains, Some(millis(40))));
+    assert_eq!(full.crashes.0[&4], crash(Evidence::Beside, Some(millis(0))));
+    assert_eq!(full.crashes.0[&5], crash(Evidence::Supposed, None));
+}
+
+fn inbox_spec(key: &str) -> JobSpec {
+    let stored = keyed((key, text(INBOX, key)));
+    job_spec::decode(&stored.value.expect("a value")).expect("a job")
+}
+
+/// Jobs and cancels that a host of another version has accepted.
+#[test]
+fn inbox() {
+    let all = lines(INBOX);
+    assert_eq!(all.len(), 4);
+    for line in all {
+        let stored = keyed(line);
+        let key = inbox_key(line.0).expect("a key of the inbox");
+        let written = match key.what {
+            InboxItem::Job => job_record(key.job, &inbox_spec(line.0)),
+            InboxItem::Cancel => cancel_record(key.job, key.owner),
+        };
+        assert_eq!(written, stored, "{}", line.0);
+        assert_eq!(key.drop_record(), drop_record(line.0.to_string()));
+    }
+    check_spec(&inbox_spec("00000000000000ab-828a5f41ad4304c3"));
+    let open = inbox_spec("00000000000000ac");
+    assert_eq!((open.workspace, open.repeat), (None, None));
+}
+
+fn check_spec(spec: &JobSpec) {
+    assert_eq!((spec.queue.as_str(), spec.service.as_str()), ("desk", "till"));
+    assert_eq!((spec.workspace.as_deref(), spec.priority, spec.max_attempts), (Some("team-a"), 5, 6));
+    assert_eq!((spec.text.as_ref(), spec.accepted), ("run this \"text\"", 1_700_000_000_321));
+    let repeat = spec.repeat.expect("rounds");
+    assert_eq!((repeat.count, repeat.start, repeat.every), (4, 1_700_000_060_000, millis(90_000)));
+    let step = &spec.steps[2];
+    assert_eq!((step.room.cpu_millis, step.room.mem_mb, step.room.gpus), (500, 256, 1));
+    assert_eq!((step.count, step.most_per_worker, step.may_miss), (3, 2, 4));
+    assert_eq!((step.estimate, step.target, &step.after), (millis(1_250), Some(millis(350)), &vec![0, 1]));
+    let texts = [&step.label, &step.near, &step.image].map(|t| t.as_deref());
+    assert_eq!(texts, [Some("ssd"), Some("north-r1"), Some("img:7")]);
+    assert!(step.checkpointing && step.gang && step.same_rack);
+    assert!(step.speculative && step.lasting && step.fills);
+}
+
+/// Jobs and their state as versions before this one have stored them, in JSON.
+#[test]
+fn jobs_of_earlier_versions() {
+    for name in ["state", "state-of-completed", "state-of-failed"] {
+        let json = text(EARLIER_JOBS, name);
+        let state = job_state::decode(json.as_bytes()).expect("a job's state");
+        assert_eq!(serde_json::to_string(&state).expect("JSON"), json);
+    }
+    let read = |name: &str| job_state::decode(text(EARLIER_JOBS, name).as_bytes()).expect("a job's state");
+    assert_eq!((read("state").cancelled, read("state").outcome), (true, Some(Outcome::Canceled)));
+    check_tasks(&read("state"));
+    assert_eq!(read("state-of-completed").outcome, Some(Outcome::Completed));
+    assert_eq!(read("state-of-failed").outcome, Some(Outcome::Failed));
+    let json = text(EARLIER_JOBS, "spec");
+    let spec = job_spec::decode(json.as_bytes()).expect("a job");
+    assert_eq!(serde_json::to_string(&spec).expect("JSON"), json);
+    check_spec(&spec);
+}
+
+/// One text of a file that holds nothing else.
+fn whole(file: &str) -> &str {
+    file.strip_suffix('\n').expect("a line")
+}
+
+fn from_json<T: DeserializeOwned>(json: &str) -> T {
+    serde_json::from_str(json).expect("it is read")
+}
+
+fn to_json<T: Serialize>(value: &T) -> String {
+    serde_json::to_string(value).expect("it is written")
+}
+
+/// Whether a text is read and written back unchanged; returns what was read.
+fn read_back<T: DeserializeOwned + Serialize>(json: &str) -> T {
+    let value: T = from_json(json);
+    assert_eq!(to_json(&value), json);
+    value
+}
+
+/// Processes of another version fold the log to the same state: a record whose kind or field has another
+/// name is taken for one of an unknown kind.
+#[test]
+fn log_envelope() {
+    let env: Envelope = read_back(whole(LOG_ENVELOPE));
+    assert_eq!((env.v, env.from.as_str(), env.seq, env.at), (1, "entry-1#1", 12, 1_764_640_000_123));
+    assert_eq!(env.records.len(), 34);
+    let known = env.records.iter().position(|r| matches!(r, LogRecord::Unknown(_)));
+    assert_eq!(known, Some(33), "only the last record is of an unknown kind");
+    let LogRecord::Apply { id, base, author, file } = &env.records[0] else { panic!("another record") };
+    assert_eq!((id.as_str(), *base, author.as_str()), ("c-1", 4, "ann"));
+    check_fleet(file);
+    let LogRecord::Take { duty, holder, term, seen } = &env.records[1] else { panic!("another record") };
+    assert_eq!((*duty, holder.as_str(), *term, *seen), (Duty::Planner, "entry-1#1", 5, 6));
+    assert!(matches!(env.records[2], LogRecord::Renew { duty: Duty::Checkpointer, term: 7 }));
+    assert!(matches!(env.records[3], LogRecord::GiveUp { duty: Duty::Planner, term: 8 }));
+    check_host_records(&env.records[5..18]);
+    let LogRecord::Claim { digest, last_moment, deferred, .. } = &env.records[22] else {
+        panic!("another record")
+    };
+    let deferred = deferred.as_ref().expect("a deferred request");
+    assert_eq!((*digest, *last_moment, deferred.repeatable), (15, 16, true));
+    assert_eq!((deferred.method.as_str(), deferred.path.as_str()), ("POST", "/d?x=1"));
+    let LogRecord::Finish { end, .. } = &env.records[24] else { panic!("another record") };
+    assert_eq!(*end, End::Answered { status: 200, body: Some("b2s=".to_string()) });
+}
+
+/// Records of one host, a record for each step.
+fn check_host_records(records: &[LogRecord]) {
+    let steps = records.iter().map(|r| match r {
+        LogRecord::Host { term: 10, generation: 11, step, .. } => step,
+        other => panic!("{other:?}"),
+    });
+    let steps: Vec<&HostStep> = steps.collect();
+    assert!(matches!(steps[0], HostStep::Seen { cpus: 16, memory_gib: 64, accelerators: 2, .. }));
+    assert_eq!((steps[1], steps[2]), (&HostStep::Health { up: true }, &HostStep::Foreign { foreign: true }));
+    let moved = DrainReason::Move { to: "batch".to_string() };
+    assert_eq!(*steps[4], HostStep::Drain { reason: moved });
+    let maintained = DrainReason::Maintain { name: "kernel".to_string() };
+    assert_eq!(*steps[5], HostStep::Drain { reason: maintained });
+    assert_eq!(*steps[6], HostStep::Drain { reason: DrainReason::Release });
+    assert_eq!((steps[7], steps[8], steps[9]), (&HostStep::Drained, &HostStep::Undrain, &HostStep::Flip));
+    assert_eq!(*steps[10], HostStep::Reboot { boot: "b-1".to_string() });
+    assert_eq!((steps[11], steps[12]), (&HostStep::Return, &HostStep::Forget));
+}
+
+/// A process that starts takes a state over that another version has written.
+#[test]
+fn fold_state() {
+    let text = whole(FOLD_STATE);
+    let state = State::from_text(text).expect("a state");
+    assert_eq!(state.text(), text);
+    let file = &state.files["shop"];
+    assert_eq!((file.version, file.offset, file.change.as_str(), file.digest), (3, 60, "c-1", 61));
+    check_fleet(&file.file);
+    let lease = &state.leases[&Duty::Checkpointer];
+    assert_eq!((&lease.holder, lease.term, lease.renewals), (&None, 7, 8));
+    let host = &state.hosts["h-6"];
+    assert_eq!((host.generation, host.offset, host.since), (106, 206, 306));
+    assert_eq!((host.pool_generation, host.act_generation), (406, 506));
+    let rebooting = Phase::Rebooting { name: "kernel".to_string(), boot: "b-1".to_string() };
+    assert_eq!((&host.phase, host.maintained.len()), (&rebooting, 1));
+    assert!(matches!(state.hosts["h-4"].phase, Phase::Drained(DrainReason::Release)));
+    let key = &state.keys["order-1"];
+    assert_eq!((key.digest, key.last_moment, key.attempts), (601, 1_764_640_000_001, 3));
+    assert_eq!(key.state, KeyState::Running { holder: "entry-1#1".to_string() });
+    let job = &state.jobs["report-3"];
+    assert_eq!((&job.phase, job.token, job.since), (&JobPhase::Failed, 63, 64));
+    assert_eq!((job.failures, job.losses, state.jobs["report-0"].losses), (1, 3, 0));
+    assert_eq!((state.unknown, state.host_moves, state.instance_moves), (66, 67, 68));
+    assert_eq!((state.next, state.roster_generation), (70, 9));
+}
+
+/// The checkpoint of a state has another digest, or can't be put together.
+#[test]
+fn fold_checkpoint() {
+    let mut state = State::from_text(whole(FOLD_STATE)).expect("a state");
+    let holder = "entry-1#1".to_string();
+    let take = LogRecord::Take { duty: Duty::Checkpointer, holder: holder.clone(), term: 8, seen: 8 };
+    let records = vec![take, LogRecord::Mark { term: 8 }];
+    let env = Envelope { v: FORMAT, from: holder, seq: 66, at: 1_764_640_000_500, records };
+    assert_eq!(state.fold(70, &env), [Ok(()), Ok(())]);
+    let written: Vec<String> = state.checkpoint().iter().map(to_json).collect();
+    assert_eq!(written, [whole(FOLD_CHECKPOINT)]);
+    let read = Assembler::default().take(&read_back(whole(FOLD_CHECKPOINT)));
+    assert_eq!(read.expect("the one part is the whole state").text(), state.text());
+}
+
+/// The path of a file that is read by its path.
+fn path(name: &str) -> String {
+    format!("{}/{name}", env!("CARGO_MANIFEST_DIR"))
+}
+
+/// A settings file of an entry process that no longer reads, or of which a field is left out.
+#[test]
+fn entry_settings() {
+    let name = "tests/testsuite/stored_formats/entry_settings.json";
+    let s = Settings::read(&path(name)).expect("good settings");
+    assert_eq!(to_json(&s), whole(ENTRY_SETTINGS));
+    assert_eq!((s.name.as_str(), s.data_centre.as_str()), ("entry-1", "north"));
+    let ports = [s.callers, s.operators, s.peers, s.platform].map(|a| a.port());
+    assert_eq!((ports, s.seeds.len()), ([8001, 8002, 8003, 8004], 2));
+    assert_eq!(
+        (s.operators_token_file.as_str(), s.peers_token_file.as_str()),
+        ("operators.token", "peers.token")
+    );
+    assert_eq!((s.balancer_lag, s.stop_limit), (millis(4_500), millis(61_000)));
+    assert_eq!((s.checkpoint_every, s.appends_per_second), (millis(62_500), 91));
+}
+
+/// Likewise of a process that runs jobs; every value of the policy differs from its default.
+#[test]
+fn job_settings() {
+    let s =
+        JobSettings::read(&path("tests/testsuite/stored_formats/job_settings.json")).expect("good settings");
+    assert_eq!(to_json(&s), whole(JOB_SETTINGS));
+    let ports = [s.callers, s.readiness, s.peers, s.metrics].map(|a| a.port());
+    assert_eq!((ports, s.store_parts), ([8011, 8012, 8013, 8014], 3));
+    assert_eq!((s.store.as_str(), s.machines.as_str()), ("10.0.0.2:9001", "10.0.0.2:9002"));
+    assert_eq!((s.adviser(), s.cores, s.link_mbps), (Some("10.0.0.2:9003"), 0.125, 20.5));
+    assert_eq!((s.longest_lease_ms, s.machine_handover_ms, s.in_step_within_ms), (10_001, 3_002, 3_003));
+    assert_eq!((s.machine_orders_per_s, s.early_ms), (65.5, 104));
+    assert_eq!((s.keep_ended_s, s.stop_within_s), (120.5, 6.25));
+    let p = &s.policy;
+    assert_eq!((p.order.enough_ends, p.order.shares), (9, ShareOrder::Excess));
+    assert_eq!((p.placement.most_misses, p.need.turn_jobs, p.pools.margin), (9, 4, 0.01875));
+    assert_eq!((p.waves.ahead, p.health.shun_one_of), (millis(4_007), 4));
+    assert_eq!((p.crashes.suspect_after, p.pace.step, p.calls.help), (4, 16, false));
+    assert_eq!((p.advice.helpers, p.relays.most_workers), (6, 101));
+    for (name, order) in [("plain", ShareOrder::Plain), ("dominant", ShareOrder::Dominant)] {
+        let other = whole(JOB_SETTINGS).replace("\"excess\"", &format!("\"{name}\""));
+        assert_eq!(read_back::<JobSettings>(&other).policy.order.shares, order);
+    }
+}
+
+fn check_fleet(file: &FleetFile) {
+    assert_eq!((file.objective.moves, file.objective.rollout, file.objective.buffer), (2, 3, 4));
+    let (host, pool) = (&file.hosts[0], &file.pools[0]);
+    assert_eq!((host.cpus, host.memory_gib, host.accelerators), (16, 64, 2));
+    assert_eq!((pool.min_cpus, pool.min_memory_gib, pool.min_accelerators), (8, 32, 1));
+    let service = &file.services[0];
+    assert_eq!((service.instances, service.cpus, service.memory_gib), (3, 5, 9));
+    assert_eq!((service.slots, service.window, service.connections), (7, 10, 65));
+    let budget = &service.budget;
+    assert_eq!((budget.min_available, budget.max_unavailable_per_data_centre), (2, Some(1)));
+    assert!(budget.reserve_rack);
+    let classes: Vec<Class> = service.routes.iter().map(|r| r.class).collect();
+    assert_eq!(classes, Class::ALL);
+    let m = &file.maintenance[0];
+    assert_eq!((m.duration, m.start, m.deadline), (millis(600_000), 1_764_640_800_000, 1_764_900_000_000));
+    assert_eq!((m.keep_clear[0].from, m.keep_clear[0].to), (1_764_700_000_000, 1_764_710_000_000));
+    assert_eq!((m.max_parallel, m.paused), (4, true));
+    assert_eq!((file.teams[0].quota_cpus, file.jobs[0].cpus, file.jobs[0].memory_gib), (40, 3, 6));
+    assert_eq!((file.jobs[0].class, file.jobs[0].repeatable), (Class::Later, true));
+}
+
+fn example(name: &str) -> String {
+    std::fs::read_to_string(path(&format!("examples/{name}.json"))).expect("an example")
+}
+
+fn json(text: &str) -> Value {
+    from_json(text)
+}
+
+/// Whether all that an operator wrote stands in what was read; times may be worded otherwise.
+fn holds(read: &Value, wrote: &Value) -> bool {
+    match (read, wrote) {
+        (Value::Object(read), Value::Object(wrote)) => {
+            wrote.iter().all(|(field, value)| read.get(field).is_some_and(|r| holds(r, value)))
+        }
+        (Value::Array(read), Value::Array(wrote)) => {
+            read.len() == wrote.len() && read.iter().zip(wrote).all(|(r, w)| holds(r, w))
+        }
+        (Value::String(read), Value::String(wrote)) => {
+            let time = |text: &str| humantime::parse_duration(text).ok();
+            read == wrote || time(read).is_some_and(|t| Some(t) == time(wrote))
+        }
+        (Value::Number(read), Value::Number(wrote)) => read.as_f64() == wrote.as_f64(),
+        _ => read == wrote,
+    }
+}
+
+/// Operators' fleet files that no longer read, or of which a field is left out.
+#[test]
+fn fleet_files() {
+    let file = parse(FLEET_FILE).expect("a good file");
+    assert_eq!(to_json(&file), whole(FLEET_FILE));
+    check_fleet(&file);
+    for name in ["factoring", "gridlark"] {
+        let example = example(name);
+        let file = parse(&example).expect("a good file");
+        assert!(holds(&json(&to_json(&file)), &json(&example)), "{name}");
+        assert_eq!(parse(&to_json(&file)).expect("what was written is read"), file);
+    }
+}
+
+/// Files of the model that no longer read, or of which a field is left out.
+#[test]
+fn model_files() {
+    let spec = model::read(&path("tests/testsuite/stored_formats/model_file.json")).expect("a good file");
+    assert_eq!(to_json(&spec), whole(MODEL_FILE));
+    let kinds: Vec<FaultKind> = spec.faults.iter().map(|f| f.kind).collect();
+    assert_eq!(kinds[..2], [FaultKind::HolderDies, FaultKind::StoreSlow(2.5)]);
+    assert_eq!(kinds[2..4], [FaultKind::MachinesDark(3), FaultKind::ReportsLate(0.25)]);
+    assert_eq!(kinds[4..], [FaultKind::TasksCrash(0.125), FaultKind::Evacuated(1)]);
+    assert_eq!((spec.lasts, spec.turn, spec.peak, spec.rest), (millis(42_500), millis(8_250), 4.5, 0.0625));
+    for name in ["model-crashes", "model-overload", "model-turns"] {
+        let spec = model::read(&path(&format!("examples/{name}.json"))).expect("a good file");
+        assert!(holds(&json(&to_json(&spec)), &json(&example(name))), "{name}");
+    }
+}
+
+/// Commands and entry hosts of two versions, and operators' tools that read what they say.
+#[test]
+fn operators_api() {
+    let request: ApplyRequest = read_back(text(OPERATORS, "apply-request"));
+    assert_eq!((request.id.as_str(), request.base, request.wait_ms), ("c-1", 4, 5_000));
+    assert_eq!((request.author.as_str(), request.text.as_str()), ("ann", "{}"));
+    let accepted: ApplyReply = read_back(text(OPERATORS, "apply-accepted"));
+    assert_eq!(accepted, ApplyReply::Accepted { version: 5, offset: 6, behind: vec!["entry-2".to_string()] });
+    let refused: ApplyReply = read_back(text(OPERATORS, "apply-refused"));
+    let ApplyReply::Refused { code: Code::StaleBase, issues, .. } = refused else { panic!("{refused:?}") };
+    assert_eq!((issues[0].code, issues[0].path.as_str()), (204, "pools[0].size"));
+    let unknown: ApplyReply = read_back(text(OPERATORS, "apply-unknown"));
+    assert_eq!(unknown, ApplyReply::Unknown { code: Code::ApplyUnknown });
+    let status: Status = read_back(text(OPERATORS, "status"));
+    assert!(status.ready && status.log_up && status.entries[0].on_roster);
+    assert_eq!((status.next, status.entries[0].next, status.files[0].offset), (70, 69, 60));
+    assert_eq!((status.keys, status.open_deferred, status.unknown_records), (11, 12, 13));
+    assert_eq!((status.invariants_broken, status.host_moves, status.instance_moves), (14, 15, 16));
+    let pool = &status.hosts[0];
+    assert_eq!(
+        (pool.active, &pool.away[0], &pool.down[0], &pool.foreign[0]),
+        (4, &"h-1".into(), &"h-2".into(), &"h-3".into())
+    );
+}
+
+/// The names of codes, which answers to operators carry.
+#[test]
+fn code_names() {
+    let written: Vec<String> = Code::ALL.iter().map(|c| format!("{} {}", c.number(), to_json(c))).collect();
+    assert_eq!(written, CODES.lines().collect::<Vec<_>>());
+    for (code, (_, json)) in Code::ALL.iter().zip(lines(CODES)) {
+        assert_eq!(from_json::<Code>(json), *code);
+    }
+    assert_eq!(
+        read_back::<[Ran; 3]>(r#"["run","not-run","unknown"]"#),
+        [Ran::Run, Ran::NotRun, Ran::Unknown]
+    );
+}
+
+/// Where waves and budgets stand, which is within what `status` tells.
+#[test]
+fn waves_and_budgets() {
+    let at = |day: u32| format!("2026-12-0{day}T02:00:00Z");
+    let stops = [
+        Stop::Finished,
+        Stop::Paused,
+        Stop::NotYet { start: at(2) },
+        Stop::Deadline { deadline: at(3) },
+        Stop::KeepClear { from: at(4) },
+        Stop::Canary { host: "h-1".to_string() },
+        Stop::Unwell { host: "h-2".to_string() },
+        Stop::Budget { service: "shop".to_string() },
+        Stop::MaxParallel,
+        Stop::HostsMissing { host: "h-3".to_string() },
+        Stop::Running,
+    ];
+    let wave = |(n, stop)| WaveStatus {
+        name: format!("wave-{n}"),
+        done: 1,
+        away: vec!["h-4".to_string()],
+        left: 2,
+        stop,
+    };
+    let waves: Vec<WaveStatus> = stops.into_iter().enumerate().map(wave).collect();
+    assert_eq!(to_json(&waves), text(OPERATORS, "waves"));
+    let budget = Stance { service: "shop".to_string(), available: 3, min_available: 2, slack: -1 };
+    assert_eq!(to_json(&[budget]), text(OPERATORS, "budgets"));
+}
+
+/// Calls to the platform and its answers.
+#[test]
+fn platform_api() {
+    let read: ReadReply = read_back(text(PLATFORM, "read"));
+    assert_eq!((read.first, read.head, read.records[0].offset), (3, 9, 4));
+    let acts: Vec<Act> = read_back(text(PLATFORM, "acts"));
+    let (host, task) = ("h-1".to_string(), "shop/1".to_string());
+    assert_eq!(acts[0], Act::SetPool { host: host.clone(), pool: "web".to_string(), token: 1 });
+    assert_eq!(acts[1], Act::Drain { host: host.clone(), token: 2 });
+    assert_eq!(acts[2], Act::Undrain { host: host.clone(), token: 3 });
+    assert_eq!(acts[3], Act::Reboot { host: host.clone(), boot: "b-1".to_string(), token: 4 });
+    assert_eq!(acts[4], Act::Start { host: host.clone(), task: task.clone(), token: 5 });
+    assert_eq!(acts[5], Act::Stop { host, task, token: 6 });
+    let seen: Seen = read_back(text(PLATFORM, "hosts"));
+    let states = ["h-1", "h-2", "h-3"].map(|h| seen.hosts[h].state);
+    assert_eq!(states, [HostState::Live, HostState::Leaving, HostState::Down]);
+    let host = &seen.hosts["h-1"];
+    assert_eq!((host.draining, host.drained, host.token), (true, true, 8));
+    assert_eq!(
+        (host.tasks[0].ended, host.tasks[1].ended, host.tasks[1].used_millis),
+        (None, Some(true), 1_500)
+    );
+}
+
+/// Figures of the model as `--json` tells them.
+#[test]
+fn model_comparison() {
+    let figures = |n: f64| Figures {
+        jobs: n,
+        in_time: n + 0.5,
+        worst: n + 1.0,
+        worst_spread: n + 1.5,
+        machines: n + 2.0,
+        busy: n + 2.5,
+        least: n + 3.0,
+        forecast: n + 3.5,
+        moves: n + 4.0,
+        crashes: n + 4.5,
+    };
+    let gain = Some(Gain { in_time: 0.25, error: 0.125 });
+    let variant =
+        Variant { name: "full=0.5".to_string(), mean: figures(1.0), gain, runs: vec![figures(2.0)] };
+    let told = Comparison { first_seed: 3, seeds: 2, variants: vec![variant] };
+    assert_eq!(to_json(&told), whole(MODEL_COMPARISON));
+}
+
+/// A store of one topic. It runs on the clock of the test; nothing else answers.
+struct OneTopic {
+    topic: Topic,
+    records: Mutex<Vec<KeyedRecord>>,
+}
+
+impl OneTopic {
+    fn new(topic: Topic, first: KeyedRecord) -> Arc<OneTopic> {
+        Arc::new(OneTopic { topic, records: Mutex::new(vec![first]) })
+    }
+
+    /// The first record that a process appends: its key and its text.
+    async fn appended(&self) -> (String, String) {
+        let appended = async {
+            while self.records.lock().len() == 1 {
+                tokio::time::sleep(millis(100)).await;
+            }
+        };
+        tokio::time::timeout(millis(60_000), appended).await.expect("a record is appended");
+        let KeyedRecord { key, value } = self.records.lock()[1].clone();
+        (key, String::from_utf8(value.expect("a value").to_vec()).expect("JSON"))
+    }
+
+    fn read(&self, topic: Topic, from: Offset) -> Result<Tail, StoreError> {
+        let records = self.records.lock();
+        let next = records.len() as Offset;
+        let read = records.iter().skip(from as usize).cloned().collect();
+        if topic == self.topic { Ok(Tail { records: read, next }) } else { Err(not_done()) }
+    }
+}
+
+fn not_done() -> StoreError {
+    StoreError::NotDone { text: "nothing but one topic is here".to_string() }
+}
+
+fn no_worker<T: Send + 'static>() -> BoxFuture<'static, Result<T, WorkerError>> {
+    async { Err(WorkerError::NotSent) }.boxed()
+}
+
+impl JobPlatform for OneTopic {
+    fn append(
+        &self,
+        topic: Topic,
+        records: Vec<KeyedRecord>,
+        _: Guard,
+    ) -> BoxFuture<'_, Result<Offset, StoreError>> {
+        let appended = self.read(topic, 0).map(|tail| tail.next);
+        if appended.is_ok() {
+            self.records.lock().extend(records);
+        }
+        async { appended }.boxed()
+    }
+
+    fn newest(&self, topic: Topic) -> BoxFuture<'_, Result<Newest, StoreError>> {
+        let tail = self.read(topic, 0);
+        async { tail.map(|t| Newest { records: t.records, next: t.next }) }.boxed()
+    }
+
+    fn tail(&self, topic: Topic, from: Offset, wait: Duration) -> BoxFuture<'_, Result<Tail, StoreError>> {
+        async move {
+            tokio::time::sleep(wait).await;
+            self.read(topic, from)
+        }
+        .boxed()
+    }
+
+    fn operator_item(&self, _: &KeyedRecord) -> Result<Option<OperatorItem>, String> {
+        Ok(None)
+    }
+
+    fn worker_info(&self, _: &KeyedRecord) -> Result<WorkerInfo, String> {
+        Err("no workers here".to_string())
+    }
+
+    fn wave_status(&self, number: u64, _: bool) -> KeyedRecord {
+        drop_record(number.to_string())
+    }
+
+    fn look<'a>(
+        &'a self,
+        _: &'a WorkerAddress,
+        _: Term,
+        _: u64,
+        _: Option<WorkerClock>,
+        _: Duration,
+    ) -> BoxFuture<'a, Result<(WorkerClock, Listing), WorkerError>> {
+        no_worker()
+    }
+
+    fn start<'a>(
+        &'a self,
+        _: &'a WorkerAddress,
+        _: Term,
+        _: StartOrder,
+    ) -> BoxFuture<'a, Result<(), WorkerError>> {
+        no_worker()
+    }
+
+    fn stop<'a>(
+        &'a self,
+        _: &'a WorkerAddress,
+        _: Term,
+        _: TaskId,
+        _: u32,
+    ) -> BoxFuture<'a, Result<(), WorkerError>> {
+        no_worker()
+    }
+
+    fn pace<'a>(
+        &'a self,
+        _: &'a WorkerAddress,
+        _: Term,
+        _: TaskId,
+        _: u32,
+        _: u32,
+    ) -> BoxFuture<'a, Result<(), WorkerError>> {
+        no_worker()
+    }
+
+    fn advise<'a>(&'a self, _: StepId, _: &'a [WorkerId], _: Duration) -> BoxFuture<'a, AdviceReply> {
+        async { AdviceReply::NotSent }.boxed()
+    }
+
+    fn machines(&self) -> BoxFuture<'_, Result<Vec<Machine>, StoreError>> {
+        async { Err(not_done()) }.boxed()
+    }
+
+    fn upkeep(&self, _: &str, _: Term, _: HostId, _: u64) -> BoxFuture<'_, MachineReply> {
+        async { MachineReply::Later }.boxed()
+    }
+
+    fn move_machine(&self, _: &str, _: Term, _: HostId, _: ServiceId) -> BoxFuture<'_, MachineReply> {
+        async { MachineReply::Later }.boxed()
+    }
+}
+
+/// A process that follows the lease in a store whose newest record is this one.
+fn lease_follower(text: &str) -> (Arc<OneTopic>, Arc<Node>) {
+    let store = OneTopic::new(Topic::Lease, keyed(("holder", text)));
+    let node = Arc::new(Node::new(settings("entry-1"), store.clone()));
+    node.configure(Arc::new(SchedConfig { version: 1, ..SchedConfig::default() }), "config".into());
+    node.operators.evacuate(Evacuations::default());
+    tokio::spawn(lease::run(node.clone()));
+    (store, node)
+}
+
+/// Who holds the lease, as a process takes it from this record.
+async fn holder_read(text: &str) -> Arc<Holder> {
+    let (_, node) = lease_follower(text);
+    tokio::time::sleep(millis(100)).await;
+    node.holder.load_full().expect("the holder is known")
+}
+
+/// A process does not see that the lease is held by one of another version, or claims it in another form.
+#[tokio::test(start_paused = true)]
+async fn lease_record() {
+    let held = holder_read(text(LEASE_AND_PEERS, "lease-held")).await;
+    assert_eq!((held.id.as_str(), held.peers.as_str()), ("a1", "10.0.0.3:7001"));
+    assert_eq!((held.term, held.released), (7, false));
+    let earlier = holder_read(text(LEASE_AND_PEERS, "lease-of-earlier-version")).await;
+    assert_eq!((earlier.term, earlier.released), (8, false));
+    let released = text(LEASE_AND_PEERS, "lease-released");
+    assert!(holder_read(released).await.released);
+    let (store, node) = lease_follower(released);
+    let (key, claimed) = store.appended().await;
+    assert_eq!(claimed.replace(&node.id, "ID"), text(LEASE_AND_PEERS, "lease-claimed"));
+    assert_eq!(key, "holder");
+}
+
+/// Processes of two versions do not find each other.
+#[tokio::test(start_paused = true)]
+async fn peer_record() {
+    let other = text(LEASE_AND_PEERS, "peer-read");
+    let store = OneTopic::new(Topic::Peers, keyed(("entry-7", other)));
+    let node = Arc::new(Node::new(settings("entry-1"), store.clone()));
+    tokio::spawn(peers::run(node.clone()));
+    let (key, written) = store.appended().await;
+    assert_eq!(node.peers.address_of("entry-7").as_deref(), Some("10.0.0.7:7001"));
+    let hosts = node.peers.news_of_hosts(&mut 0).expect("they are known");
+    assert_eq!((hosts[0].name.as_str(), hosts[0].data_centre.as_str()), ("entry-7", "south"));
+    assert_eq!((hosts.len(), hosts[0].strength), (1, 1_200));
+    let at = json(&written)["at"].as_u64().expect("when it was written");
+    assert_eq!(written.replace(&at.to_string(), "AT"), text(LEASE_AND_PEERS, "peer-written"));
+    assert_eq!(key, "entry-1");
+}
+
+fn machine(name: &str, state: MachineState) -> Machine {
+    Machine {
+        name: name.to_string(),
+        pool: "till".to_string(),
+        state,
+        data_centre: "north".to_string(),
+        labels: Vec::new(),
+        capacity: Room::default(),
+        worker: None,
+    }
+}
+
+/// Operators' tools that read `status --jobs --json`.
+#[test]
+fn jobs_status() {
+    let away = "127.0.0.1:1".to_string();
+    let platform = PlatformClient::new(Addresses { store: away.clone(), machines: away, adviser: None });
+    let records = |file| lines(file).into_iter().map(keyed).collect();
+    let states = [MachineState::Up, MachineState::Moving, MachineState::Upkeep, MachineState::Down];
+    let mut seen = job_status::Seen {
+        at: 1_700_000_100_000,
+        lease: Some(keyed(("holder", text(LEASE_AND_PEERS, "lease-held")))),
+        renewed: true,
+        operators: records(OPERATOR_RECORDS),
+        inbox: records(INBOX),
+        state: records(SCHEDULER_STATE),
+        workers: vec![keyed(("w-9", "\"no worker\""))],
+        published: vec![platform.wave_status(12, true)],
+        machines: Ok(states.map(|state| machine("m-1", state)).into()),
+    };
+    assert_eq!(to_json(&sum(&platform, &seen)), text(JOBS_SHOWN, "status"));
+    let open = JobRecord { outcome: None, ..job_state_of("00000000000000ab") };
+    let spec = inbox_spec("00000000000000ab-828a5f41ad4304c3");
+    seen.inbox.extend([1, 2, 3, 4, 5, 6].map(|job| job_record(job, &spec)));
+    seen.state.extend([4, 5].map(|job| state_record(&Record::Job(job, JobRecord::default()))));
+    seen.state.push(state_record(&Record::Job(6, open)));
+    seen.machines = Err("no answer: late".to_string());
+    seen.lease = Some(keyed(("holder", text(LEASE_AND_PEERS, "lease-released"))));
+    assert_eq!(to_json(&sum(&platform, &seen)), text(JOBS_SHOWN, "status-with-open-jobs"));
+}
+
+/// Operators' tools that read `explain --json` of a job.
+#[test]
+fn job_account() {
+    let log = HostLog { host: "entry-1".to_string(), text: JOB_LOG.to_string() };
+    let told = account(0xa1, &[log]).expect("there are lines about it");
+    assert_eq!(to_json(&told), text(JOBS_SHOWN, "account"));
+}
+
+/// What `{:?}` makes of some values, one after the other.
+fn debug<T: Debug>(values: &[T]) -> Vec<String> {
+    values.iter().map(|v| format!("{v:?}")).collect()
+}
+
+/// Status texts that are made with `{:?}` and change with the name of a variant.
+#[test]
+fn debug_names_in_status() {
+    assert_eq!(debug(&[Liveness::Alive, Liveness::Suspect, Liveness::Dead]), ["Alive", "Suspect", "Dead"]);
+    assert_eq!(debug(&Duty::ALL), ["Planner", "Checkpointer"]);
+    let stops = [
+        Stop::Deadline { deadline: "d".to_string() },
+        Stop::Unwell { host: "h".to_string() },
+        Stop::Budget { service: "s".to_string() },
+        Stop::HostsMissing { host: "h".to_string() },
+    ];
+    let written = [
+        r#"Deadline { deadline: "d" }"#,
+        r#"Unwell { host: "h" }"#,
+        r#"Budget { service: "s" }"#,
+        r#"HostsMissing { host: "h" }"#,
+    ];
+    assert_eq!(debug(&stops), written);
+    let voids = [Void::Term, Void::Generation, Void::Phase, Void::Missing, Void::Budget("s".to_string())];
+    assert_eq!(debug(&voids), ["Term", "Generation", "Phase", "Missing", r#"Budget("s")"#]);
+    let voids = [Void::KeyTaken, Void::Expired, Void::Unknown, Void::Repeated];
+    assert_eq!(debug(&voids), ["KeyTaken", "Expired", "Unknown", "Repeated"]);
+    let stale = Void::Stale { version: 1, author: "a".to_string() };
+    let claimed = Void::Claimed { what: "w".to_string(), file: "f".to_string() };
+    let written = [r#"Stale { version: 1, author: "a" }"#, r#"Claimed { what: "w", file: "f" }"#];
+    assert_eq!(debug(&[stale, claimed]), written);
+}
+
+/// Values of log lines that are made with `{:?}`; `explain` and `late` read some of them.
+#[test]
+fn debug_names_in_logs() {
+    let outcomes = [Outcome::Completed, Outcome::Failed, Outcome::Canceled];
+    assert_eq!(debug(&outcomes), ["Completed", "Failed", "Canceled"]);
+    assert_eq!(debug(&[Stored::Yes, Stored::No, Stored::Unknown]), ["Yes", "No", "Unknown"]);
+    let kinds = [EndKind::Done, EndKind::Failed, EndKind::Stopped];
+    assert_eq!(debug(&kinds), ["Done", "Failed", "Stopped"]);
+    let kinds = [EndKind::Lapsed, EndKind::Broken, EndKind::Alone];
+    assert_eq!(debug(&kinds), ["Lapsed", "Broken", "Alone"]);
+    let replies = [StartReply::Taken, StartReply::Refused, StartReply::Ticket, StartReply::Unwell];
+    assert_eq!(debug(&replies), ["Taken", "Refused", "Ticket", "Unwell"]);
+    let replies = [StartReply::Unsure, StartReply::NoAnswer, StartReply::NotSent, StartReply::Deposed];
+    assert_eq!(debug(&replies), ["Unsure", "NoAnswer", "NotSent", "Deposed"]);
+    let replies = [MachineReply::Done, MachineReply::Busy, MachineReply::Impossible];
+    assert_eq!(debug(&replies), ["Done", "Busy", "Impossible"]);
+    let replies = [MachineReply::Fenced, MachineReply::NoAnswer, MachineReply::Later];
+    assert_eq!(debug(&replies), ["Fenced", "NoAnswer", "Later"]);
+    let states = [MachineState::Up, MachineState::Moving, MachineState::Upkeep, MachineState::Down];
+    assert_eq!(debug(&states), ["Up", "Moving", "Upkeep", "Down"]);
+    let errors = [WorkerError::Fenced, WorkerError::Refused, WorkerError::Ticket, WorkerError::Unwell];
+    assert_eq!(debug(&errors), ["Fenced", "Refused", "Ticket", "Unwell"]);
+    let errors = [WorkerError::OtherLife, WorkerError::Restarted(5), WorkerError::NotSent];
+    assert_eq!(debug(&errors), ["OtherLife", "Restarted(5)", "NotSent"]);
+    assert_eq!(debug(&[WorkerError::NoAnswer]), ["NoAnswer"]);
+    let topics = [Topic::Lease, Topic::Inbox(3), Topic::State, Topic::Operators];
+    assert_eq!(debug(&topics), ["Lease", "Inbox(3)", "State", "Operators"]);
+    assert_eq!(debug(&[Topic::Workers, Topic::Status, Topic::Peers]), ["Workers", "Status", "Peers"]);
+    assert_eq!(debug(&[CallError::NotSent, CallError::NoAnswer]), ["NotSent", "NoAnswer"]);
+}
+
+/// Decisions of the planner, which entry hosts log with `{:?}`.
+#[test]
+fn debug_names_of_decisions() {
+    let env: Envelope = from_json(whole(LOG_ENVELOPE));
+    let step = |r: &LogRecord| match r {
+        LogRecord::Host { step, .. } => Some(format!("{step:?}")),
+        LogRecord::Instance { step, .. } => Some(format!("{step:?}")),
+        LogRecord::Job { step, .. } => Some(format!("{step:?}")),
+        _ => None,
+    };
+    let steps: Vec<String> = env.records.iter().filter_map(step).collect();
+    let acts: Vec<Act> = from_json(text(PLATFORM, "acts"));
+    let written: Vec<String> = steps.into_iter().chain(debug(&acts)).collect();
+    assert_eq!(written, DECISIONS.lines().collect::<Vec<_>>());
+}
