--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -41,8 +41,8 @@
 use workswood_core::jobs::policy::ShareOrder;
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{
-    AdviceReply, EndKind, JobRecord, JobSpec, Listing, Machine, MachineReply, MachineState, Outcome, Owner,
-    Record, Report, SchedConfig, StartReply, StepId, StopReply, TaskId, WorkerAddress, WorkerInfo,
+    AdviceReply, EndKind, Host, HostReply, HostState as JobHostState, JobRecord, JobSpec, Listing, Outcome,
+    Owner, Record, Report, SchedConfig, StartReply, StepId, StopReply, TaskId, WorkerAddress, WorkerInfo,
 };
 use workswood_core::member::Liveness;
 use workswood_core::plan::{Act, HostState, Seen, Stop, WaveStatus};
@@ -312,8 +312,8 @@
             Record::Worker(id, serde_json::from_slice(value).expect("a worker"))
         }
         (StateKey::Worker(id), None) => Record::DropWorker(id),
-        (StateKey::Ordered(machine), value) => {
-            Record::Ordered(machine, value.map(|v| serde_json::from_slice(v).expect("a holder's name")))
+        (StateKey::Ordered(host), value) => {
+            Record::Ordered(host, value.map(|v| serde_json::from_slice(v).expect("a holder's name")))
         }
     }
 }
@@ -344,9 +344,9 @@
     let Record::Worker(id, worker) = state_of("worker-w-1@1700000000000") else { panic!("another record") };
     assert_eq!((id.name(), id.started()), ("w-1", Some(1_700_000_000_000)));
     assert_eq!((worker.address.as_str(), worker.service.as_str()), ("10.0.1.1:9000", "till"));
-    assert_eq!((worker.machine.as_str(), worker.data_centre.as_str()), ("m-1", "north"));
-    let Record::Ordered(machine, holder) = state_of("ordered-m-1") else { panic!("another record") };
-    assert_eq!((machine.as_str(), holder.as_deref()), ("m-1", Some("entry-4")));
+    assert_eq!((worker.host.as_str(), worker.data_centre.as_str()), ("m-1", "north"));
+    let Record::Ordered(host, holder) = state_of("ordered-m-1") else { panic!("another record") };
+    assert_eq!((host.as_str(), holder.as_deref()), ("m-1", Some("entry-4")));
 }
 
 /// Fields of a job's state that are exchanged for one another, or have another tag.
@@ -588,10 +588,10 @@
     assert_eq!(to_json(&s), whole(JOB_SETTINGS));
     let ports = [s.callers, s.readiness, s.peers, s.metrics].map(|a| a.port());
     assert_eq!((ports, s.store_parts), ([8011, 8012, 8013, 8014], 3));
-    assert_eq!((s.store.as_str(), s.machines.as_str()), ("10.0.0.2:9001", "10.0.0.2:9002"));
+    assert_eq!((s.store.as_str(), s.hosts.as_str()), ("10.0.0.2:9001", "10.0.0.2:9002"));
     assert_eq!((s.adviser(), s.cores, s.link_mbps), (Some("10.0.0.2:9003"), 0.125, 20.5));
-    assert_eq!((s.longest_lease_ms, s.machine_handover_ms, s.in_step_within_ms), (10_001, 3_002, 3_003));
-    assert_eq!((s.machine_orders_per_s, s.early_ms), (65.5, 104));
+    assert_eq!((s.longest_lease_ms, s.host_handover_ms, s.in_step_within_ms), (10_001, 3_002, 3_003));
+    assert_eq!((s.host_orders_per_s, s.early_ms), (65.5, 104));
     assert_eq!((s.keep_ended_s, s.stop_within_s), (120.5, 6.25));
     let p = &s.policy;
     assert_eq!((p.order.enough_ends, p.order.shares), (9, ShareOrder::Excess));
@@ -783,7 +783,7 @@
         in_time: n + 0.5,
         worst: n + 1.0,
         worst_spread: n + 1.5,
-        machines: n + 2.0,
+        hosts: n + 2.0,
         busy: n + 2.5,
         least: n + 3.0,
         forecast: n + 3.5,
@@ -920,16 +920,16 @@
         async { AdviceReply::NotSent }.boxed()
     }
 
-    fn machines(&self) -> BoxFuture<'_, Result<Vec<Machine>, StoreError>> {
+    fn hosts(&self) -> BoxFuture<'_, Result<Vec<Host>, StoreError>> {
         async { Err(not_done()) }.boxed()
     }
 
-    fn upkeep(&self, _: &str, _: Term, _: HostId, _: u64) -> BoxFuture<'_, MachineReply> {
-        async { MachineReply::Later }.boxed()
+    fn upkeep(&self, _: &str, _: Term, _: HostId, _: u64) -> BoxFuture<'_, HostReply> {
+        async { HostReply::Later }.boxed()
     }
 
-    fn move_machine(&self, _: &str, _: Term, _: HostId, _: ServiceId) -> BoxFuture<'_, MachineReply> {
-        async { MachineReply::Later }.boxed()
+    fn move_host(&self, _: &str, _: Term, _: HostId, _: ServiceId) -> BoxFuture<'_, HostReply> {
+        async { HostReply::Later }.boxed()
     }
 }
 
@@ -975,16 +975,16 @@
     tokio::spawn(peers::run(node.clone()));
     let (key, written) = store.appended().await;
     assert_eq!(node.peers.address_of("entry-7").as_deref(), Some("10.0.0.7:7001"));
-    let hosts = node.peers.news_of_hosts(&mut 0).expect("they are known");
-    assert_eq!((hosts[0].name.as_str(), hosts[0].data_centre.as_str()), ("entry-7", "south"));
-    assert_eq!((hosts.len(), hosts[0].strength), (1, 1_200));
+    let entries = node.peers.news_of_entries(&mut 0).expect("they are known");
+    assert_eq!((entries[0].name.as_str(), entries[0].data_centre.as_str()), ("entry-7", "south"));
+    assert_eq!((entries.len(), entries[0].strength), (1, 1_200));
     let at = json(&written)["at"].as_u64().expect("when it was written");
     assert_eq!(written.replace(&at.to_string(), "AT"), text(LEASE_AND_PEERS, "peer-written"));
     assert_eq!(key, "entry-1");
 }
 
-fn machine(name: &str, state: MachineState) -> Machine {
-    Machine {
+fn host(name: &str, state: JobHostState) -> Host {
+    Host {
         name: name.to_string(),
         pool: "till".to_string(),
         state,
@@ -1001,7 +1001,7 @@
     let away = "127.0.0.1:1".to_string();
     let platform = PlatformClient::new(Addresses { store: away.clone(), machines: away, adviser: None });
     let records = |file| lines(file).into_iter().map(keyed).collect();
-    let states = [MachineState::Up, MachineState::Moving, MachineState::Upkeep, MachineState::Down];
+    let states = [JobHostState::Up, JobHostState::Moving, JobHostState::Upkeep, JobHostState::Down];
     let mut seen = job_status::Seen {
         at: 1_700_000_100_000,
         lease: Some(keyed(("holder", text(LEASE_AND_PEERS, "lease-held")))),
@@ -1011,7 +1011,7 @@
         state: records(SCHEDULER_STATE),
         workers: vec![keyed(("w-9", "\"no worker\""))],
         published: vec![platform.wave_status(12, true)],
-        machines: Ok(states.map(|state| machine("m-1", state)).into()),
+        hosts: Ok(states.map(|state| host("m-1", state)).into()),
     };
     assert_eq!(to_json(&sum(&platform, &seen)), text(JOBS_SHOWN, "status"));
     let open = JobRecord { outcome: None, ..job_state_of("00000000000000ab") };
@@ -1019,7 +1019,7 @@
     seen.inbox.extend([1, 2, 3, 4, 5, 6].map(|job| job_record(job, &spec)));
     seen.state.extend([4, 5].map(|job| state_record(&Record::Job(job, JobRecord::default()))));
     seen.state.push(state_record(&Record::Job(6, open)));
-    seen.machines = Err("no answer: late".to_string());
+    seen.hosts = Err("no answer: late".to_string());
     seen.lease = Some(keyed(("holder", text(LEASE_AND_PEERS, "lease-released"))));
     assert_eq!(to_json(&sum(&platform, &seen)), text(JOBS_SHOWN, "status-with-open-jobs"));
 }
@@ -1079,11 +1079,11 @@
     assert_eq!(debug(&replies), ["Taken", "Refused", "Ticket", "Unwell"]);
     let replies = [StartReply::Unsure, StartReply::NoAnswer, StartReply::NotSent, StartReply::Deposed];
     assert_eq!(debug(&replies), ["Unsure", "NoAnswer", "NotSent", "Deposed"]);
-    let replies = [MachineReply::Done, MachineReply::Busy, MachineReply::Impossible];
+    let replies = [HostReply::Done, HostReply::Busy, HostReply::Impossible];
     assert_eq!(debug(&replies), ["Done", "Busy", "Impossible"]);
-    let replies = [MachineReply::Fenced, MachineReply::NoAnswer, MachineReply::Later];
+    let replies = [HostReply::Fenced, HostReply::NoAnswer, HostReply::Later];
     assert_eq!(debug(&replies), ["Fenced", "NoAnswer", "Later"]);
-    let states = [MachineState::Up, MachineState::Moving, MachineState::Upkeep, MachineState::Down];
+    let states = [JobHostState::Up, JobHostState::Moving, JobHostState::Upkeep, JobHostState::Down];
     assert_eq!(debug(&states), ["Up", "Moving", "Upkeep", "Down"]);
     let errors = [WorkerError::Fenced, WorkerError::Refused, WorkerError::Ticket, WorkerError::Unwell];
     assert_eq!(debug(&errors), ["Fenced", "Refused", "Ticket", "Unwell"]);
