--- a/src/workswood/ops/entry/deferred.rs
+++ b/src/workswood/ops/entry/deferred_requests.rs
@@ -15,11 +15,11 @@
 use workswood_core::keyed::{Given, HOLD};
 use workswood_core::record::{Deferred, End as KeyEnd, Record};
 
-use super::appender::Missed;
-use super::keys::{self, Claiming};
-use super::lanes::{self, Ask};
+use super::dispatch::{self, Ask};
+use super::keyed_requests::{self, Claiming};
+use super::log_appender::Missed;
 use super::node::Node;
-use super::serve::{self, Call, Head, Reply};
+use super::proxy::{self, Call, Head, Reply};
 
 /// Largest body of a deferred request, in bytes.
 pub const MOST_PAYLOAD: usize = 64 * 1024;
@@ -34,27 +34,32 @@
 pub async fn accept(node: &Arc<Node>, call: Call, body: Bytes, key: Option<String>) -> Reply {
     if body.len() > MOST_PAYLOAD {
         if call.route.repeatable {
-            return serve::finish(serve::run(node, &call, body).await);
+            return proxy::finish(proxy::run(node, &call, body).await);
         }
-        return keys::answer(node, call, body, key).await;
+        return keyed_requests::answer(node, call, body, key).await;
     }
     let named = key.is_some() || !call.route.repeatable;
     let given = match named {
-        true => match keys::given(node, &call, &body, key) {
+        true => match keyed_requests::given(node, &call, &body, key) {
             Ok(g) => g,
             Err(code) => return refusal(code, Ran::NotRun, None),
         },
         false => unnamed(node, &call, &body),
     };
-    if let Some(reply) = keys::known(node, &given) {
+    if let Some(reply) = keyed_requests::known(node, &given) {
         return reply;
     }
     if !node.is(&node.log_up) {
-        return keys::refuse(node, Some(&given.key), Code::LogUnavailable, Some(Duration::from_secs(1)))
-            .await;
+        return keyed_requests::refuse(
+            node,
+            Some(&given.key),
+            Code::LogUnavailable,
+            Some(Duration::from_secs(1)),
+        )
+        .await;
     }
     let Some(claiming) = Claiming::begin(node, &given.key, call.deadline).await else {
-        return keys::refuse(node, Some(&given.key), Code::WaitTooLong, Some(HOLD)).await;
+        return keyed_requests::refuse(node, Some(&given.key), Code::WaitTooLong, Some(HOLD)).await;
     };
     let deferred = Deferred {
         method: call.head.method.to_string(),
@@ -73,14 +78,14 @@
     match node.append(vec![record]).await.map(|f| f.verdicts) {
         Ok(v) => match v.first() {
             Some(Ok(())) => accepted(&given.key),
-            Some(Err(Void::KeyTaken | Void::Expired)) => {
-                keys::known(node, &given).unwrap_or_else(|| refusal(Code::KeyExpired, Ran::Unknown, None))
-            }
+            Some(Err(Void::KeyTaken | Void::Expired)) => keyed_requests::known(node, &given)
+                .unwrap_or_else(|| refusal(Code::KeyExpired, Ran::Unknown, None)),
             _ => refusal(Code::LogUnavailable, Ran::NotRun, Some(Duration::from_secs(1))),
         },
         Err(Missed::NotSent) => {
             drop(claiming);
-            keys::refuse(node, Some(&given.key), Code::LogUnavailable, Some(Duration::from_secs(1))).await
+            keyed_requests::refuse(node, Some(&given.key), Code::LogUnavailable, Some(Duration::from_secs(1)))
+                .await
         }
         // It may still come into the log and run; the key tells.
         Err(Missed::Unknown) => refusal(Code::LogUnavailable, Ran::Unknown, Some(Duration::from_secs(1))),
@@ -92,7 +97,7 @@
     Given {
         key: uuid::Uuid::new_v4().simple().to_string(),
         last_moment: node.wall() + MAX_KEY_WINDOW.as_millis() as UnixMs,
-        digest: keys::digest(call, body),
+        digest: keyed_requests::digest(call, body),
     }
 }
 
@@ -180,9 +185,9 @@
 /// the start in the log and the sending.
 async fn start(node: &Arc<Node>, key: &str, rec: KeyRec) {
     let Some(d) = &rec.deferred else { return };
-    let Some(lane) = lanes::of(node, &rec.service) else { return };
+    let Some(lane) = dispatch::of(node, &rec.service) else { return };
     let ask = Ask { class: Class::Later, deadline: node.now() + SLOT_WAIT, tried: &[] };
-    let Some(Ok(slot)) = lanes::acquire(node, &lane, ask).await else { return };
+    let Some(Ok(slot)) = dispatch::acquire(node, &lane, ask).await else { return };
     let Some(call) = call(node, key, &rec, d) else { return };
     let attempt = rec.attempts + 1;
     let record = Record::Start { key: key.to_string(), holder: node.id.clone(), attempt };
@@ -192,15 +197,15 @@
     }
     log::info!("event=deferred_start key={key} service={} attempt={attempt}", rec.service);
     let body = Bytes::from(STANDARD.decode(&d.body).unwrap_or_default());
-    let end = serve::run_on(node, &call, body, Some(slot)).await;
-    let mut record = keys::finish_record(node, key, &end);
+    let end = proxy::run_on(node, &call, body, Some(slot)).await;
+    let mut record = keyed_requests::finish_record(node, key, &end);
     // The outcome must reach the log, or the request would run again.
     while let Err(missed) = node.append(vec![record.clone()]).await {
         log::warn!("event=deferred_finish_missed key={key} missed={missed:?}");
         if missed == Missed::Unknown && !held_here(node, key) {
             return;
         }
-        record = keys::finish_record(node, key, &end);
+        record = keyed_requests::finish_record(node, key, &end);
         tokio::time::sleep(LOOK).await;
     }
 }
--- a/src/workswood/ops/entry/keys.rs
+++ b/src/workswood/ops/entry/keyed_requests.rs
@@ -18,9 +18,9 @@
 use workswood_core::record::{End as KeyEnd, Record};
 use workswood_peers::{KeyAsk, Msg};
 
-use super::lanes;
+use super::dispatch;
 use super::node::Node;
-use super::serve::{self, Call, End, Reply};
+use super::proxy::{self, Call, End, Reply};
 
 /// Largest body of an answer that is kept with its key, in bytes.
 const MOST_KEPT: usize = 4 * 1024;
@@ -142,14 +142,14 @@
     if behind {
         return Some(Code::ClockSkew);
     }
-    let lane = lanes::of(node, &call.service)?;
+    let lane = dispatch::of(node, &call.service)?;
     let wait = lane.wait(node.now(), call.route.class);
     (node.now() + wait >= call.deadline).then_some(Code::WaitTooLong)
 }
 
 /// Runs a request that this process has won.
 async fn run_claimed(node: &Arc<Node>, call: Call, body: Bytes, key: &str) -> Reply {
-    let end = serve::run(node, &call, body).await;
+    let end = proxy::run(node, &call, body).await;
     let record = finish_record(node, key, &end);
     if let End::NotSent(..) = end {
         // The key must be free again before the caller comes back with it.
@@ -158,7 +158,7 @@
         let node = node.clone();
         tokio::spawn(async move { node.append(vec![record]).await });
     }
-    serve::finish(end)
+    proxy::finish(end)
 }
 
 /// The record of how an attempt of this process ended.
--- a/src/workswood/ops/entry/follower.rs
+++ b/src/workswood/ops/entry/log_reader.rs
@@ -11,7 +11,7 @@
 use workswood_peers::{Msg, StateAsk};
 use workswood_platform::{Error, LogRecord};
 
-use super::lanes;
+use super::dispatch;
 use super::node::Node;
 
 /// Records read at a time.
@@ -209,7 +209,7 @@
     node.claims.lock().on_roster(table.share.0.is_some(), node.now());
     let table = Arc::new(table);
     node.table.store(table.clone());
-    lanes::update(node, &table);
+    dispatch::update(node, &table);
     node.metrics.next.set(next as i64);
     node.folded.send_replace(next);
 }
--- a/src/workswood/ops/entry/mod.rs
+++ b/src/workswood/ops/entry/mod.rs
@@ -1,29 +1,30 @@
-//! The process of an entry host.
+//! The entry process.
 //!
-//! A [`Node`] is what its tasks share. Each task lives in a module of its own:
+//! Its tasks share a [`Node`]. Each module holds one part of the work:
 //!
-//! * [`follower`] reads the log, folds it and publishes what changed;
-//! * [`appender`] writes to the log, many records an append;
-//! * [`duties`] takes and renews leases, and plans and checkpoints while it
+//! * [`log_reader`] reads the log, folds its records into the state and publishes the new routing table;
+//! * [`log_appender`] appends records to the log in batches;
+//! * [`duties`] acquires and renews the leases of duties, and plans and writes checkpoints while it
 //!   holds them;
-//! * [`gossip`] beats to peers and answers them;
-//! * [`lanes`] hands out slots of endpoints, and borrows from peers;
-//! * [`serve`] answers callers, [`keys`] those that may not be repeated, and
-//!   [`deferred`] runs requests that wait in the log;
-//! * [`operate`] answers operators;
-//! * [`stop`] ends the process without cutting anything off.
+//! * [`peers`] sends heartbeats to other entry processes and answers their messages;
+//! * [`dispatch`] grants slots of endpoints to requests, and borrows slots from peers;
+//! * [`proxy`] routes callers' requests to endpoints;
+//! * [`keyed_requests`] runs requests with an idempotency key at most once;
+//! * [`deferred_requests`] accepts requests of class `later` into the log and runs them;
+//! * [`operator_api`] answers operators;
+//! * [`shutdown`] stops the process gracefully.
 
-mod appender;
-mod deferred;
+mod deferred_requests;
+mod dispatch;
 mod duties;
-mod follower;
-mod gossip;
-mod keys;
-mod lanes;
+mod keyed_requests;
+mod log_appender;
+mod log_reader;
 mod node;
-mod operate;
-mod serve;
-mod stop;
+mod operator_api;
+mod peers;
+mod proxy;
+mod shutdown;
 
 use std::sync::Arc;
 
@@ -42,7 +43,7 @@
 
 /// A running entry process.
 pub struct Entry {
-    /// What its tasks share.
+    /// State that its tasks share.
     pub node: Arc<Node>,
     tasks: Vec<JoinHandle<()>>,
     callers: JoinHandle<()>,
@@ -56,7 +57,7 @@
 }
 
 impl Entry {
-    /// Starts all tasks. Ports given as 0 are replaced by those bound.
+    /// Starts all tasks. A port 0 in the settings is replaced by the port that was bound.
     pub async fn start(mut settings: Settings, tokens: Tokens) -> Result<Entry> {
         let callers = listen(&mut settings.callers).await?;
         let operators = listen(&mut settings.operators).await?;
@@ -77,50 +78,51 @@
             tokio::spawn(workswood_peers::serve(
                 peers,
                 node.tokens.peers.clone(),
-                gossip::handler(node.clone()),
+                peers::handler(node.clone()),
             )),
-            tokio::spawn(follower::run(node.clone())),
-            tokio::spawn(appender::run(node.clone(), appends)),
-            tokio::spawn(gossip::run(node.clone())),
+            tokio::spawn(log_reader::run(node.clone())),
+            tokio::spawn(log_appender::run(node.clone(), appends)),
+            tokio::spawn(peers::run(node.clone())),
             tokio::spawn(duties::lease(node.clone())),
             tokio::spawn(duties::plan(node.clone())),
             tokio::spawn(duties::checkpoint(node.clone())),
-            tokio::spawn(lanes::tick(node.clone())),
-            tokio::spawn(lanes::borrow(node.clone())),
-            tokio::spawn(deferred::run(node.clone())),
+            tokio::spawn(dispatch::tick(node.clone())),
+            tokio::spawn(dispatch::borrow(node.clone())),
+            tokio::spawn(deferred_requests::run(node.clone())),
             tokio::spawn(workswood_operators::serve(operators, node.tokens.operators.clone(), node.clone())),
         ];
         let (stop_callers, stopped) = watch::channel(false);
-        let callers = tokio::spawn(workswood_callers::serve(callers, serve::handler(node.clone()), stopped));
+        let callers = tokio::spawn(workswood_callers::serve(callers, proxy::handler(node.clone()), stopped));
         Ok(Entry { node, tasks, callers, stop_callers })
     }
 
-    /// Ends the process at once, as a crash would.
+    /// Aborts all tasks immediately, as a crash would.
     pub fn kill(&self) {
         self.tasks.iter().for_each(JoinHandle::abort);
         self.callers.abort();
         self.node.kill();
     }
 
-    /// Ends the process as planned: nothing in progress is cut off.
+    /// Stops gracefully: requests in progress are finished first.
     pub async fn stop(mut self) {
-        stop::run(&self.node, &self.stop_callers, &mut self.callers).await;
+        shutdown::run(&self.node, &self.stop_callers, &mut self.callers).await;
         self.kill();
     }
 }
 
+/// Binds a listener and sets `address` to the address that was bound.
 async fn listen(address: &mut std::net::SocketAddr) -> Result<TcpListener> {
-    let shown = address.to_string();
-    let listener = TcpListener::bind(*address).await.context(ListenSnafu { address: shown.clone() })?;
-    *address = listener.local_addr().context(ListenSnafu { address: shown })?;
+    let configured = address.to_string();
+    let listener = TcpListener::bind(*address).await.context(ListenSnafu { address: configured.clone() })?;
+    *address = listener.local_addr().context(ListenSnafu { address: configured })?;
     Ok(listener)
 }
 
-/// Runs an entry process until it is told to stop by a signal. A second
-/// signal ends it at once.
-pub async fn run(path: &str) -> Result<()> {
-    let settings = Settings::read(path)?;
-    let tokens = settings.tokens(path)?;
+/// Runs an entry process with the settings file at `settings_path` until a signal asks it to stop.
+/// A second signal ends it immediately.
+pub async fn run(settings_path: &str) -> Result<()> {
+    let settings = Settings::read(settings_path)?;
+    let tokens = settings.tokens(settings_path)?;
     crate::util::logs::start(settings.log_level);
     let entry = Entry::start(settings, tokens).await?;
     signals::stop().await;
--- a/src/workswood/ops/entry/node.rs
+++ b/src/workswood/ops/entry/node.rs
@@ -18,8 +18,8 @@
 use workswood_peers::Link;
 use workswood_platform::Platform;
 
-use super::appender::{Job, Pending};
-use super::lanes::Lane;
+use super::dispatch::Lane;
+use super::log_appender::{Job, Pending};
 use crate::util::clock::Clock;
 use crate::util::metrics::Metrics;
 use crate::util::settings::{Settings, Tokens};
--- a/src/workswood/ops/entry/operate.rs
+++ b/src/workswood/ops/entry/operator_api.rs
@@ -17,7 +17,7 @@
     ApplyReply, ApplyRequest, DutyStatus, EntryStatus, FileStatus, Operations, PoolStatus, ShownIssue, Status,
 };
 
-use super::appender::Missed;
+use super::log_appender::Missed;
 use super::node::Node;
 use crate::ops::plan;
 use crate::util::logs;
--- a/src/workswood/ops/entry/gossip.rs
+++ b/src/workswood/ops/entry/peers.rs
@@ -14,7 +14,7 @@
 use workswood_traffic::Traffic;
 
 use super::node::{Node, PeerView};
-use super::{keys, lanes};
+use super::{dispatch, keyed_requests};
 
 /// Time between beats.
 const BEAT: Duration = Duration::from_millis(500);
@@ -100,7 +100,7 @@
         let hosts = state.hosts.iter().filter(|(_, h)| h.away()).map(|(id, _)| id);
         hosts.flat_map(|h| state.by_host.get(h).into_iter().flatten().cloned()).collect()
     };
-    lanes::open_on(node, &draining)
+    dispatch::open_on(node, &draining)
         .into_iter()
         .map(|(instance, requests)| Open { instance, requests })
         .collect()
@@ -151,10 +151,10 @@
             return Some(Msg::StateReply(StateReply { text }));
         }
         Msg::KeyAsk(KeyAsk { key }) => {
-            let r = keys::reply(node, &key);
+            let r = keyed_requests::reply(node, &key);
             return Some(Msg::KeyReply(KeyReply { known: r.known, roster: r.roster }));
         }
-        Msg::Leaving(Leaving { instances }) => lanes::close(node, &instances),
+        Msg::Leaving(Leaving { instances }) => dispatch::close(node, &instances),
         // Answers, and questions that only processes that run jobs are asked.
         Msg::Hello(_) | Msg::SlotLoan(_) | Msg::StateReply(_) | Msg::KeyReply(_) | Msg::Done(_) => {}
         Msg::JobAsk(_) | Msg::JobReply(_) | Msg::PendingAsk(_) | Msg::PendingReply(_) => {}
--- a/src/workswood/ops/entry/serve.rs
+++ b/src/workswood/ops/entry/proxy.rs
@@ -20,9 +20,9 @@
 use workswood_core::route::Outcome;
 use workswood_endpoints::{Answer, AnyBody, SendError, full, incoming};
 
-use super::lanes::{self, Ask, Grant, Slot};
+use super::dispatch::{self, Ask, Grant, Slot};
 use super::node::Node;
-use super::{deferred, gossip, keys};
+use super::{deferred_requests, keyed_requests, peers};
 
 /// Largest body that is held whole, in bytes; larger ones need class `long`.
 pub const MOST_HELD: usize = 1024 * 1024;
@@ -116,13 +116,13 @@
         return readiness(node);
     }
     if let Some(key) = path.strip_prefix(OUTCOME_PATH) {
-        return keys::outcome(node, key);
+        return keyed_requests::outcome(node, key);
     }
     let key = header(req.headers(), KEY);
     let found = node.table.load().find(path).cloned();
     let Some((route, service)) = found.filter(|_| node.is(&node.ready)) else {
         let code = if node.is(&node.ready) { Code::UnknownRoute } else { Code::NotCaughtUp };
-        return keys::refuse(node, key.as_deref(), code, Some(Duration::from_secs(1))).await;
+        return keyed_requests::refuse(node, key.as_deref(), code, Some(Duration::from_secs(1))).await;
     };
     let class = route.class;
     let allowed = header(req.headers(), DEADLINE).and_then(|v| v.parse().ok()).map(Duration::from_millis);
@@ -143,13 +143,13 @@
 async fn dispatch(node: &Arc<Node>, call: Call, body: Incoming, key: Option<String>) -> Reply {
     match (call.route.class, call.route.repeatable) {
         (Class::Later, _) => match held(body).await {
-            Ok(b) => deferred::accept(node, call, b, key).await,
-            Err(code) => keys::refuse(node, key.as_deref(), code, None).await,
+            Ok(b) => deferred_requests::accept(node, call, b, key).await,
+            Err(code) => keyed_requests::refuse(node, key.as_deref(), code, None).await,
         },
         (Class::Long, true) => streamed(node, call, body).await,
         (_, false) => match held(body).await {
-            Ok(b) => keys::answer(node, call, b, key).await,
-            Err(code) => keys::refuse(node, key.as_deref(), code, None).await,
+            Ok(b) => keyed_requests::answer(node, call, b, key).await,
+            Err(code) => keyed_requests::refuse(node, key.as_deref(), code, None).await,
         },
         (_, true) => match held(body).await {
             Ok(b) => finish(run(node, &call, b).await),
@@ -210,7 +210,7 @@
 
 /// The same on a slot that is held already.
 pub async fn run_on(node: &Arc<Node>, call: &Call, body: Bytes, mut first: Option<Slot>) -> End {
-    let Some(lane) = lanes::of(node, &call.service) else {
+    let Some(lane) = dispatch::of(node, &call.service) else {
         return End::NotSent(Code::UnknownRoute, None);
     };
     let mut tried: Vec<InstanceId> = Vec::new();
@@ -220,7 +220,7 @@
         let ask = Ask { class: call.route.class, deadline: call.deadline, tried: &tried };
         let acquired = match first.take() {
             Some(slot) => Some(Ok(slot)),
-            None => lanes::acquire(node, &lane, ask).await,
+            None => dispatch::acquire(node, &lane, ask).await,
         };
         let mut slot = match acquired {
             Some(Ok(slot)) => slot,
@@ -288,8 +288,8 @@
     slot.ended(if failed { Outcome::Bad } else { Outcome::Good });
     if headers.contains_key(LEAVING) {
         let id = slot.grant.endpoint.clone();
-        lanes::close(node, std::slice::from_ref(&id));
-        gossip::tell_leaving(node, vec![id]);
+        dispatch::close(node, std::slice::from_ref(&id));
+        peers::tell_leaving(node, vec![id]);
     }
 }
 
@@ -304,11 +304,11 @@
 
 /// Runs a long request: both bodies stream, so it is sent once at most.
 async fn streamed(node: &Arc<Node>, call: Call, body: Incoming) -> Reply {
-    let Some(lane) = lanes::of(node, &call.service) else {
+    let Some(lane) = dispatch::of(node, &call.service) else {
         return refusal(Code::UnknownRoute, Ran::NotRun, None);
     };
     let ask = Ask { class: call.route.class, deadline: call.deadline, tried: &[] };
-    let mut slot = match lanes::acquire(node, &lane, ask).await {
+    let mut slot = match dispatch::acquire(node, &lane, ask).await {
         Some(Ok(slot)) => slot,
         Some(Err(r)) => return refusal(r.code, Ran::NotRun, Some(r.retry_after)),
         None => return refusal(Code::NoEndpoint, Ran::NotRun, None),
