--- a/src/workswood/ops/entry/deferred_requests.rs
+++ b/src/workswood/ops/entry/deferred_requests.rs
@@ -17,7 +17,7 @@
 
 use super::dispatch::{self, Ask};
 use super::keyed_requests::{self, Claiming};
-use super::log_appender::Missed;
+use super::log_appender::AppendError;
 use super::node::Node;
 use super::proxy::{self, Call, Head, Reply};
 
@@ -82,13 +82,15 @@
                 .unwrap_or_else(|| refusal(Code::KeyExpired, Ran::Unknown, None)),
             _ => refusal(Code::LogUnavailable, Ran::NotRun, Some(Duration::from_secs(1))),
         },
-        Err(Missed::NotSent) => {
+        Err(AppendError::NotSent) => {
             drop(claiming);
             keyed_requests::refuse(node, Some(&given.key), Code::LogUnavailable, Some(Duration::from_secs(1)))
                 .await
         }
         // It may still come into the log and run; the key tells.
-        Err(Missed::Unknown) => refusal(Code::LogUnavailable, Ran::Unknown, Some(Duration::from_secs(1))),
+        Err(AppendError::Unknown) => {
+            refusal(Code::LogUnavailable, Ran::Unknown, Some(Duration::from_secs(1)))
+        }
     }
 }
 
@@ -200,9 +202,9 @@
     let end = proxy::run_on(node, &call, body, Some(slot)).await;
     let mut record = keyed_requests::finish_record(node, key, &end);
     // The outcome must reach the log, or the request would run again.
-    while let Err(missed) = node.append(vec![record.clone()]).await {
-        log::warn!("event=deferred_finish_missed key={key} missed={missed:?}");
-        if missed == Missed::Unknown && !held_here(node, key) {
+    while let Err(error) = node.append(vec![record.clone()]).await {
+        log::warn!("event=deferred_finish_missed key={key} missed={error:?}");
+        if error == AppendError::Unknown && !held_here(node, key) {
             return;
         }
         record = keyed_requests::finish_record(node, key, &end);
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -138,7 +138,7 @@
 /// Plans while this process holds the duty, until the process ends.
 pub async fn plan(node: Arc<Node>) {
     let mut held: Option<Held> = None;
-    let mut folded = node.folded.subscribe();
+    let mut folded = node.next_offset.subscribe();
     let mut idle = false;
     loop {
         tokio::time::sleep(ROUND).await;
--- a/src/workswood/ops/entry/log_appender.rs
+++ b/src/workswood/ops/entry/log_appender.rs
@@ -1,9 +1,9 @@
-//! Writing to the log: group commit with a share of the log's appends.
+//! Appends records to the log: group commit, limited to this process's share of the append rate.
 //!
-//! One envelope is on its way at a time; what arrives meanwhile goes into the
-//! next. An append without an answer is sent again with the same number, which
-//! the fold takes once. After [`GIVE_UP`] it is abandoned: whoever asked is
-//! told so at once, and it is void for good once a later envelope is folded.
+//! One envelope is in flight at a time; records that arrive meanwhile go into the next one. An append
+//! without an answer is retried with the same sequence number, and folding accepts each number once.
+//! After [`APPEND_TIMEOUT`] the envelope is abandoned: its callers get an error, and once a later
+//! envelope of this process is folded the abandoned one is void.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,90 +18,94 @@
 
 use super::node::Node;
 
-/// Most records of one envelope.
-const MOST_RECORDS: usize = 512;
-/// Most bytes of records of one envelope, about.
-const MOST_BYTES: usize = 1024 * 1024;
-/// How long one envelope is tried.
-const GIVE_UP: Duration = Duration::from_secs(3);
-/// Pause between tries.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// How long an accepted append may take to be read back.
-const READ_BACK: Duration = Duration::from_secs(2);
-/// Appends that may be made at once after a pause.
-const BURST: f64 = 4.0;
+/// Maximum number of records in one envelope.
+const MAX_ENVELOPE_RECORDS: usize = 512;
+/// Approximate maximum size of the records in one envelope, in bytes.
+const MAX_ENVELOPE_BYTES: usize = 1024 * 1024;
+/// Time after which no further attempt to append an envelope begins.
+const APPEND_TIMEOUT: Duration = Duration::from_secs(3);
+/// Delay between attempts to append an envelope.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Longest wait for an accepted envelope to be read back from the log and folded.
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(2);
+/// Capacity of the [`RateLimiter`], in appends.
+const BURST_APPENDS: f64 = 4.0;
 
-/// Where a record was folded, and what became of each.
+/// Result of folding appended records.
 #[derive(Clone, Debug)]
-pub struct Folded {
-    /// Offset of the envelope.
+pub struct AppendOutcome {
+    /// Offset of the envelope in the log.
     pub offset: Offset,
-    /// One verdict a record.
+    /// Verdicts on the records, in their order.
     pub verdicts: Vec<Verdict>,
 }
 
-/// Why records were not folded in time.
+/// Why an append did not return verdicts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Missed {
-    /// They were not sent and never will be.
+pub enum AppendError {
+    /// The records were not sent and never will be.
     NotSent,
-    /// They may still be folded.
+    /// The records may be in the log and may still be folded.
     Unknown,
 }
 
-type Answer = Result<Folded, Missed>;
+type AppendResult = Result<AppendOutcome, AppendError>;
 
-/// Records to append, and who waits for them.
-pub struct Job {
+/// Number of records of one request, and the sender for its result; `None` once the result was sent.
+type Waiter = (usize, Option<oneshot::Sender<AppendResult>>);
+
+/// Records to append, with the sender for the result.
+pub struct AppendRequest {
     records: Vec<Record>,
-    reply: oneshot::Sender<Answer>,
+    reply: oneshot::Sender<AppendResult>,
 }
 
-/// An envelope on its way.
-pub struct Pending {
-    jobs: Vec<(usize, Option<oneshot::Sender<Answer>>)>,
+/// An envelope that was not folded yet.
+pub struct PendingEnvelope {
+    waiters: Vec<Waiter>,
 }
 
 impl Node {
-    /// Appends records and waits until they are folded here.
-    pub async fn append(&self, records: Vec<Record>) -> Answer {
+    /// Appends records to the log and waits until this process has folded them.
+    pub async fn append(&self, records: Vec<Record>) -> AppendResult {
         let (reply, rx) = oneshot::channel();
-        let job = Job { records, reply };
-        self.appends.try_send(job).map_err(|_| Missed::NotSent)?;
-        rx.await.unwrap_or(Err(Missed::Unknown))
+        let request = AppendRequest { records, reply };
+        self.append_queue.try_send(request).map_err(|_| AppendError::NotSent)?;
+        rx.await.unwrap_or(Err(AppendError::Unknown))
     }
 
-    /// Hands the verdicts of an own envelope to those who wait for them.
-    pub fn own_folded(self: &Arc<Self>, offset: Offset, env: &Envelope, verdicts: &[Verdict]) {
+    /// Sends the verdicts on an envelope of this process to the callers of [`Node::append`].
+    pub fn complete_append(self: &Arc<Self>, offset: Offset, env: &Envelope, verdicts: &[Verdict]) {
         if verdicts.contains(&Err(Void::Repeated)) {
             return;
         }
-        let mut pending = self.pending.lock();
+        let mut pending = self.pending_envelopes.lock();
         let later = pending.split_off(&(env.seq + 1));
-        let mut done = std::mem::replace(&mut *pending, later);
+        let mut settled = std::mem::replace(&mut *pending, later);
         drop(pending);
-        let Some(p) = done.remove(&env.seq) else { return };
-        let mut at = 0;
-        for (count, reply) in p.jobs {
-            let range = at..at + count;
-            at += count;
-            let folded = Folded { offset, verdicts: verdicts[range.clone()].to_vec() };
-            let heard = reply.is_some_and(|r| r.send(Ok(folded)).is_ok());
-            if !heard {
-                self.release(&env.records[range.clone()], &verdicts[range]);
+        let Some(envelope) = settled.remove(&env.seq) else { return };
+        let mut first = 0;
+        for (count, reply) in envelope.waiters {
+            let range = first..first + count;
+            first += count;
+            let outcome = AppendOutcome { offset, verdicts: verdicts[range.clone()].to_vec() };
+            let delivered = reply.is_some_and(|tx| tx.send(Ok(outcome)).is_ok());
+            if !delivered {
+                self.release_abandoned(&env.records[range.clone()], &verdicts[range]);
             }
         }
     }
 
-    /// Gives claims and starts back that were accepted after nobody waited for
-    /// them: nothing was sent for them.
-    fn release(self: &Arc<Self>, records: &[Record], verdicts: &[Verdict]) {
-        for (r, v) in records.iter().zip(verdicts) {
-            let (Record::Claim { key, holder: Some(holder), .. } | Record::Start { key, holder, .. }) = r
+    /// Releases claims and starts that were accepted after their caller had stopped waiting: no
+    /// request was sent to an endpoint for them.
+    fn release_abandoned(self: &Arc<Self>, records: &[Record], verdicts: &[Verdict]) {
+        for (record, verdict) in records.iter().zip(verdicts) {
+            let (Record::Claim { key, holder: Some(holder), .. } | Record::Start { key, holder, .. }) =
+                record
             else {
                 continue;
             };
-            if v.is_err() || *holder != self.id {
+            if verdict.is_err() || *holder != self.id {
                 continue;
             }
             log::info!("event=claim_released key={key} reason=abandoned");
@@ -112,19 +116,20 @@
     }
 }
 
-/// A bucket that fills at this process's share of the log's appends.
-struct Share {
+/// Token bucket that refills at this process's share of the log's append rate.
+struct RateLimiter {
     tokens: f64,
-    filled: Instant,
+    refilled_at: Instant,
 }
 
-impl Share {
-    async fn take(&mut self, node: &Node) {
+impl RateLimiter {
+    /// Takes a token, waiting until there is one.
+    async fn acquire(&mut self, node: &Node) {
         let members = node.state.read().roster.len().max(1);
         let rate = f64::from(node.settings.appends_per_second) / members as f64;
         let now = Instant::now();
-        self.tokens = (self.tokens + rate * (now - self.filled).as_secs_f64()).min(BURST);
-        self.filled = now;
+        self.tokens = (self.tokens + rate * (now - self.refilled_at).as_secs_f64()).min(BURST_APPENDS);
+        self.refilled_at = now;
         self.tokens -= 1.0;
         if self.tokens < 0.0 {
             tokio::time::sleep(Duration::from_secs_f64(-self.tokens / rate)).await;
@@ -132,131 +137,136 @@
     }
 }
 
-/// Takes jobs and appends them until the process ends.
-pub async fn run(node: Arc<Node>, mut rx: mpsc::Receiver<Job>) {
+/// Appends queued records until the process ends.
+pub async fn run(node: Arc<Node>, mut rx: mpsc::Receiver<AppendRequest>) {
     let mut seq = 0;
-    let mut share = Share { tokens: BURST, filled: Instant::now() };
-    let mut held = None;
+    let mut limiter = RateLimiter { tokens: BURST_APPENDS, refilled_at: Instant::now() };
+    let mut carried_over = None;
     loop {
-        let Some(first) = (match held.take() {
-            Some(job) => Some(job),
+        let Some(first) = (match carried_over.take() {
+            Some(request) => Some(request),
             None => rx.recv().await,
         }) else {
             return;
         };
-        share.take(&node).await;
-        let (records, jobs, over) = gather(first, &mut rx);
-        held = over;
-        if jobs.is_empty() {
+        limiter.acquire(&node).await;
+        let (records, waiters, excess) = collect_batch(first, &mut rx);
+        carried_over = excess;
+        if waiters.is_empty() {
             continue;
         }
         seq += 1;
         let env = Envelope { v: FORMAT, from: node.id.clone(), seq, at: node.wall(), records };
-        node.pending.lock().insert(seq, Pending { jobs });
-        deliver(&node, &env).await;
+        node.pending_envelopes.lock().insert(seq, PendingEnvelope { waiters });
+        append_envelope(&node, &env).await;
     }
 }
 
-type Gathered = (Vec<Record>, Vec<(usize, Option<oneshot::Sender<Answer>>)>, Option<Job>);
+/// Records of an envelope, those who wait for them, and a request that did not fit.
+type Batch = (Vec<Record>, Vec<Waiter>, Option<AppendRequest>);
 
-/// Puts waiting jobs together; one that does not fit waits for the next.
-fn gather(first: Job, rx: &mut mpsc::Receiver<Job>) -> Gathered {
+/// Collects queued requests into one envelope. A request that does not fit is returned, to begin the
+/// next envelope.
+fn collect_batch(first: AppendRequest, rx: &mut mpsc::Receiver<AppendRequest>) -> Batch {
     let mut records = Vec::new();
-    let mut jobs = Vec::new();
+    let mut waiters = Vec::new();
     let mut bytes = 0;
     let mut next = Some(first);
-    while let Some(job) = next {
-        let size: usize = job.records.iter().map(size_of).sum();
-        let full = records.len() + job.records.len() > MOST_RECORDS || bytes + size > MOST_BYTES;
+    while let Some(request) = next {
+        let size: usize = request.records.iter().map(approximate_size).sum();
+        let full =
+            records.len() + request.records.len() > MAX_ENVELOPE_RECORDS || bytes + size > MAX_ENVELOPE_BYTES;
         if full && !records.is_empty() {
-            return (records, jobs, Some(job));
+            return (records, waiters, Some(request));
         }
         bytes += size;
-        // Whoever no longer waits wants nothing appended.
-        if !job.reply.is_closed() {
-            jobs.push((job.records.len(), Some(job.reply)));
-            records.extend(job.records);
+        // Records whose caller has stopped waiting are not appended.
+        if !request.reply.is_closed() {
+            waiters.push((request.records.len(), Some(request.reply)));
+            records.extend(request.records);
         }
         next = rx.try_recv().ok();
     }
-    (records, jobs, None)
+    (records, waiters, None)
 }
 
-/// Size of a record in the log, about.
-fn size_of(r: &Record) -> usize {
-    match r {
+/// Approximate size of a record in the log, in bytes.
+fn approximate_size(record: &Record) -> usize {
+    match record {
         Record::Checkpoint { data, .. } => data.len() * 2,
-        Record::Claim { deferred: Some(d), .. } => d.body.len() + 512,
-        Record::Finish { end: End::Answered { body: Some(b), .. }, .. } => b.len() + 256,
+        Record::Claim { deferred: Some(deferred), .. } => deferred.body.len() + 512,
+        Record::Finish { end: End::Answered { body: Some(body), .. }, .. } => body.len() + 256,
         Record::Apply { file, .. } => (file.hosts.len() + file.services.len()) * 256 + 1024,
         _ => 256,
     }
 }
 
-/// Appends an envelope until it is folded or given up.
-async fn deliver(node: &Arc<Node>, env: &Envelope) {
+/// Retries the append of an envelope until it is folded or [`APPEND_TIMEOUT`] has passed.
+async fn append_envelope(node: &Arc<Node>, env: &Envelope) {
     let body = serde_json::to_string(env).unwrap_or_default();
-    let until = Instant::now() + GIVE_UP;
+    let deadline = Instant::now() + APPEND_TIMEOUT;
     let mut sent = false;
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         match node.platform.append(body.clone()).await {
             Ok(offset) => {
                 node.metrics.appends.inc();
                 node.metrics.records.inc_by(env.records.len() as u64);
-                tell(node, offset);
+                announce_head(node, offset);
                 sent = true;
-                if read_back(node, env.seq, READ_BACK).await {
+                if wait_until_folded(node, env.seq, READ_BACK_TIMEOUT).await {
                     return;
                 }
                 break;
             }
             Err(Error::Unreachable { .. } | Error::Refused { .. }) => {}
-            // The answer is lost, not surely the append: look, then try again.
+            // The append may have succeeded although its answer was lost: read the log before a retry.
             Err(e) => {
                 log::warn!("event=append_unanswered seq={} error={e:?}", env.seq);
                 sent = true;
-                node.grown.notify_one();
-                if read_back(node, env.seq, RETRY_PAUSE).await {
+                node.log_grown.notify_one();
+                if wait_until_folded(node, env.seq, RETRY_DELAY).await {
                     return;
                 }
             }
         }
         node.metrics.append_retries.inc();
-        tokio::time::sleep(RETRY_PAUSE).await;
-        if !node.pending.lock().contains_key(&env.seq) {
+        tokio::time::sleep(RETRY_DELAY).await;
+        if !node.pending_envelopes.lock().contains_key(&env.seq) {
             return;
         }
     }
-    abandon(node, env.seq, if sent { Missed::Unknown } else { Missed::NotSent });
+    abandon(node, env.seq, if sent { AppendError::Unknown } else { AppendError::NotSent });
 }
 
-fn tell(node: &Node, offset: Offset) {
-    node.grown.notify_one();
+/// Tells the log reader and all linked peers that the log has grown.
+fn announce_head(node: &Node, offset: Offset) {
+    node.log_grown.notify_one();
     for link in node.links.lock().values() {
         link.send(Msg::Head(Head { offset }));
     }
 }
 
-/// Waits until the envelope is folded; true if it was.
-async fn read_back(node: &Node, seq: u64, limit: Duration) -> bool {
-    let mut folded = node.folded.subscribe();
+/// Waits until an envelope of this process is folded; returns whether that was before the timeout.
+async fn wait_until_folded(node: &Node, seq: u64, timeout: Duration) -> bool {
+    let mut next_offset = node.next_offset.subscribe();
     let wait = async {
-        while node.pending.lock().contains_key(&seq) {
-            if folded.changed().await.is_err() {
+        while node.pending_envelopes.lock().contains_key(&seq) {
+            if next_offset.changed().await.is_err() {
                 return;
             }
         }
     };
-    tokio::time::timeout(limit, wait).await.is_ok()
+    tokio::time::timeout(timeout, wait).await.is_ok()
 }
 
-fn abandon(node: &Node, seq: u64, missed: Missed) {
-    log::warn!("event=append_abandoned seq={seq} missed={missed:?} code=126");
-    let mut pending = node.pending.lock();
-    let Some(p) = pending.get_mut(&seq) else { return };
-    for (_, reply) in &mut p.jobs {
-        if let Some(r) = reply.take() {
-            let _ = r.send(Err(missed));
+/// Returns an error to everybody who waits for an envelope.
+fn abandon(node: &Node, seq: u64, error: AppendError) {
+    log::warn!("event=append_abandoned seq={seq} missed={error:?} code=126");
+    let mut pending = node.pending_envelopes.lock();
+    let Some(envelope) = pending.get_mut(&seq) else { return };
+    for (_, reply) in &mut envelope.waiters {
+        if let Some(tx) = reply.take() {
+            let _ = tx.send(Err(error));
         }
     }
 }
--- a/src/workswood/ops/entry/log_reader.rs
+++ b/src/workswood/ops/entry/log_reader.rs
@@ -33,7 +33,7 @@
     loop {
         let more = step(&node, &mut failures).await;
         if !more {
-            let _ = tokio::time::timeout(POLL, node.grown.notified()).await;
+            let _ = tokio::time::timeout(POLL, node.log_grown.notified()).await;
         }
     }
 }
@@ -196,7 +196,7 @@
     };
     node.metrics.folded.inc();
     if env.from == node.id {
-        node.own_folded(r.offset, &env, &verdicts);
+        node.complete_append(r.offset, &env, &verdicts);
     }
 }
 
@@ -211,5 +211,5 @@
     node.table.store(table.clone());
     dispatch::update(node, &table);
     node.metrics.next.set(next as i64);
-    node.folded.send_replace(next);
+    node.next_offset.send_replace(next);
 }
--- a/src/workswood/ops/entry/node.rs
+++ b/src/workswood/ops/entry/node.rs
@@ -19,7 +19,7 @@
 use workswood_platform::Platform;
 
 use super::dispatch::Lane;
-use super::log_appender::{Job, Pending};
+use super::log_appender::{AppendRequest, PendingEnvelope};
 use crate::util::clock::Clock;
 use crate::util::metrics::Metrics;
 use crate::util::settings::{Settings, Tokens};
@@ -49,10 +49,10 @@
     pub state: RwLock<State>,
     /// The routing table of the state.
     pub table: ArcSwap<RouteTable>,
-    /// Next offset to fold, as a signal.
-    pub folded: watch::Sender<Offset>,
-    /// Wakes the follower: the log has grown.
-    pub grown: Notify,
+    /// Next offset of the log to fold; changes after each batch of records was folded.
+    pub next_offset: watch::Sender<Offset>,
+    /// Wakes the log reader when the log has grown.
+    pub log_grown: Notify,
     /// Wakes the borrower: requests wait.
     pub waits: Notify,
     /// Other processes.
@@ -63,10 +63,10 @@
     pub links: Mutex<BTreeMap<String, Link>>,
     /// Dispatchers by service.
     pub lanes: RwLock<BTreeMap<ServiceId, Arc<Lane>>>,
-    /// Envelopes on their way.
-    pub pending: Mutex<BTreeMap<u64, Pending>>,
-    /// Records to append.
-    pub appends: mpsc::Sender<Job>,
+    /// Own envelopes that were not folded yet, by sequence number.
+    pub pending_envelopes: Mutex<BTreeMap<u64, PendingEnvelope>>,
+    /// Queue of the log appender.
+    pub append_queue: mpsc::Sender<AppendRequest>,
     /// Keys that this process is about to claim.
     pub claims: Mutex<Claims>,
     /// The roster that this process has proposed as planner.
@@ -104,7 +104,7 @@
         tokens: Tokens,
         platform: Arc<dyn Platform>,
         half_open: HalfOpen,
-    ) -> (Arc<Node>, mpsc::Receiver<Job>) {
+    ) -> (Arc<Node>, mpsc::Receiver<AppendRequest>) {
         let (tx, rx) = mpsc::channel(8 * 1024);
         let node = Node {
             id: incarnation(&settings.name),
@@ -115,15 +115,15 @@
             half_open,
             state: RwLock::default(),
             table: ArcSwap::default(),
-            folded: watch::channel(0).0,
-            grown: Notify::new(),
+            next_offset: watch::channel(0).0,
+            log_grown: Notify::new(),
             waits: Notify::new(),
             members: Mutex::default(),
             peer_views: Mutex::default(),
             links: Mutex::default(),
             lanes: RwLock::default(),
-            pending: Mutex::default(),
-            appends: tx,
+            pending_envelopes: Mutex::default(),
+            append_queue: tx,
             claims: Mutex::default(),
             proposed: Mutex::default(),
             metrics: Metrics::default(),
@@ -180,6 +180,6 @@
     /// Drops everything that could act after the tasks are gone.
     pub fn kill(&self) {
         self.links.lock().clear();
-        self.pending.lock().clear();
+        self.pending_envelopes.lock().clear();
     }
 }
--- a/src/workswood/ops/entry/operator_api.rs
+++ b/src/workswood/ops/entry/operator_api.rs
@@ -17,7 +17,7 @@
     ApplyReply, ApplyRequest, DutyStatus, EntryStatus, FileStatus, Operations, PoolStatus, ShownIssue, Status,
 };
 
-use super::log_appender::Missed;
+use super::log_appender::AppendError;
 use super::node::Node;
 use crate::ops::plan;
 use crate::util::logs;
@@ -68,8 +68,10 @@
     };
     let folded = match node.append(vec![record]).await {
         Ok(f) => f,
-        Err(Missed::NotSent) => return refused(Code::ApplyNotTaken, Code::ApplyNotTaken.text().to_string()),
-        Err(Missed::Unknown) => return ApplyReply::Unknown { code: Code::ApplyUnknown },
+        Err(AppendError::NotSent) => {
+            return refused(Code::ApplyNotTaken, Code::ApplyNotTaken.text().to_string());
+        }
+        Err(AppendError::Unknown) => return ApplyReply::Unknown { code: Code::ApplyUnknown },
     };
     log::info!(
         "event=apply file={} base={} author={} verdicts={:?}",
--- a/src/workswood/ops/entry/peers.rs
+++ b/src/workswood/ops/entry/peers.rs
@@ -141,7 +141,7 @@
         Msg::Beats(b) => hear(node, b),
         Msg::Head(h) => {
             if h.offset >= node.state.read().next {
-                node.grown.notify_one();
+                node.log_grown.notify_one();
             }
         }
         Msg::SlotAsk(ask) => return Some(Msg::SlotLoan(lend(node, &ask))),
@@ -180,7 +180,7 @@
             log::info!("event=member id={id} liveness=alive");
         }
         if next > here {
-            node.grown.notify_one();
+            node.log_grown.notify_one();
         }
     }
     for other in b.others {
--- a/src/workswood/ops/entry/shutdown.rs
+++ b/src/workswood/ops/entry/shutdown.rs
@@ -48,7 +48,7 @@
     }
     node.stopping.store(true, Ordering::Release);
     duties::give_up(node).await;
-    while !node.pending.lock().is_empty() && node.is(&node.log_up) {
+    while !node.pending_envelopes.lock().is_empty() && node.is(&node.log_up) {
         tokio::time::sleep(LOOK).await;
     }
     tokio::time::sleep(LAST_BEAT).await;
