--- a/src/workswood/ops/entry/log_reader.rs
+++ b/src/workswood/ops/entry/log_reader.rs
@@ -1,4 +1,4 @@
-//! Following the log: read, fold, publish.
+//! Reads the log, folds its envelopes into the state and publishes the new routing table.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -14,61 +14,62 @@
 use super::dispatch;
 use super::node::Node;
 
-/// Records read at a time.
-const MOST_READ: usize = 512;
-/// How often the log is read while nobody tells of its growth.
-const POLL: Duration = Duration::from_millis(250);
-/// Failed reads in a row after which the log counts as down. One alone may be
-/// a slow answer, and refuses nothing.
-const FAILURES_TO_DOWN: u32 = 2;
-/// Pause after a failed read.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Longest wait for a peer's state.
-const STATE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of envelopes in one read.
+const MAX_READ_RECORDS: usize = 512;
+/// Time after which the log is read although no growth was announced.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Consecutive failed reads after which the log counts as down. A single failure may be a slow
+/// answer and refuses no requests.
+const FAILED_READS_UNTIL_DOWN: u32 = 2;
+/// Delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Timeout of a request for a peer's state.
+const PEER_STATE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Follows the log until the process ends.
+/// Reads the log until the process ends.
 pub async fn run(node: Arc<Node>) {
-    start(&node).await;
+    load_state(&node).await;
     let mut failures = 0;
     loop {
-        let more = step(&node, &mut failures).await;
+        let more = read_and_fold(&node, &mut failures).await;
         if !more {
-            let _ = tokio::time::timeout(POLL, node.log_grown.notified()).await;
+            let _ = tokio::time::timeout(POLL_INTERVAL, node.log_grown.notified()).await;
         }
     }
 }
 
-/// Gets a state to go on from: from the log, or from a peer while it is down.
-async fn start(node: &Arc<Node>) {
-    let mut said = false;
+/// Loads the newest checkpoint of the log, or a peer's state if the log can't give one; retries until
+/// there is a state to continue from.
+async fn load_state(node: &Arc<Node>) {
+    let mut logged = false;
     loop {
-        let trouble = match from_log(node).await {
-            Ok(Some(state)) => return adopt(node, state),
+        let error = match load_checkpoint(node).await {
+            Ok(Some(state)) => return adopt_state(node, state),
             Ok(None) => "no_checkpoint".to_string(),
             Err(e) => format!("{e:?}"),
         };
-        if !std::mem::replace(&mut said, true) {
-            log::warn!("event=no_state_from_log code=302 next=asking_peers trouble={trouble:?}");
+        if !std::mem::replace(&mut logged, true) {
+            log::warn!("event=no_state_from_log code=302 next=asking_peers trouble={error:?}");
         }
-        if let Some(state) = from_peers(node).await {
-            return adopt(node, state);
+        if let Some(state) = fetch_peer_state(node).await {
+            return adopt_state(node, state);
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// The newest whole checkpoint of the log, or the empty state if the log
-/// still holds its first record.
-async fn from_log(node: &Node) -> Result<Option<State>, Error> {
+/// Returns the newest complete checkpoint in the log, or the empty state if there is none but the log
+/// still begins at offset 0.
+async fn load_checkpoint(node: &Node) -> Result<Option<State>, Error> {
     let mut assembler = Assembler::default();
     let mut newest = None;
     let mut from = 0;
-    let mut whole = None;
+    let mut starts_at_zero = None;
     loop {
-        let read = node.platform.read(from, MOST_READ).await?;
-        whole.get_or_insert(read.first == 0);
+        let read = node.platform.read(from, MAX_READ_RECORDS).await?;
+        starts_at_zero.get_or_insert(read.first == 0);
         for r in &read.records {
-            let Some(env) = decode(r) else { continue };
+            let Some(env) = decode_envelope(r) else { continue };
             for record in &env.records {
                 newest = assembler.take(record).or(newest);
             }
@@ -79,34 +80,38 @@
         }
     }
     node.log_up.store(true, Ordering::Release);
-    let empty = (whole == Some(true)).then(State::default);
+    let empty = (starts_at_zero == Some(true)).then(State::default);
     Ok(newest.or(empty))
 }
 
-async fn from_peers(node: &Node) -> Option<State> {
+/// Returns the newest state that any linked peer answers with.
+async fn fetch_peer_state(node: &Node) -> Option<State> {
     let links: Vec<_> = node.links.lock().values().cloned().collect();
-    let ask =
-        |l: workswood_peers::Link| async move { l.call(Msg::StateAsk(StateAsk {}), STATE_TIMEOUT).await };
+    let ask = |link: workswood_peers::Link| async move {
+        link.call(Msg::StateAsk(StateAsk {}), PEER_STATE_TIMEOUT).await
+    };
     let answers = futures::future::join_all(links.into_iter().map(ask)).await;
-    let states = answers.into_iter().flatten().filter_map(|m| match m {
-        Msg::StateReply(r) if !r.text.is_empty() => State::from_text(&r.text),
+    let states = answers.into_iter().flatten().filter_map(|msg| match msg {
+        Msg::StateReply(reply) if !reply.text.is_empty() => State::from_text(&reply.text),
         _ => None,
     });
     states.max_by_key(|s| s.next)
 }
 
-/// Takes a state over, never one that is older than what is held.
-fn adopt(node: &Arc<Node>, state: State) {
-    let held = node.state.read().next;
-    let newer = invariant::check(state.next >= held, || format!("state {} is older than {held}", state.next));
+/// Replaces the state of this process, unless the new one is older.
+fn adopt_state(node: &Arc<Node>, state: State) {
+    let current = node.state.read().next;
+    let newer =
+        invariant::check(state.next >= current, || format!("state {} is older than {current}", state.next));
     if newer {
         log::info!("event=state_adopted next={}", state.next);
         *node.state.write() = state;
-        publish(node);
+        publish_state(node);
     }
 }
 
-fn decode(r: &LogRecord) -> Option<Envelope> {
+/// Parses the envelope of a log record; an unreadable one is logged.
+fn decode_envelope(r: &LogRecord) -> Option<Envelope> {
     match serde_json::from_str(&r.body) {
         Ok(env) => Some(env),
         Err(e) => {
@@ -116,25 +121,25 @@
     }
 }
 
-/// Reads and folds what is new; true if there may be more.
-async fn step(node: &Arc<Node>, failures: &mut u32) -> bool {
+/// Reads the next envelopes and folds them; returns whether there may be more to read at once.
+async fn read_and_fold(node: &Arc<Node>, failures: &mut u32) -> bool {
     let from = node.state.read().next;
-    let read = match node.platform.read(from, MOST_READ).await {
+    let read = match node.platform.read(from, MAX_READ_RECORDS).await {
         Ok(r) => {
             *failures = 0;
             r
         }
         Err(e) => {
             *failures += 1;
-            if *failures < FAILURES_TO_DOWN {
-                tokio::time::sleep(PAUSE).await;
+            if *failures < FAILED_READS_UNTIL_DOWN {
+                tokio::time::sleep(RETRY_DELAY).await;
                 return true;
             }
             if node.log_up.swap(false, Ordering::AcqRel) {
                 log::warn!("event=log_down error={e:?}");
             }
-            ready_without_log(node).await;
-            tokio::time::sleep(PAUSE).await;
+            become_ready_from_peers(node).await;
+            tokio::time::sleep(RETRY_DELAY).await;
             return false;
         }
     };
@@ -143,21 +148,21 @@
     }
     if read.first > from {
         log::warn!("event=log_gap next={from} first={}", read.first);
-        start(node).await;
+        load_state(node).await;
         return true;
     }
     if read.head < from {
-        // A log that is shorter than what was read is another log.
+        // The log never shrinks: one that is shorter than what was read is a different log.
         invariant::check(false, || format!("log shrank to {} below {from}", read.head));
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
         return false;
     }
-    let any = !read.records.is_empty();
+    let has_records = !read.records.is_empty();
     for r in &read.records {
         fold(node, r);
     }
-    if any {
-        publish(node);
+    if has_records {
+        publish_state(node);
     }
     let caught_up = node.state.read().next >= read.head;
     if caught_up && !node.ready.swap(true, Ordering::AcqRel) {
@@ -166,21 +171,22 @@
     !caught_up
 }
 
-/// Becomes ready on the newest state of any peer while the log is down.
-async fn ready_without_log(node: &Arc<Node>) {
+/// Marks the process ready on the newest state of any peer while the log is down.
+async fn become_ready_from_peers(node: &Arc<Node>) {
     if node.is(&node.ready) {
         return;
     }
-    let Some(state) = from_peers(node).await else { return };
+    let Some(state) = fetch_peer_state(node).await else { return };
     if state.next > node.state.read().next {
-        adopt(node, state);
+        adopt_state(node, state);
     }
     node.ready.store(true, Ordering::Release);
     log::info!("event=ready reason=peer_state next={}", node.state.read().next);
 }
 
+/// Folds one log record and completes the append if the envelope is this process's own.
 fn fold(node: &Arc<Node>, r: &LogRecord) {
-    let Some(env) = decode(r) else {
+    let Some(env) = decode_envelope(r) else {
         let mut state = node.state.write();
         state.skip(r.offset);
         return;
@@ -188,8 +194,8 @@
     let verdicts = {
         let mut state = node.state.write();
         let verdicts = state.fold(r.offset, &env);
-        let ours = state.lease(Duty::Checkpointer).holder.as_deref() == Some(&node.id);
-        if !ours {
+        let is_checkpointer = state.lease(Duty::Checkpointer).holder.as_deref() == Some(&node.id);
+        if !is_checkpointer {
             state.forget_mark_text();
         }
         verdicts
@@ -200,8 +206,8 @@
     }
 }
 
-/// Makes the routing table of the new state and tells everybody.
-fn publish(node: &Arc<Node>) {
+/// Builds the routing table of the state and passes it and the next offset to the other tasks.
+fn publish_state(node: &Arc<Node>) {
     let (table, next) = {
         let state = node.state.read();
         (RouteTable::new(&state, &node.id), state.next)
