--- a/src/workswood/ops/entry/deferred_requests.rs
+++ b/src/workswood/ops/entry/deferred_requests.rs
@@ -15,7 +15,7 @@
 use workswood_core::keyed::{Given, HOLD};
 use workswood_core::record::{Deferred, End as KeyEnd, Record};
 
-use super::dispatch::{self, Ask};
+use super::dispatch::{self, SlotRequest};
 use super::keyed_requests::{self, Claiming};
 use super::log_appender::AppendError;
 use super::node::Node;
@@ -187,9 +187,9 @@
 /// the start in the log and the sending.
 async fn start(node: &Arc<Node>, key: &str, rec: KeyRec) {
     let Some(d) = &rec.deferred else { return };
-    let Some(lane) = dispatch::of(node, &rec.service) else { return };
-    let ask = Ask { class: Class::Later, deadline: node.now() + SLOT_WAIT, tried: &[] };
-    let Some(Ok(slot)) = dispatch::acquire(node, &lane, ask).await else { return };
+    let Some(dispatcher) = dispatch::dispatcher_of(node, &rec.service) else { return };
+    let slot_request = SlotRequest { class: Class::Later, deadline: node.now() + SLOT_WAIT, tried: &[] };
+    let Some(Ok(slot)) = dispatch::acquire(node, &dispatcher, slot_request).await else { return };
     let Some(call) = call(node, key, &rec, d) else { return };
     let attempt = rec.attempts + 1;
     let record = Record::Start { key: key.to_string(), holder: node.id.clone(), attempt };
--- a/src/workswood/ops/entry/dispatch.rs
+++ b/src/workswood/ops/entry/dispatch.rs
@@ -1,4 +1,5 @@
-//! Slots of endpoints: one lane a service, around the pure dispatcher.
+//! Grants slots of endpoints to requests: one [`ServiceDispatcher`] for each service, which shares the
+//! pure [`Dispatcher`] between tasks and carries out its actions.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -15,65 +16,65 @@
 use super::node::Node;
 use crate::util::logs::DECISION;
 
-/// Time between looks at deadlines, health and loans.
-const TICK: Duration = Duration::from_millis(20);
-/// Longest wait for a peer's answer to a question for slots.
-const ASK_TIMEOUT: Duration = Duration::from_millis(100);
-/// Ticks between confirmations of loans.
-const CONFIRM_EVERY: u64 = 25;
+/// Time between checks of deadlines, health and loans.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of a request to a peer for slots.
+const LOAN_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
+/// Number of ticks between confirmations of loans to their lenders.
+const TICKS_PER_CONFIRMATION: u64 = 25;
 
-/// A slot of an endpoint.
+/// The endpoint on which a request was granted a slot.
 #[derive(Clone, Debug)]
 pub struct Grant {
-    /// The endpoint.
+    /// Instance that is the endpoint.
     pub endpoint: InstanceId,
-    /// Its address.
+    /// Address of the endpoint.
     pub address: String,
 }
 
-/// Why no slot was given.
+/// Why a request was granted no slot.
 #[derive(Clone, Copy, Debug)]
 pub struct Refusal {
-    /// The code.
+    /// Numbered code for the caller.
     pub code: Code,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Duration,
 }
 
-type Reply = Result<Grant, Refusal>;
+type GrantResult = Result<Grant, Refusal>;
 
 struct Inner {
     dispatcher: Dispatcher,
-    waiting: HashMap<Ticket, oneshot::Sender<Reply>>,
+    waiting: HashMap<Ticket, oneshot::Sender<GrantResult>>,
 }
 
-/// The lane of one service.
-pub struct Lane {
+/// Dispatcher of one service, shared by the tasks of the process.
+pub struct ServiceDispatcher {
     service: ServiceId,
     inner: Mutex<Inner>,
 }
 
-/// What to do outside the lock.
-type GiveBacks = Vec<Loan>;
+/// Loans to return to their lenders after the lock is released.
+type LoansToReturn = Vec<Loan>;
 
-impl Lane {
-    fn new(service: &str, data_centre: &str) -> Lane {
+impl ServiceDispatcher {
+    fn new(service: &str, data_centre: &str) -> ServiceDispatcher {
         let dispatcher = Dispatcher::new(data_centre, Limits::default());
-        Lane {
+        ServiceDispatcher {
             service: service.to_string(),
             inner: Mutex::new(Inner { dispatcher, waiting: HashMap::new() }),
         }
     }
 
-    /// Changes the dispatcher and carries out what it decides.
-    fn with(&self, node: &Node, change: impl FnOnce(&mut Dispatcher, Duration) -> Vec<Action>) {
+    /// Applies a change to the dispatcher and carries out the resulting actions.
+    fn apply(&self, node: &Node, change: impl FnOnce(&mut Dispatcher, Duration) -> Vec<Action>) {
         let now = node.now();
-        let back = {
+        let loans = {
             let mut inner = self.inner.lock();
             let actions = change(&mut inner.dispatcher, now);
             inner.carry_out(now, &self.service, actions)
         };
-        self.give_back(node, back);
+        self.return_loans(node, loans);
     }
 
     /// Lends slots to a peer.
@@ -81,67 +82,68 @@
         self.inner.lock().dispatcher.lend(now, to, want)
     }
 
-    /// Takes in what a borrower says of its loans.
-    pub fn loans_told(&self, node: &Node, s: &SlotState) {
-        self.with(node, |d, now| {
-            d.confirmed(now, &s.from, &s.kept);
-            s.returned.iter().flat_map(|id| d.returned(now, *id)).collect()
+    /// Applies a borrower's report on the loans that it keeps and returns.
+    pub fn update_loans(&self, node: &Node, report: &SlotState) {
+        self.apply(node, |d, now| {
+            d.confirmed(now, &report.from, &report.kept);
+            report.returned.iter().flat_map(|id| d.returned(now, *id)).collect()
         });
     }
 
-    fn give_back(&self, node: &Node, loans: GiveBacks) {
+    fn return_loans(&self, node: &Node, loans: LoansToReturn) {
         let mut by_peer: BTreeMap<String, Vec<u64>> = BTreeMap::new();
-        for l in loans {
-            by_peer.entry(l.peer).or_default().push(l.id);
+        for loan in loans {
+            by_peer.entry(loan.peer).or_default().push(loan.id);
         }
         for (peer, returned) in by_peer {
-            self.tell_loans(node, &peer, Vec::new(), returned);
+            self.report_loans(node, &peer, Vec::new(), returned);
         }
     }
 
-    fn tell_loans(&self, node: &Node, peer: &str, kept: Vec<u64>, returned: Vec<u64>) {
+    /// Reports to a lender which of its loans are kept and which are returned.
+    fn report_loans(&self, node: &Node, peer: &str, kept: Vec<u64>, returned: Vec<u64>) {
         if let Some(link) = node.link_to(peer) {
-            let s = SlotState { service: self.service.clone(), from: node.id.clone(), kept, returned };
-            link.send(Msg::SlotState(s));
+            let report = SlotState { service: self.service.clone(), from: node.id.clone(), kept, returned };
+            link.send(Msg::SlotState(report));
         }
     }
 
-    /// Tells lenders which loans are still in use.
-    fn confirm(&self, node: &Node) {
+    /// Confirms to lenders the loans that are still in use.
+    fn confirm_loans(&self, node: &Node) {
         let mut by_peer: BTreeMap<String, Vec<u64>> = BTreeMap::new();
-        for l in self.inner.lock().dispatcher.borrowed() {
-            by_peer.entry(l.peer.clone()).or_default().push(l.id);
+        for loan in self.inner.lock().dispatcher.borrowed() {
+            by_peer.entry(loan.peer.clone()).or_default().push(loan.id);
         }
         for (peer, kept) in by_peer {
-            self.tell_loans(node, &peer, kept, Vec::new());
+            self.report_loans(node, &peer, kept, Vec::new());
         }
     }
 
-    fn want(&self, now: Duration) -> Option<Want> {
+    fn wanted_slots(&self, now: Duration) -> Option<Want> {
         self.inner.lock().dispatcher.want(now)
     }
 
-    /// The wait that a new request of a class would have.
-    pub fn wait(&self, now: Duration, class: Class) -> Duration {
+    /// Expected wait of a new request of a class.
+    pub fn expected_wait(&self, now: Duration, class: Class) -> Duration {
         let inner = self.inner.lock();
         inner.dispatcher.wait(class, inner.dispatcher.slots(now))
     }
 
-    /// Requests that wait or hold a slot.
-    pub fn load(&self) -> usize {
+    /// Number of requests that wait for or hold a slot.
+    pub fn open_requests(&self) -> usize {
         let inner = self.inner.lock();
         inner.dispatcher.waiting() + inner.dispatcher.busy()
     }
 }
 
 impl Inner {
-    /// Answers those whom actions are about. A slot for somebody who has gone
-    /// goes to the next.
-    fn carry_out(&mut self, now: Duration, service: &str, actions: Vec<Action>) -> GiveBacks {
-        let mut back = Vec::new();
-        let mut left: std::collections::VecDeque<Action> = actions.into();
-        while let Some(a) = left.pop_front() {
-            match a {
+    /// Sends the results of actions to the waiting requests. A slot granted to a request whose
+    /// caller has gone away is passed on to the next one.
+    fn carry_out(&mut self, now: Duration, service: &str, actions: Vec<Action>) -> LoansToReturn {
+        let mut loans = Vec::new();
+        let mut remaining: std::collections::VecDeque<Action> = actions.into();
+        while let Some(action) = remaining.pop_front() {
+            match action {
                 Action::Send { ticket, endpoint, address, borrowed, passed_over } => {
                     log::info!(
                         target: DECISION,
@@ -149,9 +151,9 @@
                          borrowed={borrowed} passed_over={passed_over}"
                     );
                     let grant = Grant { endpoint, address };
-                    let heard = self.waiting.remove(&ticket).is_some_and(|tx| tx.send(Ok(grant)).is_ok());
-                    if !heard {
-                        left.extend(self.dispatcher.done(now, ticket, Outcome::Neutral));
+                    let delivered = self.waiting.remove(&ticket).is_some_and(|tx| tx.send(Ok(grant)).is_ok());
+                    if !delivered {
+                        remaining.extend(self.dispatcher.done(now, ticket, Outcome::Neutral));
                     }
                 }
                 Action::Refuse { ticket, code, retry_after } => {
@@ -165,26 +167,26 @@
                         let _ = tx.send(Err(Refusal { code, retry_after }));
                     }
                 }
-                Action::GiveBack(loan) => back.push(loan),
+                Action::GiveBack(loan) => loans.push(loan),
             }
         }
-        back
+        loans
     }
 }
 
-/// A slot held by a request; given back when dropped.
+/// A slot held by a request; dropping it frees the slot.
 pub struct Slot {
-    /// Which slot.
+    /// Endpoint of the slot.
     pub grant: Grant,
     node: Arc<Node>,
-    lane: Arc<Lane>,
+    dispatcher: Arc<ServiceDispatcher>,
     ticket: Ticket,
     outcome: Outcome,
 }
 
 impl Slot {
-    /// Notes how the request ended.
-    pub fn ended(&mut self, outcome: Outcome) {
+    /// Records how the request ended, for the health of the endpoint.
+    pub fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 }
@@ -192,54 +194,58 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let (ticket, outcome) = (self.ticket, self.outcome);
-        self.lane.with(&self.node, |d, now| d.done(now, ticket, outcome));
+        self.dispatcher.apply(&self.node, |d, now| d.done(now, ticket, outcome));
     }
 }
 
-/// Takes a waiting request out of its queue when its caller goes away.
-struct Place<'a> {
+/// Cancels a waiting request when its caller goes away.
+struct CancelGuard<'a> {
     node: &'a Arc<Node>,
-    lane: &'a Arc<Lane>,
+    dispatcher: &'a Arc<ServiceDispatcher>,
     ticket: Ticket,
-    left: bool,
+    answered: bool,
 }
 
-impl Drop for Place<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
-        if self.left {
+        if self.answered {
             return;
         }
         let ticket = self.ticket;
-        // It may have got its slot just now; then the slot goes to the next.
-        self.lane.with(self.node, |d, now| {
+        // The request may have been granted a slot just now, which is then freed for the next one.
+        self.dispatcher.apply(self.node, |d, now| {
             if d.cancel(ticket) { Vec::new() } else { d.done(now, ticket, Outcome::Neutral) }
         });
-        self.lane.inner.lock().waiting.remove(&ticket);
+        self.dispatcher.inner.lock().waiting.remove(&ticket);
     }
 }
 
-/// A request for a slot.
-pub struct Ask<'a> {
+/// What a request needs a slot for.
+pub struct SlotRequest<'a> {
     /// Class of the request.
     pub class: Class,
-    /// When it must be answered, since the start of the process.
+    /// When the request must be answered, since the start of the process.
     pub deadline: Duration,
-    /// Endpoints that it has tried; empty for a first try.
+    /// Endpoints that the request was sent to before; empty for its first attempt.
     pub tried: &'a [InstanceId],
 }
 
-/// Waits for a slot. `None` if it is a retry and the budget is spent.
-pub async fn acquire(node: &Arc<Node>, lane: &Arc<Lane>, ask: Ask<'_>) -> Option<Result<Slot, Refusal>> {
+/// Waits for a slot. Returns `None` if the request is a retry and the retry budget is spent.
+pub async fn acquire(
+    node: &Arc<Node>,
+    dispatcher: &Arc<ServiceDispatcher>,
+    request: SlotRequest<'_>,
+) -> Option<Result<Slot, Refusal>> {
     let ticket = node.ticket();
     let (tx, rx) = oneshot::channel();
-    lane.inner.lock().waiting.insert(ticket, tx);
-    let mut place = Place { node, lane, ticket, left: false };
+    dispatcher.inner.lock().waiting.insert(ticket, tx);
+    let mut guard = CancelGuard { node, dispatcher, ticket, answered: false };
     let mut allowed = true;
-    lane.with(node, |d, now| {
-        if ask.tried.is_empty() {
-            return d.offer(now, ticket, ask.class, ask.deadline);
+    dispatcher.apply(node, |d, now| {
+        if request.tried.is_empty() {
+            return d.offer(now, ticket, request.class, request.deadline);
         }
-        d.retry(now, ticket, ask.class, ask.deadline, ask.tried).unwrap_or_else(|| {
+        d.retry(now, ticket, request.class, request.deadline, request.tried).unwrap_or_else(|| {
             allowed = false;
             Vec::new()
         })
@@ -247,121 +253,124 @@
     if !allowed {
         return None;
     }
-    if lane.want(node.now()).is_some() {
-        node.waits.notify_one();
+    if dispatcher.wanted_slots(node.now()).is_some() {
+        node.slots_wanted.notify_one();
     }
-    let reply = rx.await;
-    place.left = true;
-    Some(match reply {
+    let result = rx.await;
+    guard.answered = true;
+    Some(match result {
         Ok(Ok(grant)) => {
-            let (node, lane) = (node.clone(), lane.clone());
-            Ok(Slot { grant, node, lane, ticket, outcome: Outcome::Neutral })
+            let (node, dispatcher) = (node.clone(), dispatcher.clone());
+            Ok(Slot { grant, node, dispatcher, ticket, outcome: Outcome::Neutral })
         }
         Ok(Err(refusal)) => Err(refusal),
-        Err(_) => Err(Refusal { code: Code::Stopping, retry_after: TICK }),
+        Err(_) => Err(Refusal { code: Code::Stopping, retry_after: TICK_INTERVAL }),
     })
 }
 
-/// The lane of a service.
-pub fn of(node: &Node, service: &str) -> Option<Arc<Lane>> {
-    node.lanes.read().get(service).cloned()
+/// The dispatcher of a service that is in the routing table.
+pub fn dispatcher_of(node: &Node, service: &str) -> Option<Arc<ServiceDispatcher>> {
+    node.dispatchers.read().get(service).cloned()
 }
 
-/// Takes a new routing table over.
-pub fn update(node: &Arc<Node>, table: &RouteTable) {
+/// Updates the dispatchers to a new routing table and removes those of services that are no longer in it.
+pub fn update_routes(node: &Arc<Node>, table: &RouteTable) {
     let (member, members) = table.share;
     for (service, view) in &table.services {
-        let known = of(node, service);
-        let lane = known.unwrap_or_else(|| {
-            let lane = Arc::new(Lane::new(service, &node.settings.data_centre));
-            node.lanes.write().insert(service.clone(), lane.clone());
-            lane
+        let existing = dispatcher_of(node, service);
+        let dispatcher = existing.unwrap_or_else(|| {
+            let dispatcher = Arc::new(ServiceDispatcher::new(service, &node.settings.data_centre));
+            node.dispatchers.write().insert(service.clone(), dispatcher.clone());
+            dispatcher
         });
-        lane.with(node, |d, now| d.update(now, view, member, members));
+        dispatcher.apply(node, |d, now| d.update(now, view, member, members));
     }
-    let gone: Vec<Arc<Lane>> = {
-        let mut lanes = node.lanes.write();
+    let removed: Vec<Arc<ServiceDispatcher>> = {
+        let mut dispatchers = node.dispatchers.write();
         let names: Vec<ServiceId> =
-            lanes.keys().filter(|s| !table.services.contains_key(*s)).cloned().collect();
-        names.iter().filter_map(|n| lanes.remove(n)).collect()
+            dispatchers.keys().filter(|s| !table.services.contains_key(*s)).cloned().collect();
+        names.iter().filter_map(|n| dispatchers.remove(n)).collect()
     };
-    for lane in gone {
-        lane.with(node, |d, _| d.refuse_all(Code::UnknownRoute));
+    for dispatcher in removed {
+        dispatcher.apply(node, |d, _| d.refuse_all(Code::UnknownRoute));
     }
 }
 
-/// Requests open on instances.
-pub fn open_on(node: &Node, instances: &[InstanceId]) -> BTreeMap<InstanceId, u32> {
-    let lanes: Vec<Arc<Lane>> = node.lanes.read().values().cloned().collect();
-    let mut open = BTreeMap::new();
-    for lane in lanes {
-        let inner = lane.inner.lock();
-        let of = inner.dispatcher.in_flight().filter(|(id, n)| *n > 0 && instances.contains(id));
-        open.extend(of.map(|(id, n)| (id.clone(), n)));
+/// Number of requests in flight to each of `instances`, leaving out those without any.
+pub fn in_flight_to(node: &Node, instances: &[InstanceId]) -> BTreeMap<InstanceId, u32> {
+    let dispatchers: Vec<Arc<ServiceDispatcher>> = node.dispatchers.read().values().cloned().collect();
+    let mut in_flight = BTreeMap::new();
+    for dispatcher in dispatchers {
+        let inner = dispatcher.inner.lock();
+        let of_service = inner.dispatcher.in_flight().filter(|(id, n)| *n > 0 && instances.contains(id));
+        in_flight.extend(of_service.map(|(id, n)| (id.clone(), n)));
     }
-    open
+    in_flight
 }
 
-/// Requests that wait or hold a slot, over all services.
-pub fn load(node: &Node) -> usize {
-    node.lanes.read().values().map(|l| l.load()).sum()
+/// Number of requests that wait for or hold a slot, over all services.
+pub fn open_requests(node: &Node) -> usize {
+    node.dispatchers.read().values().map(|d| d.open_requests()).sum()
 }
 
-/// Closes endpoints that have said that they leave.
-pub fn close(node: &Node, instances: &[InstanceId]) {
+/// Stops sending new requests to endpoints that have announced that they are leaving.
+pub fn close_endpoints(node: &Node, instances: &[InstanceId]) {
     let now = node.now();
-    for lane in node.lanes.read().values() {
-        let mut inner = lane.inner.lock();
+    for dispatcher in node.dispatchers.read().values() {
+        let mut inner = dispatcher.inner.lock();
         instances.iter().for_each(|i| inner.dispatcher.close(now, i));
     }
 }
 
-fn all(node: &Node) -> Vec<Arc<Lane>> {
-    node.lanes.read().values().cloned().collect()
+fn all_dispatchers(node: &Node) -> Vec<Arc<ServiceDispatcher>> {
+    node.dispatchers.read().values().cloned().collect()
 }
 
-/// Looks at deadlines, health and loans until the process ends.
-pub async fn tick(node: Arc<Node>) {
-    let mut n = 0;
+/// Checks deadlines and health and confirms loans until the process ends.
+pub async fn run_ticks(node: Arc<Node>) {
+    let mut ticks = 0;
     loop {
-        tokio::time::sleep(TICK).await;
-        n += 1;
-        for lane in all(&node) {
-            lane.with(&node, |d, now| d.tick(now));
-            if n % CONFIRM_EVERY == 0 {
-                lane.confirm(&node);
+        tokio::time::sleep(TICK_INTERVAL).await;
+        ticks += 1;
+        for dispatcher in all_dispatchers(&node) {
+            dispatcher.apply(&node, |d, now| d.tick(now));
+            if ticks % TICKS_PER_CONFIRMATION == 0 {
+                dispatcher.confirm_loans(&node);
             }
         }
     }
 }
 
 /// Borrows slots from peers while requests wait, until the process ends.
-pub async fn borrow(node: Arc<Node>) {
+pub async fn run_borrowing(node: Arc<Node>) {
     let mut turn = 0;
     loop {
-        let _ = tokio::time::timeout(TICK, node.waits.notified()).await;
-        for lane in all(&node) {
+        let _ = tokio::time::timeout(TICK_INTERVAL, node.slots_wanted.notified()).await;
+        for dispatcher in all_dispatchers(&node) {
             turn += 1;
-            borrow_for(&node, &lane, turn).await;
+            borrow_slots(&node, &dispatcher, turn).await;
         }
     }
 }
 
-/// Asks peers one after the other until enough is borrowed.
-async fn borrow_for(node: &Arc<Node>, lane: &Arc<Lane>, turn: usize) {
+/// Asks peers one after the other for slots until enough are borrowed, beginning with peer number `turn`.
+async fn borrow_slots(node: &Arc<Node>, dispatcher: &Arc<ServiceDispatcher>, turn: usize) {
     let peers = node.roster_peers();
     for i in 0..peers.len() {
-        let Some(want) = lane.want(node.now()) else { return };
+        let Some(want) = dispatcher.wanted_slots(node.now()) else { return };
         let peer = &peers[(i + turn) % peers.len()];
         let Some(link) = node.link_to(peer) else { continue };
-        let ask = SlotAsk { service: lane.service.clone(), slots: want.slots, from: node.id.clone() };
-        let Some(Msg::SlotLoan(loan)) = link.call(Msg::SlotAsk(ask), ASK_TIMEOUT).await else { continue };
-        let loans: Vec<Loan> = loan
+        let request =
+            SlotAsk { service: dispatcher.service.clone(), slots: want.slots, from: node.id.clone() };
+        let Some(Msg::SlotLoan(reply)) = link.call(Msg::SlotAsk(request), LOAN_REQUEST_TIMEOUT).await else {
+            continue;
+        };
+        let loans: Vec<Loan> = reply
             .loans
             .into_iter()
             .map(|l| Loan { id: l.id, peer: peer.clone(), endpoint: l.endpoint })
             .collect();
         node.metrics.loans.inc_by(loans.len() as u64);
-        lane.with(node, |d, now| d.borrow(now, loans));
+        dispatcher.apply(node, |d, now| d.borrow(now, loans));
     }
 }
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -183,7 +183,7 @@
             state.instances.iter().filter(|(_, i)| away(i)).map(|(id, _)| id.clone()).collect();
         (state.next, draining)
     };
-    let mut in_flight = super::dispatch::open_on(node, &draining);
+    let mut in_flight = super::dispatch::in_flight_to(node, &draining);
     let members = node.members.lock();
     let others: Vec<&MemberRec> = members.present().filter(|m| m.beat.id != node.id).collect();
     let confirmed = others.iter().map(|m| m.beat.next).fold(own, u64::min);
--- a/src/workswood/ops/entry/keyed_requests.rs
+++ b/src/workswood/ops/entry/keyed_requests.rs
@@ -142,8 +142,8 @@
     if behind {
         return Some(Code::ClockSkew);
     }
-    let lane = dispatch::of(node, &call.service)?;
-    let wait = lane.wait(node.now(), call.route.class);
+    let dispatcher = dispatch::dispatcher_of(node, &call.service)?;
+    let wait = dispatcher.expected_wait(node.now(), call.route.class);
     (node.now() + wait >= call.deadline).then_some(Code::WaitTooLong)
 }
 
--- a/src/workswood/ops/entry/log_reader.rs
+++ b/src/workswood/ops/entry/log_reader.rs
@@ -87,10 +87,10 @@
 /// Returns the newest state that any linked peer answers with.
 async fn fetch_peer_state(node: &Node) -> Option<State> {
     let links: Vec<_> = node.links.lock().values().cloned().collect();
-    let ask = |link: workswood_peers::Link| async move {
+    let request_state = |link: workswood_peers::Link| async move {
         link.call(Msg::StateAsk(StateAsk {}), PEER_STATE_TIMEOUT).await
     };
-    let answers = futures::future::join_all(links.into_iter().map(ask)).await;
+    let answers = futures::future::join_all(links.into_iter().map(request_state)).await;
     let states = answers.into_iter().flatten().filter_map(|msg| match msg {
         Msg::StateReply(reply) if !reply.text.is_empty() => State::from_text(&reply.text),
         _ => None,
@@ -215,7 +215,7 @@
     node.claims.lock().on_roster(table.share.0.is_some(), node.now());
     let table = Arc::new(table);
     node.table.store(table.clone());
-    dispatch::update(node, &table);
+    dispatch::update_routes(node, &table);
     node.metrics.next.set(next as i64);
     node.next_offset.send_replace(next);
 }
--- a/src/workswood/ops/entry/mod.rs
+++ b/src/workswood/ops/entry/mod.rs
@@ -86,8 +86,8 @@
             tokio::spawn(duties::lease(node.clone())),
             tokio::spawn(duties::plan(node.clone())),
             tokio::spawn(duties::checkpoint(node.clone())),
-            tokio::spawn(dispatch::tick(node.clone())),
-            tokio::spawn(dispatch::borrow(node.clone())),
+            tokio::spawn(dispatch::run_ticks(node.clone())),
+            tokio::spawn(dispatch::run_borrowing(node.clone())),
             tokio::spawn(deferred_requests::run(node.clone())),
             tokio::spawn(workswood_operators::serve(operators, node.tokens.operators.clone(), node.clone())),
         ];
--- a/src/workswood/ops/entry/node.rs
+++ b/src/workswood/ops/entry/node.rs
@@ -18,7 +18,7 @@
 use workswood_peers::Link;
 use workswood_platform::Platform;
 
-use super::dispatch::Lane;
+use super::dispatch::ServiceDispatcher;
 use super::log_appender::{AppendRequest, PendingEnvelope};
 use crate::util::clock::Clock;
 use crate::util::metrics::Metrics;
@@ -53,8 +53,8 @@
     pub next_offset: watch::Sender<Offset>,
     /// Wakes the log reader when the log has grown.
     pub log_grown: Notify,
-    /// Wakes the borrower: requests wait.
-    pub waits: Notify,
+    /// Wakes the task that borrows slots from peers when requests wait.
+    pub slots_wanted: Notify,
     /// Other processes.
     pub members: Mutex<Members>,
     /// What peers told, by address.
@@ -62,7 +62,7 @@
     /// Connections to peers, by address.
     pub links: Mutex<BTreeMap<String, Link>>,
     /// Dispatchers by service.
-    pub lanes: RwLock<BTreeMap<ServiceId, Arc<Lane>>>,
+    pub dispatchers: RwLock<BTreeMap<ServiceId, Arc<ServiceDispatcher>>>,
     /// Own envelopes that were not folded yet, by sequence number.
     pub pending_envelopes: Mutex<BTreeMap<u64, PendingEnvelope>>,
     /// Queue of the log appender.
@@ -117,11 +117,11 @@
             table: ArcSwap::default(),
             next_offset: watch::channel(0).0,
             log_grown: Notify::new(),
-            waits: Notify::new(),
+            slots_wanted: Notify::new(),
             members: Mutex::default(),
             peer_views: Mutex::default(),
             links: Mutex::default(),
-            lanes: RwLock::default(),
+            dispatchers: RwLock::default(),
             pending_envelopes: Mutex::default(),
             append_queue: tx,
             claims: Mutex::default(),
--- a/src/workswood/ops/entry/peers.rs
+++ b/src/workswood/ops/entry/peers.rs
@@ -100,7 +100,7 @@
         let hosts = state.hosts.iter().filter(|(_, h)| h.away()).map(|(id, _)| id);
         hosts.flat_map(|h| state.by_host.get(h).into_iter().flatten().cloned()).collect()
     };
-    dispatch::open_on(node, &draining)
+    dispatch::in_flight_to(node, &draining)
         .into_iter()
         .map(|(instance, requests)| Open { instance, requests })
         .collect()
@@ -145,7 +145,7 @@
             }
         }
         Msg::SlotAsk(ask) => return Some(Msg::SlotLoan(lend(node, &ask))),
-        Msg::SlotState(s) => loans_told(node, &s),
+        Msg::SlotState(s) => update_loans(node, &s),
         Msg::StateAsk(_) => {
             let text = if node.is(&node.ready) { node.state.read().text() } else { String::new() };
             return Some(Msg::StateReply(StateReply { text }));
@@ -154,7 +154,7 @@
             let r = keyed_requests::reply(node, &key);
             return Some(Msg::KeyReply(KeyReply { known: r.known, roster: r.roster }));
         }
-        Msg::Leaving(Leaving { instances }) => dispatch::close(node, &instances),
+        Msg::Leaving(Leaving { instances }) => dispatch::close_endpoints(node, &instances),
         // Answers, and questions that only processes that run jobs are asked.
         Msg::Hello(_) | Msg::SlotLoan(_) | Msg::StateReply(_) | Msg::KeyReply(_) | Msg::Done(_) => {}
         Msg::JobAsk(_) | Msg::JobReply(_) | Msg::PendingAsk(_) | Msg::PendingReply(_) => {}
@@ -191,16 +191,17 @@
 }
 
 fn lend(node: &Arc<Node>, ask: &SlotAsk) -> SlotLoan {
-    let lane = node.lanes.read().get(&ask.service).cloned();
-    let loans = lane.map(|l| l.lend(node.now(), &ask.from, Want { slots: ask.slots })).unwrap_or_default();
+    let dispatcher = node.dispatchers.read().get(&ask.service).cloned();
+    let loans =
+        dispatcher.map(|d| d.lend(node.now(), &ask.from, Want { slots: ask.slots })).unwrap_or_default();
     let wire = |l: &Loan| Lent { id: l.id, endpoint: l.endpoint.clone() };
     SlotLoan { loans: loans.iter().map(wire).collect() }
 }
 
-fn loans_told(node: &Arc<Node>, s: &SlotState) {
-    let lane = node.lanes.read().get(&s.service).cloned();
-    if let Some(lane) = lane {
-        lane.loans_told(node, s);
+fn update_loans(node: &Arc<Node>, s: &SlotState) {
+    let dispatcher = node.dispatchers.read().get(&s.service).cloned();
+    if let Some(dispatcher) = dispatcher {
+        dispatcher.update_loans(node, s);
     }
 }
 
--- a/src/workswood/ops/entry/proxy.rs
+++ b/src/workswood/ops/entry/proxy.rs
@@ -20,7 +20,7 @@
 use workswood_core::route::Outcome;
 use workswood_endpoints::{Answer, AnyBody, SendError, full, incoming};
 
-use super::dispatch::{self, Ask, Grant, Slot};
+use super::dispatch::{self, Grant, Slot, SlotRequest};
 use super::node::Node;
 use super::{deferred_requests, keyed_requests, peers};
 
@@ -210,17 +210,17 @@
 
 /// The same on a slot that is held already.
 pub async fn run_on(node: &Arc<Node>, call: &Call, body: Bytes, mut first: Option<Slot>) -> End {
-    let Some(lane) = dispatch::of(node, &call.service) else {
+    let Some(dispatcher) = dispatch::dispatcher_of(node, &call.service) else {
         return End::NotSent(Code::UnknownRoute, None);
     };
     let mut tried: Vec<InstanceId> = Vec::new();
     let mut last = End::NotSent(Code::NoEndpoint, None);
     let mut sent = false;
     while tried.len() < MOST_TRIES {
-        let ask = Ask { class: call.route.class, deadline: call.deadline, tried: &tried };
+        let slot_request = SlotRequest { class: call.route.class, deadline: call.deadline, tried: &tried };
         let acquired = match first.take() {
             Some(slot) => Some(Ok(slot)),
-            None => dispatch::acquire(node, &lane, ask).await,
+            None => dispatch::acquire(node, &dispatcher, slot_request).await,
         };
         let mut slot = match acquired {
             Some(Ok(slot)) => slot,
@@ -267,17 +267,17 @@
             End::Answered(ran(res.map(|b| b.map_err(Into::into).boxed())), None)
         }
         Ok(Err(SendError::NotSent { text })) => {
-            slot.ended(Outcome::Bad);
+            slot.set_outcome(Outcome::Bad);
             log::warn!("event=not_sent endpoint={} error={text:?}", slot.grant.endpoint);
             End::NotSent(Code::ConnectFailed, Some(Duration::from_millis(200)))
         }
         Ok(Err(SendError::Broke { text })) => {
-            slot.ended(Outcome::Bad);
+            slot.set_outcome(Outcome::Bad);
             log::warn!("event=broke endpoint={} error={text:?}", slot.grant.endpoint);
             End::Broke(Code::EndpointBroke)
         }
         Err(_) => {
-            slot.ended(Outcome::Bad);
+            slot.set_outcome(Outcome::Bad);
             End::Broke(Code::EndpointTimeout)
         }
     }
@@ -285,10 +285,10 @@
 
 /// Notes how an endpoint answered, and whether it says that it leaves.
 fn note(node: &Node, slot: &mut Slot, failed: bool, headers: &hyper::HeaderMap) {
-    slot.ended(if failed { Outcome::Bad } else { Outcome::Good });
+    slot.set_outcome(if failed { Outcome::Bad } else { Outcome::Good });
     if headers.contains_key(LEAVING) {
         let id = slot.grant.endpoint.clone();
-        dispatch::close(node, std::slice::from_ref(&id));
+        dispatch::close_endpoints(node, std::slice::from_ref(&id));
         peers::tell_leaving(node, vec![id]);
     }
 }
@@ -304,11 +304,11 @@
 
 /// Runs a long request: both bodies stream, so it is sent once at most.
 async fn streamed(node: &Arc<Node>, call: Call, body: Incoming) -> Reply {
-    let Some(lane) = dispatch::of(node, &call.service) else {
+    let Some(dispatcher) = dispatch::dispatcher_of(node, &call.service) else {
         return refusal(Code::UnknownRoute, Ran::NotRun, None);
     };
-    let ask = Ask { class: call.route.class, deadline: call.deadline, tried: &[] };
-    let mut slot = match dispatch::acquire(node, &lane, ask).await {
+    let slot_request = SlotRequest { class: call.route.class, deadline: call.deadline, tried: &[] };
+    let mut slot = match dispatch::acquire(node, &dispatcher, slot_request).await {
         Some(Ok(slot)) => slot,
         Some(Err(r)) => return refusal(r.code, Ran::NotRun, Some(r.retry_after)),
         None => return refusal(Code::NoEndpoint, Ran::NotRun, None),
@@ -329,15 +329,15 @@
             ran(body)
         }
         Ok(Err(SendError::NotSent { .. })) => {
-            slot.ended(Outcome::Bad);
+            slot.set_outcome(Outcome::Bad);
             refusal(Code::ConnectFailed, Ran::NotRun, Some(Duration::from_millis(200)))
         }
         Ok(Err(SendError::Broke { .. })) => {
-            slot.ended(Outcome::Bad);
+            slot.set_outcome(Outcome::Bad);
             refusal(Code::EndpointBroke, Ran::Unknown, None)
         }
         Err(_) => {
-            slot.ended(Outcome::Bad);
+            slot.set_outcome(Outcome::Bad);
             refusal(Code::EndpointTimeout, Ran::Unknown, None)
         }
     }
--- a/src/workswood/ops/entry/shutdown.rs
+++ b/src/workswood/ops/entry/shutdown.rs
@@ -26,7 +26,11 @@
     let limit = node.settings.stop_limit;
     let done = tokio::time::timeout(limit, finish(node, stop_callers, callers)).await;
     if done.is_err() {
-        log::warn!("event=stop_limit in_progress={} queued={}", progress(node), dispatch::load(node));
+        log::warn!(
+            "event=stop_limit in_progress={} queued={}",
+            progress(node),
+            dispatch::open_requests(node)
+        );
     }
 }
 
@@ -43,7 +47,7 @@
     tokio::time::sleep(node.settings.balancer_lag).await;
     let _ = stop_callers.send(true);
     let _ = callers.await;
-    while progress(node) > 0 || dispatch::load(node) > 0 {
+    while progress(node) > 0 || dispatch::open_requests(node) > 0 {
         tokio::time::sleep(LOOK).await;
     }
     node.stopping.store(true, Ordering::Release);
