--- a/src/workswood/ops/entry/deferred_requests.rs
+++ b/src/workswood/ops/entry/deferred_requests.rs
@@ -19,7 +19,7 @@
 use super::keyed_requests::{self, Claiming};
 use super::log_appender::AppendError;
 use super::node::Node;
-use super::proxy::{self, Call, Head, Reply};
+use super::proxy::{self, Reply, RequestHead, RoutedRequest};
 
 /// Largest body of a deferred request, in bytes.
 pub const MOST_PAYLOAD: usize = 64 * 1024;
@@ -31,10 +31,10 @@
 const SLOT_WAIT: Duration = Duration::from_secs(60);
 
 /// Accepts a deferred request, or runs it at once if it is too large.
-pub async fn accept(node: &Arc<Node>, call: Call, body: Bytes, key: Option<String>) -> Reply {
+pub async fn accept(node: &Arc<Node>, call: RoutedRequest, body: Bytes, key: Option<String>) -> Reply {
     if body.len() > MOST_PAYLOAD {
         if call.route.repeatable {
-            return proxy::finish(proxy::run(node, &call, body).await);
+            return proxy::reply_of(proxy::send_with_retries(node, &call, body).await);
         }
         return keyed_requests::answer(node, call, body, key).await;
     }
@@ -95,7 +95,7 @@
 }
 
 /// A key for a repeatable request whose caller names none.
-fn unnamed(node: &Node, call: &Call, body: &Bytes) -> Given {
+fn unnamed(node: &Node, call: &RoutedRequest, body: &Bytes) -> Given {
     Given {
         key: uuid::Uuid::new_v4().simple().to_string(),
         last_moment: node.wall() + MAX_KEY_WINDOW.as_millis() as UnixMs,
@@ -199,7 +199,7 @@
     }
     log::info!("event=deferred_start key={key} service={} attempt={attempt}", rec.service);
     let body = Bytes::from(STANDARD.decode(&d.body).unwrap_or_default());
-    let end = proxy::run_on(node, &call, body, Some(slot)).await;
+    let end = proxy::send_from_slot(node, &call, body, Some(slot)).await;
     let mut record = keyed_requests::finish_record(node, key, &end);
     // The outcome must reach the log, or the request would run again.
     while let Err(error) = node.append(vec![record.clone()]).await {
@@ -220,13 +220,13 @@
         .is_some_and(|k| matches!(&k.state, KeyState::Running { holder } if *holder == node.id))
 }
 
-fn call(node: &Node, key: &str, rec: &KeyRec, d: &Deferred) -> Option<Call> {
+fn call(node: &Node, key: &str, rec: &KeyRec, d: &Deferred) -> Option<RoutedRequest> {
     let table = node.table.load();
     let path = d.path.split('?').next().unwrap_or_default();
     let (route, service) = table.find(path).filter(|(_, s)| *s == rec.service)?.clone();
     let mut headers = hyper::HeaderMap::new();
     headers.insert(KEY, key.parse().ok()?);
-    let head = Head { method: d.method.parse().ok()?, path: d.path.clone(), headers };
+    let head = RequestHead { method: d.method.parse().ok()?, path: d.path.clone(), headers };
     let deadline = node.now() + route.deadline;
-    Some(Call { head, service, route, deadline, last_moment: None })
+    Some(RoutedRequest { head, service, route, deadline, last_moment: None })
 }
--- a/src/workswood/ops/entry/keyed_requests.rs
+++ b/src/workswood/ops/entry/keyed_requests.rs
@@ -20,7 +20,7 @@
 
 use super::dispatch;
 use super::node::Node;
-use super::proxy::{self, Call, End, Reply};
+use super::proxy::{self, Reply, RoutedRequest, SendOutcome};
 
 /// Largest body of an answer that is kept with its key, in bytes.
 const MOST_KEPT: usize = 4 * 1024;
@@ -35,7 +35,7 @@
 const ASK_AGAIN: Duration = Duration::from_millis(500);
 
 /// Reads the key of a request.
-pub fn given(node: &Node, call: &Call, body: &Bytes, key: Option<String>) -> Result<Given, Code> {
+pub fn given(node: &Node, call: &RoutedRequest, body: &Bytes, key: Option<String>) -> Result<Given, Code> {
     let key = key.ok_or(Code::KeyMissing)?;
     let plain = key.bytes().all(|b| b.is_ascii_graphic());
     if key.is_empty() || key.len() > MOST_KEY || !plain {
@@ -53,12 +53,12 @@
 }
 
 /// Digest of method, path and body.
-pub fn digest(call: &Call, body: &Bytes) -> u64 {
+pub fn digest(call: &RoutedRequest, body: &Bytes) -> u64 {
     workswood_core::digest(&[call.head.method.as_str().as_bytes(), call.head.path.as_bytes(), body])
 }
 
 /// Answers a request that may not be repeated.
-pub async fn answer(node: &Arc<Node>, call: Call, body: Bytes, key: Option<String>) -> Reply {
+pub async fn answer(node: &Arc<Node>, call: RoutedRequest, body: Bytes, key: Option<String>) -> Reply {
     let given = match given(node, &call, &body, key) {
         Ok(g) => g,
         // Without a readable key nothing like it can have run.
@@ -97,7 +97,7 @@
     }
 }
 
-async fn claim_and_run(node: &Arc<Node>, call: Call, body: Bytes, given: Given) -> Reply {
+async fn claim_and_run(node: &Arc<Node>, call: RoutedRequest, body: Bytes, given: Given) -> Reply {
     if let Some(reply) = known(node, &given) {
         return reply;
     }
@@ -134,7 +134,7 @@
 }
 
 /// Why a claim would be of no use now.
-fn hopeless(node: &Node, call: &Call) -> Option<Code> {
+fn hopeless(node: &Node, call: &RoutedRequest) -> Option<Code> {
     if !node.is(&node.log_up) {
         return Some(Code::LogUnavailable);
     }
@@ -148,28 +148,28 @@
 }
 
 /// Runs a request that this process has won.
-async fn run_claimed(node: &Arc<Node>, call: Call, body: Bytes, key: &str) -> Reply {
-    let end = proxy::run(node, &call, body).await;
+async fn run_claimed(node: &Arc<Node>, call: RoutedRequest, body: Bytes, key: &str) -> Reply {
+    let end = proxy::send_with_retries(node, &call, body).await;
     let record = finish_record(node, key, &end);
-    if let End::NotSent(..) = end {
+    if let SendOutcome::NotSent(..) = end {
         // The key must be free again before the caller comes back with it.
         let _ = node.append(vec![record]).await;
     } else {
         let node = node.clone();
         tokio::spawn(async move { node.append(vec![record]).await });
     }
-    proxy::finish(end)
+    proxy::reply_of(end)
 }
 
 /// The record of how an attempt of this process ended.
-pub fn finish_record(node: &Node, key: &str, end: &End) -> Record {
+pub fn finish_record(node: &Node, key: &str, end: &SendOutcome) -> Record {
     let end = match end {
-        End::Answered(reply, body) => {
+        SendOutcome::Answered(reply, body) => {
             let kept = body.as_ref().filter(|b| b.len() <= MOST_KEPT).map(|b| STANDARD.encode(b));
             KeyEnd::Answered { status: reply.status().as_u16(), body: kept }
         }
-        End::NotSent(..) => KeyEnd::NotSent,
-        End::Broke(_) => KeyEnd::Unknown,
+        SendOutcome::NotSent(..) => KeyEnd::NotSent,
+        SendOutcome::Broken(_) => KeyEnd::Unknown,
     };
     Record::Finish { key: key.to_string(), holder: node.id.clone(), end }
 }
@@ -199,7 +199,7 @@
 }
 
 /// Answers the question for the outcome of a key.
-pub fn outcome(node: &Node, key: &str) -> Reply {
+pub fn outcome_reply(node: &Node, key: &str) -> Reply {
     let state = node.state.read();
     match state.keys.get(key) {
         Some(rec) => tell(&keyed::told(&state, rec), key),
--- a/src/workswood/ops/entry/peers.rs
+++ b/src/workswood/ops/entry/peers.rs
@@ -206,7 +206,7 @@
 }
 
 /// Tells all peers that endpoints take no new work.
-pub fn tell_leaving(node: &Node, instances: Vec<String>) {
+pub fn announce_leaving(node: &Node, instances: Vec<String>) {
     log::info!("event=endpoint_leaving instances={} reason=own_answer", instances.join(","));
     let msg = Msg::Leaving(Leaving { instances });
     for link in node.links.lock().values() {
--- a/src/workswood/ops/entry/proxy.rs
+++ b/src/workswood/ops/entry/proxy.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Routes callers' requests to endpoints: a reverse proxy with deadlines and retries.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -24,19 +24,19 @@
 use super::node::Node;
 use super::{deferred_requests, keyed_requests, peers};
 
-/// Largest body that is held whole, in bytes; larger ones need class `long`.
-pub const MOST_HELD: usize = 1024 * 1024;
-/// Largest body of a request of class `long`, in bytes.
-const MOST_LONG: usize = 1024 * 1024 * 1024;
-/// Tries of one repeatable request.
-const MOST_TRIES: usize = 3;
-/// Header by which an endpoint says that it takes no more work.
-const LEAVING: &str = "x-workswood-leaving";
-/// Path that the balancer asks.
+/// Maximum size of a buffered request or response body, in bytes. Larger requests need class `long`.
+pub const MAX_BUFFERED_BODY_BYTES: usize = 1024 * 1024;
+/// Maximum size of the body of a request of class `long`, in bytes.
+const MAX_LONG_BODY_BYTES: usize = 1024 * 1024 * 1024;
+/// Maximum number of endpoints that one request is attempted on.
+const MAX_ATTEMPTS: usize = 3;
+/// Response header by which an endpoint announces that it accepts no more requests.
+const LEAVING_HEADER: &str = "x-workswood-leaving";
+/// Path of the load balancer's readiness check.
 const READY_PATH: &str = "/workswood/ready";
-/// Path under which the outcome of a key is asked for.
+/// Path prefix under which callers ask for the outcome of a key.
 const OUTCOME_PATH: &str = "/workswood/outcome/";
-/// Header fields that concern one connection only.
+/// Header fields that apply to a single connection and are not forwarded.
 const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -48,111 +48,119 @@
     "upgrade",
 ];
 
-/// An answer to a caller.
+/// A response to a caller.
 pub type Reply = Response<ReplyBody>;
 
-/// A request with its route.
+/// A caller's request with the route that its path matches.
 #[derive(Clone)]
-pub struct Call {
-    /// Head of the request.
-    pub head: Head,
-    /// The service.
+pub struct RoutedRequest {
+    /// Head of the request as it is forwarded.
+    pub head: RequestHead,
+    /// Service that the route belongs to.
     pub service: ServiceId,
-    /// The route.
+    /// Route of the request.
     pub route: Route,
-    /// When it must be answered, since the start of the process.
+    /// When the request must be answered, since the start of the process.
     pub deadline: Duration,
-    /// The caller's last moment, as text.
+    /// Unparsed value of the caller's last-moment header.
     pub last_moment: Option<String>,
 }
 
-/// Head of a request, as it goes to an endpoint.
+/// Head of a request as it is forwarded to an endpoint.
 #[derive(Clone)]
-pub struct Head {
-    /// Method.
+pub struct RequestHead {
+    /// HTTP method.
     pub method: hyper::Method,
     /// Path and query.
     pub path: String,
-    /// Header fields.
+    /// Header fields, without those of a single connection.
     pub headers: hyper::HeaderMap,
 }
 
-/// How a request ended at the endpoints.
-pub enum End {
-    /// An endpoint answered.
+/// How the attempts to send a request to endpoints ended.
+pub enum SendOutcome {
+    /// An endpoint answered; with the response body if it was buffered.
     Answered(Reply, Option<Bytes>),
-    /// Nothing was sent.
+    /// Nothing was sent; with the time after which the caller may retry.
     NotSent(Code, Option<Duration>),
-    /// Something was sent and no whole answer came.
-    Broke(Code),
+    /// The request may have been sent, and no complete response arrived.
+    Broken(Code),
 }
 
-struct InProgress(Arc<Node>);
+/// Counts a caller's request as in progress until it is dropped.
+struct InProgressGuard(Arc<Node>);
 
-impl Drop for InProgress {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.0.in_progress.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// Answers callers.
+/// Returns the handler of callers' requests.
 pub fn handler(node: Arc<Node>) -> Handler {
     Arc::new(move |req| {
         let node = node.clone();
         node.in_progress.fetch_add(1, Ordering::AcqRel);
-        let guard = InProgress(node.clone());
+        let guard = InProgressGuard(node.clone());
         async move {
             let _guard = guard;
-            answer(&node, req).await
+            handle(&node, req).await
         }
         .boxed()
     })
 }
 
-async fn answer(node: &Arc<Node>, req: Request<Incoming>) -> Reply {
-    let arrived = node.now();
+/// Finds the route of a request, has it answered and records its metrics.
+async fn handle(node: &Arc<Node>, req: Request<Incoming>) -> Reply {
+    let arrived_at = node.now();
     let path = req.uri().path();
     if path == READY_PATH {
         return readiness(node);
     }
     if let Some(key) = path.strip_prefix(OUTCOME_PATH) {
-        return keyed_requests::outcome(node, key);
+        return keyed_requests::outcome_reply(node, key);
     }
     let key = header(req.headers(), KEY);
-    let found = node.table.load().find(path).cloned();
-    let Some((route, service)) = found.filter(|_| node.is(&node.ready)) else {
+    let matched = node.table.load().find(path).cloned();
+    let Some((route, service)) = matched.filter(|_| node.is(&node.ready)) else {
         let code = if node.is(&node.ready) { Code::UnknownRoute } else { Code::NotCaughtUp };
         return keyed_requests::refuse(node, key.as_deref(), code, Some(Duration::from_secs(1))).await;
     };
     let class = route.class;
-    let allowed = header(req.headers(), DEADLINE).and_then(|v| v.parse().ok()).map(Duration::from_millis);
-    let deadline = arrived + allowed.unwrap_or(route.deadline).min(route.deadline);
+    let timeout = header(req.headers(), DEADLINE).and_then(|v| v.parse().ok()).map(Duration::from_millis);
+    let deadline = arrived_at + timeout.unwrap_or(route.deadline).min(route.deadline);
     let (parts, body) = req.into_parts();
     let last_moment = header(&parts.headers, LAST_MOMENT);
-    let call = Call { head: head(parts), service, route, deadline, last_moment };
-    let service = call.service.clone();
-    let reply = dispatch(node, call, body, key).await;
+    let request = RoutedRequest { head: forwarded_head(parts), service, route, deadline, last_moment };
+    let service = request.service.clone();
+    let reply = run_by_class(node, request, body, key).await;
     let ran = reply.headers().get(RAN).and_then(|v| v.to_str().ok()).unwrap_or("run");
     node.metrics.requests.with_label_values(&[service.as_str(), class.as_str(), ran]).inc();
     if class == Class::Urgent {
-        node.metrics.urgent_seconds.observe((node.now() - arrived).as_secs_f64());
+        node.metrics.urgent_seconds.observe((node.now() - arrived_at).as_secs_f64());
     }
     reply
 }
 
-async fn dispatch(node: &Arc<Node>, call: Call, body: Incoming, key: Option<String>) -> Reply {
-    match (call.route.class, call.route.repeatable) {
-        (Class::Later, _) => match held(body).await {
-            Ok(b) => deferred_requests::accept(node, call, b, key).await,
+/// Runs a request in the way that its class and its route ask for.
+async fn run_by_class(
+    node: &Arc<Node>,
+    request: RoutedRequest,
+    body: Incoming,
+    key: Option<String>,
+) -> Reply {
+    match (request.route.class, request.route.repeatable) {
+        (Class::Later, _) => match buffer_body(body).await {
+            Ok(b) => deferred_requests::accept(node, request, b, key).await,
             Err(code) => keyed_requests::refuse(node, key.as_deref(), code, None).await,
         },
-        (Class::Long, true) => streamed(node, call, body).await,
-        (_, false) => match held(body).await {
-            Ok(b) => keyed_requests::answer(node, call, b, key).await,
+        (Class::Long, true) => stream_long_request(node, request, body).await,
+        (_, false) => match buffer_body(body).await {
+            Ok(b) => keyed_requests::answer(node, request, b, key).await,
             Err(code) => keyed_requests::refuse(node, key.as_deref(), code, None).await,
         },
-        (_, true) => match held(body).await {
-            Ok(b) => finish(run(node, &call, b).await),
+        (_, true) => match buffer_body(body).await {
+            Ok(b) => reply_of(send_with_retries(node, &request, b).await),
             Err(code) => refusal(code, Ran::NotRun, None),
         },
     }
@@ -166,167 +174,179 @@
     refusal(code, Ran::NotRun, None)
 }
 
-/// The text of a header field.
+/// Value of a header field, if it is visible ASCII text.
 pub fn header(headers: &hyper::HeaderMap, name: &str) -> Option<String> {
     headers.get(name).and_then(|v| v.to_str().ok()).map(str::to_string)
 }
 
-fn head(parts: Parts) -> Head {
+/// Head of a request without the fields that are not forwarded to endpoints.
+fn forwarded_head(parts: Parts) -> RequestHead {
     let path = parts.uri.path_and_query().map_or("/", |p| p.as_str()).to_string();
     let mut headers = parts.headers;
     HOP_BY_HOP.iter().for_each(|h| drop(headers.remove(*h)));
     headers.remove("host");
     headers.remove("content-length");
     headers.remove(LAST_MOMENT);
-    Head { method: parts.method, path, headers }
+    RequestHead { method: parts.method, path, headers }
 }
 
-async fn held(body: Incoming) -> Result<Bytes, Code> {
-    read_body(body, MOST_HELD).await.map_err(BodyError::code)
+async fn buffer_body(body: Incoming) -> Result<Bytes, Code> {
+    read_body(body, MAX_BUFFERED_BODY_BYTES).await.map_err(BodyError::code)
 }
 
-/// Turns an end into an answer.
-pub fn finish(end: End) -> Reply {
-    match end {
-        End::Answered(reply, _) => reply,
-        End::NotSent(code, after) => refusal(code, Ran::NotRun, after),
-        End::Broke(code) => refusal(code, Ran::Unknown, None),
+/// Response to the caller for an outcome.
+pub fn reply_of(outcome: SendOutcome) -> Reply {
+    match outcome {
+        SendOutcome::Answered(reply, _) => reply,
+        SendOutcome::NotSent(code, retry_after) => refusal(code, Ran::NotRun, retry_after),
+        SendOutcome::Broken(code) => refusal(code, Ran::Unknown, None),
     }
 }
 
-fn outgoing(call: &Call, grant: &Grant, body: AnyBody) -> Request<AnyBody> {
-    let uri = format!("http://{}{}", grant.address, call.head.path);
+/// Request to the endpoint of a granted slot.
+fn endpoint_request(request: &RoutedRequest, grant: &Grant, body: AnyBody) -> Request<AnyBody> {
+    let uri = format!("http://{}{}", grant.address, request.head.path);
     let mut req = Request::new(body);
-    *req.method_mut() = call.head.method.clone();
+    *req.method_mut() = request.head.method.clone();
     *req.uri_mut() = uri.parse().unwrap_or_default();
-    *req.headers_mut() = call.head.headers.clone();
+    *req.headers_mut() = request.head.headers.clone();
     req
 }
 
-/// Runs a request whose body is held; again elsewhere while that is safe.
-pub async fn run(node: &Arc<Node>, call: &Call, body: Bytes) -> End {
-    run_on(node, call, body, None).await
+/// Sends a request with a buffered body. A failed attempt is retried on another endpoint if nothing was
+/// sent, or if the request is repeatable and the attempt did not time out.
+pub async fn send_with_retries(node: &Arc<Node>, request: &RoutedRequest, body: Bytes) -> SendOutcome {
+    send_from_slot(node, request, body, None).await
 }
 
-/// The same on a slot that is held already.
-pub async fn run_on(node: &Arc<Node>, call: &Call, body: Bytes, mut first: Option<Slot>) -> End {
-    let Some(dispatcher) = dispatch::dispatcher_of(node, &call.service) else {
-        return End::NotSent(Code::UnknownRoute, None);
+/// Does the same as [`send_with_retries`], with the first attempt on a slot that was acquired before.
+pub async fn send_from_slot(
+    node: &Arc<Node>,
+    request: &RoutedRequest,
+    body: Bytes,
+    mut first_slot: Option<Slot>,
+) -> SendOutcome {
+    let Some(dispatcher) = dispatch::dispatcher_of(node, &request.service) else {
+        return SendOutcome::NotSent(Code::UnknownRoute, None);
     };
     let mut tried: Vec<InstanceId> = Vec::new();
-    let mut last = End::NotSent(Code::NoEndpoint, None);
+    let mut last = SendOutcome::NotSent(Code::NoEndpoint, None);
     let mut sent = false;
-    while tried.len() < MOST_TRIES {
-        let slot_request = SlotRequest { class: call.route.class, deadline: call.deadline, tried: &tried };
-        let acquired = match first.take() {
+    while tried.len() < MAX_ATTEMPTS {
+        let slot_request =
+            SlotRequest { class: request.route.class, deadline: request.deadline, tried: &tried };
+        let acquired = match first_slot.take() {
             Some(slot) => Some(Ok(slot)),
             None => dispatch::acquire(node, &dispatcher, slot_request).await,
         };
         let mut slot = match acquired {
             Some(Ok(slot)) => slot,
-            Some(Err(r)) if !sent => return End::NotSent(r.code, Some(r.retry_after)),
+            Some(Err(refused)) if !sent => {
+                return SendOutcome::NotSent(refused.code, Some(refused.retry_after));
+            }
             _ => return last,
         };
         if !tried.is_empty() {
             node.metrics.retries.inc();
         }
         tried.push(slot.grant.endpoint.clone());
-        let end = try_one(node, call, &body, &mut slot).await;
-        let again = match &end {
-            End::NotSent(..) => true,
-            End::Broke(code) => call.route.repeatable && *code != Code::EndpointTimeout,
-            End::Answered(reply, _) => call.route.repeatable && reply.status().is_server_error(),
+        let outcome = attempt(node, request, &body, &mut slot).await;
+        let may_retry = match &outcome {
+            SendOutcome::NotSent(..) => true,
+            SendOutcome::Broken(code) => request.route.repeatable && *code != Code::EndpointTimeout,
+            SendOutcome::Answered(reply, _) => request.route.repeatable && reply.status().is_server_error(),
         };
-        sent |= !matches!(end, End::NotSent(..));
-        if !again || node.now() >= call.deadline {
-            return end;
+        sent |= !matches!(outcome, SendOutcome::NotSent(..));
+        if !may_retry || node.now() >= request.deadline {
+            return outcome;
         }
-        last = match (end, sent) {
-            // An earlier try may have run, so this is no longer certain.
-            (End::NotSent(code, _), true) => End::Broke(code),
-            (end, _) => end,
+        last = match (outcome, sent) {
+            // An earlier attempt may have run, so it is not certain that the request was not sent.
+            (SendOutcome::NotSent(code, _), true) => SendOutcome::Broken(code),
+            (outcome, _) => outcome,
         };
     }
     last
 }
 
-async fn try_one(node: &Arc<Node>, call: &Call, body: &Bytes, slot: &mut Slot) -> End {
+/// Sends a request once, to the endpoint of a slot.
+async fn attempt(node: &Arc<Node>, request: &RoutedRequest, body: &Bytes, slot: &mut Slot) -> SendOutcome {
     node.metrics.sends.inc();
-    let req = outgoing(call, &slot.grant, full(body.clone()));
-    let left = call.deadline.saturating_sub(node.now());
-    let answer = tokio::time::timeout(left, node.endpoints.call(req, MOST_HELD)).await;
+    let req = endpoint_request(request, &slot.grant, full(body.clone()));
+    let timeout = request.deadline.saturating_sub(node.now());
+    let answer = tokio::time::timeout(timeout, node.endpoints.call(req, MAX_BUFFERED_BODY_BYTES)).await;
     match answer {
         Ok(Ok(Answer::Whole(res))) => {
-            note(node, slot, res.status().is_server_error(), res.headers());
+            record_response(node, slot, res.status().is_server_error(), res.headers());
             let (parts, b) = res.into_parts();
             let reply = Response::from_parts(parts, whole(b.clone()));
-            End::Answered(ran(reply), Some(b))
+            SendOutcome::Answered(endpoint_reply(reply), Some(b))
         }
         Ok(Ok(Answer::Streams(res))) => {
-            note(node, slot, false, res.headers());
-            End::Answered(ran(res.map(|b| b.map_err(Into::into).boxed())), None)
+            record_response(node, slot, false, res.headers());
+            SendOutcome::Answered(endpoint_reply(res.map(|b| b.map_err(Into::into).boxed())), None)
         }
         Ok(Err(SendError::NotSent { text })) => {
             slot.set_outcome(Outcome::Bad);
             log::warn!("event=not_sent endpoint={} error={text:?}", slot.grant.endpoint);
-            End::NotSent(Code::ConnectFailed, Some(Duration::from_millis(200)))
+            SendOutcome::NotSent(Code::ConnectFailed, Some(Duration::from_millis(200)))
         }
         Ok(Err(SendError::Broke { text })) => {
             slot.set_outcome(Outcome::Bad);
             log::warn!("event=broke endpoint={} error={text:?}", slot.grant.endpoint);
-            End::Broke(Code::EndpointBroke)
+            SendOutcome::Broken(Code::EndpointBroke)
         }
         Err(_) => {
             slot.set_outcome(Outcome::Bad);
-            End::Broke(Code::EndpointTimeout)
+            SendOutcome::Broken(Code::EndpointTimeout)
         }
     }
 }
 
-/// Notes how an endpoint answered, and whether it says that it leaves.
-fn note(node: &Node, slot: &mut Slot, failed: bool, headers: &hyper::HeaderMap) {
+/// Records the health of the endpoint, and closes it if the response announces that it is leaving.
+fn record_response(node: &Node, slot: &mut Slot, failed: bool, headers: &hyper::HeaderMap) {
     slot.set_outcome(if failed { Outcome::Bad } else { Outcome::Good });
-    if headers.contains_key(LEAVING) {
+    if headers.contains_key(LEAVING_HEADER) {
         let id = slot.grant.endpoint.clone();
         dispatch::close_endpoints(node, std::slice::from_ref(&id));
-        peers::tell_leaving(node, vec![id]);
+        peers::announce_leaving(node, vec![id]);
     }
 }
 
-/// Marks an answer of an endpoint as that of a request that ran.
-fn ran(mut reply: Reply) -> Reply {
+/// Response to the caller from that of an endpoint, marked as the response of a request that ran.
+fn endpoint_reply(mut reply: Reply) -> Reply {
     HOP_BY_HOP.iter().for_each(|h| drop(reply.headers_mut().remove(*h)));
-    // What an endpoint says in our names is not passed on.
+    // Only the entry process sets this header.
     reply.headers_mut().remove(CODE);
     reply.headers_mut().insert(HeaderName::from_static(RAN), HeaderValue::from_static(Ran::Run.as_str()));
     reply
 }
 
-/// Runs a long request: both bodies stream, so it is sent once at most.
-async fn streamed(node: &Arc<Node>, call: Call, body: Incoming) -> Reply {
-    let Some(dispatcher) = dispatch::dispatcher_of(node, &call.service) else {
+/// Runs a request of class `long`. Both bodies are streamed, so the request is sent at most once.
+async fn stream_long_request(node: &Arc<Node>, request: RoutedRequest, body: Incoming) -> Reply {
+    let Some(dispatcher) = dispatch::dispatcher_of(node, &request.service) else {
         return refusal(Code::UnknownRoute, Ran::NotRun, None);
     };
-    let slot_request = SlotRequest { class: call.route.class, deadline: call.deadline, tried: &[] };
+    let slot_request = SlotRequest { class: request.route.class, deadline: request.deadline, tried: &[] };
     let mut slot = match dispatch::acquire(node, &dispatcher, slot_request).await {
         Some(Ok(slot)) => slot,
-        Some(Err(r)) => return refusal(r.code, Ran::NotRun, Some(r.retry_after)),
+        Some(Err(refused)) => return refusal(refused.code, Ran::NotRun, Some(refused.retry_after)),
         None => return refusal(Code::NoEndpoint, Ran::NotRun, None),
     };
     node.metrics.sends.inc();
-    let limited = Limited::new(body, MOST_LONG);
+    let limited = Limited::new(body, MAX_LONG_BODY_BYTES);
     let body = limited.map_err(|e| workswood_endpoints::BodyError { text: e.to_string() }).boxed();
-    let req = outgoing(&call, &slot.grant, body);
-    let left = call.deadline.saturating_sub(node.now());
-    match tokio::time::timeout(left, node.endpoints.send(req)).await {
+    let req = endpoint_request(&request, &slot.grant, body);
+    let timeout = request.deadline.saturating_sub(node.now());
+    match tokio::time::timeout(timeout, node.endpoints.send(req)).await {
         Ok(Ok(res)) => {
-            note(node, &mut slot, res.status().is_server_error(), res.headers());
-            // The slot is held until the last byte of the answer has passed.
-            let guard = InProgress(node.clone());
+            record_response(node, &mut slot, res.status().is_server_error(), res.headers());
+            // The slot is held until the response body has ended.
+            let guard = InProgressGuard(node.clone());
             node.in_progress.fetch_add(1, Ordering::AcqRel);
-            let held = (slot, guard);
-            let body = incoming_body(res, held);
-            ran(body)
+            let resources = (slot, guard);
+            let reply = forward_body(res, resources);
+            endpoint_reply(reply)
         }
         Ok(Err(SendError::NotSent { .. })) => {
             slot.set_outcome(Outcome::Bad);
@@ -343,12 +363,12 @@
     }
 }
 
-/// Passes a body on and keeps `held` until it has ended.
-fn incoming_body<T: Send + Sync + 'static>(res: Response<Incoming>, held: T) -> Reply {
+/// Forwards a response body and keeps `resources` until it has ended.
+fn forward_body<T: Send + Sync + 'static>(res: Response<Incoming>, resources: T) -> Reply {
     res.map(|b| {
         let body = incoming(b).map_err(Into::into);
         body.map_frame(move |f| {
-            let _ = &held;
+            let _ = &resources;
             f
         })
         .boxed()
