--- a/src/workswood/ops/entry/deferred_requests.rs
+++ b/src/workswood/ops/entry/deferred_requests.rs
@@ -16,7 +16,7 @@
 use workswood_core::record::{Deferred, End as KeyEnd, Record};
 
 use super::dispatch::{self, SlotRequest};
-use super::keyed_requests::{self, Claiming};
+use super::keyed_requests::{self, ClaimGuard};
 use super::log_appender::AppendError;
 use super::node::Node;
 use super::proxy::{self, Reply, RequestHead, RoutedRequest};
@@ -40,13 +40,13 @@
     }
     let named = key.is_some() || !call.route.repeatable;
     let given = match named {
-        true => match keyed_requests::given(node, &call, &body, key) {
+        true => match keyed_requests::parse_key(node, &call, &body, key) {
             Ok(g) => g,
             Err(code) => return refusal(code, Ran::NotRun, None),
         },
         false => unnamed(node, &call, &body),
     };
-    if let Some(reply) = keyed_requests::known(node, &given) {
+    if let Some(reply) = keyed_requests::recorded_reply(node, &given) {
         return reply;
     }
     if !node.is(&node.log_up) {
@@ -58,7 +58,7 @@
         )
         .await;
     }
-    let Some(claiming) = Claiming::begin(node, &given.key, call.deadline).await else {
+    let Some(claim_guard) = ClaimGuard::begin(node, &given.key, call.deadline).await else {
         return keyed_requests::refuse(node, Some(&given.key), Code::WaitTooLong, Some(HOLD)).await;
     };
     let deferred = Deferred {
@@ -78,12 +78,12 @@
     match node.append(vec![record]).await.map(|f| f.verdicts) {
         Ok(v) => match v.first() {
             Some(Ok(())) => accepted(&given.key),
-            Some(Err(Void::KeyTaken | Void::Expired)) => keyed_requests::known(node, &given)
+            Some(Err(Void::KeyTaken | Void::Expired)) => keyed_requests::recorded_reply(node, &given)
                 .unwrap_or_else(|| refusal(Code::KeyExpired, Ran::Unknown, None)),
             _ => refusal(Code::LogUnavailable, Ran::NotRun, Some(Duration::from_secs(1))),
         },
         Err(AppendError::NotSent) => {
-            drop(claiming);
+            drop(claim_guard);
             keyed_requests::refuse(node, Some(&given.key), Code::LogUnavailable, Some(Duration::from_secs(1)))
                 .await
         }
@@ -99,7 +99,7 @@
     Given {
         key: uuid::Uuid::new_v4().simple().to_string(),
         last_moment: node.wall() + MAX_KEY_WINDOW.as_millis() as UnixMs,
-        digest: keyed_requests::digest(call, body),
+        digest: keyed_requests::request_digest(call, body),
     }
 }
 
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -213,7 +213,7 @@
     want.sort();
     let differs = want != state.roster && !want.is_empty();
     if differs {
-        *node.proposed.lock() = want.iter().map(|m| m.id.clone()).collect();
+        *node.proposed_roster.lock() = want.iter().map(|m| m.id.clone()).collect();
     }
     differs.then_some(Record::Roster { term, members: want })
 }
--- a/src/workswood/ops/entry/keyed_requests.rs
+++ b/src/workswood/ops/entry/keyed_requests.rs
@@ -1,7 +1,7 @@
-//! Requests that may not be repeated.
+//! Runs requests that may not be repeated at most once, by their idempotency key.
 //!
-//! The right to run is won by the first claim of the key in the log. Only the
-//! winner sends, once. Everybody else is told what the log says.
+//! The process whose claim of the key comes first in the log sends the request, once. Every other
+//! copy of the request is answered from the log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,68 +22,74 @@
 use super::node::Node;
 use super::proxy::{self, Reply, RoutedRequest, SendOutcome};
 
-/// Largest body of an answer that is kept with its key, in bytes.
-const MOST_KEPT: usize = 4 * 1024;
-/// How far the clocks of entry hosts may differ.
-pub const CLOCK_BOUND: Duration = Duration::from_secs(2);
-/// Longest wait for a peer that is asked about a key.
-const ASK_TIMEOUT: Duration = Duration::from_millis(300);
-const MOST_KEY: usize = 128;
-/// When a caller should come back to a log that is down.
-const COME_BACK: Duration = Duration::from_secs(1);
-/// When a caller should ask again about a request that runs.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
-
-/// Reads the key of a request.
-pub fn given(node: &Node, call: &RoutedRequest, body: &Bytes, key: Option<String>) -> Result<Given, Code> {
+/// Maximum size of a response body that is stored with its key, in bytes.
+const MAX_STORED_BODY_BYTES: usize = 4 * 1024;
+/// Maximum difference between the clocks of entry hosts.
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(2);
+/// Timeout of a request to a peer for the status of a key.
+const KEY_STATUS_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum length of a key, in bytes.
+const MAX_KEY_BYTES: usize = 128;
+/// Time after which a caller may retry while the log is down.
+const LOG_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Time after which a caller may ask again about a running request.
+const RUNNING_RETRY_AFTER: Duration = Duration::from_millis(500);
+
+/// Parses the key and the last moment of a request.
+pub fn parse_key(
+    node: &Node,
+    request: &RoutedRequest,
+    body: &Bytes,
+    key: Option<String>,
+) -> Result<Given, Code> {
     let key = key.ok_or(Code::KeyMissing)?;
-    let plain = key.bytes().all(|b| b.is_ascii_graphic());
-    if key.is_empty() || key.len() > MOST_KEY || !plain {
+    let visible = key.bytes().all(|b| b.is_ascii_graphic());
+    if key.is_empty() || key.len() > MAX_KEY_BYTES || !visible {
         return Err(Code::KeyMalformed);
     }
-    let last_moment = match &call.last_moment {
+    let last_moment = match &request.last_moment {
         Some(t) => t.parse().map_err(|_| Code::KeyMalformed)?,
         None => return Err(Code::KeyMissing),
     };
-    let most = node.wall() + (MAX_KEY_WINDOW + CLOCK_BOUND).as_millis() as UnixMs;
-    if last_moment > most {
+    let latest = node.wall() + (MAX_KEY_WINDOW + MAX_CLOCK_SKEW).as_millis() as UnixMs;
+    if last_moment > latest {
         return Err(Code::KeyMalformed);
     }
-    Ok(Given { key, last_moment, digest: digest(call, body) })
+    Ok(Given { key, last_moment, digest: request_digest(request, body) })
 }
 
-/// Digest of method, path and body.
-pub fn digest(call: &RoutedRequest, body: &Bytes) -> u64 {
-    workswood_core::digest(&[call.head.method.as_str().as_bytes(), call.head.path.as_bytes(), body])
+/// Digest of the method, path and body of a request.
+pub fn request_digest(request: &RoutedRequest, body: &Bytes) -> u64 {
+    workswood_core::digest(&[request.head.method.as_str().as_bytes(), request.head.path.as_bytes(), body])
 }
 
-/// Answers a request that may not be repeated.
-pub async fn answer(node: &Arc<Node>, call: RoutedRequest, body: Bytes, key: Option<String>) -> Reply {
-    let given = match given(node, &call, &body, key) {
-        Ok(g) => g,
-        // Without a readable key nothing like it can have run.
+/// Runs a request that may not be repeated, or answers from the log if its key was claimed before.
+pub async fn answer(node: &Arc<Node>, request: RoutedRequest, body: Bytes, key: Option<String>) -> Reply {
+    let given = match parse_key(node, &request, &body, key) {
+        Ok(given) => given,
+        // A request without a valid key is never claimed, so no copy of it can have run.
         Err(code) => return refusal(code, Ran::NotRun, None),
     };
-    // It goes on when the caller goes away, so that the outcome is recorded.
+    // A task of its own continues when the caller disconnects, so that the outcome is recorded.
     let node = node.clone();
-    let run = tokio::spawn(async move { claim_and_run(&node, call, body, given).await });
+    let run = tokio::spawn(async move { claim_and_run(&node, request, body, given).await });
     run.await.unwrap_or_else(|_| refusal(Code::KeyUnknownOutcome, Ran::Unknown, None))
 }
 
-/// Marks a key as being claimed here, for peers that ask.
-pub struct Claiming {
+/// Marks a key as being claimed by this process until dropped. Peers that ask about the key are told.
+pub struct ClaimGuard {
     node: Arc<Node>,
     key: RequestKey,
 }
 
-impl Claiming {
-    /// Begins a claim, when the key is no longer held for another's answer;
-    /// `None` if that is after the deadline.
-    pub async fn begin(node: &Arc<Node>, key: &str, deadline: Duration) -> Option<Claiming> {
+impl ClaimGuard {
+    /// Waits until this process may claim the key, which it may not do for [`HOLD`] after it told a peer
+    /// that it does not know the key. Returns `None` if that is after the deadline.
+    pub async fn begin(node: &Arc<Node>, key: &str, deadline: Duration) -> Option<ClaimGuard> {
         loop {
             let begun = node.claims.lock().begin(key, node.now());
             match begun {
-                Ok(()) => return Some(Claiming { node: node.clone(), key: key.to_string() }),
+                Ok(()) => return Some(ClaimGuard { node: node.clone(), key: key.to_string() }),
                 Err(until) if until < deadline => tokio::time::sleep(until.saturating_sub(node.now())).await,
                 Err(_) => return None,
             }
@@ -91,82 +97,84 @@
     }
 }
 
-impl Drop for Claiming {
+impl Drop for ClaimGuard {
     fn drop(&mut self) {
         self.node.claims.lock().end(&self.key);
     }
 }
 
-async fn claim_and_run(node: &Arc<Node>, call: RoutedRequest, body: Bytes, given: Given) -> Reply {
-    if let Some(reply) = known(node, &given) {
+/// Claims the key of a request in the log and sends the request if the claim wins.
+async fn claim_and_run(node: &Arc<Node>, request: RoutedRequest, body: Bytes, given: Given) -> Reply {
+    if let Some(reply) = recorded_reply(node, &given) {
         return reply;
     }
-    if let Some(code) = hopeless(node, &call) {
-        return refuse(node, Some(&given.key), code, Some(COME_BACK)).await;
+    if let Some(code) = claim_obstacle(node, &request) {
+        return refuse(node, Some(&given.key), code, Some(LOG_RETRY_AFTER)).await;
     }
-    let Some(claiming) = Claiming::begin(node, &given.key, call.deadline).await else {
+    let Some(claim_guard) = ClaimGuard::begin(node, &given.key, request.deadline).await else {
         return refuse(node, Some(&given.key), Code::WaitTooLong, Some(HOLD)).await;
     };
     let record = Record::Claim {
         key: given.key.clone(),
-        service: call.service.clone(),
+        service: request.service.clone(),
         digest: given.digest,
         holder: Some(node.id.clone()),
         last_moment: given.last_moment,
         deferred: None,
     };
-    let Ok(folded) = node.append(vec![record]).await else {
-        // This process will not send, whatever becomes of the claim. Another
-        // copy may have run all the same, which the peers can tell.
-        drop(claiming);
-        return refuse(node, Some(&given.key), Code::LogUnavailable, Some(COME_BACK)).await;
+    let Ok(appended) = node.append(vec![record]).await else {
+        // This process never sends the request, even if the claim is folded later. Another copy may
+        // have run on a peer, so `refuse` asks them.
+        drop(claim_guard);
+        return refuse(node, Some(&given.key), Code::LogUnavailable, Some(LOG_RETRY_AFTER)).await;
     };
-    let verdict = folded.verdicts.first().cloned().unwrap_or(Err(Void::Unknown));
+    let verdict = appended.verdicts.first().cloned().unwrap_or(Err(Void::Unknown));
     let next = keyed::after_claim(&node.state.read(), &given, &verdict);
     match next {
-        AfterClaim::Run => run_claimed(node, call, body, &given.key).await,
-        AfterClaim::Tell(told) => tell(&told, &given.key),
+        AfterClaim::Run => send_claimed(node, request, body, &given.key).await,
+        AfterClaim::Tell(told) => reply_of(&told, &given.key),
         AfterClaim::NotNow => {
-            drop(claiming);
-            refuse(node, Some(&given.key), Code::LogUnavailable, Some(COME_BACK)).await
+            drop(claim_guard);
+            refuse(node, Some(&given.key), Code::LogUnavailable, Some(LOG_RETRY_AFTER)).await
         }
     }
 }
 
-/// Why a claim would be of no use now.
-fn hopeless(node: &Node, call: &RoutedRequest) -> Option<Code> {
+/// Returns the code to refuse a request with if it could not be claimed now or not be sent in time.
+fn claim_obstacle(node: &Node, request: &RoutedRequest) -> Option<Code> {
     if !node.is(&node.log_up) {
         return Some(Code::LogUnavailable);
     }
-    let behind = node.wall() + (CLOCK_BOUND.as_millis() as UnixMs) < node.state.read().time;
-    if behind {
+    let clock_behind = node.wall() + (MAX_CLOCK_SKEW.as_millis() as UnixMs) < node.state.read().time;
+    if clock_behind {
         return Some(Code::ClockSkew);
     }
-    let dispatcher = dispatch::dispatcher_of(node, &call.service)?;
-    let wait = dispatcher.expected_wait(node.now(), call.route.class);
-    (node.now() + wait >= call.deadline).then_some(Code::WaitTooLong)
+    let dispatcher = dispatch::dispatcher_of(node, &request.service)?;
+    let wait = dispatcher.expected_wait(node.now(), request.route.class);
+    (node.now() + wait >= request.deadline).then_some(Code::WaitTooLong)
 }
 
-/// Runs a request that this process has won.
-async fn run_claimed(node: &Arc<Node>, call: RoutedRequest, body: Bytes, key: &str) -> Reply {
-    let end = proxy::send_with_retries(node, &call, body).await;
-    let record = finish_record(node, key, &end);
-    if let SendOutcome::NotSent(..) = end {
-        // The key must be free again before the caller comes back with it.
+/// Sends a request whose key this process has claimed, and records the outcome.
+async fn send_claimed(node: &Arc<Node>, request: RoutedRequest, body: Bytes, key: &str) -> Reply {
+    let outcome = proxy::send_with_retries(node, &request, body).await;
+    let record = finish_record(node, key, &outcome);
+    if let SendOutcome::NotSent(..) = outcome {
+        // The key must be free before the caller retries with it.
         let _ = node.append(vec![record]).await;
     } else {
         let node = node.clone();
         tokio::spawn(async move { node.append(vec![record]).await });
     }
-    proxy::reply_of(end)
+    proxy::reply_of(outcome)
 }
 
-/// The record of how an attempt of this process ended.
-pub fn finish_record(node: &Node, key: &str, end: &SendOutcome) -> Record {
-    let end = match end {
+/// Record of how an attempt of this process ended.
+pub fn finish_record(node: &Node, key: &str, outcome: &SendOutcome) -> Record {
+    let end = match outcome {
         SendOutcome::Answered(reply, body) => {
-            let kept = body.as_ref().filter(|b| b.len() <= MOST_KEPT).map(|b| STANDARD.encode(b));
-            KeyEnd::Answered { status: reply.status().as_u16(), body: kept }
+            let stored =
+                body.as_ref().filter(|b| b.len() <= MAX_STORED_BODY_BYTES).map(|b| STANDARD.encode(b));
+            KeyEnd::Answered { status: reply.status().as_u16(), body: stored }
         }
         SendOutcome::NotSent(..) => KeyEnd::NotSent,
         SendOutcome::Broken(_) => KeyEnd::Unknown,
@@ -174,76 +182,77 @@
     Record::Finish { key: key.to_string(), holder: node.id.clone(), end }
 }
 
-/// What the log says of a key, as an answer; `None` if it may be claimed.
-pub fn known(node: &Node, given: &Given) -> Option<Reply> {
+/// Response to a copy of a request that the log knows of; `None` if its key may be claimed.
+pub fn recorded_reply(node: &Node, given: &Given) -> Option<Reply> {
     let told = keyed::known(&node.state.read(), given)?;
-    Some(tell(&told, &given.key))
+    Some(reply_of(&told, &given.key))
 }
 
-/// The answer to a copy that is not sent.
-pub fn tell(told: &Told, key: &str) -> Reply {
-    let after = matches!(told, Told::Running).then_some(ASK_AGAIN);
+/// Response to a copy of a request that is not sent.
+pub fn reply_of(told: &Told, key: &str) -> Reply {
+    let retry_after = matches!(told, Told::Running).then_some(RUNNING_RETRY_AFTER);
     match (told, told.code()) {
-        (Told::Done { status, body }, _) => done(*status, body.as_deref(), key),
-        (_, code) => refusal(code.unwrap_or(Code::KeyUnknownOutcome), told.ran(), after),
+        (Told::Done { status, body }, _) => stored_reply(*status, body.as_deref(), key),
+        (_, code) => refusal(code.unwrap_or(Code::KeyUnknownOutcome), told.ran(), retry_after),
     }
 }
 
-fn done(status: u16, body: Option<&str>, key: &str) -> Reply {
-    let b = body.and_then(|b| STANDARD.decode(b).ok()).unwrap_or_default();
+/// Response that is stored with a key; its body is empty if it was too large to store.
+fn stored_reply(status: u16, body: Option<&str>, key: &str) -> Reply {
+    let bytes = body.and_then(|b| STANDARD.decode(b).ok()).unwrap_or_default();
     let mut res = Response::builder().status(status).header(RAN, Ran::Run.as_str()).header(KEY, key);
     if body.is_none() {
         res = res.header("x-workswood-body", "not-kept");
     }
-    res.body(whole(Bytes::from(b))).unwrap_or_else(|_| refusal(Code::KeyUnknownOutcome, Ran::Run, None))
+    res.body(whole(Bytes::from(bytes))).unwrap_or_else(|_| refusal(Code::KeyUnknownOutcome, Ran::Run, None))
 }
 
-/// Answers the question for the outcome of a key.
+/// Answers a caller that asks for the outcome of a key.
 pub fn outcome_reply(node: &Node, key: &str) -> Reply {
     let state = node.state.read();
     match state.keys.get(key) {
-        Some(rec) => tell(&keyed::told(&state, rec), key),
+        Some(rec) => reply_of(&keyed::told(&state, rec), key),
         None => refusal(Code::KeyNotFound, Ran::Unknown, None),
     }
 }
 
-/// Refuses a request. One with a key is told "not run" only if no copy of it
-/// can have been claimed by any process.
-pub async fn refuse(node: &Arc<Node>, key: Option<&str>, code: Code, after: Option<Duration>) -> Reply {
+/// Refuses a request. The response to one with a key says "not run" only if no process can have claimed
+/// any copy of it.
+pub async fn refuse(node: &Arc<Node>, key: Option<&str>, code: Code, retry_after: Option<Duration>) -> Reply {
     let ran = match key {
         None => Ran::NotRun,
         Some(key) if never_claimed(node, key).await => Ran::NotRun,
         Some(_) => Ran::Unknown,
     };
-    refusal(code, ran, after)
+    refusal(code, ran, retry_after)
 }
 
-/// What this process says when it is asked about a key.
-pub fn reply(node: &Node, key: &str) -> keyed::Reply {
+/// Returns whether this process knows a key, and the roster, for a peer that asks.
+pub fn key_status(node: &Node, key: &str) -> keyed::Reply {
     let state = node.state.read();
-    // A process that has not caught up can't say that it does not know.
+    // A process that has not caught up with the log can't deny that it knows the key.
     let known = state.keys.contains_key(key)
         || !node.is(&node.ready)
         || node.claims.lock().begun_or_hold(key, node.now());
-    let folded = state.roster.iter().map(|m| m.id.clone());
-    keyed::Reply { known, roster: folded.chain(node.proposed.lock().iter().cloned()).collect() }
+    let roster = state.roster.iter().map(|m| m.id.clone());
+    keyed::Reply { known, roster: roster.chain(node.proposed_roster.lock().iter().cloned()).collect() }
 }
 
-/// Whether every process that may claim says that it does not know the key.
+/// Asks all processes that may claim a key, and returns whether none of them knows it.
 async fn never_claimed(node: &Arc<Node>, key: &str) -> bool {
-    let began = node.now();
-    let mut inquiry = Inquiry::new(&node.id, reply(node, key));
+    let started_at = node.now();
+    let mut inquiry = Inquiry::new(&node.id, key_status(node, key));
     while let Some(id) = inquiry.ask() {
-        let ask = Msg::KeyAsk(KeyAsk { key: key.to_string() });
+        let request = Msg::KeyAsk(KeyAsk { key: key.to_string() });
         let answer = match node.link_to(id) {
-            Some(link) => link.call(ask, ASK_TIMEOUT).await,
+            Some(link) => link.call(request, KEY_STATUS_TIMEOUT).await,
             None => None,
         };
         inquiry.heard(match answer {
-            Some(Msg::KeyReply(r)) => Some(keyed::Reply { known: r.known, roster: r.roster }),
+            Some(Msg::KeyReply(reply)) => Some(keyed::Reply { known: reply.known, roster: reply.roster }),
             _ => None,
         });
     }
-    // The others hold the key only for so long.
-    inquiry.never_claimed() && node.now() - began < HOLD / 2
+    // Peers that answered refrain from claiming the key only for `HOLD`.
+    inquiry.never_claimed() && node.now() - started_at < HOLD / 2
 }
--- a/src/workswood/ops/entry/node.rs
+++ b/src/workswood/ops/entry/node.rs
@@ -69,8 +69,8 @@
     pub append_queue: mpsc::Sender<AppendRequest>,
     /// Keys that this process is about to claim.
     pub claims: Mutex<Claims>,
-    /// The roster that this process has proposed as planner.
-    pub proposed: Mutex<Vec<Incarnation>>,
+    /// The roster that this process proposed last as the planner.
+    pub proposed_roster: Mutex<Vec<Incarnation>>,
     /// Metrics.
     pub metrics: Metrics,
     /// Whether it has caught up.
@@ -125,7 +125,7 @@
             pending_envelopes: Mutex::default(),
             append_queue: tx,
             claims: Mutex::default(),
-            proposed: Mutex::default(),
+            proposed_roster: Mutex::default(),
             metrics: Metrics::default(),
             ready: AtomicBool::new(false),
             log_up: AtomicBool::new(false),
--- a/src/workswood/ops/entry/peers.rs
+++ b/src/workswood/ops/entry/peers.rs
@@ -151,7 +151,7 @@
             return Some(Msg::StateReply(StateReply { text }));
         }
         Msg::KeyAsk(KeyAsk { key }) => {
-            let r = keyed_requests::reply(node, &key);
+            let r = keyed_requests::key_status(node, &key);
             return Some(Msg::KeyReply(KeyReply { known: r.known, roster: r.roster }));
         }
         Msg::Leaving(Leaving { instances }) => dispatch::close_endpoints(node, &instances),
