--- a/src/workswood/ops/entry/shutdown.rs
+++ b/src/workswood/ops/entry/shutdown.rs
@@ -1,8 +1,8 @@
-//! A planned stop.
+//! Graceful shutdown.
 //!
-//! The entry first says that it is not ready, and goes on accepting for the
-//! balancer's lag. Then it takes no new connections, finishes what it has, and
-//! only then tells its peers that its slots are free and gives its duties up.
+//! The process first fails its readiness check, and goes on accepting connections until the load
+//! balancer has noticed. Then it accepts no new connections and finishes the requests in progress.
+//! Only after that it tells its peers that its slots are free, and releases its duties.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -13,32 +13,34 @@
 use super::node::Node;
 use super::{dispatch, duties};
 
-const LOOK: Duration = Duration::from_millis(20);
-/// Time for peers to hear the last beat.
-const LAST_BEAT: Duration = Duration::from_millis(700);
+/// Time between checks for unfinished work.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for the last heartbeat to reach the peers.
+const LAST_HEARTBEAT_DELAY: Duration = Duration::from_millis(700);
 
-/// Stops a process as planned, within the limit of its settings.
+/// Shuts a process down gracefully, within the time limit of its settings.
 pub(super) async fn run(
     node: &std::sync::Arc<Node>,
     stop_callers: &watch::Sender<bool>,
     callers: &mut JoinHandle<()>,
 ) {
     let limit = node.settings.stop_limit;
-    let done = tokio::time::timeout(limit, finish(node, stop_callers, callers)).await;
-    if done.is_err() {
+    let finished = tokio::time::timeout(limit, finish_and_release(node, stop_callers, callers)).await;
+    if finished.is_err() {
         log::warn!(
             "event=stop_limit in_progress={} queued={}",
-            progress(node),
+            requests_in_progress(node),
             dispatch::open_requests(node)
         );
     }
 }
 
-fn progress(node: &Node) -> u64 {
+fn requests_in_progress(node: &Node) -> u64 {
     node.in_progress.load(Ordering::Acquire)
 }
 
-async fn finish(
+/// Finishes the requests in progress, then releases slots and duties.
+async fn finish_and_release(
     node: &std::sync::Arc<Node>,
     stop_callers: &watch::Sender<bool>,
     callers: &mut JoinHandle<()>,
@@ -47,13 +49,13 @@
     tokio::time::sleep(node.settings.balancer_lag).await;
     let _ = stop_callers.send(true);
     let _ = callers.await;
-    while progress(node) > 0 || dispatch::open_requests(node) > 0 {
-        tokio::time::sleep(LOOK).await;
+    while requests_in_progress(node) > 0 || dispatch::open_requests(node) > 0 {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     node.stopping.store(true, Ordering::Release);
     duties::give_up(node).await;
     while !node.pending_envelopes.lock().is_empty() && node.is(&node.log_up) {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    tokio::time::sleep(LAST_BEAT).await;
+    tokio::time::sleep(LAST_HEARTBEAT_DELAY).await;
 }
