--- a/src/workswood/ops/entry/deferred_requests.rs
+++ b/src/workswood/ops/entry/deferred_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that may wait: accepted into the log, run when there is slack.
+//! Deferred requests, those of class `later`: accepted into the log and run when slots are free.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,30 +21,30 @@
 use super::node::Node;
 use super::proxy::{self, Reply, RequestHead, RoutedRequest};
 
-/// Largest body of a deferred request, in bytes.
-pub const MOST_PAYLOAD: usize = 64 * 1024;
-/// Time between looks for open requests.
-const LOOK: Duration = Duration::from_millis(100);
-/// Most deferred requests that one process runs at a time.
-const MOST_AT_ONCE: usize = 8;
-/// Longest wait for a slot before the request is looked at again.
-const SLOT_WAIT: Duration = Duration::from_secs(60);
-
-/// Accepts a deferred request, or runs it at once if it is too large.
-pub async fn accept(node: &Arc<Node>, call: RoutedRequest, body: Bytes, key: Option<String>) -> Reply {
-    if body.len() > MOST_PAYLOAD {
-        if call.route.repeatable {
-            return proxy::reply_of(proxy::send_with_retries(node, &call, body).await);
+/// Maximum size of the body of a deferred request, in bytes.
+pub const MAX_DEFERRED_BODY_BYTES: usize = 64 * 1024;
+/// Time between searches for open requests.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of deferred requests that one process runs concurrently.
+const MAX_CONCURRENT_REQUESTS: usize = 8;
+/// Longest wait for a slot before the request is selected anew.
+const SLOT_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// Accepts a request into the log, or runs it immediately if it is too large to defer.
+pub async fn accept(node: &Arc<Node>, request: RoutedRequest, body: Bytes, key: Option<String>) -> Reply {
+    if body.len() > MAX_DEFERRED_BODY_BYTES {
+        if request.route.repeatable {
+            return proxy::reply_of(proxy::send_with_retries(node, &request, body).await);
         }
-        return keyed_requests::answer(node, call, body, key).await;
+        return keyed_requests::answer(node, request, body, key).await;
     }
-    let named = key.is_some() || !call.route.repeatable;
-    let given = match named {
-        true => match keyed_requests::parse_key(node, &call, &body, key) {
-            Ok(g) => g,
+    let needs_key = key.is_some() || !request.route.repeatable;
+    let given = match needs_key {
+        true => match keyed_requests::parse_key(node, &request, &body, key) {
+            Ok(given) => given,
             Err(code) => return refusal(code, Ran::NotRun, None),
         },
-        false => unnamed(node, &call, &body),
+        false => with_generated_key(node, &request, &body),
     };
     if let Some(reply) = keyed_requests::recorded_reply(node, &given) {
         return reply;
@@ -58,26 +58,26 @@
         )
         .await;
     }
-    let Some(claim_guard) = ClaimGuard::begin(node, &given.key, call.deadline).await else {
+    let Some(claim_guard) = ClaimGuard::begin(node, &given.key, request.deadline).await else {
         return keyed_requests::refuse(node, Some(&given.key), Code::WaitTooLong, Some(HOLD)).await;
     };
     let deferred = Deferred {
-        method: call.head.method.to_string(),
-        path: call.head.path.clone(),
+        method: request.head.method.to_string(),
+        path: request.head.path.clone(),
         body: STANDARD.encode(&body),
-        repeatable: call.route.repeatable,
+        repeatable: request.route.repeatable,
     };
     let record = Record::Claim {
         key: given.key.clone(),
-        service: call.service.clone(),
+        service: request.service.clone(),
         digest: given.digest,
         holder: None,
         last_moment: given.last_moment,
         deferred: Some(deferred),
     };
-    match node.append(vec![record]).await.map(|f| f.verdicts) {
-        Ok(v) => match v.first() {
-            Some(Ok(())) => accepted(&given.key),
+    match node.append(vec![record]).await.map(|appended| appended.verdicts) {
+        Ok(verdicts) => match verdicts.first() {
+            Some(Ok(())) => accepted_reply(&given.key),
             Some(Err(Void::KeyTaken | Void::Expired)) => keyed_requests::recorded_reply(node, &given)
                 .unwrap_or_else(|| refusal(Code::KeyExpired, Ran::Unknown, None)),
             _ => refusal(Code::LogUnavailable, Ran::NotRun, Some(Duration::from_secs(1))),
@@ -87,48 +87,49 @@
             keyed_requests::refuse(node, Some(&given.key), Code::LogUnavailable, Some(Duration::from_secs(1)))
                 .await
         }
-        // It may still come into the log and run; the key tells.
+        // The request may still reach the log and run; the caller can ask for the outcome of its key.
         Err(AppendError::Unknown) => {
             refusal(Code::LogUnavailable, Ran::Unknown, Some(Duration::from_secs(1)))
         }
     }
 }
 
-/// A key for a repeatable request whose caller names none.
-fn unnamed(node: &Node, call: &RoutedRequest, body: &Bytes) -> Given {
+/// Generates a key for a repeatable request that has none.
+fn with_generated_key(node: &Node, request: &RoutedRequest, body: &Bytes) -> Given {
     Given {
         key: uuid::Uuid::new_v4().simple().to_string(),
         last_moment: node.wall() + MAX_KEY_WINDOW.as_millis() as UnixMs,
-        digest: keyed_requests::request_digest(call, body),
+        digest: keyed_requests::request_digest(request, body),
     }
 }
 
-fn accepted(key: &str) -> Reply {
+/// Response to the caller of a request that was accepted into the log.
+fn accepted_reply(key: &str) -> Reply {
     let text = format!("accepted; ask for the outcome at /workswood/outcome/{key}\n");
     let res = Response::builder().status(202).header(RAN, "accepted").header(KEY, key);
     res.body(whole(Bytes::from(text))).unwrap_or_else(|_| refusal(Code::KeyRunning, Ran::Unknown, None))
 }
 
-/// Runs open requests until the process ends.
+/// Runs the open requests that are assigned to this process until it ends.
 pub async fn run(node: Arc<Node>) {
-    let mut running = tokio::task::JoinSet::new();
-    let mut mine: Vec<RequestKey> = Vec::new();
+    let mut tasks = tokio::task::JoinSet::new();
+    let mut running_keys: Vec<RequestKey> = Vec::new();
     loop {
-        while let Some(done) = running.try_join_next() {
-            if let Ok(key) = done {
-                mine.retain(|k| *k != key);
+        while let Some(finished) = tasks.try_join_next() {
+            if let Ok(key) = finished {
+                running_keys.retain(|k| *k != key);
             }
         }
-        tokio::time::sleep(LOOK).await;
-        let idle = node.is(&node.ready) && node.is(&node.log_up) && !node.is(&node.leaving);
-        if !idle {
+        tokio::time::sleep(POLL_INTERVAL).await;
+        let may_run = node.is(&node.ready) && node.is(&node.log_up) && !node.is(&node.leaving);
+        if !may_run {
             continue;
         }
-        for (key, next) in pick(&node, &mine) {
-            mine.push(key.clone());
+        for (key, action) in select_requests(&node, &running_keys) {
+            running_keys.push(key.clone());
             let node = node.clone();
-            running.spawn(async move {
-                step(&node, &key, next).await;
+            tasks.spawn(async move {
+                perform(&node, &key, action).await;
                 key
             });
         }
@@ -136,46 +137,48 @@
 }
 
 /// What to do with an open request.
-enum Next {
-    Start { rec: KeyRec },
-    Bury { holder: String },
+enum OpenAction {
+    /// Run it.
+    Run { rec: KeyRec },
+    /// Record that its outcome is unknown: its holder is gone, and it may not be repeated.
+    RecordUnknown { holder: String },
 }
 
-/// Open requests that fall to this process.
-fn pick(node: &Node, mine: &[RequestKey]) -> Vec<(RequestKey, Next)> {
+/// Selects open requests that are assigned to this process, as many as it may still run.
+fn select_requests(node: &Node, running_keys: &[RequestKey]) -> Vec<(RequestKey, OpenAction)> {
     let state = node.state.read();
-    let room = MOST_AT_ONCE.saturating_sub(mine.len());
-    let open = state.open_keys.iter().filter(|k| !mine.contains(k) && falls_to(&state, k, &node.id));
-    let picked = open.filter_map(|k| Some((k.clone(), next(&state, state.keys.get(k)?)?)));
-    picked.take(room).collect()
+    let capacity = MAX_CONCURRENT_REQUESTS.saturating_sub(running_keys.len());
+    let open =
+        state.open_keys.iter().filter(|k| !running_keys.contains(k) && is_assigned(&state, k, &node.id));
+    let selected = open.filter_map(|k| Some((k.clone(), action_for(&state, state.keys.get(k)?)?)));
+    selected.take(capacity).collect()
 }
 
-/// Whether a key falls to a process: the one of the roster with the highest
-/// digest of key and name.
-fn falls_to(state: &State, key: &str, id: &str) -> bool {
-    let weight = |m: &str| workswood_core::digest(&[key.as_bytes(), m.as_bytes()]);
-    let best = state.roster.iter().map(|m| m.id.as_str()).max_by_key(|m| weight(m));
-    best == Some(id)
+/// Whether a key is assigned to a process by rendezvous hashing over the roster.
+fn is_assigned(state: &State, key: &str, id: &str) -> bool {
+    let weight = |member: &str| workswood_core::digest(&[key.as_bytes(), member.as_bytes()]);
+    let assigned = state.roster.iter().map(|m| m.id.as_str()).max_by_key(|id| weight(id));
+    assigned == Some(id)
 }
 
-fn next(state: &State, rec: &KeyRec) -> Option<Next> {
+fn action_for(state: &State, rec: &KeyRec) -> Option<OpenAction> {
     match &rec.state {
-        KeyState::Waiting => Some(Next::Start { rec: rec.clone() }),
+        KeyState::Waiting => Some(OpenAction::Run { rec: rec.clone() }),
         KeyState::Running { holder } if !state.roster.iter().any(|m| m.id == *holder) => {
             Some(if rec.may_repeat() {
-                Next::Start { rec: rec.clone() }
+                OpenAction::Run { rec: rec.clone() }
             } else {
-                Next::Bury { holder: holder.clone() }
+                OpenAction::RecordUnknown { holder: holder.clone() }
             })
         }
         _ => None,
     }
 }
 
-async fn step(node: &Arc<Node>, key: &str, next: Next) {
-    match next {
-        Next::Start { rec } => start(node, key, rec).await,
-        Next::Bury { holder } => {
+async fn perform(node: &Arc<Node>, key: &str, action: OpenAction) {
+    match action {
+        OpenAction::Run { rec } => run_attempt(node, key, rec).await,
+        OpenAction::RecordUnknown { holder } => {
             log::warn!("event=deferred_unknown key={key} holder={holder} reason=holder_gone");
             let record = Record::Finish { key: key.to_string(), holder, end: KeyEnd::Unknown };
             let _ = node.append(vec![record]).await;
@@ -183,50 +186,52 @@
     }
 }
 
-/// Runs one attempt. The slot comes first, so that little can happen between
-/// the start in the log and the sending.
-async fn start(node: &Arc<Node>, key: &str, rec: KeyRec) {
-    let Some(d) = &rec.deferred else { return };
+/// Makes one attempt. The slot is acquired before the start is recorded, so that little time passes
+/// between the record and the sending.
+async fn run_attempt(node: &Arc<Node>, key: &str, rec: KeyRec) {
+    let Some(deferred) = &rec.deferred else { return };
     let Some(dispatcher) = dispatch::dispatcher_of(node, &rec.service) else { return };
-    let slot_request = SlotRequest { class: Class::Later, deadline: node.now() + SLOT_WAIT, tried: &[] };
+    let slot_request = SlotRequest { class: Class::Later, deadline: node.now() + SLOT_TIMEOUT, tried: &[] };
     let Some(Ok(slot)) = dispatch::acquire(node, &dispatcher, slot_request).await else { return };
-    let Some(call) = call(node, key, &rec, d) else { return };
+    let Some(request) = routed_request(node, key, &rec, deferred) else { return };
     let attempt = rec.attempts + 1;
     let record = Record::Start { key: key.to_string(), holder: node.id.clone(), attempt };
-    let Ok(folded) = node.append(vec![record]).await else { return };
-    if folded.verdicts != [Ok(())] {
+    let Ok(appended) = node.append(vec![record]).await else { return };
+    if appended.verdicts != [Ok(())] {
         return;
     }
     log::info!("event=deferred_start key={key} service={} attempt={attempt}", rec.service);
-    let body = Bytes::from(STANDARD.decode(&d.body).unwrap_or_default());
-    let end = proxy::send_from_slot(node, &call, body, Some(slot)).await;
-    let mut record = keyed_requests::finish_record(node, key, &end);
-    // The outcome must reach the log, or the request would run again.
+    let body = Bytes::from(STANDARD.decode(&deferred.body).unwrap_or_default());
+    let outcome = proxy::send_from_slot(node, &request, body, Some(slot)).await;
+    let mut record = keyed_requests::finish_record(node, key, &outcome);
+    // Unless the outcome is in the log, the request runs again.
     while let Err(error) = node.append(vec![record.clone()]).await {
         log::warn!("event=deferred_finish_missed key={key} missed={error:?}");
-        if error == AppendError::Unknown && !held_here(node, key) {
+        if error == AppendError::Unknown && !is_running_here(node, key) {
             return;
         }
-        record = keyed_requests::finish_record(node, key, &end);
-        tokio::time::sleep(LOOK).await;
+        record = keyed_requests::finish_record(node, key, &outcome);
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn held_here(node: &Node, key: &str) -> bool {
+/// Whether the state says that this process runs the request of a key.
+fn is_running_here(node: &Node, key: &str) -> bool {
     let state = node.state.read();
     state
         .keys
         .get(key)
-        .is_some_and(|k| matches!(&k.state, KeyState::Running { holder } if *holder == node.id))
+        .is_some_and(|rec| matches!(&rec.state, KeyState::Running { holder } if *holder == node.id))
 }
 
-fn call(node: &Node, key: &str, rec: &KeyRec, d: &Deferred) -> Option<RoutedRequest> {
+/// Rebuilds a request from the log; `None` if its route is no longer in force.
+fn routed_request(node: &Node, key: &str, rec: &KeyRec, deferred: &Deferred) -> Option<RoutedRequest> {
     let table = node.table.load();
-    let path = d.path.split('?').next().unwrap_or_default();
+    let path = deferred.path.split('?').next().unwrap_or_default();
     let (route, service) = table.find(path).filter(|(_, s)| *s == rec.service)?.clone();
     let mut headers = hyper::HeaderMap::new();
     headers.insert(KEY, key.parse().ok()?);
-    let head = RequestHead { method: d.method.parse().ok()?, path: d.path.clone(), headers };
+    let head = RequestHead { method: deferred.method.parse().ok()?, path: deferred.path.clone(), headers };
     let deadline = node.now() + route.deadline;
     Some(RoutedRequest { head, service, route, deadline, last_moment: None })
 }
