--- a/src/workswood/ops/entry/dispatch.rs
+++ b/src/workswood/ops/entry/dispatch.rs
@@ -236,7 +236,7 @@
     dispatcher: &Arc<ServiceDispatcher>,
     request: SlotRequest<'_>,
 ) -> Option<Result<Slot, Refusal>> {
-    let ticket = node.ticket();
+    let ticket = node.next_ticket();
     let (tx, rx) = oneshot::channel();
     dispatcher.inner.lock().waiting.insert(ticket, tx);
     let mut guard = CancelGuard { node, dispatcher, ticket, answered: false };
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -76,7 +76,7 @@
         w.since = now;
     }
     if lease.holder.as_ref() == Some(&node.id) {
-        let due = now.saturating_sub(w.renewed) >= RENEW && !node.is(&node.stopping);
+        let due = now.saturating_sub(w.renewed) >= RENEW && !node.is(&node.callers_done);
         if !due {
             return None;
         }
@@ -187,9 +187,9 @@
     let members = node.members.lock();
     let others: Vec<&MemberRec> = members.present().filter(|m| m.beat.id != node.id).collect();
     let confirmed = others.iter().map(|m| m.beat.next).fold(own, u64::min);
-    let views = node.peer_views.lock();
+    let views = node.peer_reports.lock();
     for view in others.iter().filter_map(|m| views.get(&m.beat.address)) {
-        for (id, n) in &view.open {
+        for (id, n) in &view.open_requests {
             *in_flight.entry(id.clone()).or_default() += n;
         }
     }
--- a/src/workswood/ops/entry/mod.rs
+++ b/src/workswood/ops/entry/mod.rs
@@ -100,7 +100,7 @@
     pub fn kill(&self) {
         self.tasks.iter().for_each(JoinHandle::abort);
         self.callers.abort();
-        self.node.kill();
+        self.node.close();
     }
 
     /// Stops gracefully: requests in progress are finished first.
--- a/src/workswood/ops/entry/node.rs
+++ b/src/workswood/ops/entry/node.rs
@@ -1,4 +1,4 @@
-//! What the tasks of an entry process share.
+//! State shared by the tasks of an entry process.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,30 +24,30 @@
 use crate::util::metrics::Metrics;
 use crate::util::settings::{Settings, Tokens};
 
-/// What a peer told of itself in its last beat.
+/// What a peer reported in its last heartbeat.
 #[derive(Clone, Debug, Default)]
-pub struct PeerView {
-    /// Requests that it has open on instances of draining hosts.
-    pub open: BTreeMap<InstanceId, u32>,
+pub struct PeerReport {
+    /// Number of open requests of the peer on each instance of a draining host.
+    pub open_requests: BTreeMap<InstanceId, u32>,
 }
 
-/// What the tasks of an entry process share.
+/// State shared by the tasks of an entry process.
 pub struct Node {
-    /// This life of the process.
+    /// Identity of this process; it changes with each restart.
     pub id: Incarnation,
-    /// Its settings, with the ports that were bound.
+    /// Settings, with the ports that were bound.
     pub settings: Settings,
-    /// Its tokens.
+    /// Tokens that authenticate peers and operators.
     pub tokens: Tokens,
-    /// The platform.
+    /// Client of the platform.
     pub platform: Arc<dyn Platform>,
-    /// What has been found out of connections to the platform, peers and endpoints.
+    /// Detector of half-open connections, shared by the clients of the platform, peers and endpoints.
     pub half_open: HalfOpen,
     /// Client of all endpoints.
     pub endpoints: EndpointClient,
-    /// The folded state.
+    /// State folded from the log.
     pub state: RwLock<State>,
-    /// The routing table of the state.
+    /// Routing table built from the state.
     pub table: ArcSwap<RouteTable>,
     /// Next offset of the log to fold; changes after each batch of records was folded.
     pub next_offset: watch::Sender<Offset>,
@@ -55,10 +55,10 @@
     pub log_grown: Notify,
     /// Wakes the task that borrows slots from peers when requests wait.
     pub slots_wanted: Notify,
-    /// Other processes.
+    /// Entry processes known from heartbeats.
     pub members: Mutex<Members>,
-    /// What peers told, by address.
-    pub peer_views: Mutex<BTreeMap<String, PeerView>>,
+    /// Last reports of peers, by address.
+    pub peer_reports: Mutex<BTreeMap<String, PeerReport>>,
     /// Connections to peers, by address.
     pub links: Mutex<BTreeMap<String, Link>>,
     /// Dispatchers by service.
@@ -67,38 +67,37 @@
     pub pending_envelopes: Mutex<BTreeMap<u64, PendingEnvelope>>,
     /// Queue of the log appender.
     pub append_queue: mpsc::Sender<AppendRequest>,
-    /// Keys that this process is about to claim.
+    /// Keys that this process is claiming, and keys that it must not claim for a while.
     pub claims: Mutex<Claims>,
     /// The roster that this process proposed last as the planner.
     pub proposed_roster: Mutex<Vec<Incarnation>>,
-    /// Metrics.
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// Whether it has caught up.
+    /// Whether the process has caught up with the log, or took the state of a peer while the log was down.
     pub ready: AtomicBool,
-    /// Whether the log answers.
+    /// Whether the log can be read.
     pub log_up: AtomicBool,
-    /// Whether the balancer should send callers elsewhere.
+    /// Whether a shutdown has begun, so that the readiness check fails.
     pub leaving: AtomicBool,
-    /// Whether all callers' work is done; peers may take its slots.
-    pub stopping: AtomicBool,
-    /// Callers' requests in progress.
+    /// Whether all requests of callers have ended during a shutdown, so that peers may take its slots.
+    pub callers_done: AtomicBool,
+    /// Number of callers' requests in progress.
     pub in_progress: AtomicU64,
     clock: Clock,
     tickets: AtomicU64,
 }
 
-/// Random digits of an incarnation: enough that no two lives of one name
-/// share them, and few bytes in each beat.
-const DIGITS: usize = 12;
+/// Number of random digits of an incarnation, which tell restarts of one process apart.
+const RANDOM_DIGITS: usize = 12;
 
 fn incarnation(name: &str) -> Incarnation {
     let random = uuid::Uuid::new_v4().simple().to_string();
-    format!("{name}-{}", &random[..DIGITS])
+    format!("{name}-{}", &random[..RANDOM_DIGITS])
 }
 
 impl Node {
-    /// A process that has read nothing yet, and the queue of its appender. `half_open` is
-    /// what its client of the platform shares.
+    /// Creates the state of a process that has read nothing yet, and the queue of its log appender.
+    /// `half_open` must be the detector that `platform` uses.
     pub fn new(
         settings: Settings,
         tokens: Tokens,
@@ -119,7 +118,7 @@
             log_grown: Notify::new(),
             slots_wanted: Notify::new(),
             members: Mutex::default(),
-            peer_views: Mutex::default(),
+            peer_reports: Mutex::default(),
             links: Mutex::default(),
             dispatchers: RwLock::default(),
             pending_envelopes: Mutex::default(),
@@ -130,7 +129,7 @@
             ready: AtomicBool::new(false),
             log_up: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
-            stopping: AtomicBool::new(false),
+            callers_done: AtomicBool::new(false),
             in_progress: AtomicU64::new(0),
             clock: Clock::of_host(),
             tickets: AtomicU64::new(1),
@@ -138,47 +137,47 @@
         (Arc::new(node), rx)
     }
 
-    /// Time since the start of the process, suspensions of its host included.
+    /// Time since the start of the process, including time for which its host was suspended.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// The clock of the process.
+    /// Wall-clock time.
     pub fn wall(&self) -> UnixMs {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        since.as_millis() as UnixMs
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        since_epoch.as_millis() as UnixMs
     }
 
-    /// A number for a request.
-    pub fn ticket(&self) -> u64 {
+    /// Returns a new number for a request, unique in this process.
+    pub fn next_ticket(&self) -> u64 {
         self.tickets.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Address that peers know it by.
+    /// Address of the listener for peers, by which they know this process.
     pub fn address(&self) -> String {
         self.settings.peers.to_string()
     }
 
-    /// Reads a flag.
+    /// Reads a flag of this node.
     pub fn is(&self, flag: &AtomicBool) -> bool {
         flag.load(Ordering::Acquire)
     }
 
-    /// Processes that may hold slots or claims, besides this one.
+    /// Other processes on the roster, which may hold slots or claims.
     pub fn roster_peers(&self) -> Vec<Incarnation> {
         let state = self.state.read();
         state.roster.iter().map(|m| m.id.clone()).filter(|id| *id != self.id).collect()
     }
 
-    /// The link to a process, if there is one.
+    /// Link to the process with an id, if one is open.
     pub fn link_to(&self, id: &str) -> Option<Link> {
         let address =
             self.members.lock().present().find(|m| m.beat.id == id).map(|m| m.beat.address.clone())?;
         self.links.lock().get(&address).cloned()
     }
 
-    /// Drops everything that could act after the tasks are gone.
-    pub fn kill(&self) {
+    /// Closes all links and drops pending appends, which would outlive the aborted tasks.
+    pub fn close(&self) {
         self.links.lock().clear();
         self.pending_envelopes.lock().clear();
     }
--- a/src/workswood/ops/entry/peers.rs
+++ b/src/workswood/ops/entry/peers.rs
@@ -1,4 +1,4 @@
-//! Beats to peers, and answers to theirs.
+//! Sends heartbeats to peers and answers their messages.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,59 +13,59 @@
 };
 use workswood_traffic::Traffic;
 
-use super::node::{Node, PeerView};
+use super::node::{Node, PeerReport};
 use super::{dispatch, keyed_requests};
 
-/// Time between beats.
-const BEAT: Duration = Duration::from_millis(500);
-/// Others told of in one beat.
-const SAMPLE: usize = 2;
-/// Beats after which the platform's list is read for other entry hosts; while
-/// none is known it is read more often.
-const LIST_EVERY: u64 = 120;
-const LIST_ALONE: u64 = 4;
+/// Time between heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Number of other members that one heartbeat passes on.
+const MEMBERS_PER_HEARTBEAT: usize = 2;
+/// Number of heartbeats between searches of the platform's list for other entry hosts.
+const HEARTBEATS_PER_LISTING: u64 = 120;
+/// The same while no other entry process is known.
+const HEARTBEATS_PER_LISTING_ALONE: u64 = 4;
 
-fn to_wire(b: &Beat) -> WireBeat {
+fn to_wire(beat: &Beat) -> WireBeat {
     WireBeat {
-        address: b.address.clone(),
-        id: b.id.clone(),
-        data_centre: b.data_centre.clone(),
-        number: b.number,
-        next: b.next,
-        stopping: b.stopping,
+        address: beat.address.clone(),
+        id: beat.id.clone(),
+        data_centre: beat.data_centre.clone(),
+        number: beat.number,
+        next: beat.next,
+        stopping: beat.stopping,
     }
 }
 
-fn from_wire(b: WireBeat) -> Beat {
+fn from_wire(beat: WireBeat) -> Beat {
     Beat {
-        address: b.address,
-        id: b.id,
-        data_centre: b.data_centre,
-        number: b.number,
-        next: b.next,
-        stopping: b.stopping,
+        address: beat.address,
+        id: beat.id,
+        data_centre: beat.data_centre,
+        number: beat.number,
+        next: beat.next,
+        stopping: beat.stopping,
     }
 }
 
-/// Beats until the process ends.
+/// Sends heartbeats until the process ends.
 pub async fn run(node: Arc<Node>) {
     let mut number = 0;
     let mut seeds: BTreeSet<String> = node.settings.seeds.iter().map(|s| s.to_string()).collect();
     loop {
         let alone = node.members.lock().present().count() <= 1;
-        if number % (if alone { LIST_ALONE } else { LIST_EVERY }) == 0
-            && let Ok(seen) = node.platform.hosts().await
+        if number % (if alone { HEARTBEATS_PER_LISTING_ALONE } else { HEARTBEATS_PER_LISTING }) == 0
+            && let Ok(listing) = node.platform.hosts().await
         {
-            seeds.extend(seen.entries);
+            seeds.extend(listing.entries);
         }
         number += 1;
-        beat(&node, number, &seeds);
-        tokio::time::sleep(BEAT).await;
+        send_heartbeat(&node, number, &seeds);
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-fn beat(node: &Arc<Node>, number: u64, seeds: &BTreeSet<String>) {
-    let own = own_beat(node, number);
+fn send_heartbeat(node: &Arc<Node>, number: u64, seeds: &BTreeSet<String>) {
+    let own = own_heartbeat(node, number);
     let (others, contacts) = {
         let mut members = node.members.lock();
         for m in members.tick(node.now()) {
@@ -73,48 +73,49 @@
         }
         members.heard(node.now(), own.clone(), true);
         let contacts = members.contacts(&own.address, &own.data_centre);
-        (members.sample(number, SAMPLE), contacts)
+        (members.sample(number, MEMBERS_PER_HEARTBEAT), contacts)
     };
-    let open = open_requests(node);
+    let open = open_on_draining(node);
     let beats = Beats { own: Some(to_wire(&own)), others: others.iter().map(to_wire).collect(), open };
-    for link in links(node, &contacts, seeds) {
+    for link in update_links(node, &contacts, seeds) {
         link.send(Msg::Beats(beats.clone()));
     }
 }
 
-fn own_beat(node: &Node, number: u64) -> Beat {
+fn own_heartbeat(node: &Node, number: u64) -> Beat {
     Beat {
         address: node.address(),
         id: node.id.clone(),
         data_centre: node.settings.data_centre.clone(),
         number,
         next: node.state.read().next,
-        stopping: node.is(&node.stopping),
+        stopping: node.is(&node.callers_done),
     }
 }
 
-/// Requests open on instances whose hosts are draining.
-fn open_requests(node: &Node) -> Vec<Open> {
-    let draining: Vec<String> = {
+/// Number of open requests on each instance whose host is draining.
+fn open_on_draining(node: &Node) -> Vec<Open> {
+    let instances: Vec<String> = {
         let state = node.state.read();
         let hosts = state.hosts.iter().filter(|(_, h)| h.away()).map(|(id, _)| id);
         hosts.flat_map(|h| state.by_host.get(h).into_iter().flatten().cloned()).collect()
     };
-    dispatch::in_flight_to(node, &draining)
+    dispatch::in_flight_to(node, &instances)
         .into_iter()
         .map(|(instance, requests)| Open { instance, requests })
         .collect()
 }
 
-/// Links to contacts and to seeds that nobody has answered for yet.
-fn links(node: &Arc<Node>, contacts: &[String], seeds: &BTreeSet<String>) -> Vec<Link> {
+/// Opens links to contacts and to seeds that are not known as members yet, closes all other links, and
+/// returns the open ones.
+fn update_links(node: &Arc<Node>, contacts: &[String], seeds: &BTreeSet<String>) -> Vec<Link> {
     let known: BTreeSet<String> = node.members.lock().iter().map(|m| m.beat.address.clone()).collect();
     let own = node.address();
-    let unknown = seeds.iter().filter(|s| **s != own && !known.contains(*s));
-    let want: BTreeSet<String> = contacts.iter().chain(unknown).cloned().collect();
+    let unknown_seeds = seeds.iter().filter(|s| **s != own && !known.contains(*s));
+    let wanted: BTreeSet<String> = contacts.iter().chain(unknown_seeds).cloned().collect();
     let mut links = node.links.lock();
-    links.retain(|address, _| want.contains(address));
-    for address in want {
+    links.retain(|address, _| wanted.contains(address));
+    for address in wanted {
         links.entry(address.clone()).or_insert_with(|| {
             Link::open(
                 address,
@@ -128,38 +129,39 @@
     links.values().cloned().collect()
 }
 
-/// Answers peers.
+/// Returns the handler of messages from peers.
 pub fn handler(node: Arc<Node>) -> Handler {
     Arc::new(move |msg| {
         let node = node.clone();
-        async move { answer(&node, msg) }.boxed()
+        async move { handle(&node, msg) }.boxed()
     })
 }
 
-fn answer(node: &Arc<Node>, msg: Msg) -> Option<Msg> {
+/// Handles a message of a peer and returns the answer, if it needs one.
+fn handle(node: &Arc<Node>, msg: Msg) -> Option<Msg> {
     match msg {
-        Msg::Beats(b) => hear(node, b),
-        Msg::Head(h) => {
-            if h.offset >= node.state.read().next {
+        Msg::Beats(beats) => receive_heartbeat(node, beats),
+        Msg::Head(head) => {
+            if head.offset >= node.state.read().next {
                 node.log_grown.notify_one();
             }
         }
-        Msg::SlotAsk(ask) => return Some(Msg::SlotLoan(lend(node, &ask))),
-        Msg::SlotState(s) => update_loans(node, &s),
+        Msg::SlotAsk(request) => return Some(Msg::SlotLoan(lend_slots(node, &request))),
+        Msg::SlotState(report) => update_loans(node, &report),
         Msg::StateAsk(_) => {
             let text = if node.is(&node.ready) { node.state.read().text() } else { String::new() };
             return Some(Msg::StateReply(StateReply { text }));
         }
         Msg::KeyAsk(KeyAsk { key }) => {
-            let r = keyed_requests::key_status(node, &key);
-            return Some(Msg::KeyReply(KeyReply { known: r.known, roster: r.roster }));
+            let status = keyed_requests::key_status(node, &key);
+            return Some(Msg::KeyReply(KeyReply { known: status.known, roster: status.roster }));
         }
         Msg::Leaving(Leaving { instances }) => dispatch::close_endpoints(node, &instances),
-        // Answers, and questions that only processes that run jobs are asked.
+        // Answers to calls, and messages that only processes that run jobs get.
         Msg::Hello(_) | Msg::SlotLoan(_) | Msg::StateReply(_) | Msg::KeyReply(_) | Msg::Done(_) => {}
         Msg::JobAsk(_) | Msg::JobReply(_) | Msg::PendingAsk(_) | Msg::PendingReply(_) => {}
         Msg::HandIn(_) | Msg::HandInReply(_) | Msg::Release(_) => {}
-        // Answered where the connection is served.
+        // Handled by the connection itself.
         Msg::Ping(_) | Msg::Pong(_) => {}
         Msg::AdviceAsk(_) | Msg::AdviceReply(_) | Msg::ConfigAsk(_) | Msg::ConfigReply(_) => {}
         Msg::RelayOpen(_) | Msg::RelayReady(_) | Msg::RelayOrders(_) | Msg::RelayNews(_) => {}
@@ -167,45 +169,49 @@
     None
 }
 
-fn hear(node: &Arc<Node>, b: Beats) {
-    let (now, here) = (node.now(), node.state.read().next);
-    // The state is never locked while the members are.
+/// Updates the members from the heartbeat of a peer.
+fn receive_heartbeat(node: &Arc<Node>, beats: Beats) {
+    let (now, own_next) = (node.now(), node.state.read().next);
+    // The state must not be locked while the members are, so it was read before.
     let mut members = node.members.lock();
-    if let Some(own) = b.own {
-        let view = PeerView { open: b.open.into_iter().map(|o| (o.instance, o.requests)).collect() };
-        node.peer_views.lock().insert(own.address.clone(), view);
-        let next = own.next;
-        let id = own.id.clone();
-        if members.heard(now, from_wire(own), true) {
+    if let Some(sender) = beats.own {
+        let report =
+            PeerReport { open_requests: beats.open.into_iter().map(|o| (o.instance, o.requests)).collect() };
+        node.peer_reports.lock().insert(sender.address.clone(), report);
+        let next = sender.next;
+        let id = sender.id.clone();
+        if members.heard(now, from_wire(sender), true) {
             log::info!("event=member id={id} liveness=alive");
         }
-        if next > here {
+        if next > own_next {
             node.log_grown.notify_one();
         }
     }
-    for other in b.others {
+    for other in beats.others {
         if other.address != node.address() {
             members.heard(now, from_wire(other), false);
         }
     }
 }
 
-fn lend(node: &Arc<Node>, ask: &SlotAsk) -> SlotLoan {
-    let dispatcher = node.dispatchers.read().get(&ask.service).cloned();
-    let loans =
-        dispatcher.map(|d| d.lend(node.now(), &ask.from, Want { slots: ask.slots })).unwrap_or_default();
-    let wire = |l: &Loan| Lent { id: l.id, endpoint: l.endpoint.clone() };
-    SlotLoan { loans: loans.iter().map(wire).collect() }
+/// Lends idle slots of a service to a peer.
+fn lend_slots(node: &Arc<Node>, request: &SlotAsk) -> SlotLoan {
+    let dispatcher = node.dispatchers.read().get(&request.service).cloned();
+    let loans = dispatcher
+        .map(|d| d.lend(node.now(), &request.from, Want { slots: request.slots }))
+        .unwrap_or_default();
+    let to_lent = |loan: &Loan| Lent { id: loan.id, endpoint: loan.endpoint.clone() };
+    SlotLoan { loans: loans.iter().map(to_lent).collect() }
 }
 
-fn update_loans(node: &Arc<Node>, s: &SlotState) {
-    let dispatcher = node.dispatchers.read().get(&s.service).cloned();
+fn update_loans(node: &Arc<Node>, report: &SlotState) {
+    let dispatcher = node.dispatchers.read().get(&report.service).cloned();
     if let Some(dispatcher) = dispatcher {
-        dispatcher.update_loans(node, s);
+        dispatcher.update_loans(node, report);
     }
 }
 
-/// Tells all peers that endpoints take no new work.
+/// Tells all linked peers that endpoints accept no new requests.
 pub fn announce_leaving(node: &Node, instances: Vec<String>) {
     log::info!("event=endpoint_leaving instances={} reason=own_answer", instances.join(","));
     let msg = Msg::Leaving(Leaving { instances });
--- a/src/workswood/ops/entry/shutdown.rs
+++ b/src/workswood/ops/entry/shutdown.rs
@@ -52,7 +52,7 @@
     while requests_in_progress(node) > 0 || dispatch::open_requests(node) > 0 {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    node.stopping.store(true, Ordering::Release);
+    node.callers_done.store(true, Ordering::Release);
     duties::give_up(node).await;
     while !node.pending_envelopes.lock().is_empty() && node.is(&node.log_up) {
         tokio::time::sleep(POLL_INTERVAL).await;
