--- a/src/workswood/ops/dev.rs
+++ b/src/workswood/ops/dev.rs
@@ -97,7 +97,7 @@
     pub async fn add_with(&mut self, settings: Settings) -> Result<()> {
         let tokens = Tokens { operators: OPERATOR_TOKEN.to_string(), peers: PEER_TOKEN.to_string() };
         self.entries.push(Entry::start(settings, tokens).await?);
-        let addresses = self.entries.iter().map(|e| e.node.address()).collect();
+        let addresses = self.entries.iter().map(|e| e.node.peer_address()).collect();
         self.platform.set_entries(addresses);
         Ok(())
     }
--- a/src/workswood/ops/entry/deferred_requests.rs
+++ b/src/workswood/ops/entry/deferred_requests.rs
@@ -49,7 +49,7 @@
     if let Some(reply) = keyed_requests::recorded_reply(node, &given) {
         return reply;
     }
-    if !node.is(&node.log_up) {
+    if !node.is_set(&node.log_up) {
         return keyed_requests::refuse(
             node,
             Some(&given.key),
@@ -121,7 +121,8 @@
             }
         }
         tokio::time::sleep(POLL_INTERVAL).await;
-        let may_run = node.is(&node.ready) && node.is(&node.log_up) && !node.is(&node.leaving);
+        let may_run =
+            node.is_set(&node.ready) && node.is_set(&node.log_up) && !node.is_set(&node.shutting_down);
         if !may_run {
             continue;
         }
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -48,7 +48,7 @@
     let mut watches: BTreeMap<Duty, Watch> = BTreeMap::new();
     loop {
         tokio::time::sleep(LOOK).await;
-        if !node.is(&node.ready) || !node.is(&node.log_up) {
+        if !node.is_set(&node.ready) || !node.is_set(&node.log_up) {
             // What was not seen is no silence of the holder.
             watches.clear();
             continue;
@@ -76,7 +76,7 @@
         w.since = now;
     }
     if lease.holder.as_ref() == Some(&node.id) {
-        let due = now.saturating_sub(w.renewed) >= RENEW && !node.is(&node.callers_done);
+        let due = now.saturating_sub(w.renewed) >= RENEW && !node.is_set(&node.callers_done);
         if !due {
             return None;
         }
@@ -88,7 +88,7 @@
         None => Duration::ZERO,
     };
     let silent = now.saturating_sub(w.since) >= patience + STAGGER * place as u32;
-    if !silent || node.is(&node.leaving) {
+    if !silent || node.is_set(&node.shutting_down) {
         return None;
     }
     log::info!(target: DECISION, "event=take_duty duty={duty:?} term={} reason=silence", lease.term + 1);
@@ -281,7 +281,7 @@
         held = Held::follow(held, &node, Duty::Checkpointer);
         let Some(h) = &held else { continue };
         let next = node.state.read().next;
-        if next == written || !node.is(&node.log_up) {
+        if next == written || !node.is_set(&node.log_up) {
             continue;
         }
         if write_checkpoint(&node, h.term).await {
--- a/src/workswood/ops/entry/keyed_requests.rs
+++ b/src/workswood/ops/entry/keyed_requests.rs
@@ -142,7 +142,7 @@
 
 /// Returns the code to refuse a request with if it could not be claimed now or not be sent in time.
 fn claim_obstacle(node: &Node, request: &RoutedRequest) -> Option<Code> {
-    if !node.is(&node.log_up) {
+    if !node.is_set(&node.log_up) {
         return Some(Code::LogUnavailable);
     }
     let clock_behind = node.wall() + (MAX_CLOCK_SKEW.as_millis() as UnixMs) < node.state.read().time;
@@ -232,7 +232,7 @@
     let state = node.state.read();
     // A process that has not caught up with the log can't deny that it knows the key.
     let known = state.keys.contains_key(key)
-        || !node.is(&node.ready)
+        || !node.is_set(&node.ready)
         || node.claims.lock().begun_or_hold(key, node.now());
     let roster = state.roster.iter().map(|m| m.id.clone());
     keyed::Reply { known, roster: roster.chain(node.proposed_roster.lock().iter().cloned()).collect() }
--- a/src/workswood/ops/entry/log_reader.rs
+++ b/src/workswood/ops/entry/log_reader.rs
@@ -173,7 +173,7 @@
 
 /// Marks the process ready on the newest state of any peer while the log is down.
 async fn become_ready_from_peers(node: &Arc<Node>) {
-    if node.is(&node.ready) {
+    if node.is_set(&node.ready) {
         return;
     }
     let Some(state) = fetch_peer_state(node).await else { return };
--- a/src/workswood/ops/entry/node.rs
+++ b/src/workswood/ops/entry/node.rs
@@ -78,7 +78,7 @@
     /// Whether the log can be read.
     pub log_up: AtomicBool,
     /// Whether a shutdown has begun, so that the readiness check fails.
-    pub leaving: AtomicBool,
+    pub shutting_down: AtomicBool,
     /// Whether all requests of callers have ended during a shutdown, so that peers may take its slots.
     pub callers_done: AtomicBool,
     /// Number of callers' requests in progress.
@@ -128,7 +128,7 @@
             metrics: Metrics::default(),
             ready: AtomicBool::new(false),
             log_up: AtomicBool::new(false),
-            leaving: AtomicBool::new(false),
+            shutting_down: AtomicBool::new(false),
             callers_done: AtomicBool::new(false),
             in_progress: AtomicU64::new(0),
             clock: Clock::of_host(),
@@ -154,12 +154,12 @@
     }
 
     /// Address of the listener for peers, by which they know this process.
-    pub fn address(&self) -> String {
+    pub fn peer_address(&self) -> String {
         self.settings.peers.to_string()
     }
 
     /// Reads a flag of this node.
-    pub fn is(&self, flag: &AtomicBool) -> bool {
+    pub fn is_set(&self, flag: &AtomicBool) -> bool {
         flag.load(Ordering::Acquire)
     }
 
--- a/src/workswood/ops/entry/operator_api.rs
+++ b/src/workswood/ops/entry/operator_api.rs
@@ -57,7 +57,7 @@
     if let Err(e) = plan::refuse_impossible(std::slice::from_ref(&file), node.wall()) {
         return refused(e.code(), e.to_string());
     }
-    if !node.is(&node.ready) {
+    if !node.is_set(&node.ready) {
         return refused(Code::NotCaughtUp, Code::NotCaughtUp.text().to_string());
     }
     let record = Record::Apply {
@@ -186,9 +186,9 @@
     }));
     stuck.extend(impossible_jobs(&state));
     Status {
-        entry: node.address(),
-        ready: node.is(&node.ready),
-        log_up: node.is(&node.log_up),
+        entry: node.peer_address(),
+        ready: node.is_set(&node.ready),
+        log_up: node.is_set(&node.log_up),
         next: state.next,
         files: files(&state),
         entries: entries(node, &state),
--- a/src/workswood/ops/entry/peers.rs
+++ b/src/workswood/ops/entry/peers.rs
@@ -84,12 +84,12 @@
 
 fn own_heartbeat(node: &Node, number: u64) -> Beat {
     Beat {
-        address: node.address(),
+        address: node.peer_address(),
         id: node.id.clone(),
         data_centre: node.settings.data_centre.clone(),
         number,
         next: node.state.read().next,
-        stopping: node.is(&node.callers_done),
+        stopping: node.is_set(&node.callers_done),
     }
 }
 
@@ -110,7 +110,7 @@
 /// returns the open ones.
 fn update_links(node: &Arc<Node>, contacts: &[String], seeds: &BTreeSet<String>) -> Vec<Link> {
     let known: BTreeSet<String> = node.members.lock().iter().map(|m| m.beat.address.clone()).collect();
-    let own = node.address();
+    let own = node.peer_address();
     let unknown_seeds = seeds.iter().filter(|s| **s != own && !known.contains(*s));
     let wanted: BTreeSet<String> = contacts.iter().chain(unknown_seeds).cloned().collect();
     let mut links = node.links.lock();
@@ -149,7 +149,7 @@
         Msg::SlotAsk(request) => return Some(Msg::SlotLoan(lend_slots(node, &request))),
         Msg::SlotState(report) => update_loans(node, &report),
         Msg::StateAsk(_) => {
-            let text = if node.is(&node.ready) { node.state.read().text() } else { String::new() };
+            let text = if node.is_set(&node.ready) { node.state.read().text() } else { String::new() };
             return Some(Msg::StateReply(StateReply { text }));
         }
         Msg::KeyAsk(KeyAsk { key }) => {
@@ -188,7 +188,7 @@
         }
     }
     for other in beats.others {
-        if other.address != node.address() {
+        if other.address != node.peer_address() {
             members.heard(now, from_wire(other), false);
         }
     }
--- a/src/workswood/ops/entry/proxy.rs
+++ b/src/workswood/ops/entry/proxy.rs
@@ -122,8 +122,8 @@
     }
     let key = header(req.headers(), KEY);
     let matched = node.table.load().find(path).cloned();
-    let Some((route, service)) = matched.filter(|_| node.is(&node.ready)) else {
-        let code = if node.is(&node.ready) { Code::UnknownRoute } else { Code::NotCaughtUp };
+    let Some((route, service)) = matched.filter(|_| node.is_set(&node.ready)) else {
+        let code = if node.is_set(&node.ready) { Code::UnknownRoute } else { Code::NotCaughtUp };
         return keyed_requests::refuse(node, key.as_deref(), code, Some(Duration::from_secs(1))).await;
     };
     let class = route.class;
@@ -167,10 +167,10 @@
 }
 
 fn readiness(node: &Node) -> Reply {
-    if node.is(&node.ready) && !node.is(&node.leaving) {
+    if node.is_set(&node.ready) && !node.is_set(&node.shutting_down) {
         return Response::new(whole(Bytes::from_static(b"ready\n")));
     }
-    let code = if node.is(&node.leaving) { Code::Stopping } else { Code::NotCaughtUp };
+    let code = if node.is_set(&node.shutting_down) { Code::Stopping } else { Code::NotCaughtUp };
     refusal(code, Ran::NotRun, None)
 }
 
--- a/src/workswood/ops/entry/shutdown.rs
+++ b/src/workswood/ops/entry/shutdown.rs
@@ -45,7 +45,7 @@
     stop_callers: &watch::Sender<bool>,
     callers: &mut JoinHandle<()>,
 ) {
-    node.leaving.store(true, Ordering::Release);
+    node.shutting_down.store(true, Ordering::Release);
     tokio::time::sleep(node.settings.balancer_lag).await;
     let _ = stop_callers.send(true);
     let _ = callers.await;
@@ -54,7 +54,7 @@
     }
     node.callers_done.store(true, Ordering::Release);
     duties::give_up(node).await;
-    while !node.pending_envelopes.lock().is_empty() && node.is(&node.log_up) {
+    while !node.pending_envelopes.lock().is_empty() && node.is_set(&node.log_up) {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
     tokio::time::sleep(LAST_HEARTBEAT_DELAY).await;
--- a/src/workswood/ops/soak.rs
+++ b/src/workswood/ops/soak.rs
@@ -269,7 +269,7 @@
         let (balancer, node) = (self.balancer.clone(), old.node.clone());
         let stop: tokio::task::JoinHandle<()> = tokio::spawn(Entry::stop(old));
         tokio::spawn(async move {
-            while !node.is(&node.leaving) {
+            while !node.is_set(&node.shutting_down) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             tokio::time::sleep(BALANCER).await;
@@ -289,12 +289,12 @@
         let (balancer, id) = (self.balancer.clone(), ids[ids.len() - 1]);
         // The balancer sends callers when it says that it is ready.
         tokio::spawn(async move {
-            while !node.is(&node.ready) {
+            while !node.is_set(&node.ready) {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
             // It may be gone again by now.
             let mut ready = balancer.ready.lock();
-            if !node.is(&node.leaving) && !balancer.was_killed(id) {
+            if !node.is_set(&node.shutting_down) && !balancer.was_killed(id) {
                 ready.push((id, caller));
             }
         });
--- a/tests/testsuite/entry_silence.rs
+++ b/tests/testsuite/entry_silence.rs
@@ -83,8 +83,8 @@
     let tokens = Tokens { operators: String::new(), peers: String::new() };
     let entry = Entry::start(settings, tokens).await.expect("an entry starts");
     let node = entry.node.clone();
-    until("the entry is ready", || node.is(&node.ready)).await;
+    until("the entry is ready", || node.is_set(&node.ready)).await;
     cut.set(Fault::HalfOpen);
     until("the entry finds out", || node.half_open.count() > 0).await;
-    assert!(node.is(&node.log_up), "one silent connection is no outage");
+    assert!(node.is_set(&node.log_up), "one silent connection is no outage");
 }
--- a/tests/testsuite/entry_stop.rs
+++ b/tests/testsuite/entry_stop.rs
@@ -30,7 +30,7 @@
         let slow = tokio::spawn(async move { caller.call(CallerRequest::to("/shop/get?ms=1500")).await });
         let stopping = old.node.clone();
         let stop = tokio::spawn(old.stop());
-        until("the balancer is told", || stopping.is(&stopping.leaving)).await;
+        until("the balancer is told", || stopping.is_set(&stopping.shutting_down)).await;
         // The balancer notices while the entry still accepts.
         tokio::time::sleep(Duration::from_millis(100)).await;
         flag.store(true, Ordering::Relaxed);
--- a/tests/testsuite/log_faults.rs
+++ b/tests/testsuite/log_faults.rs
@@ -38,7 +38,7 @@
     let last = dev.entries[0].node.wall() + 60_000;
     dev.platform.faults(|f| f.log_down = true);
     for e in &dev.entries {
-        until("the outage is seen", || !e.node.is(&e.node.log_up)).await;
+        until("the outage is seen", || !e.node.is_set(&e.node.log_up)).await;
     }
     for i in 0..3 {
         let res = dev.call(i, CallerRequest::to("/shop/get").with_body("on")).await.expect("an answer");
@@ -52,7 +52,7 @@
     }
     dev.platform.faults(|f| f.log_down = false);
     for e in &dev.entries {
-        until("the log is back", || e.node.is(&e.node.log_up)).await;
+        until("the log is back", || e.node.is_set(&e.node.log_up)).await;
     }
     file.objective.moves = 3;
     let reply = dev.apply(1, &file, 1).await.expect("an answer");
@@ -75,7 +75,7 @@
     dev.wait(0, "the wave has begun", |s| s.waves[0]["done"].as_u64() > Some(1)).await.expect("status");
     dev.platform.faults(|f| f.log_down = true);
     for e in &dev.entries {
-        until("the outage is seen", || !e.node.is(&e.node.log_up)).await;
+        until("the outage is seen", || !e.node.is_set(&e.node.log_up)).await;
     }
     // Reboots under way end; none begins without a record.
     let under_way = dev.entries[0].node.state.read().hosts.values().filter(|h| h.away()).count() as u64;
--- a/tests/testsuite/log_retention.rs
+++ b/tests/testsuite/log_retention.rs
@@ -33,7 +33,7 @@
     let settings = loopback("fresh", "dc0", &dev.platform.address, Vec::new());
     dev.add_with(settings).await.expect("an entry starts");
     let fresh = dev.entries[2].node.clone();
-    until("it is ready", || fresh.is(&fresh.ready)).await;
+    until("it is ready", || fresh.is_set(&fresh.ready)).await;
     let head = dev.entries[0].node.state.read().next;
     until("it has caught up", || fresh.state.read().next >= head).await;
     assert_eq!(fresh.state.read().files["small"].version, 81);
@@ -60,7 +60,7 @@
     let with = loopback("with", "dc1", &dev.platform.address, seeds);
     dev.add_with(with).await.expect("an entry starts");
     let node = dev.entries[3].node.clone();
-    until("it is ready", || node.is(&node.ready)).await;
+    until("it is ready", || node.is_set(&node.ready)).await;
     assert_eq!(node.state.read().files["small"].version, 2);
 }
 
@@ -73,7 +73,7 @@
     let settings = loopback("sleeper", "dc0", &proxy.address, Vec::new());
     dev.add_with(settings).await.expect("an entry starts");
     let sleeper = dev.entries[2].node.clone();
-    until("it is ready", || sleeper.is(&sleeper.ready)).await;
+    until("it is ready", || sleeper.is_set(&sleeper.ready)).await;
     let version = sleeper.state.read().files["small"].version;
     assert_eq!(version, 1);
     proxy.cut(true);
