--- a/src/workswood/ops/entry/operator_api.rs
+++ b/src/workswood/ops/entry/operator_api.rs
@@ -1,4 +1,4 @@
-//! Answers to operators.
+//! Answers operators: applies fleet files, and reports status and metrics.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,8 +22,8 @@
 use crate::ops::plan;
 use crate::util::logs;
 
-/// Differences named to an operator who lost a race.
-const MOST_DIFFERENCES: usize = 20;
+/// Maximum number of differences that are listed when a change conflicts with another one.
+const MAX_DIFFERENCES: usize = 20;
 
 impl Operations for Node {
     fn apply(self: Arc<Self>, req: ApplyRequest) -> BoxFuture<'static, ApplyReply> {
@@ -45,14 +45,15 @@
     ApplyReply::Refused { code, message, issues: Vec::new() }
 }
 
+/// Checks a fleet file and appends it to the log.
 async fn apply(node: &Arc<Node>, req: ApplyRequest) -> ApplyReply {
     let file = match parse(&req.text) {
         Ok(f) => f,
-        Err(issues) => return bad_file(&issues),
+        Err(issues) => return invalid_file(&issues),
     };
     let issues = check(&file);
     if !issues.is_empty() {
-        return bad_file(&issues);
+        return invalid_file(&issues);
     }
     if let Err(e) = plan::refuse_impossible(std::slice::from_ref(&file), node.wall()) {
         return refused(e.code(), e.to_string());
@@ -66,8 +67,8 @@
         author: req.author.clone(),
         file: Box::new(file.clone()),
     };
-    let folded = match node.append(vec![record]).await {
-        Ok(f) => f,
+    let appended = match node.append(vec![record]).await {
+        Ok(appended) => appended,
         Err(AppendError::NotSent) => {
             return refused(Code::ApplyNotTaken, Code::ApplyNotTaken.text().to_string());
         }
@@ -78,55 +79,58 @@
         file.file,
         req.base,
         req.author,
-        folded.verdicts
+        appended.verdicts
     );
-    match folded.verdicts.first() {
-        Some(Ok(())) => accepted(node, &file, folded.offset, req.wait_ms).await,
-        Some(Err(void)) => lost(node, &file, void),
+    match appended.verdicts.first() {
+        Some(Ok(())) => accepted(node, &file, appended.offset, req.wait_ms).await,
+        Some(Err(void)) => rejected(node, &file, void),
         None => ApplyReply::Unknown { code: Code::ApplyUnknown },
     }
 }
 
-fn bad_file(issues: &[workswood_core::fleet::Issue]) -> ApplyReply {
+fn invalid_file(issues: &[workswood_core::fleet::Issue]) -> ApplyReply {
     let code = issues.first().map_or(Code::BadValue, |i| i.code);
     let message = format!("the file has {} error(s)", issues.len());
     ApplyReply::Refused { code, message, issues: issues.iter().map(ShownIssue::from).collect() }
 }
 
+/// Answer for an accepted file, after the wait that the operator asked for.
 async fn accepted(node: &Arc<Node>, file: &FleetFile, offset: Offset, wait_ms: u64) -> ApplyReply {
     let version = node.state.read().files.get(&file.file).map_or(0, |f| f.version);
     let behind = match wait_ms {
         0 => Vec::new(),
-        ms => wait_everywhere(node, offset, Duration::from_millis(ms)).await,
+        ms => wait_until_folded_everywhere(node, offset, Duration::from_millis(ms)).await,
     };
     ApplyReply::Accepted { version, offset, behind }
 }
 
-/// Waits until all entry hosts have folded an offset; names those that have not.
-async fn wait_everywhere(node: &Arc<Node>, offset: Offset, limit: Duration) -> Vec<String> {
-    const LOOK: Duration = Duration::from_millis(20);
-    let until = node.now() + limit;
+/// Waits until all entry hosts have folded an offset, and returns the addresses of those that have not
+/// within the timeout.
+async fn wait_until_folded_everywhere(node: &Arc<Node>, offset: Offset, timeout: Duration) -> Vec<String> {
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
+    let deadline = node.now() + timeout;
     loop {
         let behind: Vec<String> = {
             let members = node.members.lock();
-            let late =
+            let behind =
                 members.iter().filter(|m| m.beat.id != node.id && m.beat.next <= offset && !m.beat.stopping);
-            late.map(|m| m.beat.address.clone()).collect()
+            behind.map(|m| m.beat.address.clone()).collect()
         };
-        if behind.is_empty() || node.now() >= until {
+        if behind.is_empty() || node.now() >= deadline {
             return behind;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn lost(node: &Node, file: &FleetFile, void: &Void) -> ApplyReply {
+/// Answer for a file that was folded but did not come into force.
+fn rejected(node: &Node, file: &FleetFile, void: &Void) -> ApplyReply {
     let state = node.state.read();
     let message = match void {
         Void::Stale { version: 0, .. } => format!("file `{}` is not in force; use base 0", file.file),
         Void::Stale { version, author } => {
-            let theirs = state.files.get(&file.file).map(|f| &f.file);
-            let changed = theirs.map(|t| differences(t, file)).unwrap_or_default();
+            let current = state.files.get(&file.file).map(|f| &f.file);
+            let changed = current.map(|c| differences(c, file)).unwrap_or_default();
             format!(
                 "version {version} of `{}` by `{author}` is in force; it differs from yours in: {}",
                 file.file,
@@ -139,32 +143,32 @@
     refused(void.code(), message)
 }
 
-/// Paths in which two files differ.
+/// Paths of the values that differ between two files, at most [`MAX_DIFFERENCES`].
 fn differences(a: &FleetFile, b: &FleetFile) -> Vec<String> {
     let a = serde_json::to_value(a).unwrap_or_default();
     let b = serde_json::to_value(b).unwrap_or_default();
-    let mut all = Vec::new();
-    walk("", &a, &b, &mut all);
-    all.truncate(MOST_DIFFERENCES);
-    all
+    let mut paths = Vec::new();
+    collect_differences("", &a, &b, &mut paths);
+    paths.truncate(MAX_DIFFERENCES);
+    paths
 }
 
-fn walk(at: &str, a: &serde_json::Value, b: &serde_json::Value, all: &mut Vec<String>) {
+fn collect_differences(parent: &str, a: &serde_json::Value, b: &serde_json::Value, paths: &mut Vec<String>) {
     use serde_json::Value::{Array, Object};
     match (a, b) {
         _ if a == b => {}
         (Object(x), Object(y)) => {
             for (k, v) in x {
-                let path = if at.is_empty() { k.clone() } else { format!("{at}.{k}") };
-                walk(&path, v, y.get(k).unwrap_or(&serde_json::Value::Null), all);
+                let path = if parent.is_empty() { k.clone() } else { format!("{parent}.{k}") };
+                collect_differences(&path, v, y.get(k).unwrap_or(&serde_json::Value::Null), paths);
             }
         }
         (Array(x), Array(y)) if x.len() == y.len() => {
             for (i, (v, w)) in x.iter().zip(y).enumerate() {
-                walk(&format!("{at}[{i}]"), v, w, all);
+                collect_differences(&format!("{parent}[{i}]"), v, w, paths);
             }
         }
-        _ => all.push(at.to_string()),
+        _ => paths.push(parent.to_string()),
     }
 }
 
@@ -184,18 +188,18 @@
     stuck.extend(stances.iter().filter(|s| s.slack < 0).map(|s| {
         format!("budget service={} available={} min_available={}", s.service, s.available, s.min_available)
     }));
-    stuck.extend(impossible_jobs(&state));
+    stuck.extend(jobs_too_large(&state));
     Status {
         entry: node.peer_address(),
         ready: node.is_set(&node.ready),
         log_up: node.is_set(&node.log_up),
         next: state.next,
-        files: files(&state),
-        entries: entries(node, &state),
-        duties: Duty::ALL.iter().map(|d| duty(&state, *d)).collect(),
+        files: file_statuses(&state),
+        entries: entry_statuses(node, &state),
+        duties: Duty::ALL.iter().map(|d| duty_status(&state, *d)).collect(),
         waves: serde_json::to_value(waves).unwrap_or_default(),
         budgets: serde_json::to_value(stances).unwrap_or_default(),
-        hosts: pools(&state),
+        hosts: pool_statuses(&state),
         stuck,
         keys: state.keys.len(),
         open_deferred: state.open_keys.len(),
@@ -207,19 +211,19 @@
     }
 }
 
-fn files(state: &State) -> Vec<FileStatus> {
-    let all = state.files.iter().map(|(name, f)| FileStatus {
+fn file_statuses(state: &State) -> Vec<FileStatus> {
+    let files = state.files.iter().map(|(name, f)| FileStatus {
         file: name.clone(),
         version: f.version,
         offset: f.offset,
         author: f.author.clone(),
     });
-    all.collect()
+    files.collect()
 }
 
-fn entries(node: &Node, state: &State) -> Vec<EntryStatus> {
+fn entry_statuses(node: &Node, state: &State) -> Vec<EntryStatus> {
     let members = node.members.lock();
-    let all = members.iter().map(|m| EntryStatus {
+    let entries = members.iter().map(|m| EntryStatus {
         address: m.beat.address.clone(),
         id: m.beat.id.clone(),
         data_centre: m.beat.data_centre.clone(),
@@ -227,19 +231,19 @@
         liveness: format!("{:?}", m.liveness).to_lowercase(),
         on_roster: state.roster.iter().any(|r| r.id == m.beat.id),
     });
-    all.collect()
+    entries.collect()
 }
 
-fn duty(state: &State, duty: Duty) -> DutyStatus {
+fn duty_status(state: &State, duty: Duty) -> DutyStatus {
     let lease = state.lease(duty);
     DutyStatus { duty: format!("{duty:?}").to_lowercase(), holder: lease.holder, term: lease.term }
 }
 
-fn pools(state: &State) -> Vec<PoolStatus> {
-    let mut all: BTreeMap<String, PoolStatus> = BTreeMap::new();
+fn pool_statuses(state: &State) -> Vec<PoolStatus> {
+    let mut pools: BTreeMap<String, PoolStatus> = BTreeMap::new();
     for (id, h) in &state.hosts {
         let pool = h.pool.clone().unwrap_or_default();
-        let p = all.entry(pool.clone()).or_insert_with(|| PoolStatus { pool, ..PoolStatus::default() });
+        let p = pools.entry(pool.clone()).or_insert_with(|| PoolStatus { pool, ..PoolStatus::default() });
         if h.foreign {
             p.foreign.push(id.clone());
         } else if !h.up && !matches!(h.phase, Phase::Rebooting { .. }) {
@@ -250,22 +254,22 @@
             p.active += 1;
         }
     }
-    all.into_values().collect()
+    pools.into_values().collect()
 }
 
-/// Jobs that no host of their pool could ever take.
-fn impossible_jobs(state: &State) -> Vec<String> {
-    let mut all = Vec::new();
+/// Describes the declared jobs that need more than the largest host of their pool has.
+fn jobs_too_large(state: &State) -> Vec<String> {
+    let mut descriptions = Vec::new();
     for j in state.declared_jobs() {
         let in_pool = state.hosts.values().filter(|h| h.pool.as_ref() == Some(&j.pool));
         let (cpus, memory) = in_pool.fold((0, 0), |m, h| (m.0.max(h.cpus), m.1.max(h.memory_gib)));
         if cpus > 0 && (j.cpus > cpus || j.memory_gib > memory) {
-            all.push(format!(
+            descriptions.push(format!(
                 "job={} impossible: asks cpus={} memory_gib={}, the largest host of pool={} has cpus={cpus} \
                  memory_gib={memory}",
                 j.name, j.cpus, j.memory_gib, j.pool
             ));
         }
     }
-    all
+    descriptions
 }
