--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -1,4 +1,4 @@
-//! Duties: leases, planning and checkpoints.
+//! The duties of the planner and of the checkpointer, each of which one process at a time holds by a lease.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,48 +13,49 @@
 use super::node::Node;
 use crate::util::logs::DECISION;
 
-/// Silence after which others take a duty.
-const LEASE: Duration = Duration::from_secs(3);
-/// Time between renewals.
-const RENEW: Duration = Duration::from_secs(1);
-/// Time between looks at leases.
-const LOOK: Duration = Duration::from_millis(200);
-/// Time by which each further process on the roster waits longer.
-const STAGGER: Duration = Duration::from_millis(150);
-/// Time between rounds of planning while something is under way.
-const ROUND: Duration = Duration::from_millis(200);
-/// Time between rounds while nothing is; a new record ends it. The platform's
-/// list is read in each round and is large.
-const IDLE_ROUND: Duration = Duration::from_secs(1);
-/// Longest time that an act of a former holder may still be on its way to a
-/// platform that does not fence it.
-const ACT_HORIZON: Duration = Duration::from_secs(2);
-/// Acts on the platform at a time.
-const MOST_ACTS: usize = 32;
-/// Records of one planning round in one append.
-const MOST_DECIDED: usize = 512;
-/// Checkpoint parts in one append.
-const PARTS: usize = 4;
+/// Time without a renewal after which another process may take a duty over.
+const LEASE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time between renewals of a lease.
+const RENEW_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between checks of the leases.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Additional wait before a takeover for each place on the roster, so that processes do not compete.
+const TAKEOVER_STAGGER: Duration = Duration::from_millis(150);
+/// Time between planning rounds.
+const PLAN_INTERVAL: Duration = Duration::from_millis(200);
+/// Longest additional wait between planning rounds while there is nothing to do; a new log record ends
+/// it. Each round reads the platform's list of hosts, which is large.
+const IDLE_PLAN_DELAY: Duration = Duration::from_secs(1);
+/// Longest time that an action of a former planner may still be in flight to a platform that does not
+/// check fencing tokens.
+const MAX_ACTION_DELAY: Duration = Duration::from_secs(2);
+/// Maximum number of concurrent actions on the platform.
+const MAX_CONCURRENT_ACTIONS: usize = 32;
+/// Maximum number of decisions of one planning round.
+const MAX_ROUND_DECISIONS: usize = 512;
+/// Number of checkpoint parts in one append.
+const PARTS_PER_APPEND: usize = 4;
 
-/// What this process has seen of one lease, and when.
-struct Watch {
+/// A lease as this process last saw it. Times are since the start of the process.
+struct ObservedLease {
     lease: LeaseRec,
-    since: Duration,
-    renewed: Duration,
+    changed_at: Duration,
+    /// When this process last renewed the lease.
+    renewed_at: Duration,
 }
 
 /// Takes free duties and renews those held, until the process ends.
-pub async fn lease(node: Arc<Node>) {
-    let mut watches: BTreeMap<Duty, Watch> = BTreeMap::new();
+pub async fn run_leases(node: Arc<Node>) {
+    let mut observed: BTreeMap<Duty, ObservedLease> = BTreeMap::new();
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
         if !node.is_set(&node.ready) || !node.is_set(&node.log_up) {
-            // What was not seen is no silence of the holder.
-            watches.clear();
+            // While the log is not read, a lease that seems unchanged says nothing about its holder.
+            observed.clear();
             continue;
         }
         for duty in Duty::ALL {
-            let record = look(&node, &mut watches, duty);
+            let record = lease_record(&node, &mut observed, duty);
             if let Some(record) = record {
                 let _ = node.append(vec![record]).await;
             }
@@ -62,94 +63,97 @@
     }
 }
 
-fn look(node: &Node, watches: &mut BTreeMap<Duty, Watch>, duty: Duty) -> Option<Record> {
+/// Returns the record that renews a lease of this process or takes over an expired one, if it is time.
+fn lease_record(node: &Node, observed: &mut BTreeMap<Duty, ObservedLease>, duty: Duty) -> Option<Record> {
     let now = node.now();
-    let (lease, place) = {
+    let (lease, roster_place) = {
         let state = node.state.read();
-        let place = state.roster.iter().position(|m| m.id == node.id).unwrap_or(state.roster.len());
-        (state.lease(duty), place)
+        let roster_place = state.roster.iter().position(|m| m.id == node.id).unwrap_or(state.roster.len());
+        (state.lease(duty), roster_place)
     };
-    let fresh = Watch { lease: lease.clone(), since: now, renewed: Duration::ZERO };
-    let w = watches.entry(duty).or_insert(fresh);
-    if w.lease != lease {
-        w.lease = lease.clone();
-        w.since = now;
+    let first = ObservedLease { lease: lease.clone(), changed_at: now, renewed_at: Duration::ZERO };
+    let seen = observed.entry(duty).or_insert(first);
+    if seen.lease != lease {
+        seen.lease = lease.clone();
+        seen.changed_at = now;
     }
     if lease.holder.as_ref() == Some(&node.id) {
-        let due = now.saturating_sub(w.renewed) >= RENEW && !node.is_set(&node.callers_done);
+        let due = now.saturating_sub(seen.renewed_at) >= RENEW_INTERVAL && !node.is_set(&node.callers_done);
         if !due {
             return None;
         }
-        w.renewed = now;
+        seen.renewed_at = now;
         return Some(Record::Renew { duty, term: lease.term });
     }
-    let patience = match lease.holder {
-        Some(_) => LEASE,
+    let timeout = match lease.holder {
+        Some(_) => LEASE_TIMEOUT,
         None => Duration::ZERO,
     };
-    let silent = now.saturating_sub(w.since) >= patience + STAGGER * place as u32;
-    if !silent || node.is_set(&node.shutting_down) {
+    let expired = now.saturating_sub(seen.changed_at) >= timeout + TAKEOVER_STAGGER * roster_place as u32;
+    if !expired || node.is_set(&node.shutting_down) {
         return None;
     }
     log::info!(target: DECISION, "event=take_duty duty={duty:?} term={} reason=silence", lease.term + 1);
     Some(Record::Take { duty, holder: node.id.clone(), term: lease.term + 1, seen: lease.renewals })
 }
 
-/// The term of a duty that this process holds and has shown to hold lately.
-struct Held {
+/// A lease that this process holds. Times are since the start of the process.
+struct HeldLease {
     term: Term,
     renewals: u64,
-    seen: Duration,
-    since: Duration,
+    /// When this process folded the last renewal.
+    renewal_seen_at: Duration,
+    /// When this process first saw that it holds the lease in this term.
+    held_since: Duration,
 }
 
-impl Held {
-    /// Follows the lease; `None` while it is not surely held.
-    fn follow(held: Option<Held>, node: &Node, duty: Duty) -> Option<Held> {
+impl HeldLease {
+    /// Updates what is known of the lease; `None` if this process does not hold it.
+    fn refresh(held: Option<HeldLease>, node: &Node, duty: Duty) -> Option<HeldLease> {
         let now = node.now();
         let lease = node.state.read().lease(duty);
         if lease.holder.as_ref() != Some(&node.id) {
             return None;
         }
-        let mut h = held.filter(|h| h.term == lease.term).unwrap_or(Held {
+        let mut held = held.filter(|h| h.term == lease.term).unwrap_or(HeldLease {
             term: lease.term,
             renewals: lease.renewals,
-            seen: now,
-            since: now,
+            renewal_seen_at: now,
+            held_since: now,
         });
-        if h.renewals != lease.renewals {
-            h.renewals = lease.renewals;
-            h.seen = now;
+        if held.renewals != lease.renewals {
+            held.renewals = lease.renewals;
+            held.renewal_seen_at = now;
         }
-        Some(h)
+        Some(held)
     }
 
-    /// Whether the last renewal is so young that nobody can have taken over.
-    fn sure(&self, now: Duration) -> bool {
-        now.saturating_sub(self.seen) < LEASE - RENEW / 2
+    /// Whether the last renewal is so recent that no other process can have taken the duty over.
+    fn is_unexpired(&self, now: Duration) -> bool {
+        now.saturating_sub(self.renewal_seen_at) < LEASE_TIMEOUT - RENEW_INTERVAL / 2
     }
 
-    /// Whether acts of a former holder are over.
-    fn settled(&self, now: Duration) -> bool {
-        now.saturating_sub(self.since) >= ACT_HORIZON || self.term == 1
+    /// Whether no action of a former holder can still be in flight.
+    fn former_actions_ended(&self, now: Duration) -> bool {
+        now.saturating_sub(self.held_since) >= MAX_ACTION_DELAY || self.term == 1
     }
 }
 
-/// Plans while this process holds the duty, until the process ends.
-pub async fn plan(node: Arc<Node>) {
-    let mut held: Option<Held> = None;
-    let mut folded = node.next_offset.subscribe();
+/// Plans and acts on the platform while this process is the planner, until the process ends.
+pub async fn run_planner(node: Arc<Node>) {
+    let mut held: Option<HeldLease> = None;
+    let mut next_offset = node.next_offset.subscribe();
     let mut idle = false;
     loop {
-        tokio::time::sleep(ROUND).await;
+        tokio::time::sleep(PLAN_INTERVAL).await;
         if idle {
-            let _ = tokio::time::timeout(IDLE_ROUND, folded.changed()).await;
+            let _ = tokio::time::timeout(IDLE_PLAN_DELAY, next_offset.changed()).await;
         }
-        held = Held::follow(held, &node, Duty::Planner);
-        let Some(h) = held.as_ref().filter(|h| h.sure(node.now())) else { continue };
-        let Ok(seen) = node.platform.hosts().await else { continue };
-        let records = round(&node, &seen, h.term);
-        folded.mark_unchanged();
+        held = HeldLease::refresh(held, &node, Duty::Planner);
+        let Some(lease) = held.as_ref().filter(|h| h.is_unexpired(node.now())) else { continue };
+        let Ok(listing) = node.platform.hosts().await else { continue };
+        let records = plan_round(&node, &listing, lease.term);
+        next_offset.mark_unchanged();
         idle = records.is_empty() && !node.state.read().hosts.values().any(HostRec::away);
         if !records.is_empty() {
             log_decisions(&records);
@@ -157,93 +161,99 @@
                 continue;
             }
         }
-        held = Held::follow(held, &node, Duty::Planner);
-        let Some(h) = held.as_ref().filter(|h| h.sure(node.now()) && h.settled(node.now())) else { continue };
-        idle &= !act(&node, &seen, h.term).await;
+        held = HeldLease::refresh(held, &node, Duty::Planner);
+        let Some(lease) =
+            held.as_ref().filter(|h| h.is_unexpired(node.now()) && h.former_actions_ended(node.now()))
+        else {
+            continue;
+        };
+        idle &= !perform_actions(&node, &listing, lease.term).await;
     }
 }
 
-/// One round of deciding; pure but for reading what the node shares.
-fn round(node: &Node, seen: &Seen, term: Term) -> Vec<Record> {
-    let facts = facts(node);
+/// Decides on one round of planning from the state, the platform's list and the peers' reports.
+fn plan_round(node: &Node, listing: &Seen, term: Term) -> Vec<Record> {
+    let facts = collect_facts(node);
     let now = node.wall();
     let state = node.state.read();
-    let roster = roster(node, &state, term);
-    let mut records = decide(&state, seen, &facts, now, term);
-    records.truncate(MOST_DECIDED);
+    let roster = roster_change(node, &state, term);
+    let mut records = decide(&state, listing, &facts, now, term);
+    records.truncate(MAX_ROUND_DECISIONS);
     records.extend(roster);
     records
 }
 
-fn facts(node: &Node) -> Facts {
-    let (own, draining) = {
+/// Collects the offset that all processes have folded and the requests in flight to draining instances.
+fn collect_facts(node: &Node) -> Facts {
+    let (own_next, draining) = {
         let state = node.state.read();
-        let away = |i: &InstanceRec| state.hosts.get(&i.host).is_some_and(|h| h.away());
+        let is_away = |i: &InstanceRec| state.hosts.get(&i.host).is_some_and(|h| h.away());
         let draining: Vec<InstanceId> =
-            state.instances.iter().filter(|(_, i)| away(i)).map(|(id, _)| id.clone()).collect();
+            state.instances.iter().filter(|(_, i)| is_away(i)).map(|(id, _)| id.clone()).collect();
         (state.next, draining)
     };
     let mut in_flight = super::dispatch::in_flight_to(node, &draining);
     let members = node.members.lock();
     let others: Vec<&MemberRec> = members.present().filter(|m| m.beat.id != node.id).collect();
-    let confirmed = others.iter().map(|m| m.beat.next).fold(own, u64::min);
-    let views = node.peer_reports.lock();
-    for view in others.iter().filter_map(|m| views.get(&m.beat.address)) {
-        for (id, n) in &view.open_requests {
+    let confirmed = others.iter().map(|m| m.beat.next).fold(own_next, u64::min);
+    let reports = node.peer_reports.lock();
+    for report in others.iter().filter_map(|m| reports.get(&m.beat.address)) {
+        for (id, n) in &report.open_requests {
             *in_flight.entry(id.clone()).or_default() += n;
         }
     }
     Facts { confirmed, in_flight }
 }
 
-/// The roster that should be in force, if it differs from the one that is.
-fn roster(node: &Node, state: &State, term: Term) -> Option<Record> {
+/// Returns the record of a new roster if the live members differ from the roster in force.
+fn roster_change(node: &Node, state: &State, term: Term) -> Option<Record> {
     let members = node.members.lock();
-    let known = |id: &str| state.roster.iter().any(|m| m.id == id);
-    // Suspects stay if they are on it, but do not come on it.
-    let fits = |m: &&MemberRec| {
+    let on_roster = |id: &str| state.roster.iter().any(|m| m.id == id);
+    // Suspected members stay on the roster but are not added to it.
+    let eligible = |m: &&MemberRec| {
         let b = &m.beat;
-        !b.stopping && (m.liveness == Liveness::Alive || (m.liveness == Liveness::Suspect && known(&b.id)))
+        !b.stopping
+            && (m.liveness == Liveness::Alive || (m.liveness == Liveness::Suspect && on_roster(&b.id)))
     };
-    let mut want: Vec<RosterMember> = members
+    let mut wanted: Vec<RosterMember> = members
         .iter()
-        .filter(fits)
+        .filter(eligible)
         .map(|m| RosterMember { id: m.beat.id.clone(), data_centre: m.beat.data_centre.clone() })
         .collect();
-    want.sort();
-    let differs = want != state.roster && !want.is_empty();
+    wanted.sort();
+    let differs = wanted != state.roster && !wanted.is_empty();
     if differs {
-        *node.proposed_roster.lock() = want.iter().map(|m| m.id.clone()).collect();
+        *node.proposed_roster.lock() = wanted.iter().map(|m| m.id.clone()).collect();
     }
-    differs.then_some(Record::Roster { term, members: want })
+    differs.then_some(Record::Roster { term, members: wanted })
 }
 
-/// Carries out what the list shows to be missing; true if that was anything.
-async fn act(node: &Arc<Node>, seen: &Seen, term: Term) -> bool {
-    let wanted = acts(&node.state.read(), seen);
-    for chunk in wanted.chunks(MOST_ACTS) {
-        let still = node.state.read().lease(Duty::Planner);
-        if still.term != term || still.holder.as_ref() != Some(&node.id) {
+/// Performs the actions that the platform's list shows to be outstanding; returns whether there were any.
+async fn perform_actions(node: &Arc<Node>, listing: &Seen, term: Term) -> bool {
+    let outstanding = acts(&node.state.read(), listing);
+    for chunk in outstanding.chunks(MAX_CONCURRENT_ACTIONS) {
+        let lease = node.state.read().lease(Duty::Planner);
+        if lease.term != term || lease.holder.as_ref() != Some(&node.id) {
             break;
         }
-        let calls = chunk.iter().map(|a| call(node, a));
+        let calls = chunk.iter().map(|action| perform_action(node, action));
         futures::future::join_all(calls).await;
     }
-    !wanted.is_empty()
+    !outstanding.is_empty()
 }
 
-async fn call(node: &Node, a: &Act) {
+async fn perform_action(node: &Node, action: &Act) {
     node.metrics.acts.inc();
-    match node.platform.act(a).await {
-        Ok(()) => log::info!(target: DECISION, "event=act host={} act={a:?}", a.host()),
-        // The list will show whether it had its effect.
-        Err(e) => log::warn!("event=act_unanswered host={} act={a:?} error={e:?}", a.host()),
+    match node.platform.act(action).await {
+        Ok(()) => log::info!(target: DECISION, "event=act host={} act={action:?}", action.host()),
+        // A later round finds from the platform's list whether the action took effect.
+        Err(e) => log::warn!("event=act_unanswered host={} act={action:?} error={e:?}", action.host()),
     }
 }
 
 fn log_decisions(records: &[Record]) {
-    for r in records {
-        match r {
+    for record in records {
+        match record {
             Record::Host { host, step, .. } if !matches!(step, HostStep::Seen { .. }) => {
                 log::info!(target: DECISION, "event=host host={host} step={step:?}");
             }
@@ -255,13 +265,13 @@
                 log::info!(target: DECISION, "event=place instance={instance} step={step:?}");
             }
             Record::Job { job, step, .. } => {
-                let why = match step {
+                let reason = match step {
                     JobStep::Start { .. } => "free_capacity",
                     JobStep::Preempt => "urgent_job",
                     JobStep::End { .. } => "list",
                     JobStep::Lost => "host_gone",
                 };
-                log::info!(target: DECISION, "event=job job={job} step={step:?} reason={why}");
+                log::info!(target: DECISION, "event=job job={job} step={step:?} reason={reason}");
             }
             Record::Roster { members, .. } => {
                 log::info!(target: DECISION, "event=roster members={}", members.len());
@@ -271,25 +281,26 @@
     }
 }
 
-/// Checkpoints while this process holds the duty, until the process ends.
-pub async fn checkpoint(node: Arc<Node>) {
-    let every = node.settings.checkpoint_every;
-    let mut written = 0;
-    let mut held: Option<Held> = None;
+/// Writes checkpoints while this process is the checkpointer, until the process ends.
+pub async fn run_checkpointer(node: Arc<Node>) {
+    let interval = node.settings.checkpoint_every;
+    let mut checkpointed_next = 0;
+    let mut held: Option<HeldLease> = None;
     loop {
-        tokio::time::sleep(every).await;
-        held = Held::follow(held, &node, Duty::Checkpointer);
-        let Some(h) = &held else { continue };
+        tokio::time::sleep(interval).await;
+        held = HeldLease::refresh(held, &node, Duty::Checkpointer);
+        let Some(lease) = &held else { continue };
         let next = node.state.read().next;
-        if next == written || !node.is_set(&node.log_up) {
+        if next == checkpointed_next || !node.is_set(&node.log_up) {
             continue;
         }
-        if write_checkpoint(&node, h.term).await {
-            written = node.state.read().next;
+        if write_checkpoint(&node, lease.term).await {
+            checkpointed_next = node.state.read().next;
         }
     }
 }
 
+/// Marks an offset of the log and appends the state at it in parts; returns whether it was written whole.
 async fn write_checkpoint(node: &Arc<Node>, term: Term) -> bool {
     let Ok(marked) = node.append(vec![Record::Mark { term }]).await else { return false };
     if marked.verdicts != [Ok(())] {
@@ -298,7 +309,7 @@
     let parts = node.state.read().checkpoint();
     node.state.write().forget_mark_text();
     let count = parts.len();
-    for chunk in parts.chunks(PARTS) {
+    for chunk in parts.chunks(PARTS_PER_APPEND) {
         if node.append(chunk.to_vec()).await.is_err() {
             return false;
         }
@@ -307,8 +318,8 @@
     count > 0
 }
 
-/// Gives up all duties that this process holds.
-pub async fn give_up(node: &Arc<Node>) {
+/// Releases all duties that this process holds.
+pub async fn release_all(node: &Arc<Node>) {
     for duty in Duty::ALL {
         let lease = node.state.read().lease(duty);
         if lease.holder.as_ref() == Some(&node.id) {
--- a/src/workswood/ops/entry/shutdown.rs
+++ b/src/workswood/ops/entry/shutdown.rs
@@ -53,7 +53,7 @@
         tokio::time::sleep(POLL_INTERVAL).await;
     }
     node.callers_done.store(true, Ordering::Release);
-    duties::give_up(node).await;
+    duties::release_all(node).await;
     while !node.pending_envelopes.lock().is_empty() && node.is_set(&node.log_up) {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
