--- a/src/workswood/ops/entry/deferred_requests.rs
+++ b/src/workswood/ops/entry/deferred_requests.rs
@@ -139,9 +139,10 @@
 
 /// What to do with an open request.
 enum OpenAction {
-    /// Run it.
+    /// Run the request.
     Run { rec: KeyRec },
-    /// Record that its outcome is unknown: its holder is gone, and it may not be repeated.
+    /// Record an unknown outcome: the process that ran the request is gone, and the request may not be
+    /// repeated.
     RecordUnknown { holder: String },
 }
 
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -205,15 +205,15 @@
     Facts { confirmed, in_flight }
 }
 
-/// Returns the record of a new roster if the live members differ from the roster in force.
+/// Returns the record of a new roster if the eligible members differ from the roster in force.
 fn roster_change(node: &Node, state: &State, term: Term) -> Option<Record> {
     let members = node.members.lock();
     let on_roster = |id: &str| state.roster.iter().any(|m| m.id == id);
     // Suspected members stay on the roster but are not added to it.
     let eligible = |m: &&MemberRec| {
-        let b = &m.beat;
-        !b.stopping
-            && (m.liveness == Liveness::Alive || (m.liveness == Liveness::Suspect && on_roster(&b.id)))
+        let beat = &m.beat;
+        !beat.stopping
+            && (m.liveness == Liveness::Alive || (m.liveness == Liveness::Suspect && on_roster(&beat.id)))
     };
     let mut wanted: Vec<RosterMember> = members
         .iter()
--- a/src/workswood/ops/entry/log_appender.rs
+++ b/src/workswood/ops/entry/log_appender.rs
@@ -75,23 +75,23 @@
     }
 
     /// Sends the verdicts on an envelope of this process to the callers of [`Node::append`].
-    pub fn complete_append(self: &Arc<Self>, offset: Offset, env: &Envelope, verdicts: &[Verdict]) {
+    pub fn complete_append(self: &Arc<Self>, offset: Offset, envelope: &Envelope, verdicts: &[Verdict]) {
         if verdicts.contains(&Err(Void::Repeated)) {
             return;
         }
         let mut pending = self.pending_envelopes.lock();
-        let later = pending.split_off(&(env.seq + 1));
+        let later = pending.split_off(&(envelope.seq + 1));
         let mut settled = std::mem::replace(&mut *pending, later);
         drop(pending);
-        let Some(envelope) = settled.remove(&env.seq) else { return };
+        let Some(pending_envelope) = settled.remove(&envelope.seq) else { return };
         let mut first = 0;
-        for (count, reply) in envelope.waiters {
+        for (count, reply) in pending_envelope.waiters {
             let range = first..first + count;
             first += count;
             let outcome = AppendOutcome { offset, verdicts: verdicts[range.clone()].to_vec() };
             let delivered = reply.is_some_and(|tx| tx.send(Ok(outcome)).is_ok());
             if !delivered {
-                self.release_abandoned(&env.records[range.clone()], &verdicts[range]);
+                self.release_abandoned(&envelope.records[range.clone()], &verdicts[range]);
             }
         }
     }
@@ -156,9 +156,9 @@
             continue;
         }
         seq += 1;
-        let env = Envelope { v: FORMAT, from: node.id.clone(), seq, at: node.wall(), records };
+        let envelope = Envelope { v: FORMAT, from: node.id.clone(), seq, at: node.wall(), records };
         node.pending_envelopes.lock().insert(seq, PendingEnvelope { waiters });
-        append_envelope(&node, &env).await;
+        append_envelope(&node, &envelope).await;
     }
 }
 
@@ -202,18 +202,18 @@
 }
 
 /// Retries the append of an envelope until it is folded or [`APPEND_TIMEOUT`] has passed.
-async fn append_envelope(node: &Arc<Node>, env: &Envelope) {
-    let body = serde_json::to_string(env).unwrap_or_default();
+async fn append_envelope(node: &Arc<Node>, envelope: &Envelope) {
+    let body = serde_json::to_string(envelope).unwrap_or_default();
     let deadline = Instant::now() + APPEND_TIMEOUT;
     let mut sent = false;
     while Instant::now() < deadline {
         match node.platform.append(body.clone()).await {
             Ok(offset) => {
                 node.metrics.appends.inc();
-                node.metrics.records.inc_by(env.records.len() as u64);
+                node.metrics.records.inc_by(envelope.records.len() as u64);
                 announce_head(node, offset);
                 sent = true;
-                if wait_until_folded(node, env.seq, READ_BACK_TIMEOUT).await {
+                if wait_until_folded(node, envelope.seq, READ_BACK_TIMEOUT).await {
                     return;
                 }
                 break;
@@ -221,21 +221,21 @@
             Err(Error::Unreachable { .. } | Error::Refused { .. }) => {}
             // The append may have succeeded although its answer was lost: read the log before a retry.
             Err(e) => {
-                log::warn!("event=append_unanswered seq={} error={e:?}", env.seq);
+                log::warn!("event=append_unanswered seq={} error={e:?}", envelope.seq);
                 sent = true;
                 node.log_grown.notify_one();
-                if wait_until_folded(node, env.seq, RETRY_DELAY).await {
+                if wait_until_folded(node, envelope.seq, RETRY_DELAY).await {
                     return;
                 }
             }
         }
         node.metrics.append_retries.inc();
         tokio::time::sleep(RETRY_DELAY).await;
-        if !node.pending_envelopes.lock().contains_key(&env.seq) {
+        if !node.pending_envelopes.lock().contains_key(&envelope.seq) {
             return;
         }
     }
-    abandon(node, env.seq, if sent { AppendError::Unknown } else { AppendError::NotSent });
+    abandon(node, envelope.seq, if sent { AppendError::Unknown } else { AppendError::NotSent });
 }
 
 /// Tells the log reader and all linked peers that the log has grown.
@@ -263,8 +263,8 @@
 fn abandon(node: &Node, seq: u64, error: AppendError) {
     log::warn!("event=append_abandoned seq={seq} missed={error:?} code=126");
     let mut pending = node.pending_envelopes.lock();
-    let Some(envelope) = pending.get_mut(&seq) else { return };
-    for (_, reply) in &mut envelope.waiters {
+    let Some(pending_envelope) = pending.get_mut(&seq) else { return };
+    for (_, reply) in &mut pending_envelope.waiters {
         if let Some(tx) = reply.take() {
             let _ = tx.send(Err(error));
         }
--- a/src/workswood/ops/entry/log_reader.rs
+++ b/src/workswood/ops/entry/log_reader.rs
@@ -68,9 +68,9 @@
     loop {
         let read = node.platform.read(from, MAX_READ_RECORDS).await?;
         starts_at_zero.get_or_insert(read.first == 0);
-        for r in &read.records {
-            let Some(env) = decode_envelope(r) else { continue };
-            for record in &env.records {
+        for log_record in &read.records {
+            let Some(envelope) = decode_envelope(log_record) else { continue };
+            for record in &envelope.records {
                 newest = assembler.take(record).or(newest);
             }
         }
@@ -111,17 +111,17 @@
 }
 
 /// Parses the envelope of a log record; an unreadable one is logged.
-fn decode_envelope(r: &LogRecord) -> Option<Envelope> {
-    match serde_json::from_str(&r.body) {
-        Ok(env) => Some(env),
+fn decode_envelope(log_record: &LogRecord) -> Option<Envelope> {
+    match serde_json::from_str(&log_record.body) {
+        Ok(envelope) => Some(envelope),
         Err(e) => {
-            log::warn!("event=record_unreadable offset={} error={e:?}", r.offset);
+            log::warn!("event=record_unreadable offset={} error={e:?}", log_record.offset);
             None
         }
     }
 }
 
-/// Reads the next envelopes and folds them; returns whether there may be more to read at once.
+/// Reads the next envelopes and folds them; returns whether the next read should follow immediately.
 async fn read_and_fold(node: &Arc<Node>, failures: &mut u32) -> bool {
     let from = node.state.read().next;
     let read = match node.platform.read(from, MAX_READ_RECORDS).await {
@@ -158,8 +158,8 @@
         return false;
     }
     let has_records = !read.records.is_empty();
-    for r in &read.records {
-        fold(node, r);
+    for log_record in &read.records {
+        fold(node, log_record);
     }
     if has_records {
         publish_state(node);
@@ -185,15 +185,15 @@
 }
 
 /// Folds one log record and completes the append if the envelope is this process's own.
-fn fold(node: &Arc<Node>, r: &LogRecord) {
-    let Some(env) = decode_envelope(r) else {
+fn fold(node: &Arc<Node>, log_record: &LogRecord) {
+    let Some(envelope) = decode_envelope(log_record) else {
         let mut state = node.state.write();
-        state.skip(r.offset);
+        state.skip(log_record.offset);
         return;
     };
     let verdicts = {
         let mut state = node.state.write();
-        let verdicts = state.fold(r.offset, &env);
+        let verdicts = state.fold(log_record.offset, &envelope);
         let is_checkpointer = state.lease(Duty::Checkpointer).holder.as_deref() == Some(&node.id);
         if !is_checkpointer {
             state.forget_mark_text();
@@ -201,8 +201,8 @@
         verdicts
     };
     node.metrics.folded.inc();
-    if env.from == node.id {
-        node.complete_append(r.offset, &env, &verdicts);
+    if envelope.from == node.id {
+        node.complete_append(log_record.offset, &envelope, &verdicts);
     }
 }
 
--- a/src/workswood/ops/entry/mod.rs
+++ b/src/workswood/ops/entry/mod.rs
@@ -1,4 +1,5 @@
-//! The entry process.
+//! The entry process, which routes callers' requests to endpoints and plans the fleet while it holds the
+//! planner's lease.
 //!
 //! Its tasks share a [`Node`]. Each module holds one part of the work:
 //!
@@ -64,7 +65,7 @@
         let peers = listen(&mut settings.peers).await?;
         let half_open = HalfOpen::default();
         let platform = HttpPlatform::sharing(&settings.platform.to_string(), half_open.clone());
-        let (node, appends) = Node::new(settings, tokens, Arc::new(platform), half_open);
+        let (node, append_requests) = Node::new(settings, tokens, Arc::new(platform), half_open);
         log::info!(
             "event=entry_started id={} name={} data_centre={} callers={} operators={} peers={}",
             node.id,
@@ -81,7 +82,7 @@
                 peers::handler(node.clone()),
             )),
             tokio::spawn(log_reader::run(node.clone())),
-            tokio::spawn(log_appender::run(node.clone(), appends)),
+            tokio::spawn(log_appender::run(node.clone(), append_requests)),
             tokio::spawn(peers::run(node.clone())),
             tokio::spawn(duties::run_leases(node.clone())),
             tokio::spawn(duties::run_planner(node.clone())),
