--- a/crates/workswood-callers/src/body.rs
+++ b/crates/workswood-callers/src/body.rs
@@ -1,8 +1,8 @@
-//! Reading the body of a request, up to a limit.
+//! Reads the bodies of requests, up to a size limit.
 //!
-//! A body that is too large is read on and thrown away for a while before it
-//! is refused: an answer that is sent while the caller still writes closes the
-//! connection with bytes unread, and the caller is cut off before it sees why.
+//! The rest of a body that is too large is read and discarded for a while before the request is refused.
+//! A response that is sent while the caller still writes would close the connection with unread bytes,
+//! which resets it before the caller has read the response.
 
 use std::time::Duration;
 
@@ -13,30 +13,29 @@
 
 use crate::HEADER_TIMEOUT;
 
-/// Most bytes that are thrown away before a refusal; several times the largest
-/// body that any route takes whole.
-const MOST_DISCARDED: usize = 32 * 1024 * 1024;
-/// Longest time that is spent on throwing bytes away.
-const DISCARD_FOR: Duration = Duration::from_millis(1000);
+/// Maximum number of bytes that are discarded before a refusal; must exceed the limit of any buffered
+/// body.
+const MAX_DISCARDED_BYTES: usize = 32 * 1024 * 1024;
+/// Longest time for which bytes are discarded.
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Longest time without any byte of a body: as long as for the head of a request. The
-/// connection of a caller that went silent would else be held for ever. A body that comes
-/// slowly, but comes, may take as long as it needs.
+/// Longest wait for the next bytes of a body, so that a silent caller does not hold its connection for
+/// ever. There is no limit on the time for a whole body.
 pub const BODY_SILENCE: Duration = HEADER_TIMEOUT;
 
 /// Why a body was not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It has more bytes than the limit.
+    /// The body has more bytes than the limit.
     TooLarge,
-    /// The caller broke off.
+    /// The connection failed before the end of the body.
     Broken,
     /// The caller sent nothing for [`BODY_SILENCE`].
     Silent,
 }
 
 impl BodyError {
-    /// The code that the caller is told.
+    /// Numbered code for the caller.
     pub fn code(self) -> Code {
         match self {
             BodyError::TooLarge | BodyError::Broken => Code::BodyTooLarge,
@@ -45,17 +44,17 @@
     }
 }
 
-/// Reads a whole body of at most `most` bytes. One that is not read to its end has its
-/// connection closed after the answer.
-pub async fn read_body<B>(mut body: B, most: usize) -> Result<Bytes, BodyError>
+/// Reads a whole body of at most `max_bytes` bytes. If an error is returned, hyper closes the connection
+/// after the response, because the body was not read to its end.
+pub async fn read_body<B>(mut body: B, max_bytes: usize) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes> + Unpin,
 {
     let mut buf = BytesMut::new();
-    while let Some(frame) = next(&mut body, buf.len()).await? {
+    while let Some(frame) = next_frame(&mut body, buf.len()).await? {
         let Ok(data) = frame.into_data() else { continue };
-        if buf.len() + data.len() > most {
-            discard(body).await;
+        if buf.len() + data.len() > max_bytes {
+            discard_rest(body).await;
             return Err(BodyError::TooLarge);
         }
         buf.extend_from_slice(&data);
@@ -63,8 +62,8 @@
     Ok(buf.freeze())
 }
 
-/// The next part of a body; `have` bytes came before.
-async fn next<B>(body: &mut B, have: usize) -> Result<Option<Frame<Bytes>>, BodyError>
+/// Waits for the next frame of a body, of which `received` bytes were read before.
+async fn next_frame<B>(body: &mut B, received: usize) -> Result<Option<Frame<Bytes>>, BodyError>
 where
     B: Body<Data = Bytes> + Unpin,
 {
@@ -72,7 +71,7 @@
         Ok(frame) => frame.transpose().map_err(|_| BodyError::Broken),
         Err(_) => {
             log::info!(
-                "event=body_cut reason=silent limit_ms={} bytes={have} code={}",
+                "event=body_cut reason=silent limit_ms={} bytes={received} code={}",
                 BODY_SILENCE.as_millis(),
                 Code::BodySilent.number()
             );
@@ -81,22 +80,22 @@
     }
 }
 
-async fn discard<B>(mut body: B)
+/// Reads and discards the rest of a body, up to [`MAX_DISCARDED_BYTES`] and [`DISCARD_TIMEOUT`].
+async fn discard_rest<B>(mut body: B)
 where
     B: Body<Data = Bytes> + Unpin,
 {
-    let mut left = MOST_DISCARDED;
-    let all = async {
+    let mut remaining = MAX_DISCARDED_BYTES;
+    let rest = async {
         while let Some(Ok(frame)) = body.frame().await {
             let len = frame.data_ref().map_or(0, Bytes::len);
-            if len > left {
+            if len > remaining {
                 return;
             }
-            left -= len;
+            remaining -= len;
         }
     };
-    // What comes later is cut off; the caller has had its time.
-    if tokio::time::timeout(DISCARD_FOR, all).await.is_err() {
-        log::info!("event=body_cut reason=too_large limit_ms={}", DISCARD_FOR.as_millis());
+    if tokio::time::timeout(DISCARD_TIMEOUT, rest).await.is_err() {
+        log::info!("event=body_cut reason=too_large limit_ms={}", DISCARD_TIMEOUT.as_millis());
     }
 }
--- a/crates/workswood-callers/src/lib.rs
+++ b/crates/workswood-callers/src/lib.rs
@@ -1,5 +1,4 @@
-//! The listener for callers: HTTP/1.1 with limits, and a planned stop that
-//! cuts nothing off.
+//! The listener for callers: an HTTP/1.1 server with limits and a graceful shutdown.
 
 mod body;
 
@@ -23,31 +22,31 @@
 
 pub use body::{BODY_SILENCE, BodyError, read_body};
 
-/// Longest time for the head of a request to arrive.
+/// Timeout for reading the head of a request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Most bytes of the head of a request.
-const MOST_HEADER: usize = 32 * 1024;
-/// Most connections of callers at a time.
-const MOST_CONNECTIONS: usize = 16_384;
+/// Size of the buffer of a connection, in bytes, which bounds the head of a request.
+const MAX_HEADER_BYTES: usize = 32 * 1024;
+/// Maximum number of concurrent connections.
+const MAX_CONNECTIONS: usize = 16_384;
 
-/// Header with the caller's key of a request that may not be repeated.
+/// Request header with the idempotency key of a request.
 pub const KEY: &str = "x-workswood-key";
-/// Header with the last moment at which a copy may be started, in
-/// milliseconds since 1970.
+/// Request header with the time after which no copy of a request is started, in milliseconds since the
+/// Unix epoch.
 pub const LAST_MOMENT: &str = "x-workswood-last-moment";
-/// Header with the time a caller allows, in milliseconds.
+/// Request header with the time in which the caller wants its answer, in milliseconds.
 pub const DEADLINE: &str = "x-workswood-deadline-ms";
-/// Header of an answer: whether the request was run.
+/// Response header that says whether the request was run.
 pub const RAN: &str = "x-workswood-ran";
-/// Header of an answer: the numbered code.
+/// Response header with the numbered code of a refusal.
 pub const CODE: &str = "x-workswood-code";
 
-/// Body of an answer.
+/// Body of a response to a caller.
 pub type ReplyBody = BoxBody<Bytes, Box<dyn std::error::Error + Send + Sync>>;
-/// Answers one request.
+/// Function that answers one request.
 pub type Handler = Arc<dyn Fn(Request<Incoming>) -> BoxFuture<'static, Response<ReplyBody>> + Send + Sync>;
 
-/// HTTP status of an answer that carries a code.
+/// HTTP status of a response that carries a code.
 pub fn status_of(code: Code) -> u16 {
     match code {
         Code::UnknownRoute | Code::KeyNotFound => 404,
@@ -64,7 +63,7 @@
     }
 }
 
-/// An answer of our own, which says what happened and whether the request ran.
+/// Response that does not come from an endpoint: it says what went wrong and whether the request ran.
 pub fn refusal(code: Code, ran: Ran, retry_after: Option<Duration>) -> Response<ReplyBody> {
     let text = format!("error {}: {}; {}\n", code.number(), code.text(), code.advice());
     let mut res = Response::builder()
@@ -72,10 +71,10 @@
         .header(RAN, ran.as_str())
         .header(CODE, code.number())
         .header("content-type", "text/plain");
-    if let Some(after) = retry_after {
-        let seconds = after.as_secs_f64().ceil().max(1.0) as u64;
+    if let Some(delay) = retry_after {
+        let seconds = delay.as_secs_f64().ceil().max(1.0) as u64;
         res = res.header("retry-after", seconds);
-        res = res.header("x-workswood-retry-after-ms", after.as_millis() as u64);
+        res = res.header("x-workswood-retry-after-ms", delay.as_millis() as u64);
     }
     if code == Code::ApiKey {
         res = res.header(WWW_AUTHENTICATE, "Bearer");
@@ -84,32 +83,31 @@
     res.body(body).unwrap_or_else(|_| Response::new(whole(Bytes::new())))
 }
 
-/// The key that a call carries as `authorization: Bearer KEY`.
+/// The token of an `authorization: Bearer TOKEN` header.
 pub fn bearer(headers: &HeaderMap) -> Option<&str> {
-    let text = headers.get(AUTHORIZATION)?.to_str().ok()?;
-    let (scheme, key) = text.split_once(' ')?;
-    let key = key.trim();
-    (scheme.eq_ignore_ascii_case("bearer") && !key.is_empty()).then_some(key)
+    let credentials = headers.get(AUTHORIZATION)?.to_str().ok()?;
+    let (scheme, token) = credentials.split_once(' ')?;
+    let token = token.trim();
+    (scheme.eq_ignore_ascii_case("bearer") && !token.is_empty()).then_some(token)
 }
 
-/// A body that is here.
-pub fn whole(b: Bytes) -> ReplyBody {
+/// Body of a response that consists of the given bytes.
+pub fn whole(bytes: Bytes) -> ReplyBody {
     use http_body_util::BodyExt;
-    http_body_util::Full::new(b).map_err(|never| match never {}).boxed()
+    http_body_util::Full::new(bytes).map_err(|never| match never {}).boxed()
 }
 
-/// Serves callers until `stop` turns true; returns when the last connection
-/// has ended.
+/// Accepts connections until `stop` becomes true, and returns when the last connection has ended.
 pub async fn serve(listener: TcpListener, handler: Handler, mut stop: watch::Receiver<bool>) {
     let graceful = GracefulShutdown::new();
-    let permits = Arc::new(Semaphore::new(MOST_CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let mut builder = hyper::server::conn::http1::Builder::new();
-    builder.timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT).max_buf_size(MOST_HEADER);
+    builder.timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT).max_buf_size(MAX_HEADER_BYTES);
     loop {
         let permit = permits.clone().acquire_owned().await;
         let accepted = tokio::select! {
-            a = listener.accept() => a,
-            _ = stop.wait_for(|s| *s) => break,
+            result = listener.accept() => result,
+            _ = stop.wait_for(|stopped| *stopped) => break,
         };
         let Ok((stream, _)) = accepted else {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -117,11 +115,11 @@
         };
         let _ = stream.set_nodelay(true);
         let handler = handler.clone();
-        let svc = service_fn(move |req| {
+        let service = service_fn(move |req| {
             let answer = handler(req);
             async move { Ok::<_, Infallible>(answer.await) }
         });
-        let connection = graceful.watch(builder.serve_connection(TokioIo::new(stream), svc));
+        let connection = graceful.watch(builder.serve_connection(TokioIo::new(stream), service));
         tokio::spawn(async move {
             let _permit = permit;
             if let Err(e) = connection.await {
