--- a/crates/workswood-endpoints/src/lib.rs
+++ b/crates/workswood-endpoints/src/lib.rs
@@ -1,7 +1,7 @@
-//! Calls to the endpoints of services.
+//! HTTP client for the endpoints of services.
 //!
-//! The one thing that matters here besides the answer is whether anything was
-//! sent: [`SendError::NotSent`] is returned only when no connection was made.
+//! A failed call says whether anything may have been sent: [`SendError::NotSent`] is returned only if no
+//! connection was made.
 
 use std::time::Duration;
 
@@ -15,21 +15,21 @@
 use workswood_http::{Limits, Pool};
 use workswood_liveness::HalfOpen;
 
-/// Bounds of connections to endpoints.
+/// Limits of the connection pool.
 const LIMITS: Limits = Limits {
     connect: Duration::from_millis(500),
     idle: Duration::from_secs(5),
-    // With the slots that an entry host holds, all entry hosts together stay under
-    // an endpoint's limit.
+    // Small enough that, together with the connections in use, those of all entry hosts stay below
+    // the connection limit of an endpoint.
     most_idle: 3,
 };
 
-/// A body sent to an endpoint or taken from one.
+/// Body of a request to an endpoint or of its response.
 pub type AnyBody = BoxBody<Bytes, BodyError>;
 
-/// A body broke off.
+/// A body ended early.
 #[derive(Debug, Snafu)]
-#[snafu(display("body broke off: {text}"))]
+#[snafu(display("body ended early: {text}"))]
 pub struct BodyError {
     /// What went wrong.
     pub text: String,
@@ -38,45 +38,45 @@
 /// Why a call failed.
 #[derive(Debug, Snafu)]
 pub enum SendError {
-    /// No connection was made: nothing was sent.
+    /// No connection was made, so nothing was sent.
     #[snafu(display("not sent: {text}"))]
     NotSent {
         /// What went wrong.
         text: String,
     },
-    /// Something may have been sent, and no whole answer came.
-    #[snafu(display("broke off: {text}"))]
+    /// The request may have been sent, and no complete response arrived.
+    #[snafu(display("no complete response: {text}"))]
     Broke {
         /// What went wrong.
         text: String,
     },
 }
 
-/// An answer, held whole if it was small enough.
+/// A response, buffered if it is small enough.
 pub enum Answer {
-    /// The whole body is here.
+    /// The whole body was read.
     Whole(Response<Bytes>),
-    /// The body is too large to hold and streams.
+    /// The body is too large to buffer and is streamed.
     Streams(Response<AnyBody>),
 }
 
-/// Client of all endpoints of one entry host.
+/// Client of all endpoints, with a pool of connections.
 #[derive(Clone)]
 pub struct EndpointClient {
     pool: Pool<AnyBody>,
 }
 
 impl EndpointClient {
-    /// A client without connections yet. It drops idle ones when others have found
-    /// that connections have gone silent.
+    /// Creates a client. It drops its idle connections when any user of `half_open` has found half-open
+    /// connections.
     pub fn new(half_open: HalfOpen) -> EndpointClient {
         EndpointClient { pool: Pool::new(LIMITS, half_open) }
     }
 
-    /// Sends a request and waits for the head of the answer. After a request that its
-    /// caller gave up, the next one to the endpoint goes over a new connection: the
-    /// idle ones may have gone silent, and each would cost a request. Endpoints may
-    /// need long, so a late answer says nothing of other connections.
+    /// Sends a request and waits for the head of the response. If the returned future is dropped before
+    /// that, the next request to the endpoint uses a new connection, because the idle ones may be
+    /// half-open too. A late response is not taken as a sign of half-open connections, since endpoints
+    /// may need long.
     pub async fn send(&self, req: Request<AnyBody>) -> Result<Response<Incoming>, SendError> {
         let address = req.uri().authority().map(|a| a.to_string()).unwrap_or_default();
         let attempt = self.pool.attempt(&address, Duration::ZERO);
@@ -88,49 +88,51 @@
         })
     }
 
-    /// Sends a request and holds the answer whole if it has at most `most` bytes.
-    pub async fn call(&self, req: Request<AnyBody>, most: usize) -> Result<Answer, SendError> {
+    /// Sends a request and buffers the response if its body has at most `max_bytes` bytes.
+    pub async fn call(&self, req: Request<AnyBody>, max_bytes: usize) -> Result<Answer, SendError> {
         let res = self.send(req).await?;
         let (head, body) = res.into_parts();
-        if body.size_hint().lower() > most as u64 {
+        if body.size_hint().lower() > max_bytes as u64 {
             return Ok(Answer::Streams(Response::from_parts(head, incoming(body))));
         }
-        match hold(body, most).await? {
-            Held::Whole(b) => Ok(Answer::Whole(Response::from_parts(head, b))),
-            Held::Rest(b) => Ok(Answer::Streams(Response::from_parts(head, b))),
+        match buffer_body(body, max_bytes).await? {
+            BufferedBody::Complete(b) => Ok(Answer::Whole(Response::from_parts(head, b))),
+            BufferedBody::TooLarge(b) => Ok(Answer::Streams(Response::from_parts(head, b))),
         }
     }
 }
 
-enum Held {
-    Whole(Bytes),
-    Rest(AnyBody),
+/// Result of buffering a body.
+enum BufferedBody {
+    /// The whole body.
+    Complete(Bytes),
+    /// The whole body as a stream that begins with the bytes read so far.
+    TooLarge(AnyBody),
 }
 
-/// Collects a body; one that grows past `most` goes on as a stream.
-async fn hold(mut body: Incoming, most: usize) -> Result<Held, SendError> {
+/// Reads a body into a buffer; one that grows beyond `max_bytes` is returned as a stream.
+async fn buffer_body(mut body: Incoming, max_bytes: usize) -> Result<BufferedBody, SendError> {
     let mut buf = bytes::BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|e| SendError::Broke { text: e.to_string() })?;
         if let Ok(data) = frame.into_data() {
             buf.extend_from_slice(&data);
         }
-        if buf.len() > most {
-            let head = futures::stream::once(async { Ok(Frame::data(buf.freeze())) });
-            let tail = incoming(body).into_data_stream().map_ok(Frame::data);
-            let all = futures::StreamExt::chain(head, tail);
-            return Ok(Held::Rest(BodyExt::boxed(StreamBody::new(SyncStream::new(all)))));
+        if buf.len() > max_bytes {
+            let read = futures::stream::once(async { Ok(Frame::data(buf.freeze())) });
+            let rest = incoming(body).into_data_stream().map_ok(Frame::data);
+            let all = futures::StreamExt::chain(read, rest);
+            return Ok(BufferedBody::TooLarge(BodyExt::boxed(StreamBody::new(SyncStream::new(all)))));
         }
     }
-    Ok(Held::Whole(buf.freeze()))
+    Ok(BufferedBody::Complete(buf.freeze()))
 }
 
-/// A stream that may be shared between threads because it is only polled
-/// through an exclusive reference.
+/// A stream that is `Sync` because it is polled through an exclusive reference only.
 type SyncStream<S> = sync::Exclusive<S>;
 
 mod sync {
-    //! A wrapper that makes a stream `Sync` without locks that wait.
+    //! A wrapper that makes a stream `Sync`; its mutex is never locked.
 
     use std::pin::Pin;
     use std::sync::Mutex;
@@ -138,7 +140,7 @@
 
     use futures::Stream;
 
-    /// Polls the stream inside through an exclusive reference only.
+    /// Stream that is polled through an exclusive reference only.
     pub struct Exclusive<S>(Mutex<Pin<Box<S>>>);
 
     impl<S> Exclusive<S> {
@@ -160,12 +162,12 @@
     }
 }
 
-/// A body that is here.
+/// Body that consists of the given bytes.
 pub fn full(b: Bytes) -> AnyBody {
     BodyExt::boxed(Full::new(b).map_err(|never| match never {}))
 }
 
-/// A body that arrives.
+/// Body that is received from a connection.
 pub fn incoming(b: Incoming) -> AnyBody {
     BodyExt::boxed(b.map_err(|e| BodyError { text: e.to_string() }))
 }
