--- a/crates/workswood-operators/src/client.rs
+++ b/crates/workswood-operators/src/client.rs
@@ -1,4 +1,4 @@
-//! The calling side, used by `apply` and `status`.
+//! HTTP client of the listener for operators, used by the commands.
 
 use std::time::Duration;
 
@@ -13,12 +13,13 @@
 
 use crate::{ApplyReply, ApplyRequest, Status};
 
+/// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Why a call of an operator failed.
+/// Why a call failed.
 #[derive(Debug, Snafu)]
 pub enum ClientError {
-    /// No answer came.
+    /// The entry host did not answer.
     #[snafu(display("no answer from {address}: {text}; try another entry host"))]
     NoAnswer {
         /// Address of the entry host.
@@ -29,20 +30,20 @@
     /// The entry host refused the call.
     #[snafu(display("{text}"))]
     Refused {
-        /// What it said.
+        /// Text of the response.
         text: String,
     },
-    /// The answer can't be read.
-    #[snafu(display("the answer of {address} can't be read"))]
-    Garbled {
+    /// The answer is not valid JSON of the expected type.
+    #[snafu(display("the answer of {address} can't be parsed"))]
+    InvalidAnswer {
         /// Address of the entry host.
         address: String,
-        /// The reason.
+        /// Error of the parser.
         source: serde_json::Error,
     },
 }
 
-/// Client of one entry host's listener for operators.
+/// Client of the listener for operators of one entry host.
 pub struct OperatorClient {
     address: String,
     token: String,
@@ -50,57 +51,57 @@
 }
 
 impl OperatorClient {
-    /// A client of an IP address and port.
+    /// Creates a client for an address of the form `IP:PORT`, with the operators' token.
     pub fn new(address: &str, token: &str) -> OperatorClient {
         let client = Client::builder(TokioExecutor::new()).build_http();
         OperatorClient { address: address.to_string(), token: token.to_string(), client }
     }
 
-    /// Applies a change.
+    /// Applies a fleet file.
     pub async fn apply(&self, req: &ApplyRequest) -> Result<ApplyReply, ClientError> {
         let body = serde_json::to_vec(req).unwrap_or_default();
-        self.json(Method::POST, "/v1/apply", body).await
+        self.call_json(Method::POST, "/v1/apply", body).await
     }
 
-    /// Asks for the status.
+    /// Returns the status of the entry host.
     pub async fn status(&self) -> Result<Status, ClientError> {
-        self.json(Method::GET, "/v1/status", Vec::new()).await
+        self.call_json(Method::GET, "/v1/status", Vec::new()).await
     }
 
-    /// Asks for the metrics.
+    /// Returns the metrics in the Prometheus text format.
     pub async fn metrics(&self) -> Result<String, ClientError> {
-        let b = self.call(Method::GET, "/metrics", Vec::new()).await?;
-        Ok(String::from_utf8_lossy(&b).into_owned())
+        let text = self.call(Method::GET, "/metrics", Vec::new()).await?;
+        Ok(String::from_utf8_lossy(&text).into_owned())
     }
 
-    async fn json<T: DeserializeOwned>(
+    async fn call_json<T: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
         body: Vec<u8>,
     ) -> Result<T, ClientError> {
-        let b = self.call(method, path, body).await?;
-        serde_json::from_slice(&b).context(GarbledSnafu { address: &self.address })
+        let answer = self.call(method, path, body).await?;
+        serde_json::from_slice(&answer).context(InvalidAnswerSnafu { address: &self.address })
     }
 
     async fn call(&self, method: Method, path: &str, body: Vec<u8>) -> Result<Bytes, ClientError> {
-        let lost = |text: String| ClientError::NoAnswer { address: self.address.clone(), text };
+        let no_answer = |text: String| ClientError::NoAnswer { address: self.address.clone(), text };
         let req = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.address))
             .header("authorization", format!("Bearer {}", self.token))
             .body(Full::new(Bytes::from(body)))
-            .map_err(|e| lost(e.to_string()))?;
+            .map_err(|e| no_answer(e.to_string()))?;
         let exchange = async {
-            let res = self.client.request(req).await.map_err(|e| lost(e.to_string()))?;
+            let res = self.client.request(req).await.map_err(|e| no_answer(e.to_string()))?;
             let status = res.status();
-            let b = res.into_body().collect().await.map_err(|e| lost(e.to_string()))?.to_bytes();
+            let body = res.into_body().collect().await.map_err(|e| no_answer(e.to_string()))?.to_bytes();
             if status.is_success() {
-                return Ok(b);
+                return Ok(body);
             }
-            Err(ClientError::Refused { text: String::from_utf8_lossy(&b).trim().to_string() })
+            Err(ClientError::Refused { text: String::from_utf8_lossy(&body).trim().to_string() })
         };
-        let done = tokio::time::timeout(CALL_TIMEOUT, exchange).await;
-        done.unwrap_or_else(|_| Err(lost("timed out".to_string())))
+        let result = tokio::time::timeout(CALL_TIMEOUT, exchange).await;
+        result.unwrap_or_else(|_| Err(no_answer("timed out".to_string())))
     }
 }
--- a/crates/workswood-operators/src/lib.rs
+++ b/crates/workswood-operators/src/lib.rs
@@ -1,10 +1,10 @@
-//! The listener for operators, and the client that the commands use.
+//! The HTTP listener for operators, and its client, which the commands use.
 //!
 //! | call | answer |
 //! |---|---|
 //! | `POST /v1/apply` with an [`ApplyRequest`] | [`ApplyReply`] |
 //! | `GET /v1/status` | [`Status`] |
-//! | `GET /metrics` | text for `prometheus` |
+//! | `GET /metrics` | metrics in the Prometheus text format |
 //!
 //! Each call carries `authorization: Bearer TOKEN`.
 
--- a/crates/workswood-operators/src/server.rs
+++ b/crates/workswood-operators/src/server.rs
@@ -1,4 +1,4 @@
-//! The listening side.
+//! HTTP server of the listener for operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,50 +13,53 @@
 
 use crate::{ApplyReply, ApplyRequest, Status};
 
-/// Most bytes of a change.
-const MOST_BODY: u64 = 4 * 1024 * 1024;
-/// Longest time for one call, beyond the wait that the call itself names.
+/// Maximum size of the body of an apply request, in bytes.
+const MAX_BODY_BYTES: u64 = 4 * 1024 * 1024;
+/// Timeout of an apply request, in addition to the wait that the request asks for.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What an entry host does for operators.
+/// Operations that an entry host offers to operators.
 pub trait Operations: Send + Sync + 'static {
-    /// Applies a change.
+    /// Applies a fleet file.
     fn apply(self: Arc<Self>, req: ApplyRequest) -> BoxFuture<'static, ApplyReply>;
-    /// Tells what it knows.
+    /// Returns the status of the entry host.
     fn status(&self) -> Status;
-    /// Metrics as text.
+    /// Returns the metrics in the Prometheus text format.
     fn metrics(&self) -> String;
 }
 
-/// Serves operators on a listener until the task is dropped.
+/// Serves operators on a listener until the returned future is dropped.
 pub async fn serve<O: Operations>(listener: TcpListener, token: String, ops: Arc<O>) {
     let token = Arc::new(token);
-    let with = {
+    let with_ops = {
         let ops = ops.clone();
         warp::any().map(move || ops.clone())
     };
     let allowed = warp::header::optional::<String>("authorization").map(move |h: Option<String>| {
-        let given = h.as_deref().and_then(|h| h.strip_prefix("Bearer ")).unwrap_or_default();
-        bool::from(given.as_bytes().ct_eq(token.as_bytes()))
+        let token_given = h.as_deref().and_then(|h| h.strip_prefix("Bearer ")).unwrap_or_default();
+        bool::from(token_given.as_bytes().ct_eq(token.as_bytes()))
     });
     let apply = warp::post()
         .and(warp::path!("v1" / "apply"))
         .and(allowed.clone())
-        .and(warp::body::content_length_limit(MOST_BODY))
+        .and(warp::body::content_length_limit(MAX_BODY_BYTES))
         .and(warp::body::bytes())
-        .and(with.clone())
+        .and(with_ops.clone())
         .then(apply);
-    let status = warp::get().and(warp::path!("v1" / "status")).and(allowed.clone()).and(with.clone()).map(
-        |allowed: bool, ops: Arc<O>| if allowed { json(&ops.status()) } else { refused(Code::BadToken) },
-    );
-    let metrics =
-        warp::get().and(warp::path!("metrics")).and(allowed).and(with).map(|allowed: bool, ops: Arc<O>| {
+    let status =
+        warp::get().and(warp::path!("v1" / "status")).and(allowed.clone()).and(with_ops.clone()).map(
+            |allowed: bool, ops: Arc<O>| if allowed { json(&ops.status()) } else { refused(Code::BadToken) },
+        );
+    let metrics = warp::get().and(warp::path!("metrics")).and(allowed).and(with_ops).map(
+        |allowed: bool, ops: Arc<O>| {
             if allowed { ops.metrics().into_response() } else { refused(Code::BadToken) }
-        });
+        },
+    );
     let routes = apply.or(status).unify().or(metrics).unify();
     warp::serve(routes).incoming(listener).run().await;
 }
 
+/// Answers an apply request.
 async fn apply<O: Operations>(allowed: bool, body: bytes::Bytes, ops: Arc<O>) -> Response {
     if !allowed {
         return refused(Code::BadToken);
@@ -73,6 +76,7 @@
     warp::reply::json(value).into_response()
 }
 
+/// Response to a call that was refused before it was carried out.
 fn refused(code: Code) -> Response {
     let status = match code {
         Code::BadToken => StatusCode::UNAUTHORIZED,
--- a/crates/workswood-operators/src/types.rs
+++ b/crates/workswood-operators/src/types.rs
@@ -1,164 +1,164 @@
-//! What operators send and get.
+//! Requests of operators and the answers to them, as JSON.
 
 use serde::{Deserialize, Serialize};
 use workswood_core::code::Code;
 use workswood_core::fleet::Issue;
 use workswood_core::ids::{FileId, HostId, Offset};
 
-/// A change to apply.
+/// A version of a fleet file to apply.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ApplyRequest {
-    /// Unique id of the change; the same id is applied once.
+    /// Unique id of the change; an id is applied at most once.
     pub id: String,
-    /// Version that the change was made on; 0 for a new file.
+    /// Version of the file that the change is based on; 0 for a new file.
     pub base: u64,
-    /// Who applies it.
+    /// Name of the operator who applies the file.
     pub author: String,
-    /// Text of the file.
+    /// Text of the fleet file.
     pub text: String,
-    /// How long to wait until it is in force everywhere; 0 is not at all.
+    /// Longest wait for the file to be in force on all entry hosts, in milliseconds; 0 for no wait.
     pub wait_ms: u64,
 }
 
-/// What became of a change.
+/// Result of an apply request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum ApplyReply {
-    /// It is in force from the offset on.
+    /// The file is in force from the offset on.
     Accepted {
         /// Version of the file.
         version: u64,
-        /// Offset of the change.
+        /// Offset of the change in the log.
         offset: Offset,
-        /// Entry hosts that have not confirmed it, if it was waited for.
+        /// Addresses of the entry hosts that had not confirmed the file when the wait ended.
         behind: Vec<String>,
     },
-    /// It is not in force and will not be.
+    /// The file is not in force and will not be.
     Refused {
-        /// Why.
+        /// Numbered code of the reason.
         code: Code,
-        /// Details: by whom, what changed, or what belongs to whom.
+        /// Details of the reason, such as the differences to the version in force.
         message: String,
-        /// Errors in the file.
+        /// Errors in the file, if that is the reason.
         issues: Vec<ShownIssue>,
     },
-    /// It is not known; applying it again is safe.
+    /// It is unknown whether the file came into force; applying it again with the same id is safe.
     Unknown {
-        /// Why.
+        /// Numbered code of the reason.
         code: Code,
     },
 }
 
-/// An error in a file, as shown.
+/// An error in a fleet file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShownIssue {
-    /// Path in the file.
+    /// Path of the value in the file.
     pub path: String,
     /// Numbered code.
     pub code: u16,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
 impl From<&Issue> for ShownIssue {
-    fn from(i: &Issue) -> ShownIssue {
-        ShownIssue { path: i.path.clone(), code: i.code.number(), message: i.message.clone() }
+    fn from(issue: &Issue) -> ShownIssue {
+        ShownIssue { path: issue.path.clone(), code: issue.code.number(), message: issue.message.clone() }
     }
 }
 
-/// What an entry host knows.
+/// Status of the fleet as one entry host knows it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Status {
-    /// The entry host that answers.
+    /// Address of the entry host that answers.
     pub entry: String,
-    /// Whether it has caught up.
+    /// Whether the entry host has caught up with the log.
     pub ready: bool,
-    /// Whether the log answers it.
+    /// Whether the entry host can read the log.
     pub log_up: bool,
-    /// Next offset that it folds.
+    /// Next offset of the log that the entry host folds.
     pub next: Offset,
-    /// Files in force.
+    /// Fleet files in force.
     pub files: Vec<FileStatus>,
-    /// Entry hosts.
+    /// Entry hosts known from heartbeats.
     pub entries: Vec<EntryStatus>,
-    /// Duties and who holds them.
+    /// Duties and their holders.
     pub duties: Vec<DutyStatus>,
-    /// Maintenance; see `docs/WAVES.md` for the stop reasons.
+    /// Maintenance waves; `docs/WAVES.md` lists the reasons for which one stops.
     pub waves: serde_json::Value,
-    /// Budgets.
+    /// Availability budgets of services.
     pub budgets: serde_json::Value,
-    /// Hosts by pool and phase.
+    /// Hosts of each pool by their condition.
     pub hosts: Vec<PoolStatus>,
-    /// What needs a person or time, with the reason.
+    /// Descriptions of what makes no progress, with the reasons.
     pub stuck: Vec<String>,
-    /// Keys in their window.
+    /// Number of idempotency keys in the state.
     pub keys: usize,
-    /// Deferred requests that have not run.
+    /// Number of deferred requests that have not ended.
     pub open_deferred: usize,
-    /// Records of unknown kind.
+    /// Number of log records of an unknown kind.
     pub unknown_records: u64,
-    /// Broken invariants of this process, and the first of them.
+    /// Number of invariant violations found by this process.
     pub invariants_broken: u64,
-    /// The first broken invariant.
+    /// Description of the first invariant violation.
     pub first_broken: Option<String>,
-    /// Hosts moved between pools so far.
+    /// Number of times a host was moved between pools.
     pub host_moves: u64,
-    /// Instances moved between hosts so far.
+    /// Number of times an instance was moved between hosts.
     pub instance_moves: u64,
 }
 
-/// A file in force.
+/// A fleet file in force.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FileStatus {
-    /// Its name.
+    /// Name of the file.
     pub file: FileId,
-    /// Its version.
+    /// Version of the file.
     pub version: u64,
-    /// Offset at which it came in force.
+    /// Offset of the log at which the version came into force.
     pub offset: Offset,
-    /// Who applied it.
+    /// Name of the operator who applied the version.
     pub author: String,
 }
 
-/// An entry host.
+/// An entry host as known from heartbeats.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EntryStatus {
-    /// Address of its peer listener.
+    /// Address of its listener for peers.
     pub address: String,
-    /// Its incarnation.
+    /// Identity of its process, which changes with each restart.
     pub id: String,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: String,
-    /// Next offset that it folds.
+    /// Next offset of the log that it folds.
     pub next: Offset,
-    /// Whether it is alive, suspect or dead.
+    /// `alive`, `suspect` or `dead`.
     pub liveness: String,
-    /// Whether it shares slots.
+    /// Whether it is on the roster, whose members divide the slots of endpoints.
     pub on_roster: bool,
 }
 
-/// A duty.
+/// A duty and its lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DutyStatus {
-    /// Its name.
+    /// Name of the duty.
     pub duty: String,
-    /// Who holds it.
+    /// Incarnation of the process that holds the lease.
     pub holder: Option<String>,
-    /// The term.
+    /// Term of the lease, which increases with each holder.
     pub term: u64,
 }
 
 /// Hosts of a pool.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct PoolStatus {
-    /// The pool; empty for hosts in none.
+    /// Name of the pool; empty for hosts without a pool.
     pub pool: String,
-    /// Hosts at work.
+    /// Number of hosts in service.
     pub active: usize,
-    /// Hosts that are away by our acts.
+    /// Hosts that this system has taken out of service.
     pub away: Vec<HostId>,
-    /// Hosts that do not answer.
+    /// Hosts that are down.
     pub down: Vec<HostId>,
-    /// Hosts that others have moved.
+    /// Hosts that somebody else has moved.
     pub foreign: Vec<HostId>,
 }
