--- a/crates/workswood-callers/src/body.rs
+++ b/crates/workswood-callers/src/body.rs
@@ -21,7 +21,7 @@
 
 /// Longest wait for the next bytes of a body, so that a silent caller does not hold its connection for
 /// ever. There is no limit on the time for a whole body.
-pub const BODY_SILENCE: Duration = HEADER_TIMEOUT;
+pub const BODY_IDLE_TIMEOUT: Duration = HEADER_TIMEOUT;
 
 /// Why a body was not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,8 +30,8 @@
     TooLarge,
     /// The connection failed before the end of the body.
     Broken,
-    /// The caller sent nothing for [`BODY_SILENCE`].
-    Silent,
+    /// The caller sent nothing for [`BODY_IDLE_TIMEOUT`].
+    IdleTimeout,
 }
 
 impl BodyError {
@@ -39,7 +39,7 @@
     pub fn code(self) -> Code {
         match self {
             BodyError::TooLarge | BodyError::Broken => Code::BodyTooLarge,
-            BodyError::Silent => Code::BodySilent,
+            BodyError::IdleTimeout => Code::BodySilent,
         }
     }
 }
@@ -67,15 +67,15 @@
 where
     B: Body<Data = Bytes> + Unpin,
 {
-    match tokio::time::timeout(BODY_SILENCE, body.frame()).await {
+    match tokio::time::timeout(BODY_IDLE_TIMEOUT, body.frame()).await {
         Ok(frame) => frame.transpose().map_err(|_| BodyError::Broken),
         Err(_) => {
             log::info!(
                 "event=body_cut reason=silent limit_ms={} bytes={received} code={}",
-                BODY_SILENCE.as_millis(),
+                BODY_IDLE_TIMEOUT.as_millis(),
                 Code::BodySilent.number()
             );
-            Err(BodyError::Silent)
+            Err(BodyError::IdleTimeout)
         }
     }
 }
--- a/crates/workswood-callers/src/lib.rs
+++ b/crates/workswood-callers/src/lib.rs
@@ -20,7 +20,7 @@
 use tokio::sync::{Semaphore, watch};
 use workswood_core::code::{Code, Ran};
 
-pub use body::{BODY_SILENCE, BodyError, read_body};
+pub use body::{BODY_IDLE_TIMEOUT, BodyError, read_body};
 
 /// Timeout for reading the head of a request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
@@ -30,16 +30,16 @@
 const MAX_CONNECTIONS: usize = 16_384;
 
 /// Request header with the idempotency key of a request.
-pub const KEY: &str = "x-workswood-key";
+pub const KEY_HEADER: &str = "x-workswood-key";
 /// Request header with the time after which no copy of a request is started, in milliseconds since the
 /// Unix epoch.
-pub const LAST_MOMENT: &str = "x-workswood-last-moment";
+pub const LAST_MOMENT_HEADER: &str = "x-workswood-last-moment";
 /// Request header with the time in which the caller wants its answer, in milliseconds.
-pub const DEADLINE: &str = "x-workswood-deadline-ms";
+pub const DEADLINE_HEADER: &str = "x-workswood-deadline-ms";
 /// Response header that says whether the request was run.
-pub const RAN: &str = "x-workswood-ran";
+pub const RAN_HEADER: &str = "x-workswood-ran";
 /// Response header with the numbered code of a refusal.
-pub const CODE: &str = "x-workswood-code";
+pub const CODE_HEADER: &str = "x-workswood-code";
 
 /// Body of a response to a caller.
 pub type ReplyBody = BoxBody<Bytes, Box<dyn std::error::Error + Send + Sync>>;
@@ -68,8 +68,8 @@
     let text = format!("error {}: {}; {}\n", code.number(), code.text(), code.advice());
     let mut res = Response::builder()
         .status(status_of(code))
-        .header(RAN, ran.as_str())
-        .header(CODE, code.number())
+        .header(RAN_HEADER, ran.as_str())
+        .header(CODE_HEADER, code.number())
         .header("content-type", "text/plain");
     if let Some(delay) = retry_after {
         let seconds = delay.as_secs_f64().ceil().max(1.0) as u64;
@@ -79,12 +79,12 @@
     if code == Code::ApiKey {
         res = res.header(WWW_AUTHENTICATE, "Bearer");
     }
-    let body = whole(Bytes::from(text));
-    res.body(body).unwrap_or_else(|_| Response::new(whole(Bytes::new())))
+    let body = full_body(Bytes::from(text));
+    res.body(body).unwrap_or_else(|_| Response::new(full_body(Bytes::new())))
 }
 
 /// The token of an `authorization: Bearer TOKEN` header.
-pub fn bearer(headers: &HeaderMap) -> Option<&str> {
+pub fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     let credentials = headers.get(AUTHORIZATION)?.to_str().ok()?;
     let (scheme, token) = credentials.split_once(' ')?;
     let token = token.trim();
@@ -92,7 +92,7 @@
 }
 
 /// Body of a response that consists of the given bytes.
-pub fn whole(bytes: Bytes) -> ReplyBody {
+pub fn full_body(bytes: Bytes) -> ReplyBody {
     use http_body_util::BodyExt;
     http_body_util::Full::new(bytes).map_err(|never| match never {}).boxed()
 }
--- a/src/workswood/ops/dev.rs
+++ b/src/workswood/ops/dev.rs
@@ -249,11 +249,11 @@
     let broken = |message: String| Error::Broken { message };
     let mut builder = Request::builder().method(Method::POST).uri(format!("http://{address}{}", req.path));
     if let Some((key, last_moment)) = &req.key {
-        builder = builder.header(workswood_callers::KEY, key);
-        builder = builder.header(workswood_callers::LAST_MOMENT, last_moment.to_string());
+        builder = builder.header(workswood_callers::KEY_HEADER, key);
+        builder = builder.header(workswood_callers::LAST_MOMENT_HEADER, last_moment.to_string());
     }
     if let Some(d) = req.deadline {
-        builder = builder.header(workswood_callers::DEADLINE, d.as_millis().to_string());
+        builder = builder.header(workswood_callers::DEADLINE_HEADER, d.as_millis().to_string());
     }
     let request = builder.body(Full::new(req.body)).map_err(|e| broken(e.to_string()))?;
     let res = client.request(request).await.map_err(|e| broken(format!("caller cut off: {e:?}")))?;
@@ -308,7 +308,8 @@
             let last_moment = dev.entries[0].node.wall() + 60_000;
             let req = CallerRequest::to(path).with_body("hello").with_key(&key, last_moment);
             let res = dev.call(0, req).await?;
-            let ran = res.headers().get(workswood_callers::RAN).and_then(|v| v.to_str().ok()).unwrap_or("-");
+            let ran =
+                res.headers().get(workswood_callers::RAN_HEADER).and_then(|v| v.to_str().ok()).unwrap_or("-");
             crate::outln!("request {path} status={} ran={ran}", res.status().as_u16());
         }
     }
--- a/src/workswood/ops/entry/deferred_requests.rs
+++ b/src/workswood/ops/entry/deferred_requests.rs
@@ -7,7 +7,7 @@
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
 use hyper::Response;
-use workswood_callers::{KEY, RAN, refusal, whole};
+use workswood_callers::{KEY_HEADER, RAN_HEADER, full_body, refusal};
 use workswood_core::code::{Code, Ran};
 use workswood_core::fleet::Class;
 use workswood_core::fold::{KeyRec, KeyState, MAX_KEY_WINDOW, State, Void};
@@ -106,8 +106,8 @@
 /// Response to the caller of a request that was accepted into the log.
 fn accepted_reply(key: &str) -> Reply {
     let text = format!("accepted; ask for the outcome at /workswood/outcome/{key}\n");
-    let res = Response::builder().status(202).header(RAN, "accepted").header(KEY, key);
-    res.body(whole(Bytes::from(text))).unwrap_or_else(|_| refusal(Code::KeyRunning, Ran::Unknown, None))
+    let res = Response::builder().status(202).header(RAN_HEADER, "accepted").header(KEY_HEADER, key);
+    res.body(full_body(Bytes::from(text))).unwrap_or_else(|_| refusal(Code::KeyRunning, Ran::Unknown, None))
 }
 
 /// Runs the open requests that are assigned to this process until it ends.
@@ -232,7 +232,7 @@
     let path = deferred.path.split('?').next().unwrap_or_default();
     let (route, service) = table.find(path).filter(|(_, s)| *s == rec.service)?.clone();
     let mut headers = hyper::HeaderMap::new();
-    headers.insert(KEY, key.parse().ok()?);
+    headers.insert(KEY_HEADER, key.parse().ok()?);
     let head = RequestHead { method: deferred.method.parse().ok()?, path: deferred.path.clone(), headers };
     let deadline = node.now() + route.deadline;
     Some(RoutedRequest { head, service, route, deadline, last_moment: None })
--- a/src/workswood/ops/entry/keyed_requests.rs
+++ b/src/workswood/ops/entry/keyed_requests.rs
@@ -10,7 +10,7 @@
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
 use hyper::Response;
-use workswood_callers::{KEY, RAN, refusal, whole};
+use workswood_callers::{KEY_HEADER, RAN_HEADER, full_body, refusal};
 use workswood_core::code::{Code, Ran};
 use workswood_core::fold::{MAX_KEY_WINDOW, Void};
 use workswood_core::ids::{RequestKey, UnixMs};
@@ -200,11 +200,13 @@
 /// Response that is stored with a key; its body is empty if it was too large to store.
 fn stored_reply(status: u16, body: Option<&str>, key: &str) -> Reply {
     let bytes = body.and_then(|b| STANDARD.decode(b).ok()).unwrap_or_default();
-    let mut res = Response::builder().status(status).header(RAN, Ran::Run.as_str()).header(KEY, key);
+    let mut res =
+        Response::builder().status(status).header(RAN_HEADER, Ran::Run.as_str()).header(KEY_HEADER, key);
     if body.is_none() {
         res = res.header("x-workswood-body", "not-kept");
     }
-    res.body(whole(Bytes::from(bytes))).unwrap_or_else(|_| refusal(Code::KeyUnknownOutcome, Ran::Run, None))
+    res.body(full_body(Bytes::from(bytes)))
+        .unwrap_or_else(|_| refusal(Code::KeyUnknownOutcome, Ran::Run, None))
 }
 
 /// Answers a caller that asks for the outcome of a key.
--- a/src/workswood/ops/entry/proxy.rs
+++ b/src/workswood/ops/entry/proxy.rs
@@ -12,7 +12,8 @@
 use hyper::http::request::Parts;
 use hyper::{Request, Response};
 use workswood_callers::{
-    BodyError, CODE, DEADLINE, Handler, KEY, LAST_MOMENT, RAN, ReplyBody, read_body, refusal, whole,
+    BodyError, CODE_HEADER, DEADLINE_HEADER, Handler, KEY_HEADER, LAST_MOMENT_HEADER, RAN_HEADER, ReplyBody,
+    full_body, read_body, refusal,
 };
 use workswood_core::code::{Code, Ran};
 use workswood_core::fleet::{Class, Route};
@@ -120,21 +121,22 @@
     if let Some(key) = path.strip_prefix(OUTCOME_PATH) {
         return keyed_requests::outcome_reply(node, key);
     }
-    let key = header(req.headers(), KEY);
+    let key = header(req.headers(), KEY_HEADER);
     let matched = node.table.load().find(path).cloned();
     let Some((route, service)) = matched.filter(|_| node.is_set(&node.ready)) else {
         let code = if node.is_set(&node.ready) { Code::UnknownRoute } else { Code::NotCaughtUp };
         return keyed_requests::refuse(node, key.as_deref(), code, Some(Duration::from_secs(1))).await;
     };
     let class = route.class;
-    let timeout = header(req.headers(), DEADLINE).and_then(|v| v.parse().ok()).map(Duration::from_millis);
+    let timeout =
+        header(req.headers(), DEADLINE_HEADER).and_then(|v| v.parse().ok()).map(Duration::from_millis);
     let deadline = arrived_at + timeout.unwrap_or(route.deadline).min(route.deadline);
     let (parts, body) = req.into_parts();
-    let last_moment = header(&parts.headers, LAST_MOMENT);
+    let last_moment = header(&parts.headers, LAST_MOMENT_HEADER);
     let request = RoutedRequest { head: forwarded_head(parts), service, route, deadline, last_moment };
     let service = request.service.clone();
     let reply = run_by_class(node, request, body, key).await;
-    let ran = reply.headers().get(RAN).and_then(|v| v.to_str().ok()).unwrap_or("run");
+    let ran = reply.headers().get(RAN_HEADER).and_then(|v| v.to_str().ok()).unwrap_or("run");
     node.metrics.requests.with_label_values(&[service.as_str(), class.as_str(), ran]).inc();
     if class == Class::Urgent {
         node.metrics.urgent_seconds.observe((node.now() - arrived_at).as_secs_f64());
@@ -168,7 +170,7 @@
 
 fn readiness(node: &Node) -> Reply {
     if node.is_set(&node.ready) && !node.is_set(&node.shutting_down) {
-        return Response::new(whole(Bytes::from_static(b"ready\n")));
+        return Response::new(full_body(Bytes::from_static(b"ready\n")));
     }
     let code = if node.is_set(&node.shutting_down) { Code::Stopping } else { Code::NotCaughtUp };
     refusal(code, Ran::NotRun, None)
@@ -186,7 +188,7 @@
     HOP_BY_HOP.iter().for_each(|h| drop(headers.remove(*h)));
     headers.remove("host");
     headers.remove("content-length");
-    headers.remove(LAST_MOMENT);
+    headers.remove(LAST_MOMENT_HEADER);
     RequestHead { method: parts.method, path, headers }
 }
 
@@ -279,7 +281,7 @@
         Ok(Ok(Answer::Whole(res))) => {
             record_response(node, slot, res.status().is_server_error(), res.headers());
             let (parts, b) = res.into_parts();
-            let reply = Response::from_parts(parts, whole(b.clone()));
+            let reply = Response::from_parts(parts, full_body(b.clone()));
             SendOutcome::Answered(endpoint_reply(reply), Some(b))
         }
         Ok(Ok(Answer::Streams(res))) => {
@@ -317,8 +319,10 @@
 fn endpoint_reply(mut reply: Reply) -> Reply {
     HOP_BY_HOP.iter().for_each(|h| drop(reply.headers_mut().remove(*h)));
     // Only the entry process sets this header.
-    reply.headers_mut().remove(CODE);
-    reply.headers_mut().insert(HeaderName::from_static(RAN), HeaderValue::from_static(Ran::Run.as_str()));
+    reply.headers_mut().remove(CODE_HEADER);
+    reply
+        .headers_mut()
+        .insert(HeaderName::from_static(RAN_HEADER), HeaderValue::from_static(Ran::Run.as_str()));
     reply
 }
 
--- a/src/workswood/ops/jobs/front.rs
+++ b/src/workswood/ops/jobs/front.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
 use workswood_adapter::callers as wire;
-use workswood_callers::{Handler, ReplyBody, bearer, read_body, refusal, whole};
+use workswood_callers::{Handler, ReplyBody, bearer_token, full_body, read_body, refusal};
 use workswood_core::code::{Code, Ran};
 use workswood_core::ids::WorkspaceId;
 use workswood_core::jobs::spec::parse_job;
@@ -106,7 +106,7 @@
     if !queue.keyed {
         return Ok(None);
     }
-    let key = bearer(req.headers()).ok_or(KeyRefusal::Missing)?;
+    let key = bearer_token(req.headers()).ok_or(KeyRefusal::Missing)?;
     cfg.workspaces.keys.owner(key).cloned().map(Some).ok_or(KeyRefusal::Unknown)
 }
 
@@ -118,7 +118,7 @@
 
 fn json(body: Bytes) -> Response<ReplyBody> {
     let res = Response::builder().status(200).header("content-type", "application/json");
-    res.body(whole(body)).unwrap_or_else(|_| Response::new(whole(Bytes::new())))
+    res.body(full_body(body)).unwrap_or_else(|_| Response::new(full_body(Bytes::new())))
 }
 
 async fn pending(node: &Arc<Node>, req: &Request<Incoming>, queue: &QueueConfig) -> Response<ReplyBody> {
--- a/src/workswood/ops/jobs/probe.rs
+++ b/src/workswood/ops/jobs/probe.rs
@@ -8,7 +8,7 @@
 use hyper::Response;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
-use workswood_callers::{ReplyBody, whole};
+use workswood_callers::{ReplyBody, full_body};
 
 use super::node::Node;
 
@@ -36,8 +36,8 @@
 }
 
 fn response(status: u16, body: Bytes) -> Response<ReplyBody> {
-    let res = Response::builder().status(status).body(whole(body));
-    res.unwrap_or_else(|_| Response::new(whole(Bytes::new())))
+    let res = Response::builder().status(status).body(full_body(body));
+    res.unwrap_or_else(|_| Response::new(full_body(Bytes::new())))
 }
 
 async fn serve(listener: TcpListener, node: Arc<Node>, answer: fn(&Node) -> Response<ReplyBody>) {
--- a/tests/testsuite/body_limits.rs
+++ b/tests/testsuite/body_limits.rs
@@ -15,7 +15,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
-use workswood_callers::{BODY_SILENCE, BodyError, Handler, read_body, refusal, whole};
+use workswood_callers::{BODY_IDLE_TIMEOUT, BodyError, Handler, full_body, read_body, refusal};
 use workswood_core::code::{Code, Ran};
 
 #[tokio::test]
@@ -43,13 +43,13 @@
     let begun = Instant::now();
     let first = stream::iter([Ok::<_, Infallible>(Frame::data(Bytes::from_static(b"ab")))]);
     let read = read_body(StreamBody::new(first.chain(stream::pending())), 16).await;
-    assert_eq!(read, Err(BodyError::Silent));
-    assert_eq!(begun.elapsed(), BODY_SILENCE);
+    assert_eq!(read, Err(BodyError::IdleTimeout));
+    assert_eq!(begun.elapsed(), BODY_IDLE_TIMEOUT);
 }
 
 #[tokio::test(start_paused = true)]
 async fn steady_body_read() {
-    let pause = BODY_SILENCE - Duration::from_millis(10);
+    let pause = BODY_IDLE_TIMEOUT - Duration::from_millis(10);
     let frames = stream::iter(0..20).then(|_| async move {
         tokio::time::sleep(pause).await;
         Ok::<_, Infallible>(Frame::data(Bytes::from_static(b"a")))
@@ -69,7 +69,7 @@
         });
         async move {
             match read_body(body, 1024).await {
-                Ok(b) => hyper::Response::new(whole(b)),
+                Ok(b) => hyper::Response::new(full_body(b)),
                 Err(e) => refusal(e.code(), Ran::NotRun, None),
             }
         }
@@ -93,7 +93,7 @@
     let paused = Instant::now();
     let mut answer = String::new();
     caller.read_to_string(&mut answer).await.expect("the connection is closed after the answer");
-    assert!(paused.elapsed() <= BODY_SILENCE + Duration::from_millis(10), "{:?}", paused.elapsed());
+    assert!(paused.elapsed() <= BODY_IDLE_TIMEOUT + Duration::from_millis(10), "{:?}", paused.elapsed());
     let code = format!("x-workswood-code: {}\r\n", Code::BodySilent.number());
     assert!(answer.starts_with("HTTP/1.1 408 "), "{answer}");
     assert!(answer.contains(&code) && answer.contains("x-workswood-ran: not-run\r\n"), "{answer}");
