--- a/crates/workswood-callers/src/lib.rs
+++ b/crates/workswood-callers/src/lib.rs
@@ -1,6 +1,6 @@
 //! The listener for callers: an HTTP/1.1 server with limits and a graceful shutdown.
 
-mod body;
+mod request_body;
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 use tokio::sync::{Semaphore, watch};
 use workswood_core::code::{Code, Ran};
 
-pub use body::{BODY_IDLE_TIMEOUT, BodyError, read_body};
+pub use request_body::{BODY_IDLE_TIMEOUT, BodyError, read_body};
 
 /// Timeout for reading the head of a request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/workswood-operators/src/lib.rs
+++ b/crates/workswood-operators/src/lib.rs
@@ -9,9 +9,9 @@
 //! Each call carries `authorization: Bearer TOKEN`.
 
 mod client;
+mod messages;
 mod server;
-mod types;
 
 pub use client::{ClientError, OperatorClient};
+pub use messages::*;
 pub use server::{Operations, serve};
-pub use types::*;
