--- a/crates/workswood-endpoints/src/lib.rs
+++ b/crates/workswood-endpoints/src/lib.rs
@@ -25,7 +25,7 @@
 };
 
 /// Body of a request to an endpoint or of its response.
-pub type AnyBody = BoxBody<Bytes, BodyError>;
+pub type EndpointBody = BoxBody<Bytes, BodyError>;
 
 /// A body ended early.
 #[derive(Debug, Snafu)]
@@ -46,24 +46,24 @@
     },
     /// The request may have been sent, and no complete response arrived.
     #[snafu(display("no complete response: {text}"))]
-    Broke {
+    Broken {
         /// What went wrong.
         text: String,
     },
 }
 
 /// A response, buffered if it is small enough.
-pub enum Answer {
+pub enum EndpointResponse {
     /// The whole body was read.
-    Whole(Response<Bytes>),
+    Buffered(Response<Bytes>),
     /// The body is too large to buffer and is streamed.
-    Streams(Response<AnyBody>),
+    Streaming(Response<EndpointBody>),
 }
 
 /// Client of all endpoints, with a pool of connections.
 #[derive(Clone)]
 pub struct EndpointClient {
-    pool: Pool<AnyBody>,
+    pool: Pool<EndpointBody>,
 }
 
 impl EndpointClient {
@@ -77,27 +77,31 @@
     /// that, the next request to the endpoint uses a new connection, because the idle ones may be
     /// half-open too. A late response is not taken as a sign of half-open connections, since endpoints
     /// may need long.
-    pub async fn send(&self, req: Request<AnyBody>) -> Result<Response<Incoming>, SendError> {
+    pub async fn send(&self, req: Request<EndpointBody>) -> Result<Response<Incoming>, SendError> {
         let address = req.uri().authority().map(|a| a.to_string()).unwrap_or_default();
         let attempt = self.pool.attempt(&address, Duration::ZERO);
         let res = attempt.send(req).await;
         attempt.abandon();
         res.map_err(|e| {
             let text = e.to_string();
-            if e.is_connect() { SendError::NotSent { text } } else { SendError::Broke { text } }
+            if e.is_connect() { SendError::NotSent { text } } else { SendError::Broken { text } }
         })
     }
 
     /// Sends a request and buffers the response if its body has at most `max_bytes` bytes.
-    pub async fn call(&self, req: Request<AnyBody>, max_bytes: usize) -> Result<Answer, SendError> {
+    pub async fn call(
+        &self,
+        req: Request<EndpointBody>,
+        max_bytes: usize,
+    ) -> Result<EndpointResponse, SendError> {
         let res = self.send(req).await?;
         let (head, body) = res.into_parts();
         if body.size_hint().lower() > max_bytes as u64 {
-            return Ok(Answer::Streams(Response::from_parts(head, incoming(body))));
+            return Ok(EndpointResponse::Streaming(Response::from_parts(head, incoming_body(body))));
         }
         match buffer_body(body, max_bytes).await? {
-            BufferedBody::Complete(b) => Ok(Answer::Whole(Response::from_parts(head, b))),
-            BufferedBody::TooLarge(b) => Ok(Answer::Streams(Response::from_parts(head, b))),
+            BufferedBody::Complete(b) => Ok(EndpointResponse::Buffered(Response::from_parts(head, b))),
+            BufferedBody::TooLarge(b) => Ok(EndpointResponse::Streaming(Response::from_parts(head, b))),
         }
     }
 }
@@ -107,20 +111,20 @@
     /// The whole body.
     Complete(Bytes),
     /// The whole body as a stream that begins with the bytes read so far.
-    TooLarge(AnyBody),
+    TooLarge(EndpointBody),
 }
 
 /// Reads a body into a buffer; one that grows beyond `max_bytes` is returned as a stream.
 async fn buffer_body(mut body: Incoming, max_bytes: usize) -> Result<BufferedBody, SendError> {
     let mut buf = bytes::BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|e| SendError::Broke { text: e.to_string() })?;
+        let frame = frame.map_err(|e| SendError::Broken { text: e.to_string() })?;
         if let Ok(data) = frame.into_data() {
             buf.extend_from_slice(&data);
         }
         if buf.len() > max_bytes {
             let read = futures::stream::once(async { Ok(Frame::data(buf.freeze())) });
-            let rest = incoming(body).into_data_stream().map_ok(Frame::data);
+            let rest = incoming_body(body).into_data_stream().map_ok(Frame::data);
             let all = futures::StreamExt::chain(read, rest);
             return Ok(BufferedBody::TooLarge(BodyExt::boxed(StreamBody::new(SyncStream::new(all)))));
         }
@@ -163,11 +167,11 @@
 }
 
 /// Body that consists of the given bytes.
-pub fn full(b: Bytes) -> AnyBody {
-    BodyExt::boxed(Full::new(b).map_err(|never| match never {}))
+pub fn full_body(bytes: Bytes) -> EndpointBody {
+    BodyExt::boxed(Full::new(bytes).map_err(|never| match never {}))
 }
 
 /// Body that is received from a connection.
-pub fn incoming(b: Incoming) -> AnyBody {
-    BodyExt::boxed(b.map_err(|e| BodyError { text: e.to_string() }))
+pub fn incoming_body(body: Incoming) -> EndpointBody {
+    BodyExt::boxed(body.map_err(|e| BodyError { text: e.to_string() }))
 }
--- a/src/workswood/ops/entry/proxy.rs
+++ b/src/workswood/ops/entry/proxy.rs
@@ -19,7 +19,7 @@
 use workswood_core::fleet::{Class, Route};
 use workswood_core::ids::{InstanceId, ServiceId};
 use workswood_core::route::Outcome;
-use workswood_endpoints::{Answer, AnyBody, SendError, full, incoming};
+use workswood_endpoints::{EndpointBody, EndpointResponse, SendError, incoming_body};
 
 use super::dispatch::{self, Grant, Slot, SlotRequest};
 use super::node::Node;
@@ -206,7 +206,7 @@
 }
 
 /// Request to the endpoint of a granted slot.
-fn endpoint_request(request: &RoutedRequest, grant: &Grant, body: AnyBody) -> Request<AnyBody> {
+fn endpoint_request(request: &RoutedRequest, grant: &Grant, body: EndpointBody) -> Request<EndpointBody> {
     let uri = format!("http://{}{}", grant.address, request.head.path);
     let mut req = Request::new(body);
     *req.method_mut() = request.head.method.clone();
@@ -274,17 +274,17 @@
 /// Sends a request once, to the endpoint of a slot.
 async fn attempt(node: &Arc<Node>, request: &RoutedRequest, body: &Bytes, slot: &mut Slot) -> SendOutcome {
     node.metrics.sends.inc();
-    let req = endpoint_request(request, &slot.grant, full(body.clone()));
+    let req = endpoint_request(request, &slot.grant, workswood_endpoints::full_body(body.clone()));
     let timeout = request.deadline.saturating_sub(node.now());
     let answer = tokio::time::timeout(timeout, node.endpoints.call(req, MAX_BUFFERED_BODY_BYTES)).await;
     match answer {
-        Ok(Ok(Answer::Whole(res))) => {
+        Ok(Ok(EndpointResponse::Buffered(res))) => {
             record_response(node, slot, res.status().is_server_error(), res.headers());
             let (parts, b) = res.into_parts();
             let reply = Response::from_parts(parts, full_body(b.clone()));
             SendOutcome::Answered(endpoint_reply(reply), Some(b))
         }
-        Ok(Ok(Answer::Streams(res))) => {
+        Ok(Ok(EndpointResponse::Streaming(res))) => {
             record_response(node, slot, false, res.headers());
             SendOutcome::Answered(endpoint_reply(res.map(|b| b.map_err(Into::into).boxed())), None)
         }
@@ -293,7 +293,7 @@
             log::warn!("event=not_sent endpoint={} error={text:?}", slot.grant.endpoint);
             SendOutcome::NotSent(Code::ConnectFailed, Some(Duration::from_millis(200)))
         }
-        Ok(Err(SendError::Broke { text })) => {
+        Ok(Err(SendError::Broken { text })) => {
             slot.set_outcome(Outcome::Bad);
             log::warn!("event=broke endpoint={} error={text:?}", slot.grant.endpoint);
             SendOutcome::Broken(Code::EndpointBroke)
@@ -356,7 +356,7 @@
             slot.set_outcome(Outcome::Bad);
             refusal(Code::ConnectFailed, Ran::NotRun, Some(Duration::from_millis(200)))
         }
-        Ok(Err(SendError::Broke { .. })) => {
+        Ok(Err(SendError::Broken { .. })) => {
             slot.set_outcome(Outcome::Bad);
             refusal(Code::EndpointBroke, Ran::Unknown, None)
         }
@@ -370,7 +370,7 @@
 /// Forwards a response body and keeps `resources` until it has ended.
 fn forward_body<T: Send + Sync + 'static>(res: Response<Incoming>, resources: T) -> Reply {
     res.map(|b| {
-        let body = incoming(b).map_err(Into::into);
+        let body = incoming_body(b).map_err(Into::into);
         body.map_frame(move |f| {
             let _ = &resources;
             f
