--- a/crates/workswood-operators/src/lib.rs
+++ b/crates/workswood-operators/src/lib.rs
@@ -14,4 +14,4 @@
 
 pub use client::{ClientError, OperatorClient};
 pub use messages::*;
-pub use server::{Operations, serve};
+pub use server::{OperatorApi, serve};
--- a/crates/workswood-operators/src/messages.rs
+++ b/crates/workswood-operators/src/messages.rs
@@ -40,7 +40,7 @@
         /// Details of the reason, such as the differences to the version in force.
         message: String,
         /// Errors in the file, if that is the reason.
-        issues: Vec<ShownIssue>,
+        issues: Vec<FileIssue>,
     },
     /// It is unknown whether the file came into force; applying it again with the same id is safe.
     Unknown {
@@ -51,7 +51,7 @@
 
 /// An error in a fleet file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShownIssue {
+pub struct FileIssue {
     /// Path of the value in the file.
     pub path: String,
     /// Numbered code.
@@ -60,9 +60,9 @@
     pub message: String,
 }
 
-impl From<&Issue> for ShownIssue {
-    fn from(issue: &Issue) -> ShownIssue {
-        ShownIssue { path: issue.path.clone(), code: issue.code.number(), message: issue.message.clone() }
+impl From<&Issue> for FileIssue {
+    fn from(issue: &Issue) -> FileIssue {
+        FileIssue { path: issue.path.clone(), code: issue.code.number(), message: issue.message.clone() }
     }
 }
 
--- a/crates/workswood-operators/src/server.rs
+++ b/crates/workswood-operators/src/server.rs
@@ -18,8 +18,8 @@
 /// Timeout of an apply request, in addition to the wait that the request asks for.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Operations that an entry host offers to operators.
-pub trait Operations: Send + Sync + 'static {
+/// OperatorApi that an entry host offers to operators.
+pub trait OperatorApi: Send + Sync + 'static {
     /// Applies a fleet file.
     fn apply(self: Arc<Self>, req: ApplyRequest) -> BoxFuture<'static, ApplyReply>;
     /// Returns the status of the entry host.
@@ -29,7 +29,7 @@
 }
 
 /// Serves operators on a listener until the returned future is dropped.
-pub async fn serve<O: Operations>(listener: TcpListener, token: String, ops: Arc<O>) {
+pub async fn serve<O: OperatorApi>(listener: TcpListener, token: String, ops: Arc<O>) {
     let token = Arc::new(token);
     let with_ops = {
         let ops = ops.clone();
@@ -60,7 +60,7 @@
 }
 
 /// Answers an apply request.
-async fn apply<O: Operations>(allowed: bool, body: bytes::Bytes, ops: Arc<O>) -> Response {
+async fn apply<O: OperatorApi>(allowed: bool, body: bytes::Bytes, ops: Arc<O>) -> Response {
     if !allowed {
         return refused(Code::BadToken);
     }
--- a/src/workswood/ops/entry/operator_api.rs
+++ b/src/workswood/ops/entry/operator_api.rs
@@ -14,7 +14,7 @@
 use workswood_core::plan::{Stop, wave_status};
 use workswood_core::record::{Duty, Record};
 use workswood_operators::{
-    ApplyReply, ApplyRequest, DutyStatus, EntryStatus, FileStatus, Operations, PoolStatus, ShownIssue, Status,
+    ApplyReply, ApplyRequest, DutyStatus, EntryStatus, FileIssue, FileStatus, OperatorApi, PoolStatus, Status,
 };
 
 use super::log_appender::AppendError;
@@ -25,7 +25,7 @@
 /// Maximum number of differences that are listed when a change conflicts with another one.
 const MAX_DIFFERENCES: usize = 20;
 
-impl Operations for Node {
+impl OperatorApi for Node {
     fn apply(self: Arc<Self>, req: ApplyRequest) -> BoxFuture<'static, ApplyReply> {
         async move { apply(&self, req).await }.boxed()
     }
@@ -91,7 +91,7 @@
 fn invalid_file(issues: &[workswood_core::fleet::Issue]) -> ApplyReply {
     let code = issues.first().map_or(Code::BadValue, |i| i.code);
     let message = format!("the file has {} error(s)", issues.len());
-    ApplyReply::Refused { code, message, issues: issues.iter().map(ShownIssue::from).collect() }
+    ApplyReply::Refused { code, message, issues: issues.iter().map(FileIssue::from).collect() }
 }
 
 /// Answer for an accepted file, after the wait that the operator asked for.
