--- a/crates/workswood-callers/src/request_body.rs
+++ b/crates/workswood-callers/src/request_body.rs
@@ -19,8 +19,8 @@
 /// Longest time for which bytes are discarded.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Longest wait for the next bytes of a body, so that a silent caller does not hold its connection for
-/// ever. There is no limit on the time for a whole body.
+/// Longest wait for the next bytes of a body, so that a silent caller does not hold its connection
+/// forever. There is no limit on the time for a whole body.
 pub const BODY_IDLE_TIMEOUT: Duration = HEADER_TIMEOUT;
 
 /// Why a body was not read.
--- a/crates/workswood-endpoints/src/lib.rs
+++ b/crates/workswood-endpoints/src/lib.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Snafu)]
 #[snafu(display("body ended early: {text}"))]
 pub struct BodyError {
-    /// What went wrong.
+    /// Description of the failure.
     pub text: String,
 }
 
@@ -41,13 +41,13 @@
     /// No connection was made, so nothing was sent.
     #[snafu(display("not sent: {text}"))]
     NotSent {
-        /// What went wrong.
+        /// Description of the failure.
         text: String,
     },
     /// The request may have been sent, and no complete response arrived.
     #[snafu(display("no complete response: {text}"))]
     Broken {
-        /// What went wrong.
+        /// Description of the failure.
         text: String,
     },
 }
--- a/crates/workswood-operators/src/client.rs
+++ b/crates/workswood-operators/src/client.rs
@@ -24,7 +24,7 @@
     NoAnswer {
         /// Address of the entry host.
         address: String,
-        /// What went wrong.
+        /// Description of the failure.
         text: String,
     },
     /// The entry host refused the call.
--- a/crates/workswood-operators/src/server.rs
+++ b/crates/workswood-operators/src/server.rs
@@ -18,7 +18,7 @@
 /// Timeout of an apply request, in addition to the wait that the request asks for.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// OperatorApi that an entry host offers to operators.
+/// Operations that an entry host offers to operators.
 pub trait OperatorApi: Send + Sync + 'static {
     /// Applies a fleet file.
     fn apply(self: Arc<Self>, req: ApplyRequest) -> BoxFuture<'static, ApplyReply>;
