--- a/src/workswood/ops/entry/keyed_requests.rs
+++ b/src/workswood/ops/entry/keyed_requests.rs
@@ -1,4 +1,4 @@
-//! Sends each request that may not be repeated at most once, as identified by its idempotency key.
+//! Ensures that a request that may not be repeated is sent at most once, by its idempotency key.
 //!
 //! The process whose claim of the key comes first in the log sends the request, once. Every other
 //! copy of the request is answered from the log.
--- a/src/workswood/ops/entry/mod.rs
+++ b/src/workswood/ops/entry/mod.rs
@@ -10,7 +10,7 @@
 //! * [`peers`] sends heartbeats to other entry processes and answers their messages;
 //! * [`dispatch`] grants slots of endpoints to requests, and borrows slots from peers;
 //! * [`proxy`] routes callers' requests to endpoints;
-//! * [`keyed_requests`] sends requests that may not be repeated at most once;
+//! * [`keyed_requests`] ensures that a request that may not be repeated is sent at most once;
 //! * [`deferred_requests`] accepts requests of class `later` into the log and runs them;
 //! * [`operator_api`] answers operators;
 //! * [`shutdown`] stops the process gracefully.
