--- a/src/workswood/ops/entry/mod.rs
+++ b/src/workswood/ops/entry/mod.rs
@@ -47,7 +47,7 @@
     /// State that its tasks share.
     pub node: Arc<Node>,
     tasks: Vec<JoinHandle<()>>,
-    callers: JoinHandle<()>,
+    callers_task: JoinHandle<()>,
     stop_callers: watch::Sender<bool>,
 }
 
@@ -60,9 +60,9 @@
 impl Entry {
     /// Starts all tasks. A port 0 in the settings is replaced by the port that was bound.
     pub async fn start(mut settings: Settings, tokens: Tokens) -> Result<Entry> {
-        let callers = listen(&mut settings.callers).await?;
-        let operators = listen(&mut settings.operators).await?;
-        let peers = listen(&mut settings.peers).await?;
+        let caller_listener = listen(&mut settings.callers).await?;
+        let operator_listener = listen(&mut settings.operators).await?;
+        let peer_listener = listen(&mut settings.peers).await?;
         let half_open = HalfOpen::default();
         let platform = HttpPlatform::sharing(&settings.platform.to_string(), half_open.clone());
         let (node, append_requests) = Node::new(settings, tokens, Arc::new(platform), half_open);
@@ -77,7 +77,7 @@
         );
         let tasks = vec![
             tokio::spawn(workswood_peers::serve(
-                peers,
+                peer_listener,
                 node.tokens.peers.clone(),
                 peers::handler(node.clone()),
             )),
@@ -90,23 +90,28 @@
             tokio::spawn(dispatch::run_ticks(node.clone())),
             tokio::spawn(dispatch::run_borrowing(node.clone())),
             tokio::spawn(deferred_requests::run(node.clone())),
-            tokio::spawn(workswood_operators::serve(operators, node.tokens.operators.clone(), node.clone())),
+            tokio::spawn(workswood_operators::serve(
+                operator_listener,
+                node.tokens.operators.clone(),
+                node.clone(),
+            )),
         ];
         let (stop_callers, stopped) = watch::channel(false);
-        let callers = tokio::spawn(workswood_callers::serve(callers, proxy::handler(node.clone()), stopped));
-        Ok(Entry { node, tasks, callers, stop_callers })
+        let callers_task =
+            tokio::spawn(workswood_callers::serve(caller_listener, proxy::handler(node.clone()), stopped));
+        Ok(Entry { node, tasks, callers_task, stop_callers })
     }
 
     /// Aborts all tasks immediately, as a crash would.
     pub fn kill(&self) {
         self.tasks.iter().for_each(JoinHandle::abort);
-        self.callers.abort();
+        self.callers_task.abort();
         self.node.close();
     }
 
     /// Stops gracefully: requests in progress are finished first.
     pub async fn stop(mut self) {
-        shutdown::run(&self.node, &self.stop_callers, &mut self.callers).await;
+        shutdown::run(&self.node, &self.stop_callers, &mut self.callers_task).await;
         self.kill();
     }
 }
--- a/src/workswood/ops/entry/operator_api.rs
+++ b/src/workswood/ops/entry/operator_api.rs
@@ -153,22 +153,23 @@
     paths
 }
 
-fn collect_differences(parent: &str, a: &serde_json::Value, b: &serde_json::Value, paths: &mut Vec<String>) {
+/// Adds the paths of the values that differ between `a` and `b`, which are both at `path`.
+fn collect_differences(path: &str, a: &serde_json::Value, b: &serde_json::Value, paths: &mut Vec<String>) {
     use serde_json::Value::{Array, Object};
     match (a, b) {
         _ if a == b => {}
         (Object(x), Object(y)) => {
             for (k, v) in x {
-                let path = if parent.is_empty() { k.clone() } else { format!("{parent}.{k}") };
-                collect_differences(&path, v, y.get(k).unwrap_or(&serde_json::Value::Null), paths);
+                let child = if path.is_empty() { k.clone() } else { format!("{path}.{k}") };
+                collect_differences(&child, v, y.get(k).unwrap_or(&serde_json::Value::Null), paths);
             }
         }
         (Array(x), Array(y)) if x.len() == y.len() => {
             for (i, (v, w)) in x.iter().zip(y).enumerate() {
-                collect_differences(&format!("{parent}[{i}]"), v, w, paths);
+                collect_differences(&format!("{path}[{i}]"), v, w, paths);
             }
         }
-        _ => paths.push(parent.to_string()),
+        _ => paths.push(path.to_string()),
     }
 }
 
--- a/src/workswood/ops/entry/shutdown.rs
+++ b/src/workswood/ops/entry/shutdown.rs
@@ -22,10 +22,10 @@
 pub(super) async fn run(
     node: &std::sync::Arc<Node>,
     stop_callers: &watch::Sender<bool>,
-    callers: &mut JoinHandle<()>,
+    callers_task: &mut JoinHandle<()>,
 ) {
     let limit = node.settings.stop_limit;
-    let finished = tokio::time::timeout(limit, finish_and_release(node, stop_callers, callers)).await;
+    let finished = tokio::time::timeout(limit, finish_and_release(node, stop_callers, callers_task)).await;
     if finished.is_err() {
         log::warn!(
             "event=stop_limit in_progress={} queued={}",
@@ -43,12 +43,12 @@
 async fn finish_and_release(
     node: &std::sync::Arc<Node>,
     stop_callers: &watch::Sender<bool>,
-    callers: &mut JoinHandle<()>,
+    callers_task: &mut JoinHandle<()>,
 ) {
     node.shutting_down.store(true, Ordering::Release);
     tokio::time::sleep(node.settings.balancer_lag).await;
     let _ = stop_callers.send(true);
-    let _ = callers.await;
+    let _ = callers_task.await;
     while requests_in_progress(node) > 0 || dispatch::open_requests(node) > 0 {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
