--- a/crates/workswood-endpoints/src/lib.rs
+++ b/crates/workswood-endpoints/src/lib.rs
@@ -1,7 +1,7 @@
-//! Calls to the endpoints of services.
+//! HTTP client for the endpoints of services.
 //!
-//! The one thing that matters here besides the answer is whether anything was
-//! sent: [`SendError::NotSent`] is returned only when no connection was made.
+//! A failed call says whether anything may have been sent: [`SendError::NotSent`] is returned only if no
+//! connection was made.
 
 use std::time::Duration;
 
@@ -15,122 +15,128 @@
 use workswood_http::{Limits, Pool};
 use workswood_liveness::HalfOpen;
 
-/// Bounds of connections to endpoints.
+/// Limits of the connection pool.
 const LIMITS: Limits = Limits {
     connect: Duration::from_millis(500),
     idle: Duration::from_secs(5),
-    // With the slots that an entry host holds, all entry hosts together stay under
-    // an endpoint's limit.
+    // Small enough that, together with the connections in use, those of all entry hosts stay below
+    // the connection limit of an endpoint.
     most_idle: 3,
 };
 
-/// A body sent to an endpoint or taken from one.
-pub type AnyBody = BoxBody<Bytes, BodyError>;
+/// Body of a request to an endpoint or of its response.
+pub type EndpointBody = BoxBody<Bytes, BodyError>;
 
-/// A body broke off.
+/// A body ended early.
 #[derive(Debug, Snafu)]
-#[snafu(display("body broke off: {text}"))]
+#[snafu(display("body ended early: {text}"))]
 pub struct BodyError {
-    /// What went wrong.
+    /// Description of the failure.
     pub text: String,
 }
 
 /// Why a call failed.
 #[derive(Debug, Snafu)]
 pub enum SendError {
-    /// No connection was made: nothing was sent.
+    /// No connection was made, so nothing was sent.
     #[snafu(display("not sent: {text}"))]
     NotSent {
-        /// What went wrong.
+        /// Description of the failure.
         text: String,
     },
-    /// Something may have been sent, and no whole answer came.
-    #[snafu(display("broke off: {text}"))]
-    Broke {
-        /// What went wrong.
+    /// The request may have been sent, and no complete response arrived.
+    #[snafu(display("no complete response: {text}"))]
+    Broken {
+        /// Description of the failure.
         text: String,
     },
 }
 
-/// An answer, held whole if it was small enough.
-pub enum Answer {
-    /// The whole body is here.
-    Whole(Response<Bytes>),
-    /// The body is too large to hold and streams.
-    Streams(Response<AnyBody>),
+/// A response, buffered if it is small enough.
+pub enum EndpointResponse {
+    /// The whole body was read.
+    Buffered(Response<Bytes>),
+    /// The body is too large to buffer and is streamed.
+    Streaming(Response<EndpointBody>),
 }
 
-/// Client of all endpoints of one entry host.
+/// Client of all endpoints, with a pool of connections.
 #[derive(Clone)]
 pub struct EndpointClient {
-    pool: Pool<AnyBody>,
+    pool: Pool<EndpointBody>,
 }
 
 impl EndpointClient {
-    /// A client without connections yet. It drops idle ones when others have found
-    /// that connections have gone silent.
+    /// Creates a client. It drops its idle connections when any user of `half_open` has found half-open
+    /// connections.
     pub fn new(half_open: HalfOpen) -> EndpointClient {
         EndpointClient { pool: Pool::new(LIMITS, half_open) }
     }
 
-    /// Sends a request and waits for the head of the answer. After a request that its
-    /// caller gave up, the next one to the endpoint goes over a new connection: the
-    /// idle ones may have gone silent, and each would cost a request. Endpoints may
-    /// need long, so a late answer says nothing of other connections.
-    pub async fn send(&self, req: Request<AnyBody>) -> Result<Response<Incoming>, SendError> {
+    /// Sends a request and waits for the head of the response. If the returned future is dropped before
+    /// that, the next request to the endpoint uses a new connection, because the idle ones may be
+    /// half-open too. A late response is not taken as a sign of half-open connections, since endpoints
+    /// may need long.
+    pub async fn send(&self, req: Request<EndpointBody>) -> Result<Response<Incoming>, SendError> {
         let address = req.uri().authority().map(|a| a.to_string()).unwrap_or_default();
         let attempt = self.pool.attempt(&address, Duration::ZERO);
         let res = attempt.send(req).await;
         attempt.abandon();
         res.map_err(|e| {
             let text = e.to_string();
-            if e.is_connect() { SendError::NotSent { text } } else { SendError::Broke { text } }
+            if e.is_connect() { SendError::NotSent { text } } else { SendError::Broken { text } }
         })
     }
 
-    /// Sends a request and holds the answer whole if it has at most `most` bytes.
-    pub async fn call(&self, req: Request<AnyBody>, most: usize) -> Result<Answer, SendError> {
+    /// Sends a request and buffers the response if its body has at most `max_bytes` bytes.
+    pub async fn call(
+        &self,
+        req: Request<EndpointBody>,
+        max_bytes: usize,
+    ) -> Result<EndpointResponse, SendError> {
         let res = self.send(req).await?;
         let (head, body) = res.into_parts();
-        if body.size_hint().lower() > most as u64 {
-            return Ok(Answer::Streams(Response::from_parts(head, incoming(body))));
+        if body.size_hint().lower() > max_bytes as u64 {
+            return Ok(EndpointResponse::Streaming(Response::from_parts(head, incoming_body(body))));
         }
-        match hold(body, most).await? {
-            Held::Whole(b) => Ok(Answer::Whole(Response::from_parts(head, b))),
-            Held::Rest(b) => Ok(Answer::Streams(Response::from_parts(head, b))),
+        match buffer_body(body, max_bytes).await? {
+            BufferedBody::Complete(b) => Ok(EndpointResponse::Buffered(Response::from_parts(head, b))),
+            BufferedBody::TooLarge(b) => Ok(EndpointResponse::Streaming(Response::from_parts(head, b))),
         }
     }
 }
 
-enum Held {
-    Whole(Bytes),
-    Rest(AnyBody),
+/// Result of buffering a body.
+enum BufferedBody {
+    /// The whole body.
+    Complete(Bytes),
+    /// The whole body as a stream that begins with the bytes read so far.
+    TooLarge(EndpointBody),
 }
 
-/// Collects a body; one that grows past `most` goes on as a stream.
-async fn hold(mut body: Incoming, most: usize) -> Result<Held, SendError> {
+/// Reads a body into a buffer; one that grows beyond `max_bytes` is returned as a stream.
+async fn buffer_body(mut body: Incoming, max_bytes: usize) -> Result<BufferedBody, SendError> {
     let mut buf = bytes::BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|e| SendError::Broke { text: e.to_string() })?;
+        let frame = frame.map_err(|e| SendError::Broken { text: e.to_string() })?;
         if let Ok(data) = frame.into_data() {
             buf.extend_from_slice(&data);
         }
-        if buf.len() > most {
-            let head = futures::stream::once(async { Ok(Frame::data(buf.freeze())) });
-            let tail = incoming(body).into_data_stream().map_ok(Frame::data);
-            let all = futures::StreamExt::chain(head, tail);
-            return Ok(Held::Rest(BodyExt::boxed(StreamBody::new(SyncStream::new(all)))));
+        if buf.len() > max_bytes {
+            let read = futures::stream::once(async { Ok(Frame::data(buf.freeze())) });
+            let rest = incoming_body(body).into_data_stream().map_ok(Frame::data);
+            let all = futures::StreamExt::chain(read, rest);
+            return Ok(BufferedBody::TooLarge(BodyExt::boxed(StreamBody::new(SyncStream::new(all)))));
         }
     }
-    Ok(Held::Whole(buf.freeze()))
+    Ok(BufferedBody::Complete(buf.freeze()))
 }
 
-/// A stream that may be shared between threads because it is only polled
-/// through an exclusive reference.
+/// A stream that is `Sync` because it is polled through an exclusive reference only.
 type SyncStream<S> = sync::Exclusive<S>;
 
 mod sync {
-    //! A wrapper that makes a stream `Sync` without locks that wait.
+    //! A wrapper that makes a stream `Sync`; its mutex is never locked.
 
     use std::pin::Pin;
     use std::sync::Mutex;
@@ -138,7 +144,7 @@
 
     use futures::Stream;
 
-    /// Polls the stream inside through an exclusive reference only.
+    /// Stream that is polled through an exclusive reference only.
     pub struct Exclusive<S>(Mutex<Pin<Box<S>>>);
 
     impl<S> Exclusive<S> {
@@ -160,12 +166,12 @@
     }
 }
 
-/// A body that is here.
-pub fn full(b: Bytes) -> AnyBody {
-    BodyExt::boxed(Full::new(b).map_err(|never| match never {}))
+/// Body that consists of the given bytes.
+pub fn full_body(bytes: Bytes) -> EndpointBody {
+    BodyExt::boxed(Full::new(bytes).map_err(|never| match never {}))
 }
 
-/// A body that arrives.
-pub fn incoming(b: Incoming) -> AnyBody {
-    BodyExt::boxed(b.map_err(|e| BodyError { text: e.to_string() }))
+/// Body that is received from a connection.
+pub fn incoming_body(body: Incoming) -> EndpointBody {
+    BodyExt::boxed(body.map_err(|e| BodyError { text: e.to_string() }))
 }
--- a/crates/workswood-operators/src/lib.rs
+++ b/crates/workswood-operators/src/lib.rs
@@ -1,17 +1,17 @@
-//! The listener for operators, and the client that the commands use.
+//! The HTTP listener for operators, and its client, which the commands use.
 //!
 //! | call | answer |
 //! |---|---|
 //! | `POST /v1/apply` with an [`ApplyRequest`] | [`ApplyReply`] |
 //! | `GET /v1/status` | [`Status`] |
-//! | `GET /metrics` | text for `prometheus` |
+//! | `GET /metrics` | metrics in the Prometheus text format |
 //!
 //! Each call carries `authorization: Bearer TOKEN`.
 
 mod client;
+mod messages;
 mod server;
-mod types;
 
 pub use client::{ClientError, OperatorClient};
-pub use server::{Operations, serve};
-pub use types::*;
+pub use messages::*;
+pub use server::{OperatorApi, serve};
