--- a/crates/workswood-core/src/fold/hosts.rs
+++ b/crates/workswood-core/src/fold/hosts.rs
@@ -8,7 +8,7 @@
 use crate::fleet::{Host, Place};
 use crate::ids::{FileId, PoolId, Term};
 use crate::invariant;
-use crate::record::{DrainReason, Duty, HostStep};
+use crate::record::{DrainReason, HostStep, Role};
 
 /// Where a host is in its life with us.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -115,7 +115,7 @@
 
 impl State {
     pub(super) fn step_host(&mut self, term: Term, host: &str, generation: u64, step: &HostStep) -> Verdict {
-        self.holds(Duty::Planner, term)?;
+        self.holds(Role::Planner, term)?;
         let rec = self.hosts.get(host).ok_or(Void::Missing)?;
         if rec.generation != generation {
             return Err(Void::Generation);
--- a/crates/workswood-core/src/fold/instances.rs
+++ b/crates/workswood-core/src/fold/instances.rs
@@ -7,7 +7,7 @@
 use super::{HostRec, State, Verdict, Void};
 use crate::fleet::{Budget, Service};
 use crate::ids::{HostId, InstanceId, Rack, ServiceId, Term};
-use crate::record::{Duty, InstanceStep};
+use crate::record::{InstanceStep, Role};
 
 /// A placed instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -157,7 +157,7 @@
     }
 
     pub(super) fn step_instance(&mut self, term: Term, instance: &str, step: &InstanceStep) -> Verdict {
-        self.holds(Duty::Planner, term)?;
+        self.holds(Role::Planner, term)?;
         match step {
             InstanceStep::Place { host } => self.place(instance, host),
             InstanceStep::Ready { address, ready } => {
--- a/crates/workswood-core/src/fold/jobs.rs
+++ b/crates/workswood-core/src/fold/jobs.rs
@@ -4,7 +4,7 @@
 
 use super::{State, Verdict, Void};
 use crate::ids::{HostId, Term};
-use crate::record::{Duty, JobStep};
+use crate::record::{JobStep, Role};
 
 /// Where a job is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,7 +51,7 @@
 
 impl State {
     pub(super) fn step_job(&mut self, term: Term, job: &str, step: &JobStep) -> Verdict {
-        self.holds(Duty::Planner, term)?;
+        self.holds(Role::Planner, term)?;
         let declared = self.declared_jobs().find(|j| j.name == job).ok_or(Void::Missing)?;
         let (repeatable, pool) = (declared.repeatable, declared.pool.clone());
         let (time, offset) = (self.time, self.next - 1);
--- a/crates/workswood-core/src/fold/duty.rs
+++ b/crates/workswood-core/src/fold/lease.rs
@@ -10,9 +10,9 @@
 
 use super::{State, Verdict, Void};
 use crate::ids::{Incarnation, Term};
-use crate::record::{Duty, RosterMember};
+use crate::record::{Role, RosterMember};
 
-/// A duty's lease.
+/// A role's lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRec {
     /// Who holds it; none after it was given up.
@@ -24,29 +24,29 @@
 }
 
 impl State {
-    /// The lease of a duty; an empty one if nobody ever took it.
-    pub fn lease(&self, duty: Duty) -> LeaseRec {
-        self.leases.get(&duty).cloned().unwrap_or_default()
+    /// The lease of a role; an empty one if nobody ever took it.
+    pub fn lease(&self, role: Role) -> LeaseRec {
+        self.leases.get(&role).cloned().unwrap_or_default()
     }
 
-    pub(super) fn holds(&self, duty: Duty, term: Term) -> Verdict {
-        let lease = self.lease(duty);
+    pub(super) fn holds(&self, role: Role, term: Term) -> Verdict {
+        let lease = self.lease(role);
         if lease.holder.is_some() && lease.term == term { Ok(()) } else { Err(Void::Term) }
     }
 
-    pub(super) fn take(&mut self, duty: Duty, holder: &str, term: Term, seen: u64) -> Verdict {
-        let lease = self.lease(duty);
+    pub(super) fn take(&mut self, role: Role, holder: &str, term: Term, seen: u64) -> Verdict {
+        let lease = self.lease(role);
         if term != lease.term + 1 || seen != lease.renewals {
             return Err(Void::Term);
         }
         let rec = LeaseRec { holder: Some(holder.to_string()), term, renewals: 0 };
-        self.leases.insert(duty, rec);
+        self.leases.insert(role, rec);
         Ok(())
     }
 
-    pub(super) fn renew(&mut self, duty: Duty, term: Term, from: &str) -> Verdict {
-        self.holds(duty, term)?;
-        let lease = self.leases.entry(duty).or_default();
+    pub(super) fn renew(&mut self, role: Role, term: Term, from: &str) -> Verdict {
+        self.holds(role, term)?;
+        let lease = self.leases.entry(role).or_default();
         if lease.holder.as_deref() != Some(from) {
             return Err(Void::Term);
         }
@@ -54,9 +54,9 @@
         Ok(())
     }
 
-    pub(super) fn give_up(&mut self, duty: Duty, term: Term, from: &str) -> Verdict {
-        self.holds(duty, term)?;
-        let lease = self.leases.entry(duty).or_default();
+    pub(super) fn give_up(&mut self, role: Role, term: Term, from: &str) -> Verdict {
+        self.holds(role, term)?;
+        let lease = self.leases.entry(role).or_default();
         if lease.holder.as_deref() != Some(from) {
             return Err(Void::Term);
         }
@@ -66,7 +66,7 @@
     }
 
     pub(super) fn set_roster(&mut self, term: Term, members: &[RosterMember]) -> Verdict {
-        self.holds(Duty::Planner, term)?;
+        self.holds(Role::Planner, term)?;
         self.roster = members.to_vec();
         self.roster_generation += 1;
         Ok(())
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -5,11 +5,11 @@
 //! agree on it. Sub-modules hold one family of records each.
 
 mod apply;
-mod duty;
 mod hosts;
 mod instances;
 mod jobs;
 mod keys;
+mod lease;
 mod snapshot;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,14 +20,14 @@
 use crate::fleet::{FleetFile, Job, Maintenance, Pool, Service};
 use crate::ids::*;
 use crate::invariant;
-use crate::record::{Duty, Envelope, FORMAT, Record, RosterMember};
+use crate::record::{Envelope, FORMAT, Record, Role, RosterMember};
 
 pub use apply::FileRec;
-pub use duty::LeaseRec;
 pub use hosts::{HostRec, Phase};
 pub use instances::{Availability, InstanceRec, Stance};
 pub use jobs::{JobPhase, JobRec};
 pub use keys::{KEY_GRACE, KeyRec, KeyState, Lookup, MAX_KEY_WINDOW};
+pub use lease::LeaseRec;
 pub use snapshot::{Assembler, Digest};
 
 /// Why a record had no effect.
@@ -92,8 +92,8 @@
     pub time: UnixMs,
     /// Files in force.
     pub files: BTreeMap<FileId, FileRec>,
-    /// Duties and who holds them.
-    pub leases: BTreeMap<Duty, LeaseRec>,
+    /// Roles and the leases on them.
+    pub leases: BTreeMap<Role, LeaseRec>,
     /// Processes that share slots.
     pub roster: Vec<RosterMember>,
     /// Grows with each change of the roster.
@@ -175,9 +175,9 @@
     fn fold_record(&mut self, env: &Envelope, offset: Offset, record: &Record) -> Verdict {
         match record {
             Record::Apply { id, base, author, file } => self.apply(offset, id, *base, author, file),
-            Record::Take { duty, holder, term, seen } => self.take(*duty, holder, *term, *seen),
-            Record::Renew { duty, term } => self.renew(*duty, *term, &env.from),
-            Record::GiveUp { duty, term } => self.give_up(*duty, *term, &env.from),
+            Record::Take { role, holder, term, seen } => self.take(*role, holder, *term, *seen),
+            Record::Renew { role, term } => self.renew(*role, *term, &env.from),
+            Record::GiveUp { role, term } => self.give_up(*role, *term, &env.from),
             Record::Roster { term, members } => self.set_roster(*term, members),
             Record::Host { term, host, generation, step } => self.step_host(*term, host, *generation, step),
             Record::Instance { term, instance, step } => self.step_instance(*term, instance, step),
@@ -187,7 +187,7 @@
             Record::Start { key, holder, attempt } => self.start(key, holder, *attempt),
             Record::Finish { key, holder, end } => self.finish(key, holder, end),
             Record::Job { term, job, step } => self.step_job(*term, job, step),
-            Record::Mark { term } => self.holds(Duty::Checkpointer, *term),
+            Record::Mark { term } => self.holds(Role::Checkpointer, *term),
             Record::Checkpoint { upto, digest, .. } => self.compare(*upto, *digest),
             Record::Unknown(_) => {
                 self.unknown += 1;
--- a/crates/workswood-core/src/record.rs
+++ b/crates/workswood-core/src/record.rs
@@ -45,10 +45,11 @@
         /// The whole file.
         file: Box<FleetFile>,
     },
-    /// Takes a duty if `term` is the next and no renewal came since `seen`.
+    /// Takes a role if `term` is the next and no renewal came since `seen`.
     Take {
-        /// The duty.
-        duty: Duty,
+        /// The role.
+        #[serde(rename = "duty")]
+        role: Role,
         /// Who takes it.
         holder: Incarnation,
         /// The next term.
@@ -58,15 +59,17 @@
     },
     /// Shows that the holder of the term is alive.
     Renew {
-        /// The duty.
-        duty: Duty,
+        /// The role.
+        #[serde(rename = "duty")]
+        role: Role,
         /// The holder's term.
         term: Term,
     },
-    /// Gives a duty up before its lease ends.
+    /// Gives a role up before its lease ends.
     GiveUp {
-        /// The duty.
-        duty: Duty,
+        /// The role.
+        #[serde(rename = "duty")]
+        role: Role,
         /// The holder's term.
         term: Term,
     },
@@ -163,19 +166,19 @@
     Unknown(Value),
 }
 
-/// A duty that one process holds at a time.
+/// A role that one process holds at a time, under a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Duty {
+pub enum Role {
     /// Decides about hosts, instances, jobs and the roster.
     Planner,
     /// Writes checkpoints of the state into the log.
     Checkpointer,
 }
 
-impl Duty {
-    /// All duties.
-    pub const ALL: [Duty; 2] = [Duty::Planner, Duty::Checkpointer];
+impl Role {
+    /// All roles.
+    pub const ALL: [Role; 2] = [Role::Planner, Role::Checkpointer];
 }
 
 /// An entry process that shares slots.
--- a/crates/workswood-test-support/src/history.rs
+++ b/crates/workswood-test-support/src/history.rs
@@ -6,7 +6,7 @@
 use workswood_core::fold::{State, Void};
 use workswood_core::ids::{Term, UnixMs};
 use workswood_core::plan::{Act, Facts, Stop, acts, decide, wave_status};
-use workswood_core::record::{Duty, Envelope, HostStep, InstanceStep, Record};
+use workswood_core::record::{Envelope, HostStep, InstanceStep, Record, Role};
 
 use crate::log::{Log, Process};
 use crate::platform::Platform;
@@ -201,9 +201,9 @@
     fn take_over(&mut self, i: usize) {
         let p = &mut self.planners[i];
         p.process.follow(&self.log, usize::MAX);
-        let lease = p.process.state.lease(Duty::Planner);
+        let lease = p.process.state.lease(Role::Planner);
         let record = Record::Take {
-            duty: Duty::Planner,
+            role: Role::Planner,
             holder: p.process.id.clone(),
             term: lease.term + 1,
             seen: lease.renewals,
--- a/crates/workswood-test-support/src/keys.rs
+++ b/crates/workswood-test-support/src/keys.rs
@@ -9,7 +9,7 @@
 use workswood_core::fold::Verdict;
 use workswood_core::ids::UnixMs;
 use workswood_core::keyed::{AfterClaim, Given, Inquiry, Reply, after_claim, known};
-use workswood_core::record::{Duty, End, Envelope, Record, RosterMember};
+use workswood_core::record::{End, Envelope, Record, Role, RosterMember};
 
 use crate::log::{Log, Process};
 
@@ -117,7 +117,7 @@
             steps: 0,
             tally: KeyTally::default(),
         };
-        let take = Record::Take { duty: Duty::Planner, holder: "planner".into(), term: 1, seen: 0 };
+        let take = Record::Take { role: Role::Planner, holder: "planner".into(), term: 1, seen: 0 };
         s.planner.append(&mut s.log, s.now, vec![take]);
         s.set_roster();
         s.entries.iter_mut().for_each(|e| e.process.follow(&s.log, usize::MAX));
--- a/crates/workswood-test-support/src/one.rs
+++ b/crates/workswood-test-support/src/one.rs
@@ -2,7 +2,7 @@
 
 use workswood_core::fleet::FleetFile;
 use workswood_core::plan::{Act, Facts, Seen, acts, decide};
-use workswood_core::record::{Duty, Record};
+use workswood_core::record::{Record, Role};
 
 use crate::log::{Log, Process};
 use crate::platform::Platform;
@@ -28,7 +28,7 @@
             platform: Platform::new(file),
             now: 1_000_000,
         };
-        let take = Record::Take { duty: Duty::Planner, holder: "p".into(), term: 1, seen: 0 };
+        let take = Record::Take { role: Role::Planner, holder: "p".into(), term: 1, seen: 0 };
         f.p.append(&mut f.log, f.now, vec![take]);
         f.apply(file, 0);
         f
--- a/src/workswood/ops/bench/fold.rs
+++ b/src/workswood/ops/bench/fold.rs
@@ -4,7 +4,7 @@
 
 use workswood_core::fleet::{Budget, Class, FleetFile, Host, Pool, Route, Service};
 use workswood_core::fold::State;
-use workswood_core::record::{Duty, End, Envelope, FORMAT, Record, RosterMember};
+use workswood_core::record::{End, Envelope, FORMAT, Record, Role, RosterMember};
 
 use super::stats::median;
 use crate::ops::plan::settled;
@@ -114,7 +114,7 @@
     let mut state = State::default();
     let member = RosterMember { id: "me".to_string(), data_centre: "dc0".to_string() };
     let records = vec![
-        Record::Take { duty: Duty::Planner, holder: "me".to_string(), term: 1, seen: 0 },
+        Record::Take { role: Role::Planner, holder: "me".to_string(), term: 1, seen: 0 },
         Record::Roster { term: 1, members: vec![member] },
     ];
     state.fold(0, &Envelope { v: FORMAT, from: "me".to_string(), seq: 1, at: 1, records });
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -8,7 +8,7 @@
 use workswood_core::ids::{InstanceId, Term};
 use workswood_core::member::{Liveness, MemberRec};
 use workswood_core::plan::{Act, Facts, Seen, acts, decide};
-use workswood_core::record::{Duty, HostStep, InstanceStep, JobStep, Record, RosterMember};
+use workswood_core::record::{HostStep, InstanceStep, JobStep, Record, Role, RosterMember};
 
 use super::node::Node;
 use crate::util::logs::DECISION;
@@ -45,7 +45,7 @@
 
 /// Takes free duties and renews those held, until the process ends.
 pub async fn lease(node: Arc<Node>) {
-    let mut watches: BTreeMap<Duty, Watch> = BTreeMap::new();
+    let mut watches: BTreeMap<Role, Watch> = BTreeMap::new();
     loop {
         tokio::time::sleep(LOOK).await;
         if !node.is(&node.ready) || !node.is(&node.log_up) {
@@ -53,7 +53,7 @@
             watches.clear();
             continue;
         }
-        for duty in Duty::ALL {
+        for duty in Role::ALL {
             let record = look(&node, &mut watches, duty);
             if let Some(record) = record {
                 let _ = node.append(vec![record]).await;
@@ -62,7 +62,7 @@
     }
 }
 
-fn look(node: &Node, watches: &mut BTreeMap<Duty, Watch>, duty: Duty) -> Option<Record> {
+fn look(node: &Node, watches: &mut BTreeMap<Role, Watch>, duty: Role) -> Option<Record> {
     let now = node.now();
     let (lease, place) = {
         let state = node.state.read();
@@ -81,7 +81,7 @@
             return None;
         }
         w.renewed = now;
-        return Some(Record::Renew { duty, term: lease.term });
+        return Some(Record::Renew { role: duty, term: lease.term });
     }
     let patience = match lease.holder {
         Some(_) => LEASE,
@@ -92,7 +92,7 @@
         return None;
     }
     log::info!(target: DECISION, "event=take_duty duty={duty:?} term={} reason=silence", lease.term + 1);
-    Some(Record::Take { duty, holder: node.id.clone(), term: lease.term + 1, seen: lease.renewals })
+    Some(Record::Take { role: duty, holder: node.id.clone(), term: lease.term + 1, seen: lease.renewals })
 }
 
 /// The term of a duty that this process holds and has shown to hold lately.
@@ -105,7 +105,7 @@
 
 impl Held {
     /// Follows the lease; `None` while it is not surely held.
-    fn follow(held: Option<Held>, node: &Node, duty: Duty) -> Option<Held> {
+    fn follow(held: Option<Held>, node: &Node, duty: Role) -> Option<Held> {
         let now = node.now();
         let lease = node.state.read().lease(duty);
         if lease.holder.as_ref() != Some(&node.id) {
@@ -145,7 +145,7 @@
         if idle {
             let _ = tokio::time::timeout(IDLE_ROUND, folded.changed()).await;
         }
-        held = Held::follow(held, &node, Duty::Planner);
+        held = Held::follow(held, &node, Role::Planner);
         let Some(h) = held.as_ref().filter(|h| h.sure(node.now())) else { continue };
         let Ok(seen) = node.platform.hosts().await else { continue };
         let records = round(&node, &seen, h.term);
@@ -157,7 +157,7 @@
                 continue;
             }
         }
-        held = Held::follow(held, &node, Duty::Planner);
+        held = Held::follow(held, &node, Role::Planner);
         let Some(h) = held.as_ref().filter(|h| h.sure(node.now()) && h.settled(node.now())) else { continue };
         idle &= !act(&node, &seen, h.term).await;
     }
@@ -222,7 +222,7 @@
 async fn act(node: &Arc<Node>, seen: &Seen, term: Term) -> bool {
     let wanted = acts(&node.state.read(), seen);
     for chunk in wanted.chunks(MOST_ACTS) {
-        let still = node.state.read().lease(Duty::Planner);
+        let still = node.state.read().lease(Role::Planner);
         if still.term != term || still.holder.as_ref() != Some(&node.id) {
             break;
         }
@@ -278,7 +278,7 @@
     let mut held: Option<Held> = None;
     loop {
         tokio::time::sleep(every).await;
-        held = Held::follow(held, &node, Duty::Checkpointer);
+        held = Held::follow(held, &node, Role::Checkpointer);
         let Some(h) = &held else { continue };
         let next = node.state.read().next;
         if next == written || !node.is(&node.log_up) {
@@ -309,10 +309,10 @@
 
 /// Gives up all duties that this process holds.
 pub async fn give_up(node: &Arc<Node>) {
-    for duty in Duty::ALL {
+    for duty in Role::ALL {
         let lease = node.state.read().lease(duty);
         if lease.holder.as_ref() == Some(&node.id) {
-            let _ = node.append(vec![Record::GiveUp { duty, term: lease.term }]).await;
+            let _ = node.append(vec![Record::GiveUp { role: duty, term: lease.term }]).await;
         }
     }
 }
--- a/src/workswood/ops/entry/follower.rs
+++ b/src/workswood/ops/entry/follower.rs
@@ -6,7 +6,7 @@
 
 use workswood_core::fold::{Assembler, State};
 use workswood_core::invariant;
-use workswood_core::record::{Duty, Envelope};
+use workswood_core::record::{Envelope, Role};
 use workswood_core::route::RouteTable;
 use workswood_peers::{Msg, StateAsk};
 use workswood_platform::{Error, LogRecord};
@@ -188,7 +188,7 @@
     let verdicts = {
         let mut state = node.state.write();
         let verdicts = state.fold(r.offset, &env);
-        let ours = state.lease(Duty::Checkpointer).holder.as_deref() == Some(&node.id);
+        let ours = state.lease(Role::Checkpointer).holder.as_deref() == Some(&node.id);
         if !ours {
             state.forget_mark_text();
         }
--- a/src/workswood/ops/entry/operate.rs
+++ b/src/workswood/ops/entry/operate.rs
@@ -12,7 +12,7 @@
 use workswood_core::ids::Offset;
 use workswood_core::invariant;
 use workswood_core::plan::{Stop, wave_status};
-use workswood_core::record::{Duty, Record};
+use workswood_core::record::{Record, Role};
 use workswood_operators::{
     ApplyReply, ApplyRequest, DutyStatus, EntryStatus, FileStatus, Operations, PoolStatus, ShownIssue, Status,
 };
@@ -190,7 +190,7 @@
         next: state.next,
         files: files(&state),
         entries: entries(node, &state),
-        duties: Duty::ALL.iter().map(|d| duty(&state, *d)).collect(),
+        duties: Role::ALL.iter().map(|d| duty(&state, *d)).collect(),
         waves: serde_json::to_value(waves).unwrap_or_default(),
         budgets: serde_json::to_value(stances).unwrap_or_default(),
         hosts: pools(&state),
@@ -228,7 +228,7 @@
     all.collect()
 }
 
-fn duty(state: &State, duty: Duty) -> DutyStatus {
+fn duty(state: &State, duty: Role) -> DutyStatus {
     let lease = state.lease(duty);
     DutyStatus { duty: format!("{duty:?}").to_lowercase(), holder: lease.holder, term: lease.term }
 }
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -8,7 +8,7 @@
 use workswood_core::plan::{
     Bound, Facts, HostSeen, HostState, Measures, Seen, Strategy, TaskSeen, decide, measure,
 };
-use workswood_core::record::{Duty, Envelope, FORMAT, InstanceStep, Record};
+use workswood_core::record::{Envelope, FORMAT, InstanceStep, Record, Role};
 
 use crate::util::errors::{Error, Result};
 
@@ -50,7 +50,7 @@
 /// instance placed and ready.
 pub fn settled(files: &[FleetFile], now: UnixMs) -> State {
     let mut log = Offline { state: State::default(), seq: 0, now };
-    let take = Record::Take { duty: Duty::Planner, holder: PLANNER.to_string(), term: TERM, seen: 0 };
+    let take = Record::Take { role: Role::Planner, holder: PLANNER.to_string(), term: TERM, seen: 0 };
     log.append(vec![take]);
     for f in files {
         log.append(vec![Record::Apply {
--- a/tests/testsuite/fold_rules.rs
+++ b/tests/testsuite/fold_rules.rs
@@ -1,12 +1,12 @@
 //! Preconditions of records, decided alike by all who fold them.
 
 use workswood_core::fold::{State, Void};
-use workswood_core::record::{DrainReason, Duty, Envelope, FORMAT, HostStep, InstanceStep, Record};
+use workswood_core::record::{DrainReason, Envelope, FORMAT, HostStep, InstanceStep, Record, Role};
 use workswood_test_support::files::{pool, small};
 use workswood_test_support::log::{Log, Process};
 
 fn take(holder: &str, term: u64, seen: u64) -> Record {
-    Record::Take { duty: Duty::Planner, holder: holder.to_string(), term, seen }
+    Record::Take { role: Role::Planner, holder: holder.to_string(), term, seen }
 }
 
 fn host(term: u64, host: &str, generation: u64, step: HostStep) -> Record {
@@ -46,15 +46,15 @@
     assert_eq!(a.append(&mut log, 1, vec![take("a", 1, 0)]), [Ok(())]);
     b.follow(&log, 9);
     // The holder renewed after the other looked: the take is void.
-    assert_eq!(a.append(&mut log, 2, vec![Record::Renew { duty: Duty::Planner, term: 1 }]), [Ok(())]);
+    assert_eq!(a.append(&mut log, 2, vec![Record::Renew { role: Role::Planner, term: 1 }]), [Ok(())]);
     assert_eq!(b.append(&mut log, 3, vec![take("b", 2, 0)]), [Err(Void::Term)]);
     assert_eq!(b.append(&mut log, 4, vec![take("b", 2, 1)]), [Ok(())]);
     // The former holder slept through it; nothing it decides counts.
     let late =
-        vec![Record::Renew { duty: Duty::Planner, term: 1 }, Record::Roster { term: 1, members: vec![] }];
+        vec![Record::Renew { role: Role::Planner, term: 1 }, Record::Roster { term: 1, members: vec![] }];
     assert_eq!(a.append(&mut log, 5, late), [Err(Void::Term), Err(Void::Term)]);
     assert_eq!(
-        a.append(&mut log, 6, vec![Record::GiveUp { duty: Duty::Planner, term: 2 }]),
+        a.append(&mut log, 6, vec![Record::GiveUp { role: Role::Planner, term: 2 }]),
         [Err(Void::Term)]
     );
     b.follow(&log, 9);
@@ -155,7 +155,7 @@
 fn repeated_envelopes() {
     let (mut log, mut p) = (Log::default(), Process::new("p"));
     let first = p.envelope(1, vec![take("p", 1, 0)]);
-    let second = p.envelope(1, vec![Record::Renew { duty: Duty::Planner, term: 1 }]);
+    let second = p.envelope(1, vec![Record::Renew { role: Role::Planner, term: 1 }]);
     // The second overtakes the first, which is void for good.
     for env in [&second, &first, &second] {
         log.all.push(env.clone());
--- a/tests/testsuite/lost_attempts.rs
+++ b/tests/testsuite/lost_attempts.rs
@@ -6,7 +6,7 @@
 
 use workswood_core::fleet::Class;
 use workswood_core::fold::{JobPhase, KeyState};
-use workswood_core::record::{Deferred, Duty, End, HostStep, JobStep, Record};
+use workswood_core::record::{Deferred, End, HostStep, JobStep, Record, Role};
 use workswood_test_support::files::{job, small, team};
 use workswood_test_support::log::{Log, Process};
 
@@ -20,7 +20,7 @@
     file.teams = vec![team()];
     file.jobs = vec![job("report", "main", Class::Normal, true)];
     let apply = Record::Apply { id: "1".into(), base: 0, author: "a".into(), file: Box::new(file) };
-    let take = Record::Take { duty: Duty::Planner, holder: "p".into(), term: 1, seen: 0 };
+    let take = Record::Take { role: Role::Planner, holder: "p".into(), term: 1, seen: 0 };
     assert_eq!(p.append(&mut log, 1, vec![take, apply]), [Ok(()), Ok(())]);
     for n in 0..3 {
         let host = |generation, step| Record::Host { term: 1, host: format!("h{n}"), generation, step };
--- a/tests/testsuite/maintenance_waves.rs
+++ b/tests/testsuite/maintenance_waves.rs
@@ -5,7 +5,7 @@
 use workswood::ops::dev::{CallerRequest, Dev};
 use workswood_core::fleet::{FleetFile, Window};
 use workswood_core::invariant;
-use workswood_core::record::Duty;
+use workswood_core::record::Role;
 use workswood_operators::ApplyReply;
 use workswood_test_support::files::{maintenance, small};
 use workswood_test_support::live::{Load, Watch, fleet, until};
@@ -29,7 +29,7 @@
 }
 
 fn planner(dev: &Dev) -> Option<usize> {
-    let holder = dev.entries[0].node.state.read().lease(Duty::Planner).holder?;
+    let holder = dev.entries[0].node.state.read().lease(Role::Planner).holder?;
     dev.entries.iter().position(|e| e.node.id == holder)
 }
 
@@ -62,7 +62,7 @@
         let dead = dev.entries.remove(i);
         dead.kill();
         drop(dead);
-        let term = |dev: &Dev| dev.entries[0].node.state.read().lease(Duty::Planner).term;
+        let term = |dev: &Dev| dev.entries[0].node.state.read().lease(Role::Planner).term;
         let before = term(&dev);
         until("another takes over", || term(&dev) > before).await;
     }
--- a/tests/testsuite/state_checkpoints.rs
+++ b/tests/testsuite/state_checkpoints.rs
@@ -3,7 +3,7 @@
 use arbtest::arbtest;
 use workswood_core::fold::{Assembler, State};
 use workswood_core::invariant;
-use workswood_core::record::{Duty, End, Record, RosterMember};
+use workswood_core::record::{End, Record, Role, RosterMember};
 use workswood_test_support::files::small;
 use workswood_test_support::log::{Log, Process};
 
@@ -22,7 +22,7 @@
         },
         1 => Record::Finish { key, holder: "p".into(), end: End::NotSent },
         2 => Record::Finish { key, holder: "p".into(), end: End::Answered { status: 200, body: None } },
-        3 => Record::Renew { duty: Duty::Planner, term: 1 },
+        3 => Record::Renew { role: Role::Planner, term: 1 },
         _ => Record::Apply {
             id: format!("c{n}"),
             base: u.int_in_range(0..=9u64)?,
@@ -42,10 +42,10 @@
     for i in 0..100 {
         arbtest(|u| {
             let (mut log, mut p) = (Log::default(), Process::new("p"));
-            let take = |duty| Record::Take { duty, holder: "p".into(), term: 1, seen: 0 };
+            let take = |duty| Record::Take { role: duty, holder: "p".into(), term: 1, seen: 0 };
             let member = RosterMember { id: "p".into(), data_centre: "d".into() };
             let roster = Record::Roster { term: 1, members: vec![member] };
-            p.append(&mut log, 1, vec![take(Duty::Planner), take(Duty::Checkpointer), roster]);
+            p.append(&mut log, 1, vec![take(Role::Planner), take(Role::Checkpointer), roster]);
             let mut now = 1;
             for n in 0..40 {
                 now += u.int_in_range(0..=1_000_000u64)?;
