--- a/crates/workswood-core/src/fold/apply.rs
+++ b/crates/workswood-core/src/fold/apply.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{HostRec, State, Verdict, Void};
+use super::{HostRec, RecordResult, Rejection, State};
 use crate::fleet::FleetFile;
 use crate::ids::{FileId, Offset};
 
@@ -37,7 +37,7 @@
         base: u64,
         author: &str,
         file: &FleetFile,
-    ) -> Verdict {
+    ) -> RecordResult {
         let digest = digest(file);
         if let Some(now) = self.files.get(&file.file) {
             // The same change, applied again or raced by its own copy, is once.
@@ -48,10 +48,10 @@
         let version = self.files.get(&file.file).map_or(0, |f| f.version);
         if version != base {
             let author = self.files.get(&file.file).map_or(String::new(), |f| f.author.clone());
-            return Err(Void::Stale { version, author });
+            return Err(Rejection::Stale { version, author });
         }
         if let Some((what, owner)) = self.claimed_elsewhere(file) {
-            return Err(Void::Claimed { what, file: owner });
+            return Err(Rejection::Claimed { what, file: owner });
         }
         let rec = FileRec {
             version: version + 1,
--- a/crates/workswood-core/src/fold/hosts.rs
+++ b/crates/workswood-core/src/fold/hosts.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{State, Verdict, Void};
+use super::{RecordResult, Rejection, State};
 use crate::fleet::{Host, Place};
 use crate::ids::{FileId, PoolId, Term};
 use crate::invariant;
@@ -114,11 +114,17 @@
 }
 
 impl State {
-    pub(super) fn step_host(&mut self, term: Term, host: &str, generation: u64, step: &HostStep) -> Verdict {
+    pub(super) fn step_host(
+        &mut self,
+        term: Term,
+        host: &str,
+        generation: u64,
+        step: &HostStep,
+    ) -> RecordResult {
         self.holds(Role::Planner, term)?;
-        let rec = self.hosts.get(host).ok_or(Void::Missing)?;
+        let rec = self.hosts.get(host).ok_or(Rejection::Missing)?;
         if rec.generation != generation {
-            return Err(Void::Generation);
+            return Err(Rejection::Generation);
         }
         if let HostStep::Drain { .. } = step {
             self.may_leave(host)?;
@@ -126,26 +132,26 @@
         if let HostStep::Flip | HostStep::Forget = step
             && self.by_host.contains_key(host)
         {
-            return Err(Void::Phase);
+            return Err(Rejection::Phase);
         }
         if let HostStep::Forget = step {
             let released = rec.released && matches!(rec.phase, Phase::Drained(DrainReason::Release));
             if !released {
-                return Err(Void::Phase);
+                return Err(Rejection::Phase);
             }
             self.hosts.remove(host);
             return Ok(());
         }
         let pool_known = |p: &str| self.pools().any(|x| x.name == p);
         match step {
-            HostStep::Assign { pool } if !pool_known(pool) => return Err(Void::Missing),
+            HostStep::Assign { pool } if !pool_known(pool) => return Err(Rejection::Missing),
             HostStep::Drain { reason: DrainReason::Move { to } } if !pool_known(to) => {
-                return Err(Void::Missing);
+                return Err(Rejection::Missing);
             }
             _ => {}
         }
         let (time, offset) = (self.time, self.next - 1);
-        let rec = self.hosts.get_mut(host).ok_or(Void::Missing)?;
+        let rec = self.hosts.get_mut(host).ok_or(Rejection::Missing)?;
         let moved = next(rec, step)?;
         rec.generation += 1;
         rec.offset = offset;
@@ -191,7 +197,7 @@
 }
 
 /// Carries one step out on a host; true if it changed the pool.
-fn next(rec: &mut HostRec, step: &HostStep) -> Result<bool, Void> {
+fn next(rec: &mut HostRec, step: &HostStep) -> Result<bool, Rejection> {
     match (step, rec.phase.clone()) {
         (HostStep::Seen { place, cpus, memory_gib, accelerators }, _) => {
             rec.place = place.clone();
@@ -220,7 +226,7 @@
             rec.maintained.insert(name);
             rec.phase = Phase::Active;
         }
-        _ => return Err(Void::Phase),
+        _ => return Err(Rejection::Phase),
     }
     Ok(false)
 }
--- a/crates/workswood-core/src/fold/instances.rs
+++ b/crates/workswood-core/src/fold/instances.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{HostRec, State, Verdict, Void};
+use super::{HostRec, RecordResult, Rejection, State};
 use crate::fleet::{Budget, Service};
 use crate::ids::{HostId, InstanceId, Rack, ServiceId, Term};
 use crate::record::{InstanceStep, Role};
@@ -126,8 +126,8 @@
     }
 
     /// Whether all budgets allow that a host stops taking work.
-    pub fn may_leave(&self, host: &str) -> Verdict {
-        let rec = self.hosts.get(host).ok_or(Void::Missing)?;
+    pub fn may_leave(&self, host: &str) -> RecordResult {
+        let rec = self.hosts.get(host).ok_or(Rejection::Missing)?;
         // What a failed or foreign host carried is already lost to its service.
         if !rec.takes_work() {
             return Ok(());
@@ -135,7 +135,7 @@
         for s in self.services_on(host) {
             let allowed = self.availability_of(&s.name).leave(&s.budget, rec).is_some();
             if !allowed {
-                return Err(Void::Budget(s.name.clone()));
+                return Err(Rejection::Budget(s.name.clone()));
             }
         }
         Ok(())
@@ -156,12 +156,12 @@
         }
     }
 
-    pub(super) fn step_instance(&mut self, term: Term, instance: &str, step: &InstanceStep) -> Verdict {
+    pub(super) fn step_instance(&mut self, term: Term, instance: &str, step: &InstanceStep) -> RecordResult {
         self.holds(Role::Planner, term)?;
         match step {
             InstanceStep::Place { host } => self.place(instance, host),
             InstanceStep::Ready { address, ready } => {
-                let rec = self.instances.get_mut(instance).ok_or(Void::Missing)?;
+                let rec = self.instances.get_mut(instance).ok_or(Rejection::Missing)?;
                 rec.address.clone_from(address);
                 rec.ready = *ready;
                 Ok(())
@@ -170,14 +170,14 @@
         }
     }
 
-    fn place(&mut self, instance: &str, host: &str) -> Verdict {
+    fn place(&mut self, instance: &str, host: &str) -> RecordResult {
         let service = service_of(instance);
-        let s = self.service(service).ok_or(Void::Missing)?;
-        let h = self.hosts.get(host).ok_or(Void::Missing)?;
+        let s = self.service(service).ok_or(Rejection::Missing)?;
+        let h = self.hosts.get(host).ok_or(Rejection::Missing)?;
         let doubled = self.instances.contains_key(instance);
         let crowded = self.instances_of(service).any(|(_, i)| i.host == host);
         if doubled || crowded || !h.takes_work() || h.pool.as_ref() != Some(&s.pool) {
-            return Err(Void::Phase);
+            return Err(Rejection::Phase);
         }
         let rec = InstanceRec {
             service: service.to_string(),
@@ -191,17 +191,17 @@
         Ok(())
     }
 
-    fn remove(&mut self, instance: &str) -> Verdict {
-        let rec = self.instances.get(instance).ok_or(Void::Missing)?;
+    fn remove(&mut self, instance: &str) -> RecordResult {
+        let rec = self.instances.get(instance).ok_or(Rejection::Missing)?;
         let host = self.hosts.get(&rec.host);
         let working = rec.ready && host.is_some_and(|h| h.takes_work());
         if working {
-            let s = self.service(&rec.service).ok_or(Void::Missing)?;
+            let s = self.service(&rec.service).ok_or(Rejection::Missing)?;
             let a = self.availability_of(&rec.service);
             // Surplus instances may go while the rest keeps the budget.
             let allowed = host.is_some_and(|h| a.leave(&s.budget, h).is_some());
             if !allowed {
-                return Err(Void::Budget(rec.service.clone()));
+                return Err(Rejection::Budget(rec.service.clone()));
             }
         }
         let host = rec.host.clone();
--- a/crates/workswood-core/src/fold/jobs.rs
+++ b/crates/workswood-core/src/fold/jobs.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{State, Verdict, Void};
+use super::{RecordResult, Rejection, State};
 use crate::ids::{HostId, Term};
 use crate::record::{JobStep, Role};
 
@@ -50,15 +50,15 @@
 const MAX_LOSSES: u32 = 3;
 
 impl State {
-    pub(super) fn step_job(&mut self, term: Term, job: &str, step: &JobStep) -> Verdict {
+    pub(super) fn step_job(&mut self, term: Term, job: &str, step: &JobStep) -> RecordResult {
         self.holds(Role::Planner, term)?;
-        let declared = self.declared_jobs().find(|j| j.name == job).ok_or(Void::Missing)?;
+        let declared = self.declared_jobs().find(|j| j.name == job).ok_or(Rejection::Missing)?;
         let (repeatable, pool) = (declared.repeatable, declared.pool.clone());
         let (time, offset) = (self.time, self.next - 1);
         if let JobStep::Start { host } = step {
-            let h = self.hosts.get(host).ok_or(Void::Missing)?;
+            let h = self.hosts.get(host).ok_or(Rejection::Missing)?;
             if !h.takes_work() || h.pool.as_ref() != Some(&pool) {
-                return Err(Void::Phase);
+                return Err(Rejection::Phase);
             }
         }
         let fresh = JobRec { phase: JobPhase::Waiting, token: 0, since: time, failures: 0, losses: 0 };
@@ -82,7 +82,7 @@
                 let again = repeatable && rec.failures < MAX_FAILURES;
                 rec.phase = if again { JobPhase::Waiting } else { JobPhase::Failed };
             }
-            _ => return Err(Void::Phase),
+            _ => return Err(Rejection::Phase),
         }
         rec.since = time;
         Ok(())
--- a/crates/workswood-core/src/fold/keys.rs
+++ b/crates/workswood-core/src/fold/keys.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{State, Verdict, Void};
+use super::{RecordResult, Rejection, State};
 use crate::ids::{Incarnation, RequestKey, ServiceId, UnixMs};
 use crate::record::{Deferred, End};
 
@@ -115,17 +115,17 @@
         holder: Option<&Incarnation>,
         last_moment: UnixMs,
         deferred: Option<&Deferred>,
-    ) -> Verdict {
+    ) -> RecordResult {
         if self.keys.contains_key(key) {
-            return Err(Void::KeyTaken);
+            return Err(Rejection::KeyTaken);
         }
         if last_moment < self.time {
-            return Err(Void::Expired);
+            return Err(Rejection::Expired);
         }
         // Only a process on the roster may run: those who must be sure that a
         // key is not running ask all of the roster.
         if holder.is_some_and(|h| !self.roster.iter().any(|m| m.id == *h)) {
-            return Err(Void::Phase);
+            return Err(Rejection::Phase);
         }
         let state = match holder {
             Some(h) => KeyState::Running { holder: h.clone() },
@@ -147,10 +147,10 @@
         Ok(())
     }
 
-    pub(super) fn start(&mut self, key: &str, holder: &str, attempt: u32) -> Verdict {
-        let rec = self.keys.get_mut(key).ok_or(Void::Missing)?;
+    pub(super) fn start(&mut self, key: &str, holder: &str, attempt: u32) -> RecordResult {
+        let rec = self.keys.get_mut(key).ok_or(Rejection::Missing)?;
         if rec.deferred.is_none() {
-            return Err(Void::Phase);
+            return Err(Rejection::Phase);
         }
         let free = match rec.state {
             KeyState::Waiting => true,
@@ -158,18 +158,18 @@
             KeyState::Done { .. } | KeyState::Unknown => false,
         };
         if !free || attempt != rec.attempts + 1 {
-            return Err(Void::KeyTaken);
+            return Err(Rejection::KeyTaken);
         }
         rec.attempts = attempt;
         rec.state = KeyState::Running { holder: holder.to_string() };
         Ok(())
     }
 
-    pub(super) fn finish(&mut self, key: &str, holder: &str, end: &End) -> Verdict {
-        let rec = self.keys.get_mut(key).ok_or(Void::Missing)?;
+    pub(super) fn finish(&mut self, key: &str, holder: &str, end: &End) -> RecordResult {
+        let rec = self.keys.get_mut(key).ok_or(Rejection::Missing)?;
         let held = matches!(&rec.state, KeyState::Running { holder: h } if h == holder);
         if !held {
-            return Err(Void::Phase);
+            return Err(Rejection::Phase);
         }
         let again = rec.may_repeat();
         match end {
--- a/crates/workswood-core/src/fold/lease.rs
+++ b/crates/workswood-core/src/fold/lease.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{State, Verdict, Void};
+use super::{RecordResult, Rejection, State};
 use crate::ids::{Incarnation, Term};
 use crate::record::{Role, RosterMember};
 
@@ -29,43 +29,43 @@
         self.leases.get(&role).cloned().unwrap_or_default()
     }
 
-    pub(super) fn holds(&self, role: Role, term: Term) -> Verdict {
+    pub(super) fn holds(&self, role: Role, term: Term) -> RecordResult {
         let lease = self.lease(role);
-        if lease.holder.is_some() && lease.term == term { Ok(()) } else { Err(Void::Term) }
+        if lease.holder.is_some() && lease.term == term { Ok(()) } else { Err(Rejection::Term) }
     }
 
-    pub(super) fn take(&mut self, role: Role, holder: &str, term: Term, seen: u64) -> Verdict {
+    pub(super) fn take(&mut self, role: Role, holder: &str, term: Term, seen: u64) -> RecordResult {
         let lease = self.lease(role);
         if term != lease.term + 1 || seen != lease.renewals {
-            return Err(Void::Term);
+            return Err(Rejection::Term);
         }
         let rec = LeaseRec { holder: Some(holder.to_string()), term, renewals: 0 };
         self.leases.insert(role, rec);
         Ok(())
     }
 
-    pub(super) fn renew(&mut self, role: Role, term: Term, from: &str) -> Verdict {
+    pub(super) fn renew(&mut self, role: Role, term: Term, from: &str) -> RecordResult {
         self.holds(role, term)?;
         let lease = self.leases.entry(role).or_default();
         if lease.holder.as_deref() != Some(from) {
-            return Err(Void::Term);
+            return Err(Rejection::Term);
         }
         lease.renewals += 1;
         Ok(())
     }
 
-    pub(super) fn give_up(&mut self, role: Role, term: Term, from: &str) -> Verdict {
+    pub(super) fn give_up(&mut self, role: Role, term: Term, from: &str) -> RecordResult {
         self.holds(role, term)?;
         let lease = self.leases.entry(role).or_default();
         if lease.holder.as_deref() != Some(from) {
-            return Err(Void::Term);
+            return Err(Rejection::Term);
         }
         lease.holder = None;
         lease.renewals += 1;
         Ok(())
     }
 
-    pub(super) fn set_roster(&mut self, term: Term, members: &[RosterMember]) -> Verdict {
+    pub(super) fn set_roster(&mut self, term: Term, members: &[RosterMember]) -> RecordResult {
         self.holds(Role::Planner, term)?;
         self.roster = members.to_vec();
         self.roster_generation += 1;
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -30,9 +30,9 @@
 pub use lease::LeaseRec;
 pub use snapshot::{Assembler, Digest};
 
-/// Why a record had no effect.
+/// Why a record was rejected and had no effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Void {
+pub enum Rejection {
     /// The term is not the current one.
     Term,
     /// The generation is not the current one.
@@ -67,21 +67,21 @@
     Repeated,
 }
 
-impl Void {
+impl Rejection {
     /// The code that an operator or caller is shown.
     pub fn code(&self) -> Code {
         match self {
-            Void::Stale { .. } => Code::StaleBase,
-            Void::Claimed { .. } => Code::ClaimedElsewhere,
-            Void::KeyTaken => Code::KeyConflict,
-            Void::Expired => Code::KeyExpired,
+            Rejection::Stale { .. } => Code::StaleBase,
+            Rejection::Claimed { .. } => Code::ClaimedElsewhere,
+            Rejection::KeyTaken => Code::KeyConflict,
+            Rejection::Expired => Code::KeyExpired,
             _ => Code::ApplyNotTaken,
         }
     }
 }
 
-/// Outcome of one record: accepted, or void with a reason.
-pub type Verdict = Result<(), Void>;
+/// Outcome of one record: accepted, or rejected with a reason.
+pub type RecordResult = Result<(), Rejection>;
 
 /// The state of the whole system at one offset.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -137,33 +137,34 @@
 
 impl State {
     /// Folds the envelope at `offset`; returns one verdict a record.
-    pub fn fold(&mut self, offset: Offset, env: &Envelope) -> Vec<Verdict> {
+    pub fn fold(&mut self, offset: Offset, env: &Envelope) -> Vec<RecordResult> {
         let in_order = invariant::check(offset >= self.next, || {
             format!("offset {offset} folded again, next is {}", self.next)
         });
         if !in_order {
-            return vec![Err(Void::Repeated); env.records.len()];
+            return vec![Err(Rejection::Repeated); env.records.len()];
         }
         self.next = offset + 1;
         if env.v != FORMAT {
             self.unknown += 1;
-            return vec![Err(Void::Unknown); env.records.len()];
+            return vec![Err(Rejection::Unknown); env.records.len()];
         }
         let last = self.senders.get(&env.from).map_or(0, |s| s.0);
         if env.seq <= last {
-            return vec![Err(Void::Repeated); env.records.len()];
+            return vec![Err(Rejection::Repeated); env.records.len()];
         }
         self.time = self.time.max(env.at);
         self.senders.insert(env.from.clone(), (env.seq, self.time));
         self.prune();
-        let verdicts: Vec<Verdict> = env.records.iter().map(|r| self.fold_record(env, offset, r)).collect();
+        let results: Vec<RecordResult> =
+            env.records.iter().map(|r| self.fold_record(env, offset, r)).collect();
         // The mark is of the state after the whole envelope, wherever it stands.
         let marked =
-            env.records.iter().zip(&verdicts).any(|(r, v)| matches!(r, Record::Mark { .. }) && v.is_ok());
+            env.records.iter().zip(&results).any(|(r, v)| matches!(r, Record::Mark { .. }) && v.is_ok());
         if marked {
             self.mark(offset);
         }
-        verdicts
+        results
     }
 
     /// Passes over an envelope that can't be read.
@@ -172,7 +173,7 @@
         self.unknown += 1;
     }
 
-    fn fold_record(&mut self, env: &Envelope, offset: Offset, record: &Record) -> Verdict {
+    fn fold_record(&mut self, env: &Envelope, offset: Offset, record: &Record) -> RecordResult {
         match record {
             Record::Apply { id, base, author, file } => self.apply(offset, id, *base, author, file),
             Record::Take { role, holder, term, seen } => self.take(*role, holder, *term, *seen),
@@ -191,7 +192,7 @@
             Record::Checkpoint { upto, digest, .. } => self.compare(*upto, *digest),
             Record::Unknown(_) => {
                 self.unknown += 1;
-                Err(Void::Unknown)
+                Err(Rejection::Unknown)
             }
         }
     }
--- a/crates/workswood-core/src/fold/snapshot.rs
+++ b/crates/workswood-core/src/fold/snapshot.rs
@@ -2,7 +2,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{State, Verdict, Void};
+use super::{RecordResult, Rejection, State};
 use crate::ids::Offset;
 use crate::invariant;
 use crate::record::Record;
@@ -59,14 +59,14 @@
     }
 
     /// A checkpoint of other records than ours means that the fold differs.
-    pub(super) fn compare(&mut self, upto: Offset, digest: u64) -> Verdict {
+    pub(super) fn compare(&mut self, upto: Offset, digest: u64) -> RecordResult {
         let Some(mark) = self.marks.iter().find(|m| m.upto == upto) else {
             return Ok(());
         };
         let same = invariant::check(mark.digest == digest, || {
             format!("checkpoint of offset {upto} differs from the fold of the records")
         });
-        if same { Ok(()) } else { Err(Void::Unknown) }
+        if same { Ok(()) } else { Err(Rejection::Unknown) }
     }
 
     /// The records of a checkpoint of the state at the newest mark.
--- a/crates/workswood-core/src/keyed.rs
+++ b/crates/workswood-core/src/keyed.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use crate::code::{Code, Ran};
-use crate::fold::{KeyRec, KeyState, Lookup, State, Verdict, Void};
+use crate::fold::{KeyRec, KeyState, Lookup, RecordResult, Rejection, State};
 use crate::ids::{Incarnation, RequestKey, UnixMs};
 
 /// A key as a caller gives it.
@@ -107,12 +107,12 @@
 }
 
 /// What follows from the verdict on an own claim, on the state that holds it.
-pub fn after_claim(state: &State, given: &Given, verdict: &Verdict) -> AfterClaim {
+pub fn after_claim(state: &State, given: &Given, verdict: &RecordResult) -> AfterClaim {
     match verdict {
         Ok(()) => AfterClaim::Run,
-        Err(Void::KeyTaken) => AfterClaim::Tell(known(state, given).unwrap_or(Told::Unknown)),
+        Err(Rejection::KeyTaken) => AfterClaim::Tell(known(state, given).unwrap_or(Told::Unknown)),
         // Log time has passed the last moment, so no claim can follow.
-        Err(Void::Expired) => AfterClaim::Tell(known(state, given).unwrap_or(Told::Forgotten)),
+        Err(Rejection::Expired) => AfterClaim::Tell(known(state, given).unwrap_or(Told::Forgotten)),
         Err(_) => AfterClaim::NotNow,
     }
 }
--- a/crates/workswood-core/src/plan/wave.rs
+++ b/crates/workswood-core/src/plan/wave.rs
@@ -232,7 +232,7 @@
         }
         match state.may_leave(id) {
             Ok(()) => return Stop::Running,
-            Err(crate::fold::Void::Budget(service)) => budget = Some(service),
+            Err(crate::fold::Rejection::Budget(service)) => budget = Some(service),
             Err(_) => {}
         }
     }
--- a/crates/workswood-test-support/src/history.rs
+++ b/crates/workswood-test-support/src/history.rs
@@ -3,7 +3,7 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use workswood_core::fleet::FleetFile;
-use workswood_core::fold::{State, Void};
+use workswood_core::fold::{Rejection, State};
 use workswood_core::ids::{Term, UnixMs};
 use workswood_core::plan::{Act, Facts, Stop, acts, decide, wave_status};
 use workswood_core::record::{Envelope, HostStep, InstanceStep, Record, Role};
@@ -470,7 +470,7 @@
     }
 
     /// The verdict of a record that takes a host, for focused tests.
-    pub fn may_leave(&self, host: &str) -> std::result::Result<(), Void> {
+    pub fn may_leave(&self, host: &str) -> std::result::Result<(), Rejection> {
         self.truth.state.may_leave(host)
     }
 }
--- a/crates/workswood-test-support/src/keys.rs
+++ b/crates/workswood-test-support/src/keys.rs
@@ -6,7 +6,7 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use workswood_core::code::Ran;
-use workswood_core::fold::Verdict;
+use workswood_core::fold::RecordResult;
 use workswood_core::ids::UnixMs;
 use workswood_core::keyed::{AfterClaim, Given, Inquiry, Reply, after_claim, known};
 use workswood_core::record::{End, Envelope, Record, Role, RosterMember};
@@ -212,7 +212,7 @@
         Ok(())
     }
 
-    fn verdict_at(&self, offset: u64) -> Verdict {
+    fn verdict_at(&self, offset: u64) -> RecordResult {
         let mut state = workswood_core::fold::State::default();
         let mut last = Ok(());
         for (i, env) in self.log.all.iter().enumerate().take(offset as usize + 1) {
--- a/crates/workswood-test-support/src/log.rs
+++ b/crates/workswood-test-support/src/log.rs
@@ -1,6 +1,6 @@
 //! A log in memory, and processes that fold it at their own pace.
 
-use workswood_core::fold::{State, Verdict};
+use workswood_core::fold::{RecordResult, State};
 use workswood_core::ids::UnixMs;
 use workswood_core::record::{Envelope, FORMAT, Record};
 
@@ -41,7 +41,7 @@
     }
 
     /// Appends records and folds everything; returns their verdicts.
-    pub fn append(&mut self, log: &mut Log, at: UnixMs, records: Vec<Record>) -> Vec<Verdict> {
+    pub fn append(&mut self, log: &mut Log, at: UnixMs, records: Vec<Record>) -> Vec<RecordResult> {
         let env = self.envelope(at, records);
         self.follow(log, usize::MAX);
         log.all.push(env.clone());
--- a/src/workswood/ops/entry/appender.rs
+++ b/src/workswood/ops/entry/appender.rs
@@ -10,7 +10,7 @@
 
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
-use workswood_core::fold::{Verdict, Void};
+use workswood_core::fold::{RecordResult, Rejection};
 use workswood_core::ids::Offset;
 use workswood_core::record::{End, Envelope, FORMAT, Record};
 use workswood_peers::{Head, Msg};
@@ -37,7 +37,7 @@
     /// Offset of the envelope.
     pub offset: Offset,
     /// One verdict a record.
-    pub verdicts: Vec<Verdict>,
+    pub verdicts: Vec<RecordResult>,
 }
 
 /// Why records were not folded in time.
@@ -72,8 +72,8 @@
     }
 
     /// Hands the verdicts of an own envelope to those who wait for them.
-    pub fn own_folded(self: &Arc<Self>, offset: Offset, env: &Envelope, verdicts: &[Verdict]) {
-        if verdicts.contains(&Err(Void::Repeated)) {
+    pub fn own_folded(self: &Arc<Self>, offset: Offset, env: &Envelope, verdicts: &[RecordResult]) {
+        if verdicts.contains(&Err(Rejection::Repeated)) {
             return;
         }
         let mut pending = self.pending.lock();
@@ -95,7 +95,7 @@
 
     /// Gives claims and starts back that were accepted after nobody waited for
     /// them: nothing was sent for them.
-    fn release(self: &Arc<Self>, records: &[Record], verdicts: &[Verdict]) {
+    fn release(self: &Arc<Self>, records: &[Record], verdicts: &[RecordResult]) {
         for (r, v) in records.iter().zip(verdicts) {
             let (Record::Claim { key, holder: Some(holder), .. } | Record::Start { key, holder, .. }) = r
             else {
--- a/src/workswood/ops/entry/deferred.rs
+++ b/src/workswood/ops/entry/deferred.rs
@@ -10,7 +10,7 @@
 use workswood_callers::{KEY, RAN, refusal, whole};
 use workswood_core::code::{Code, Ran};
 use workswood_core::fleet::Class;
-use workswood_core::fold::{KeyRec, KeyState, MAX_KEY_WINDOW, State, Void};
+use workswood_core::fold::{KeyRec, KeyState, MAX_KEY_WINDOW, Rejection, State};
 use workswood_core::ids::{RequestKey, UnixMs};
 use workswood_core::keyed::{Given, HOLD};
 use workswood_core::record::{Deferred, End as KeyEnd, Record};
@@ -73,7 +73,7 @@
     match node.append(vec![record]).await.map(|f| f.verdicts) {
         Ok(v) => match v.first() {
             Some(Ok(())) => accepted(&given.key),
-            Some(Err(Void::KeyTaken | Void::Expired)) => {
+            Some(Err(Rejection::KeyTaken | Rejection::Expired)) => {
                 keys::known(node, &given).unwrap_or_else(|| refusal(Code::KeyExpired, Ran::Unknown, None))
             }
             _ => refusal(Code::LogUnavailable, Ran::NotRun, Some(Duration::from_secs(1))),
--- a/src/workswood/ops/entry/keys.rs
+++ b/src/workswood/ops/entry/keys.rs
@@ -12,7 +12,7 @@
 use hyper::Response;
 use workswood_callers::{KEY, RAN, refusal, whole};
 use workswood_core::code::{Code, Ran};
-use workswood_core::fold::{MAX_KEY_WINDOW, Void};
+use workswood_core::fold::{MAX_KEY_WINDOW, Rejection};
 use workswood_core::ids::{RequestKey, UnixMs};
 use workswood_core::keyed::{self, AfterClaim, Given, HOLD, Inquiry, Told};
 use workswood_core::record::{End as KeyEnd, Record};
@@ -121,7 +121,7 @@
         drop(claiming);
         return refuse(node, Some(&given.key), Code::LogUnavailable, Some(COME_BACK)).await;
     };
-    let verdict = folded.verdicts.first().cloned().unwrap_or(Err(Void::Unknown));
+    let verdict = folded.verdicts.first().cloned().unwrap_or(Err(Rejection::Unknown));
     let next = keyed::after_claim(&node.state.read(), &given, &verdict);
     match next {
         AfterClaim::Run => run_claimed(node, call, body, &given.key).await,
--- a/src/workswood/ops/entry/operate.rs
+++ b/src/workswood/ops/entry/operate.rs
@@ -8,7 +8,7 @@
 use futures::future::BoxFuture;
 use workswood_core::code::Code;
 use workswood_core::fleet::{FleetFile, check, parse};
-use workswood_core::fold::{Phase, State, Void};
+use workswood_core::fold::{Phase, Rejection, State};
 use workswood_core::ids::Offset;
 use workswood_core::invariant;
 use workswood_core::plan::{Stop, wave_status};
@@ -118,11 +118,11 @@
     }
 }
 
-fn lost(node: &Node, file: &FleetFile, void: &Void) -> ApplyReply {
+fn lost(node: &Node, file: &FleetFile, void: &Rejection) -> ApplyReply {
     let state = node.state.read();
     let message = match void {
-        Void::Stale { version: 0, .. } => format!("file `{}` is not in force; use base 0", file.file),
-        Void::Stale { version, author } => {
+        Rejection::Stale { version: 0, .. } => format!("file `{}` is not in force; use base 0", file.file),
+        Rejection::Stale { version, author } => {
             let theirs = state.files.get(&file.file).map(|f| &f.file);
             let changed = theirs.map(|t| differences(t, file)).unwrap_or_default();
             format!(
@@ -131,7 +131,7 @@
                 changed.join(", ")
             )
         }
-        Void::Claimed { what, file } => format!("{what} belongs to file `{file}`"),
+        Rejection::Claimed { what, file } => format!("{what} belongs to file `{file}`"),
         other => format!("{other:?}"),
     };
     refused(void.code(), message)
--- a/tests/testsuite/fold_rules.rs
+++ b/tests/testsuite/fold_rules.rs
@@ -1,6 +1,6 @@
 //! Preconditions of records, decided alike by all who fold them.
 
-use workswood_core::fold::{State, Void};
+use workswood_core::fold::{Rejection, State};
 use workswood_core::record::{DrainReason, Envelope, FORMAT, HostStep, InstanceStep, Record, Role};
 use workswood_test_support::files::{pool, small};
 use workswood_test_support::log::{Log, Process};
@@ -47,15 +47,15 @@
     b.follow(&log, 9);
     // The holder renewed after the other looked: the take is void.
     assert_eq!(a.append(&mut log, 2, vec![Record::Renew { role: Role::Planner, term: 1 }]), [Ok(())]);
-    assert_eq!(b.append(&mut log, 3, vec![take("b", 2, 0)]), [Err(Void::Term)]);
+    assert_eq!(b.append(&mut log, 3, vec![take("b", 2, 0)]), [Err(Rejection::Term)]);
     assert_eq!(b.append(&mut log, 4, vec![take("b", 2, 1)]), [Ok(())]);
     // The former holder slept through it; nothing it decides counts.
     let late =
         vec![Record::Renew { role: Role::Planner, term: 1 }, Record::Roster { term: 1, members: vec![] }];
-    assert_eq!(a.append(&mut log, 5, late), [Err(Void::Term), Err(Void::Term)]);
+    assert_eq!(a.append(&mut log, 5, late), [Err(Rejection::Term), Err(Rejection::Term)]);
     assert_eq!(
         a.append(&mut log, 6, vec![Record::GiveUp { role: Role::Planner, term: 2 }]),
-        [Err(Void::Term)]
+        [Err(Rejection::Term)]
     );
     b.follow(&log, 9);
     assert_eq!(a.state.digest(), b.state.digest());
@@ -65,13 +65,13 @@
 fn budget_guard() {
     let (mut log, mut p) = placed();
     assert_eq!(p.append(&mut log, 2, vec![drain(1, "h0", 2)]), [Ok(())]);
-    assert_eq!(p.append(&mut log, 2, vec![drain(1, "h1", 2)]), [Err(Void::Budget("shop".into()))]);
+    assert_eq!(p.append(&mut log, 2, vec![drain(1, "h1", 2)]), [Err(Rejection::Budget("shop".into()))]);
     // A host without instances may always leave.
     assert_eq!(p.append(&mut log, 2, vec![drain(1, "h5", 2)]), [Ok(())]);
     let up = vec![host(1, "h0", 3, HostStep::Undrain)];
     assert_eq!(p.append(&mut log, 2, up), [Ok(())]);
     // It counts again only when its instance is seen to be ready.
-    assert_eq!(p.append(&mut log, 2, vec![drain(1, "h1", 2)]), [Err(Void::Budget("shop".into()))]);
+    assert_eq!(p.append(&mut log, 2, vec![drain(1, "h1", 2)]), [Err(Rejection::Budget("shop".into()))]);
     let ready = InstanceStep::Ready { address: "127.0.0.1:1".into(), ready: true };
     let ready = Record::Instance { term: 1, instance: "shop/0".into(), step: ready };
     assert_eq!(p.append(&mut log, 2, vec![ready, drain(1, "h1", 2)]), [Ok(()), Ok(())]);
@@ -82,7 +82,7 @@
     let (mut log, mut p) = placed();
     let down = host(1, "h3", 2, HostStep::Health { up: false });
     assert_eq!(p.append(&mut log, 2, vec![down]), [Ok(())]);
-    assert_eq!(p.append(&mut log, 2, vec![drain(1, "h0", 2)]), [Err(Void::Budget("shop".into()))]);
+    assert_eq!(p.append(&mut log, 2, vec![drain(1, "h0", 2)]), [Err(Rejection::Budget("shop".into()))]);
     // The failed host itself has nothing to lose.
     assert_eq!(p.append(&mut log, 2, vec![drain(1, "h3", 3)]), [Ok(())]);
 }
@@ -102,7 +102,10 @@
         host(1, "h5", 3, HostStep::Flip),
         host(1, "h5", 3, HostStep::Assign { pool: "side".into() }),
     ];
-    assert_eq!(p.append(&mut log, 2, early), [Err(Void::Generation), Err(Void::Phase), Err(Void::Phase)]);
+    assert_eq!(
+        p.append(&mut log, 2, early),
+        [Err(Rejection::Generation), Err(Rejection::Phase), Err(Rejection::Phase)]
+    );
     assert_eq!(p.state.hosts["h5"].pool.as_deref(), Some("main"));
     let flip = vec![host(1, "h5", 3, HostStep::Drained), host(1, "h5", 4, HostStep::Flip)];
     assert_eq!(p.append(&mut log, 2, flip), [Ok(()), Ok(())]);
@@ -114,7 +117,7 @@
         host(1, "h0", 3, HostStep::Drained),
         host(1, "h0", 4, HostStep::Flip),
     ];
-    assert_eq!(p.append(&mut log, 2, steps), [Ok(()), Ok(()), Err(Void::Phase)]);
+    assert_eq!(p.append(&mut log, 2, steps), [Ok(()), Ok(()), Err(Rejection::Phase)]);
 }
 
 #[test]
@@ -123,7 +126,7 @@
     let mut other = small(6, 4, 3);
     other.file = "other".into();
     let apply = Record::Apply { id: "2".into(), base: 0, author: "a".into(), file: Box::new(other) };
-    let claimed = Void::Claimed { what: "host `h0`".into(), file: "small".into() };
+    let claimed = Rejection::Claimed { what: "host `h0`".into(), file: "small".into() };
     assert_eq!(p.append(&mut log, 2, vec![apply]), [Err(claimed)]);
 }
 
@@ -143,11 +146,11 @@
     let text = r#"{"v":1,"from":"new","seq":1,"at":5,"records":[{"kind":"teleport","to":"moon"}]}"#;
     let env: Envelope = serde_json::from_str(text).expect("it is kept");
     let mut state = State::default();
-    assert_eq!(state.fold(0, &env), [Err(Void::Unknown)]);
+    assert_eq!(state.fold(0, &env), [Err(Rejection::Unknown)]);
     assert_eq!(state.unknown, 1);
     assert_eq!(serde_json::to_string(&env).expect("JSON"), text);
     let later = Envelope { v: FORMAT + 1, seq: 2, ..env };
-    assert_eq!(state.fold(1, &later), [Err(Void::Unknown)]);
+    assert_eq!(state.fold(1, &later), [Err(Rejection::Unknown)]);
     assert_eq!((state.unknown, state.next), (2, 2));
 }
 
@@ -163,5 +166,5 @@
     let mut state = State::default();
     let verdicts: Vec<_> =
         log.all.iter().enumerate().map(|(i, e)| state.fold(i as u64, e)[0].clone()).collect();
-    assert_eq!(verdicts, [Err(Void::Term), Err(Void::Repeated), Err(Void::Repeated)]);
+    assert_eq!(verdicts, [Err(Rejection::Term), Err(Rejection::Repeated), Err(Rejection::Repeated)]);
 }
