--- a/crates/workswood-core/src/fold/hosts.rs
+++ b/crates/workswood-core/src/fold/hosts.rs
@@ -8,7 +8,7 @@
 use crate::fleet::{Host, Place};
 use crate::ids::{FileId, PoolId, Term};
 use crate::invariant;
-use crate::record::{DrainReason, HostStep, Role};
+use crate::record::{DrainReason, HostChange, Role};
 
 /// Where a host is in its life with us.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,17 +38,17 @@
     pub file: FileId,
     /// The one pool it belongs to.
     pub pool: Option<PoolId>,
-    /// Grows with each accepted step.
+    /// Grows with each accepted change.
     pub generation: u64,
     /// Where it is in its life.
     pub phase: Phase,
-    /// Offset of the last step.
+    /// Offset of the last change.
     pub offset: u64,
     /// Log time of the last change of phase or health.
     pub since: u64,
     /// Generation at which the pool was set; token of that act.
     pub pool_generation: u64,
-    /// Generation of the last step that asks for a drain, a reboot or the end
+    /// Generation of the last change that asks for a drain, a reboot or the end
     /// of a drain; token of that act.
     pub act_generation: u64,
     /// Where it stands.
@@ -114,27 +114,27 @@
 }
 
 impl State {
-    pub(super) fn step_host(
+    pub(super) fn change_host(
         &mut self,
         term: Term,
         host: &str,
         generation: u64,
-        step: &HostStep,
+        change: &HostChange,
     ) -> RecordResult {
         self.holds(Role::Planner, term)?;
         let rec = self.hosts.get(host).ok_or(Rejection::Missing)?;
         if rec.generation != generation {
             return Err(Rejection::Generation);
         }
-        if let HostStep::Drain { .. } = step {
+        if let HostChange::Drain { .. } = change {
             self.may_leave(host)?;
         }
-        if let HostStep::Flip | HostStep::Forget = step
+        if let HostChange::Flip | HostChange::Forget = change
             && self.by_host.contains_key(host)
         {
             return Err(Rejection::Phase);
         }
-        if let HostStep::Forget = step {
+        if let HostChange::Forget = change {
             let released = rec.released && matches!(rec.phase, Phase::Drained(DrainReason::Release));
             if !released {
                 return Err(Rejection::Phase);
@@ -143,27 +143,27 @@
             return Ok(());
         }
         let pool_known = |p: &str| self.pools().any(|x| x.name == p);
-        match step {
-            HostStep::Assign { pool } if !pool_known(pool) => return Err(Rejection::Missing),
-            HostStep::Drain { reason: DrainReason::Move { to } } if !pool_known(to) => {
+        match change {
+            HostChange::Assign { pool } if !pool_known(pool) => return Err(Rejection::Missing),
+            HostChange::Drain { reason: DrainReason::Move { to } } if !pool_known(to) => {
                 return Err(Rejection::Missing);
             }
             _ => {}
         }
         let (time, offset) = (self.time, self.next - 1);
         let rec = self.hosts.get_mut(host).ok_or(Rejection::Missing)?;
-        let moved = next(rec, step)?;
+        let moved = apply_change(rec, change)?;
         rec.generation += 1;
         rec.offset = offset;
-        if !matches!(step, HostStep::Seen { .. }) {
+        if !matches!(change, HostChange::Seen { .. }) {
             rec.since = time;
         }
-        note_generation(rec, step);
+        note_generation(rec, change);
         let whole = rec.pool.is_some() || rec.phase == Phase::Free;
         invariant::check(whole, || format!("host {host} is in no pool and not free"));
         self.host_moves += u64::from(moved);
         // What was ready before is not until the list shows it after the act.
-        if let HostStep::Reboot { .. } | HostStep::Undrain | HostStep::Return = step {
+        if let HostChange::Reboot { .. } | HostChange::Undrain | HostChange::Return = change {
             self.stop_instances(host);
         }
         Ok(())
@@ -180,49 +180,49 @@
 }
 
 /// Keeps the generations that serve as tokens of acts on the platform.
-fn note_generation(rec: &mut HostRec, step: &HostStep) {
-    match step {
-        HostStep::Assign { .. } => rec.pool_generation = rec.generation,
+fn note_generation(rec: &mut HostRec, change: &HostChange) {
+    match change {
+        HostChange::Assign { .. } => rec.pool_generation = rec.generation,
         // Two acts follow a flip, so it takes two generations.
-        HostStep::Flip => {
+        HostChange::Flip => {
             rec.pool_generation = rec.generation;
             rec.generation += 1;
             rec.act_generation = rec.generation;
         }
-        HostStep::Drain { .. } | HostStep::Undrain | HostStep::Reboot { .. } | HostStep::Return => {
+        HostChange::Drain { .. } | HostChange::Undrain | HostChange::Reboot { .. } | HostChange::Return => {
             rec.act_generation = rec.generation;
         }
         _ => {}
     }
 }
 
-/// Carries one step out on a host; true if it changed the pool.
-fn next(rec: &mut HostRec, step: &HostStep) -> Result<bool, Rejection> {
-    match (step, rec.phase.clone()) {
-        (HostStep::Seen { place, cpus, memory_gib, accelerators }, _) => {
+/// Carries one change out on a host; true if it changed the pool.
+fn apply_change(rec: &mut HostRec, change: &HostChange) -> Result<bool, Rejection> {
+    match (change, rec.phase.clone()) {
+        (HostChange::Seen { place, cpus, memory_gib, accelerators }, _) => {
             rec.place = place.clone();
             rec.cpus = *cpus;
             rec.memory_gib = *memory_gib;
             rec.accelerators = *accelerators;
         }
-        (HostStep::Health { up }, _) => rec.up = *up,
-        (HostStep::Foreign { foreign }, _) => rec.foreign = *foreign,
-        (HostStep::Assign { pool }, Phase::Free) => {
+        (HostChange::Health { up }, _) => rec.up = *up,
+        (HostChange::Foreign { foreign }, _) => rec.foreign = *foreign,
+        (HostChange::Assign { pool }, Phase::Free) => {
             rec.pool = Some(pool.clone());
             rec.phase = Phase::Active;
         }
-        (HostStep::Drain { reason }, Phase::Active) => rec.phase = Phase::Draining(reason.clone()),
-        (HostStep::Drained, Phase::Draining(reason)) => rec.phase = Phase::Drained(reason),
-        (HostStep::Undrain, Phase::Draining(_) | Phase::Drained(_)) => rec.phase = Phase::Active,
-        (HostStep::Flip, Phase::Drained(DrainReason::Move { to })) => {
+        (HostChange::Drain { reason }, Phase::Active) => rec.phase = Phase::Draining(reason.clone()),
+        (HostChange::Drained, Phase::Draining(reason)) => rec.phase = Phase::Drained(reason),
+        (HostChange::Undrain, Phase::Draining(_) | Phase::Drained(_)) => rec.phase = Phase::Active,
+        (HostChange::Flip, Phase::Drained(DrainReason::Move { to })) => {
             rec.pool = Some(to);
             rec.phase = Phase::Active;
             return Ok(true);
         }
-        (HostStep::Reboot { boot }, Phase::Drained(DrainReason::Maintain { name })) => {
+        (HostChange::Reboot { boot }, Phase::Drained(DrainReason::Maintain { name })) => {
             rec.phase = Phase::Rebooting { name, boot: boot.clone() };
         }
-        (HostStep::Return, Phase::Rebooting { name, .. }) => {
+        (HostChange::Return, Phase::Rebooting { name, .. }) => {
             rec.maintained.insert(name);
             rec.phase = Phase::Active;
         }
--- a/crates/workswood-core/src/fold/instances.rs
+++ b/crates/workswood-core/src/fold/instances.rs
@@ -7,7 +7,7 @@
 use super::{HostRec, RecordResult, Rejection, State};
 use crate::fleet::{Budget, Service};
 use crate::ids::{HostId, InstanceId, Rack, ServiceId, Term};
-use crate::record::{InstanceStep, Role};
+use crate::record::{InstanceChange, Role};
 
 /// A placed instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -156,17 +156,22 @@
         }
     }
 
-    pub(super) fn step_instance(&mut self, term: Term, instance: &str, step: &InstanceStep) -> RecordResult {
+    pub(super) fn change_instance(
+        &mut self,
+        term: Term,
+        instance: &str,
+        change: &InstanceChange,
+    ) -> RecordResult {
         self.holds(Role::Planner, term)?;
-        match step {
-            InstanceStep::Place { host } => self.place(instance, host),
-            InstanceStep::Ready { address, ready } => {
+        match change {
+            InstanceChange::Place { host } => self.place(instance, host),
+            InstanceChange::Ready { address, ready } => {
                 let rec = self.instances.get_mut(instance).ok_or(Rejection::Missing)?;
                 rec.address.clone_from(address);
                 rec.ready = *ready;
                 Ok(())
             }
-            InstanceStep::Remove => self.remove(instance),
+            InstanceChange::Remove => self.remove(instance),
         }
     }
 
--- a/crates/workswood-core/src/fold/jobs.rs
+++ b/crates/workswood-core/src/fold/jobs.rs
@@ -4,7 +4,7 @@
 
 use super::{RecordResult, Rejection, State};
 use crate::ids::{HostId, Term};
-use crate::record::{JobStep, Role};
+use crate::record::{JobChange, Role};
 
 /// Where a job is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
     pub phase: JobPhase,
     /// Offset of the last start; its token, the platform refuses lower ones.
     pub token: u64,
-    /// Log time of the last step.
+    /// Log time of the last change.
     pub since: u64,
     /// Failed runs.
     pub failures: u32,
@@ -50,12 +50,12 @@
 const MAX_LOSSES: u32 = 3;
 
 impl State {
-    pub(super) fn step_job(&mut self, term: Term, job: &str, step: &JobStep) -> RecordResult {
+    pub(super) fn change_job(&mut self, term: Term, job: &str, change: &JobChange) -> RecordResult {
         self.holds(Role::Planner, term)?;
         let declared = self.declared_jobs().find(|j| j.name == job).ok_or(Rejection::Missing)?;
         let (repeatable, pool) = (declared.repeatable, declared.pool.clone());
         let (time, offset) = (self.time, self.next - 1);
-        if let JobStep::Start { host } = step {
+        if let JobChange::Start { host } = change {
             let h = self.hosts.get(host).ok_or(Rejection::Missing)?;
             if !h.takes_work() || h.pool.as_ref() != Some(&pool) {
                 return Err(Rejection::Phase);
@@ -63,21 +63,21 @@
         }
         let fresh = JobRec { phase: JobPhase::Waiting, token: 0, since: time, failures: 0, losses: 0 };
         let rec = self.jobs.entry(job.to_string()).or_insert(fresh);
-        match (step, &rec.phase) {
-            (JobStep::Start { host }, JobPhase::Waiting) => {
+        match (change, &rec.phase) {
+            (JobChange::Start { host }, JobPhase::Waiting) => {
                 // A second start of a job that may not be repeated needs a
                 // checkpointed stop, which only `Preempt` gives.
                 rec.token = offset;
                 rec.phase = JobPhase::Running { host: host.clone() };
             }
-            (JobStep::Preempt, JobPhase::Running { .. }) if repeatable => rec.phase = JobPhase::Waiting,
-            (JobStep::Lost, JobPhase::Running { .. }) => {
+            (JobChange::Preempt, JobPhase::Running { .. }) if repeatable => rec.phase = JobPhase::Waiting,
+            (JobChange::Lost, JobPhase::Running { .. }) => {
                 rec.losses += 1;
                 let again = repeatable && rec.losses < MAX_LOSSES;
                 rec.phase = if again { JobPhase::Waiting } else { JobPhase::Failed };
             }
-            (JobStep::End { ok: true }, JobPhase::Running { .. }) => rec.phase = JobPhase::Done,
-            (JobStep::End { ok: false }, JobPhase::Running { .. }) => {
+            (JobChange::End { ok: true }, JobPhase::Running { .. }) => rec.phase = JobPhase::Done,
+            (JobChange::End { ok: false }, JobPhase::Running { .. }) => {
                 rec.failures += 1;
                 let again = repeatable && rec.failures < MAX_FAILURES;
                 rec.phase = if again { JobPhase::Waiting } else { JobPhase::Failed };
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -37,7 +37,7 @@
     Term,
     /// The generation is not the current one.
     Generation,
-    /// The phase does not allow the step.
+    /// The phase does not allow the change.
     Phase,
     /// The thing named does not exist.
     Missing,
@@ -180,14 +180,16 @@
             Record::Renew { role, term } => self.renew(*role, *term, &env.from),
             Record::GiveUp { role, term } => self.give_up(*role, *term, &env.from),
             Record::Roster { term, members } => self.set_roster(*term, members),
-            Record::Host { term, host, generation, step } => self.step_host(*term, host, *generation, step),
-            Record::Instance { term, instance, step } => self.step_instance(*term, instance, step),
+            Record::Host { term, host, generation, change } => {
+                self.change_host(*term, host, *generation, change)
+            }
+            Record::Instance { term, instance, change } => self.change_instance(*term, instance, change),
             Record::Claim { key, service, digest, holder, last_moment, deferred } => {
                 self.claim(key, service, *digest, holder.as_ref(), *last_moment, deferred.as_ref())
             }
             Record::Start { key, holder, attempt } => self.start(key, holder, *attempt),
             Record::Finish { key, holder, end } => self.finish(key, holder, end),
-            Record::Job { term, job, step } => self.step_job(*term, job, step),
+            Record::Job { term, job, change } => self.change_job(*term, job, change),
             Record::Mark { term } => self.holds(Role::Checkpointer, *term),
             Record::Checkpoint { upto, digest, .. } => self.compare(*upto, *digest),
             Record::Unknown(_) => {
--- a/crates/workswood-core/src/plan/jobs.rs
+++ b/crates/workswood-core/src/plan/jobs.rs
@@ -8,7 +8,7 @@
 use crate::fleet::{Class, Job};
 use crate::fold::{HostRec, JobPhase, JobRec, State};
 use crate::ids::{HostId, JobId, Term, UnixMs};
-use crate::record::{JobStep, Record};
+use crate::record::{JobChange, Record};
 
 /// Jobs started in one round, so that one record batch stays small.
 const MOST_STARTS: usize = 256;
@@ -31,7 +31,7 @@
     for j in waiting.into_iter().take(MOST_STARTS) {
         steps.extend(room.start(state, j));
     }
-    steps.into_iter().map(|(job, step)| Record::Job { term, job, step }).collect()
+    steps.into_iter().map(|(job, step)| Record::Job { term, job, change: step }).collect()
 }
 
 fn waits(state: &State, job: &str) -> bool {
@@ -39,7 +39,7 @@
 }
 
 /// Jobs whose end the list shows, and jobs lost with their host.
-fn ended(state: &State, seen: &Seen, now: UnixMs) -> Vec<(JobId, JobStep)> {
+fn ended(state: &State, seen: &Seen, now: UnixMs) -> Vec<(JobId, JobChange)> {
     let running = state.jobs.iter().filter_map(|(id, r)| match &r.phase {
         JobPhase::Running { host } => Some((id, r, host)),
         _ => None,
@@ -48,10 +48,10 @@
         let on = seen.hosts.get(host);
         let task = on.and_then(|h| h.tasks.iter().find(|t| t.id == *id && t.token == r.token));
         if let Some(ok) = task.and_then(|t| t.ended) {
-            return Some((id.clone(), JobStep::End { ok }));
+            return Some((id.clone(), JobChange::End { ok }));
         }
         // What the list shows on a host that is gone is old.
-        lost(state, host, r, now).then(|| (id.clone(), JobStep::Lost))
+        lost(state, host, r, now).then(|| (id.clone(), JobChange::Lost))
     };
     running.filter_map(end).collect()
 }
@@ -107,7 +107,7 @@
         room.0 >= i64::from(j.cpus) && room.1 >= i64::from(j.memory_gib)
     }
 
-    fn start(&mut self, state: &'a State, j: &'a Job) -> Vec<(JobId, JobStep)> {
+    fn start(&mut self, state: &'a State, j: &'a Job) -> Vec<(JobId, JobChange)> {
         if self.quota.get(j.team.as_str()).copied().unwrap_or(0) < i64::from(j.cpus) {
             return Vec::new();
         }
@@ -116,14 +116,14 @@
         let best = hosts.filter(|id| self.fits(id, j)).max_by_key(|id| self.free.get(id).map(|f| f.0));
         if let Some(host) = best {
             self.take(j, host, i64::from(j.cpus));
-            return vec![(j.name.clone(), JobStep::Start { host: host.clone() })];
+            return vec![(j.name.clone(), JobChange::Start { host: host.clone() })];
         }
         if j.class == Class::Urgent { self.preempt(j) } else { Vec::new() }
     }
 
     /// Stops the least urgent repeatable jobs of one host of the pool; the
     /// urgent job starts there when they are gone.
-    fn preempt(&mut self, j: &Job) -> Vec<(JobId, JobStep)> {
+    fn preempt(&mut self, j: &Job) -> Vec<(JobId, JobChange)> {
         let lower = |(o, _): &&(&'a Job, &'a HostId)| o.pool == j.pool && o.class > j.class && o.repeatable;
         let mut by_host: BTreeMap<&HostId, Vec<&Job>> = BTreeMap::new();
         for (o, host) in self.running.iter().filter(lower) {
@@ -150,7 +150,7 @@
         let Some((_, victims)) = best else { return Vec::new() };
         let names: Vec<JobId> = victims.iter().map(|o| o.name.clone()).collect();
         self.running.retain(|(o, _)| !names.contains(&o.name));
-        names.into_iter().map(|n| (n, JobStep::Preempt)).collect()
+        names.into_iter().map(|n| (n, JobChange::Preempt)).collect()
     }
 }
 
--- a/crates/workswood-core/src/plan/observe.rs
+++ b/crates/workswood-core/src/plan/observe.rs
@@ -4,7 +4,7 @@
 use super::seen::{HostSeen, HostState, Seen};
 use crate::fold::{HostRec, Phase, State};
 use crate::ids::{HostId, Term};
-use crate::record::{DrainReason, HostStep, InstanceStep, Record};
+use crate::record::{DrainReason, HostChange, InstanceChange, Record};
 
 /// Records of what the list shows and the state does not say yet.
 pub(super) fn records(state: &State, seen: &Seen, term: Term) -> Vec<Record> {
@@ -13,26 +13,26 @@
         let steps = host_facts(rec, seen.hosts.get(id));
         for (i, step) in steps.into_iter().enumerate() {
             let generation = rec.generation + i as u64;
-            all.push(Record::Host { term, host: id.clone(), generation, step });
+            all.push(Record::Host { term, host: id.clone(), generation, change: step });
         }
     }
     all.extend(instance_facts(state, seen, term));
     all
 }
 
-fn host_facts(rec: &HostRec, seen: Option<&HostSeen>) -> Vec<HostStep> {
+fn host_facts(rec: &HostRec, seen: Option<&HostSeen>) -> Vec<HostChange> {
     let mut steps = Vec::new();
     let up = seen.is_some_and(|s| s.state == HostState::Live);
     // A host under reboot is away anyhow; its return is decided on its boot id.
     let rebooting = matches!(rec.phase, Phase::Rebooting { .. });
     if up != rec.up && !rebooting {
-        steps.push(HostStep::Health { up });
+        steps.push(HostChange::Health { up });
     }
     let Some(s) = seen else { return steps };
     let same = s.place == rec.place
         && (s.cpus, s.memory_gib, s.accelerators) == (rec.cpus, rec.memory_gib, rec.accelerators);
     if !same {
-        steps.push(HostStep::Seen {
+        steps.push(HostChange::Seen {
             place: s.place.clone(),
             cpus: s.cpus,
             memory_gib: s.memory_gib,
@@ -44,7 +44,7 @@
     let other = rec.pool.is_some() && s.pool.is_some() && s.pool != rec.pool;
     let foreign = other && s.token >= rec.pool_generation;
     if foreign != rec.foreign {
-        steps.push(HostStep::Foreign { foreign });
+        steps.push(HostChange::Foreign { foreign });
     }
     steps
 }
@@ -62,8 +62,8 @@
         // While the host is away the instance keeps its last record.
         let away = rec_host.is_some_and(HostRec::away);
         if !away && (ready != rec.ready || address != rec.address) {
-            let step = InstanceStep::Ready { address, ready };
-            all.push(Record::Instance { term, instance: id.clone(), step });
+            let step = InstanceChange::Ready { address, ready };
+            all.push(Record::Instance { term, instance: id.clone(), change: step });
         }
     }
     all
@@ -74,7 +74,7 @@
     let mut all = Vec::new();
     for (id, rec) in state.hosts.iter().filter(|(_, r)| r.away() && !r.foreign) {
         let Some(step) = next_step(state, id, rec, seen.hosts.get(id), facts) else { continue };
-        all.push(Record::Host { term, host: id.clone(), generation: rec.generation, step });
+        all.push(Record::Host { term, host: id.clone(), generation: rec.generation, change: step });
     }
     all
 }
@@ -85,7 +85,7 @@
     rec: &HostRec,
     seen: Option<&HostSeen>,
     facts: &Facts,
-) -> Option<HostStep> {
+) -> Option<HostChange> {
     let busy = |id: &HostId| {
         let on = state.by_host.get(id).into_iter().flatten();
         on.map(|i| facts.in_flight.get(i).copied().unwrap_or(0)).sum::<u32>() > 0
@@ -99,25 +99,25 @@
                 DrainReason::Release => !rec.released,
             };
             if withdrawn {
-                return Some(HostStep::Undrain);
+                return Some(HostChange::Undrain);
             }
             // A host that has failed has no work left to wait for.
             let acted = |s: &&HostSeen| s.token >= rec.act_generation;
             let drained = !rec.up || seen.filter(acted).is_some_and(|s| s.drained && s.draining);
             let told = facts.confirmed > rec.offset;
-            (drained && told && !busy(id)).then_some(HostStep::Drained)
+            (drained && told && !busy(id)).then_some(HostChange::Drained)
         }
-        Phase::Drained(DrainReason::Move { .. }) => empty.then_some(HostStep::Flip),
-        Phase::Drained(DrainReason::Release) => empty.then_some(HostStep::Forget),
+        Phase::Drained(DrainReason::Move { .. }) => empty.then_some(HostChange::Flip),
+        Phase::Drained(DrainReason::Release) => empty.then_some(HostChange::Forget),
         Phase::Drained(DrainReason::Maintain { .. }) => {
             let s = seen.filter(|s| s.state == HostState::Live)?;
-            Some(HostStep::Reboot { boot: s.boot.clone() })
+            Some(HostChange::Reboot { boot: s.boot.clone() })
         }
         Phase::Rebooting { boot, .. } => {
             // An older list may show a boot before the one that was ended.
             let after = |s: &HostSeen| s.token >= rec.act_generation && s.boot != *boot;
             let back = seen.is_some_and(|s| s.state == HostState::Live && after(s));
-            back.then_some(HostStep::Return)
+            back.then_some(HostChange::Return)
         }
         Phase::Free | Phase::Active => None,
     }
--- a/crates/workswood-core/src/plan/place.rs
+++ b/crates/workswood-core/src/plan/place.rs
@@ -8,7 +8,7 @@
 use crate::fleet::Service;
 use crate::fold::{HostRec, InstanceRec, Phase, State};
 use crate::ids::{HostId, InstanceId, Term, UnixMs};
-use crate::record::{DrainReason, InstanceStep, Record};
+use crate::record::{DrainReason, InstanceChange, Record};
 
 /// How long a failed host may take to come back before its instances move.
 pub const REPLACE_AFTER_MS: UnixMs = 30_000;
@@ -21,7 +21,7 @@
         let have: Vec<(&InstanceId, &InstanceRec)> = state.instances_of(&s.name).collect();
         for (id, i) in &have {
             if leaves(state, index, s, id, i, now) {
-                all.push(Record::Instance { term, instance: (*id).clone(), step: InstanceStep::Remove });
+                all.push(Record::Instance { term, instance: (*id).clone(), change: InstanceChange::Remove });
             }
         }
         if have.len() >= s.instances as usize {
@@ -38,7 +38,7 @@
             let used = load.entry(host.clone()).or_default();
             used.0 += s.cpus;
             used.1 += s.memory_gib;
-            all.push(Record::Instance { term, instance: id, step: InstanceStep::Place { host } });
+            all.push(Record::Instance { term, instance: id, change: InstanceChange::Place { host } });
         }
     }
     all
--- a/crates/workswood-core/src/plan/pools.rs
+++ b/crates/workswood-core/src/plan/pools.rs
@@ -7,7 +7,7 @@
 use crate::fleet::{FleetFile, Pool};
 use crate::fold::{HostRec, Phase, State};
 use crate::ids::{HostId, PoolId, Term};
-use crate::record::{DrainReason, HostStep, Record};
+use crate::record::{DrainReason, HostChange, Record};
 
 /// Records that fill pools and give released hosts up.
 pub(super) fn records(state: &State, seen: &Seen, index: &mut Index, term: Term) -> Vec<Record> {
@@ -16,7 +16,7 @@
     for (id, rec) in state.hosts.iter().filter(|(_, r)| r.released && r.phase == Phase::Active && !r.foreign)
     {
         if index.take(id) {
-            all.push(step(term, id, rec, HostStep::Drain { reason: DrainReason::Release }));
+            all.push(step(term, id, rec, HostChange::Drain { reason: DrainReason::Release }));
         }
     }
     let heading = headings(state);
@@ -29,7 +29,7 @@
             let free = free_hosts(state, seen, file, pool, &taken);
             for id in free.into_iter().take(want) {
                 taken.insert(id.clone(), pool.name.clone());
-                let assign = HostStep::Assign { pool: pool.name.clone() };
+                let assign = HostChange::Assign { pool: pool.name.clone() };
                 all.push(step(term, &id, &state.hosts[&id], assign));
             }
         }
@@ -43,7 +43,7 @@
                 if index.take(&id) {
                     taken.insert(id.clone(), pool.name.clone());
                     let reason = DrainReason::Move { to: pool.name.clone() };
-                    all.push(step(term, &id, &state.hosts[&id], HostStep::Drain { reason }));
+                    all.push(step(term, &id, &state.hosts[&id], HostChange::Drain { reason }));
                 }
             }
         }
@@ -51,8 +51,8 @@
     all
 }
 
-fn step(term: Term, host: &HostId, rec: &HostRec, step: HostStep) -> Record {
-    Record::Host { term, host: host.clone(), generation: rec.generation, step }
+fn step(term: Term, host: &HostId, rec: &HostRec, step: HostChange) -> Record {
+    Record::Host { term, host: host.clone(), generation: rec.generation, change: step }
 }
 
 /// The pool that a host is in or on its way to.
--- a/crates/workswood-core/src/plan/wave.rs
+++ b/crates/workswood-core/src/plan/wave.rs
@@ -11,7 +11,7 @@
 use crate::fleet::{Maintenance, rfc3339_ms};
 use crate::fold::{HostRec, Phase, State};
 use crate::ids::{HostId, Term, UnixMs};
-use crate::record::{DrainReason, HostStep, Record};
+use crate::record::{DrainReason, HostChange, Record};
 
 /// A host that is away for this many times the expected duration is unwell.
 const OVERDUE_FACTOR: u64 = 3;
@@ -106,8 +106,8 @@
     for m in state.maintenance() {
         for id in choose(index, m, now) {
             let rec = &state.hosts[&id];
-            let step = HostStep::Drain { reason: DrainReason::Maintain { name: m.name.clone() } };
-            all.push(Record::Host { term, host: id, generation: rec.generation, step });
+            let step = HostChange::Drain { reason: DrainReason::Maintain { name: m.name.clone() } };
+            all.push(Record::Host { term, host: id, generation: rec.generation, change: step });
         }
     }
     all
--- a/crates/workswood-core/src/record.rs
+++ b/crates/workswood-core/src/record.rs
@@ -89,7 +89,8 @@
         /// Generation of the host that the step was decided on.
         generation: u64,
         /// The change.
-        step: HostStep,
+        #[serde(rename = "step")]
+        change: HostChange,
     },
     /// Changes one instance of a service; planner only.
     Instance {
@@ -98,7 +99,8 @@
         /// The instance.
         instance: InstanceId,
         /// The change.
-        step: InstanceStep,
+        #[serde(rename = "step")]
+        change: InstanceChange,
     },
     /// Claims the right to run a request that may not be repeated, or accepts
     /// a deferred one. The first claim of a key wins.
@@ -141,7 +143,8 @@
         /// The job.
         job: JobId,
         /// The change.
-        step: JobStep,
+        #[serde(rename = "step")]
+        change: JobChange,
     },
     /// Asks every process to note the digest of its state here.
     Mark {
@@ -211,7 +214,7 @@
 /// A change of one host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "step", rename_all = "snake_case")]
-pub enum HostStep {
+pub enum HostChange {
     /// Notes where the host stands and what it has.
     Seen {
         /// Data centre and rack.
@@ -263,7 +266,7 @@
 /// A change of one instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "step", rename_all = "snake_case")]
-pub enum InstanceStep {
+pub enum InstanceChange {
     /// Places it on a host.
     Place {
         /// The host.
@@ -283,7 +286,7 @@
 /// A change of one job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "step", rename_all = "snake_case")]
-pub enum JobStep {
+pub enum JobChange {
     /// Starts it on a host with the next token.
     Start {
         /// The host.
--- a/crates/workswood-test-support/src/history.rs
+++ b/crates/workswood-test-support/src/history.rs
@@ -6,7 +6,7 @@
 use workswood_core::fold::{Rejection, State};
 use workswood_core::ids::{Term, UnixMs};
 use workswood_core::plan::{Act, Facts, Stop, acts, decide, wave_status};
-use workswood_core::record::{Envelope, HostStep, InstanceStep, Record, Role};
+use workswood_core::record::{Envelope, HostChange, InstanceChange, Record, Role};
 
 use crate::log::{Log, Process};
 use crate::platform::Platform;
@@ -172,8 +172,8 @@
     /// Recounts a service's instances for an accepted step that takes some.
     fn judge(&mut self, before: &State, r: &Record) {
         let host = match r {
-            Record::Host { host, step: HostStep::Drain { .. }, .. } => Some(host.clone()),
-            Record::Instance { instance, step: InstanceStep::Remove, .. } => {
+            Record::Host { host, change: HostChange::Drain { .. }, .. } => Some(host.clone()),
+            Record::Instance { instance, change: InstanceChange::Remove, .. } => {
                 before.instances.get(instance).map(|i| i.host.clone())
             }
             _ => None,
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -8,7 +8,7 @@
 use workswood_core::ids::{InstanceId, Term};
 use workswood_core::member::{Liveness, MemberRec};
 use workswood_core::plan::{Act, Facts, Seen, acts, decide};
-use workswood_core::record::{HostStep, InstanceStep, JobStep, Record, Role, RosterMember};
+use workswood_core::record::{HostChange, InstanceChange, JobChange, Record, Role, RosterMember};
 
 use super::node::Node;
 use crate::util::logs::DECISION;
@@ -244,22 +244,22 @@
 fn log_decisions(records: &[Record]) {
     for r in records {
         match r {
-            Record::Host { host, step, .. } if !matches!(step, HostStep::Seen { .. }) => {
+            Record::Host { host, change: step, .. } if !matches!(step, HostChange::Seen { .. }) => {
                 log::info!(target: DECISION, "event=host host={host} step={step:?}");
             }
             Record::Instance {
                 instance,
-                step: step @ (InstanceStep::Place { .. } | InstanceStep::Remove),
+                change: step @ (InstanceChange::Place { .. } | InstanceChange::Remove),
                 ..
             } => {
                 log::info!(target: DECISION, "event=place instance={instance} step={step:?}");
             }
-            Record::Job { job, step, .. } => {
+            Record::Job { job, change: step, .. } => {
                 let why = match step {
-                    JobStep::Start { .. } => "free_capacity",
-                    JobStep::Preempt => "urgent_job",
-                    JobStep::End { .. } => "list",
-                    JobStep::Lost => "host_gone",
+                    JobChange::Start { .. } => "free_capacity",
+                    JobChange::Preempt => "urgent_job",
+                    JobChange::End { .. } => "list",
+                    JobChange::Lost => "host_gone",
                 };
                 log::info!(target: DECISION, "event=job job={job} step={step:?} reason={why}");
             }
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -8,7 +8,7 @@
 use workswood_core::plan::{
     Bound, Facts, HostSeen, HostState, Measures, Seen, Strategy, TaskSeen, decide, measure,
 };
-use workswood_core::record::{Envelope, FORMAT, InstanceStep, Record, Role};
+use workswood_core::record::{Envelope, FORMAT, InstanceChange, Record, Role};
 
 use crate::util::errors::{Error, Result};
 
@@ -116,7 +116,7 @@
 /// Lets the list show what was decided, as a platform without faults would.
 fn show(seen: &mut Seen, records: &[Record]) {
     for r in records {
-        if let Record::Instance { instance, step: InstanceStep::Place { host }, .. } = r
+        if let Record::Instance { instance, change: InstanceChange::Place { host }, .. } = r
             && let Some(h) = seen.hosts.get_mut(host)
         {
             h.tasks.push(TaskSeen {
--- a/tests/testsuite/fold_rules.rs
+++ b/tests/testsuite/fold_rules.rs
@@ -1,7 +1,7 @@
 //! Preconditions of records, decided alike by all who fold them.
 
 use workswood_core::fold::{Rejection, State};
-use workswood_core::record::{DrainReason, Envelope, FORMAT, HostStep, InstanceStep, Record, Role};
+use workswood_core::record::{DrainReason, Envelope, FORMAT, HostChange, InstanceChange, Record, Role};
 use workswood_test_support::files::{pool, small};
 use workswood_test_support::log::{Log, Process};
 
@@ -9,8 +9,8 @@
     Record::Take { role: Role::Planner, holder: holder.to_string(), term, seen }
 }
 
-fn host(term: u64, host: &str, generation: u64, step: HostStep) -> Record {
-    Record::Host { term, host: host.to_string(), generation, step }
+fn host(term: u64, host: &str, generation: u64, step: HostChange) -> Record {
+    Record::Host { term, host: host.to_string(), generation, change: step }
 }
 
 /// A log with a planner, six hosts up and in their pool, and four instances.
@@ -21,15 +21,16 @@
     p.append(&mut log, 1, vec![take("p", 1, 0), apply]);
     for i in 0..6 {
         let name = format!("h{i}");
-        let up = host(1, &name, 0, HostStep::Health { up: true });
-        let assign = host(1, &name, 1, HostStep::Assign { pool: "main".into() });
+        let up = host(1, &name, 0, HostChange::Health { up: true });
+        let assign = host(1, &name, 1, HostChange::Assign { pool: "main".into() });
         assert!(p.append(&mut log, 1, vec![up, assign]).iter().all(Result::is_ok));
     }
     for i in 0..4 {
         let instance = format!("shop/{i}");
-        let place = InstanceStep::Place { host: format!("h{i}") };
-        let ready = InstanceStep::Ready { address: "127.0.0.1:1".into(), ready: true };
-        let steps = [place, ready].map(|step| Record::Instance { term: 1, instance: instance.clone(), step });
+        let place = InstanceChange::Place { host: format!("h{i}") };
+        let ready = InstanceChange::Ready { address: "127.0.0.1:1".into(), ready: true };
+        let steps =
+            [place, ready].map(|step| Record::Instance { term: 1, instance: instance.clone(), change: step });
         assert!(p.append(&mut log, 1, steps.into()).iter().all(Result::is_ok));
     }
     (log, p)
@@ -37,7 +38,7 @@
 
 fn drain(term: u64, name: &str, generation: u64) -> Record {
     let reason = DrainReason::Maintain { name: "m".into() };
-    host(term, name, generation, HostStep::Drain { reason })
+    host(term, name, generation, HostChange::Drain { reason })
 }
 
 #[test]
@@ -68,19 +69,19 @@
     assert_eq!(p.append(&mut log, 2, vec![drain(1, "h1", 2)]), [Err(Rejection::Budget("shop".into()))]);
     // A host without instances may always leave.
     assert_eq!(p.append(&mut log, 2, vec![drain(1, "h5", 2)]), [Ok(())]);
-    let up = vec![host(1, "h0", 3, HostStep::Undrain)];
+    let up = vec![host(1, "h0", 3, HostChange::Undrain)];
     assert_eq!(p.append(&mut log, 2, up), [Ok(())]);
     // It counts again only when its instance is seen to be ready.
     assert_eq!(p.append(&mut log, 2, vec![drain(1, "h1", 2)]), [Err(Rejection::Budget("shop".into()))]);
-    let ready = InstanceStep::Ready { address: "127.0.0.1:1".into(), ready: true };
-    let ready = Record::Instance { term: 1, instance: "shop/0".into(), step: ready };
+    let ready = InstanceChange::Ready { address: "127.0.0.1:1".into(), ready: true };
+    let ready = Record::Instance { term: 1, instance: "shop/0".into(), change: ready };
     assert_eq!(p.append(&mut log, 2, vec![ready, drain(1, "h1", 2)]), [Ok(()), Ok(())]);
 }
 
 #[test]
 fn failures_count() {
     let (mut log, mut p) = placed();
-    let down = host(1, "h3", 2, HostStep::Health { up: false });
+    let down = host(1, "h3", 2, HostChange::Health { up: false });
     assert_eq!(p.append(&mut log, 2, vec![down]), [Ok(())]);
     assert_eq!(p.append(&mut log, 2, vec![drain(1, "h0", 2)]), [Err(Rejection::Budget("shop".into()))]);
     // The failed host itself has nothing to lose.
@@ -94,28 +95,28 @@
     file.pools = vec![pool("main", 5), pool("side", 1)];
     let apply = Record::Apply { id: "2".into(), base: 1, author: "a".into(), file: Box::new(file) };
     let to_side = DrainReason::Move { to: "side".into() };
-    let go = host(1, "h5", 2, HostStep::Drain { reason: to_side.clone() });
+    let go = host(1, "h5", 2, HostChange::Drain { reason: to_side.clone() });
     assert_eq!(p.append(&mut log, 2, vec![apply, go]), [Ok(()), Ok(())]);
     // A reader of the old generation can't act, nor can the pool change early.
     let early = vec![
-        host(1, "h5", 2, HostStep::Drain { reason: to_side }),
-        host(1, "h5", 3, HostStep::Flip),
-        host(1, "h5", 3, HostStep::Assign { pool: "side".into() }),
+        host(1, "h5", 2, HostChange::Drain { reason: to_side }),
+        host(1, "h5", 3, HostChange::Flip),
+        host(1, "h5", 3, HostChange::Assign { pool: "side".into() }),
     ];
     assert_eq!(
         p.append(&mut log, 2, early),
         [Err(Rejection::Generation), Err(Rejection::Phase), Err(Rejection::Phase)]
     );
     assert_eq!(p.state.hosts["h5"].pool.as_deref(), Some("main"));
-    let flip = vec![host(1, "h5", 3, HostStep::Drained), host(1, "h5", 4, HostStep::Flip)];
+    let flip = vec![host(1, "h5", 3, HostChange::Drained), host(1, "h5", 4, HostChange::Flip)];
     assert_eq!(p.append(&mut log, 2, flip), [Ok(()), Ok(())]);
     assert_eq!(p.state.hosts["h5"].pool.as_deref(), Some("side"));
     // A host with an instance on it does not change its pool.
     let full = DrainReason::Move { to: "side".into() };
     let steps = vec![
-        host(1, "h0", 2, HostStep::Drain { reason: full }),
-        host(1, "h0", 3, HostStep::Drained),
-        host(1, "h0", 4, HostStep::Flip),
+        host(1, "h0", 2, HostChange::Drain { reason: full }),
+        host(1, "h0", 3, HostChange::Drained),
+        host(1, "h0", 4, HostChange::Flip),
     ];
     assert_eq!(p.append(&mut log, 2, steps), [Ok(()), Ok(()), Err(Rejection::Phase)]);
 }
--- a/tests/testsuite/lost_attempts.rs
+++ b/tests/testsuite/lost_attempts.rs
@@ -6,7 +6,7 @@
 
 use workswood_core::fleet::Class;
 use workswood_core::fold::{JobPhase, KeyState};
-use workswood_core::record::{Deferred, End, HostStep, JobStep, Record, Role};
+use workswood_core::record::{Deferred, End, HostChange, JobChange, Record, Role};
 use workswood_test_support::files::{job, small, team};
 use workswood_test_support::log::{Log, Process};
 
@@ -23,9 +23,10 @@
     let take = Record::Take { role: Role::Planner, holder: "p".into(), term: 1, seen: 0 };
     assert_eq!(p.append(&mut log, 1, vec![take, apply]), [Ok(()), Ok(())]);
     for n in 0..3 {
-        let host = |generation, step| Record::Host { term: 1, host: format!("h{n}"), generation, step };
-        let up = host(0, HostStep::Health { up: true });
-        let assign = host(1, HostStep::Assign { pool: "main".into() });
+        let host =
+            |generation, step| Record::Host { term: 1, host: format!("h{n}"), generation, change: step };
+        let up = host(0, HostChange::Health { up: true });
+        let assign = host(1, HostChange::Assign { pool: "main".into() });
         assert_eq!(p.append(&mut log, 1, vec![up, assign]), [Ok(()), Ok(())]);
     }
     (log, p)
@@ -34,15 +35,15 @@
 #[test]
 fn job_that_loses_its_hosts() {
     let (mut log, mut p) = fleet();
-    let step = |step| vec![Record::Job { term: 1, job: "report".into(), step }];
+    let step = |step| vec![Record::Job { term: 1, job: "report".into(), change: step }];
     let mut starts = 0;
     for n in 0..MANY {
-        let start = JobStep::Start { host: format!("h{}", n % 3) };
+        let start = JobChange::Start { host: format!("h{}", n % 3) };
         if p.append(&mut log, 2, step(start)) != [Ok(())] {
             break;
         }
         starts += 1;
-        assert_eq!(p.append(&mut log, 2, step(JobStep::Lost)), [Ok(())]);
+        assert_eq!(p.append(&mut log, 2, step(JobChange::Lost)), [Ok(())]);
     }
     assert_eq!(starts, 3);
     assert_eq!(p.state.jobs["report"].phase, JobPhase::Failed);
