--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -176,7 +176,9 @@
     fn fold_record(&mut self, env: &Envelope, offset: Offset, record: &Record) -> RecordResult {
         match record {
             Record::Apply { id, base, author, file } => self.apply(offset, id, *base, author, file),
-            Record::Take { role, holder, term, seen } => self.take(*role, holder, *term, *seen),
+            Record::Take { role, holder, term, seen_renewals: seen } => {
+                self.take(*role, holder, *term, *seen)
+            }
             Record::Renew { role, term } => self.renew(*role, *term, &env.from),
             Record::GiveUp { role, term } => self.give_up(*role, *term, &env.from),
             Record::Roster { term, members } => self.set_roster(*term, members),
@@ -191,7 +193,7 @@
             Record::Finish { key, holder, end } => self.finish(key, holder, end),
             Record::Job { term, job, change } => self.change_job(*term, job, change),
             Record::Mark { term } => self.holds(Role::Checkpointer, *term),
-            Record::Checkpoint { upto, digest, .. } => self.compare(*upto, *digest),
+            Record::Checkpoint { marker_offset: upto, digest, .. } => self.compare(*upto, *digest),
             Record::Unknown(_) => {
                 self.unknown += 1;
                 Err(Rejection::Unknown)
--- a/crates/workswood-core/src/fold/snapshot.rs
+++ b/crates/workswood-core/src/fold/snapshot.rs
@@ -77,7 +77,7 @@
         let cuts = cut(&mark.text);
         let parts = cuts.len() as u32;
         let part = |(i, data): (usize, &str)| Record::Checkpoint {
-            upto: mark.upto,
+            marker_offset: mark.upto,
             part: i as u32,
             parts,
             digest: mark.digest,
@@ -110,7 +110,7 @@
 impl Assembler {
     /// Takes a record in; returns the state when its checkpoint is whole.
     pub fn take(&mut self, record: &Record) -> Option<State> {
-        let Record::Checkpoint { upto, part, parts, digest, data } = record else {
+        let Record::Checkpoint { marker_offset: upto, part, parts, digest, data } = record else {
             return None;
         };
         if (self.upto, self.digest) != (*upto, *digest) || self.parts.len() != *parts as usize {
--- a/crates/workswood-core/src/record.rs
+++ b/crates/workswood-core/src/record.rs
@@ -55,7 +55,8 @@
         /// The next term.
         term: Term,
         /// Renewals of the former term that the taker has seen.
-        seen: u64,
+        #[serde(rename = "seen")]
+        seen_renewals: u64,
     },
     /// Shows that the holder of the term is alive.
     Renew {
@@ -154,7 +155,8 @@
     /// One part of the state as it was at the mark.
     Checkpoint {
         /// Offset of the envelope with the mark.
-        upto: Offset,
+        #[serde(rename = "upto")]
+        marker_offset: Offset,
         /// Number of this part, from 0.
         part: u32,
         /// How many parts there are.
--- a/crates/workswood-test-support/src/history.rs
+++ b/crates/workswood-test-support/src/history.rs
@@ -206,7 +206,7 @@
             role: Role::Planner,
             holder: p.process.id.clone(),
             term: lease.term + 1,
-            seen: lease.renewals,
+            seen_renewals: lease.renewals,
         };
         p.term = lease.term + 1;
         let env = p.process.envelope(self.now, vec![record]);
--- a/crates/workswood-test-support/src/keys.rs
+++ b/crates/workswood-test-support/src/keys.rs
@@ -117,7 +117,7 @@
             steps: 0,
             tally: KeyTally::default(),
         };
-        let take = Record::Take { role: Role::Planner, holder: "planner".into(), term: 1, seen: 0 };
+        let take = Record::Take { role: Role::Planner, holder: "planner".into(), term: 1, seen_renewals: 0 };
         s.planner.append(&mut s.log, s.now, vec![take]);
         s.set_roster();
         s.entries.iter_mut().for_each(|e| e.process.follow(&s.log, usize::MAX));
--- a/crates/workswood-test-support/src/one.rs
+++ b/crates/workswood-test-support/src/one.rs
@@ -28,7 +28,7 @@
             platform: Platform::new(file),
             now: 1_000_000,
         };
-        let take = Record::Take { role: Role::Planner, holder: "p".into(), term: 1, seen: 0 };
+        let take = Record::Take { role: Role::Planner, holder: "p".into(), term: 1, seen_renewals: 0 };
         f.p.append(&mut f.log, f.now, vec![take]);
         f.apply(file, 0);
         f
--- a/src/workswood/ops/bench/fold.rs
+++ b/src/workswood/ops/bench/fold.rs
@@ -114,7 +114,7 @@
     let mut state = State::default();
     let member = RosterMember { id: "me".to_string(), data_centre: "dc0".to_string() };
     let records = vec![
-        Record::Take { role: Role::Planner, holder: "me".to_string(), term: 1, seen: 0 },
+        Record::Take { role: Role::Planner, holder: "me".to_string(), term: 1, seen_renewals: 0 },
         Record::Roster { term: 1, members: vec![member] },
     ];
     state.fold(0, &Envelope { v: FORMAT, from: "me".to_string(), seq: 1, at: 1, records });
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -92,7 +92,12 @@
         return None;
     }
     log::info!(target: DECISION, "event=take_duty duty={duty:?} term={} reason=silence", lease.term + 1);
-    Some(Record::Take { role: duty, holder: node.id.clone(), term: lease.term + 1, seen: lease.renewals })
+    Some(Record::Take {
+        role: duty,
+        holder: node.id.clone(),
+        term: lease.term + 1,
+        seen_renewals: lease.renewals,
+    })
 }
 
 /// The term of a duty that this process holds and has shown to hold lately.
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -50,7 +50,8 @@
 /// instance placed and ready.
 pub fn settled(files: &[FleetFile], now: UnixMs) -> State {
     let mut log = Offline { state: State::default(), seq: 0, now };
-    let take = Record::Take { role: Role::Planner, holder: PLANNER.to_string(), term: TERM, seen: 0 };
+    let take =
+        Record::Take { role: Role::Planner, holder: PLANNER.to_string(), term: TERM, seen_renewals: 0 };
     log.append(vec![take]);
     for f in files {
         log.append(vec![Record::Apply {
--- a/tests/testsuite/fold_rules.rs
+++ b/tests/testsuite/fold_rules.rs
@@ -6,7 +6,7 @@
 use workswood_test_support::log::{Log, Process};
 
 fn take(holder: &str, term: u64, seen: u64) -> Record {
-    Record::Take { role: Role::Planner, holder: holder.to_string(), term, seen }
+    Record::Take { role: Role::Planner, holder: holder.to_string(), term, seen_renewals: seen }
 }
 
 fn host(term: u64, host: &str, generation: u64, step: HostChange) -> Record {
--- a/tests/testsuite/state_checkpoints.rs
+++ b/tests/testsuite/state_checkpoints.rs
@@ -42,7 +42,7 @@
     for i in 0..100 {
         arbtest(|u| {
             let (mut log, mut p) = (Log::default(), Process::new("p"));
-            let take = |duty| Record::Take { role: duty, holder: "p".into(), term: 1, seen: 0 };
+            let take = |duty| Record::Take { role: duty, holder: "p".into(), term: 1, seen_renewals: 0 };
             let member = RosterMember { id: "p".into(), data_centre: "d".into() };
             let roster = Record::Roster { term: 1, members: vec![member] };
             p.append(&mut log, 1, vec![take(Role::Planner), take(Role::Checkpointer), roster]);
