--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -20,7 +20,7 @@
 use crate::fleet::{FleetFile, Job, Maintenance, Pool, Service};
 use crate::ids::*;
 use crate::invariant;
-use crate::record::{Envelope, FORMAT, Record, Role, RosterMember};
+use crate::record::{Envelope, FORMAT_VERSION, Record, Role, RosterMember};
 
 pub use apply::FileRec;
 pub use hosts::{HostRec, Phase};
@@ -145,16 +145,16 @@
             return vec![Err(Rejection::Repeated); env.records.len()];
         }
         self.next = offset + 1;
-        if env.v != FORMAT {
+        if env.format_version != FORMAT_VERSION {
             self.unknown += 1;
             return vec![Err(Rejection::Unknown); env.records.len()];
         }
-        let last = self.senders.get(&env.from).map_or(0, |s| s.0);
+        let last = self.senders.get(&env.sender).map_or(0, |s| s.0);
         if env.seq <= last {
             return vec![Err(Rejection::Repeated); env.records.len()];
         }
-        self.time = self.time.max(env.at);
-        self.senders.insert(env.from.clone(), (env.seq, self.time));
+        self.time = self.time.max(env.written_at);
+        self.senders.insert(env.sender.clone(), (env.seq, self.time));
         self.prune();
         let results: Vec<RecordResult> =
             env.records.iter().map(|r| self.fold_record(env, offset, r)).collect();
@@ -179,8 +179,8 @@
             Record::Take { role, holder, term, seen_renewals: seen } => {
                 self.take(*role, holder, *term, *seen)
             }
-            Record::Renew { role, term } => self.renew(*role, *term, &env.from),
-            Record::GiveUp { role, term } => self.give_up(*role, *term, &env.from),
+            Record::Renew { role, term } => self.renew(*role, *term, &env.sender),
+            Record::GiveUp { role, term } => self.give_up(*role, *term, &env.sender),
             Record::Roster { term, members } => self.set_roster(*term, members),
             Record::Host { term, host, generation, change } => {
                 self.change_host(*term, host, *generation, change)
--- a/crates/workswood-core/src/record.rs
+++ b/crates/workswood-core/src/record.rs
@@ -13,19 +13,22 @@
 use crate::ids::*;
 
 /// Version of the record format that this program writes.
-pub const FORMAT: u16 = 1;
+pub const FORMAT_VERSION: u16 = 1;
 
 /// One append of one process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope {
     /// Format version.
-    pub v: u16,
+    #[serde(rename = "v")]
+    pub format_version: u16,
     /// The process that wrote it.
-    pub from: Incarnation,
+    #[serde(rename = "from")]
+    pub sender: Incarnation,
     /// Number of the envelope among those of the process, from 1.
     pub seq: u64,
     /// Clock of the process when it wrote the envelope.
-    pub at: UnixMs,
+    #[serde(rename = "at")]
+    pub written_at: UnixMs,
     /// The records, folded in order.
     pub records: Vec<Record>,
 }
--- a/crates/workswood-test-support/src/history.rs
+++ b/crates/workswood-test-support/src/history.rs
@@ -149,7 +149,7 @@
                 Err(_) => self.tally.void += 1,
             }
             if self.tally.budgets_broken.is_empty() {
-                self.tally.note(format!("{} #{offset} {} {v:?} {r:?}", self.now, env.from));
+                self.tally.note(format!("{} #{offset} {} {v:?} {r:?}", self.now, env.sender));
             }
             if v.is_ok() {
                 self.judge(&state, r);
@@ -158,13 +158,13 @@
             let single = Envelope {
                 records: vec![r.clone()],
                 seq: u64::MAX - 1,
-                from: format!("o{offset}"),
+                sender: format!("o{offset}"),
                 ..env.clone()
             };
             let mut next = state.clone();
             next.next = offset;
-            next.senders.remove(&single.from);
-            next.fold(offset, &Envelope { from: env.from.clone(), seq: env.seq + 1, ..single });
+            next.senders.remove(&single.sender);
+            next.fold(offset, &Envelope { sender: env.sender.clone(), seq: env.seq + 1, ..single });
             state = next;
         }
     }
--- a/crates/workswood-test-support/src/log.rs
+++ b/crates/workswood-test-support/src/log.rs
@@ -2,7 +2,7 @@
 
 use workswood_core::fold::{RecordResult, State};
 use workswood_core::ids::UnixMs;
-use workswood_core::record::{Envelope, FORMAT, Record};
+use workswood_core::record::{Envelope, FORMAT_VERSION, Record};
 
 /// The log.
 #[derive(Default)]
@@ -29,7 +29,13 @@
     /// The next envelope of the process; it is not in the log yet.
     pub fn envelope(&mut self, at: UnixMs, records: Vec<Record>) -> Envelope {
         self.seq += 1;
-        Envelope { v: FORMAT, from: self.id.clone(), seq: self.seq, at, records }
+        Envelope {
+            format_version: FORMAT_VERSION,
+            sender: self.id.clone(),
+            seq: self.seq,
+            written_at: at,
+            records,
+        }
     }
 
     /// Folds up to `most` further envelopes.
--- a/src/workswood/ops/bench/fold.rs
+++ b/src/workswood/ops/bench/fold.rs
@@ -4,7 +4,7 @@
 
 use workswood_core::fleet::{Budget, Class, FleetFile, Host, Pool, Route, Service};
 use workswood_core::fold::State;
-use workswood_core::record::{End, Envelope, FORMAT, Record, Role, RosterMember};
+use workswood_core::record::{End, Envelope, FORMAT_VERSION, Record, Role, RosterMember};
 
 use super::stats::median;
 use crate::ops::plan::settled;
@@ -117,7 +117,16 @@
         Record::Take { role: Role::Planner, holder: "me".to_string(), term: 1, seen_renewals: 0 },
         Record::Roster { term: 1, members: vec![member] },
     ];
-    state.fold(0, &Envelope { v: FORMAT, from: "me".to_string(), seq: 1, at: 1, records });
+    state.fold(
+        0,
+        &Envelope {
+            format_version: FORMAT_VERSION,
+            sender: "me".to_string(),
+            seq: 1,
+            written_at: 1,
+            records,
+        },
+    );
     state
 }
 
@@ -140,10 +149,10 @@
     let empty = state.text().len();
     let envelopes: Vec<Envelope> = (0..keys / 10)
         .map(|e| Envelope {
-            v: FORMAT,
-            from: "me".to_string(),
+            format_version: FORMAT_VERSION,
+            sender: "me".to_string(),
             seq: e + 2,
-            at: 1,
+            written_at: 1,
             records: (0..10).flat_map(|i| pair(e * 10 + i)).collect(),
         })
         .collect();
@@ -158,7 +167,13 @@
 fn log_texts(envelopes: usize) -> Vec<String> {
     let text = |e: usize| {
         let records = (0..5).flat_map(|i| pair((e * 5 + i) as u64)).collect();
-        let env = Envelope { v: FORMAT, from: "me".to_string(), seq: e as u64 + 1, at: 1, records };
+        let env = Envelope {
+            format_version: FORMAT_VERSION,
+            sender: "me".to_string(),
+            seq: e as u64 + 1,
+            written_at: 1,
+            records,
+        };
         serde_json::to_string(&env).unwrap_or_default()
     };
     (0..envelopes).map(text).collect()
--- a/src/workswood/ops/bench/plan.rs
+++ b/src/workswood/ops/bench/plan.rs
@@ -6,7 +6,7 @@
 use workswood_core::fold::State;
 use workswood_core::ids::UnixMs;
 use workswood_core::plan::{Bound, Facts, Seen, Strategy, acts, decide, measure};
-use workswood_core::record::{Envelope, FORMAT};
+use workswood_core::record::{Envelope, FORMAT_VERSION};
 
 use super::fold::fleet;
 use super::stats::median;
@@ -78,7 +78,13 @@
         if records.is_empty() {
             break;
         }
-        let env = Envelope { v: FORMAT, from: "offline".to_string(), seq, at: now, records };
+        let env = Envelope {
+            format_version: FORMAT_VERSION,
+            sender: "offline".to_string(),
+            seq,
+            written_at: now,
+            records,
+        };
         state.fold(state.next, &env);
     }
     total
--- a/src/workswood/ops/entry/appender.rs
+++ b/src/workswood/ops/entry/appender.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 use workswood_core::fold::{RecordResult, Rejection};
 use workswood_core::ids::Offset;
-use workswood_core::record::{End, Envelope, FORMAT, Record};
+use workswood_core::record::{End, Envelope, FORMAT_VERSION, Record};
 use workswood_peers::{Head, Msg};
 use workswood_platform::Error;
 
@@ -151,7 +151,13 @@
             continue;
         }
         seq += 1;
-        let env = Envelope { v: FORMAT, from: node.id.clone(), seq, at: node.wall(), records };
+        let env = Envelope {
+            format_version: FORMAT_VERSION,
+            sender: node.id.clone(),
+            seq,
+            written_at: node.wall(),
+            records,
+        };
         node.pending.lock().insert(seq, Pending { jobs });
         deliver(&node, &env).await;
     }
--- a/src/workswood/ops/entry/follower.rs
+++ b/src/workswood/ops/entry/follower.rs
@@ -195,7 +195,7 @@
         verdicts
     };
     node.metrics.folded.inc();
-    if env.from == node.id {
+    if env.sender == node.id {
         node.own_folded(r.offset, &env, &verdicts);
     }
 }
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -8,7 +8,7 @@
 use workswood_core::plan::{
     Bound, Facts, HostSeen, HostState, Measures, Seen, Strategy, TaskSeen, decide, measure,
 };
-use workswood_core::record::{Envelope, FORMAT, InstanceChange, Record, Role};
+use workswood_core::record::{Envelope, FORMAT_VERSION, InstanceChange, Record, Role};
 
 use crate::util::errors::{Error, Result};
 
@@ -41,7 +41,13 @@
 impl Offline {
     fn append(&mut self, records: Vec<Record>) {
         self.seq += 1;
-        let env = Envelope { v: FORMAT, from: PLANNER.to_string(), seq: self.seq, at: self.now, records };
+        let env = Envelope {
+            format_version: FORMAT_VERSION,
+            sender: PLANNER.to_string(),
+            seq: self.seq,
+            written_at: self.now,
+            records,
+        };
         self.state.fold(self.seq, &env);
     }
 }
--- a/tests/testsuite/fold_rules.rs
+++ b/tests/testsuite/fold_rules.rs
@@ -1,7 +1,9 @@
 //! Preconditions of records, decided alike by all who fold them.
 
 use workswood_core::fold::{Rejection, State};
-use workswood_core::record::{DrainReason, Envelope, FORMAT, HostChange, InstanceChange, Record, Role};
+use workswood_core::record::{
+    DrainReason, Envelope, FORMAT_VERSION, HostChange, InstanceChange, Record, Role,
+};
 use workswood_test_support::files::{pool, small};
 use workswood_test_support::log::{Log, Process};
 
@@ -150,7 +152,7 @@
     assert_eq!(state.fold(0, &env), [Err(Rejection::Unknown)]);
     assert_eq!(state.unknown, 1);
     assert_eq!(serde_json::to_string(&env).expect("JSON"), text);
-    let later = Envelope { v: FORMAT + 1, seq: 2, ..env };
+    let later = Envelope { format_version: FORMAT_VERSION + 1, seq: 2, ..env };
     assert_eq!(state.fold(1, &later), [Err(Rejection::Unknown)]);
     assert_eq!((state.unknown, state.next), (2, 2));
 }
