--- a/crates/workswood-core/src/fold/keys.rs
+++ b/crates/workswood-core/src/fold/keys.rs
@@ -13,7 +13,7 @@
 
 use super::{RecordResult, Rejection, State};
 use crate::ids::{Incarnation, RequestKey, ServiceId, UnixMs};
-use crate::record::{Deferred, End};
+use crate::record::{AttemptOutcome, DeferredRequest};
 
 /// How far ahead a last moment may lie.
 pub const MAX_KEY_WINDOW: Duration = Duration::from_secs(3600);
@@ -38,7 +38,7 @@
     /// Attempts started.
     pub attempts: u32,
     /// The request itself when it is deferred.
-    pub deferred: Option<Deferred>,
+    pub deferred: Option<DeferredRequest>,
 }
 
 /// How far a key got.
@@ -114,7 +114,7 @@
         digest: u64,
         holder: Option<&Incarnation>,
         last_moment: UnixMs,
-        deferred: Option<&Deferred>,
+        deferred: Option<&DeferredRequest>,
     ) -> RecordResult {
         if self.keys.contains_key(key) {
             return Err(Rejection::KeyTaken);
@@ -165,27 +165,27 @@
         Ok(())
     }
 
-    pub(super) fn finish(&mut self, key: &str, holder: &str, end: &End) -> RecordResult {
+    pub(super) fn finish(&mut self, key: &str, holder: &str, outcome: &AttemptOutcome) -> RecordResult {
         let rec = self.keys.get_mut(key).ok_or(Rejection::Missing)?;
         let held = matches!(&rec.state, KeyState::Running { holder: h } if h == holder);
         if !held {
             return Err(Rejection::Phase);
         }
         let again = rec.may_repeat();
-        match end {
-            End::Answered { status, body } => {
+        match outcome {
+            AttemptOutcome::Answered { status, body } => {
                 rec.state = KeyState::Done { status: *status, body: body.clone() };
             }
-            End::NotSent if rec.deferred.is_some() => rec.state = KeyState::Waiting,
+            AttemptOutcome::NotSent if rec.deferred.is_some() => rec.state = KeyState::Waiting,
             // The key is free again: the caller was told that nothing ran.
-            End::NotSent => {
+            AttemptOutcome::NotSent => {
                 let gone = (rec.expires(), key.to_string());
                 self.expiries.remove(&gone);
                 self.keys.remove(key);
                 return Ok(());
             }
-            End::Unknown if again => rec.state = KeyState::Waiting,
-            End::Unknown => rec.state = KeyState::Unknown,
+            AttemptOutcome::Unknown if again => rec.state = KeyState::Waiting,
+            AttemptOutcome::Unknown => rec.state = KeyState::Unknown,
         }
         if !rec.open() {
             // One that outlived its grace is kept for one more, for its caller.
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -190,7 +190,7 @@
                 self.claim(key, service, *digest, holder.as_ref(), *last_moment, deferred.as_ref())
             }
             Record::Start { key, holder, attempt } => self.start(key, holder, *attempt),
-            Record::Finish { key, holder, end } => self.finish(key, holder, end),
+            Record::Finish { key, holder, outcome } => self.finish(key, holder, outcome),
             Record::Job { term, job, change } => self.change_job(*term, job, change),
             Record::Mark { term } => self.holds(Role::Checkpointer, *term),
             Record::Checkpoint { marker_offset: upto, digest, .. } => self.compare(*upto, *digest),
--- a/crates/workswood-core/src/record.rs
+++ b/crates/workswood-core/src/record.rs
@@ -120,7 +120,7 @@
         /// After this moment no copy is started.
         last_moment: UnixMs,
         /// The request itself when it is deferred.
-        deferred: Option<Deferred>,
+        deferred: Option<DeferredRequest>,
     },
     /// Starts a deferred request if `attempt` is the next.
     Start {
@@ -138,7 +138,8 @@
         /// The process that ran it.
         holder: Incarnation,
         /// What is known of the run.
-        end: End,
+        #[serde(rename = "end")]
+        outcome: AttemptOutcome,
     },
     /// Changes one job; planner only.
     Job {
@@ -310,7 +311,7 @@
 
 /// A request kept in the log until it has run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Deferred {
+pub struct DeferredRequest {
     /// Method.
     pub method: String,
     /// Path with query.
@@ -321,10 +322,10 @@
     pub repeatable: bool,
 }
 
-/// The end of an attempt.
+/// How an attempt to run a request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "end", rename_all = "snake_case")]
-pub enum End {
+pub enum AttemptOutcome {
     /// An endpoint answered.
     Answered {
         /// HTTP status.
--- a/crates/workswood-test-support/src/keys.rs
+++ b/crates/workswood-test-support/src/keys.rs
@@ -9,7 +9,7 @@
 use workswood_core::fold::RecordResult;
 use workswood_core::ids::UnixMs;
 use workswood_core::keyed::{AfterClaim, Given, Inquiry, Reply, after_claim, known};
-use workswood_core::record::{End, Envelope, Record, Role, RosterMember};
+use workswood_core::record::{AttemptOutcome, Envelope, Record, Role, RosterMember};
 
 use crate::log::{Log, Process};
 
@@ -206,7 +206,7 @@
             // The process releases what it no longer wants.
             let e = &mut self.entries[i];
             let holder = e.process.id.clone();
-            let record = Record::Finish { key, holder, end: End::NotSent };
+            let record = Record::Finish { key, holder, outcome: AttemptOutcome::NotSent };
             e.process.append(&mut self.log, self.now, vec![record]);
         }
         Ok(())
@@ -241,8 +241,8 @@
             Stage::Claimed(offset) => self.read_verdict(n, offset),
             Stage::Won => self.send(n, luck),
             Stage::Asking(inquiry) => self.ask(n, inquiry),
-            Stage::Ran => self.finish(n, End::Answered { status: 200, body: None }),
-            Stage::Released => self.finish(n, End::NotSent),
+            Stage::Ran => self.finish(n, AttemptOutcome::Answered { status: 200, body: None }),
+            Stage::Released => self.finish(n, AttemptOutcome::NotSent),
             Stage::Over => Stage::Over,
         };
         self.copies[n].stage = next;
@@ -325,15 +325,15 @@
         Stage::Ran
     }
 
-    fn finish(&mut self, n: usize, end: End) -> Stage {
+    fn finish(&mut self, n: usize, end: AttemptOutcome) -> Stage {
         if self.log_down {
-            return if end == End::NotSent { Stage::Released } else { Stage::Ran };
+            return if end == AttemptOutcome::NotSent { Stage::Released } else { Stage::Ran };
         }
         let (i, key) = (self.copies[n].entry, self.copies[n].given.key.clone());
         let process = &mut self.entries[i].process;
         let holder = process.id.clone();
-        let released = end == End::NotSent;
-        process.append(&mut self.log, self.now, vec![Record::Finish { key, holder, end }]);
+        let released = end == AttemptOutcome::NotSent;
+        process.append(&mut self.log, self.now, vec![Record::Finish { key, holder, outcome: end }]);
         if released {
             self.tell(n, Ran::NotRun);
         }
--- a/src/workswood/ops/bench/fold.rs
+++ b/src/workswood/ops/bench/fold.rs
@@ -4,7 +4,7 @@
 
 use workswood_core::fleet::{Budget, Class, FleetFile, Host, Pool, Route, Service};
 use workswood_core::fold::State;
-use workswood_core::record::{End, Envelope, FORMAT_VERSION, Record, Role, RosterMember};
+use workswood_core::record::{AttemptOutcome, Envelope, FORMAT_VERSION, Record, Role, RosterMember};
 
 use super::stats::median;
 use crate::ops::plan::settled;
@@ -140,8 +140,8 @@
         last_moment: 10_000_000,
         deferred: None,
     };
-    let end = End::Answered { status: 200, body: Some("b2s=".to_string()) };
-    [claim, Record::Finish { key, holder: "me".to_string(), end }]
+    let end = AttemptOutcome::Answered { status: 200, body: Some("b2s=".to_string()) };
+    [claim, Record::Finish { key, holder: "me".to_string(), outcome: end }]
 }
 
 fn claims(keys: u64) -> (f64, usize) {
--- a/src/workswood/ops/entry/appender.rs
+++ b/src/workswood/ops/entry/appender.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 use workswood_core::fold::{RecordResult, Rejection};
 use workswood_core::ids::Offset;
-use workswood_core::record::{End, Envelope, FORMAT_VERSION, Record};
+use workswood_core::record::{AttemptOutcome, Envelope, FORMAT_VERSION, Record};
 use workswood_peers::{Head, Msg};
 use workswood_platform::Error;
 
@@ -105,7 +105,8 @@
                 continue;
             }
             log::info!("event=claim_released key={key} reason=abandoned");
-            let record = Record::Finish { key: key.clone(), holder: holder.clone(), end: End::NotSent };
+            let record =
+                Record::Finish { key: key.clone(), holder: holder.clone(), outcome: AttemptOutcome::NotSent };
             let node = self.clone();
             tokio::spawn(async move { node.append(vec![record]).await });
         }
@@ -193,7 +194,7 @@
     match r {
         Record::Checkpoint { data, .. } => data.len() * 2,
         Record::Claim { deferred: Some(d), .. } => d.body.len() + 512,
-        Record::Finish { end: End::Answered { body: Some(b), .. }, .. } => b.len() + 256,
+        Record::Finish { outcome: AttemptOutcome::Answered { body: Some(b), .. }, .. } => b.len() + 256,
         Record::Apply { file, .. } => (file.hosts.len() + file.services.len()) * 256 + 1024,
         _ => 256,
     }
--- a/src/workswood/ops/entry/deferred.rs
+++ b/src/workswood/ops/entry/deferred.rs
@@ -13,7 +13,7 @@
 use workswood_core::fold::{KeyRec, KeyState, MAX_KEY_WINDOW, Rejection, State};
 use workswood_core::ids::{RequestKey, UnixMs};
 use workswood_core::keyed::{Given, HOLD};
-use workswood_core::record::{Deferred, End as KeyEnd, Record};
+use workswood_core::record::{AttemptOutcome, DeferredRequest, Record};
 
 use super::appender::Missed;
 use super::keys::{self, Claiming};
@@ -56,7 +56,7 @@
     let Some(claiming) = Claiming::begin(node, &given.key, call.deadline).await else {
         return keys::refuse(node, Some(&given.key), Code::WaitTooLong, Some(HOLD)).await;
     };
-    let deferred = Deferred {
+    let deferred = DeferredRequest {
         method: call.head.method.to_string(),
         path: call.head.path.clone(),
         body: STANDARD.encode(&body),
@@ -170,7 +170,7 @@
         Next::Start { rec } => start(node, key, rec).await,
         Next::Bury { holder } => {
             log::warn!("event=deferred_unknown key={key} holder={holder} reason=holder_gone");
-            let record = Record::Finish { key: key.to_string(), holder, end: KeyEnd::Unknown };
+            let record = Record::Finish { key: key.to_string(), holder, outcome: AttemptOutcome::Unknown };
             let _ = node.append(vec![record]).await;
         }
     }
@@ -213,7 +213,7 @@
         .is_some_and(|k| matches!(&k.state, KeyState::Running { holder } if *holder == node.id))
 }
 
-fn call(node: &Node, key: &str, rec: &KeyRec, d: &Deferred) -> Option<Call> {
+fn call(node: &Node, key: &str, rec: &KeyRec, d: &DeferredRequest) -> Option<Call> {
     let table = node.table.load();
     let path = d.path.split('?').next().unwrap_or_default();
     let (route, service) = table.find(path).filter(|(_, s)| *s == rec.service)?.clone();
--- a/src/workswood/ops/entry/keys.rs
+++ b/src/workswood/ops/entry/keys.rs
@@ -15,7 +15,7 @@
 use workswood_core::fold::{MAX_KEY_WINDOW, Rejection};
 use workswood_core::ids::{RequestKey, UnixMs};
 use workswood_core::keyed::{self, AfterClaim, Given, HOLD, Inquiry, Told};
-use workswood_core::record::{End as KeyEnd, Record};
+use workswood_core::record::{AttemptOutcome, Record};
 use workswood_peers::{KeyAsk, Msg};
 
 use super::lanes;
@@ -166,12 +166,12 @@
     let end = match end {
         End::Answered(reply, body) => {
             let kept = body.as_ref().filter(|b| b.len() <= MOST_KEPT).map(|b| STANDARD.encode(b));
-            KeyEnd::Answered { status: reply.status().as_u16(), body: kept }
+            AttemptOutcome::Answered { status: reply.status().as_u16(), body: kept }
         }
-        End::NotSent(..) => KeyEnd::NotSent,
-        End::Broke(_) => KeyEnd::Unknown,
+        End::NotSent(..) => AttemptOutcome::NotSent,
+        End::Broke(_) => AttemptOutcome::Unknown,
     };
-    Record::Finish { key: key.to_string(), holder: node.id.clone(), end }
+    Record::Finish { key: key.to_string(), holder: node.id.clone(), outcome: end }
 }
 
 /// What the log says of a key, as an answer; `None` if it may be claimed.
--- a/tests/testsuite/lost_attempts.rs
+++ b/tests/testsuite/lost_attempts.rs
@@ -6,7 +6,7 @@
 
 use workswood_core::fleet::Class;
 use workswood_core::fold::{JobPhase, KeyState};
-use workswood_core::record::{Deferred, End, HostChange, JobChange, Record, Role};
+use workswood_core::record::{AttemptOutcome, DeferredRequest, HostChange, JobChange, Record, Role};
 use workswood_test_support::files::{job, small, team};
 use workswood_test_support::log::{Log, Process};
 
@@ -53,7 +53,7 @@
 fn attempts(mut ends: impl FnMut(&mut Log, &mut Process, &str)) -> (u32, KeyState) {
     let (mut log, mut p) = fleet();
     let deferred =
-        Deferred { method: "POST".into(), path: "/".into(), body: String::new(), repeatable: true };
+        DeferredRequest { method: "POST".into(), path: "/".into(), body: String::new(), repeatable: true };
     let claim = Record::Claim {
         key: "k".into(),
         service: "shop".into(),
@@ -77,7 +77,7 @@
 #[test]
 fn request_of_unknown_end() {
     let (starts, state) = attempts(|log, p, holder| {
-        let end = Record::Finish { key: "k".into(), holder: holder.into(), end: End::Unknown };
+        let end = Record::Finish { key: "k".into(), holder: holder.into(), outcome: AttemptOutcome::Unknown };
         assert_eq!(p.append(log, 3, vec![end]), [Ok(())]);
     });
     assert_eq!((starts, state), (5, KeyState::Unknown));
--- a/tests/testsuite/state_checkpoints.rs
+++ b/tests/testsuite/state_checkpoints.rs
@@ -3,7 +3,7 @@
 use arbtest::arbtest;
 use workswood_core::fold::{Assembler, State};
 use workswood_core::invariant;
-use workswood_core::record::{End, Record, Role, RosterMember};
+use workswood_core::record::{AttemptOutcome, Record, Role, RosterMember};
 use workswood_test_support::files::small;
 use workswood_test_support::log::{Log, Process};
 
@@ -20,8 +20,12 @@
             last_moment: u.int_in_range(0..=20_000_000u64)?,
             deferred: None,
         },
-        1 => Record::Finish { key, holder: "p".into(), end: End::NotSent },
-        2 => Record::Finish { key, holder: "p".into(), end: End::Answered { status: 200, body: None } },
+        1 => Record::Finish { key, holder: "p".into(), outcome: AttemptOutcome::NotSent },
+        2 => Record::Finish {
+            key,
+            holder: "p".into(),
+            outcome: AttemptOutcome::Answered { status: 200, body: None },
+        },
         3 => Record::Renew { role: Role::Planner, term: 1 },
         _ => Record::Apply {
             id: format!("c{n}"),
