--- a/crates/workswood-core/src/fold/apply.rs
+++ b/crates/workswood-core/src/fold/apply.rs
@@ -3,13 +3,13 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{HostRec, RecordResult, Rejection, State};
+use super::{ManagedHost, RecordResult, Rejection, State};
 use crate::fleet::FleetFile;
 use crate::ids::{FileId, Offset};
 
 /// A file in force.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct FileRec {
+pub struct AppliedFile {
     /// Version; the first accepted change makes it 1.
     pub version: u64,
     /// Offset at which the version was accepted.
@@ -53,7 +53,7 @@
         if let Some((what, owner)) = self.claimed_elsewhere(file) {
             return Err(Rejection::Claimed { what, file: owner });
         }
-        let rec = FileRec {
+        let rec = AppliedFile {
             version: version + 1,
             offset,
             change: id.to_string(),
@@ -83,7 +83,7 @@
     }
 
     pub(super) fn index_services(&mut self) {
-        let declared = |(name, f): (&FileId, &FileRec)| {
+        let declared = |(name, f): (&FileId, &AppliedFile)| {
             let all = f.file.services.iter().enumerate();
             all.map(|(i, s)| (s.name.clone(), (name.clone(), i))).collect::<Vec<_>>()
         };
@@ -92,7 +92,7 @@
 
     fn claim_hosts(&mut self, file: &FleetFile) {
         for h in &file.hosts {
-            let rec = self.hosts.entry(h.name.clone()).or_insert_with(|| HostRec::new(&file.file, h));
+            let rec = self.hosts.entry(h.name.clone()).or_insert_with(|| ManagedHost::new(&file.file, h));
             rec.released = false;
         }
         let named: std::collections::BTreeSet<&String> = file.hosts.iter().map(|h| &h.name).collect();
--- a/crates/workswood-core/src/fold/hosts.rs
+++ b/crates/workswood-core/src/fold/hosts.rs
@@ -33,7 +33,7 @@
 
 /// What is known and decided of a host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HostRec {
+pub struct ManagedHost {
     /// The file that claims it.
     pub file: FileId,
     /// The one pool it belongs to.
@@ -69,10 +69,10 @@
     pub maintained: BTreeSet<String>,
 }
 
-impl HostRec {
+impl ManagedHost {
     /// A host just claimed and not yet seen by the platform's list.
-    pub fn new(file: &str, host: &Host) -> HostRec {
-        HostRec {
+    pub fn new(file: &str, host: &Host) -> ManagedHost {
+        ManagedHost {
             file: file.to_string(),
             pool: None,
             generation: 0,
@@ -180,7 +180,7 @@
 }
 
 /// Keeps the generations that serve as tokens of acts on the platform.
-fn note_generation(rec: &mut HostRec, change: &HostChange) {
+fn note_generation(rec: &mut ManagedHost, change: &HostChange) {
     match change {
         HostChange::Assign { .. } => rec.pool_generation = rec.generation,
         // Two acts follow a flip, so it takes two generations.
@@ -197,7 +197,7 @@
 }
 
 /// Carries one change out on a host; true if it changed the pool.
-fn apply_change(rec: &mut HostRec, change: &HostChange) -> Result<bool, Rejection> {
+fn apply_change(rec: &mut ManagedHost, change: &HostChange) -> Result<bool, Rejection> {
     match (change, rec.phase.clone()) {
         (HostChange::Seen { place, cpus, memory_gib, accelerators }, _) => {
             rec.place = place.clone();
--- a/crates/workswood-core/src/fold/instances.rs
+++ b/crates/workswood-core/src/fold/instances.rs
@@ -4,14 +4,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{HostRec, RecordResult, Rejection, State};
+use super::{ManagedHost, RecordResult, Rejection, State};
 use crate::fleet::{Budget, Service};
 use crate::ids::{HostId, InstanceId, Rack, ServiceId, Term};
 use crate::record::{InstanceChange, Role};
 
 /// A placed instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct InstanceRec {
+pub struct PlacedInstance {
     /// The service.
     pub service: ServiceId,
     /// The host it is placed on.
@@ -56,7 +56,7 @@
     }
 
     /// Adds one instance on a host.
-    pub fn add(&mut self, instance: &InstanceRec, host: Option<&HostRec>) {
+    pub fn add(&mut self, instance: &PlacedInstance, host: Option<&ManagedHost>) {
         let Some(host) = host else { return };
         if instance.ready && host.takes_work() {
             self.available += 1;
@@ -67,7 +67,7 @@
     }
 
     /// Takes one available instance away; `None` if the budget forbids it.
-    pub fn leave(&self, budget: &Budget, host: &HostRec) -> Option<Availability> {
+    pub fn leave(&self, budget: &Budget, host: &ManagedHost) -> Option<Availability> {
         let mut after = self.clone();
         after.available = after.available.checked_sub(1)?;
         if let Some(n) = after.by_rack.get_mut(&host.place.rack) {
@@ -120,7 +120,7 @@
     pub fn instances_of<'a>(
         &'a self,
         service: &'a str,
-    ) -> impl Iterator<Item = (&'a InstanceId, &'a InstanceRec)> + 'a {
+    ) -> impl Iterator<Item = (&'a InstanceId, &'a PlacedInstance)> + 'a {
         let first = format!("{service}/");
         self.instances.range(first.clone()..).take_while(move |(id, _)| id.starts_with(&first))
     }
@@ -184,7 +184,7 @@
         if doubled || crowded || !h.takes_work() || h.pool.as_ref() != Some(&s.pool) {
             return Err(Rejection::Phase);
         }
-        let rec = InstanceRec {
+        let rec = PlacedInstance {
             service: service.to_string(),
             host: host.to_string(),
             address: String::new(),
--- a/crates/workswood-core/src/fold/jobs.rs
+++ b/crates/workswood-core/src/fold/jobs.rs
@@ -25,7 +25,7 @@
 
 /// A job that was started at least once.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct JobRec {
+pub struct StartedJob {
     /// Where it is.
     pub phase: JobPhase,
     /// Offset of the last start; its token, the platform refuses lower ones.
@@ -61,7 +61,7 @@
                 return Err(Rejection::Phase);
             }
         }
-        let fresh = JobRec { phase: JobPhase::Waiting, token: 0, since: time, failures: 0, losses: 0 };
+        let fresh = StartedJob { phase: JobPhase::Waiting, token: 0, since: time, failures: 0, losses: 0 };
         let rec = self.jobs.entry(job.to_string()).or_insert(fresh);
         match (change, &rec.phase) {
             (JobChange::Start { host }, JobPhase::Waiting) => {
--- a/crates/workswood-core/src/fold/keys.rs
+++ b/crates/workswood-core/src/fold/keys.rs
@@ -26,7 +26,7 @@
 
 /// A key in its window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeyRec {
+pub struct KeyedRequest {
     /// Service of the request.
     pub service: ServiceId,
     /// Digest of method, path and body.
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Lookup<'a> {
     /// It is known.
-    Known(&'a KeyRec),
+    Known(&'a KeyedRequest),
     /// It was not claimed, and may be.
     Open,
     /// It was never claimed and never will be.
@@ -76,7 +76,7 @@
     Forgotten,
 }
 
-impl KeyRec {
+impl KeyedRequest {
     fn expires(&self) -> UnixMs {
         self.last_moment + KEY_GRACE.as_millis() as UnixMs
     }
@@ -131,7 +131,7 @@
             Some(h) => KeyState::Running { holder: h.clone() },
             None => KeyState::Waiting,
         };
-        let rec = KeyRec {
+        let rec = KeyedRequest {
             service: service.clone(),
             digest,
             last_moment,
--- a/crates/workswood-core/src/fold/lease.rs
+++ b/crates/workswood-core/src/fold/lease.rs
@@ -14,7 +14,7 @@
 
 /// A role's lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaseRec {
+pub struct Lease {
     /// Who holds it; none after it was given up.
     pub holder: Option<Incarnation>,
     /// The holder's term.
@@ -25,7 +25,7 @@
 
 impl State {
     /// The lease of a role; an empty one if nobody ever took it.
-    pub fn lease(&self, role: Role) -> LeaseRec {
+    pub fn lease(&self, role: Role) -> Lease {
         self.leases.get(&role).cloned().unwrap_or_default()
     }
 
@@ -39,7 +39,7 @@
         if term != lease.term + 1 || seen != lease.renewals {
             return Err(Rejection::Term);
         }
-        let rec = LeaseRec { holder: Some(holder.to_string()), term, renewals: 0 };
+        let rec = Lease { holder: Some(holder.to_string()), term, renewals: 0 };
         self.leases.insert(role, rec);
         Ok(())
     }
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -22,12 +22,12 @@
 use crate::invariant;
 use crate::record::{Envelope, FORMAT_VERSION, Record, Role, RosterMember};
 
-pub use apply::FileRec;
-pub use hosts::{HostRec, Phase};
-pub use instances::{Availability, InstanceRec, Stance};
-pub use jobs::{JobPhase, JobRec};
-pub use keys::{KEY_GRACE, KeyRec, KeyState, Lookup, MAX_KEY_WINDOW};
-pub use lease::LeaseRec;
+pub use apply::AppliedFile;
+pub use hosts::{ManagedHost, Phase};
+pub use instances::{Availability, PlacedInstance, Stance};
+pub use jobs::{JobPhase, StartedJob};
+pub use keys::{KEY_GRACE, KeyState, KeyedRequest, Lookup, MAX_KEY_WINDOW};
+pub use lease::Lease;
 pub use snapshot::{Assembler, Digest};
 
 /// Why a record was rejected and had no effect.
@@ -91,21 +91,21 @@
     /// Log time: the highest `at` folded.
     pub time: UnixMs,
     /// Files in force.
-    pub files: BTreeMap<FileId, FileRec>,
+    pub files: BTreeMap<FileId, AppliedFile>,
     /// Roles and the leases on them.
-    pub leases: BTreeMap<Role, LeaseRec>,
+    pub leases: BTreeMap<Role, Lease>,
     /// Processes that share slots.
     pub roster: Vec<RosterMember>,
     /// Grows with each change of the roster.
     pub roster_generation: u64,
     /// Hosts that files claim, or that are being given up.
-    pub hosts: BTreeMap<HostId, HostRec>,
+    pub hosts: BTreeMap<HostId, ManagedHost>,
     /// Instances that are placed.
-    pub instances: BTreeMap<InstanceId, InstanceRec>,
+    pub instances: BTreeMap<InstanceId, PlacedInstance>,
     /// Keys within their window, and open deferred requests.
-    pub keys: BTreeMap<RequestKey, KeyRec>,
+    pub keys: BTreeMap<RequestKey, KeyedRequest>,
     /// Jobs that were started or have ended.
-    pub jobs: BTreeMap<JobId, JobRec>,
+    pub jobs: BTreeMap<JobId, StartedJob>,
     /// Highest `seq` folded of each process, and log time then.
     pub senders: BTreeMap<Incarnation, (u64, UnixMs)>,
     /// Records of unknown kind or format.
--- a/crates/workswood-core/src/keyed.rs
+++ b/crates/workswood-core/src/keyed.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use crate::code::{Code, Ran};
-use crate::fold::{KeyRec, KeyState, Lookup, RecordResult, Rejection, State};
+use crate::fold::{KeyState, KeyedRequest, Lookup, RecordResult, Rejection, State};
 use crate::ids::{Incarnation, RequestKey, UnixMs};
 
 /// A key as a caller gives it.
@@ -84,7 +84,7 @@
 }
 
 /// What the state says of a known request.
-pub fn told(state: &State, rec: &KeyRec) -> Told {
+pub fn told(state: &State, rec: &KeyedRequest) -> Told {
     let alive = |id: &str| state.roster.iter().any(|m| m.id == id);
     match &rec.state {
         KeyState::Done { status, body } => Told::Done { status: *status, body: body.clone() },
--- a/crates/workswood-core/src/plan/acts.rs
+++ b/crates/workswood-core/src/plan/acts.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::seen::{HostSeen, HostState, Seen};
-use crate::fold::{HostRec, JobPhase, Phase, State};
+use crate::fold::{JobPhase, ManagedHost, Phase, State};
 use crate::ids::{HostId, PoolId};
 
 /// One call on the platform. Every call may be made twice: the platform
@@ -90,7 +90,7 @@
     all
 }
 
-fn host_acts(id: &HostId, rec: &HostRec, s: &HostSeen) -> Vec<Act> {
+fn host_acts(id: &HostId, rec: &ManagedHost, s: &HostSeen) -> Vec<Act> {
     let mut all = Vec::new();
     let host = id.clone();
     if let Some(pool) =
@@ -117,7 +117,7 @@
     all
 }
 
-fn starts(state: &State, id: &HostId, rec: &HostRec, s: &HostSeen) -> Vec<Act> {
+fn starts(state: &State, id: &HostId, rec: &ManagedHost, s: &HostSeen) -> Vec<Act> {
     if !rec.takes_work() || s.draining {
         return Vec::new();
     }
--- a/crates/workswood-core/src/plan/index.rs
+++ b/crates/workswood-core/src/plan/index.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::fleet::Service;
-use crate::fold::{Availability, HostRec, InstanceRec, State};
+use crate::fold::{Availability, ManagedHost, PlacedInstance, State};
 use crate::ids::{HostId, InstanceId, ServiceId};
 
 /// Availability and services by name, kept up to date by the round itself.
@@ -16,14 +16,14 @@
     /// Availability by service, less what this round takes away.
     pub availability: BTreeMap<ServiceId, Availability>,
     /// Hosts of each pool; those in none are not in it.
-    pub pools: BTreeMap<&'a str, Vec<(&'a HostId, &'a HostRec)>>,
+    pub pools: BTreeMap<&'a str, Vec<(&'a HostId, &'a ManagedHost)>>,
 }
 
 impl<'a> Index<'a> {
     /// Sums the state up.
     pub fn new(state: &'a State) -> Index<'a> {
         let services = state.services().map(|s| (s.name.as_str(), s)).collect();
-        let mut pools: BTreeMap<&str, Vec<(&HostId, &HostRec)>> = BTreeMap::new();
+        let mut pools: BTreeMap<&str, Vec<(&HostId, &ManagedHost)>> = BTreeMap::new();
         for (id, h) in &state.hosts {
             if let Some(p) = &h.pool {
                 pools.entry(p).or_default().push((id, h));
@@ -33,12 +33,12 @@
     }
 
     /// Hosts of a pool.
-    pub fn pool(&self, pool: &str) -> &[(&'a HostId, &'a HostRec)] {
+    pub fn pool(&self, pool: &str) -> &[(&'a HostId, &'a ManagedHost)] {
         self.pools.get(pool).map_or(&[], Vec::as_slice)
     }
 
     /// Instances on a host.
-    fn on_host(&self, host: &HostId) -> impl Iterator<Item = (&'a InstanceId, &'a InstanceRec)> {
+    fn on_host(&self, host: &HostId) -> impl Iterator<Item = (&'a InstanceId, &'a PlacedInstance)> {
         let state = self.state;
         let on = state.by_host.get(host).into_iter().flatten();
         on.filter_map(|id| state.instances.get_key_value(id))
--- a/crates/workswood-core/src/plan/jobs.rs
+++ b/crates/workswood-core/src/plan/jobs.rs
@@ -6,7 +6,7 @@
 use super::place::loads;
 use super::seen::Seen;
 use crate::fleet::{Class, Job};
-use crate::fold::{HostRec, JobPhase, JobRec, State};
+use crate::fold::{JobPhase, ManagedHost, StartedJob, State};
 use crate::ids::{HostId, JobId, Term, UnixMs};
 use crate::record::{JobChange, Record};
 
@@ -44,7 +44,7 @@
         JobPhase::Running { host } => Some((id, r, host)),
         _ => None,
     });
-    let end = |(id, r, host): (&JobId, &JobRec, &HostId)| {
+    let end = |(id, r, host): (&JobId, &StartedJob, &HostId)| {
         let on = seen.hosts.get(host);
         let task = on.and_then(|h| h.tasks.iter().find(|t| t.id == *id && t.token == r.token));
         if let Some(ok) = task.and_then(|t| t.ended) {
@@ -57,7 +57,7 @@
 }
 
 /// Whether a running job's host has been gone for too long.
-fn lost(state: &State, host: &HostId, r: &JobRec, now: UnixMs) -> bool {
+fn lost(state: &State, host: &HostId, r: &StartedJob, now: UnixMs) -> bool {
     let gone = state.hosts.get(host).map_or(Some(r.since), |h| (!h.up).then_some(h.since.max(r.since)));
     gone.is_some_and(|since| now.saturating_sub(since) > LOST_AFTER_MS)
 }
@@ -111,7 +111,7 @@
         if self.quota.get(j.team.as_str()).copied().unwrap_or(0) < i64::from(j.cpus) {
             return Vec::new();
         }
-        let in_pool = |h: &HostRec| h.pool.as_ref() == Some(&j.pool) && h.takes_work();
+        let in_pool = |h: &ManagedHost| h.pool.as_ref() == Some(&j.pool) && h.takes_work();
         let hosts = state.hosts.iter().filter(|(_, h)| in_pool(h)).map(|(id, _)| id);
         let best = hosts.filter(|id| self.fits(id, j)).max_by_key(|id| self.free.get(id).map(|f| f.0));
         if let Some(host) = best {
--- a/crates/workswood-core/src/plan/observe.rs
+++ b/crates/workswood-core/src/plan/observe.rs
@@ -2,7 +2,7 @@
 
 use super::Facts;
 use super::seen::{HostSeen, HostState, Seen};
-use crate::fold::{HostRec, Phase, State};
+use crate::fold::{ManagedHost, Phase, State};
 use crate::ids::{HostId, Term};
 use crate::record::{DrainReason, HostChange, InstanceChange, Record};
 
@@ -20,7 +20,7 @@
     all
 }
 
-fn host_facts(rec: &HostRec, seen: Option<&HostSeen>) -> Vec<HostChange> {
+fn host_facts(rec: &ManagedHost, seen: Option<&HostSeen>) -> Vec<HostChange> {
     let mut steps = Vec::new();
     let up = seen.is_some_and(|s| s.state == HostState::Live);
     // A host under reboot is away anyhow; its return is decided on its boot id.
@@ -60,7 +60,7 @@
         let ready = back && task.is_some_and(|t| t.ready);
         let address = task.map_or(rec.address.clone(), |t| t.address.clone());
         // While the host is away the instance keeps its last record.
-        let away = rec_host.is_some_and(HostRec::away);
+        let away = rec_host.is_some_and(ManagedHost::away);
         if !away && (ready != rec.ready || address != rec.address) {
             let step = InstanceChange::Ready { address, ready };
             all.push(Record::Instance { term, instance: id.clone(), change: step });
@@ -82,7 +82,7 @@
 fn next_step(
     state: &State,
     id: &HostId,
-    rec: &HostRec,
+    rec: &ManagedHost,
     seen: Option<&HostSeen>,
     facts: &Facts,
 ) -> Option<HostChange> {
--- a/crates/workswood-core/src/plan/place.rs
+++ b/crates/workswood-core/src/plan/place.rs
@@ -6,7 +6,7 @@
 use super::index::Index;
 use super::seen::Seen;
 use crate::fleet::Service;
-use crate::fold::{HostRec, InstanceRec, Phase, State};
+use crate::fold::{ManagedHost, Phase, PlacedInstance, State};
 use crate::ids::{HostId, InstanceId, Term, UnixMs};
 use crate::record::{DrainReason, InstanceChange, Record};
 
@@ -18,7 +18,7 @@
     let mut all = Vec::new();
     let mut load: Option<BTreeMap<HostId, (u32, u32)>> = None;
     for s in state.services() {
-        let have: Vec<(&InstanceId, &InstanceRec)> = state.instances_of(&s.name).collect();
+        let have: Vec<(&InstanceId, &PlacedInstance)> = state.instances_of(&s.name).collect();
         for (id, i) in &have {
             if leaves(state, index, s, id, i, now) {
                 all.push(Record::Instance { term, instance: (*id).clone(), change: InstanceChange::Remove });
@@ -59,7 +59,7 @@
 }
 
 /// Whether an instance must leave its host now.
-fn leaves(state: &State, index: &mut Index, s: &Service, id: &str, i: &InstanceRec, now: UnixMs) -> bool {
+fn leaves(state: &State, index: &mut Index, s: &Service, id: &str, i: &PlacedInstance, now: UnixMs) -> bool {
     let Some(h) = state.hosts.get(&i.host) else { return true };
     match &h.phase {
         Phase::Drained(DrainReason::Move { .. } | DrainReason::Release) => return true,
@@ -83,7 +83,7 @@
 }
 
 impl Spread {
-    fn new(state: &State, have: &[(&InstanceId, &InstanceRec)]) -> Spread {
+    fn new(state: &State, have: &[(&InstanceId, &PlacedInstance)]) -> Spread {
         let mut spread = Spread { centres: BTreeMap::new(), racks: BTreeMap::new(), hosts: Vec::new() };
         for (_, i) in have {
             if let Some(h) = state.hosts.get(&i.host) {
@@ -93,7 +93,7 @@
         spread
     }
 
-    fn add(&mut self, h: &HostRec, host: &HostId) {
+    fn add(&mut self, h: &ManagedHost, host: &HostId) {
         *self.centres.entry(h.place.data_centre.clone()).or_default() += 1;
         *self.racks.entry(h.place.rack.clone()).or_default() += 1;
         self.hosts.push(host.clone());
@@ -110,7 +110,7 @@
         load: &BTreeMap<HostId, (u32, u32)>,
     ) -> Option<HostId> {
         let used = |id: &HostId| load.get(id).copied().unwrap_or_default();
-        let fits = |(id, h): &&(&HostId, &HostRec)| {
+        let fits = |(id, h): &&(&HostId, &ManagedHost)| {
             let (cpus, memory) = used(id);
             h.takes_work()
                 && !h.released
@@ -118,7 +118,7 @@
                 && memory + s.memory_gib <= h.memory_gib
                 && !self.hosts.contains(*id)
         };
-        let rank = |(host, h): &&(&HostId, &HostRec)| {
+        let rank = |(host, h): &&(&HostId, &ManagedHost)| {
             let runs = seen.hosts.get(*host).is_some_and(|x| x.tasks.iter().any(|t| t.id == id));
             let centre = self.centres.get(&h.place.data_centre).copied().unwrap_or(0);
             let rack = self.racks.get(&h.place.rack).copied().unwrap_or(0);
--- a/crates/workswood-core/src/plan/pools.rs
+++ b/crates/workswood-core/src/plan/pools.rs
@@ -5,7 +5,7 @@
 use super::index::Index;
 use super::seen::Seen;
 use crate::fleet::{FleetFile, Pool};
-use crate::fold::{HostRec, Phase, State};
+use crate::fold::{ManagedHost, Phase, State};
 use crate::ids::{HostId, PoolId, Term};
 use crate::record::{DrainReason, HostChange, Record};
 
@@ -51,19 +51,19 @@
     all
 }
 
-fn step(term: Term, host: &HostId, rec: &HostRec, step: HostChange) -> Record {
+fn step(term: Term, host: &HostId, rec: &ManagedHost, step: HostChange) -> Record {
     Record::Host { term, host: host.clone(), generation: rec.generation, change: step }
 }
 
 /// The pool that a host is in or on its way to.
-fn heading(rec: &HostRec) -> Option<&PoolId> {
+fn heading(rec: &ManagedHost) -> Option<&PoolId> {
     match &rec.phase {
         Phase::Draining(DrainReason::Move { to }) | Phase::Drained(DrainReason::Move { to }) => Some(to),
         _ => rec.pool.as_ref(),
     }
 }
 
-fn healthy(rec: &HostRec) -> bool {
+fn healthy(rec: &ManagedHost) -> bool {
     rec.up && !rec.foreign && !rec.released
 }
 
@@ -81,7 +81,7 @@
     (pool.size as usize).saturating_sub(have)
 }
 
-fn fits(rec: &HostRec, pool: &Pool) -> bool {
+fn fits(rec: &ManagedHost, pool: &Pool) -> bool {
     rec.cpus >= pool.min_cpus
         && rec.memory_gib >= pool.min_memory_gib
         && rec.accelerators >= pool.min_accelerators
@@ -100,7 +100,7 @@
     for r in state.hosts.values().filter(|r| r.pool.as_ref() == Some(&pool.name)) {
         *racks.entry(&r.place.rack).or_default() += 1;
     }
-    let usable = |(id, r): &(&HostId, &HostRec)| {
+    let usable = |(id, r): &(&HostId, &ManagedHost)| {
         r.file == file.file
             && r.phase == Phase::Free
             && healthy(r)
--- a/crates/workswood-core/src/plan/wave.rs
+++ b/crates/workswood-core/src/plan/wave.rs
@@ -9,7 +9,7 @@
 
 use super::index::Index;
 use crate::fleet::{Maintenance, rfc3339_ms};
-use crate::fold::{HostRec, Phase, State};
+use crate::fold::{ManagedHost, Phase, State};
 use crate::ids::{HostId, Term, UnixMs};
 use crate::record::{DrainReason, HostChange, Record};
 
@@ -82,8 +82,8 @@
 
 struct Members<'a> {
     done: usize,
-    away: Vec<(&'a HostId, &'a HostRec)>,
-    left: Vec<(&'a HostId, &'a HostRec)>,
+    away: Vec<(&'a HostId, &'a ManagedHost)>,
+    left: Vec<(&'a HostId, &'a ManagedHost)>,
 }
 
 fn members<'a>(index: &Index<'a>, m: &Maintenance) -> Members<'a> {
@@ -126,7 +126,7 @@
         (false, n) => n as usize,
     };
     let room = room.saturating_sub(all.away.len());
-    let usable = |(_, r): &&(&HostId, &HostRec)| r.takes_work();
+    let usable = |(_, r): &&(&HostId, &ManagedHost)| r.takes_work();
     let mut left: Vec<&HostId> = all.left.iter().filter(usable).map(|(id, _)| *id).collect();
     let works = |id: &&HostId| index.state.by_host.contains_key(*id);
     if canary && left.iter().any(works) {
@@ -165,7 +165,7 @@
     if now < m.start {
         return Some(Stop::NotYet { start: rfc3339_ms(m.start) });
     }
-    let overdue = |(_, r): &&(&HostId, &HostRec)| {
+    let overdue = |(_, r): &&(&HostId, &ManagedHost)| {
         let rebooting = matches!(r.phase, Phase::Rebooting { .. });
         rebooting && now.saturating_sub(r.since) > length * OVERDUE_FACTOR
     };
@@ -195,7 +195,7 @@
         .pool(&m.pool)
         .iter()
         .filter(|(_, r)| r.maintained.contains(&m.name) && r.phase == Phase::Active && !r.foreign);
-    let ill = |id: &HostId, r: &HostRec| {
+    let ill = |id: &HostId, r: &ManagedHost| {
         let on = state.by_host.get(id).into_iter().flatten();
         let idle = on.filter_map(|i| state.instances.get(i)).any(|i| !i.ready);
         !r.up || idle
--- a/crates/workswood-core/src/route/table.rs
+++ b/crates/workswood-core/src/route/table.rs
@@ -75,7 +75,7 @@
 
 fn endpoints(state: &State, service: &str) -> Vec<Endpoint> {
     let known = state.instances_of(service).filter(|(_, i)| !i.address.is_empty());
-    let view = |(id, i): (&InstanceId, &crate::fold::InstanceRec)| {
+    let view = |(id, i): (&InstanceId, &crate::fold::PlacedInstance)| {
         let host = state.hosts.get(&i.host);
         Endpoint {
             id: id.clone(),
--- a/crates/workswood-test-support/src/history.rs
+++ b/crates/workswood-test-support/src/history.rs
@@ -185,7 +185,7 @@
         }
         for s in before.services() {
             let of =
-                |i: &&workswood_core::fold::InstanceRec| i.service == s.name && i.ready && works(&i.host);
+                |i: &&workswood_core::fold::PlacedInstance| i.service == s.name && i.ready && works(&i.host);
             let have = before.instances.values().filter(of).count() as u32;
             let touched = match r {
                 Record::Instance { instance, .. } => before.instances.get(instance).filter(of).is_some(),
--- a/src/workswood/ops/entry/deferred.rs
+++ b/src/workswood/ops/entry/deferred.rs
@@ -10,7 +10,7 @@
 use workswood_callers::{KEY, RAN, refusal, whole};
 use workswood_core::code::{Code, Ran};
 use workswood_core::fleet::Class;
-use workswood_core::fold::{KeyRec, KeyState, MAX_KEY_WINDOW, Rejection, State};
+use workswood_core::fold::{KeyState, KeyedRequest, MAX_KEY_WINDOW, Rejection, State};
 use workswood_core::ids::{RequestKey, UnixMs};
 use workswood_core::keyed::{Given, HOLD};
 use workswood_core::record::{AttemptOutcome, DeferredRequest, Record};
@@ -130,7 +130,7 @@
 
 /// What to do with an open request.
 enum Next {
-    Start { rec: KeyRec },
+    Start { rec: KeyedRequest },
     Bury { holder: String },
 }
 
@@ -151,7 +151,7 @@
     best == Some(id)
 }
 
-fn next(state: &State, rec: &KeyRec) -> Option<Next> {
+fn next(state: &State, rec: &KeyedRequest) -> Option<Next> {
     match &rec.state {
         KeyState::Waiting => Some(Next::Start { rec: rec.clone() }),
         KeyState::Running { holder } if !state.roster.iter().any(|m| m.id == *holder) => {
@@ -178,7 +178,7 @@
 
 /// Runs one attempt. The slot comes first, so that little can happen between
 /// the start in the log and the sending.
-async fn start(node: &Arc<Node>, key: &str, rec: KeyRec) {
+async fn start(node: &Arc<Node>, key: &str, rec: KeyedRequest) {
     let Some(d) = &rec.deferred else { return };
     let Some(lane) = lanes::of(node, &rec.service) else { return };
     let ask = Ask { class: Class::Later, deadline: node.now() + SLOT_WAIT, tried: &[] };
@@ -213,7 +213,7 @@
         .is_some_and(|k| matches!(&k.state, KeyState::Running { holder } if *holder == node.id))
 }
 
-fn call(node: &Node, key: &str, rec: &KeyRec, d: &DeferredRequest) -> Option<Call> {
+fn call(node: &Node, key: &str, rec: &KeyedRequest, d: &DeferredRequest) -> Option<Call> {
     let table = node.table.load();
     let path = d.path.split('?').next().unwrap_or_default();
     let (route, service) = table.find(path).filter(|(_, s)| *s == rec.service)?.clone();
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood_core::fold::{HostRec, InstanceRec, LeaseRec, State};
+use workswood_core::fold::{Lease, ManagedHost, PlacedInstance, State};
 use workswood_core::ids::{InstanceId, Term};
 use workswood_core::member::{Liveness, MemberRec};
 use workswood_core::plan::{Act, Facts, Seen, acts, decide};
@@ -38,7 +38,7 @@
 
 /// What this process has seen of one lease, and when.
 struct Watch {
-    lease: LeaseRec,
+    lease: Lease,
     since: Duration,
     renewed: Duration,
 }
@@ -155,7 +155,7 @@
         let Ok(seen) = node.platform.hosts().await else { continue };
         let records = round(&node, &seen, h.term);
         folded.mark_unchanged();
-        idle = records.is_empty() && !node.state.read().hosts.values().any(HostRec::away);
+        idle = records.is_empty() && !node.state.read().hosts.values().any(ManagedHost::away);
         if !records.is_empty() {
             log_decisions(&records);
             if node.append(records).await.is_err() {
@@ -183,7 +183,7 @@
 fn facts(node: &Node) -> Facts {
     let (own, draining) = {
         let state = node.state.read();
-        let away = |i: &InstanceRec| state.hosts.get(&i.host).is_some_and(|h| h.away());
+        let away = |i: &PlacedInstance| state.hosts.get(&i.host).is_some_and(|h| h.away());
         let draining: Vec<InstanceId> =
             state.instances.iter().filter(|(_, i)| away(i)).map(|(id, _)| id.clone()).collect();
         (state.next, draining)
