--- a/crates/workswood-core/src/fold/hosts.rs
+++ b/crates/workswood-core/src/fold/hosts.rs
@@ -13,7 +13,7 @@
 /// Where a host is in its life with us.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "phase", rename_all = "snake_case")]
-pub enum Phase {
+pub enum HostPhase {
     /// In no pool.
     Free,
     /// In its pool, takes work.
@@ -41,7 +41,7 @@
     /// Grows with each accepted change.
     pub generation: u64,
     /// Where it is in its life.
-    pub phase: Phase,
+    pub phase: HostPhase,
     /// Offset of the last change.
     pub offset: u64,
     /// Log time of the last change of phase or health.
@@ -76,7 +76,7 @@
             file: file.to_string(),
             pool: None,
             generation: 0,
-            phase: Phase::Free,
+            phase: HostPhase::Free,
             offset: 0,
             since: 0,
             pool_generation: 0,
@@ -94,20 +94,20 @@
 
     /// Whether instances on it may take new work.
     pub fn takes_work(&self) -> bool {
-        self.up && !self.foreign && self.phase == Phase::Active
+        self.up && !self.foreign && self.phase == HostPhase::Active
     }
 
     /// Whether it is away by our own act.
     pub fn away(&self) -> bool {
-        !matches!(self.phase, Phase::Free | Phase::Active)
+        !matches!(self.phase, HostPhase::Free | HostPhase::Active)
     }
 
     /// The maintenance it is under, if any.
     pub fn under(&self) -> Option<&str> {
         match &self.phase {
-            Phase::Draining(DrainReason::Maintain { name })
-            | Phase::Drained(DrainReason::Maintain { name }) => Some(name),
-            Phase::Rebooting { name, .. } => Some(name),
+            HostPhase::Draining(DrainReason::Maintain { name })
+            | HostPhase::Drained(DrainReason::Maintain { name }) => Some(name),
+            HostPhase::Rebooting { name, .. } => Some(name),
             _ => None,
         }
     }
@@ -135,7 +135,7 @@
             return Err(Rejection::Phase);
         }
         if let HostChange::Forget = change {
-            let released = rec.released && matches!(rec.phase, Phase::Drained(DrainReason::Release));
+            let released = rec.released && matches!(rec.phase, HostPhase::Drained(DrainReason::Release));
             if !released {
                 return Err(Rejection::Phase);
             }
@@ -159,7 +159,7 @@
             rec.since = time;
         }
         note_generation(rec, change);
-        let whole = rec.pool.is_some() || rec.phase == Phase::Free;
+        let whole = rec.pool.is_some() || rec.phase == HostPhase::Free;
         invariant::check(whole, || format!("host {host} is in no pool and not free"));
         self.host_moves += u64::from(moved);
         // What was ready before is not until the list shows it after the act.
@@ -207,24 +207,26 @@
         }
         (HostChange::Health { up }, _) => rec.up = *up,
         (HostChange::Foreign { foreign }, _) => rec.foreign = *foreign,
-        (HostChange::Assign { pool }, Phase::Free) => {
+        (HostChange::Assign { pool }, HostPhase::Free) => {
             rec.pool = Some(pool.clone());
-            rec.phase = Phase::Active;
+            rec.phase = HostPhase::Active;
         }
-        (HostChange::Drain { reason }, Phase::Active) => rec.phase = Phase::Draining(reason.clone()),
-        (HostChange::Drained, Phase::Draining(reason)) => rec.phase = Phase::Drained(reason),
-        (HostChange::Undrain, Phase::Draining(_) | Phase::Drained(_)) => rec.phase = Phase::Active,
-        (HostChange::Flip, Phase::Drained(DrainReason::Move { to })) => {
+        (HostChange::Drain { reason }, HostPhase::Active) => rec.phase = HostPhase::Draining(reason.clone()),
+        (HostChange::Drained, HostPhase::Draining(reason)) => rec.phase = HostPhase::Drained(reason),
+        (HostChange::Undrain, HostPhase::Draining(_) | HostPhase::Drained(_)) => {
+            rec.phase = HostPhase::Active
+        }
+        (HostChange::Flip, HostPhase::Drained(DrainReason::Move { to })) => {
             rec.pool = Some(to);
-            rec.phase = Phase::Active;
+            rec.phase = HostPhase::Active;
             return Ok(true);
         }
-        (HostChange::Reboot { boot }, Phase::Drained(DrainReason::Maintain { name })) => {
-            rec.phase = Phase::Rebooting { name, boot: boot.clone() };
+        (HostChange::Reboot { boot }, HostPhase::Drained(DrainReason::Maintain { name })) => {
+            rec.phase = HostPhase::Rebooting { name, boot: boot.clone() };
         }
-        (HostChange::Return, Phase::Rebooting { name, .. }) => {
+        (HostChange::Return, HostPhase::Rebooting { name, .. }) => {
             rec.maintained.insert(name);
-            rec.phase = Phase::Active;
+            rec.phase = HostPhase::Active;
         }
         _ => return Err(Rejection::Phase),
     }
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -23,7 +23,7 @@
 use crate::record::{Envelope, FORMAT_VERSION, Record, Role, RosterMember};
 
 pub use apply::AppliedFile;
-pub use hosts::{ManagedHost, Phase};
+pub use hosts::{HostPhase, ManagedHost};
 pub use instances::{Availability, PlacedInstance, Stance};
 pub use jobs::{JobPhase, StartedJob};
 pub use keys::{KEY_GRACE, KeyState, KeyedRequest, Lookup, MAX_KEY_WINDOW};
--- a/crates/workswood-core/src/plan/acts.rs
+++ b/crates/workswood-core/src/plan/acts.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::seen::{HostSeen, HostState, Seen};
-use crate::fold::{JobPhase, ManagedHost, Phase, State};
+use crate::fold::{HostPhase, JobPhase, ManagedHost, State};
 use crate::ids::{HostId, PoolId};
 
 /// One call on the platform. Every call may be made twice: the platform
@@ -101,15 +101,15 @@
         return vec![Act::SetPool { host, pool, token: rec.pool_generation }];
     }
     match &rec.phase {
-        Phase::Draining(_) | Phase::Drained(_) if !s.draining || s.token < rec.act_generation => {
+        HostPhase::Draining(_) | HostPhase::Drained(_) if !s.draining || s.token < rec.act_generation => {
             all.push(Act::Drain { host, token: rec.act_generation });
         }
         // It also fences off a drain that is still on its way. A later drain
         // by other scripts stays.
-        Phase::Active if s.token < rec.act_generation => {
+        HostPhase::Active if s.token < rec.act_generation => {
             all.push(Act::Undrain { host, token: rec.act_generation });
         }
-        Phase::Rebooting { boot, .. } if s.boot == *boot => {
+        HostPhase::Rebooting { boot, .. } if s.boot == *boot => {
             all.push(Act::Reboot { host, boot: boot.clone(), token: rec.act_generation });
         }
         _ => {}
--- a/crates/workswood-core/src/plan/measure.rs
+++ b/crates/workswood-core/src/plan/measure.rs
@@ -8,7 +8,7 @@
 use super::index::Index;
 use super::wave::choose;
 use crate::fleet::Maintenance;
-use crate::fold::{Phase, State};
+use crate::fold::{HostPhase, State};
 use crate::ids::{HostId, Rack, UnixMs};
 use crate::record::DrainReason;
 
@@ -63,12 +63,12 @@
             continue;
         }
         for id in &picked {
-            set_phase(&mut state, id, Phase::Draining(DrainReason::Maintain { name: m.name.clone() }));
+            set_phase(&mut state, id, HostPhase::Draining(DrainReason::Maintain { name: m.name.clone() }));
         }
         now += length;
         end = now;
         for id in &picked {
-            set_phase(&mut state, id, Phase::Active);
+            set_phase(&mut state, id, HostPhase::Active);
             if let Some(h) = state.hosts.get_mut(id) {
                 h.maintained.insert(m.name.clone());
             }
@@ -84,7 +84,7 @@
     Measures { spare_instances: 0, rollout, host_moves: 0, instance_moves: 0, rounds, left }
 }
 
-fn set_phase(state: &mut State, host: &HostId, phase: Phase) {
+fn set_phase(state: &mut State, host: &HostId, phase: HostPhase) {
     if let Some(h) = state.hosts.get_mut(host) {
         h.phase = phase;
     }
--- a/crates/workswood-core/src/plan/observe.rs
+++ b/crates/workswood-core/src/plan/observe.rs
@@ -2,7 +2,7 @@
 
 use super::Facts;
 use super::seen::{HostSeen, HostState, Seen};
-use crate::fold::{ManagedHost, Phase, State};
+use crate::fold::{HostPhase, ManagedHost, State};
 use crate::ids::{HostId, Term};
 use crate::record::{DrainReason, HostChange, InstanceChange, Record};
 
@@ -24,7 +24,7 @@
     let mut steps = Vec::new();
     let up = seen.is_some_and(|s| s.state == HostState::Live);
     // A host under reboot is away anyhow; its return is decided on its boot id.
-    let rebooting = matches!(rec.phase, Phase::Rebooting { .. });
+    let rebooting = matches!(rec.phase, HostPhase::Rebooting { .. });
     if up != rec.up && !rebooting {
         steps.push(HostChange::Health { up });
     }
@@ -92,7 +92,7 @@
     };
     let empty = !state.by_host.contains_key(id);
     match &rec.phase {
-        Phase::Draining(reason) => {
+        HostPhase::Draining(reason) => {
             let withdrawn = match reason {
                 DrainReason::Maintain { name } => !state.maintenance().any(|m| m.name == *name),
                 DrainReason::Move { to } => !state.pools().any(|p| p.name == *to),
@@ -107,18 +107,18 @@
             let told = facts.confirmed > rec.offset;
             (drained && told && !busy(id)).then_some(HostChange::Drained)
         }
-        Phase::Drained(DrainReason::Move { .. }) => empty.then_some(HostChange::Flip),
-        Phase::Drained(DrainReason::Release) => empty.then_some(HostChange::Forget),
-        Phase::Drained(DrainReason::Maintain { .. }) => {
+        HostPhase::Drained(DrainReason::Move { .. }) => empty.then_some(HostChange::Flip),
+        HostPhase::Drained(DrainReason::Release) => empty.then_some(HostChange::Forget),
+        HostPhase::Drained(DrainReason::Maintain { .. }) => {
             let s = seen.filter(|s| s.state == HostState::Live)?;
             Some(HostChange::Reboot { boot: s.boot.clone() })
         }
-        Phase::Rebooting { boot, .. } => {
+        HostPhase::Rebooting { boot, .. } => {
             // An older list may show a boot before the one that was ended.
             let after = |s: &HostSeen| s.token >= rec.act_generation && s.boot != *boot;
             let back = seen.is_some_and(|s| s.state == HostState::Live && after(s));
             back.then_some(HostChange::Return)
         }
-        Phase::Free | Phase::Active => None,
+        HostPhase::Free | HostPhase::Active => None,
     }
 }
--- a/crates/workswood-core/src/plan/place.rs
+++ b/crates/workswood-core/src/plan/place.rs
@@ -6,7 +6,7 @@
 use super::index::Index;
 use super::seen::Seen;
 use crate::fleet::Service;
-use crate::fold::{ManagedHost, Phase, PlacedInstance, State};
+use crate::fold::{HostPhase, ManagedHost, PlacedInstance, State};
 use crate::ids::{HostId, InstanceId, Term, UnixMs};
 use crate::record::{DrainReason, InstanceChange, Record};
 
@@ -62,8 +62,8 @@
 fn leaves(state: &State, index: &mut Index, s: &Service, id: &str, i: &PlacedInstance, now: UnixMs) -> bool {
     let Some(h) = state.hosts.get(&i.host) else { return true };
     match &h.phase {
-        Phase::Drained(DrainReason::Move { .. } | DrainReason::Release) => return true,
-        Phase::Active => {}
+        HostPhase::Drained(DrainReason::Move { .. } | DrainReason::Release) => return true,
+        HostPhase::Active => {}
         _ => return false,
     }
     let lost = !h.up || h.foreign;
--- a/crates/workswood-core/src/plan/pools.rs
+++ b/crates/workswood-core/src/plan/pools.rs
@@ -5,7 +5,7 @@
 use super::index::Index;
 use super::seen::Seen;
 use crate::fleet::{FleetFile, Pool};
-use crate::fold::{ManagedHost, Phase, State};
+use crate::fold::{HostPhase, ManagedHost, State};
 use crate::ids::{HostId, PoolId, Term};
 use crate::record::{DrainReason, HostChange, Record};
 
@@ -13,7 +13,8 @@
 pub(super) fn records(state: &State, seen: &Seen, index: &mut Index, term: Term) -> Vec<Record> {
     let mut all = Vec::new();
     let mut taken: BTreeMap<HostId, PoolId> = BTreeMap::new();
-    for (id, rec) in state.hosts.iter().filter(|(_, r)| r.released && r.phase == Phase::Active && !r.foreign)
+    for (id, rec) in
+        state.hosts.iter().filter(|(_, r)| r.released && r.phase == HostPhase::Active && !r.foreign)
     {
         if index.take(id) {
             all.push(step(term, id, rec, HostChange::Drain { reason: DrainReason::Release }));
@@ -58,7 +59,9 @@
 /// The pool that a host is in or on its way to.
 fn heading(rec: &ManagedHost) -> Option<&PoolId> {
     match &rec.phase {
-        Phase::Draining(DrainReason::Move { to }) | Phase::Drained(DrainReason::Move { to }) => Some(to),
+        HostPhase::Draining(DrainReason::Move { to }) | HostPhase::Drained(DrainReason::Move { to }) => {
+            Some(to)
+        }
         _ => rec.pool.as_ref(),
     }
 }
@@ -102,7 +105,7 @@
     }
     let usable = |(id, r): &(&HostId, &ManagedHost)| {
         r.file == file.file
-            && r.phase == Phase::Free
+            && r.phase == HostPhase::Free
             && healthy(r)
             && fits(r, pool)
             && !taken.contains_key(*id)
@@ -129,7 +132,7 @@
 ) -> Vec<HostId> {
     let mut spare: BTreeMap<&str, usize> = BTreeMap::new();
     let mut all: Vec<(usize, &HostId)> = Vec::new();
-    for (id, r) in state.hosts.iter().filter(|(_, r)| r.file == file.file && r.phase == Phase::Active) {
+    for (id, r) in state.hosts.iter().filter(|(_, r)| r.file == file.file && r.phase == HostPhase::Active) {
         let Some(from) = r.pool.as_deref().filter(|p| *p != to.name) else { continue };
         if healthy(r) && fits(r, to) && !taken.contains_key(id) {
             spare.entry(from).or_insert_with(|| surplus(heading, file, from));
--- a/crates/workswood-core/src/plan/wave.rs
+++ b/crates/workswood-core/src/plan/wave.rs
@@ -9,7 +9,7 @@
 
 use super::index::Index;
 use crate::fleet::{Maintenance, rfc3339_ms};
-use crate::fold::{ManagedHost, Phase, State};
+use crate::fold::{HostPhase, ManagedHost, State};
 use crate::ids::{HostId, Term, UnixMs};
 use crate::record::{DrainReason, HostChange, Record};
 
@@ -166,7 +166,7 @@
         return Some(Stop::NotYet { start: rfc3339_ms(m.start) });
     }
     let overdue = |(_, r): &&(&HostId, &ManagedHost)| {
-        let rebooting = matches!(r.phase, Phase::Rebooting { .. });
+        let rebooting = matches!(r.phase, HostPhase::Rebooting { .. });
         rebooting && now.saturating_sub(r.since) > length * OVERDUE_FACTOR
     };
     if let Some((id, _)) = all.away.iter().find(overdue) {
@@ -194,7 +194,7 @@
     let through = index
         .pool(&m.pool)
         .iter()
-        .filter(|(_, r)| r.maintained.contains(&m.name) && r.phase == Phase::Active && !r.foreign);
+        .filter(|(_, r)| r.maintained.contains(&m.name) && r.phase == HostPhase::Active && !r.foreign);
     let ill = |id: &HostId, r: &ManagedHost| {
         let on = state.by_host.get(id).into_iter().flatten();
         let idle = on.filter_map(|i| state.instances.get(i)).any(|i| !i.ready);
--- a/src/workswood/ops/entry/operate.rs
+++ b/src/workswood/ops/entry/operate.rs
@@ -8,7 +8,7 @@
 use futures::future::BoxFuture;
 use workswood_core::code::Code;
 use workswood_core::fleet::{FleetFile, check, parse};
-use workswood_core::fold::{Phase, Rejection, State};
+use workswood_core::fold::{HostPhase, Rejection, State};
 use workswood_core::ids::Offset;
 use workswood_core::invariant;
 use workswood_core::plan::{Stop, wave_status};
@@ -240,7 +240,7 @@
         let p = all.entry(pool.clone()).or_insert_with(|| PoolStatus { pool, ..PoolStatus::default() });
         if h.foreign {
             p.foreign.push(id.clone());
-        } else if !h.up && !matches!(h.phase, Phase::Rebooting { .. }) {
+        } else if !h.up && !matches!(h.phase, HostPhase::Rebooting { .. }) {
             p.down.push(id.clone());
         } else if h.away() {
             p.away.push(id.clone());
--- a/tests/testsuite/act_tokens.rs
+++ b/tests/testsuite/act_tokens.rs
@@ -1,6 +1,6 @@
 //! Acts that come late, and lists that are old, change nothing.
 
-use workswood_core::fold::Phase;
+use workswood_core::fold::HostPhase;
 use workswood_core::plan::{Act, Seen};
 use workswood_test_support::files::{maintenance, small};
 use workswood_test_support::one::Fleet;
@@ -46,7 +46,7 @@
     let seen = fleet.tick();
     fleet.decide(&seen);
     // The end of the drain is in the log but not seen on the platform.
-    assert_eq!(fleet.p.state.hosts[&host].phase, Phase::Active);
+    assert_eq!(fleet.p.state.hosts[&host].phase, HostPhase::Active);
     assert_eq!(fleet.p.state.availability_of("shop").available, 2);
 }
 
@@ -66,7 +66,7 @@
     maintain(&mut fleet, "m1", 2);
     let rebooting = |fleet: &Fleet| {
         let mut all = fleet.p.state.hosts.iter();
-        all.find(|(_, h)| matches!(h.phase, Phase::Rebooting { .. })).map(|(id, _)| id.clone())
+        all.find(|(_, h)| matches!(h.phase, HostPhase::Rebooting { .. })).map(|(id, _)| id.clone())
     };
     while rebooting(&fleet).is_none() {
         fleet.rounds(1);
@@ -78,7 +78,7 @@
         fleet.decide(&old);
     }
     assert!(
-        matches!(fleet.p.state.hosts[&host].phase, Phase::Rebooting { .. }),
+        matches!(fleet.p.state.hosts[&host].phase, HostPhase::Rebooting { .. }),
         "an old boot passed for a return"
     );
 }
