--- a/crates/workswood-core/src/fold/apply.rs
+++ b/crates/workswood-core/src/fold/apply.rs
@@ -62,7 +62,7 @@
             file: file.clone(),
         };
         self.files.insert(file.file.clone(), rec);
-        self.index_services();
+        self.rebuild_service_index();
         self.claim_hosts(file);
         self.drop_orphans();
         Ok(())
@@ -82,7 +82,7 @@
         None
     }
 
-    pub(super) fn index_services(&mut self) {
+    pub(super) fn rebuild_service_index(&mut self) {
         let declared = |(name, f): (&FileId, &AppliedFile)| {
             let all = f.file.services.iter().enumerate();
             all.map(|(i, s)| (s.name.clone(), (name.clone(), i))).collect::<Vec<_>>()
@@ -110,7 +110,7 @@
     fn drop_orphans(&mut self) {
         let by_service = &self.by_service;
         self.instances.retain(|_, i| by_service.contains_key(&i.service));
-        self.index_instances();
+        self.rebuild_host_index();
         let jobs: std::collections::BTreeSet<String> = self.declared_jobs().map(|j| j.name.clone()).collect();
         self.jobs.retain(|name, _| jobs.contains(name));
     }
--- a/crates/workswood-core/src/fold/hosts.rs
+++ b/crates/workswood-core/src/fold/hosts.rs
@@ -150,7 +150,7 @@
             }
             _ => {}
         }
-        let (time, offset) = (self.time, self.next - 1);
+        let (time, offset) = (self.log_time, self.next_offset - 1);
         let rec = self.hosts.get_mut(host).ok_or(Rejection::Missing)?;
         let moved = apply_change(rec, change)?;
         rec.generation += 1;
--- a/crates/workswood-core/src/fold/instances.rs
+++ b/crates/workswood-core/src/fold/instances.rs
@@ -149,7 +149,7 @@
     }
 
     /// Builds the index from hosts to instances anew.
-    pub(super) fn index_instances(&mut self) {
+    pub(super) fn rebuild_host_index(&mut self) {
         self.by_host.clear();
         for (id, i) in &self.instances {
             self.by_host.entry(i.host.clone()).or_default().push(id.clone());
@@ -189,7 +189,7 @@
             host: host.to_string(),
             address: String::new(),
             ready: false,
-            token: self.next - 1,
+            token: self.next_offset - 1,
         };
         self.instances.insert(instance.to_string(), rec);
         self.by_host.entry(host.to_string()).or_default().push(instance.to_string());
--- a/crates/workswood-core/src/fold/jobs.rs
+++ b/crates/workswood-core/src/fold/jobs.rs
@@ -54,7 +54,7 @@
         self.holds(Role::Planner, term)?;
         let declared = self.declared_jobs().find(|j| j.name == job).ok_or(Rejection::Missing)?;
         let (repeatable, pool) = (declared.repeatable, declared.pool.clone());
-        let (time, offset) = (self.time, self.next - 1);
+        let (time, offset) = (self.log_time, self.next_offset - 1);
         if let JobChange::Start { host } = change {
             let h = self.hosts.get(host).ok_or(Rejection::Missing)?;
             if !h.takes_work() || h.pool.as_ref() != Some(&pool) {
--- a/crates/workswood-core/src/fold/keys.rs
+++ b/crates/workswood-core/src/fold/keys.rs
@@ -98,10 +98,10 @@
         if let Some(rec) = self.keys.get(key) {
             return Lookup::Known(rec);
         }
-        if last_moment >= self.time {
+        if last_moment >= self.log_time {
             return Lookup::Open;
         }
-        if last_moment + KEY_GRACE.as_millis() as UnixMs >= self.time {
+        if last_moment + KEY_GRACE.as_millis() as UnixMs >= self.log_time {
             return Lookup::NeverRun;
         }
         Lookup::Forgotten
@@ -119,7 +119,7 @@
         if self.keys.contains_key(key) {
             return Err(Rejection::KeyTaken);
         }
-        if last_moment < self.time {
+        if last_moment < self.log_time {
             return Err(Rejection::Expired);
         }
         // Only a process on the roster may run: those who must be sure that a
@@ -189,7 +189,8 @@
         }
         if !rec.open() {
             // One that outlived its grace is kept for one more, for its caller.
-            rec.last_moment = rec.last_moment.max(self.time.saturating_sub(KEY_GRACE.as_millis() as UnixMs));
+            rec.last_moment =
+                rec.last_moment.max(self.log_time.saturating_sub(KEY_GRACE.as_millis() as UnixMs));
             let expires = rec.expires();
             self.open_keys.remove(key);
             self.expiries.insert((expires, key.to_string()));
@@ -200,7 +201,7 @@
     /// Forgets keys whose grace is over; an open deferred request stays until
     /// it has run, and is forgotten when it ends after its grace.
     pub(super) fn prune_keys(&mut self) {
-        while let Some((at, key)) = self.expiries.first().filter(|(at, _)| *at < self.time).cloned() {
+        while let Some((at, key)) = self.expiries.first().filter(|(at, _)| *at < self.log_time).cloned() {
             self.expiries.remove(&(at, key.clone()));
             if !self.open_keys.contains(&key) {
                 self.keys.remove(&key);
@@ -208,7 +209,7 @@
         }
     }
 
-    pub(super) fn index_keys(&mut self) {
+    pub(super) fn rebuild_key_indexes(&mut self) {
         self.expiries = self.keys.iter().map(|(k, r)| (r.expires(), k.clone())).collect();
         self.open_keys = self.keys.iter().filter(|(_, r)| r.open()).map(|(k, _)| k.clone()).collect();
     }
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -28,7 +28,7 @@
 pub use jobs::{JobPhase, StartedJob};
 pub use keys::{KEY_GRACE, KeyState, KeyedRequest, Lookup, MAX_KEY_WINDOW};
 pub use lease::Lease;
-pub use snapshot::{Assembler, Digest};
+pub use snapshot::{CheckpointAssembler, StateDigest};
 
 /// Why a record was rejected and had no effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -87,9 +87,11 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct State {
     /// Offset of the next envelope to fold.
-    pub next: Offset,
+    #[serde(rename = "next")]
+    pub next_offset: Offset,
     /// Log time: the highest `at` folded.
-    pub time: UnixMs,
+    #[serde(rename = "time")]
+    pub log_time: UnixMs,
     /// Files in force.
     pub files: BTreeMap<FileId, AppliedFile>,
     /// Roles and the leases on them.
@@ -109,14 +111,15 @@
     /// Highest `seq` folded of each process, and log time then.
     pub senders: BTreeMap<Incarnation, (u64, UnixMs)>,
     /// Records of unknown kind or format.
-    pub unknown: u64,
+    #[serde(rename = "unknown")]
+    pub unknown_records: u64,
     /// Hosts moved between pools so far.
     pub host_moves: u64,
     /// Instances moved between hosts so far.
     pub instance_moves: u64,
     /// Digests at recent marks; not part of the digest itself.
     #[serde(skip)]
-    pub marks: Vec<Digest>,
+    pub marks: Vec<StateDigest>,
     /// Instances by host, derived from `instances`.
     #[serde(skip)]
     pub by_host: BTreeMap<HostId, Vec<InstanceId>>,
@@ -138,39 +141,39 @@
 impl State {
     /// Folds the envelope at `offset`; returns one verdict a record.
     pub fn fold(&mut self, offset: Offset, env: &Envelope) -> Vec<RecordResult> {
-        let in_order = invariant::check(offset >= self.next, || {
-            format!("offset {offset} folded again, next is {}", self.next)
+        let in_order = invariant::check(offset >= self.next_offset, || {
+            format!("offset {offset} folded again, next is {}", self.next_offset)
         });
         if !in_order {
             return vec![Err(Rejection::Repeated); env.records.len()];
         }
-        self.next = offset + 1;
+        self.next_offset = offset + 1;
         if env.format_version != FORMAT_VERSION {
-            self.unknown += 1;
+            self.unknown_records += 1;
             return vec![Err(Rejection::Unknown); env.records.len()];
         }
         let last = self.senders.get(&env.sender).map_or(0, |s| s.0);
         if env.seq <= last {
             return vec![Err(Rejection::Repeated); env.records.len()];
         }
-        self.time = self.time.max(env.written_at);
-        self.senders.insert(env.sender.clone(), (env.seq, self.time));
+        self.log_time = self.log_time.max(env.written_at);
+        self.senders.insert(env.sender.clone(), (env.seq, self.log_time));
         self.prune();
         let results: Vec<RecordResult> =
             env.records.iter().map(|r| self.fold_record(env, offset, r)).collect();
         // The mark is of the state after the whole envelope, wherever it stands.
-        let marked =
+        let has_marker =
             env.records.iter().zip(&results).any(|(r, v)| matches!(r, Record::Mark { .. }) && v.is_ok());
-        if marked {
-            self.mark(offset);
+        if has_marker {
+            self.record_digest(offset);
         }
         results
     }
 
     /// Passes over an envelope that can't be read.
     pub fn skip(&mut self, offset: Offset) {
-        self.next = offset + 1;
-        self.unknown += 1;
+        self.next_offset = offset + 1;
+        self.unknown_records += 1;
     }
 
     fn fold_record(&mut self, env: &Envelope, offset: Offset, record: &Record) -> RecordResult {
@@ -193,24 +196,24 @@
             Record::Finish { key, holder, outcome } => self.finish(key, holder, outcome),
             Record::Job { term, job, change } => self.change_job(*term, job, change),
             Record::Mark { term } => self.holds(Role::Checkpointer, *term),
-            Record::Checkpoint { marker_offset: upto, digest, .. } => self.compare(*upto, *digest),
+            Record::Checkpoint { marker_offset: upto, digest, .. } => self.check_digest(*upto, *digest),
             Record::Unknown(_) => {
-                self.unknown += 1;
+                self.unknown_records += 1;
                 Err(Rejection::Unknown)
             }
         }
     }
 
     /// Builds everything that is derived from other fields anew.
-    fn index(&mut self) {
-        self.index_services();
-        self.index_instances();
-        self.index_keys();
+    fn rebuild_indexes(&mut self) {
+        self.rebuild_service_index();
+        self.rebuild_host_index();
+        self.rebuild_key_indexes();
     }
 
     fn prune(&mut self) {
         self.prune_keys();
-        let floor = self.time.saturating_sub(SENDER_MEMORY_MS);
+        let floor = self.log_time.saturating_sub(SENDER_MEMORY_MS);
         if self.senders.len() > 64 {
             self.senders.retain(|_, (_, at)| *at >= floor);
         }
--- a/crates/workswood-core/src/fold/snapshot.rs
+++ b/crates/workswood-core/src/fold/snapshot.rs
@@ -8,15 +8,15 @@
 use crate::record::Record;
 
 /// Bytes of state text in one checkpoint record.
-const PART_BYTES: usize = 128 * 1024;
+const MAX_PART_BYTES: usize = 128 * 1024;
 /// How many marks are remembered.
-const MARKS_KEPT: usize = 8;
+const DIGESTS_KEPT: usize = 8;
 
 /// Digest of the state after the envelope at an offset.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Digest {
+pub struct StateDigest {
     /// Offset of the envelope that holds the mark.
-    pub upto: Offset,
+    pub marker_offset: Offset,
     /// Digest of the state's text.
     pub digest: u64,
     /// The state's text, kept for the newest mark only.
@@ -37,30 +37,30 @@
     /// Reads the text form.
     pub fn from_text(text: &str) -> Option<State> {
         let mut state: State = serde_json::from_str(text).ok()?;
-        state.index();
+        state.rebuild_indexes();
         Some(state)
     }
 
-    pub(super) fn mark(&mut self, offset: Offset) {
-        self.forget_mark_text();
+    pub(super) fn record_digest(&mut self, offset: Offset) {
+        self.drop_checkpoint_text();
         let text = self.text();
         let digest = xxh3_64(text.as_bytes());
-        self.marks.push(Digest { upto: offset, digest, text });
-        if self.marks.len() > MARKS_KEPT {
+        self.marks.push(StateDigest { marker_offset: offset, digest, text });
+        if self.marks.len() > DIGESTS_KEPT {
             self.marks.remove(0);
         }
     }
 
     /// Frees the text of the newest mark; processes without the duty call it.
-    pub fn forget_mark_text(&mut self) {
+    pub fn drop_checkpoint_text(&mut self) {
         if let Some(last) = self.marks.last_mut() {
             last.text = String::new();
         }
     }
 
     /// A checkpoint of other records than ours means that the fold differs.
-    pub(super) fn compare(&mut self, upto: Offset, digest: u64) -> RecordResult {
-        let Some(mark) = self.marks.iter().find(|m| m.upto == upto) else {
+    pub(super) fn check_digest(&mut self, upto: Offset, digest: u64) -> RecordResult {
+        let Some(mark) = self.marks.iter().find(|m| m.marker_offset == upto) else {
             return Ok(());
         };
         let same = invariant::check(mark.digest == digest, || {
@@ -74,24 +74,24 @@
         let Some(mark) = self.marks.last().filter(|m| !m.text.is_empty()) else {
             return Vec::new();
         };
-        let cuts = cut(&mark.text);
-        let parts = cuts.len() as u32;
+        let chunks = split_into_parts(&mark.text);
+        let parts = chunks.len() as u32;
         let part = |(i, data): (usize, &str)| Record::Checkpoint {
-            marker_offset: mark.upto,
+            marker_offset: mark.marker_offset,
             part: i as u32,
             parts,
             digest: mark.digest,
             data: data.to_string(),
         };
-        cuts.into_iter().enumerate().map(part).collect()
+        chunks.into_iter().enumerate().map(part).collect()
     }
 }
 
-/// Cuts text into pieces of about [`PART_BYTES`], at character boundaries.
-fn cut(mut text: &str) -> Vec<&str> {
+/// Cuts text into pieces of about [`MAX_PART_BYTES`], at character boundaries.
+fn split_into_parts(mut text: &str) -> Vec<&str> {
     let mut all = Vec::new();
-    while text.len() > PART_BYTES {
-        let (head, tail) = text.split_at(text.floor_char_boundary(PART_BYTES));
+    while text.len() > MAX_PART_BYTES {
+        let (head, tail) = text.split_at(text.floor_char_boundary(MAX_PART_BYTES));
         all.push(head);
         text = tail;
     }
@@ -101,20 +101,20 @@
 
 /// Collects the parts of checkpoints while a starting process reads the log.
 #[derive(Debug, Default)]
-pub struct Assembler {
-    upto: Offset,
+pub struct CheckpointAssembler {
+    marker_offset: Offset,
     digest: u64,
     parts: Vec<Option<String>>,
 }
 
-impl Assembler {
+impl CheckpointAssembler {
     /// Takes a record in; returns the state when its checkpoint is whole.
-    pub fn take(&mut self, record: &Record) -> Option<State> {
+    pub fn add(&mut self, record: &Record) -> Option<State> {
         let Record::Checkpoint { marker_offset: upto, part, parts, digest, data } = record else {
             return None;
         };
-        if (self.upto, self.digest) != (*upto, *digest) || self.parts.len() != *parts as usize {
-            self.upto = *upto;
+        if (self.marker_offset, self.digest) != (*upto, *digest) || self.parts.len() != *parts as usize {
+            self.marker_offset = *upto;
             self.digest = *digest;
             self.parts = vec![None; *parts as usize];
         }
--- a/crates/workswood-core/src/plan/acts.rs
+++ b/crates/workswood-core/src/plan/acts.rs
@@ -135,7 +135,7 @@
 fn stops(state: &State, id: &HostId, s: &HostSeen) -> Vec<Act> {
     let mut all = Vec::new();
     // Tokens are offsets: a start that is not folded yet is not judged.
-    for t in s.tasks.iter().filter(|t| t.ended.is_none() && t.token > 0 && t.token < state.next) {
+    for t in s.tasks.iter().filter(|t| t.ended.is_none() && t.token > 0 && t.token < state.next_offset) {
         let elsewhere = match (state.instances.get(&t.id), state.jobs.get(&t.id)) {
             (Some(i), _) => i.host != *id && t.token < i.token,
             (None, Some(j)) => {
--- a/crates/workswood-core/src/route/table.rs
+++ b/crates/workswood-core/src/route/table.rs
@@ -58,7 +58,12 @@
             (s.name.clone(), ServiceView { window: s.window(), endpoints })
         });
         let me = state.roster.iter().position(|m| m.id == me);
-        RouteTable { next: state.next, services: services.collect(), routes, share: (me, state.roster.len()) }
+        RouteTable {
+            next: state.next_offset,
+            services: services.collect(),
+            routes,
+            share: (me, state.roster.len()),
+        }
     }
 
     /// The route of a path.
--- a/crates/workswood-test-support/src/history.rs
+++ b/crates/workswood-test-support/src/history.rs
@@ -162,7 +162,7 @@
                 ..env.clone()
             };
             let mut next = state.clone();
-            next.next = offset;
+            next.next_offset = offset;
             next.senders.remove(&single.sender);
             next.fold(offset, &Envelope { sender: env.sender.clone(), seq: env.seq + 1, ..single });
             state = next;
--- a/crates/workswood-test-support/src/keys.rs
+++ b/crates/workswood-test-support/src/keys.rs
@@ -355,7 +355,7 @@
             let on_way = !matches!(c.stage, Stage::Came | Stage::Asking(_) | Stage::Over);
             m != n && c.entry == i && c.given.key == key && on_way
         });
-        let behind = e.process.state.next == 0;
+        let behind = e.process.state.next_offset == 0;
         let known = e.process.state.keys.contains_key(&key) || claiming || behind;
         let roster = e.process.state.roster.iter().map(|m| m.id.clone()).collect();
         if !known {
--- a/crates/workswood-test-support/src/log.rs
+++ b/crates/workswood-test-support/src/log.rs
@@ -40,7 +40,7 @@
 
     /// Folds up to `most` further envelopes.
     pub fn follow(&mut self, log: &Log, most: usize) {
-        let from = self.state.next as usize;
+        let from = self.state.next_offset as usize;
         for (i, env) in log.all.iter().enumerate().skip(from).take(most) {
             self.state.fold(i as u64, env);
         }
--- a/src/workswood/ops/bench/live.rs
+++ b/src/workswood/ops/bench/live.rs
@@ -155,7 +155,7 @@
         let ApplyReply::Accepted { offset, .. } = reply else {
             return Err(Error::Broken { message: format!("{reply:?}") });
         };
-        while dev.entries.iter().any(|e| e.node.state.read().next <= offset) {
+        while dev.entries.iter().any(|e| e.node.state.read().next_offset <= offset) {
             tokio::time::sleep(Duration::from_micros(200)).await;
         }
         times.add(started.elapsed().as_secs_f64());
--- a/src/workswood/ops/bench/plan.rs
+++ b/src/workswood/ops/bench/plan.rs
@@ -85,7 +85,7 @@
             written_at: now,
             records,
         };
-        state.fold(state.next, &env);
+        state.fold(state.next_offset, &env);
     }
     total
 }
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -186,7 +186,7 @@
         let away = |i: &PlacedInstance| state.hosts.get(&i.host).is_some_and(|h| h.away());
         let draining: Vec<InstanceId> =
             state.instances.iter().filter(|(_, i)| away(i)).map(|(id, _)| id.clone()).collect();
-        (state.next, draining)
+        (state.next_offset, draining)
     };
     let mut in_flight = super::lanes::open_on(node, &draining);
     let members = node.members.lock();
@@ -285,12 +285,12 @@
         tokio::time::sleep(every).await;
         held = Held::follow(held, &node, Role::Checkpointer);
         let Some(h) = &held else { continue };
-        let next = node.state.read().next;
+        let next = node.state.read().next_offset;
         if next == written || !node.is(&node.log_up) {
             continue;
         }
         if write_checkpoint(&node, h.term).await {
-            written = node.state.read().next;
+            written = node.state.read().next_offset;
         }
     }
 }
@@ -301,7 +301,7 @@
         return false;
     }
     let parts = node.state.read().checkpoint();
-    node.state.write().forget_mark_text();
+    node.state.write().drop_checkpoint_text();
     let count = parts.len();
     for chunk in parts.chunks(PARTS) {
         if node.append(chunk.to_vec()).await.is_err() {
--- a/src/workswood/ops/entry/follower.rs
+++ b/src/workswood/ops/entry/follower.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use workswood_core::fold::{Assembler, State};
+use workswood_core::fold::{CheckpointAssembler, State};
 use workswood_core::invariant;
 use workswood_core::record::{Envelope, Role};
 use workswood_core::route::RouteTable;
@@ -60,7 +60,7 @@
 /// The newest whole checkpoint of the log, or the empty state if the log
 /// still holds its first record.
 async fn from_log(node: &Node) -> Result<Option<State>, Error> {
-    let mut assembler = Assembler::default();
+    let mut assembler = CheckpointAssembler::default();
     let mut newest = None;
     let mut from = 0;
     let mut whole = None;
@@ -70,7 +70,7 @@
         for r in &read.records {
             let Some(env) = decode(r) else { continue };
             for record in &env.records {
-                newest = assembler.take(record).or(newest);
+                newest = assembler.add(record).or(newest);
             }
         }
         from = read.records.last().map_or(read.head, |r| r.offset + 1);
@@ -92,15 +92,17 @@
         Msg::StateReply(r) if !r.text.is_empty() => State::from_text(&r.text),
         _ => None,
     });
-    states.max_by_key(|s| s.next)
+    states.max_by_key(|s| s.next_offset)
 }
 
 /// Takes a state over, never one that is older than what is held.
 fn adopt(node: &Arc<Node>, state: State) {
-    let held = node.state.read().next;
-    let newer = invariant::check(state.next >= held, || format!("state {} is older than {held}", state.next));
+    let held = node.state.read().next_offset;
+    let newer = invariant::check(state.next_offset >= held, || {
+        format!("state {} is older than {held}", state.next_offset)
+    });
     if newer {
-        log::info!("event=state_adopted next={}", state.next);
+        log::info!("event=state_adopted next={}", state.next_offset);
         *node.state.write() = state;
         publish(node);
     }
@@ -118,7 +120,7 @@
 
 /// Reads and folds what is new; true if there may be more.
 async fn step(node: &Arc<Node>, failures: &mut u32) -> bool {
-    let from = node.state.read().next;
+    let from = node.state.read().next_offset;
     let read = match node.platform.read(from, MOST_READ).await {
         Ok(r) => {
             *failures = 0;
@@ -159,7 +161,7 @@
     if any {
         publish(node);
     }
-    let caught_up = node.state.read().next >= read.head;
+    let caught_up = node.state.read().next_offset >= read.head;
     if caught_up && !node.ready.swap(true, Ordering::AcqRel) {
         log::info!("event=ready next={}", read.head);
     }
@@ -172,11 +174,11 @@
         return;
     }
     let Some(state) = from_peers(node).await else { return };
-    if state.next > node.state.read().next {
+    if state.next_offset > node.state.read().next_offset {
         adopt(node, state);
     }
     node.ready.store(true, Ordering::Release);
-    log::info!("event=ready reason=peer_state next={}", node.state.read().next);
+    log::info!("event=ready reason=peer_state next={}", node.state.read().next_offset);
 }
 
 fn fold(node: &Arc<Node>, r: &LogRecord) {
@@ -190,7 +192,7 @@
         let verdicts = state.fold(r.offset, &env);
         let ours = state.lease(Role::Checkpointer).holder.as_deref() == Some(&node.id);
         if !ours {
-            state.forget_mark_text();
+            state.drop_checkpoint_text();
         }
         verdicts
     };
@@ -204,7 +206,7 @@
 fn publish(node: &Arc<Node>) {
     let (table, next) = {
         let state = node.state.read();
-        (RouteTable::new(&state, &node.id), state.next)
+        (RouteTable::new(&state, &node.id), state.next_offset)
     };
     node.claims.lock().on_roster(table.share.0.is_some(), node.now());
     let table = Arc::new(table);
--- a/src/workswood/ops/entry/gossip.rs
+++ b/src/workswood/ops/entry/gossip.rs
@@ -88,7 +88,7 @@
         id: node.id.clone(),
         data_centre: node.settings.data_centre.clone(),
         number,
-        next: node.state.read().next,
+        next: node.state.read().next_offset,
         stopping: node.is(&node.stopping),
     }
 }
@@ -140,7 +140,7 @@
     match msg {
         Msg::Beats(b) => hear(node, b),
         Msg::Head(h) => {
-            if h.offset >= node.state.read().next {
+            if h.offset >= node.state.read().next_offset {
                 node.grown.notify_one();
             }
         }
@@ -168,7 +168,7 @@
 }
 
 fn hear(node: &Arc<Node>, b: Beats) {
-    let (now, here) = (node.now(), node.state.read().next);
+    let (now, here) = (node.now(), node.state.read().next_offset);
     // The state is never locked while the members are.
     let mut members = node.members.lock();
     if let Some(own) = b.own {
--- a/src/workswood/ops/entry/keys.rs
+++ b/src/workswood/ops/entry/keys.rs
@@ -138,7 +138,7 @@
     if !node.is(&node.log_up) {
         return Some(Code::LogUnavailable);
     }
-    let behind = node.wall() + (CLOCK_BOUND.as_millis() as UnixMs) < node.state.read().time;
+    let behind = node.wall() + (CLOCK_BOUND.as_millis() as UnixMs) < node.state.read().log_time;
     if behind {
         return Some(Code::ClockSkew);
     }
--- a/tests/testsuite/fold_rules.rs
+++ b/tests/testsuite/fold_rules.rs
@@ -150,11 +150,11 @@
     let env: Envelope = serde_json::from_str(text).expect("it is kept");
     let mut state = State::default();
     assert_eq!(state.fold(0, &env), [Err(Rejection::Unknown)]);
-    assert_eq!(state.unknown, 1);
+    assert_eq!(state.unknown_records, 1);
     assert_eq!(serde_json::to_string(&env).expect("JSON"), text);
     let later = Envelope { format_version: FORMAT_VERSION + 1, seq: 2, ..env };
     assert_eq!(state.fold(1, &later), [Err(Rejection::Unknown)]);
-    assert_eq!((state.unknown, state.next), (2, 2));
+    assert_eq!((state.unknown_records, state.next_offset), (2, 2));
 }
 
 #[test]
--- a/tests/testsuite/log_retention.rs
+++ b/tests/testsuite/log_retention.rs
@@ -34,8 +34,8 @@
     dev.add_with(settings).await.expect("an entry starts");
     let fresh = dev.entries[2].node.clone();
     until("it is ready", || fresh.is(&fresh.ready)).await;
-    let head = dev.entries[0].node.state.read().next;
-    until("it has caught up", || fresh.state.read().next >= head).await;
+    let head = dev.entries[0].node.state.read().next_offset;
+    until("it has caught up", || fresh.state.read().next_offset >= head).await;
     assert_eq!(fresh.state.read().files["small"].version, 81);
     let res = dev.call(2, req).await.expect("an answer");
     assert_eq!(ran(&res), "run");
@@ -81,7 +81,7 @@
     for base in 1..=60 {
         change(&dev, &mut file, base).await;
     }
-    let slept = sleeper.state.read().next;
+    let slept = sleeper.state.read().next_offset;
     until("its records have expired", || dev.platform.log().first().is_some_and(|r| r.offset > slept)).await;
     tokio::time::sleep(Duration::from_millis(10)).await;
     proxy.cut(false);
--- a/tests/testsuite/state_checkpoints.rs
+++ b/tests/testsuite/state_checkpoints.rs
@@ -1,7 +1,7 @@
 //! The fold of a checkpoint is the fold of the records.
 
 use arbtest::arbtest;
-use workswood_core::fold::{Assembler, State};
+use workswood_core::fold::{CheckpointAssembler, State};
 use workswood_core::invariant;
 use workswood_core::record::{AttemptOutcome, Record, Role, RosterMember};
 use workswood_test_support::files::small;
@@ -65,16 +65,16 @@
                     p.append(&mut log, now, parts);
                 }
             }
-            let mut assembler = Assembler::default();
+            let mut assembler = CheckpointAssembler::default();
             let mut from = None;
             for env in &log.all {
                 for r in &env.records {
-                    from = assembler.take(r).or(from);
+                    from = assembler.add(r).or(from);
                 }
             }
             let mut fresh: State = from.expect("the checkpoint is whole");
-            assert_eq!(fresh.next, 22);
-            for (i, env) in log.all.iter().enumerate().skip(fresh.next as usize) {
+            assert_eq!(fresh.next_offset, 22);
+            for (i, env) in log.all.iter().enumerate().skip(fresh.next_offset as usize) {
                 fresh.fold(i as u64, env);
             }
             assert_eq!(fresh.text(), p.state.text());
