--- a/crates/workswood-core/src/fold/hosts.rs
+++ b/crates/workswood-core/src/fold/hosts.rs
@@ -43,14 +43,17 @@
     /// Where it is in its life.
     pub phase: HostPhase,
     /// Offset of the last change.
-    pub offset: u64,
+    #[serde(rename = "offset")]
+    pub changed_at_offset: u64,
     /// Log time of the last change of phase or health.
-    pub since: u64,
+    #[serde(rename = "since")]
+    pub changed_at: u64,
     /// Generation at which the pool was set; token of that act.
     pub pool_generation: u64,
     /// Generation of the last change that asks for a drain, a reboot or the end
     /// of a drain; token of that act.
-    pub act_generation: u64,
+    #[serde(rename = "act_generation")]
+    pub action_generation: u64,
     /// Where it stands.
     pub place: Place,
     /// Processors in cores.
@@ -62,7 +65,8 @@
     /// Whether it answers.
     pub up: bool,
     /// Whether a script moved it; it is left alone while set.
-    pub foreign: bool,
+    #[serde(rename = "foreign")]
+    pub externally_moved: bool,
     /// Whether no file claims it any longer.
     pub released: bool,
     /// Maintenance that it has been through.
@@ -77,16 +81,16 @@
             pool: None,
             generation: 0,
             phase: HostPhase::Free,
-            offset: 0,
-            since: 0,
+            changed_at_offset: 0,
+            changed_at: 0,
             pool_generation: 0,
-            act_generation: 0,
+            action_generation: 0,
             place: host.place(),
             cpus: host.cpus,
             memory_gib: host.memory_gib,
             accelerators: host.accelerators,
             up: false,
-            foreign: false,
+            externally_moved: false,
             released: false,
             maintained: BTreeSet::new(),
         }
@@ -94,16 +98,16 @@
 
     /// Whether instances on it may take new work.
     pub fn takes_work(&self) -> bool {
-        self.up && !self.foreign && self.phase == HostPhase::Active
+        self.up && !self.externally_moved && self.phase == HostPhase::Active
     }
 
     /// Whether it is away by our own act.
-    pub fn away(&self) -> bool {
+    pub fn out_of_service(&self) -> bool {
         !matches!(self.phase, HostPhase::Free | HostPhase::Active)
     }
 
     /// The maintenance it is under, if any.
-    pub fn under(&self) -> Option<&str> {
+    pub fn maintenance(&self) -> Option<&str> {
         match &self.phase {
             HostPhase::Draining(DrainReason::Maintain { name })
             | HostPhase::Drained(DrainReason::Maintain { name }) => Some(name),
@@ -127,7 +131,7 @@
             return Err(Rejection::Generation);
         }
         if let HostChange::Drain { .. } = change {
-            self.may_leave(host)?;
+            self.check_drain_budgets(host)?;
         }
         if let HostChange::Flip | HostChange::Forget = change
             && self.by_host.contains_key(host)
@@ -154,23 +158,23 @@
         let rec = self.hosts.get_mut(host).ok_or(Rejection::Missing)?;
         let moved = apply_change(rec, change)?;
         rec.generation += 1;
-        rec.offset = offset;
+        rec.changed_at_offset = offset;
         if !matches!(change, HostChange::Seen { .. }) {
-            rec.since = time;
+            rec.changed_at = time;
         }
-        note_generation(rec, change);
+        update_fencing_generations(rec, change);
         let whole = rec.pool.is_some() || rec.phase == HostPhase::Free;
         invariant::check(whole, || format!("host {host} is in no pool and not free"));
         self.host_moves += u64::from(moved);
         // What was ready before is not until the list shows it after the act.
         if let HostChange::Reboot { .. } | HostChange::Undrain | HostChange::Return = change {
-            self.stop_instances(host);
+            self.mark_instances_not_ready(host);
         }
         Ok(())
     }
 
     /// Instances on a host are not ready until they are seen again.
-    fn stop_instances(&mut self, host: &str) {
+    fn mark_instances_not_ready(&mut self, host: &str) {
         for id in self.by_host.get(host).into_iter().flatten() {
             if let Some(i) = self.instances.get_mut(id) {
                 i.ready = false;
@@ -180,17 +184,17 @@
 }
 
 /// Keeps the generations that serve as tokens of acts on the platform.
-fn note_generation(rec: &mut ManagedHost, change: &HostChange) {
+fn update_fencing_generations(rec: &mut ManagedHost, change: &HostChange) {
     match change {
         HostChange::Assign { .. } => rec.pool_generation = rec.generation,
         // Two acts follow a flip, so it takes two generations.
         HostChange::Flip => {
             rec.pool_generation = rec.generation;
             rec.generation += 1;
-            rec.act_generation = rec.generation;
+            rec.action_generation = rec.generation;
         }
         HostChange::Drain { .. } | HostChange::Undrain | HostChange::Reboot { .. } | HostChange::Return => {
-            rec.act_generation = rec.generation;
+            rec.action_generation = rec.generation;
         }
         _ => {}
     }
@@ -206,7 +210,7 @@
             rec.accelerators = *accelerators;
         }
         (HostChange::Health { up }, _) => rec.up = *up,
-        (HostChange::Foreign { foreign }, _) => rec.foreign = *foreign,
+        (HostChange::Foreign { foreign }, _) => rec.externally_moved = *foreign,
         (HostChange::Assign { pool }, HostPhase::Free) => {
             rec.pool = Some(pool.clone());
             rec.phase = HostPhase::Active;
--- a/crates/workswood-core/src/fold/instances.rs
+++ b/crates/workswood-core/src/fold/instances.rs
@@ -32,12 +32,13 @@
     /// Available instances by rack.
     pub by_rack: BTreeMap<Rack, u32>,
     /// Instances away by our own acts, by data centre.
-    pub away_by_data_centre: BTreeMap<String, u32>,
+    #[serde(rename = "away_by_data_centre")]
+    pub out_of_service_by_data_centre: BTreeMap<String, u32>,
 }
 
 /// Budget and availability of a service side by side.
 #[derive(Clone, Debug, Serialize)]
-pub struct Stance {
+pub struct BudgetStatus {
     /// The service.
     pub service: ServiceId,
     /// Instances that take work.
@@ -61,19 +62,19 @@
         if instance.ready && host.takes_work() {
             self.available += 1;
             *self.by_rack.entry(host.place.rack.clone()).or_default() += 1;
-        } else if host.away() {
-            *self.away_by_data_centre.entry(host.place.data_centre.clone()).or_default() += 1;
+        } else if host.out_of_service() {
+            *self.out_of_service_by_data_centre.entry(host.place.data_centre.clone()).or_default() += 1;
         }
     }
 
     /// Takes one available instance away; `None` if the budget forbids it.
-    pub fn leave(&self, budget: &Budget, host: &ManagedHost) -> Option<Availability> {
+    pub fn without_one_on(&self, budget: &Budget, host: &ManagedHost) -> Option<Availability> {
         let mut after = self.clone();
         after.available = after.available.checked_sub(1)?;
         if let Some(n) = after.by_rack.get_mut(&host.place.rack) {
             *n = n.saturating_sub(1);
         }
-        let away = after.away_by_data_centre.entry(host.place.data_centre.clone()).or_default();
+        let away = after.out_of_service_by_data_centre.entry(host.place.data_centre.clone()).or_default();
         *away += 1;
         let in_data_centre = budget.max_unavailable_per_data_centre.is_none_or(|most| *away <= most);
         (in_data_centre && after.slack(budget) >= 0).then_some(after)
@@ -100,13 +101,13 @@
     }
 
     /// Budgets of all services beside what they have.
-    pub fn stances(&self) -> Vec<Stance> {
+    pub fn budget_statuses(&self) -> Vec<BudgetStatus> {
         let all = self.availability();
         let empty = Availability::default();
         self.services()
             .map(|s| {
                 let a = all.get(&s.name).unwrap_or(&empty);
-                Stance {
+                BudgetStatus {
                     service: s.name.clone(),
                     available: a.available,
                     min_available: s.budget.min_available,
@@ -126,14 +127,14 @@
     }
 
     /// Whether all budgets allow that a host stops taking work.
-    pub fn may_leave(&self, host: &str) -> RecordResult {
+    pub fn check_drain_budgets(&self, host: &str) -> RecordResult {
         let rec = self.hosts.get(host).ok_or(Rejection::Missing)?;
         // What a failed or foreign host carried is already lost to its service.
         if !rec.takes_work() {
             return Ok(());
         }
-        for s in self.services_on(host) {
-            let allowed = self.availability_of(&s.name).leave(&s.budget, rec).is_some();
+        for s in self.services_ready_on(host) {
+            let allowed = self.availability_of(&s.name).without_one_on(&s.budget, rec).is_some();
             if !allowed {
                 return Err(Rejection::Budget(s.name.clone()));
             }
@@ -142,10 +143,10 @@
     }
 
     /// Services with a working instance on a host.
-    fn services_on(&self, host: &str) -> Vec<&Service> {
+    fn services_ready_on(&self, host: &str) -> Vec<&Service> {
         let ids = self.by_host.get(host).into_iter().flatten();
         let ready = ids.filter(|id| self.instances.get(*id).is_some_and(|i| i.ready));
-        ready.filter_map(|id| self.service(service_of(id))).collect()
+        ready.filter_map(|id| self.service(service_of_instance(id))).collect()
     }
 
     /// Builds the index from hosts to instances anew.
@@ -176,7 +177,7 @@
     }
 
     fn place(&mut self, instance: &str, host: &str) -> RecordResult {
-        let service = service_of(instance);
+        let service = service_of_instance(instance);
         let s = self.service(service).ok_or(Rejection::Missing)?;
         let h = self.hosts.get(host).ok_or(Rejection::Missing)?;
         let doubled = self.instances.contains_key(instance);
@@ -204,7 +205,7 @@
             let s = self.service(&rec.service).ok_or(Rejection::Missing)?;
             let a = self.availability_of(&rec.service);
             // Surplus instances may go while the rest keeps the budget.
-            let allowed = host.is_some_and(|h| a.leave(&s.budget, h).is_some());
+            let allowed = host.is_some_and(|h| a.without_one_on(&s.budget, h).is_some());
             if !allowed {
                 return Err(Rejection::Budget(rec.service.clone()));
             }
@@ -223,6 +224,6 @@
 }
 
 /// The service part of an instance's name.
-pub(super) fn service_of(instance: &str) -> &str {
+pub(super) fn service_of_instance(instance: &str) -> &str {
     instance.rsplit_once('/').map_or(instance, |(s, _)| s)
 }
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -24,7 +24,7 @@
 
 pub use apply::AppliedFile;
 pub use hosts::{HostPhase, ManagedHost};
-pub use instances::{Availability, PlacedInstance, Stance};
+pub use instances::{Availability, BudgetStatus, PlacedInstance};
 pub use jobs::{JobPhase, StartedJob};
 pub use keys::{KEY_GRACE, KeyState, KeyedRequest, Lookup, MAX_KEY_WINDOW};
 pub use lease::Lease;
--- a/crates/workswood-core/src/plan/acts.rs
+++ b/crates/workswood-core/src/plan/acts.rs
@@ -81,7 +81,7 @@
 /// All calls that the list shows to be missing.
 pub fn acts(state: &State, seen: &Seen) -> Vec<Act> {
     let mut all = Vec::new();
-    for (id, rec) in state.hosts.iter().filter(|(_, r)| !r.foreign) {
+    for (id, rec) in state.hosts.iter().filter(|(_, r)| !r.externally_moved) {
         let Some(s) = seen.hosts.get(id).filter(|s| s.state != HostState::Down) else { continue };
         all.extend(host_acts(id, rec, s));
         all.extend(starts(state, id, rec, s));
@@ -101,16 +101,16 @@
         return vec![Act::SetPool { host, pool, token: rec.pool_generation }];
     }
     match &rec.phase {
-        HostPhase::Draining(_) | HostPhase::Drained(_) if !s.draining || s.token < rec.act_generation => {
-            all.push(Act::Drain { host, token: rec.act_generation });
+        HostPhase::Draining(_) | HostPhase::Drained(_) if !s.draining || s.token < rec.action_generation => {
+            all.push(Act::Drain { host, token: rec.action_generation });
         }
         // It also fences off a drain that is still on its way. A later drain
         // by other scripts stays.
-        HostPhase::Active if s.token < rec.act_generation => {
-            all.push(Act::Undrain { host, token: rec.act_generation });
+        HostPhase::Active if s.token < rec.action_generation => {
+            all.push(Act::Undrain { host, token: rec.action_generation });
         }
         HostPhase::Rebooting { boot, .. } if s.boot == *boot => {
-            all.push(Act::Reboot { host, boot: boot.clone(), token: rec.act_generation });
+            all.push(Act::Reboot { host, boot: boot.clone(), token: rec.action_generation });
         }
         _ => {}
     }
--- a/crates/workswood-core/src/plan/index.rs
+++ b/crates/workswood-core/src/plan/index.rs
@@ -66,7 +66,7 @@
         }
         let budget = self.services.get(service).map(|s| &s.budget);
         let now = self.availability.get(service);
-        let Some(after) = budget.zip(now).and_then(|(b, a)| a.leave(b, rec)) else { return false };
+        let Some(after) = budget.zip(now).and_then(|(b, a)| a.without_one_on(b, rec)) else { return false };
         self.availability.insert(service.to_string(), after);
         true
     }
@@ -81,7 +81,7 @@
         for (_, i) in self.on_host(host).filter(|(_, i)| i.ready) {
             let s = self.services.get(i.service.as_str())?;
             let a = self.availability.get(&i.service)?;
-            after.push((i.service.as_str(), a.leave(&s.budget, rec)?));
+            after.push((i.service.as_str(), a.without_one_on(&s.budget, rec)?));
         }
         Some(after)
     }
--- a/crates/workswood-core/src/plan/observe.rs
+++ b/crates/workswood-core/src/plan/observe.rs
@@ -43,7 +43,7 @@
     // the host, was set by somebody else.
     let other = rec.pool.is_some() && s.pool.is_some() && s.pool != rec.pool;
     let foreign = other && s.token >= rec.pool_generation;
-    if foreign != rec.foreign {
+    if foreign != rec.externally_moved {
         steps.push(HostChange::Foreign { foreign });
     }
     steps
@@ -56,11 +56,11 @@
         let task = host.and_then(|h| h.tasks.iter().find(|t| t.id == *id && t.ended.is_none()));
         let rec_host = state.hosts.get(&rec.host);
         // The list must show the end of a drain before the instance counts.
-        let back = host.zip(rec_host).is_some_and(|(s, h)| !s.draining && s.token >= h.act_generation);
+        let back = host.zip(rec_host).is_some_and(|(s, h)| !s.draining && s.token >= h.action_generation);
         let ready = back && task.is_some_and(|t| t.ready);
         let address = task.map_or(rec.address.clone(), |t| t.address.clone());
         // While the host is away the instance keeps its last record.
-        let away = rec_host.is_some_and(ManagedHost::away);
+        let away = rec_host.is_some_and(ManagedHost::out_of_service);
         if !away && (ready != rec.ready || address != rec.address) {
             let step = InstanceChange::Ready { address, ready };
             all.push(Record::Instance { term, instance: id.clone(), change: step });
@@ -72,7 +72,7 @@
 /// Steps of hosts under way whose condition the list now shows.
 pub(super) fn progress(state: &State, seen: &Seen, facts: &Facts, term: Term) -> Vec<Record> {
     let mut all = Vec::new();
-    for (id, rec) in state.hosts.iter().filter(|(_, r)| r.away() && !r.foreign) {
+    for (id, rec) in state.hosts.iter().filter(|(_, r)| r.out_of_service() && !r.externally_moved) {
         let Some(step) = next_step(state, id, rec, seen.hosts.get(id), facts) else { continue };
         all.push(Record::Host { term, host: id.clone(), generation: rec.generation, change: step });
     }
@@ -102,9 +102,9 @@
                 return Some(HostChange::Undrain);
             }
             // A host that has failed has no work left to wait for.
-            let acted = |s: &&HostSeen| s.token >= rec.act_generation;
+            let acted = |s: &&HostSeen| s.token >= rec.action_generation;
             let drained = !rec.up || seen.filter(acted).is_some_and(|s| s.drained && s.draining);
-            let told = facts.confirmed > rec.offset;
+            let told = facts.confirmed > rec.changed_at_offset;
             (drained && told && !busy(id)).then_some(HostChange::Drained)
         }
         HostPhase::Drained(DrainReason::Move { .. }) => empty.then_some(HostChange::Flip),
@@ -115,7 +115,7 @@
         }
         HostPhase::Rebooting { boot, .. } => {
             // An older list may show a boot before the one that was ended.
-            let after = |s: &HostSeen| s.token >= rec.act_generation && s.boot != *boot;
+            let after = |s: &HostSeen| s.token >= rec.action_generation && s.boot != *boot;
             let back = seen.is_some_and(|s| s.state == HostState::Live && after(s));
             back.then_some(HostChange::Return)
         }
--- a/crates/workswood-core/src/plan/place.rs
+++ b/crates/workswood-core/src/plan/place.rs
@@ -66,9 +66,9 @@
         HostPhase::Active => {}
         _ => return false,
     }
-    let lost = !h.up || h.foreign;
+    let lost = !h.up || h.externally_moved;
     if lost {
-        return now.saturating_sub(h.since) >= REPLACE_AFTER_MS;
+        return now.saturating_sub(h.changed_at) >= REPLACE_AFTER_MS;
     }
     let number: u32 = id.rsplit_once('/').and_then(|(_, n)| n.parse().ok()).unwrap_or(0);
     let unwanted = number >= s.instances || h.pool.as_ref() != Some(&s.pool);
--- a/crates/workswood-core/src/plan/pools.rs
+++ b/crates/workswood-core/src/plan/pools.rs
@@ -14,7 +14,7 @@
     let mut all = Vec::new();
     let mut taken: BTreeMap<HostId, PoolId> = BTreeMap::new();
     for (id, rec) in
-        state.hosts.iter().filter(|(_, r)| r.released && r.phase == HostPhase::Active && !r.foreign)
+        state.hosts.iter().filter(|(_, r)| r.released && r.phase == HostPhase::Active && !r.externally_moved)
     {
         if index.take(id) {
             all.push(step(term, id, rec, HostChange::Drain { reason: DrainReason::Release }));
@@ -67,7 +67,7 @@
 }
 
 fn healthy(rec: &ManagedHost) -> bool {
-    rec.up && !rec.foreign && !rec.released
+    rec.up && !rec.externally_moved && !rec.released
 }
 
 /// Healthy hosts that are in each pool or on their way to it.
--- a/crates/workswood-core/src/plan/wave.rs
+++ b/crates/workswood-core/src/plan/wave.rs
@@ -89,7 +89,7 @@
 fn members<'a>(index: &Index<'a>, m: &Maintenance) -> Members<'a> {
     let mut all = Members { done: 0, away: Vec::new(), left: Vec::new() };
     for (id, rec) in index.pool(&m.pool).iter().filter(|(_, r)| !r.released) {
-        if rec.under() == Some(&m.name) {
+        if rec.maintenance() == Some(&m.name) {
             all.away.push((id, rec));
         } else if rec.maintained.contains(&m.name) {
             all.done += 1;
@@ -167,7 +167,7 @@
     }
     let overdue = |(_, r): &&(&HostId, &ManagedHost)| {
         let rebooting = matches!(r.phase, HostPhase::Rebooting { .. });
-        rebooting && now.saturating_sub(r.since) > length * OVERDUE_FACTOR
+        rebooting && now.saturating_sub(r.changed_at) > length * OVERDUE_FACTOR
     };
     if let Some((id, _)) = all.away.iter().find(overdue) {
         return Some(Stop::Unwell { host: (*id).clone() });
@@ -191,10 +191,9 @@
 /// ready again.
 fn unwell(index: &Index, m: &Maintenance) -> Option<HostId> {
     let state = index.state;
-    let through = index
-        .pool(&m.pool)
-        .iter()
-        .filter(|(_, r)| r.maintained.contains(&m.name) && r.phase == HostPhase::Active && !r.foreign);
+    let through = index.pool(&m.pool).iter().filter(|(_, r)| {
+        r.maintained.contains(&m.name) && r.phase == HostPhase::Active && !r.externally_moved
+    });
     let ill = |id: &HostId, r: &ManagedHost| {
         let on = state.by_host.get(id).into_iter().flatten();
         let idle = on.filter_map(|i| state.instances.get(i)).any(|i| !i.ready);
@@ -230,7 +229,7 @@
         if !r.takes_work() {
             continue;
         }
-        match state.may_leave(id) {
+        match state.check_drain_budgets(id) {
             Ok(()) => return Stop::Running,
             Err(crate::fold::Rejection::Budget(service)) => budget = Some(service),
             Err(_) => {}
--- a/crates/workswood-test-support/src/history.rs
+++ b/crates/workswood-test-support/src/history.rs
@@ -447,7 +447,7 @@
         let declared: u32 = state.services().map(|s| s.instances).sum();
         let ready = state.instances.values().filter(|i| i.ready).count() as u32;
         waves.iter().all(|w| w.stop == Stop::Finished)
-            && state.hosts.values().all(|h| !h.away())
+            && state.hosts.values().all(|h| !h.out_of_service())
             && ready == declared
     }
 
@@ -457,7 +457,9 @@
                 self.tally.unsettled.push(format!("{w:?}"));
             }
         }
-        for (id, h) in self.truth.state.hosts.iter().filter(|(_, h)| h.away() || h.foreign || !h.up) {
+        for (id, h) in
+            self.truth.state.hosts.iter().filter(|(_, h)| h.out_of_service() || h.externally_moved || !h.up)
+        {
             self.tally.unsettled.push(format!("host {id} {h:?} {:?}", self.platform.hosts.get(id)));
         }
         for (id, i) in self.truth.state.instances.iter().filter(|(_, i)| !i.ready) {
@@ -471,6 +473,6 @@
 
     /// The verdict of a record that takes a host, for focused tests.
     pub fn may_leave(&self, host: &str) -> std::result::Result<(), Rejection> {
-        self.truth.state.may_leave(host)
+        self.truth.state.check_drain_budgets(host)
     }
 }
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -155,7 +155,7 @@
         let Ok(seen) = node.platform.hosts().await else { continue };
         let records = round(&node, &seen, h.term);
         folded.mark_unchanged();
-        idle = records.is_empty() && !node.state.read().hosts.values().any(ManagedHost::away);
+        idle = records.is_empty() && !node.state.read().hosts.values().any(ManagedHost::out_of_service);
         if !records.is_empty() {
             log_decisions(&records);
             if node.append(records).await.is_err() {
@@ -183,7 +183,7 @@
 fn facts(node: &Node) -> Facts {
     let (own, draining) = {
         let state = node.state.read();
-        let away = |i: &PlacedInstance| state.hosts.get(&i.host).is_some_and(|h| h.away());
+        let away = |i: &PlacedInstance| state.hosts.get(&i.host).is_some_and(|h| h.out_of_service());
         let draining: Vec<InstanceId> =
             state.instances.iter().filter(|(_, i)| away(i)).map(|(id, _)| id.clone()).collect();
         (state.next_offset, draining)
--- a/src/workswood/ops/entry/gossip.rs
+++ b/src/workswood/ops/entry/gossip.rs
@@ -97,7 +97,7 @@
 fn open_requests(node: &Node) -> Vec<Open> {
     let draining: Vec<String> = {
         let state = node.state.read();
-        let hosts = state.hosts.iter().filter(|(_, h)| h.away()).map(|(id, _)| id);
+        let hosts = state.hosts.iter().filter(|(_, h)| h.out_of_service()).map(|(id, _)| id);
         hosts.flat_map(|h| state.by_host.get(h).into_iter().flatten().cloned()).collect()
     };
     lanes::open_on(node, &draining)
--- a/src/workswood/ops/entry/operate.rs
+++ b/src/workswood/ops/entry/operate.rs
@@ -170,7 +170,7 @@
     let state = node.state.read();
     let now = node.wall();
     let waves = wave_status(&state, now);
-    let stances = state.stances();
+    let stances = state.budget_statuses();
     let mut stuck: Vec<String> = Vec::new();
     for w in &waves {
         if let Stop::Unwell { .. } | Stop::Deadline { .. } | Stop::HostsMissing { .. } | Stop::Budget { .. } =
@@ -238,11 +238,11 @@
     for (id, h) in &state.hosts {
         let pool = h.pool.clone().unwrap_or_default();
         let p = all.entry(pool.clone()).or_insert_with(|| PoolStatus { pool, ..PoolStatus::default() });
-        if h.foreign {
+        if h.externally_moved {
             p.foreign.push(id.clone());
         } else if !h.up && !matches!(h.phase, HostPhase::Rebooting { .. }) {
             p.down.push(id.clone());
-        } else if h.away() {
+        } else if h.out_of_service() {
             p.away.push(id.clone());
         } else {
             p.active += 1;
--- a/tests/testsuite/act_tokens.rs
+++ b/tests/testsuite/act_tokens.rs
@@ -6,7 +6,7 @@
 use workswood_test_support::one::Fleet;
 
 fn away(fleet: &Fleet) -> Vec<String> {
-    fleet.p.state.hosts.iter().filter(|(_, h)| h.away()).map(|(id, _)| id.clone()).collect()
+    fleet.p.state.hosts.iter().filter(|(_, h)| h.out_of_service()).map(|(id, _)| id.clone()).collect()
 }
 
 /// A fleet in which the first host has been drained in the log, and the act
--- a/tests/testsuite/log_faults.rs
+++ b/tests/testsuite/log_faults.rs
@@ -78,7 +78,8 @@
         until("the outage is seen", || !e.node.is(&e.node.log_up)).await;
     }
     // Reboots under way end; none begins without a record.
-    let under_way = dev.entries[0].node.state.read().hosts.values().filter(|h| h.away()).count() as u64;
+    let under_way =
+        dev.entries[0].node.state.read().hosts.values().filter(|h| h.out_of_service()).count() as u64;
     let begun = dev.platform.counters().reboots;
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert!(dev.platform.counters().reboots <= begun + under_way, "a reboot began in the outage");
--- a/tests/testsuite/maintenance_waves.rs
+++ b/tests/testsuite/maintenance_waves.rs
@@ -113,7 +113,7 @@
     let node = dev.entries[0].node.clone();
     until("hosts under way are back", || {
         let state = node.state.read();
-        state.hosts.values().all(|h| !h.away()) && state.instances.values().all(|i| i.ready)
+        state.hosts.values().all(|h| !h.out_of_service()) && state.instances.values().all(|i| i.ready)
     })
     .await;
     assert!(dev.platform.counters().reboots < 8);
