--- a/crates/workswood-core/src/fleet/check.rs
+++ b/crates/workswood-core/src/fleet/check.rs
@@ -137,7 +137,7 @@
             "the deadline is not after the start",
         ));
     }
-    for (i, w) in m.keep_clear.iter().enumerate() {
+    for (i, w) in m.blackout_windows.iter().enumerate() {
         if w.to <= w.from {
             issues.push(Issue::new(
                 format!("{at}.keep_clear[{i}]"),
--- a/crates/workswood-core/src/fleet/file.rs
+++ b/crates/workswood-core/src/fleet/file.rs
@@ -151,7 +151,7 @@
 /// How soon a request is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Class {
+pub enum PriorityClass {
     /// A person waits.
     Urgent,
     /// Ordinary work.
@@ -162,17 +162,18 @@
     Later,
 }
 
-impl Class {
+impl PriorityClass {
     /// All classes, most urgent first.
-    pub const ALL: [Class; 4] = [Class::Urgent, Class::Normal, Class::Long, Class::Later];
+    pub const ALL: [PriorityClass; 4] =
+        [PriorityClass::Urgent, PriorityClass::Normal, PriorityClass::Long, PriorityClass::Later];
 
     /// The name used in files and logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Class::Urgent => "urgent",
-            Class::Normal => "normal",
-            Class::Long => "long",
-            Class::Later => "later",
+            PriorityClass::Urgent => "urgent",
+            PriorityClass::Normal => "normal",
+            PriorityClass::Long => "long",
+            PriorityClass::Later => "later",
         }
     }
 }
@@ -183,7 +184,7 @@
     /// Prefix of the path; the longest that fits wins.
     pub path: String,
     /// How soon it is needed.
-    pub class: Class,
+    pub class: PriorityClass,
     /// Whether running it twice does no harm.
     pub repeatable: bool,
     /// Longest time from arrival to answer.
@@ -212,8 +213,8 @@
     #[serde(with = "serde_rfc3339", default)]
     pub deadline: UnixMs,
     /// Releases that no host may be away for.
-    #[serde(default)]
-    pub keep_clear: Vec<Window>,
+    #[serde(default, rename = "keep_clear")]
+    pub blackout_windows: Vec<TimeWindow>,
     /// Most hosts away at a time; 0 is as many as the budgets allow.
     #[serde(default)]
     pub max_parallel: u32,
@@ -224,7 +225,7 @@
 
 /// A span of time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Window {
+pub struct TimeWindow {
     /// First moment.
     #[serde(with = "serde_rfc3339")]
     pub from: UnixMs,
@@ -257,7 +258,7 @@
     #[serde(default)]
     pub memory_gib: u32,
     /// How soon it is needed; `long` is not used for jobs.
-    pub class: Class,
+    pub class: PriorityClass,
     /// Whether it may be started again after an unknown end.
     pub repeatable: bool,
 }
--- a/crates/workswood-core/src/plan/jobs.rs
+++ b/crates/workswood-core/src/plan/jobs.rs
@@ -5,7 +5,7 @@
 
 use super::place::loads;
 use super::seen::Seen;
-use crate::fleet::{Class, Job};
+use crate::fleet::{Job, PriorityClass};
 use crate::fold::{JobPhase, ManagedHost, StartedJob, State};
 use crate::ids::{HostId, JobId, Term, UnixMs};
 use crate::record::{JobChange, Record};
@@ -118,7 +118,7 @@
             self.take(j, host, i64::from(j.cpus));
             return vec![(j.name.clone(), JobChange::Start { host: host.clone() })];
         }
-        if j.class == Class::Urgent { self.preempt(j) } else { Vec::new() }
+        if j.class == PriorityClass::Urgent { self.preempt(j) } else { Vec::new() }
     }
 
     /// Stops the least urgent repeatable jobs of one host of the pool; the
--- a/crates/workswood-core/src/plan/measure.rs
+++ b/crates/workswood-core/src/plan/measure.rs
@@ -58,7 +58,9 @@
         let picked = choose(&mut index, m, now);
         if picked.is_empty() {
             // A span that is kept clear is waited out; anything else is final.
-            let Some(w) = m.keep_clear.iter().find(|w| now + length > w.from && now < w.to) else { break };
+            let Some(w) = m.blackout_windows.iter().find(|w| now + length > w.from && now < w.to) else {
+                break;
+            };
             now = w.to;
             continue;
         }
--- a/crates/workswood-core/src/plan/wave.rs
+++ b/crates/workswood-core/src/plan/wave.rs
@@ -183,7 +183,7 @@
     if m.deadline != 0 && now + length > m.deadline {
         return Some(Stop::Deadline { deadline: rfc3339_ms(m.deadline) });
     }
-    let clash = m.keep_clear.iter().find(|w| now + length > w.from && now < w.to);
+    let clash = m.blackout_windows.iter().find(|w| now + length > w.from && now < w.to);
     clash.map(|w| Stop::KeepClear { from: rfc3339_ms(w.from) })
 }
 
--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -10,7 +10,7 @@
 use super::share::owned_slots;
 use super::table::ServiceView;
 use crate::code::Code;
-use crate::fleet::Class;
+use crate::fleet::PriorityClass;
 use crate::ids::{DataCentre, InstanceId};
 use crate::invariant;
 
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug)]
 struct Flight {
     endpoint: InstanceId,
-    class: Class,
+    class: PriorityClass,
     since: Duration,
 }
 
@@ -126,12 +126,12 @@
 
 /// Most requests of a class that wait for so many slots. A longer queue of
 /// urgent requests adds waiting and no answers.
-fn most_queued(class: Class, slots: u32) -> usize {
+fn most_queued(class: PriorityClass, slots: u32) -> usize {
     let slots = slots as usize;
     match class {
-        Class::Urgent => (2 * slots).max(LEAST_QUEUED),
-        Class::Normal => (16 * slots).max(8 * LEAST_QUEUED),
-        Class::Long | Class::Later => MAX_QUEUED,
+        PriorityClass::Urgent => (2 * slots).max(LEAST_QUEUED),
+        PriorityClass::Normal => (16 * slots).max(8 * LEAST_QUEUED),
+        PriorityClass::Long | PriorityClass::Later => MAX_QUEUED,
     }
 }
 
@@ -184,7 +184,13 @@
     }
 
     /// A new request.
-    pub fn offer(&mut self, now: Duration, ticket: Ticket, class: Class, deadline: Duration) -> Vec<Action> {
+    pub fn offer(
+        &mut self,
+        now: Duration,
+        ticket: Ticket,
+        class: PriorityClass,
+        deadline: Duration,
+    ) -> Vec<Action> {
         self.retries.first_try();
         self.enter(now, ticket, class, deadline, &[])
     }
@@ -195,7 +201,7 @@
         &mut self,
         now: Duration,
         ticket: Ticket,
-        class: Class,
+        class: PriorityClass,
         deadline: Duration,
         tried: &[InstanceId],
     ) -> Option<Vec<Action>> {
@@ -209,7 +215,7 @@
         &mut self,
         now: Duration,
         ticket: Ticket,
-        class: Class,
+        class: PriorityClass,
         deadline: Duration,
         tried: &[InstanceId],
     ) -> Vec<Action> {
@@ -232,7 +238,7 @@
         &self,
         now: Duration,
         ticket: Ticket,
-        class: Class,
+        class: PriorityClass,
         deadline: Duration,
         slots: u32,
     ) -> Option<Action> {
@@ -251,7 +257,7 @@
     }
 
     /// The wait that a new request of a class would have.
-    pub fn wait(&self, class: Class, slots: u32) -> Duration {
+    pub fn wait(&self, class: PriorityClass, slots: u32) -> Duration {
         let ahead = self.queues.ahead(class) as f64;
         Duration::from_secs_f64(ahead * self.seconds / f64::from(slots.max(1)))
     }
@@ -272,7 +278,7 @@
                 Outcome::Neutral => {}
             }
         }
-        if outcome == Outcome::Good && f.class != Class::Long {
+        if outcome == Outcome::Good && f.class != PriorityClass::Long {
             self.seconds += 0.02 * (took.as_secs_f64() - self.seconds);
         }
         if eject {
@@ -289,7 +295,7 @@
     /// Refuses requests whose deadline has come and looks for bad endpoints.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         let slots = self.slots(now);
-        let retry_after = self.wait(Class::Later, slots).max(Duration::from_millis(100));
+        let retry_after = self.wait(PriorityClass::Later, slots).max(Duration::from_millis(100));
         let late = self.queues.expire(now).into_iter();
         let mut actions: Vec<Action> =
             late.map(|ticket| Action::Refuse { ticket, code: Code::DeadlinePassed, retry_after }).collect();
@@ -440,7 +446,7 @@
         best
     }
 
-    fn send(&mut self, now: Duration, ticket: Ticket, class: Class, id: InstanceId) -> Action {
+    fn send(&mut self, now: Duration, ticket: Ticket, class: PriorityClass, id: InstanceId) -> Action {
         let passed_over = self.endpoints.values().filter(|e| e.open && !e.health.may_send(now)).count();
         let mut action = Action::Refuse { ticket, code: Code::NoEndpoint, retry_after: Duration::ZERO };
         if let Some(e) = self.endpoints.get_mut(&id) {
--- a/crates/workswood-core/src/route/queue.rs
+++ b/crates/workswood-core/src/route/queue.rs
@@ -10,12 +10,12 @@
 use std::time::Duration;
 
 use super::dispatch::Ticket;
-use crate::fleet::Class;
+use crate::fleet::PriorityClass;
 
 /// Most requests waiting in one class of one service on one entry host.
 pub const MAX_QUEUED: usize = 1_000;
 
-/// Guaranteed and greatest share of each class, in [`Class::ALL`] order.
+/// Guaranteed and greatest share of each class, in [`PriorityClass::ALL`] order.
 const SHARES: [(f64, f64); 4] = [(0.30, 1.0), (0.20, 0.85), (0.20, 0.60), (0.05, 0.50)];
 /// Share of the slots that classes other than urgent may use together.
 const BULK_MOST: f64 = 0.85;
@@ -36,7 +36,7 @@
     in_flight: [u32; 4],
 }
 
-fn index(class: Class) -> usize {
+fn index(class: PriorityClass) -> usize {
     class as usize
 }
 
@@ -53,58 +53,58 @@
     }
 
     /// Requests waiting in a class and the more urgent ones.
-    pub fn ahead(&self, class: Class) -> usize {
+    pub fn ahead(&self, class: PriorityClass) -> usize {
         self.queues[..=index(class)].iter().map(VecDeque::len).sum()
     }
 
     /// Requests waiting in one class.
-    pub fn len(&self, class: Class) -> usize {
+    pub fn len(&self, class: PriorityClass) -> usize {
         self.queues[index(class)].len()
     }
 
     /// Requests of a class that hold a slot.
-    pub fn in_flight(&self, class: Class) -> u32 {
+    pub fn in_flight(&self, class: PriorityClass) -> u32 {
         self.in_flight[index(class)]
     }
 
     /// Adds a request at the end of its class.
-    pub fn push(&mut self, class: Class, w: Waiting) {
+    pub fn push(&mut self, class: PriorityClass, w: Waiting) {
         self.queues[index(class)].push_back(w);
     }
 
     /// Notes that a request of a class took a slot.
-    pub fn took(&mut self, class: Class) {
+    pub fn took(&mut self, class: PriorityClass) {
         self.in_flight[index(class)] += 1;
     }
 
     /// Notes that a request of a class gave its slot back.
-    pub fn gave_back(&mut self, class: Class) {
+    pub fn gave_back(&mut self, class: PriorityClass) {
         let n = &mut self.in_flight[index(class)];
         *n = n.saturating_sub(1);
     }
 
     /// Whether a request of a class may take one of `slots`.
-    pub fn allowed(&self, class: Class, slots: u32) -> bool {
+    pub fn allowed(&self, class: PriorityClass, slots: u32) -> bool {
         let (least, most) = SHARES[index(class)];
         let used = self.in_flight(class);
         if used < part(least, slots) {
             return true;
         }
-        let bulk: u32 = Class::ALL[1..].iter().map(|c| self.in_flight(*c)).sum();
+        let bulk: u32 = PriorityClass::ALL[1..].iter().map(|c| self.in_flight(*c)).sum();
         let cap = part(most, slots).max(1);
-        class == Class::Urgent || slots < 4 || (used < cap && bulk < part(BULK_MOST, slots))
+        class == PriorityClass::Urgent || slots < 4 || (used < cap && bulk < part(BULK_MOST, slots))
     }
 
     /// The class whose turn it is, if any waiting request may take a slot.
-    pub fn turn(&self, slots: u32) -> Option<Class> {
-        let waiting = |c: &Class| self.len(*c) > 0;
-        let short = |c: &Class| self.in_flight(*c) < part(SHARES[index(*c)].0, slots);
-        let owed = Class::ALL.into_iter().filter(waiting).find(short);
-        owed.or_else(|| Class::ALL.into_iter().filter(waiting).find(|c| self.allowed(*c, slots)))
+    pub fn turn(&self, slots: u32) -> Option<PriorityClass> {
+        let waiting = |c: &PriorityClass| self.len(*c) > 0;
+        let short = |c: &PriorityClass| self.in_flight(*c) < part(SHARES[index(*c)].0, slots);
+        let owed = PriorityClass::ALL.into_iter().filter(waiting).find(short);
+        owed.or_else(|| PriorityClass::ALL.into_iter().filter(waiting).find(|c| self.allowed(*c, slots)))
     }
 
     /// Takes the first request of a class.
-    pub fn pop(&mut self, class: Class) -> Option<Waiting> {
+    pub fn pop(&mut self, class: PriorityClass) -> Option<Waiting> {
         self.queues[index(class)].pop_front()
     }
 
--- a/crates/workswood-core/src/route/table.rs
+++ b/crates/workswood-core/src/route/table.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::fleet::{Class, Route};
+use crate::fleet::{PriorityClass, Route};
 use crate::fold::State;
 use crate::ids::{DataCentre, HostId, InstanceId, Offset, ServiceId};
 
@@ -72,7 +72,7 @@
     }
 
     /// The longest deadline of a service's class.
-    pub fn deadline(&self, service: &str, class: Class) -> Option<Duration> {
+    pub fn deadline(&self, service: &str, class: PriorityClass) -> Option<Duration> {
         let fits = self.routes.iter().filter(|(r, s)| s == service && r.class == class);
         fits.map(|(r, _)| r.deadline).max()
     }
--- a/crates/workswood-test-support/src/files.rs
+++ b/crates/workswood-test-support/src/files.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use workswood_core::fleet::{
-    Budget, Class, FleetFile, Host, Job, Maintenance, Objective, Pool, Route, Service, Team,
+    Budget, FleetFile, Host, Job, Maintenance, Objective, Pool, PriorityClass, Route, Service, Team,
 };
 
 /// Hosts `h0`, `h1`, … in racks of two, racks in turn over two data centres.
@@ -43,11 +43,11 @@
         connections: 64,
         budget: Budget { min_available, max_unavailable_per_data_centre: None, reserve_rack: false },
         routes: vec![
-            route("get", Class::Urgent, true),
-            route("once", Class::Normal, false),
-            route("long", Class::Long, true),
-            route("later", Class::Later, true),
-            route("later-once", Class::Later, false),
+            route("get", PriorityClass::Urgent, true),
+            route("once", PriorityClass::Normal, false),
+            route("long", PriorityClass::Long, true),
+            route("later", PriorityClass::Later, true),
+            route("later-once", PriorityClass::Later, false),
         ],
     }
 }
@@ -60,14 +60,14 @@
         duration: Duration::from_secs(60),
         start: 0,
         deadline: 0,
-        keep_clear: Vec::new(),
+        blackout_windows: Vec::new(),
         max_parallel: 0,
         paused: false,
     }
 }
 
 /// A job.
-pub fn job(name: &str, pool: &str, class: Class, repeatable: bool) -> Job {
+pub fn job(name: &str, pool: &str, class: PriorityClass, repeatable: bool) -> Job {
     Job {
         name: name.to_string(),
         team: "team".to_string(),
--- a/src/workswood/ops/bench/fold.rs
+++ b/src/workswood/ops/bench/fold.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use workswood_core::fleet::{Budget, Class, FleetFile, Host, Pool, Route, Service};
+use workswood_core::fleet::{Budget, FleetFile, Host, Pool, PriorityClass, Route, Service};
 use workswood_core::fold::State;
 use workswood_core::record::{AttemptOutcome, Envelope, FORMAT_VERSION, Record, Role, RosterMember};
 
@@ -62,7 +62,7 @@
         },
         routes: vec![Route {
             path: format!("/svc-{pool}-{n}/"),
-            class: Class::Urgent,
+            class: PriorityClass::Urgent,
             repeatable: true,
             deadline: std::time::Duration::from_secs(2),
         }],
--- a/src/workswood/ops/bench/plan.rs
+++ b/src/workswood/ops/bench/plan.rs
@@ -97,7 +97,7 @@
         duration: Duration::from_secs(600),
         start: 0,
         deadline: 0,
-        keep_clear: Vec::new(),
+        blackout_windows: Vec::new(),
         max_parallel: 0,
         paused: false,
     }
@@ -125,7 +125,7 @@
 fn show(name: &str, file: &FleetFile, maintenance: &[Maintenance]) {
     let state = settled(std::slice::from_ref(file), NOW);
     for m in maintenance {
-        let m = Maintenance { start: 0, deadline: 0, keep_clear: Vec::new(), ..m.clone() };
+        let m = Maintenance { start: 0, deadline: 0, blackout_windows: Vec::new(), ..m.clone() };
         let bound = Bound::of(&state, &m);
         for (way, strategy) in [("waves", Strategy::Waves), ("rack_by_rack", Strategy::RackByRack)] {
             let x = measure(&state, &m, strategy, NOW);
--- a/src/workswood/ops/bench/route.rs
+++ b/src/workswood/ops/bench/route.rs
@@ -12,7 +12,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use workswood_core::fleet::Class;
+use workswood_core::fleet::PriorityClass;
 use workswood_core::route::{Action, Dispatcher, Endpoint, Limits, Loan, Outcome, ServiceView, Want};
 
 use super::stats::{Times, median};
@@ -63,7 +63,7 @@
 ];
 
 enum Event {
-    Arrive { class: Class },
+    Arrive { class: PriorityClass },
     Reach { req: usize, endpoint: usize },
     Done { req: usize, endpoint: usize },
     Answer { req: usize },
@@ -76,7 +76,7 @@
 
 struct Request {
     entry: usize,
-    class: Class,
+    class: PriorityClass,
     came: f64,
     endpoint: usize,
 }
@@ -180,10 +180,10 @@
     }
 
     /// Runs arrivals of some classes, each at a share of the capacity.
-    fn run(mut self, load: &[(Class, f64)], seconds: f64) -> Shown {
+    fn run(mut self, load: &[(PriorityClass, f64)], seconds: f64) -> Shown {
         let capacity = f64::from(SLOTS) * ENDPOINTS as f64 / MEAN;
         let end = self.now + seconds;
-        let rates: Vec<(Class, f64)> = load.iter().map(|(c, l)| (*c, l * capacity)).collect();
+        let rates: Vec<(PriorityClass, f64)> = load.iter().map(|(c, l)| (*c, l * capacity)).collect();
         for (class, rate) in &rates {
             let first = self.exponential(1.0 / rate);
             self.at(first, Event::Arrive { class: *class });
@@ -241,7 +241,7 @@
         Duration::from_secs_f64(self.now)
     }
 
-    fn arrive(&mut self, class: Class) {
+    fn arrive(&mut self, class: PriorityClass) {
         let favoured = self.rng.random::<f64>() < self.skew;
         let entry = if favoured { 0 } else { self.rng.random_range(0..ENTRIES) };
         let req = self.requests.len();
@@ -300,7 +300,7 @@
 
     fn serve(&mut self, req: usize, endpoint: usize) {
         self.servers[endpoint].busy += 1;
-        let long = if self.requests[req].class == Class::Long { 20.0 } else { 1.0 };
+        let long = if self.requests[req].class == PriorityClass::Long { 20.0 } else { 1.0 };
         let took = self.exponential(MEAN * long);
         self.at(took, Event::Done { req, endpoint });
     }
@@ -319,7 +319,7 @@
         self.counts[entry][endpoint] -= 1;
         let took = self.now - self.requests[req].came;
         match class {
-            Class::Urgent => self.shown.urgent.add(took),
+            PriorityClass::Urgent => self.shown.urgent.add(took),
             _ => self.shown.long.add(took),
         }
         self.shown.done += u64::from(took <= DEADLINE);
@@ -408,11 +408,11 @@
     }
 }
 
-fn runs(policy: Policy, load: &[(Class, f64)]) -> Vec<Shown> {
+fn runs(policy: Policy, load: &[(PriorityClass, f64)]) -> Vec<Shown> {
     runs_with(policy, WINDOW, load)
 }
 
-fn runs_with(policy: Policy, window: u32, load: &[(Class, f64)]) -> Vec<Shown> {
+fn runs_with(policy: Policy, window: u32, load: &[(PriorityClass, f64)]) -> Vec<Shown> {
     (1..=RUNS).map(|seed| Model::new(policy, window, seed).run(load, SECONDS)).collect()
 }
 
@@ -428,7 +428,7 @@
     let capacity = f64::from(SLOTS) * ENDPOINTS as f64 / MEAN;
     for load in [0.5, 0.8, 0.95, 1.2] {
         for policy in ALL {
-            let all = runs(policy, &[(Class::Urgent, load)]);
+            let all = runs(policy, &[(PriorityClass::Urgent, load)]);
             crate::outln!(
                 "{load:.2} {policy:?} {:.1} {:.1} {:.1} {:.2} {:.2} {:.1} {:.0}",
                 mid(&all, |s| s.urgent.ms(0.5)),
@@ -450,7 +450,7 @@
     let capacity = f64::from(SLOTS) * ENDPOINTS as f64 / MEAN;
     for load in [0.5, 0.8, 0.95, 1.2] {
         for window in 8..=13 {
-            let all = runs_with(Policy::Lending, window, &[(Class::Urgent, load)]);
+            let all = runs_with(Policy::Lending, window, &[(PriorityClass::Urgent, load)]);
             crate::outln!(
                 "{load:.2} {window} {:.1} {:.1} {:.1} {:.2} {:.1}",
                 mid(&all, |s| s.urgent.ms(0.5)),
@@ -472,7 +472,7 @@
         for policy in [Policy::LeastLocal, Policy::Leased, Policy::Lending] {
             let model = |seed| Model { skew, ..Model::new(policy, WINDOW, seed) };
             let all: Vec<Shown> =
-                (1..=RUNS).map(|s| model(s).run(&[(Class::Urgent, load)], SECONDS)).collect();
+                (1..=RUNS).map(|s| model(s).run(&[(PriorityClass::Urgent, load)], SECONDS)).collect();
             crate::outln!(
                 "{load:.2} {:.0} {policy:?} {:.1} {:.1} {:.2} {:.1} {:.0}",
                 100.0 * (skew + (1.0 - skew) / ENTRIES as f64),
@@ -495,7 +495,7 @@
             let limits = Limits { queued, ..Limits::default() };
             let model = |seed| Model::with_limits(Policy::Lending, WINDOW, seed, limits);
             let all: Vec<Shown> =
-                (1..=RUNS).map(|s| model(s).run(&[(Class::Urgent, load)], SECONDS)).collect();
+                (1..=RUNS).map(|s| model(s).run(&[(PriorityClass::Urgent, load)], SECONDS)).collect();
             crate::outln!(
                 "{load:.2} {queued} {:.1} {:.1} {:.2} {:.1}",
                 mid(&all, |s| s.urgent.ms(0.5)),
@@ -512,11 +512,11 @@
     crate::outln!(
         "case policy window urgent_p50_ms urgent_p99_ms urgent_p999_ms others_done_per_s refused_per_s"
     );
-    let cases: [(&str, &[(Class, f64)]); 4] = [
-        ("unloaded", &[(Class::Urgent, 0.05)]),
-        ("urgent_80%", &[(Class::Urgent, 0.80)]),
-        ("urgent_30%+flood_200%", &[(Class::Urgent, 0.30), (Class::Normal, 2.0)]),
-        ("urgent_120%+long_20%", &[(Class::Urgent, 1.2), (Class::Long, 0.01)]),
+    let cases: [(&str, &[(PriorityClass, f64)]); 4] = [
+        ("unloaded", &[(PriorityClass::Urgent, 0.05)]),
+        ("urgent_80%", &[(PriorityClass::Urgent, 0.80)]),
+        ("urgent_30%+flood_200%", &[(PriorityClass::Urgent, 0.30), (PriorityClass::Normal, 2.0)]),
+        ("urgent_120%+long_20%", &[(PriorityClass::Urgent, 1.2), (PriorityClass::Long, 0.01)]),
     ];
     for (name, load) in cases {
         let ways = [
@@ -555,7 +555,7 @@
             d.tick(now);
             let started = Instant::now();
             for t in 0..ROUNDS {
-                let sent = d.offer(now, t, Class::Urgent, now * 2);
+                let sent = d.offer(now, t, PriorityClass::Urgent, now * 2);
                 std::hint::black_box(&sent);
                 d.done(now, t, Outcome::Good);
             }
--- a/src/workswood/ops/dev.rs
+++ b/src/workswood/ops/dev.rs
@@ -270,7 +270,7 @@
     for m in &mut file.maintenance {
         m.start = moved(m.start);
         m.deadline = moved(m.deadline);
-        for w in &mut m.keep_clear {
+        for w in &mut m.blackout_windows {
             w.from = moved(w.from);
             w.to = moved(w.to);
         }
--- a/src/workswood/ops/entry/deferred.rs
+++ b/src/workswood/ops/entry/deferred.rs
@@ -9,7 +9,7 @@
 use hyper::Response;
 use workswood_callers::{KEY, RAN, refusal, whole};
 use workswood_core::code::{Code, Ran};
-use workswood_core::fleet::Class;
+use workswood_core::fleet::PriorityClass;
 use workswood_core::fold::{KeyState, KeyedRequest, MAX_KEY_WINDOW, Rejection, State};
 use workswood_core::ids::{RequestKey, UnixMs};
 use workswood_core::keyed::{Given, HOLD};
@@ -181,7 +181,7 @@
 async fn start(node: &Arc<Node>, key: &str, rec: KeyedRequest) {
     let Some(d) = &rec.deferred else { return };
     let Some(lane) = lanes::of(node, &rec.service) else { return };
-    let ask = Ask { class: Class::Later, deadline: node.now() + SLOT_WAIT, tried: &[] };
+    let ask = Ask { class: PriorityClass::Later, deadline: node.now() + SLOT_WAIT, tried: &[] };
     let Some(Ok(slot)) = lanes::acquire(node, &lane, ask).await else { return };
     let Some(call) = call(node, key, &rec, d) else { return };
     let attempt = rec.attempts + 1;
--- a/src/workswood/ops/entry/lanes.rs
+++ b/src/workswood/ops/entry/lanes.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use tokio::sync::oneshot;
 use workswood_core::code::Code;
-use workswood_core::fleet::Class;
+use workswood_core::fleet::PriorityClass;
 use workswood_core::ids::{InstanceId, ServiceId};
 use workswood_core::route::{Action, Dispatcher, Limits, Loan, Outcome, RouteTable, Ticket, Want};
 use workswood_peers::{Msg, SlotAsk, SlotState};
@@ -122,7 +122,7 @@
     }
 
     /// The wait that a new request of a class would have.
-    pub fn wait(&self, now: Duration, class: Class) -> Duration {
+    pub fn wait(&self, now: Duration, class: PriorityClass) -> Duration {
         let inner = self.inner.lock();
         inner.dispatcher.wait(class, inner.dispatcher.slots(now))
     }
@@ -220,8 +220,8 @@
 
 /// A request for a slot.
 pub struct Ask<'a> {
-    /// Class of the request.
-    pub class: Class,
+    /// Priority class of the request.
+    pub class: PriorityClass,
     /// When it must be answered, since the start of the process.
     pub deadline: Duration,
     /// Endpoints that it has tried; empty for a first try.
--- a/src/workswood/ops/entry/serve.rs
+++ b/src/workswood/ops/entry/serve.rs
@@ -15,7 +15,7 @@
     BodyError, CODE, DEADLINE, Handler, KEY, LAST_MOMENT, RAN, ReplyBody, read_body, refusal, whole,
 };
 use workswood_core::code::{Code, Ran};
-use workswood_core::fleet::{Class, Route};
+use workswood_core::fleet::{PriorityClass, Route};
 use workswood_core::ids::{InstanceId, ServiceId};
 use workswood_core::route::Outcome;
 use workswood_endpoints::{Answer, AnyBody, SendError, full, incoming};
@@ -134,7 +134,7 @@
     let reply = dispatch(node, call, body, key).await;
     let ran = reply.headers().get(RAN).and_then(|v| v.to_str().ok()).unwrap_or("run");
     node.metrics.requests.with_label_values(&[service.as_str(), class.as_str(), ran]).inc();
-    if class == Class::Urgent {
+    if class == PriorityClass::Urgent {
         node.metrics.urgent_seconds.observe((node.now() - arrived).as_secs_f64());
     }
     reply
@@ -142,11 +142,11 @@
 
 async fn dispatch(node: &Arc<Node>, call: Call, body: Incoming, key: Option<String>) -> Reply {
     match (call.route.class, call.route.repeatable) {
-        (Class::Later, _) => match held(body).await {
+        (PriorityClass::Later, _) => match held(body).await {
             Ok(b) => deferred::accept(node, call, b, key).await,
             Err(code) => keys::refuse(node, key.as_deref(), code, None).await,
         },
-        (Class::Long, true) => streamed(node, call, body).await,
+        (PriorityClass::Long, true) => streamed(node, call, body).await,
         (_, false) => match held(body).await {
             Ok(b) => keys::answer(node, call, b, key).await,
             Err(code) => keys::refuse(node, key.as_deref(), code, None).await,
--- a/src/workswood/ops/soak.rs
+++ b/src/workswood/ops/soak.rs
@@ -15,7 +15,7 @@
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
-use workswood_core::fleet::{Class, FleetFile, Maintenance};
+use workswood_core::fleet::{FleetFile, Maintenance, PriorityClass};
 use workswood_core::invariant;
 use workswood_core::plan::HostState;
 use workswood_operators::ApplyReply;
@@ -95,7 +95,7 @@
     tally: Arc<Tally>,
     balancer: Arc<Balancer>,
     stop: Arc<AtomicBool>,
-    routes: Vec<(String, Class, bool)>,
+    routes: Vec<(String, PriorityClass, bool)>,
 }
 
 /// Runs a soak on a file; fails if anything was broken.
@@ -320,7 +320,7 @@
                 name: format!("{}-{base}", m.name),
                 start: 0,
                 deadline: 0,
-                keep_clear: Vec::new(),
+                blackout_windows: Vec::new(),
                 ..m.clone()
             };
             now.maintenance = declared.iter().map(named).collect();
@@ -416,7 +416,7 @@
     platform: Arc<PlatformStandin>,
     tally: Arc<Tally>,
     balancer: Arc<Balancer>,
-    routes: Vec<(String, Class, bool)>,
+    routes: Vec<(String, PriorityClass, bool)>,
     rng: StdRng,
     number: u64,
 }
@@ -434,7 +434,8 @@
             let path = format!("{path}?ms={}", self.rng.random_range(0..15));
             for copy in 0..copies {
                 let req = CallerRequest::to(&path).with_body(body.clone());
-                let req = if class == Class::Later || !repeatable { req.with_key(&key, last) } else { req };
+                let req =
+                    if class == PriorityClass::Later || !repeatable { req.with_key(&key, last) } else { req };
                 self.one(req, &key, class, repeatable, &body).await;
                 if copy + 1 < copies {
                     tokio::time::sleep(Duration::from_millis(self.rng.random_range(0..200))).await;
@@ -444,7 +445,14 @@
         }
     }
 
-    async fn one(&mut self, req: CallerRequest, key: &str, class: Class, repeatable: bool, body: &Bytes) {
+    async fn one(
+        &mut self,
+        req: CallerRequest,
+        key: &str,
+        class: PriorityClass,
+        repeatable: bool,
+        body: &Bytes,
+    ) {
         let Some((id, caller)) = self.balancer.pick(&mut self.rng) else { return };
         self.tally.count("requests");
         let res = match caller.call(req).await {
--- a/tests/testsuite/job_placement.rs
+++ b/tests/testsuite/job_placement.rs
@@ -1,6 +1,6 @@
 //! Jobs: urgent ones first, quotas, lost hosts, jobs that can't run.
 
-use workswood_core::fleet::{Class, FleetFile};
+use workswood_core::fleet::{FleetFile, PriorityClass};
 use workswood_core::fold::JobPhase;
 use workswood_core::plan::HostState;
 use workswood_test_support::files::{job, small, team};
@@ -13,7 +13,7 @@
 fn file(jobs: usize) -> FleetFile {
     let mut f = small(2, 1, 0);
     f.teams = vec![team()];
-    f.jobs = (0..jobs).map(|i| job(&format!("low-{i}"), "main", Class::Later, true)).collect();
+    f.jobs = (0..jobs).map(|i| job(&format!("low-{i}"), "main", PriorityClass::Later, true)).collect();
     f
 }
 
@@ -26,7 +26,7 @@
         fleet.p.state.jobs.values().filter(|j| matches!(j.phase, JobPhase::Running { .. })).count()
     };
     assert_eq!(running(&fleet), 7, "the pool is full");
-    f.jobs.push(job("now", "main", Class::Urgent, true));
+    f.jobs.push(job("now", "main", PriorityClass::Urgent, true));
     fleet.apply(&f, 1);
     fleet.rounds(4);
     assert!(matches!(phase(&fleet, "now"), Some(JobPhase::Running { .. })));
@@ -50,7 +50,10 @@
 #[test]
 fn lost_host() {
     let mut f = file(0);
-    f.jobs = vec![job("once", "main", Class::Normal, false), job("again", "main", Class::Normal, true)];
+    f.jobs = vec![
+        job("once", "main", PriorityClass::Normal, false),
+        job("again", "main", PriorityClass::Normal, true),
+    ];
     let mut fleet = Fleet::new(&f);
     fleet.rounds(6);
     let hosts: Vec<String> = fleet.platform.hosts.keys().cloned().collect();
--- a/tests/testsuite/lost_attempts.rs
+++ b/tests/testsuite/lost_attempts.rs
@@ -4,7 +4,7 @@
 //! the entry with it, leave no word of how they ended. Both were started again for ever; only ends that were
 //! told counted.
 
-use workswood_core::fleet::Class;
+use workswood_core::fleet::PriorityClass;
 use workswood_core::fold::{JobPhase, KeyState};
 use workswood_core::record::{AttemptOutcome, DeferredRequest, HostChange, JobChange, Record, Role};
 use workswood_test_support::files::{job, small, team};
@@ -18,7 +18,7 @@
     let (mut log, mut p) = (Log::default(), Process::new("p"));
     let mut file = small(3, 0, 0);
     file.teams = vec![team()];
-    file.jobs = vec![job("report", "main", Class::Normal, true)];
+    file.jobs = vec![job("report", "main", PriorityClass::Normal, true)];
     let apply = Record::Apply { id: "1".into(), base: 0, author: "a".into(), file: Box::new(file) };
     let take = Record::Take { role: Role::Planner, holder: "p".into(), term: 1, seen_renewals: 0 };
     assert_eq!(p.append(&mut log, 1, vec![take, apply]), [Ok(()), Ok(())]);
--- a/tests/testsuite/maintenance_waves.rs
+++ b/tests/testsuite/maintenance_waves.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use workswood::ops::dev::{CallerRequest, Dev};
-use workswood_core::fleet::{FleetFile, Window};
+use workswood_core::fleet::{FleetFile, TimeWindow};
 use workswood_core::invariant;
 use workswood_core::record::Role;
 use workswood_operators::ApplyReply;
@@ -131,7 +131,7 @@
     assert_eq!(code.number(), 209);
     assert!(message.contains("nearest deadline"), "{message}");
     file.maintenance[0].deadline = 0;
-    file.maintenance[0].keep_clear = vec![Window { from: now, to: now + 3_600_000 }];
+    file.maintenance[0].blackout_windows = vec![TimeWindow { from: now, to: now + 3_600_000 }];
     let reply = dev.apply(0, &file, 1).await.expect("an answer");
     assert!(matches!(reply, ApplyReply::Accepted { .. }), "{reply:?}");
     dev.wait(0, "the release is kept clear", |s| s.waves[0]["stop"]["stop"] == "keep_clear")
--- a/tests/testsuite/random_fleet.rs
+++ b/tests/testsuite/random_fleet.rs
@@ -1,7 +1,7 @@
 //! Random histories of planners, platform faults, failures and edits.
 
 use arbtest::arbtest;
-use workswood_core::fleet::{Class, FleetFile};
+use workswood_core::fleet::{FleetFile, PriorityClass};
 use workswood_core::invariant;
 use workswood_test_support::files::{hosts, job, maintenance, pool, service, small, team};
 use workswood_test_support::history::{Faults, History, Tally};
@@ -22,9 +22,9 @@
     f.maintenance = vec![maintenance("m0", "main")];
     f.teams = vec![team()];
     f.jobs = vec![
-        job("once", "side", Class::Normal, false),
-        job("again", "side", Class::Later, true),
-        job("soon", "side", Class::Urgent, true),
+        job("once", "side", PriorityClass::Normal, false),
+        job("again", "side", PriorityClass::Later, true),
+        job("soon", "side", PriorityClass::Urgent, true),
     ];
     f
 }
--- a/tests/testsuite/slot_dispatch.rs
+++ b/tests/testsuite/slot_dispatch.rs
@@ -5,7 +5,7 @@
 
 use arbtest::arbtest;
 use workswood_core::code::Code;
-use workswood_core::fleet::Class;
+use workswood_core::fleet::PriorityClass;
 use workswood_core::invariant;
 use workswood_core::route::{
     Action, Dispatcher, Endpoint, Limits, Loan, Outcome, ServiceView, Want, owned_slots,
@@ -79,7 +79,7 @@
                 let actions = match u.int_in_range(0..=5u8)? {
                     0..=1 => {
                         ticket += 1;
-                        let class = *u.choose(&Class::ALL)?;
+                        let class = *u.choose(&PriorityClass::ALL)?;
                         all[e].offer(now, ticket, class, now + ms(900))
                     }
                     2 if !open.is_empty() => {
@@ -143,7 +143,7 @@
     let now = ms(6_000);
     let mut running = Vec::new();
     for t in 0..10_000 {
-        running.extend(sent(&d.offer(now, t, Class::Urgent, ms(900_000))));
+        running.extend(sent(&d.offer(now, t, PriorityClass::Urgent, ms(900_000))));
     }
     assert_eq!(running.len(), 10);
     for t in 0..10_000 {
@@ -164,16 +164,16 @@
         ticket.set(ticket.get() + 1);
         (ticket.get(), !sent(&d.offer(now, ticket.get(), class, ms(100_000))).is_empty())
     };
-    let normal = (0..40).filter(|_| offer(&mut d, Class::Normal).1).count();
+    let normal = (0..40).filter(|_| offer(&mut d, PriorityClass::Normal).1).count();
     assert!(normal < 20, "a flood of normal requests took all {normal} slots");
-    assert!(offer(&mut d, Class::Urgent).1, "no slot was left for an urgent request");
+    assert!(offer(&mut d, PriorityClass::Urgent).1, "no slot was left for an urgent request");
     // All slots are taken; the next one goes to a class below its share.
     let (mut urgent, mut d) = (0, alone(4));
-    while offer(&mut d, Class::Urgent).1 {
+    while offer(&mut d, PriorityClass::Urgent).1 {
         urgent += 1;
     }
     assert_eq!(urgent, 20, "urgent requests may take every slot");
-    let (long, started) = offer(&mut d, Class::Long);
+    let (long, started) = offer(&mut d, PriorityClass::Long);
     assert!(!started);
     let first = long - 21;
     let next = sent(&d.done(now, first, Outcome::Good));
@@ -184,18 +184,20 @@
 fn early_refusal() {
     let mut d = alone(1);
     let now = ms(6_000);
-    let refused = (0..2_000).find_map(|t| match d.offer(now, t, Class::Urgent, now + ms(40)).first() {
-        Some(Action::Refuse { code, retry_after, .. }) => Some((*code, *retry_after)),
-        _ => None,
-    });
+    let refused =
+        (0..2_000).find_map(|t| match d.offer(now, t, PriorityClass::Urgent, now + ms(40)).first() {
+            Some(Action::Refuse { code, retry_after, .. }) => Some((*code, *retry_after)),
+            _ => None,
+        });
     let (code, after) = refused.expect("the wait can't be met");
     assert_eq!(code, Code::WaitTooLong);
     assert!(after >= ms(40), "{after:?}");
     // A longer queue adds waiting and no answers.
-    let full = (2_000..4_000).find_map(|t| match d.offer(now, t, Class::Urgent, now + ms(9_000)).first() {
-        Some(Action::Refuse { code, .. }) => Some(*code),
-        _ => None,
-    });
+    let full =
+        (2_000..4_000).find_map(|t| match d.offer(now, t, PriorityClass::Urgent, now + ms(9_000)).first() {
+            Some(Action::Refuse { code, .. }) => Some(*code),
+            _ => None,
+        });
     assert_eq!((full, d.waiting()), (Some(Code::QueueFull), 16));
     let late = d.tick(now + ms(9_000));
     assert!(late.iter().any(|a| matches!(a, Action::Refuse { code: Code::DeadlinePassed, .. })));
@@ -208,9 +210,9 @@
     let now = ms(6_000);
     let mut retries = 0;
     for t in 0..10_000u64 {
-        d.offer(now, t, Class::Urgent, ms(100_000));
+        d.offer(now, t, PriorityClass::Urgent, ms(100_000));
         d.done(now, t, Outcome::Bad);
-        if d.retry(now, 100_000 + t, Class::Urgent, ms(100_000), &[]).is_some() {
+        if d.retry(now, 100_000 + t, PriorityClass::Urgent, ms(100_000), &[]).is_some() {
             retries += 1;
             d.done(now, 100_000 + t, Outcome::Bad);
             d.cancel(100_000 + t);
@@ -226,7 +228,7 @@
     let mut to_bad = 0;
     for t in 0..2_000u64 {
         now += ms(1);
-        for (t, e) in sent(&d.offer(now, t, Class::Urgent, now + ms(1_000))) {
+        for (t, e) in sent(&d.offer(now, t, PriorityClass::Urgent, now + ms(1_000))) {
             // One of this data centre, which gets most while all are idle.
             to_bad += u64::from(e == "s/4");
             let outcome = if e == "s/4" { Outcome::Bad } else { Outcome::Good };
@@ -242,14 +244,16 @@
     let mut now = ms(6_000);
     for t in 0..900u64 {
         now += ms(1);
-        for (t, _) in sent(&d.offer(now, t, Class::Urgent, now + ms(1_000))) {
+        for (t, _) in sent(&d.offer(now, t, PriorityClass::Urgent, now + ms(1_000))) {
             d.done(now, t, Outcome::Bad);
         }
     }
     // All fail: at most a third is left out, the rest still gets work.
     let mut got = std::collections::BTreeSet::new();
     for t in 1_000..1_100u64 {
-        got.extend(sent(&d.offer(now, t, Class::Urgent, now + ms(1_000))).into_iter().map(|(_, e)| e));
+        got.extend(
+            sent(&d.offer(now, t, PriorityClass::Urgent, now + ms(1_000))).into_iter().map(|(_, e)| e),
+        );
     }
     assert!(got.len() >= 6, "only {got:?} get work");
 }
