--- a/crates/workswood-core/src/fleet/file.rs
+++ b/crates/workswood-core/src/fleet/file.rs
@@ -265,7 +265,7 @@
 
 /// Where a host stands.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Place {
+pub struct HostLocation {
     /// Data centre of the host.
     pub data_centre: DataCentre,
     /// Rack of the host.
@@ -303,7 +303,7 @@
 
 impl Host {
     /// Its data centre and rack.
-    pub fn place(&self) -> Place {
-        Place { data_centre: self.data_centre.clone(), rack: self.rack.clone() }
+    pub fn location(&self) -> HostLocation {
+        HostLocation { data_centre: self.data_centre.clone(), rack: self.rack.clone() }
     }
 }
--- a/crates/workswood-core/src/fold/hosts.rs
+++ b/crates/workswood-core/src/fold/hosts.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{RecordResult, Rejection, State};
-use crate::fleet::{Host, Place};
+use crate::fleet::{Host, HostLocation};
 use crate::ids::{FileId, PoolId, Term};
 use crate::invariant;
 use crate::record::{DrainReason, HostChange, Role};
@@ -55,7 +55,8 @@
     #[serde(rename = "act_generation")]
     pub action_generation: u64,
     /// Where it stands.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub location: HostLocation,
     /// Processors in cores.
     pub cpus: u32,
     /// Memory in GiB.
@@ -85,7 +86,7 @@
             changed_at: 0,
             pool_generation: 0,
             action_generation: 0,
-            place: host.place(),
+            location: host.location(),
             cpus: host.cpus,
             memory_gib: host.memory_gib,
             accelerators: host.accelerators,
@@ -203,8 +204,8 @@
 /// Carries one change out on a host; true if it changed the pool.
 fn apply_change(rec: &mut ManagedHost, change: &HostChange) -> Result<bool, Rejection> {
     match (change, rec.phase.clone()) {
-        (HostChange::Seen { place, cpus, memory_gib, accelerators }, _) => {
-            rec.place = place.clone();
+        (HostChange::Seen { location: place, cpus, memory_gib, accelerators }, _) => {
+            rec.location = place.clone();
             rec.cpus = *cpus;
             rec.memory_gib = *memory_gib;
             rec.accelerators = *accelerators;
--- a/crates/workswood-core/src/fold/instances.rs
+++ b/crates/workswood-core/src/fold/instances.rs
@@ -61,9 +61,9 @@
         let Some(host) = host else { return };
         if instance.ready && host.takes_work() {
             self.available += 1;
-            *self.by_rack.entry(host.place.rack.clone()).or_default() += 1;
+            *self.by_rack.entry(host.location.rack.clone()).or_default() += 1;
         } else if host.out_of_service() {
-            *self.out_of_service_by_data_centre.entry(host.place.data_centre.clone()).or_default() += 1;
+            *self.out_of_service_by_data_centre.entry(host.location.data_centre.clone()).or_default() += 1;
         }
     }
 
@@ -71,10 +71,10 @@
     pub fn without_one_on(&self, budget: &Budget, host: &ManagedHost) -> Option<Availability> {
         let mut after = self.clone();
         after.available = after.available.checked_sub(1)?;
-        if let Some(n) = after.by_rack.get_mut(&host.place.rack) {
+        if let Some(n) = after.by_rack.get_mut(&host.location.rack) {
             *n = n.saturating_sub(1);
         }
-        let away = after.out_of_service_by_data_centre.entry(host.place.data_centre.clone()).or_default();
+        let away = after.out_of_service_by_data_centre.entry(host.location.data_centre.clone()).or_default();
         *away += 1;
         let in_data_centre = budget.max_unavailable_per_data_centre.is_none_or(|most| *away <= most);
         (in_data_centre && after.slack(budget) >= 0).then_some(after)
--- a/crates/workswood-core/src/plan/bound.rs
+++ b/crates/workswood-core/src/plan/bound.rs
@@ -34,7 +34,7 @@
                 let mut centres: BTreeMap<&str, u32> = BTreeMap::new();
                 for (_, i) in state.instances_of(&s.name) {
                     if let Some(h) = state.hosts.get(&i.host) {
-                        *centres.entry(&h.place.data_centre).or_default() += 1;
+                        *centres.entry(&h.location.data_centre).or_default() += 1;
                     }
                 }
                 rounds = centres.values().map(|n| n.div_ceil(most.max(1))).fold(rounds, u32::max);
--- a/crates/workswood-core/src/plan/measure.rs
+++ b/crates/workswood-core/src/plan/measure.rs
@@ -95,14 +95,14 @@
 fn racks(state: &State, m: &Maintenance) -> Measures {
     let mut by_rack: BTreeMap<&Rack, Vec<HostId>> = BTreeMap::new();
     for (id, h) in state.hosts.iter().filter(|(_, h)| h.pool.as_ref() == Some(&m.pool)) {
-        by_rack.entry(&h.place.rack).or_default().push(id.clone());
+        by_rack.entry(&h.location.rack).or_default().push(id.clone());
     }
     let mut spare = 0;
     for s in state.services().filter(|s| s.pool == m.pool) {
         let mut held: BTreeMap<&Rack, u32> = BTreeMap::new();
         for (_, i) in state.instances_of(&s.name) {
             if let Some(h) = state.hosts.get(&i.host) {
-                *held.entry(&h.place.rack).or_default() += 1;
+                *held.entry(&h.location.rack).or_default() += 1;
             }
         }
         // Extra instances that the budget's own slack does not cover.
--- a/crates/workswood-core/src/plan/observe.rs
+++ b/crates/workswood-core/src/plan/observe.rs
@@ -29,11 +29,11 @@
         steps.push(HostChange::Health { up });
     }
     let Some(s) = seen else { return steps };
-    let same = s.place == rec.place
+    let same = s.place == rec.location
         && (s.cpus, s.memory_gib, s.accelerators) == (rec.cpus, rec.memory_gib, rec.accelerators);
     if !same {
         steps.push(HostChange::Seen {
-            place: s.place.clone(),
+            location: s.place.clone(),
             cpus: s.cpus,
             memory_gib: s.memory_gib,
             accelerators: s.accelerators,
--- a/crates/workswood-core/src/plan/place.rs
+++ b/crates/workswood-core/src/plan/place.rs
@@ -94,8 +94,8 @@
     }
 
     fn add(&mut self, h: &ManagedHost, host: &HostId) {
-        *self.centres.entry(h.place.data_centre.clone()).or_default() += 1;
-        *self.racks.entry(h.place.rack.clone()).or_default() += 1;
+        *self.centres.entry(h.location.data_centre.clone()).or_default() += 1;
+        *self.racks.entry(h.location.rack.clone()).or_default() += 1;
         self.hosts.push(host.clone());
     }
 
@@ -120,8 +120,8 @@
         };
         let rank = |(host, h): &&(&HostId, &ManagedHost)| {
             let runs = seen.hosts.get(*host).is_some_and(|x| x.tasks.iter().any(|t| t.id == id));
-            let centre = self.centres.get(&h.place.data_centre).copied().unwrap_or(0);
-            let rack = self.racks.get(&h.place.rack).copied().unwrap_or(0);
+            let centre = self.centres.get(&h.location.data_centre).copied().unwrap_or(0);
+            let rack = self.racks.get(&h.location.rack).copied().unwrap_or(0);
             (!runs, rack, centre, used(host).0, (*host).clone())
         };
         index.pool(&s.pool).iter().filter(fits).min_by_key(rank).map(|(id, _)| (*id).clone())
--- a/crates/workswood-core/src/plan/pools.rs
+++ b/crates/workswood-core/src/plan/pools.rs
@@ -101,7 +101,7 @@
 ) -> Vec<HostId> {
     let mut racks: BTreeMap<&str, usize> = BTreeMap::new();
     for r in state.hosts.values().filter(|r| r.pool.as_ref() == Some(&pool.name)) {
-        *racks.entry(&r.place.rack).or_default() += 1;
+        *racks.entry(&r.location.rack).or_default() += 1;
     }
     let usable = |(id, r): &(&HostId, &ManagedHost)| {
         r.file == file.file
@@ -112,7 +112,7 @@
     };
     let mut free: Vec<(bool, usize, &HostId)> = Vec::new();
     for (id, r) in state.hosts.iter().filter(usable) {
-        let in_rack = racks.entry(&r.place.rack).or_default();
+        let in_rack = racks.entry(&r.location.rack).or_default();
         let there = seen.hosts.get(id).is_some_and(|s| s.pool.as_ref() == Some(&pool.name));
         free.push((!there, *in_rack, id));
         *in_rack += 1;
--- a/crates/workswood-core/src/plan/seen.rs
+++ b/crates/workswood-core/src/plan/seen.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fleet::{Host, Place};
+use crate::fleet::{Host, HostLocation};
 use crate::ids::{HostId, PoolId};
 
 /// State of a host in the platform's list.
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HostSeen {
     /// Where it stands.
-    pub place: Place,
+    pub place: HostLocation,
     /// Processors in cores.
     pub cpus: u32,
     /// Memory in GiB.
@@ -67,7 +67,7 @@
     /// A host as declared: live, in no pool, just booted, without tasks.
     pub fn fresh(h: &Host) -> HostSeen {
         HostSeen {
-            place: h.place(),
+            place: h.location(),
             cpus: h.cpus,
             memory_gib: h.memory_gib,
             accelerators: h.accelerators,
--- a/crates/workswood-core/src/record.rs
+++ b/crates/workswood-core/src/record.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::fleet::{FleetFile, Place};
+use crate::fleet::{FleetFile, HostLocation};
 use crate::ids::*;
 
 /// Version of the record format that this program writes.
@@ -224,7 +224,8 @@
     /// Notes where the host stands and what it has.
     Seen {
         /// Data centre and rack.
-        place: Place,
+        #[serde(rename = "place")]
+        location: HostLocation,
         /// Processors in cores.
         cpus: u32,
         /// Memory in GiB.
--- a/crates/workswood-core/src/route/table.rs
+++ b/crates/workswood-core/src/route/table.rs
@@ -87,7 +87,7 @@
             number: number(id),
             address: i.address.clone(),
             host: i.host.clone(),
-            data_centre: host.map(|h| h.place.data_centre.clone()).unwrap_or_default(),
+            data_centre: host.map(|h| h.location.data_centre.clone()).unwrap_or_default(),
             open: i.ready && host.is_some_and(|h| h.takes_work()),
         }
     };
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -103,7 +103,7 @@
             token: state.instances.get(i).map_or(0, |r| r.token),
         };
         let host = HostSeen {
-            place: h.place.clone(),
+            place: h.location.clone(),
             cpus: h.cpus,
             memory_gib: h.memory_gib,
             accelerators: h.accelerators,
@@ -191,7 +191,7 @@
     for (id, i) in &state.instances {
         let h = state.hosts.get(&i.host);
         let (centre, rack) =
-            h.map(|h| (h.place.data_centre.as_str(), h.place.rack.as_str())).unwrap_or_default();
+            h.map(|h| (h.location.data_centre.as_str(), h.location.rack.as_str())).unwrap_or_default();
         out += &format!("place {id} host={} data_centre={centre} rack={rack}\n", i.host);
     }
     for p in plans {
