--- a/crates/workswood-core/src/fold/keys.rs
+++ b/crates/workswood-core/src/fold/idempotency.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{RecordResult, Rejection, State};
-use crate::ids::{Incarnation, RequestKey, ServiceId, UnixMs};
+use crate::ids::{IdempotencyKey, Incarnation, ServiceId, UnixMs};
 use crate::record::{AttemptOutcome, DeferredRequest};
 
 /// How far ahead a last moment may lie.
@@ -22,7 +22,7 @@
 
 /// Attempts of a deferred request after which one of unknown end is not followed by another: it may
 /// be the request that brings down who runs it, and nobody tells that.
-pub const MOST_ATTEMPTS: u32 = 5;
+pub const MAX_ATTEMPTS: u32 = 5;
 
 /// A key in its window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -65,7 +65,7 @@
 
 /// What the fold says of a key that a caller names.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Lookup<'a> {
+pub enum KeyLookup<'a> {
     /// It is known.
     Known(&'a KeyedRequest),
     /// It was not claimed, and may be.
@@ -83,7 +83,7 @@
 
     /// Whether an attempt of unknown end may be followed by another.
     pub fn may_repeat(&self) -> bool {
-        self.attempts < MOST_ATTEMPTS && self.deferred.as_ref().is_some_and(|d| d.repeatable)
+        self.attempts < MAX_ATTEMPTS && self.deferred.as_ref().is_some_and(|d| d.repeatable)
     }
 
     /// Whether it still has to run.
@@ -94,22 +94,22 @@
 
 impl State {
     /// Looks a key up.
-    pub fn lookup(&self, key: &str, last_moment: UnixMs) -> Lookup<'_> {
+    pub fn lookup(&self, key: &str, last_moment: UnixMs) -> KeyLookup<'_> {
         if let Some(rec) = self.keys.get(key) {
-            return Lookup::Known(rec);
+            return KeyLookup::Known(rec);
         }
         if last_moment >= self.log_time {
-            return Lookup::Open;
+            return KeyLookup::Open;
         }
         if last_moment + KEY_GRACE.as_millis() as UnixMs >= self.log_time {
-            return Lookup::NeverRun;
+            return KeyLookup::NeverRun;
         }
-        Lookup::Forgotten
+        KeyLookup::Forgotten
     }
 
     pub(super) fn claim(
         &mut self,
-        key: &RequestKey,
+        key: &IdempotencyKey,
         service: &ServiceId,
         digest: u64,
         holder: Option<&Incarnation>,
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -6,9 +6,9 @@
 
 mod apply;
 mod hosts;
+mod idempotency;
 mod instances;
 mod jobs;
-mod keys;
 mod lease;
 mod snapshot;
 
@@ -24,9 +24,9 @@
 
 pub use apply::AppliedFile;
 pub use hosts::{HostPhase, ManagedHost};
+pub use idempotency::{KEY_GRACE, KeyLookup, KeyState, KeyedRequest, MAX_KEY_WINDOW};
 pub use instances::{Availability, BudgetStatus, PlacedInstance};
 pub use jobs::{JobPhase, StartedJob};
-pub use keys::{KEY_GRACE, KeyState, KeyedRequest, Lookup, MAX_KEY_WINDOW};
 pub use lease::Lease;
 pub use snapshot::{CheckpointAssembler, StateDigest};
 
@@ -105,7 +105,7 @@
     /// Instances that are placed.
     pub instances: BTreeMap<InstanceId, PlacedInstance>,
     /// Keys within their window, and open deferred requests.
-    pub keys: BTreeMap<RequestKey, KeyedRequest>,
+    pub keys: BTreeMap<IdempotencyKey, KeyedRequest>,
     /// Jobs that were started or have ended.
     pub jobs: BTreeMap<JobId, StartedJob>,
     /// Highest `seq` folded of each process, and log time then.
@@ -128,10 +128,10 @@
     pub by_service: BTreeMap<ServiceId, (FileId, usize)>,
     /// Keys by the time they are forgotten, derived from `keys`.
     #[serde(skip)]
-    pub expiries: BTreeSet<(UnixMs, RequestKey)>,
+    pub expiries: BTreeSet<(UnixMs, IdempotencyKey)>,
     /// Deferred requests that still have to run, derived from `keys`.
     #[serde(skip)]
-    pub open_keys: BTreeSet<RequestKey>,
+    pub open_keys: BTreeSet<IdempotencyKey>,
 }
 
 /// How long a process may be silent in the log before its `seq` is dropped.
--- a/crates/workswood-core/src/ids.rs
+++ b/crates/workswood-core/src/ids.rs
@@ -23,7 +23,7 @@
 /// Name of a job.
 pub type JobId = String;
 /// The caller's key of a request that may not be repeated.
-pub type RequestKey = String;
+pub type IdempotencyKey = String;
 /// Position of an envelope in the platform's log; the first is 0.
 pub type Offset = u64;
 /// Number of a lease holder's turn; higher is later.
--- a/crates/workswood-core/src/lib.rs
+++ b/crates/workswood-core/src/lib.rs
@@ -17,7 +17,7 @@
 //!   proposal again, so that a slow or paused planner can't break a budget.
 //! * [`route`] decides on one entry host which request gets which endpoint.
 //! * [`jobs`] queues and runs jobs of many steps on the workers of services.
-//! * [`keyed`] decides what a request that may not be repeated is told.
+//! * [`idempotency`] decides what a request that may not be repeated is told.
 //! * [`member`] decides which other entry hosts are alive.
 //! * [`invariant`] counts what must never happen, in release builds too.
 //! * [`code`] numbers every answer that says something went wrong.
@@ -25,10 +25,10 @@
 pub mod code;
 pub mod fleet;
 pub mod fold;
+pub mod idempotency;
 pub mod ids;
 pub mod invariant;
 pub mod jobs;
-pub mod keyed;
 pub mod member;
 pub mod plan;
 pub mod record;
--- a/crates/workswood-core/src/record.rs
+++ b/crates/workswood-core/src/record.rs
@@ -110,7 +110,7 @@
     /// a deferred one. The first claim of a key wins.
     Claim {
         /// The caller's key.
-        key: RequestKey,
+        key: IdempotencyKey,
         /// Service of the request.
         service: ServiceId,
         /// Digest of method, path and body.
@@ -125,7 +125,7 @@
     /// Starts a deferred request if `attempt` is the next.
     Start {
         /// The key.
-        key: RequestKey,
+        key: IdempotencyKey,
         /// The process that runs it.
         holder: Incarnation,
         /// Number of the attempt, from 1.
@@ -134,7 +134,7 @@
     /// Ends an attempt; only its holder may.
     Finish {
         /// The key.
-        key: RequestKey,
+        key: IdempotencyKey,
         /// The process that ran it.
         holder: Incarnation,
         /// What is known of the run.
--- a/crates/workswood-test-support/src/keys.rs
+++ b/crates/workswood-test-support/src/keys.rs
@@ -7,8 +7,10 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use workswood_core::code::Ran;
 use workswood_core::fold::RecordResult;
+use workswood_core::idempotency::{
+    ClaimDecision, ClaimInquiry, InquiryReply, RequestIdentity, answer_if_known, decide_after_claim,
+};
 use workswood_core::ids::UnixMs;
-use workswood_core::keyed::{AfterClaim, Given, Inquiry, Reply, after_claim, known};
 use workswood_core::record::{AttemptOutcome, Envelope, Record, Role, RosterMember};
 
 use crate::log::{Log, Process};
@@ -30,7 +32,7 @@
     /// Its process has won and will send.
     Won,
     /// Its process asks the others before it refuses.
-    Asking(Inquiry),
+    Asking(ClaimInquiry),
     /// The endpoint has it; the outcome is not in the log.
     Ran,
     /// Nothing was sent; the release is not in the log.
@@ -42,7 +44,7 @@
 struct Copy {
     number: u64,
     entry: usize,
-    given: Given,
+    given: RequestIdentity,
     stage: Stage,
     /// The caller was answered and the process only tidies up.
     told: bool,
@@ -161,7 +163,7 @@
         let era = self.now / (4 * WINDOW);
         // Copies of one request carry the same last moment.
         let last_moment = (era * 4 + 1 + key as u64) * WINDOW;
-        let given = Given { key: format!("k{key}-{era}"), last_moment, digest: key as u64 };
+        let given = RequestIdentity { key: format!("k{key}-{era}"), last_moment, digest: key as u64 };
         let entry = u.choose_index(ENTRIES)?;
         self.tally.copies += 1;
         let number = self.tally.copies;
@@ -252,8 +254,8 @@
 
     fn look(&mut self, n: usize, luck: u8) -> Stage {
         let (i, given) = (self.copies[n].entry, self.copies[n].given.clone());
-        if let Some(told) = known(&self.entries[i].process.state, &given) {
-            self.tell(n, told.ran());
+        if let Some(told) = answer_if_known(&self.entries[i].process.state, &given) {
+            self.tell(n, told.execution());
             return Stage::Over;
         }
         // Questions that began before it came on the roster are over by the
@@ -301,13 +303,13 @@
         let (i, given) = (self.copies[n].entry, self.copies[n].given.clone());
         self.entries[i].process.follow(&self.log, usize::MAX);
         let verdict = self.verdict_at(offset);
-        match after_claim(&self.entries[i].process.state, &given, &verdict) {
-            AfterClaim::Run => Stage::Won,
-            AfterClaim::Tell(told) => {
-                self.tell(n, told.ran());
+        match decide_after_claim(&self.entries[i].process.state, &given, &verdict) {
+            ClaimDecision::Send => Stage::Won,
+            ClaimDecision::Answer(told) => {
+                self.tell(n, told.execution());
                 Stage::Over
             }
-            AfterClaim::NotNow => self.begin_asking(n),
+            ClaimDecision::RetryLater => self.begin_asking(n),
         }
     }
 
@@ -344,11 +346,11 @@
         self.copies[n].asking_since = self.steps;
         let i = self.copies[n].entry;
         let own = self.reply(i, n);
-        Stage::Asking(Inquiry::new(&self.entries[i].process.id, own))
+        Stage::Asking(ClaimInquiry::new(&self.entries[i].process.id, own))
     }
 
     /// What an entry says of the key of copy `n`, apart from that copy.
-    fn reply(&mut self, i: usize, n: usize) -> Reply {
+    fn reply(&mut self, i: usize, n: usize) -> InquiryReply {
         let (key, number) = (self.copies[n].given.key.clone(), self.copies[n].number);
         let e = &self.entries[i];
         let claiming = self.copies.iter().enumerate().any(|(m, c)| {
@@ -361,18 +363,18 @@
         if !known {
             self.entries[i].held.push((key, number));
         }
-        Reply { known, roster }
+        InquiryReply { known, roster }
     }
 
     /// The planner never claims here. It may lag, but it knows what it has put
     /// on the roster.
-    fn planner_reply(&self) -> Reply {
+    fn planner_reply(&self) -> InquiryReply {
         let roster = self.planner.state.roster.iter().map(|m| m.id.clone()).collect();
-        Reply { known: false, roster }
+        InquiryReply { known: false, roster }
     }
 
-    fn ask(&mut self, n: usize, mut inquiry: Inquiry) -> Stage {
-        let Some(id) = inquiry.ask().cloned() else {
+    fn ask(&mut self, n: usize, mut inquiry: ClaimInquiry) -> Stage {
+        let Some(id) = inquiry.next_to_ask().cloned() else {
             let ran = if inquiry.never_claimed() { Ran::NotRun } else { Ran::Unknown };
             self.tell(n, ran);
             return Stage::Over;
@@ -383,7 +385,7 @@
             None if id == "planner" => Some(self.planner_reply()),
             None => None,
         };
-        inquiry.heard(reply);
+        inquiry.record_reply(reply);
         Stage::Asking(inquiry)
     }
 
--- a/src/workswood/ops/entry/deferred.rs
+++ b/src/workswood/ops/entry/deferred.rs
@@ -11,8 +11,8 @@
 use workswood_core::code::{Code, Ran};
 use workswood_core::fleet::PriorityClass;
 use workswood_core::fold::{KeyState, KeyedRequest, MAX_KEY_WINDOW, Rejection, State};
-use workswood_core::ids::{RequestKey, UnixMs};
-use workswood_core::keyed::{Given, HOLD};
+use workswood_core::idempotency::{CLAIM_HOLD, RequestIdentity};
+use workswood_core::ids::{IdempotencyKey, UnixMs};
 use workswood_core::record::{AttemptOutcome, DeferredRequest, Record};
 
 use super::appender::Missed;
@@ -54,7 +54,7 @@
             .await;
     }
     let Some(claiming) = Claiming::begin(node, &given.key, call.deadline).await else {
-        return keys::refuse(node, Some(&given.key), Code::WaitTooLong, Some(HOLD)).await;
+        return keys::refuse(node, Some(&given.key), Code::WaitTooLong, Some(CLAIM_HOLD)).await;
     };
     let deferred = DeferredRequest {
         method: call.head.method.to_string(),
@@ -88,8 +88,8 @@
 }
 
 /// A key for a repeatable request whose caller names none.
-fn unnamed(node: &Node, call: &Call, body: &Bytes) -> Given {
-    Given {
+fn unnamed(node: &Node, call: &Call, body: &Bytes) -> RequestIdentity {
+    RequestIdentity {
         key: uuid::Uuid::new_v4().simple().to_string(),
         last_moment: node.wall() + MAX_KEY_WINDOW.as_millis() as UnixMs,
         digest: keys::digest(call, body),
@@ -105,7 +105,7 @@
 /// Runs open requests until the process ends.
 pub async fn run(node: Arc<Node>) {
     let mut running = tokio::task::JoinSet::new();
-    let mut mine: Vec<RequestKey> = Vec::new();
+    let mut mine: Vec<IdempotencyKey> = Vec::new();
     loop {
         while let Some(done) = running.try_join_next() {
             if let Ok(key) = done {
@@ -135,7 +135,7 @@
 }
 
 /// Open requests that fall to this process.
-fn pick(node: &Node, mine: &[RequestKey]) -> Vec<(RequestKey, Next)> {
+fn pick(node: &Node, mine: &[IdempotencyKey]) -> Vec<(IdempotencyKey, Next)> {
     let state = node.state.read();
     let room = MOST_AT_ONCE.saturating_sub(mine.len());
     let open = state.open_keys.iter().filter(|k| !mine.contains(k) && falls_to(&state, k, &node.id));
--- a/src/workswood/ops/entry/keys.rs
+++ b/src/workswood/ops/entry/keys.rs
@@ -13,8 +13,10 @@
 use workswood_callers::{KEY, RAN, refusal, whole};
 use workswood_core::code::{Code, Ran};
 use workswood_core::fold::{MAX_KEY_WINDOW, Rejection};
-use workswood_core::ids::{RequestKey, UnixMs};
-use workswood_core::keyed::{self, AfterClaim, Given, HOLD, Inquiry, Told};
+use workswood_core::idempotency::{
+    self, CLAIM_HOLD, ClaimDecision, ClaimInquiry, KeyAnswer, RequestIdentity,
+};
+use workswood_core::ids::{IdempotencyKey, UnixMs};
 use workswood_core::record::{AttemptOutcome, Record};
 use workswood_peers::{KeyAsk, Msg};
 
@@ -35,7 +37,7 @@
 const ASK_AGAIN: Duration = Duration::from_millis(500);
 
 /// Reads the key of a request.
-pub fn given(node: &Node, call: &Call, body: &Bytes, key: Option<String>) -> Result<Given, Code> {
+pub fn given(node: &Node, call: &Call, body: &Bytes, key: Option<String>) -> Result<RequestIdentity, Code> {
     let key = key.ok_or(Code::KeyMissing)?;
     let plain = key.bytes().all(|b| b.is_ascii_graphic());
     if key.is_empty() || key.len() > MOST_KEY || !plain {
@@ -49,7 +51,7 @@
     if last_moment > most {
         return Err(Code::KeyMalformed);
     }
-    Ok(Given { key, last_moment, digest: digest(call, body) })
+    Ok(RequestIdentity { key, last_moment, digest: digest(call, body) })
 }
 
 /// Digest of method, path and body.
@@ -73,7 +75,7 @@
 /// Marks a key as being claimed here, for peers that ask.
 pub struct Claiming {
     node: Arc<Node>,
-    key: RequestKey,
+    key: IdempotencyKey,
 }
 
 impl Claiming {
@@ -97,7 +99,7 @@
     }
 }
 
-async fn claim_and_run(node: &Arc<Node>, call: Call, body: Bytes, given: Given) -> Reply {
+async fn claim_and_run(node: &Arc<Node>, call: Call, body: Bytes, given: RequestIdentity) -> Reply {
     if let Some(reply) = known(node, &given) {
         return reply;
     }
@@ -105,7 +107,7 @@
         return refuse(node, Some(&given.key), code, Some(COME_BACK)).await;
     }
     let Some(claiming) = Claiming::begin(node, &given.key, call.deadline).await else {
-        return refuse(node, Some(&given.key), Code::WaitTooLong, Some(HOLD)).await;
+        return refuse(node, Some(&given.key), Code::WaitTooLong, Some(CLAIM_HOLD)).await;
     };
     let record = Record::Claim {
         key: given.key.clone(),
@@ -122,11 +124,11 @@
         return refuse(node, Some(&given.key), Code::LogUnavailable, Some(COME_BACK)).await;
     };
     let verdict = folded.verdicts.first().cloned().unwrap_or(Err(Rejection::Unknown));
-    let next = keyed::after_claim(&node.state.read(), &given, &verdict);
+    let next = idempotency::decide_after_claim(&node.state.read(), &given, &verdict);
     match next {
-        AfterClaim::Run => run_claimed(node, call, body, &given.key).await,
-        AfterClaim::Tell(told) => tell(&told, &given.key),
-        AfterClaim::NotNow => {
+        ClaimDecision::Send => run_claimed(node, call, body, &given.key).await,
+        ClaimDecision::Answer(told) => tell(&told, &given.key),
+        ClaimDecision::RetryLater => {
             drop(claiming);
             refuse(node, Some(&given.key), Code::LogUnavailable, Some(COME_BACK)).await
         }
@@ -175,17 +177,17 @@
 }
 
 /// What the log says of a key, as an answer; `None` if it may be claimed.
-pub fn known(node: &Node, given: &Given) -> Option<Reply> {
-    let told = keyed::known(&node.state.read(), given)?;
+pub fn known(node: &Node, given: &RequestIdentity) -> Option<Reply> {
+    let told = idempotency::answer_if_known(&node.state.read(), given)?;
     Some(tell(&told, &given.key))
 }
 
 /// The answer to a copy that is not sent.
-pub fn tell(told: &Told, key: &str) -> Reply {
-    let after = matches!(told, Told::Running).then_some(ASK_AGAIN);
+pub fn tell(told: &KeyAnswer, key: &str) -> Reply {
+    let after = matches!(told, KeyAnswer::Running).then_some(ASK_AGAIN);
     match (told, told.code()) {
-        (Told::Done { status, body }, _) => done(*status, body.as_deref(), key),
-        (_, code) => refusal(code.unwrap_or(Code::KeyUnknownOutcome), told.ran(), after),
+        (KeyAnswer::Done { status, body }, _) => done(*status, body.as_deref(), key),
+        (_, code) => refusal(code.unwrap_or(Code::KeyUnknownOutcome), told.execution(), after),
     }
 }
 
@@ -202,7 +204,7 @@
 pub fn outcome(node: &Node, key: &str) -> Reply {
     let state = node.state.read();
     match state.keys.get(key) {
-        Some(rec) => tell(&keyed::told(&state, rec), key),
+        Some(rec) => tell(&idempotency::answer_for(&state, rec), key),
         None => refusal(Code::KeyNotFound, Ran::Unknown, None),
     }
 }
@@ -219,31 +221,31 @@
 }
 
 /// What this process says when it is asked about a key.
-pub fn reply(node: &Node, key: &str) -> keyed::Reply {
+pub fn reply(node: &Node, key: &str) -> idempotency::InquiryReply {
     let state = node.state.read();
     // A process that has not caught up can't say that it does not know.
     let known = state.keys.contains_key(key)
         || !node.is(&node.ready)
-        || node.claims.lock().begun_or_hold(key, node.now());
+        || node.claims.lock().claim_begun_or_hold(key, node.now());
     let folded = state.roster.iter().map(|m| m.id.clone());
-    keyed::Reply { known, roster: folded.chain(node.proposed.lock().iter().cloned()).collect() }
+    idempotency::InquiryReply { known, roster: folded.chain(node.proposed.lock().iter().cloned()).collect() }
 }
 
 /// Whether every process that may claim says that it does not know the key.
 async fn never_claimed(node: &Arc<Node>, key: &str) -> bool {
     let began = node.now();
-    let mut inquiry = Inquiry::new(&node.id, reply(node, key));
-    while let Some(id) = inquiry.ask() {
+    let mut inquiry = ClaimInquiry::new(&node.id, reply(node, key));
+    while let Some(id) = inquiry.next_to_ask() {
         let ask = Msg::KeyAsk(KeyAsk { key: key.to_string() });
         let answer = match node.link_to(id) {
             Some(link) => link.call(ask, ASK_TIMEOUT).await,
             None => None,
         };
-        inquiry.heard(match answer {
-            Some(Msg::KeyReply(r)) => Some(keyed::Reply { known: r.known, roster: r.roster }),
+        inquiry.record_reply(match answer {
+            Some(Msg::KeyReply(r)) => Some(idempotency::InquiryReply { known: r.known, roster: r.roster }),
             _ => None,
         });
     }
     // The others hold the key only for so long.
-    inquiry.never_claimed() && node.now() - began < HOLD / 2
+    inquiry.never_claimed() && node.now() - began < CLAIM_HOLD / 2
 }
--- a/src/workswood/ops/entry/node.rs
+++ b/src/workswood/ops/entry/node.rs
@@ -9,8 +9,8 @@
 use parking_lot::{Mutex, RwLock};
 use tokio::sync::{Notify, mpsc, watch};
 use workswood_core::fold::State;
+use workswood_core::idempotency::LocalClaims;
 use workswood_core::ids::{Incarnation, InstanceId, Offset, ServiceId, UnixMs};
-use workswood_core::keyed::Claims;
 use workswood_core::member::Members;
 use workswood_core::route::RouteTable;
 use workswood_endpoints::EndpointClient;
@@ -68,7 +68,7 @@
     /// Records to append.
     pub appends: mpsc::Sender<Job>,
     /// Keys that this process is about to claim.
-    pub claims: Mutex<Claims>,
+    pub claims: Mutex<LocalClaims>,
     /// The roster that this process has proposed as planner.
     pub proposed: Mutex<Vec<Incarnation>>,
     /// Metrics.
