--- a/crates/workswood-callers/src/lib.rs
+++ b/crates/workswood-callers/src/lib.rs
@@ -19,7 +19,7 @@
 use hyper_util::server::graceful::GracefulShutdown;
 use tokio::net::TcpListener;
 use tokio::sync::{Semaphore, watch};
-use workswood_core::code::{Code, Ran};
+use workswood_core::code::{Code, ExecutionStatus};
 
 pub use body::{BODY_SILENCE, BodyError, read_body};
 
@@ -65,7 +65,7 @@
 }
 
 /// An answer of our own, which says what happened and whether the request ran.
-pub fn refusal(code: Code, ran: Ran, retry_after: Option<Duration>) -> Response<ReplyBody> {
+pub fn refusal(code: Code, ran: ExecutionStatus, retry_after: Option<Duration>) -> Response<ReplyBody> {
     let text = format!("error {}: {}; {}\n", code.number(), code.text(), code.advice());
     let mut res = Response::builder()
         .status(status_of(code))
--- a/crates/workswood-core/src/code.rs
+++ b/crates/workswood-core/src/code.rs
@@ -6,7 +6,7 @@
 /// Whether the request behind an answer was run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ran {
+pub enum ExecutionStatus {
     /// It ran once.
     Run,
     /// It did not run and never will under this attempt.
@@ -15,13 +15,13 @@
     Unknown,
 }
 
-impl Ran {
+impl ExecutionStatus {
     /// The value of the `x-workswood-ran` header.
     pub fn as_str(self) -> &'static str {
         match self {
-            Ran::Run => "run",
-            Ran::NotRun => "not-run",
-            Ran::Unknown => "unknown",
+            ExecutionStatus::Run => "run",
+            ExecutionStatus::NotRun => "not-run",
+            ExecutionStatus::Unknown => "unknown",
         }
     }
 }
--- a/crates/workswood-core/src/idempotency.rs
+++ b/crates/workswood-core/src/idempotency.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::code::{Code, Ran};
+use crate::code::{Code, ExecutionStatus};
 use crate::fold::{KeyLookup, KeyState, KeyedRequest, RecordResult, Rejection, State};
 use crate::ids::{IdempotencyKey, Incarnation, UnixMs};
 
@@ -61,12 +61,12 @@
     }
 
     /// Whether the request ran.
-    pub fn execution(&self) -> Ran {
+    pub fn execution(&self) -> ExecutionStatus {
         match self {
-            KeyAnswer::Done { .. } => Ran::Run,
-            KeyAnswer::NeverRun => Ran::NotRun,
+            KeyAnswer::Done { .. } => ExecutionStatus::Run,
+            KeyAnswer::NeverRun => ExecutionStatus::NotRun,
             KeyAnswer::Conflict | KeyAnswer::Running | KeyAnswer::Unknown | KeyAnswer::Forgotten => {
-                Ran::Unknown
+                ExecutionStatus::Unknown
             }
         }
     }
--- a/crates/workswood-test-support/src/keys.rs
+++ b/crates/workswood-test-support/src/keys.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use arbtest::arbitrary::{Result, Unstructured};
-use workswood_core::code::Ran;
+use workswood_core::code::ExecutionStatus;
 use workswood_core::fold::RecordResult;
 use workswood_core::idempotency::{
     ClaimDecision, ClaimInquiry, InquiryReply, RequestIdentity, answer_if_known, decide_after_claim,
@@ -264,7 +264,7 @@
         let asked = |c: &Copy| matches!(c.stage, Stage::Asking(_)) && c.asking_since <= joined;
         let earlier = self.copies.iter().any(|c| c.given.key == given.key && asked(c));
         if earlier || self.entries[i].held.iter().any(|(k, _)| *k == given.key) {
-            self.tell(n, Ran::Unknown);
+            self.tell(n, ExecutionStatus::Unknown);
             return Stage::Over;
         }
         if luck == 0 || self.log_down {
@@ -337,7 +337,7 @@
         let released = end == AttemptOutcome::NotSent;
         process.append(&mut self.log, self.now, vec![Record::Finish { key, holder, outcome: end }]);
         if released {
-            self.tell(n, Ran::NotRun);
+            self.tell(n, ExecutionStatus::NotRun);
         }
         Stage::Over
     }
@@ -375,7 +375,8 @@
 
     fn ask(&mut self, n: usize, mut inquiry: ClaimInquiry) -> Stage {
         let Some(id) = inquiry.next_to_ask().cloned() else {
-            let ran = if inquiry.never_claimed() { Ran::NotRun } else { Ran::Unknown };
+            let ran =
+                if inquiry.never_claimed() { ExecutionStatus::NotRun } else { ExecutionStatus::Unknown };
             self.tell(n, ran);
             return Stage::Over;
         };
@@ -389,7 +390,7 @@
         Stage::Asking(inquiry)
     }
 
-    fn tell(&mut self, n: usize, ran: Ran) {
+    fn tell(&mut self, n: usize, ran: ExecutionStatus) {
         if std::mem::replace(&mut self.copies[n].told, true) {
             return;
         }
@@ -397,16 +398,16 @@
         self.tally.trace.push(format!("copy {number} is told {ran:?}"));
         self.entries.iter_mut().for_each(|e| e.held.retain(|(_, of)| *of != number));
         match ran {
-            Ran::NotRun => self.tally.not_run += 1,
-            Ran::Unknown => self.tally.unknown += 1,
-            Ran::Run => {}
+            ExecutionStatus::NotRun => self.tally.not_run += 1,
+            ExecutionStatus::Unknown => self.tally.unknown += 1,
+            ExecutionStatus::Run => {}
         }
         let key = &self.copies[n].given.key;
         let runs = self.runs.get(key).copied().unwrap_or(0);
-        if ran == Ran::NotRun && runs > 0 {
+        if ran == ExecutionStatus::NotRun && runs > 0 {
             self.tally.broken.push(format!("{key} was told not run, and ran"));
         }
-        if ran == Ran::Run && runs == 0 {
+        if ran == ExecutionStatus::Run && runs == 0 {
             self.tally.broken.push(format!("{key} was told run, and did not"));
         }
     }
--- a/src/workswood/ops/entry/deferred.rs
+++ b/src/workswood/ops/entry/deferred.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use hyper::Response;
 use workswood_callers::{KEY, RAN, refusal, whole};
-use workswood_core::code::{Code, Ran};
+use workswood_core::code::{Code, ExecutionStatus};
 use workswood_core::fleet::PriorityClass;
 use workswood_core::fold::{KeyState, KeyedRequest, MAX_KEY_WINDOW, Rejection, State};
 use workswood_core::idempotency::{CLAIM_HOLD, RequestIdentity};
@@ -42,7 +42,7 @@
     let given = match named {
         true => match keys::given(node, &call, &body, key) {
             Ok(g) => g,
-            Err(code) => return refusal(code, Ran::NotRun, None),
+            Err(code) => return refusal(code, ExecutionStatus::NotRun, None),
         },
         false => unnamed(node, &call, &body),
     };
@@ -73,17 +73,18 @@
     match node.append(vec![record]).await.map(|f| f.verdicts) {
         Ok(v) => match v.first() {
             Some(Ok(())) => accepted(&given.key),
-            Some(Err(Rejection::KeyTaken | Rejection::Expired)) => {
-                keys::known(node, &given).unwrap_or_else(|| refusal(Code::KeyExpired, Ran::Unknown, None))
-            }
-            _ => refusal(Code::LogUnavailable, Ran::NotRun, Some(Duration::from_secs(1))),
+            Some(Err(Rejection::KeyTaken | Rejection::Expired)) => keys::known(node, &given)
+                .unwrap_or_else(|| refusal(Code::KeyExpired, ExecutionStatus::Unknown, None)),
+            _ => refusal(Code::LogUnavailable, ExecutionStatus::NotRun, Some(Duration::from_secs(1))),
         },
         Err(Missed::NotSent) => {
             drop(claiming);
             keys::refuse(node, Some(&given.key), Code::LogUnavailable, Some(Duration::from_secs(1))).await
         }
         // It may still come into the log and run; the key tells.
-        Err(Missed::Unknown) => refusal(Code::LogUnavailable, Ran::Unknown, Some(Duration::from_secs(1))),
+        Err(Missed::Unknown) => {
+            refusal(Code::LogUnavailable, ExecutionStatus::Unknown, Some(Duration::from_secs(1)))
+        }
     }
 }
 
@@ -99,7 +100,8 @@
 fn accepted(key: &str) -> Reply {
     let text = format!("accepted; ask for the outcome at /workswood/outcome/{key}\n");
     let res = Response::builder().status(202).header(RAN, "accepted").header(KEY, key);
-    res.body(whole(Bytes::from(text))).unwrap_or_else(|_| refusal(Code::KeyRunning, Ran::Unknown, None))
+    res.body(whole(Bytes::from(text)))
+        .unwrap_or_else(|_| refusal(Code::KeyRunning, ExecutionStatus::Unknown, None))
 }
 
 /// Runs open requests until the process ends.
--- a/src/workswood/ops/entry/keys.rs
+++ b/src/workswood/ops/entry/keys.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use hyper::Response;
 use workswood_callers::{KEY, RAN, refusal, whole};
-use workswood_core::code::{Code, Ran};
+use workswood_core::code::{Code, ExecutionStatus};
 use workswood_core::fold::{MAX_KEY_WINDOW, Rejection};
 use workswood_core::idempotency::{
     self, CLAIM_HOLD, ClaimDecision, ClaimInquiry, KeyAnswer, RequestIdentity,
@@ -64,12 +64,12 @@
     let given = match given(node, &call, &body, key) {
         Ok(g) => g,
         // Without a readable key nothing like it can have run.
-        Err(code) => return refusal(code, Ran::NotRun, None),
+        Err(code) => return refusal(code, ExecutionStatus::NotRun, None),
     };
     // It goes on when the caller goes away, so that the outcome is recorded.
     let node = node.clone();
     let run = tokio::spawn(async move { claim_and_run(&node, call, body, given).await });
-    run.await.unwrap_or_else(|_| refusal(Code::KeyUnknownOutcome, Ran::Unknown, None))
+    run.await.unwrap_or_else(|_| refusal(Code::KeyUnknownOutcome, ExecutionStatus::Unknown, None))
 }
 
 /// Marks a key as being claimed here, for peers that ask.
@@ -193,11 +193,13 @@
 
 fn done(status: u16, body: Option<&str>, key: &str) -> Reply {
     let b = body.and_then(|b| STANDARD.decode(b).ok()).unwrap_or_default();
-    let mut res = Response::builder().status(status).header(RAN, Ran::Run.as_str()).header(KEY, key);
+    let mut res =
+        Response::builder().status(status).header(RAN, ExecutionStatus::Run.as_str()).header(KEY, key);
     if body.is_none() {
         res = res.header("x-workswood-body", "not-kept");
     }
-    res.body(whole(Bytes::from(b))).unwrap_or_else(|_| refusal(Code::KeyUnknownOutcome, Ran::Run, None))
+    res.body(whole(Bytes::from(b)))
+        .unwrap_or_else(|_| refusal(Code::KeyUnknownOutcome, ExecutionStatus::Run, None))
 }
 
 /// Answers the question for the outcome of a key.
@@ -205,7 +207,7 @@
     let state = node.state.read();
     match state.keys.get(key) {
         Some(rec) => tell(&idempotency::answer_for(&state, rec), key),
-        None => refusal(Code::KeyNotFound, Ran::Unknown, None),
+        None => refusal(Code::KeyNotFound, ExecutionStatus::Unknown, None),
     }
 }
 
@@ -213,9 +215,9 @@
 /// can have been claimed by any process.
 pub async fn refuse(node: &Arc<Node>, key: Option<&str>, code: Code, after: Option<Duration>) -> Reply {
     let ran = match key {
-        None => Ran::NotRun,
-        Some(key) if never_claimed(node, key).await => Ran::NotRun,
-        Some(_) => Ran::Unknown,
+        None => ExecutionStatus::NotRun,
+        Some(key) if never_claimed(node, key).await => ExecutionStatus::NotRun,
+        Some(_) => ExecutionStatus::Unknown,
     };
     refusal(code, ran, after)
 }
--- a/src/workswood/ops/entry/serve.rs
+++ b/src/workswood/ops/entry/serve.rs
@@ -14,7 +14,7 @@
 use workswood_callers::{
     BodyError, CODE, DEADLINE, Handler, KEY, LAST_MOMENT, RAN, ReplyBody, read_body, refusal, whole,
 };
-use workswood_core::code::{Code, Ran};
+use workswood_core::code::{Code, ExecutionStatus};
 use workswood_core::fleet::{PriorityClass, Route};
 use workswood_core::ids::{InstanceId, ServiceId};
 use workswood_core::route::Outcome;
@@ -153,7 +153,7 @@
         },
         (_, true) => match held(body).await {
             Ok(b) => finish(run(node, &call, b).await),
-            Err(code) => refusal(code, Ran::NotRun, None),
+            Err(code) => refusal(code, ExecutionStatus::NotRun, None),
         },
     }
 }
@@ -163,7 +163,7 @@
         return Response::new(whole(Bytes::from_static(b"ready\n")));
     }
     let code = if node.is(&node.leaving) { Code::Stopping } else { Code::NotCaughtUp };
-    refusal(code, Ran::NotRun, None)
+    refusal(code, ExecutionStatus::NotRun, None)
 }
 
 /// The text of a header field.
@@ -189,8 +189,8 @@
 pub fn finish(end: End) -> Reply {
     match end {
         End::Answered(reply, _) => reply,
-        End::NotSent(code, after) => refusal(code, Ran::NotRun, after),
-        End::Broke(code) => refusal(code, Ran::Unknown, None),
+        End::NotSent(code, after) => refusal(code, ExecutionStatus::NotRun, after),
+        End::Broke(code) => refusal(code, ExecutionStatus::Unknown, None),
     }
 }
 
@@ -298,20 +298,22 @@
     HOP_BY_HOP.iter().for_each(|h| drop(reply.headers_mut().remove(*h)));
     // What an endpoint says in our names is not passed on.
     reply.headers_mut().remove(CODE);
-    reply.headers_mut().insert(HeaderName::from_static(RAN), HeaderValue::from_static(Ran::Run.as_str()));
+    reply
+        .headers_mut()
+        .insert(HeaderName::from_static(RAN), HeaderValue::from_static(ExecutionStatus::Run.as_str()));
     reply
 }
 
 /// Runs a long request: both bodies stream, so it is sent once at most.
 async fn streamed(node: &Arc<Node>, call: Call, body: Incoming) -> Reply {
     let Some(lane) = lanes::of(node, &call.service) else {
-        return refusal(Code::UnknownRoute, Ran::NotRun, None);
+        return refusal(Code::UnknownRoute, ExecutionStatus::NotRun, None);
     };
     let ask = Ask { class: call.route.class, deadline: call.deadline, tried: &[] };
     let mut slot = match lanes::acquire(node, &lane, ask).await {
         Some(Ok(slot)) => slot,
-        Some(Err(r)) => return refusal(r.code, Ran::NotRun, Some(r.retry_after)),
-        None => return refusal(Code::NoEndpoint, Ran::NotRun, None),
+        Some(Err(r)) => return refusal(r.code, ExecutionStatus::NotRun, Some(r.retry_after)),
+        None => return refusal(Code::NoEndpoint, ExecutionStatus::NotRun, None),
     };
     node.metrics.sends.inc();
     let limited = Limited::new(body, MOST_LONG);
@@ -330,15 +332,15 @@
         }
         Ok(Err(SendError::NotSent { .. })) => {
             slot.ended(Outcome::Bad);
-            refusal(Code::ConnectFailed, Ran::NotRun, Some(Duration::from_millis(200)))
+            refusal(Code::ConnectFailed, ExecutionStatus::NotRun, Some(Duration::from_millis(200)))
         }
         Ok(Err(SendError::Broke { .. })) => {
             slot.ended(Outcome::Bad);
-            refusal(Code::EndpointBroke, Ran::Unknown, None)
+            refusal(Code::EndpointBroke, ExecutionStatus::Unknown, None)
         }
         Err(_) => {
             slot.ended(Outcome::Bad);
-            refusal(Code::EndpointTimeout, Ran::Unknown, None)
+            refusal(Code::EndpointTimeout, ExecutionStatus::Unknown, None)
         }
     }
 }
--- a/src/workswood/ops/jobs/front.rs
+++ b/src/workswood/ops/jobs/front.rs
@@ -9,7 +9,7 @@
 use hyper::{Method, Request, Response};
 use workswood_adapter::callers as wire;
 use workswood_callers::{Handler, ReplyBody, bearer, read_body, refusal, whole};
-use workswood_core::code::{Code, Ran};
+use workswood_core::code::{Code, ExecutionStatus};
 use workswood_core::ids::WorkspaceId;
 use workswood_core::jobs::spec::parse_job;
 use workswood_core::jobs::{JobKey, JobSpec, Owner, QueueConfig, SchedConfig};
@@ -40,13 +40,13 @@
 
 async fn answer(node: &Arc<Node>, req: Request<Incoming>) -> Response<ReplyBody> {
     let Some(cfg) = node.config.load_full() else {
-        return refusal(Code::NotCaughtUp, Ran::NotRun, Some(COME_BACK));
+        return refusal(Code::NotCaughtUp, ExecutionStatus::NotRun, Some(COME_BACK));
     };
     let host = host_of(&req);
     let path = req.uri().path().to_string();
     let Some(queue) = cfg.route(&host, &path) else {
         log::info!("event=no_route host={host} path={path} version={}", cfg.version);
-        return refusal(Code::UnknownRoute, Ran::NotRun, None);
+        return refusal(Code::UnknownRoute, ExecutionStatus::NotRun, None);
     };
     let workspace = match caller(&cfg, queue, &req) {
         Ok(workspace) => workspace,
@@ -59,7 +59,7 @@
                 queue.name,
                 cfg.version
             );
-            return refusal(Code::ApiKey, Ran::NotRun, None);
+            return refusal(Code::ApiKey, ExecutionStatus::NotRun, None);
         }
     };
     let owner = Owner::of(workspace.as_deref());
@@ -68,13 +68,13 @@
         return pending(node, &req, queue).await;
     }
     let Some(job) = parse_job(rest) else {
-        return refusal(Code::JobMalformed, Ran::NotRun, None);
+        return refusal(Code::JobMalformed, ExecutionStatus::NotRun, None);
     };
     match *req.method() {
         Method::POST => submit(node, &cfg, queue, job, workspace, req).await,
         Method::GET => state(node, job, owner).await,
         Method::DELETE => cancel(node, job, owner, &req).await,
-        _ => refusal(Code::MethodUnknown, Ran::NotRun, None),
+        _ => refusal(Code::MethodUnknown, ExecutionStatus::NotRun, None),
     }
 }
 
@@ -123,11 +123,13 @@
 
 async fn pending(node: &Arc<Node>, req: &Request<Incoming>, queue: &QueueConfig) -> Response<ReplyBody> {
     if req.method() != Method::GET {
-        return refusal(Code::MethodUnknown, Ran::NotRun, None);
+        return refusal(Code::MethodUnknown, ExecutionStatus::NotRun, None);
     }
     match ask::pending(node, &queue.name).await {
         Told::Known(n) => json(wire::pending_body(n)),
-        Told::Unknown | Told::Unreachable => refusal(Code::HolderAway, Ran::NotRun, Some(COME_BACK)),
+        Told::Unknown | Told::Unreachable => {
+            refusal(Code::HolderAway, ExecutionStatus::NotRun, Some(COME_BACK))
+        }
     }
 }
 
@@ -136,8 +138,8 @@
     node.metrics.asked.with_label_values(&[told.label()]).inc();
     match told {
         Told::Known(s) => json(wire::state_body(s)),
-        Told::Unknown => refusal(Code::JobUnknown, Ran::NotRun, None),
-        Told::Unreachable => refusal(Code::HolderAway, Ran::NotRun, Some(COME_BACK)),
+        Told::Unknown => refusal(Code::JobUnknown, ExecutionStatus::NotRun, None),
+        Told::Unreachable => refusal(Code::HolderAway, ExecutionStatus::NotRun, Some(COME_BACK)),
     }
 }
 
@@ -149,7 +151,7 @@
     if stored == Stored::Yes {
         log::info!("event=cancel_accepted job={job:016x} known={}", !unknown);
         if unknown {
-            return refusal(Code::JobUnknown, Ran::NotRun, None);
+            return refusal(Code::JobUnknown, ExecutionStatus::NotRun, None);
         }
     }
     stored.answer()
@@ -168,14 +170,14 @@
         Ok(b) => b,
         Err(e) => {
             log::info!("event=job_refused job={job:016x} reason=body error={e:?}");
-            return refusal(e.code(), Ran::NotRun, None);
+            return refusal(e.code(), ExecutionStatus::NotRun, None);
         }
     };
     let spec = match read_spec(node, queue, workspace, &body) {
         Ok(spec) => spec,
         Err(e) => {
             log::info!("event=job_refused job={job:016x} reason=malformed error=\"{e}\"");
-            return refusal(Code::JobMalformed, Ran::NotRun, None);
+            return refusal(Code::JobMalformed, ExecutionStatus::NotRun, None);
         }
     };
     let begun = node.now();
@@ -221,8 +223,8 @@
     fn answer(self) -> Response<ReplyBody> {
         match self {
             Stored::Yes => json(Bytes::from_static(b"{}")),
-            Stored::No => refusal(Code::LogUnavailable, Ran::NotRun, Some(COME_BACK)),
-            Stored::Unknown => refusal(Code::OutcomeUnknown, Ran::Unknown, Some(COME_BACK)),
+            Stored::No => refusal(Code::LogUnavailable, ExecutionStatus::NotRun, Some(COME_BACK)),
+            Stored::Unknown => refusal(Code::OutcomeUnknown, ExecutionStatus::Unknown, Some(COME_BACK)),
         }
     }
 
--- a/tests/testsuite/body_limits.rs
+++ b/tests/testsuite/body_limits.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 use workswood_callers::{BODY_SILENCE, BodyError, Handler, read_body, refusal, whole};
-use workswood_core::code::{Code, Ran};
+use workswood_core::code::{Code, ExecutionStatus};
 
 #[tokio::test]
 async fn rest_is_taken() {
@@ -70,7 +70,7 @@
         async move {
             match read_body(body, 1024).await {
                 Ok(b) => hyper::Response::new(whole(b)),
-                Err(e) => refusal(e.code(), Ran::NotRun, None),
+                Err(e) => refusal(e.code(), ExecutionStatus::NotRun, None),
             }
         }
         .boxed()
