--- a/crates/workswood-core/src/lib.rs
+++ b/crates/workswood-core/src/lib.rs
@@ -18,7 +18,7 @@
 //! * [`route`] decides on one entry host which request gets which endpoint.
 //! * [`jobs`] queues and runs jobs of many steps on the workers of services.
 //! * [`idempotency`] decides what a request that may not be repeated is told.
-//! * [`member`] decides which other entry hosts are alive.
+//! * [`membership`] decides which other entry hosts are alive.
 //! * [`invariant`] counts what must never happen, in release builds too.
 //! * [`code`] numbers every answer that says something went wrong.
 
@@ -29,7 +29,7 @@
 pub mod ids;
 pub mod invariant;
 pub mod jobs;
-pub mod member;
+pub mod membership;
 pub mod plan;
 pub mod record;
 pub mod route;
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -6,7 +6,7 @@
 
 use workswood_core::fold::{Lease, ManagedHost, PlacedInstance, State};
 use workswood_core::ids::{InstanceId, Term};
-use workswood_core::member::{Liveness, MemberRec};
+use workswood_core::membership::{Liveness, Member};
 use workswood_core::plan::{Act, Facts, Seen, acts, decide};
 use workswood_core::record::{HostChange, InstanceChange, JobChange, Record, Role, RosterMember};
 
@@ -190,10 +190,10 @@
     };
     let mut in_flight = super::lanes::open_on(node, &draining);
     let members = node.members.lock();
-    let others: Vec<&MemberRec> = members.present().filter(|m| m.beat.id != node.id).collect();
-    let confirmed = others.iter().map(|m| m.beat.next).fold(own, u64::min);
+    let others: Vec<&Member> = members.present().filter(|m| m.heartbeat.id != node.id).collect();
+    let confirmed = others.iter().map(|m| m.heartbeat.next_offset).fold(own, u64::min);
     let views = node.peer_views.lock();
-    for view in others.iter().filter_map(|m| views.get(&m.beat.address)) {
+    for view in others.iter().filter_map(|m| views.get(&m.heartbeat.address)) {
         for (id, n) in &view.open {
             *in_flight.entry(id.clone()).or_default() += n;
         }
@@ -206,14 +206,14 @@
     let members = node.members.lock();
     let known = |id: &str| state.roster.iter().any(|m| m.id == id);
     // Suspects stay if they are on it, but do not come on it.
-    let fits = |m: &&MemberRec| {
-        let b = &m.beat;
+    let fits = |m: &&Member| {
+        let b = &m.heartbeat;
         !b.stopping && (m.liveness == Liveness::Alive || (m.liveness == Liveness::Suspect && known(&b.id)))
     };
     let mut want: Vec<RosterMember> = members
         .iter()
         .filter(fits)
-        .map(|m| RosterMember { id: m.beat.id.clone(), data_centre: m.beat.data_centre.clone() })
+        .map(|m| RosterMember { id: m.heartbeat.id.clone(), data_centre: m.heartbeat.data_centre.clone() })
         .collect();
     want.sort();
     let differs = want != state.roster && !want.is_empty();
--- a/src/workswood/ops/entry/gossip.rs
+++ b/src/workswood/ops/entry/gossip.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use futures::FutureExt;
-use workswood_core::member::Beat;
+use workswood_core::membership::Heartbeat;
 use workswood_core::route::{Loan, Want};
 use workswood_peers::{
     Beat as WireBeat, Beats, Handler, KeyAsk, KeyReply, Leaving, Lent, Link, Msg, Open, SlotAsk, SlotLoan,
@@ -25,24 +25,24 @@
 const LIST_EVERY: u64 = 120;
 const LIST_ALONE: u64 = 4;
 
-fn to_wire(b: &Beat) -> WireBeat {
+fn to_wire(b: &Heartbeat) -> WireBeat {
     WireBeat {
         address: b.address.clone(),
         id: b.id.clone(),
         data_centre: b.data_centre.clone(),
-        number: b.number,
-        next: b.next,
+        number: b.seq,
+        next: b.next_offset,
         stopping: b.stopping,
     }
 }
 
-fn from_wire(b: WireBeat) -> Beat {
-    Beat {
+fn from_wire(b: WireBeat) -> Heartbeat {
+    Heartbeat {
         address: b.address,
         id: b.id,
         data_centre: b.data_centre,
-        number: b.number,
-        next: b.next,
+        seq: b.number,
+        next_offset: b.next,
         stopping: b.stopping,
     }
 }
@@ -68,12 +68,17 @@
     let own = own_beat(node, number);
     let (others, contacts) = {
         let mut members = node.members.lock();
-        for m in members.tick(node.now()) {
-            log::info!("event=member id={} address={} liveness={:?}", m.beat.id, m.beat.address, m.liveness);
+        for m in members.update_liveness(node.now()) {
+            log::info!(
+                "event=member id={} address={} liveness={:?}",
+                m.heartbeat.id,
+                m.heartbeat.address,
+                m.liveness
+            );
         }
-        members.heard(node.now(), own.clone(), true);
-        let contacts = members.contacts(&own.address, &own.data_centre);
-        (members.sample(number, SAMPLE), contacts)
+        members.record_heartbeat(node.now(), own.clone(), true);
+        let contacts = members.link_addresses(&own.address, &own.data_centre);
+        (members.sample_heartbeats(number, SAMPLE), contacts)
     };
     let open = open_requests(node);
     let beats = Beats { own: Some(to_wire(&own)), others: others.iter().map(to_wire).collect(), open };
@@ -82,13 +87,13 @@
     }
 }
 
-fn own_beat(node: &Node, number: u64) -> Beat {
-    Beat {
+fn own_beat(node: &Node, number: u64) -> Heartbeat {
+    Heartbeat {
         address: node.address(),
         id: node.id.clone(),
         data_centre: node.settings.data_centre.clone(),
-        number,
-        next: node.state.read().next_offset,
+        seq: number,
+        next_offset: node.state.read().next_offset,
         stopping: node.is(&node.stopping),
     }
 }
@@ -108,7 +113,7 @@
 
 /// Links to contacts and to seeds that nobody has answered for yet.
 fn links(node: &Arc<Node>, contacts: &[String], seeds: &BTreeSet<String>) -> Vec<Link> {
-    let known: BTreeSet<String> = node.members.lock().iter().map(|m| m.beat.address.clone()).collect();
+    let known: BTreeSet<String> = node.members.lock().iter().map(|m| m.heartbeat.address.clone()).collect();
     let own = node.address();
     let unknown = seeds.iter().filter(|s| **s != own && !known.contains(*s));
     let want: BTreeSet<String> = contacts.iter().chain(unknown).cloned().collect();
@@ -176,7 +181,7 @@
         node.peer_views.lock().insert(own.address.clone(), view);
         let next = own.next;
         let id = own.id.clone();
-        if members.heard(now, from_wire(own), true) {
+        if members.record_heartbeat(now, from_wire(own), true) {
             log::info!("event=member id={id} liveness=alive");
         }
         if next > here {
@@ -185,7 +190,7 @@
     }
     for other in b.others {
         if other.address != node.address() {
-            members.heard(now, from_wire(other), false);
+            members.record_heartbeat(now, from_wire(other), false);
         }
     }
 }
--- a/src/workswood/ops/entry/node.rs
+++ b/src/workswood/ops/entry/node.rs
@@ -11,7 +11,7 @@
 use workswood_core::fold::State;
 use workswood_core::idempotency::LocalClaims;
 use workswood_core::ids::{Incarnation, InstanceId, Offset, ServiceId, UnixMs};
-use workswood_core::member::Members;
+use workswood_core::membership::Members;
 use workswood_core::route::RouteTable;
 use workswood_endpoints::EndpointClient;
 use workswood_liveness::HalfOpen;
@@ -172,8 +172,12 @@
 
     /// The link to a process, if there is one.
     pub fn link_to(&self, id: &str) -> Option<Link> {
-        let address =
-            self.members.lock().present().find(|m| m.beat.id == id).map(|m| m.beat.address.clone())?;
+        let address = self
+            .members
+            .lock()
+            .present()
+            .find(|m| m.heartbeat.id == id)
+            .map(|m| m.heartbeat.address.clone())?;
         self.links.lock().get(&address).cloned()
     }
 
--- a/src/workswood/ops/entry/operate.rs
+++ b/src/workswood/ops/entry/operate.rs
@@ -107,9 +107,10 @@
     loop {
         let behind: Vec<String> = {
             let members = node.members.lock();
-            let late =
-                members.iter().filter(|m| m.beat.id != node.id && m.beat.next <= offset && !m.beat.stopping);
-            late.map(|m| m.beat.address.clone()).collect()
+            let late = members.iter().filter(|m| {
+                m.heartbeat.id != node.id && m.heartbeat.next_offset <= offset && !m.heartbeat.stopping
+            });
+            late.map(|m| m.heartbeat.address.clone()).collect()
         };
         if behind.is_empty() || node.now() >= until {
             return behind;
@@ -218,12 +219,12 @@
 fn entries(node: &Node, state: &State) -> Vec<EntryStatus> {
     let members = node.members.lock();
     let all = members.iter().map(|m| EntryStatus {
-        address: m.beat.address.clone(),
-        id: m.beat.id.clone(),
-        data_centre: m.beat.data_centre.clone(),
-        next: m.beat.next,
+        address: m.heartbeat.address.clone(),
+        id: m.heartbeat.id.clone(),
+        data_centre: m.heartbeat.data_centre.clone(),
+        next: m.heartbeat.next_offset,
         liveness: format!("{:?}", m.liveness).to_lowercase(),
-        on_roster: state.roster.iter().any(|r| r.id == m.beat.id),
+        on_roster: state.roster.iter().any(|r| r.id == m.heartbeat.id),
     });
     all.collect()
 }
