--- a/crates/workswood-core/src/fold/snapshot.rs
+++ b/crates/workswood-core/src/fold/checkpoint.rs
@@ -1,4 +1,5 @@
-//! Digests, checkpoints and their assembly.
+//! Digests of the state, and checkpoints: how they are written into the log and
+//! assembled from it.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -7,24 +8,24 @@
 use crate::invariant;
 use crate::record::Record;
 
-/// Bytes of state text in one checkpoint record.
+/// Largest part of the state's text in one checkpoint record, in bytes.
 const MAX_PART_BYTES: usize = 128 * 1024;
-/// How many marks are remembered.
+/// Number of digests kept for comparison with checkpoints.
 const DIGESTS_KEPT: usize = 8;
 
-/// Digest of the state after the envelope at an offset.
+/// Digest of the state after an envelope with a checkpoint marker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StateDigest {
-    /// Offset of the envelope that holds the mark.
+    /// Offset of the envelope with the marker.
     pub marker_offset: Offset,
     /// Digest of the state's text.
     pub digest: u64,
-    /// The state's text, kept for the newest mark only.
+    /// The state's text; kept for the newest marker only, else empty.
     pub text: String,
 }
 
 impl State {
-    /// The state as text; equal states have equal texts.
+    /// The state as JSON text; equal states have equal texts.
     pub fn text(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
@@ -34,13 +35,14 @@
         xxh3_64(self.text().as_bytes())
     }
 
-    /// Reads the text form.
+    /// Parses the text that [`State::text`] returns; `None` if it is not valid.
     pub fn from_text(text: &str) -> Option<State> {
         let mut state: State = serde_json::from_str(text).ok()?;
         state.rebuild_indexes();
         Some(state)
     }
 
+    /// Records the digest of the state, and its text, at a checkpoint marker.
     pub(super) fn record_digest(&mut self, offset: Offset) {
         self.drop_checkpoint_text();
         let text = self.text();
@@ -51,43 +53,46 @@
         }
     }
 
-    /// Frees the text of the newest mark; processes without the duty call it.
+    /// Frees the text kept for the next checkpoint; called by processes that do not
+    /// write checkpoints.
     pub fn drop_checkpoint_text(&mut self) {
         if let Some(last) = self.marks.last_mut() {
             last.text = String::new();
         }
     }
 
-    /// A checkpoint of other records than ours means that the fold differs.
-    pub(super) fn check_digest(&mut self, upto: Offset, digest: u64) -> RecordResult {
-        let Some(mark) = self.marks.iter().find(|m| m.marker_offset == upto) else {
+    /// Compares a checkpoint with the own digest at its marker. A difference means
+    /// that two processes folded the same log differently.
+    pub(super) fn check_digest(&mut self, marker_offset: Offset, digest: u64) -> RecordResult {
+        let Some(own) = self.marks.iter().find(|m| m.marker_offset == marker_offset) else {
             return Ok(());
         };
-        let same = invariant::check(mark.digest == digest, || {
-            format!("checkpoint of offset {upto} differs from the fold of the records")
+        let same = invariant::check(own.digest == digest, || {
+            format!("checkpoint of offset {marker_offset} differs from the fold of the records")
         });
         if same { Ok(()) } else { Err(Rejection::Unknown) }
     }
 
-    /// The records of a checkpoint of the state at the newest mark.
+    /// The records of a checkpoint of the state at the newest marker; none if its
+    /// text was dropped.
     pub fn checkpoint(&self) -> Vec<Record> {
-        let Some(mark) = self.marks.last().filter(|m| !m.text.is_empty()) else {
+        let Some(newest) = self.marks.last().filter(|m| !m.text.is_empty()) else {
             return Vec::new();
         };
-        let chunks = split_into_parts(&mark.text);
+        let chunks = split_into_parts(&newest.text);
         let parts = chunks.len() as u32;
-        let part = |(i, data): (usize, &str)| Record::Checkpoint {
-            marker_offset: mark.marker_offset,
+        let record = |(i, data): (usize, &str)| Record::Checkpoint {
+            marker_offset: newest.marker_offset,
             part: i as u32,
             parts,
-            digest: mark.digest,
+            digest: newest.digest,
             data: data.to_string(),
         };
-        chunks.into_iter().enumerate().map(part).collect()
+        chunks.into_iter().enumerate().map(record).collect()
     }
 }
 
-/// Cuts text into pieces of about [`MAX_PART_BYTES`], at character boundaries.
+/// Splits text into parts of at most [`MAX_PART_BYTES`], at character boundaries.
 fn split_into_parts(mut text: &str) -> Vec<&str> {
     let mut all = Vec::new();
     while text.len() > MAX_PART_BYTES {
@@ -99,7 +104,7 @@
     all
 }
 
-/// Collects the parts of checkpoints while a starting process reads the log.
+/// Assembles a checkpoint from its parts while a starting process reads the log.
 #[derive(Debug, Default)]
 pub struct CheckpointAssembler {
     marker_offset: Offset,
@@ -108,21 +113,24 @@
 }
 
 impl CheckpointAssembler {
-    /// Takes a record in; returns the state when its checkpoint is whole.
+    /// Adds a record; returns the state once all parts of its checkpoint were added.
+    /// Parts of another checkpoint replace those of an incomplete one.
     pub fn add(&mut self, record: &Record) -> Option<State> {
-        let Record::Checkpoint { marker_offset: upto, part, parts, digest, data } = record else {
+        let Record::Checkpoint { marker_offset, part, parts, digest, data } = record else {
             return None;
         };
-        if (self.marker_offset, self.digest) != (*upto, *digest) || self.parts.len() != *parts as usize {
-            self.marker_offset = *upto;
+        if (self.marker_offset, self.digest) != (*marker_offset, *digest)
+            || self.parts.len() != *parts as usize
+        {
+            self.marker_offset = *marker_offset;
             self.digest = *digest;
             self.parts = vec![None; *parts as usize];
         }
         *self.parts.get_mut(*part as usize)? = Some(data.clone());
         let text: String = self.parts.iter().map(|p| p.as_deref()).collect::<Option<Vec<_>>>()?.concat();
-        let whole = invariant::check(xxh3_64(text.as_bytes()) == self.digest, || {
-            format!("checkpoint of offset {upto} does not match its digest")
+        let intact = invariant::check(xxh3_64(text.as_bytes()) == self.digest, || {
+            format!("checkpoint of offset {marker_offset} does not match its digest")
         });
-        if whole { State::from_text(&text) } else { None }
+        if intact { State::from_text(&text) } else { None }
     }
 }
--- a/crates/workswood-core/src/fold/apply.rs
+++ b/crates/workswood-core/src/fold/files.rs
@@ -1,4 +1,4 @@
-//! Files put in force.
+//! Fleet files in force, and the hosts that they claim.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
@@ -7,20 +7,20 @@
 use crate::fleet::FleetFile;
 use crate::ids::{FileId, Offset};
 
-/// A file in force.
+/// A fleet file in force.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AppliedFile {
-    /// Version; the first accepted change makes it 1.
+    /// Version; the first accepted change sets it to 1.
     pub version: u64,
     /// Offset at which the version was accepted.
     pub offset: Offset,
-    /// Id of the change.
+    /// Id of the operator's change that set this version.
     pub change: String,
-    /// Who applied it.
+    /// Who applied the change.
     pub author: String,
     /// Digest of the file's content.
     pub digest: u64,
-    /// The content.
+    /// The file's content.
     pub file: FleetFile,
 }
 
@@ -30,7 +30,8 @@
 }
 
 impl State {
-    pub(super) fn apply(
+    /// Puts a file in force if `base` is the version in force.
+    pub(super) fn apply_file(
         &mut self,
         offset: Offset,
         id: &str,
@@ -39,9 +40,9 @@
         file: &FleetFile,
     ) -> RecordResult {
         let digest = digest(file);
-        if let Some(now) = self.files.get(&file.file) {
-            // The same change, applied again or raced by its own copy, is once.
-            if now.change == id || now.digest == digest {
+        if let Some(current) = self.files.get(&file.file) {
+            // A change that was sent twice takes effect once.
+            if current.change == id || current.digest == digest {
                 return Ok(());
             }
         }
@@ -50,10 +51,10 @@
             let author = self.files.get(&file.file).map_or(String::new(), |f| f.author.clone());
             return Err(Rejection::Stale { version, author });
         }
-        if let Some((what, owner)) = self.claimed_elsewhere(file) {
+        if let Some((what, owner)) = self.conflict_with_other_file(file) {
             return Err(Rejection::Claimed { what, file: owner });
         }
-        let rec = AppliedFile {
+        let applied = AppliedFile {
             version: version + 1,
             offset,
             change: id.to_string(),
@@ -61,17 +62,19 @@
             digest,
             file: file.clone(),
         };
-        self.files.insert(file.file.clone(), rec);
+        self.files.insert(file.file.clone(), applied);
         self.rebuild_service_index();
         self.claim_hosts(file);
-        self.drop_orphans();
+        self.remove_undeclared();
         Ok(())
     }
 
-    fn claimed_elsewhere(&self, file: &FleetFile) -> Option<(String, FileId)> {
+    /// The first name in `file` that belongs to another file in force, and that
+    /// file's name.
+    fn conflict_with_other_file(&self, file: &FleetFile) -> Option<(String, FileId)> {
         for h in &file.hosts {
-            if let Some(rec) = self.hosts.get(&h.name).filter(|r| r.file != file.file) {
-                return Some((format!("host `{}`", h.name), rec.file.clone()));
+            if let Some(host) = self.hosts.get(&h.name).filter(|r| r.file != file.file) {
+                return Some((format!("host `{}`", h.name), host.file.clone()));
             }
         }
         for other in self.fleet_files().filter(|f| f.file != file.file) {
@@ -82,6 +85,7 @@
         None
     }
 
+    /// Rebuilds the index of services from the files in force.
     pub(super) fn rebuild_service_index(&mut self) {
         let declared = |(name, f): (&FileId, &AppliedFile)| {
             let all = f.file.services.iter().enumerate();
@@ -90,24 +94,26 @@
         self.by_service = self.files.iter().flat_map(declared).collect();
     }
 
+    /// Claims the hosts that `file` names, and marks those that it no longer names
+    /// as released.
     fn claim_hosts(&mut self, file: &FleetFile) {
         for h in &file.hosts {
-            let rec = self.hosts.entry(h.name.clone()).or_insert_with(|| ManagedHost::new(&file.file, h));
-            rec.released = false;
+            let host = self.hosts.entry(h.name.clone()).or_insert_with(|| ManagedHost::new(&file.file, h));
+            host.released = false;
         }
         let named: std::collections::BTreeSet<&String> = file.hosts.iter().map(|h| &h.name).collect();
-        for (id, rec) in &mut self.hosts {
-            if rec.file == file.file && !named.contains(id) {
-                rec.released = true;
+        for (id, host) in &mut self.hosts {
+            if host.file == file.file && !named.contains(id) {
+                host.released = true;
             }
         }
-        // A host that never worked for us has nothing to drain.
-        self.hosts.retain(|_, r| !(r.released && r.pool.is_none()));
+        // A released host that was never in a pool needs no drain.
+        self.hosts.retain(|_, h| !(h.released && h.pool.is_none()));
     }
 
-    /// Forgets instances of services that are no longer in force: they are
-    /// handed back as they run, not stopped.
-    fn drop_orphans(&mut self) {
+    /// Removes instances and jobs that are no longer declared from the state. They
+    /// are not stopped.
+    fn remove_undeclared(&mut self) {
         let by_service = &self.by_service;
         self.instances.retain(|_, i| by_service.contains_key(&i.service));
         self.rebuild_host_index();
@@ -116,6 +122,7 @@
     }
 }
 
+/// The first name that both files declare.
 fn shared_name(a: &FleetFile, b: &FleetFile) -> Option<String> {
     let pool = a.pools.iter().find(|x| b.pools.iter().any(|y| x.name == y.name));
     if let Some(p) = pool {
--- a/crates/workswood-core/src/fold/hosts.rs
+++ b/crates/workswood-core/src/fold/hosts.rs
@@ -1,4 +1,5 @@
-//! Hosts: one pool at most, changed by steps that name the generation.
+//! Hosts: each is in at most one pool, and each change names the generation of the
+//! host that it was decided on.
 
 use std::collections::BTreeSet;
 
@@ -10,19 +11,19 @@
 use crate::invariant;
 use crate::record::{DrainReason, HostChange, Role};
 
-/// Where a host is in its life with us.
+/// Phase of a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "phase", rename_all = "snake_case")]
 pub enum HostPhase {
     /// In no pool.
     Free,
-    /// In its pool, takes work.
+    /// In its pool; takes work.
     Active,
-    /// Takes no new work; work in progress goes on.
+    /// Takes no new work; running work continues.
     Draining(DrainReason),
     /// No work is left on it.
     Drained(DrainReason),
-    /// Being rebooted for the maintenance named.
+    /// Being rebooted for maintenance.
     Rebooting {
         /// Name of the maintenance.
         name: String,
@@ -31,16 +32,16 @@
     },
 }
 
-/// What is known and decided of a host.
+/// A host that a fleet file claims, with what is known and decided about it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ManagedHost {
-    /// The file that claims it.
+    /// The fleet file that claims it.
     pub file: FileId,
-    /// The one pool it belongs to.
+    /// The pool that it is in.
     pub pool: Option<PoolId>,
-    /// Grows with each accepted change.
+    /// Grows with each accepted change; the next change must name it.
     pub generation: u64,
-    /// Where it is in its life.
+    /// Its phase.
     pub phase: HostPhase,
     /// Offset of the last change.
     #[serde(rename = "offset")]
@@ -48,34 +49,35 @@
     /// Log time of the last change of phase or health.
     #[serde(rename = "since")]
     pub changed_at: u64,
-    /// Generation at which the pool was set; token of that act.
+    /// Generation at which the pool was set; fencing token of that action on the
+    /// platform.
     pub pool_generation: u64,
-    /// Generation of the last change that asks for a drain, a reboot or the end
-    /// of a drain; token of that act.
+    /// Generation of the last change that asks for a drain, a reboot or the end of a
+    /// drain; fencing token of that action on the platform.
     #[serde(rename = "act_generation")]
     pub action_generation: u64,
-    /// Where it stands.
+    /// Its data centre and rack.
     #[serde(rename = "place")]
     pub location: HostLocation,
     /// Processors in cores.
     pub cpus: u32,
     /// Memory in GiB.
     pub memory_gib: u32,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
     /// Whether it answers.
     pub up: bool,
-    /// Whether a script moved it; it is left alone while set.
+    /// Whether something other than workswood moved it; it is not managed while set.
     #[serde(rename = "foreign")]
     pub externally_moved: bool,
     /// Whether no file claims it any longer.
     pub released: bool,
-    /// Maintenance that it has been through.
+    /// Names of the maintenance completed on it.
     pub maintained: BTreeSet<String>,
 }
 
 impl ManagedHost {
-    /// A host just claimed and not yet seen by the platform's list.
+    /// A newly claimed host that the platform has not listed yet.
     pub fn new(file: &str, host: &Host) -> ManagedHost {
         ManagedHost {
             file: file.to_string(),
@@ -102,12 +104,12 @@
         self.up && !self.externally_moved && self.phase == HostPhase::Active
     }
 
-    /// Whether it is away by our own act.
+    /// Whether it is draining, drained or rebooting by a decision of the planner.
     pub fn out_of_service(&self) -> bool {
         !matches!(self.phase, HostPhase::Free | HostPhase::Active)
     }
 
-    /// The maintenance it is under, if any.
+    /// The maintenance that it is drained or rebooted for, if any.
     pub fn maintenance(&self) -> Option<&str> {
         match &self.phase {
             HostPhase::Draining(DrainReason::Maintain { name })
@@ -119,6 +121,7 @@
 }
 
 impl State {
+    /// Applies a change of a host.
     pub(super) fn change_host(
         &mut self,
         term: Term,
@@ -126,7 +129,7 @@
         generation: u64,
         change: &HostChange,
     ) -> RecordResult {
-        self.holds(Role::Planner, term)?;
+        self.check_term(Role::Planner, term)?;
         let rec = self.hosts.get(host).ok_or(Rejection::Missing)?;
         if rec.generation != generation {
             return Err(Rejection::Generation);
@@ -147,34 +150,35 @@
             self.hosts.remove(host);
             return Ok(());
         }
-        let pool_known = |p: &str| self.pools().any(|x| x.name == p);
+        let pool_exists = |p: &str| self.pools().any(|x| x.name == p);
         match change {
-            HostChange::Assign { pool } if !pool_known(pool) => return Err(Rejection::Missing),
-            HostChange::Drain { reason: DrainReason::Move { to } } if !pool_known(to) => {
+            HostChange::Assign { pool } if !pool_exists(pool) => return Err(Rejection::Missing),
+            HostChange::Drain { reason: DrainReason::Move { to } } if !pool_exists(to) => {
                 return Err(Rejection::Missing);
             }
             _ => {}
         }
         let (time, offset) = (self.log_time, self.next_offset - 1);
         let rec = self.hosts.get_mut(host).ok_or(Rejection::Missing)?;
-        let moved = apply_change(rec, change)?;
+        let changed_pool = apply_change(rec, change)?;
         rec.generation += 1;
         rec.changed_at_offset = offset;
         if !matches!(change, HostChange::Seen { .. }) {
             rec.changed_at = time;
         }
         update_fencing_generations(rec, change);
-        let whole = rec.pool.is_some() || rec.phase == HostPhase::Free;
-        invariant::check(whole, || format!("host {host} is in no pool and not free"));
-        self.host_moves += u64::from(moved);
-        // What was ready before is not until the list shows it after the act.
+        let consistent = rec.pool.is_some() || rec.phase == HostPhase::Free;
+        invariant::check(consistent, || format!("host {host} is in no pool and not free"));
+        self.host_moves += u64::from(changed_pool);
+        // An instance that was ready before the action counts as ready again only
+        // once the platform lists it as ready after the action.
         if let HostChange::Reboot { .. } | HostChange::Undrain | HostChange::Return = change {
             self.mark_instances_not_ready(host);
         }
         Ok(())
     }
 
-    /// Instances on a host are not ready until they are seen again.
+    /// Marks the instances on a host as not ready.
     fn mark_instances_not_ready(&mut self, host: &str) {
         for id in self.by_host.get(host).into_iter().flatten() {
             if let Some(i) = self.instances.get_mut(id) {
@@ -184,11 +188,12 @@
     }
 }
 
-/// Keeps the generations that serve as tokens of acts on the platform.
+/// Updates the generations that are fencing tokens of actions on the platform.
 fn update_fencing_generations(rec: &mut ManagedHost, change: &HostChange) {
     match change {
         HostChange::Assign { .. } => rec.pool_generation = rec.generation,
-        // Two acts follow a flip, so it takes two generations.
+        // A flip is followed by two actions on the platform: setting the pool and
+        // ending the drain. Each has a generation of its own.
         HostChange::Flip => {
             rec.pool_generation = rec.generation;
             rec.generation += 1;
@@ -201,11 +206,11 @@
     }
 }
 
-/// Carries one change out on a host; true if it changed the pool.
+/// Applies a change to a host; returns true if it moved the host to another pool.
 fn apply_change(rec: &mut ManagedHost, change: &HostChange) -> Result<bool, Rejection> {
     match (change, rec.phase.clone()) {
-        (HostChange::Seen { location: place, cpus, memory_gib, accelerators }, _) => {
-            rec.location = place.clone();
+        (HostChange::Seen { location, cpus, memory_gib, accelerators }, _) => {
+            rec.location = location.clone();
             rec.cpus = *cpus;
             rec.memory_gib = *memory_gib;
             rec.accelerators = *accelerators;
--- a/crates/workswood-core/src/fold/idempotency.rs
+++ b/crates/workswood-core/src/fold/idempotency.rs
@@ -1,11 +1,11 @@
-//! Requests that run at most once, and requests that wait in the log.
+//! Idempotency keys of requests that run at most once, and deferred requests.
 //!
-//! The first claim of a key in the log wins; only its holder sends, once. A
-//! claim counts only while its last moment is not before log time, and keys
-//! are kept for [`KEY_GRACE`] after it. So a key that is absent, within the
-//! grace, was never claimed; and once log time has passed the last moment it
-//! never will be. That needs no agreement of clocks: a wrong clock can refuse
-//! requests, but can't run one twice.
+//! The first claim of a key in the log wins, and only its holder sends the request,
+//! once. A claim is rejected if its last moment is before log time, and keys are
+//! kept for [`KEY_RETENTION`] after their last moment. A key that is absent within
+//! its retention was therefore never claimed, and once log time has passed its last
+//! moment it never will be. Clocks need not agree: a wrong clock can cause requests
+//! to be refused, but can't run one twice.
 
 use std::time::Duration;
 
@@ -15,39 +15,39 @@
 use crate::ids::{IdempotencyKey, Incarnation, ServiceId, UnixMs};
 use crate::record::{AttemptOutcome, DeferredRequest};
 
-/// How far ahead a last moment may lie.
+/// How far in the future the last moment of a key may be.
 pub const MAX_KEY_WINDOW: Duration = Duration::from_secs(3600);
 /// How long a key and its outcome are kept after its last moment.
-pub const KEY_GRACE: Duration = Duration::from_secs(3600);
+pub const KEY_RETENTION: Duration = Duration::from_secs(3600);
 
-/// Attempts of a deferred request after which one of unknown end is not followed by another: it may
-/// be the request that brings down who runs it, and nobody tells that.
+/// Attempts of a deferred request after which an attempt with an unknown outcome is
+/// not repeated: the request may be what crashes the process that runs it.
 pub const MAX_ATTEMPTS: u32 = 5;
 
-/// A key in its window.
+/// A request with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyedRequest {
     /// Service of the request.
     pub service: ServiceId,
     /// Digest of method, path and body.
     pub digest: u64,
-    /// After this moment no copy is started.
+    /// No claim of the key is accepted after this moment.
     pub last_moment: UnixMs,
-    /// How far it got.
+    /// State of the request.
     pub state: KeyState,
-    /// Attempts started.
+    /// Number of attempts started.
     pub attempts: u32,
     /// The request itself when it is deferred.
     pub deferred: Option<DeferredRequest>,
 }
 
-/// How far a key got.
+/// State of a request with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "is", rename_all = "snake_case")]
 pub enum KeyState {
-    /// Accepted, waits to be run.
+    /// Accepted, waiting to be run.
     Waiting,
-    /// Its holder runs it or has not said how it ended.
+    /// Its holder is running it, or has not reported the outcome.
     Running {
         /// The holder.
         holder: Incarnation,
@@ -59,55 +59,57 @@
         /// Body, base64; none when it was too large to keep.
         body: Option<String>,
     },
-    /// It may have run and is not run again.
+    /// It may have run, and is not run again.
     Unknown,
 }
 
-/// What the fold says of a key that a caller names.
+/// Result of looking up a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyLookup<'a> {
-    /// It is known.
+    /// The key is known.
     Known(&'a KeyedRequest),
-    /// It was not claimed, and may be.
-    Open,
-    /// It was never claimed and never will be.
+    /// The key was not claimed, and may be.
+    Claimable,
+    /// The key was never claimed and never will be.
     NeverRun,
-    /// Its window is too old to tell.
-    Forgotten,
+    /// The retention of the key is over, so it is not known whether it was claimed.
+    Expired,
 }
 
 impl KeyedRequest {
-    fn expires(&self) -> UnixMs {
-        self.last_moment + KEY_GRACE.as_millis() as UnixMs
+    /// Log time after which the key is removed.
+    fn expires_at(&self) -> UnixMs {
+        self.last_moment + KEY_RETENTION.as_millis() as UnixMs
     }
 
-    /// Whether an attempt of unknown end may be followed by another.
+    /// Whether an attempt with an unknown outcome may be followed by another one.
     pub fn may_repeat(&self) -> bool {
         self.attempts < MAX_ATTEMPTS && self.deferred.as_ref().is_some_and(|d| d.repeatable)
     }
 
-    /// Whether it still has to run.
-    pub fn open(&self) -> bool {
+    /// Whether it is a deferred request that still has to run.
+    pub fn is_open(&self) -> bool {
         self.deferred.is_some() && matches!(self.state, KeyState::Waiting | KeyState::Running { .. })
     }
 }
 
 impl State {
-    /// Looks a key up.
+    /// Looks up a key that a request with this last moment names.
     pub fn lookup(&self, key: &str, last_moment: UnixMs) -> KeyLookup<'_> {
         if let Some(rec) = self.keys.get(key) {
             return KeyLookup::Known(rec);
         }
         if last_moment >= self.log_time {
-            return KeyLookup::Open;
+            return KeyLookup::Claimable;
         }
-        if last_moment + KEY_GRACE.as_millis() as UnixMs >= self.log_time {
+        if last_moment + KEY_RETENTION.as_millis() as UnixMs >= self.log_time {
             return KeyLookup::NeverRun;
         }
-        KeyLookup::Forgotten
+        KeyLookup::Expired
     }
 
-    pub(super) fn claim(
+    /// Claims a key for a holder, or accepts a deferred request.
+    pub(super) fn claim_key(
         &mut self,
         key: &IdempotencyKey,
         service: &ServiceId,
@@ -122,8 +124,8 @@
         if last_moment < self.log_time {
             return Err(Rejection::Expired);
         }
-        // Only a process on the roster may run: those who must be sure that a
-        // key is not running ask all of the roster.
+        // Only a process on the roster may run a request, because a process that
+        // has to be sure that a key is not running asks the whole roster.
         if holder.is_some_and(|h| !self.roster.iter().any(|m| m.id == *h)) {
             return Err(Rejection::Phase);
         }
@@ -139,25 +141,26 @@
             state,
             deferred: deferred.cloned(),
         };
-        self.expiries.insert((rec.expires(), key.clone()));
-        if rec.open() {
+        self.expiries.insert((rec.expires_at(), key.clone()));
+        if rec.is_open() {
             self.open_keys.insert(key.clone());
         }
         self.keys.insert(key.clone(), rec);
         Ok(())
     }
 
-    pub(super) fn start(&mut self, key: &str, holder: &str, attempt: u32) -> RecordResult {
+    /// Starts the next attempt of a deferred request.
+    pub(super) fn start_attempt(&mut self, key: &str, holder: &str, attempt: u32) -> RecordResult {
         let rec = self.keys.get_mut(key).ok_or(Rejection::Missing)?;
         if rec.deferred.is_none() {
             return Err(Rejection::Phase);
         }
-        let free = match rec.state {
+        let may_start = match rec.state {
             KeyState::Waiting => true,
             KeyState::Running { .. } => rec.may_repeat(),
             KeyState::Done { .. } | KeyState::Unknown => false,
         };
-        if !free || attempt != rec.attempts + 1 {
+        if !may_start || attempt != rec.attempts + 1 {
             return Err(Rejection::KeyTaken);
         }
         rec.attempts = attempt;
@@ -165,41 +168,46 @@
         Ok(())
     }
 
-    pub(super) fn finish(&mut self, key: &str, holder: &str, outcome: &AttemptOutcome) -> RecordResult {
+    /// Records the outcome of an attempt, reported by its holder.
+    pub(super) fn finish_attempt(
+        &mut self,
+        key: &str,
+        holder: &str,
+        outcome: &AttemptOutcome,
+    ) -> RecordResult {
         let rec = self.keys.get_mut(key).ok_or(Rejection::Missing)?;
-        let held = matches!(&rec.state, KeyState::Running { holder: h } if h == holder);
-        if !held {
+        let is_holder = matches!(&rec.state, KeyState::Running { holder: h } if h == holder);
+        if !is_holder {
             return Err(Rejection::Phase);
         }
-        let again = rec.may_repeat();
+        let may_repeat = rec.may_repeat();
         match outcome {
             AttemptOutcome::Answered { status, body } => {
                 rec.state = KeyState::Done { status: *status, body: body.clone() };
             }
             AttemptOutcome::NotSent if rec.deferred.is_some() => rec.state = KeyState::Waiting,
-            // The key is free again: the caller was told that nothing ran.
+            // Nothing ran, and the caller is told so: the key may be claimed again.
             AttemptOutcome::NotSent => {
-                let gone = (rec.expires(), key.to_string());
-                self.expiries.remove(&gone);
+                let expiry = (rec.expires_at(), key.to_string());
+                self.expiries.remove(&expiry);
                 self.keys.remove(key);
                 return Ok(());
             }
-            AttemptOutcome::Unknown if again => rec.state = KeyState::Waiting,
+            AttemptOutcome::Unknown if may_repeat => rec.state = KeyState::Waiting,
             AttemptOutcome::Unknown => rec.state = KeyState::Unknown,
         }
-        if !rec.open() {
-            // One that outlived its grace is kept for one more, for its caller.
+        if !rec.is_open() {
+            // A request that ended after its retention expires now, and not in the past.
             rec.last_moment =
-                rec.last_moment.max(self.log_time.saturating_sub(KEY_GRACE.as_millis() as UnixMs));
-            let expires = rec.expires();
+                rec.last_moment.max(self.log_time.saturating_sub(KEY_RETENTION.as_millis() as UnixMs));
+            let expires_at = rec.expires_at();
             self.open_keys.remove(key);
-            self.expiries.insert((expires, key.to_string()));
+            self.expiries.insert((expires_at, key.to_string()));
         }
         Ok(())
     }
 
-    /// Forgets keys whose grace is over; an open deferred request stays until
-    /// it has run, and is forgotten when it ends after its grace.
+    /// Removes expired keys, except those of deferred requests that still have to run.
     pub(super) fn prune_keys(&mut self) {
         while let Some((at, key)) = self.expiries.first().filter(|(at, _)| *at < self.log_time).cloned() {
             self.expiries.remove(&(at, key.clone()));
@@ -209,8 +217,9 @@
         }
     }
 
+    /// Rebuilds the indexes of keys.
     pub(super) fn rebuild_key_indexes(&mut self) {
-        self.expiries = self.keys.iter().map(|(k, r)| (r.expires(), k.clone())).collect();
-        self.open_keys = self.keys.iter().filter(|(_, r)| r.open()).map(|(k, _)| k.clone()).collect();
+        self.expiries = self.keys.iter().map(|(k, r)| (r.expires_at(), k.clone())).collect();
+        self.open_keys = self.keys.iter().filter(|(_, r)| r.is_open()).map(|(k, _)| k.clone()).collect();
     }
 }
--- a/crates/workswood-core/src/fold/instances.rs
+++ b/crates/workswood-core/src/fold/instances.rs
@@ -1,4 +1,4 @@
-//! Instances of services and the availability budgets that guard them.
+//! Instances of services, and the availability budgets of services.
 
 use std::collections::BTreeMap;
 
@@ -9,54 +9,58 @@
 use crate::ids::{HostId, InstanceId, Rack, ServiceId, Term};
 use crate::record::{InstanceChange, Role};
 
-/// A placed instance.
+/// An instance that is placed on a host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PlacedInstance {
     /// The service.
     pub service: ServiceId,
     /// The host it is placed on.
     pub host: HostId,
-    /// IP address and port, once known.
+    /// IP address and port; empty until known.
     pub address: String,
     /// Whether it takes work.
     pub ready: bool,
-    /// Offset of its placement; token of its start on the platform.
+    /// Offset of its placement; fencing token of its start on the platform.
     pub token: u64,
 }
 
-/// What a service has at one offset.
+/// How many instances of a service are available.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Availability {
     /// Instances that take work.
     pub available: u32,
     /// Available instances by rack.
     pub by_rack: BTreeMap<Rack, u32>,
-    /// Instances away by our own acts, by data centre.
+    /// Unavailable instances on hosts that are draining, drained or rebooting, by
+    /// data centre.
     #[serde(rename = "away_by_data_centre")]
     pub out_of_service_by_data_centre: BTreeMap<String, u32>,
 }
 
-/// Budget and availability of a service side by side.
+/// The budget of a service and its current availability.
 #[derive(Clone, Debug, Serialize)]
 pub struct BudgetStatus {
     /// The service.
     pub service: ServiceId,
     /// Instances that take work.
     pub available: u32,
-    /// Least instances that the budget asks for.
+    /// Minimum of available instances by the budget.
     pub min_available: u32,
-    /// How many more may leave now.
+    /// How many more instances may become unavailable now; negative if the budget is
+    /// broken.
     pub slack: i64,
 }
 
 impl Availability {
-    /// Instances that may still leave before the budget is reached, overall.
+    /// How many more instances may become unavailable before the budget is broken,
+    /// not counting its limit per data centre. Negative if it is broken.
     pub fn slack(&self, budget: &Budget) -> i64 {
-        let worst = if budget.reserve_rack { self.by_rack.values().max().copied().unwrap_or(0) } else { 0 };
-        i64::from(self.available) - i64::from(budget.min_available) - i64::from(worst)
+        let largest_rack =
+            if budget.reserve_rack { self.by_rack.values().max().copied().unwrap_or(0) } else { 0 };
+        i64::from(self.available) - i64::from(budget.min_available) - i64::from(largest_rack)
     }
 
-    /// Adds one instance on a host.
+    /// Counts an instance; it is ignored if its host is not known.
     pub fn add(&mut self, instance: &PlacedInstance, host: Option<&ManagedHost>) {
         let Some(host) = host else { return };
         if instance.ready && host.takes_work() {
@@ -67,17 +71,20 @@
         }
     }
 
-    /// Takes one available instance away; `None` if the budget forbids it.
+    /// The availability after one available instance on `host` stops taking work;
+    /// `None` if the budget forbids that.
     pub fn without_one_on(&self, budget: &Budget, host: &ManagedHost) -> Option<Availability> {
         let mut after = self.clone();
         after.available = after.available.checked_sub(1)?;
         if let Some(n) = after.by_rack.get_mut(&host.location.rack) {
             *n = n.saturating_sub(1);
         }
-        let away = after.out_of_service_by_data_centre.entry(host.location.data_centre.clone()).or_default();
-        *away += 1;
-        let in_data_centre = budget.max_unavailable_per_data_centre.is_none_or(|most| *away <= most);
-        (in_data_centre && after.slack(budget) >= 0).then_some(after)
+        let out_of_service =
+            after.out_of_service_by_data_centre.entry(host.location.data_centre.clone()).or_default();
+        *out_of_service += 1;
+        let within_data_centre =
+            budget.max_unavailable_per_data_centre.is_none_or(|max| *out_of_service <= max);
+        (within_data_centre && after.slack(budget) >= 0).then_some(after)
     }
 }
 
@@ -94,13 +101,13 @@
     /// Availability of one service.
     pub fn availability_of(&self, service: &str) -> Availability {
         let mut a = Availability::default();
-        for i in self.instances_of(service) {
-            a.add(i.1, self.hosts.get(&i.1.host));
+        for (_, i) in self.instances_of(service) {
+            a.add(i, self.hosts.get(&i.host));
         }
         a
     }
 
-    /// Budgets of all services beside what they have.
+    /// The budget and availability of each service in force.
     pub fn budget_statuses(&self) -> Vec<BudgetStatus> {
         let all = self.availability();
         let empty = Availability::default();
@@ -117,19 +124,19 @@
             .collect()
     }
 
-    /// The placed instances of a service. Names share the prefix `service/`.
+    /// The placed instances of a service.
     pub fn instances_of<'a>(
         &'a self,
         service: &'a str,
     ) -> impl Iterator<Item = (&'a InstanceId, &'a PlacedInstance)> + 'a {
-        let first = format!("{service}/");
-        self.instances.range(first.clone()..).take_while(move |(id, _)| id.starts_with(&first))
+        let prefix = format!("{service}/");
+        self.instances.range(prefix.clone()..).take_while(move |(id, _)| id.starts_with(&prefix))
     }
 
-    /// Whether all budgets allow that a host stops taking work.
+    /// Checks that all budgets allow the host to stop taking work.
     pub fn check_drain_budgets(&self, host: &str) -> RecordResult {
         let rec = self.hosts.get(host).ok_or(Rejection::Missing)?;
-        // What a failed or foreign host carried is already lost to its service.
+        // Instances on a host that takes no work are already unavailable.
         if !rec.takes_work() {
             return Ok(());
         }
@@ -142,14 +149,14 @@
         Ok(())
     }
 
-    /// Services with a working instance on a host.
+    /// Services with a ready instance on a host.
     fn services_ready_on(&self, host: &str) -> Vec<&Service> {
         let ids = self.by_host.get(host).into_iter().flatten();
         let ready = ids.filter(|id| self.instances.get(*id).is_some_and(|i| i.ready));
         ready.filter_map(|id| self.service(service_of_instance(id))).collect()
     }
 
-    /// Builds the index from hosts to instances anew.
+    /// Rebuilds the index of instances by host.
     pub(super) fn rebuild_host_index(&mut self) {
         self.by_host.clear();
         for (id, i) in &self.instances {
@@ -157,32 +164,34 @@
         }
     }
 
+    /// Applies a change of an instance.
     pub(super) fn change_instance(
         &mut self,
         term: Term,
         instance: &str,
         change: &InstanceChange,
     ) -> RecordResult {
-        self.holds(Role::Planner, term)?;
+        self.check_term(Role::Planner, term)?;
         match change {
-            InstanceChange::Place { host } => self.place(instance, host),
+            InstanceChange::Place { host } => self.place_instance(instance, host),
             InstanceChange::Ready { address, ready } => {
                 let rec = self.instances.get_mut(instance).ok_or(Rejection::Missing)?;
                 rec.address.clone_from(address);
                 rec.ready = *ready;
                 Ok(())
             }
-            InstanceChange::Remove => self.remove(instance),
+            InstanceChange::Remove => self.remove_instance(instance),
         }
     }
 
-    fn place(&mut self, instance: &str, host: &str) -> RecordResult {
+    /// Places an instance on a host of its service's pool.
+    fn place_instance(&mut self, instance: &str, host: &str) -> RecordResult {
         let service = service_of_instance(instance);
         let s = self.service(service).ok_or(Rejection::Missing)?;
         let h = self.hosts.get(host).ok_or(Rejection::Missing)?;
-        let doubled = self.instances.contains_key(instance);
-        let crowded = self.instances_of(service).any(|(_, i)| i.host == host);
-        if doubled || crowded || !h.takes_work() || h.pool.as_ref() != Some(&s.pool) {
+        let already_placed = self.instances.contains_key(instance);
+        let host_occupied = self.instances_of(service).any(|(_, i)| i.host == host);
+        if already_placed || host_occupied || !h.takes_work() || h.pool.as_ref() != Some(&s.pool) {
             return Err(Rejection::Phase);
         }
         let rec = PlacedInstance {
@@ -197,14 +206,14 @@
         Ok(())
     }
 
-    fn remove(&mut self, instance: &str) -> RecordResult {
+    /// Removes an instance from its host, if the budget allows it.
+    fn remove_instance(&mut self, instance: &str) -> RecordResult {
         let rec = self.instances.get(instance).ok_or(Rejection::Missing)?;
         let host = self.hosts.get(&rec.host);
-        let working = rec.ready && host.is_some_and(|h| h.takes_work());
-        if working {
+        let available = rec.ready && host.is_some_and(|h| h.takes_work());
+        if available {
             let s = self.service(&rec.service).ok_or(Rejection::Missing)?;
             let a = self.availability_of(&rec.service);
-            // Surplus instances may go while the rest keeps the budget.
             let allowed = host.is_some_and(|h| a.without_one_on(&s.budget, h).is_some());
             if !allowed {
                 return Err(Rejection::Budget(rec.service.clone()));
@@ -212,9 +221,9 @@
         }
         let host = rec.host.clone();
         self.instances.remove(instance);
-        if let Some(on) = self.by_host.get_mut(&host) {
-            on.retain(|id| id != instance);
-            if on.is_empty() {
+        if let Some(ids) = self.by_host.get_mut(&host) {
+            ids.retain(|id| id != instance);
+            if ids.is_empty() {
                 self.by_host.remove(&host);
             }
         }
@@ -223,7 +232,7 @@
     }
 }
 
-/// The service part of an instance's name.
+/// The service of an instance, from its name `service/number`.
 pub(super) fn service_of_instance(instance: &str) -> &str {
     instance.rsplit_once('/').map_or(instance, |(s, _)| s)
 }
--- a/crates/workswood-core/src/fold/jobs.rs
+++ b/crates/workswood-core/src/fold/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: started at most once where they may not be repeated.
+//! Declared jobs; a job that is not repeatable is started at most once.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,35 +6,37 @@
 use crate::ids::{HostId, Term};
 use crate::record::{JobChange, Role};
 
-/// Where a job is.
+/// Phase of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "phase", rename_all = "snake_case")]
 pub enum JobPhase {
-    /// Not running; may be started.
+    /// Not running, may be started.
     Waiting,
-    /// Started on a host under a token.
+    /// Started on a host.
     Running {
         /// The host.
         host: HostId,
     },
-    /// Ended well.
+    /// Ended successfully.
     Done,
-    /// Ended badly, or not known how; not started again.
+    /// Failed, or lost with its host; not started again.
     Failed,
 }
 
 /// A job that was started at least once.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StartedJob {
-    /// Where it is.
+    /// Its phase.
     pub phase: JobPhase,
-    /// Offset of the last start; its token, the platform refuses lower ones.
+    /// Offset of the last start, which is its fencing token: the platform refuses
+    /// lower ones.
     pub token: u64,
     /// Log time of the last change.
-    pub since: u64,
-    /// Failed runs.
+    #[serde(rename = "since")]
+    pub changed_at: u64,
+    /// Number of failed runs.
     pub failures: u32,
-    /// Runs that were lost with their host.
+    /// Number of runs that were lost with their host.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub losses: u32,
 }
@@ -45,14 +47,15 @@
 
 /// Failed runs after which a job is not started again.
 const MAX_FAILURES: u32 = 3;
-/// Lost runs after which a job is not started again: it may be the job that brings its hosts
-/// down, and a host tells nothing of that.
+/// Lost runs after which a job is not started again: the job may be what brings its
+/// hosts down, and a lost host can't report the cause.
 const MAX_LOSSES: u32 = 3;
 
 impl State {
-    pub(super) fn change_job(&mut self, term: Term, job: &str, change: &JobChange) -> RecordResult {
-        self.holds(Role::Planner, term)?;
-        let declared = self.declared_jobs().find(|j| j.name == job).ok_or(Rejection::Missing)?;
+    /// Applies a change of a declared job.
+    pub(super) fn change_job(&mut self, term: Term, name: &str, change: &JobChange) -> RecordResult {
+        self.check_term(Role::Planner, term)?;
+        let declared = self.declared_jobs().find(|j| j.name == name).ok_or(Rejection::Missing)?;
         let (repeatable, pool) = (declared.repeatable, declared.pool.clone());
         let (time, offset) = (self.log_time, self.next_offset - 1);
         if let JobChange::Start { host } = change {
@@ -61,30 +64,31 @@
                 return Err(Rejection::Phase);
             }
         }
-        let fresh = StartedJob { phase: JobPhase::Waiting, token: 0, since: time, failures: 0, losses: 0 };
-        let rec = self.jobs.entry(job.to_string()).or_insert(fresh);
-        match (change, &rec.phase) {
+        let waiting =
+            StartedJob { phase: JobPhase::Waiting, token: 0, changed_at: time, failures: 0, losses: 0 };
+        let job = self.jobs.entry(name.to_string()).or_insert(waiting);
+        match (change, &job.phase) {
             (JobChange::Start { host }, JobPhase::Waiting) => {
-                // A second start of a job that may not be repeated needs a
-                // checkpointed stop, which only `Preempt` gives.
-                rec.token = offset;
-                rec.phase = JobPhase::Running { host: host.clone() };
+                // Only repeatable jobs return to `Waiting`, so a job that is not
+                // repeatable starts at most once.
+                job.token = offset;
+                job.phase = JobPhase::Running { host: host.clone() };
             }
-            (JobChange::Preempt, JobPhase::Running { .. }) if repeatable => rec.phase = JobPhase::Waiting,
+            (JobChange::Preempt, JobPhase::Running { .. }) if repeatable => job.phase = JobPhase::Waiting,
             (JobChange::Lost, JobPhase::Running { .. }) => {
-                rec.losses += 1;
-                let again = repeatable && rec.losses < MAX_LOSSES;
-                rec.phase = if again { JobPhase::Waiting } else { JobPhase::Failed };
+                job.losses += 1;
+                let restart = repeatable && job.losses < MAX_LOSSES;
+                job.phase = if restart { JobPhase::Waiting } else { JobPhase::Failed };
             }
-            (JobChange::End { ok: true }, JobPhase::Running { .. }) => rec.phase = JobPhase::Done,
+            (JobChange::End { ok: true }, JobPhase::Running { .. }) => job.phase = JobPhase::Done,
             (JobChange::End { ok: false }, JobPhase::Running { .. }) => {
-                rec.failures += 1;
-                let again = repeatable && rec.failures < MAX_FAILURES;
-                rec.phase = if again { JobPhase::Waiting } else { JobPhase::Failed };
+                job.failures += 1;
+                let restart = repeatable && job.failures < MAX_FAILURES;
+                job.phase = if restart { JobPhase::Waiting } else { JobPhase::Failed };
             }
             _ => return Err(Rejection::Phase),
         }
-        rec.since = time;
+        job.changed_at = time;
         Ok(())
     }
 }
--- a/crates/workswood-core/src/fold/lease.rs
+++ b/crates/workswood-core/src/fold/lease.rs
@@ -1,10 +1,10 @@
-//! Duties: leases without clocks in the fold.
+//! Leases on roles, without clocks in the fold.
 //!
-//! A lease has a term and a count of renewals. A process that has seen no
-//! renewal for the lease time, on its own clock, appends `Take` with the count
-//! it saw. If the holder renewed in between, the count differs and the take is
-//! void. Decisions carry the term, so those of a former holder are void from
-//! the moment the take is accepted, whatever that holder still believes.
+//! A lease has a term and a count of renewals. A process that has seen no renewal
+//! for the lease time, by its own clock, appends `Take` with the count it saw. If
+//! the holder renewed in the meantime, the counts differ and the `Take` is
+//! rejected. Decisions carry the term as a fencing token: once a `Take` is
+//! accepted, all further decisions of the former holder are rejected.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,10 +12,10 @@
 use crate::ids::{Incarnation, Term};
 use crate::record::{Role, RosterMember};
 
-/// A role's lease.
+/// The lease on a role.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Who holds it; none after it was given up.
+    /// The holder; none after the lease was released.
     pub holder: Option<Incarnation>,
     /// The holder's term.
     pub term: Term,
@@ -24,40 +24,51 @@
 }
 
 impl State {
-    /// The lease of a role; an empty one if nobody ever took it.
+    /// The lease on a role; an empty one if it was never acquired.
     pub fn lease(&self, role: Role) -> Lease {
         self.leases.get(&role).cloned().unwrap_or_default()
     }
 
-    pub(super) fn holds(&self, role: Role, term: Term) -> RecordResult {
+    /// Checks that `term` is the current one of a lease that is held.
+    pub(super) fn check_term(&self, role: Role, term: Term) -> RecordResult {
         let lease = self.lease(role);
         if lease.holder.is_some() && lease.term == term { Ok(()) } else { Err(Rejection::Term) }
     }
 
-    pub(super) fn take(&mut self, role: Role, holder: &str, term: Term, seen: u64) -> RecordResult {
+    /// Acquires the lease if `term` is the next one and the taker has seen all
+    /// renewals.
+    pub(super) fn acquire_lease(
+        &mut self,
+        role: Role,
+        holder: &str,
+        term: Term,
+        seen_renewals: u64,
+    ) -> RecordResult {
         let lease = self.lease(role);
-        if term != lease.term + 1 || seen != lease.renewals {
+        if term != lease.term + 1 || seen_renewals != lease.renewals {
             return Err(Rejection::Term);
         }
-        let rec = Lease { holder: Some(holder.to_string()), term, renewals: 0 };
-        self.leases.insert(role, rec);
+        let acquired = Lease { holder: Some(holder.to_string()), term, renewals: 0 };
+        self.leases.insert(role, acquired);
         Ok(())
     }
 
-    pub(super) fn renew(&mut self, role: Role, term: Term, from: &str) -> RecordResult {
-        self.holds(role, term)?;
+    /// Counts a renewal by the holder.
+    pub(super) fn renew_lease(&mut self, role: Role, term: Term, sender: &str) -> RecordResult {
+        self.check_term(role, term)?;
         let lease = self.leases.entry(role).or_default();
-        if lease.holder.as_deref() != Some(from) {
+        if lease.holder.as_deref() != Some(sender) {
             return Err(Rejection::Term);
         }
         lease.renewals += 1;
         Ok(())
     }
 
-    pub(super) fn give_up(&mut self, role: Role, term: Term, from: &str) -> RecordResult {
-        self.holds(role, term)?;
+    /// Releases the lease on behalf of its holder.
+    pub(super) fn release_lease(&mut self, role: Role, term: Term, sender: &str) -> RecordResult {
+        self.check_term(role, term)?;
         let lease = self.leases.entry(role).or_default();
-        if lease.holder.as_deref() != Some(from) {
+        if lease.holder.as_deref() != Some(sender) {
             return Err(Rejection::Term);
         }
         lease.holder = None;
@@ -65,8 +76,9 @@
         Ok(())
     }
 
+    /// Replaces the roster.
     pub(super) fn set_roster(&mut self, term: Term, members: &[RosterMember]) -> RecordResult {
-        self.holds(Role::Planner, term)?;
+        self.check_term(Role::Planner, term)?;
         self.roster = members.to_vec();
         self.roster_generation += 1;
         Ok(())
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -1,16 +1,17 @@
-//! The state that every process folds from the log, and the fold itself.
+//! The state that every process derives from the log, and the fold that derives it.
 //!
-//! [`State::fold`] is the only place where state changes. It reads nothing but
-//! the envelope: time is the highest `at` seen so far, so that all processes
-//! agree on it. Sub-modules hold one family of records each.
+//! To fold an envelope is to apply its records to the state. [`State::fold`] is the
+//! only function that changes the state. It depends on nothing but the envelope:
+//! time is the highest [`Envelope::written_at`] folded so far, so that all processes
+//! agree on it. Each submodule handles one kind of record.
 
-mod apply;
+mod checkpoint;
+mod files;
 mod hosts;
 mod idempotency;
 mod instances;
 mod jobs;
 mod lease;
-mod snapshot;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,30 +23,30 @@
 use crate::invariant;
 use crate::record::{Envelope, FORMAT_VERSION, Record, Role, RosterMember};
 
-pub use apply::AppliedFile;
+pub use checkpoint::{CheckpointAssembler, StateDigest};
+pub use files::AppliedFile;
 pub use hosts::{HostPhase, ManagedHost};
-pub use idempotency::{KEY_GRACE, KeyLookup, KeyState, KeyedRequest, MAX_KEY_WINDOW};
+pub use idempotency::{KEY_RETENTION, KeyLookup, KeyState, KeyedRequest, MAX_KEY_WINDOW};
 pub use instances::{Availability, BudgetStatus, PlacedInstance};
 pub use jobs::{JobPhase, StartedJob};
 pub use lease::Lease;
-pub use snapshot::{CheckpointAssembler, StateDigest};
 
 /// Why a record was rejected and had no effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The term is not the current one.
+    /// The term is not the current one of the role, or its holder has renewed since.
     Term,
-    /// The generation is not the current one.
+    /// The generation is not the current one of the host.
     Generation,
-    /// The phase does not allow the change.
+    /// The state of the host, instance, job or key does not allow the change.
     Phase,
-    /// The thing named does not exist.
+    /// A host, instance, pool, job or key that the record names does not exist.
     Missing,
-    /// A budget would be broken.
+    /// The availability budget of this service would be broken.
     Budget(ServiceId),
-    /// The key was claimed before.
+    /// The key was claimed before, or the attempt is not the next one.
     KeyTaken,
-    /// The last moment has passed in log time.
+    /// The key's last moment has passed in log time.
     Expired,
     /// Another change of the file was accepted first.
     Stale {
@@ -54,21 +55,22 @@
         /// Who applied it.
         author: String,
     },
-    /// Something in the file belongs to another file.
+    /// A host or name in the file belongs to another file.
     Claimed {
-        /// What belongs elsewhere.
+        /// The host or name, for example ``host `a` ``.
         what: String,
         /// The file it belongs to.
         file: FileId,
     },
-    /// The record's kind or format is not known.
+    /// The kind or format of the record is not known, or it is a checkpoint that
+    /// differs from the state.
     Unknown,
-    /// The envelope was folded before, or one after it.
+    /// The envelope, or a later one of its sender, was folded before.
     Repeated,
 }
 
 impl Rejection {
-    /// The code that an operator or caller is shown.
+    /// The result code that an operator or a caller is shown.
     pub fn code(&self) -> Code {
         match self {
             Rejection::Stale { .. } => Code::StaleBase,
@@ -89,35 +91,36 @@
     /// Offset of the next envelope to fold.
     #[serde(rename = "next")]
     pub next_offset: Offset,
-    /// Log time: the highest `at` folded.
+    /// Log time: the highest [`Envelope::written_at`] folded.
     #[serde(rename = "time")]
     pub log_time: UnixMs,
-    /// Files in force.
+    /// Fleet files in force.
     pub files: BTreeMap<FileId, AppliedFile>,
     /// Roles and the leases on them.
     pub leases: BTreeMap<Role, Lease>,
-    /// Processes that share slots.
+    /// Entry processes that share the slots of endpoints.
     pub roster: Vec<RosterMember>,
-    /// Grows with each change of the roster.
+    /// Number of changes of the roster.
     pub roster_generation: u64,
-    /// Hosts that files claim, or that are being given up.
+    /// Hosts that files claim, and released hosts that are still being drained.
     pub hosts: BTreeMap<HostId, ManagedHost>,
     /// Instances that are placed.
     pub instances: BTreeMap<InstanceId, PlacedInstance>,
-    /// Keys within their window, and open deferred requests.
+    /// Idempotency keys that are retained, and open deferred requests.
     pub keys: BTreeMap<IdempotencyKey, KeyedRequest>,
     /// Jobs that were started or have ended.
     pub jobs: BTreeMap<JobId, StartedJob>,
-    /// Highest `seq` folded of each process, and log time then.
+    /// Highest `seq` folded from each process, and the log time at that fold.
     pub senders: BTreeMap<Incarnation, (u64, UnixMs)>,
-    /// Records of unknown kind or format.
+    /// Number of records and envelopes of unknown kind or format.
     #[serde(rename = "unknown")]
     pub unknown_records: u64,
-    /// Hosts moved between pools so far.
+    /// Number of moves of hosts between pools.
     pub host_moves: u64,
-    /// Instances moved between hosts so far.
+    /// Number of removals of instances from hosts.
     pub instance_moves: u64,
-    /// Digests at recent marks; not part of the digest itself.
+    /// Digests of the state at the most recent checkpoint markers; not part of the
+    /// digested state.
     #[serde(skip)]
     pub marks: Vec<StateDigest>,
     /// Instances by host, derived from `instances`.
@@ -126,20 +129,19 @@
     /// Where each service in force is declared, derived from `files`.
     #[serde(skip)]
     pub by_service: BTreeMap<ServiceId, (FileId, usize)>,
-    /// Keys by the time they are forgotten, derived from `keys`.
+    /// Keys by the log time at which they expire, derived from `keys`.
     #[serde(skip)]
     pub expiries: BTreeSet<(UnixMs, IdempotencyKey)>,
-    /// Deferred requests that still have to run, derived from `keys`.
+    /// Keys of deferred requests that still have to run, derived from `keys`.
     #[serde(skip)]
     pub open_keys: BTreeSet<IdempotencyKey>,
 }
 
-/// How long a process may be silent in the log before its `seq` is dropped.
-/// Must exceed the longest time that the platform may hold back an append.
-const SENDER_MEMORY_MS: UnixMs = 24 * 3600 * 1000;
-
+/// How long the highest `seq` of a process is kept after its last envelope. Must
+/// exceed the longest time by which the platform may delay an append.
+const SENDER_RETENTION_MS: UnixMs = 24 * 3600 * 1000;
 impl State {
-    /// Folds the envelope at `offset`; returns one verdict a record.
+    /// Folds the envelope at `offset`; returns one result per record.
     pub fn fold(&mut self, offset: Offset, env: &Envelope) -> Vec<RecordResult> {
         let in_order = invariant::check(offset >= self.next_offset, || {
             format!("offset {offset} folded again, next is {}", self.next_offset)
@@ -161,7 +163,7 @@
         self.prune();
         let results: Vec<RecordResult> =
             env.records.iter().map(|r| self.fold_record(env, offset, r)).collect();
-        // The mark is of the state after the whole envelope, wherever it stands.
+        // The digest covers the whole envelope, wherever the marker is in it.
         let has_marker =
             env.records.iter().zip(&results).any(|(r, v)| matches!(r, Record::Mark { .. }) && v.is_ok());
         if has_marker {
@@ -170,7 +172,7 @@
         results
     }
 
-    /// Passes over an envelope that can't be read.
+    /// Skips an envelope that can't be decoded.
     pub fn skip(&mut self, offset: Offset) {
         self.next_offset = offset + 1;
         self.unknown_records += 1;
@@ -178,25 +180,25 @@
 
     fn fold_record(&mut self, env: &Envelope, offset: Offset, record: &Record) -> RecordResult {
         match record {
-            Record::Apply { id, base, author, file } => self.apply(offset, id, *base, author, file),
+            Record::Apply { id, base, author, file } => self.apply_file(offset, id, *base, author, file),
             Record::Take { role, holder, term, seen_renewals: seen } => {
-                self.take(*role, holder, *term, *seen)
+                self.acquire_lease(*role, holder, *term, *seen)
             }
-            Record::Renew { role, term } => self.renew(*role, *term, &env.sender),
-            Record::GiveUp { role, term } => self.give_up(*role, *term, &env.sender),
+            Record::Renew { role, term } => self.renew_lease(*role, *term, &env.sender),
+            Record::GiveUp { role, term } => self.release_lease(*role, *term, &env.sender),
             Record::Roster { term, members } => self.set_roster(*term, members),
             Record::Host { term, host, generation, change } => {
                 self.change_host(*term, host, *generation, change)
             }
             Record::Instance { term, instance, change } => self.change_instance(*term, instance, change),
             Record::Claim { key, service, digest, holder, last_moment, deferred } => {
-                self.claim(key, service, *digest, holder.as_ref(), *last_moment, deferred.as_ref())
+                self.claim_key(key, service, *digest, holder.as_ref(), *last_moment, deferred.as_ref())
             }
-            Record::Start { key, holder, attempt } => self.start(key, holder, *attempt),
-            Record::Finish { key, holder, outcome } => self.finish(key, holder, outcome),
+            Record::Start { key, holder, attempt } => self.start_attempt(key, holder, *attempt),
+            Record::Finish { key, holder, outcome } => self.finish_attempt(key, holder, outcome),
             Record::Job { term, job, change } => self.change_job(*term, job, change),
-            Record::Mark { term } => self.holds(Role::Checkpointer, *term),
-            Record::Checkpoint { marker_offset: upto, digest, .. } => self.check_digest(*upto, *digest),
+            Record::Mark { term } => self.check_term(Role::Checkpointer, *term),
+            Record::Checkpoint { marker_offset, digest, .. } => self.check_digest(*marker_offset, *digest),
             Record::Unknown(_) => {
                 self.unknown_records += 1;
                 Err(Rejection::Unknown)
@@ -204,18 +206,20 @@
         }
     }
 
-    /// Builds everything that is derived from other fields anew.
+    /// Rebuilds the fields that are derived from other fields.
     fn rebuild_indexes(&mut self) {
         self.rebuild_service_index();
         self.rebuild_host_index();
         self.rebuild_key_indexes();
     }
 
+    /// Removes expired keys, and senders that have not written for
+    /// [`SENDER_RETENTION_MS`].
     fn prune(&mut self) {
         self.prune_keys();
-        let floor = self.log_time.saturating_sub(SENDER_MEMORY_MS);
+        let oldest = self.log_time.saturating_sub(SENDER_RETENTION_MS);
         if self.senders.len() > 64 {
-            self.senders.retain(|_, (_, at)| *at >= floor);
+            self.senders.retain(|_, (_, at)| *at >= oldest);
         }
     }
 
@@ -229,7 +233,7 @@
         self.files.values().flat_map(|f| &f.file.services)
     }
 
-    /// The service of a name.
+    /// The service in force with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         let (file, i) = self.by_service.get(name)?;
         self.files.get(file)?.file.services.get(*i)
--- a/crates/workswood-core/src/idempotency.rs
+++ b/crates/workswood-core/src/idempotency.rs
@@ -79,9 +79,9 @@
             Some(KeyAnswer::Conflict)
         }
         KeyLookup::Known(rec) => Some(answer_for(state, rec)),
-        KeyLookup::Open => None,
+        KeyLookup::Claimable => None,
         KeyLookup::NeverRun => Some(KeyAnswer::NeverRun),
-        KeyLookup::Forgotten => Some(KeyAnswer::Forgotten),
+        KeyLookup::Expired => Some(KeyAnswer::Forgotten),
     }
 }
 
--- a/crates/workswood-core/src/plan/jobs.rs
+++ b/crates/workswood-core/src/plan/jobs.rs
@@ -58,7 +58,10 @@
 
 /// Whether a running job's host has been gone for too long.
 fn lost(state: &State, host: &HostId, r: &StartedJob, now: UnixMs) -> bool {
-    let gone = state.hosts.get(host).map_or(Some(r.since), |h| (!h.up).then_some(h.changed_at.max(r.since)));
+    let gone = state
+        .hosts
+        .get(host)
+        .map_or(Some(r.changed_at), |h| (!h.up).then_some(h.changed_at.max(r.changed_at)));
     gone.is_some_and(|since| now.saturating_sub(since) > LOST_AFTER_MS)
 }
 
