--- a/crates/workswood-core/src/idempotency.rs
+++ b/crates/workswood-core/src/idempotency.rs
@@ -1,12 +1,14 @@
-//! What a request that may not be repeated is told, and when it may be sent.
+//! Requests that may not be repeated: when one is sent, and how copies are answered.
 //!
-//! An entry process goes through these steps for each copy of a request:
-//! [`answer_if_known`] on its state; else a claim in the log; [`decide_after_claim`] on the
-//! verdict. Only [`ClaimDecision::Send`] sends, once. A process that gives up
-//! before it knows the verdict never sends. Before it says "not run" it asks
-//! all processes that could have claimed the key ([`ClaimInquiry`]). A process that
-//! says that it does not know a key claims it only after [`CLAIM_HOLD`], so that the
-//! answer still holds when the caller gets it ([`LocalClaims`]).
+//! An entry process handles each copy of a request in these steps. It answers from
+//! its state if the key is known there ([`answer_if_known`]). Otherwise it appends a
+//! claim to the log, and [`decide_after_claim`] decides by the result of that record;
+//! only [`ClaimDecision::Send`] lets it send the request, once. A process that stops
+//! waiting for the result never sends the request. Before it answers "not run", it
+//! asks all processes that could have claimed the key ([`ClaimInquiry`]). A process
+//! that has replied that it does not know a key does not claim it for
+//! [`CLAIM_HOLD`], so that the answer is still true when the caller receives it
+//! ([`LocalClaims`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,48 +17,48 @@
 use crate::fold::{KeyLookup, KeyState, KeyedRequest, RecordResult, Rejection, State};
 use crate::ids::{IdempotencyKey, Incarnation, UnixMs};
 
-/// A key as a caller gives it.
+/// Identity of a request that may not be repeated, as given by its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestIdentity {
-    /// The key.
+    /// The caller's key.
     pub key: IdempotencyKey,
-    /// After this moment no copy is started.
+    /// No copy of the request is started after this moment.
     pub last_moment: UnixMs,
-    /// Digest of the request.
+    /// Digest of method, path and body.
     pub digest: u64,
 }
 
-/// The answer to a copy of a request that is not sent.
+/// The answer to a copy of a request that is not sent to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyAnswer {
-    /// It has run, with this outcome.
+    /// The request has run, with this outcome.
     Done {
         /// HTTP status.
         status: u16,
         /// Body, base64; none when it was too large to keep.
         body: Option<String>,
     },
-    /// The key is that of another request.
+    /// The key belongs to another request.
     Conflict,
-    /// It runs or waits.
+    /// The request is running or waiting to be run.
     Running,
-    /// It may have run and is not run again.
+    /// The request may have run, and is not run again.
     Unknown,
-    /// It never ran and its last moment has passed.
+    /// The request never ran, and its last moment has passed.
     NeverRun,
-    /// Its last moment passed too long ago to tell.
-    Forgotten,
+    /// The retention of the key is over, so it is not known whether the request ran.
+    Expired,
 }
 
 impl KeyAnswer {
-    /// The numbered code; none for an outcome.
+    /// The result code; `None` for [`KeyAnswer::Done`].
     pub fn code(&self) -> Option<Code> {
         match self {
             KeyAnswer::Done { .. } => None,
             KeyAnswer::Conflict => Some(Code::KeyConflict),
             KeyAnswer::Running => Some(Code::KeyRunning),
             KeyAnswer::Unknown => Some(Code::KeyUnknownOutcome),
-            KeyAnswer::NeverRun | KeyAnswer::Forgotten => Some(Code::KeyExpired),
+            KeyAnswer::NeverRun | KeyAnswer::Expired => Some(Code::KeyExpired),
         }
     }
 
@@ -65,134 +67,135 @@
         match self {
             KeyAnswer::Done { .. } => ExecutionStatus::Run,
             KeyAnswer::NeverRun => ExecutionStatus::NotRun,
-            KeyAnswer::Conflict | KeyAnswer::Running | KeyAnswer::Unknown | KeyAnswer::Forgotten => {
+            KeyAnswer::Conflict | KeyAnswer::Running | KeyAnswer::Unknown | KeyAnswer::Expired => {
                 ExecutionStatus::Unknown
             }
         }
     }
 }
 
-/// What the state says of a key; `None` if it may be claimed.
-pub fn answer_if_known(state: &State, given: &RequestIdentity) -> Option<KeyAnswer> {
-    match state.lookup(&given.key, given.last_moment) {
-        KeyLookup::Known(rec) if rec.digest != given.digest || rec.last_moment != given.last_moment => {
+/// The answer to a copy of a request by the state; `None` if the key may be claimed.
+pub fn answer_if_known(state: &State, request: &RequestIdentity) -> Option<KeyAnswer> {
+    match state.lookup(&request.key, request.last_moment) {
+        KeyLookup::Known(rec) if rec.digest != request.digest || rec.last_moment != request.last_moment => {
             Some(KeyAnswer::Conflict)
         }
         KeyLookup::Known(rec) => Some(answer_for(state, rec)),
         KeyLookup::Claimable => None,
         KeyLookup::NeverRun => Some(KeyAnswer::NeverRun),
-        KeyLookup::Expired => Some(KeyAnswer::Forgotten),
+        KeyLookup::Expired => Some(KeyAnswer::Expired),
     }
 }
 
-/// What the state says of a known request.
+/// The answer to a copy of a request that is known in the state.
 pub fn answer_for(state: &State, rec: &KeyedRequest) -> KeyAnswer {
     let alive = |id: &str| state.roster.iter().any(|m| m.id == id);
     match &rec.state {
         KeyState::Done { status, body } => KeyAnswer::Done { status: *status, body: body.clone() },
         KeyState::Unknown => KeyAnswer::Unknown,
-        // A deferred request goes on elsewhere when its holder is gone.
+        // A deferred request is taken over by another process when its holder is gone.
         KeyState::Running { holder } if rec.deferred.is_none() && !alive(holder) => KeyAnswer::Unknown,
         KeyState::Running { .. } | KeyState::Waiting => KeyAnswer::Running,
     }
 }
 
-/// What follows from the verdict on an own claim.
+/// What a process does after its claim was folded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimDecision {
-    /// This process has won and sends, once.
+    /// The claim was accepted: this process sends the request, once.
     Send,
-    /// The caller is told what the log says.
+    /// The key is taken or expired: the caller gets this answer.
     Answer(KeyAnswer),
-    /// This process may not claim now; the caller comes back.
+    /// This process may not claim the key now; the caller retries later.
     RetryLater,
 }
 
-/// What follows from the verdict on an own claim, on the state that holds it.
-pub fn decide_after_claim(state: &State, given: &RequestIdentity, verdict: &RecordResult) -> ClaimDecision {
-    match verdict {
+/// Decides what a process does after its own claim was folded into `state` with
+/// `result`.
+pub fn decide_after_claim(state: &State, request: &RequestIdentity, result: &RecordResult) -> ClaimDecision {
+    match result {
         Ok(()) => ClaimDecision::Send,
         Err(Rejection::KeyTaken) => {
-            ClaimDecision::Answer(answer_if_known(state, given).unwrap_or(KeyAnswer::Unknown))
+            ClaimDecision::Answer(answer_if_known(state, request).unwrap_or(KeyAnswer::Unknown))
         }
-        // Log time has passed the last moment, so no claim can follow.
+        // Log time has passed the last moment, so no later claim can be accepted.
         Err(Rejection::Expired) => {
-            ClaimDecision::Answer(answer_if_known(state, given).unwrap_or(KeyAnswer::Forgotten))
+            ClaimDecision::Answer(answer_if_known(state, request).unwrap_or(KeyAnswer::Expired))
         }
         Err(_) => ClaimDecision::RetryLater,
     }
 }
 
-/// What a process says when it is asked about a key.
+/// Reply of a process that is asked whether a key may have been claimed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InquiryReply {
-    /// Whether the key is claimed, or a claim of it is on its way.
+    /// Whether the key is claimed, or a claim of it has begun.
     pub known: bool,
-    /// The roster that the process has folded, and the one that it has proposed
-    /// as planner.
+    /// Processes on the roster that the process has folded, and on the one that it
+    /// has proposed as planner.
     pub roster: Vec<Incarnation>,
 }
 
-/// How long a process does not claim a key after it said not to know it.
+/// How long a process does not claim a key after it replied that it does not know it.
 pub const CLAIM_HOLD: Duration = Duration::from_secs(2);
 
-/// Keys that one process is about to claim, and keys that it must not.
+/// Keys that this process is claiming, and keys that it may not claim now.
 #[derive(Clone, Debug, Default)]
 pub struct LocalClaims {
-    active: BTreeMap<IdempotencyKey, u32>,
-    held: BTreeMap<IdempotencyKey, Duration>,
-    claims_from: Option<Duration>,
+    in_progress: BTreeMap<IdempotencyKey, u32>,
+    held_until: BTreeMap<IdempotencyKey, Duration>,
+    claims_allowed_from: Option<Duration>,
 }
 
 impl LocalClaims {
-    /// Notes whether this process is on the roster. One that comes on it makes
-    /// no claim for [`CLAIM_HOLD`]: a question that began before does not reach it,
-    /// and what its former life has held is forgotten.
-    pub fn set_on_roster(&mut self, on: bool, now: Duration) {
-        match (on, self.claims_from) {
-            (true, None) => self.claims_from = Some(now + CLAIM_HOLD),
+    /// Records whether this process is on the roster. A process that joins the roster
+    /// makes no claims for [`CLAIM_HOLD`]: an inquiry that began earlier does not
+    /// include it, and keys held by its previous incarnation are not known to it.
+    pub fn set_on_roster(&mut self, on_roster: bool, now: Duration) {
+        match (on_roster, self.claims_allowed_from) {
+            (true, None) => self.claims_allowed_from = Some(now + CLAIM_HOLD),
             (true, Some(_)) => {}
-            (false, _) => self.claims_from = None,
+            (false, _) => self.claims_allowed_from = None,
         }
     }
 
-    /// Begins a claim; while the key is held, returns until when. Times are
-    /// since the start of the process.
+    /// Begins a claim of a key. While claims of it are not allowed, returns the time
+    /// from which they are. Times are since the start of the process.
     pub fn begin(&mut self, key: &str, now: Duration) -> Result<(), Duration> {
-        let claims_from = self.claims_from.unwrap_or(now + CLAIM_HOLD);
-        if now < claims_from {
-            return Err(claims_from);
+        let claims_allowed_from = self.claims_allowed_from.unwrap_or(now + CLAIM_HOLD);
+        if now < claims_allowed_from {
+            return Err(claims_allowed_from);
         }
-        self.held.retain(|_, until| *until > now);
-        if let Some(until) = self.held.get(key) {
+        self.held_until.retain(|_, until| *until > now);
+        if let Some(until) = self.held_until.get(key) {
             return Err(*until);
         }
-        *self.active.entry(key.to_string()).or_default() += 1;
+        *self.in_progress.entry(key.to_string()).or_default() += 1;
         Ok(())
     }
 
-    /// Ends a claim that was begun.
+    /// Ends a claim that was begun with [`LocalClaims::begin`].
     pub fn end(&mut self, key: &str) {
-        if let Some(n) = self.active.get_mut(key) {
+        if let Some(n) = self.in_progress.get_mut(key) {
             *n -= 1;
             if *n == 0 {
-                self.active.remove(key);
+                self.in_progress.remove(key);
             }
         }
     }
 
-    /// Whether a claim has begun; if not, none begins for [`CLAIM_HOLD`].
+    /// Whether a claim of the key has begun; if not, none may begin for [`CLAIM_HOLD`].
     pub fn claim_begun_or_hold(&mut self, key: &str, now: Duration) -> bool {
-        let begun = self.active.contains_key(key);
+        let begun = self.in_progress.contains_key(key);
         if !begun {
-            self.held.insert(key.to_string(), now + CLAIM_HOLD);
+            self.held_until.insert(key.to_string(), now + CLAIM_HOLD);
         }
         begun
     }
 }
 
-/// The question to all processes that could have claimed a key. The roster is
-/// widened by those that the others know of.
+/// An inquiry to all processes that could have claimed a key: those on the roster,
+/// and those on the rosters that they report.
 #[derive(Clone, Debug)]
 pub struct ClaimInquiry {
     asked: BTreeSet<Incarnation>,
@@ -201,22 +204,24 @@
 }
 
 impl ClaimInquiry {
-    /// A question that begins with what the asking process itself knows. One
-    /// that is not on the roster that it has folded can't be certain: it may
-    /// not have folded the claims of processes that are gone.
+    /// An inquiry that begins with the reply of the asking process itself. A process
+    /// that is not on the roster that it has folded can't be certain of the result: it
+    /// may not have folded the claims of processes that are gone.
     pub fn new(own_id: &str, own: InquiryReply) -> ClaimInquiry {
         let certain = own.roster.iter().any(|id| id == own_id);
-        let mut i = ClaimInquiry { asked: BTreeSet::new(), remaining: vec![own_id.to_string()], certain };
-        i.record_reply(Some(own));
-        i
+        let mut inquiry =
+            ClaimInquiry { asked: BTreeSet::new(), remaining: vec![own_id.to_string()], certain };
+        inquiry.record_reply(Some(own));
+        inquiry
     }
 
-    /// The process to ask next.
+    /// The process to ask next; `None` when the inquiry is over.
     pub fn next_to_ask(&self) -> Option<&Incarnation> {
         self.remaining.last().filter(|_| self.certain)
     }
 
-    /// Takes in what the process just asked has said; `None` for no answer.
+    /// Records the reply of the process last returned by
+    /// [`ClaimInquiry::next_to_ask`]; `None` if it did not answer.
     pub fn record_reply(&mut self, reply: Option<InquiryReply>) {
         let Some(id) = self.remaining.pop() else { return };
         self.asked.insert(id);
@@ -230,8 +235,7 @@
         }
     }
 
-    /// Whether nobody can have claimed the key; meaningful when nobody is left
-    /// to ask.
+    /// Whether no process can have claimed the key; meaningful once the inquiry is over.
     pub fn never_claimed(&self) -> bool {
         self.certain && self.remaining.is_empty()
     }
--- a/crates/workswood-core/src/ids.rs
+++ b/crates/workswood-core/src/ids.rs
@@ -1,16 +1,16 @@
-//! Aliases for identifiers and units shared by all packages.
+//! Type aliases of identifiers and units that all crates share.
 
-/// Name of a host of the platform, unique in the fleet.
+/// Name of a host, unique in the fleet.
 pub type HostId = String;
 /// Name of a pool, unique in the fleet.
 pub type PoolId = String;
 /// Name of a service, unique in the fleet.
 pub type ServiceId = String;
-/// Name of one instance of a service: `service/number`.
+/// Name of an instance of a service: `service/number`.
 pub type InstanceId = String;
-/// Name of a fleet file; the unit in which configuration is applied.
+/// Name of a fleet file. A file is applied as a whole.
 pub type FileId = String;
-/// One life of an entry process: a replaced or restarted one has another.
+/// Identifier of one run of an entry process; a restart gets a new one.
 pub type Incarnation = String;
 /// Name of a data centre.
 pub type DataCentre = String;
@@ -18,15 +18,15 @@
 pub type Rack = String;
 /// Name of a team that submits jobs.
 pub type TeamId = String;
-/// Name of a workspace: a team whose calls carry its keys.
+/// Name of a workspace: a team that authenticates its calls with its API keys.
 pub type WorkspaceId = String;
 /// Name of a job.
 pub type JobId = String;
-/// The caller's key of a request that may not be repeated.
+/// Key by which a caller identifies a request that may not be repeated.
 pub type IdempotencyKey = String;
-/// Position of an envelope in the platform's log; the first is 0.
+/// Position of an envelope in the platform's log, from 0.
 pub type Offset = u64;
-/// Number of a lease holder's turn; higher is later.
+/// Number of a term of a lease; it grows with each new holder.
 pub type Term = u64;
-/// Milliseconds since the Unix epoch, as told by the clock of one process.
+/// Milliseconds since the Unix epoch, by the clock of one process.
 pub type UnixMs = u64;
--- a/crates/workswood-core/src/invariant.rs
+++ b/crates/workswood-core/src/invariant.rs
@@ -1,31 +1,32 @@
-//! Assertions that stay on in release builds.
+//! Assertions that are also checked in release builds.
 //!
-//! A broken invariant does not stop the process: it is counted, its first
-//! message is kept, and the caller takes the safe branch. Tests and the long
-//! run fail when [`total`] is not zero.
+//! A failed check does not stop the process: it is counted, the message of the first
+//! one is kept, and the caller takes the safe branch. Tests and the soak run fail if
+//! [`total`] is not zero.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-static BROKEN: AtomicU64 = AtomicU64::new(0);
-static FIRST: Mutex<Option<String>> = Mutex::new(None);
+static FAILED_CHECKS: AtomicU64 = AtomicU64::new(0);
+static FIRST_MESSAGE: Mutex<Option<String>> = Mutex::new(None);
 
-/// Counts and keeps the first message when `holds` is false; returns `holds`.
+/// Checks an invariant. If `holds` is false, counts the failure and keeps the message
+/// of the first one. Returns `holds`.
 pub fn check(holds: bool, message: impl FnOnce() -> String) -> bool {
     if !holds {
-        BROKEN.fetch_add(1, Ordering::Relaxed);
-        let mut first = FIRST.lock().unwrap_or_else(|e| e.into_inner());
+        FAILED_CHECKS.fetch_add(1, Ordering::Relaxed);
+        let mut first = FIRST_MESSAGE.lock().unwrap_or_else(|e| e.into_inner());
         first.get_or_insert_with(message);
     }
     holds
 }
 
-/// How many checks have failed in this process.
+/// Number of checks that have failed in this process.
 pub fn total() -> u64 {
-    BROKEN.load(Ordering::Relaxed)
+    FAILED_CHECKS.load(Ordering::Relaxed)
 }
 
 /// The message of the first failed check of this process.
 pub fn first() -> Option<String> {
-    FIRST.lock().unwrap_or_else(|e| e.into_inner()).clone()
+    FIRST_MESSAGE.lock().unwrap_or_else(|e| e.into_inner()).clone()
 }
