--- a/crates/workswood-core/src/invariant.rs
+++ b/crates/workswood-core/src/invariant.rs
@@ -2,7 +2,7 @@
 //!
 //! A failed check does not stop the process: it is counted, the message of the first
 //! one is kept, and the caller takes the safe branch. Tests and the soak run fail if
-//! [`total`] is not zero.
+//! [`failed_checks`] is not zero.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -22,11 +22,11 @@
 }
 
 /// Number of checks that have failed in this process.
-pub fn total() -> u64 {
+pub fn failed_checks() -> u64 {
     FAILED_CHECKS.load(Ordering::Relaxed)
 }
 
 /// The message of the first failed check of this process.
-pub fn first() -> Option<String> {
+pub fn first_failure() -> Option<String> {
     FIRST_MESSAGE.lock().unwrap_or_else(|e| e.into_inner()).clone()
 }
--- a/src/workswood/ops/entry/operate.rs
+++ b/src/workswood/ops/entry/operate.rs
@@ -35,7 +35,7 @@
     }
 
     fn metrics(&self) -> String {
-        self.metrics.broken.set(invariant::total() as i64);
+        self.metrics.broken.set(invariant::failed_checks() as i64);
         self.metrics.lines_dropped.set(logs::dropped() as i64);
         self.metrics.text()
     }
@@ -199,8 +199,8 @@
         keys: state.keys.len(),
         open_deferred: state.open_keys.len(),
         unknown_records: state.unknown_records,
-        invariants_broken: invariant::total(),
-        first_broken: invariant::first(),
+        invariants_broken: invariant::failed_checks(),
+        first_broken: invariant::first_failure(),
         host_moves: state.host_moves,
         instance_moves: state.instance_moves,
     }
--- a/src/workswood/ops/soak.rs
+++ b/src/workswood/ops/soak.rs
@@ -385,9 +385,10 @@
                 self.tally.violation(format!("deferred {key} was lost: {ran}"));
             }
         }
-        let broken = invariant::total();
+        let broken = invariant::failed_checks();
         if broken > 0 {
-            self.tally.violation(format!("{broken} invariant(s) broken, first: {:?}", invariant::first()));
+            self.tally
+                .violation(format!("{broken} invariant(s) broken, first: {:?}", invariant::first_failure()));
         }
         let c = self.platform.counters();
         crate::outln!(
--- a/src/workswood/util/job_metrics.rs
+++ b/src/workswood/util/job_metrics.rs
@@ -186,7 +186,7 @@
 
     /// All metrics as text.
     pub fn text(&self) -> String {
-        self.broken.set(invariant::total() as i64);
+        self.broken.set(invariant::failed_checks() as i64);
         self.lines_dropped.set(logs::dropped() as i64);
         text(&self.registry)
     }
--- a/tests/testsuite/entry_stop.rs
+++ b/tests/testsuite/entry_stop.rs
@@ -53,7 +53,7 @@
     assert_eq!(load.refused(), Vec::<String>::new(), "requests were refused");
     assert_eq!(dev.platform.ledger.doubled(), Vec::<String>::new());
     assert!(dev.platform.ledger.most_connections.load(Ordering::Relaxed) <= 64);
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
--- a/tests/testsuite/log_faults.rs
+++ b/tests/testsuite/log_faults.rs
@@ -28,7 +28,7 @@
         assert_eq!(ran(&res), "run", "{res:?}");
         assert_eq!(dev.platform.ledger.runs(&key), 1);
     }
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
--- a/tests/testsuite/log_retention.rs
+++ b/tests/testsuite/log_retention.rs
@@ -40,7 +40,7 @@
     let res = dev.call(2, req).await.expect("an answer");
     assert_eq!(ran(&res), "run");
     assert_eq!(dev.platform.ledger.runs("kept"), 1);
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -86,5 +86,5 @@
     tokio::time::sleep(Duration::from_millis(10)).await;
     proxy.cut(false);
     until("it has the newest", || sleeper.state.read().files["small"].version == 61).await;
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
--- a/tests/testsuite/maintenance_waves.rs
+++ b/tests/testsuite/maintenance_waves.rs
@@ -47,7 +47,7 @@
     assert!(watch.least() >= 4, "only {} were available", watch.least());
     assert_eq!(dev.platform.ledger.cut_off.load(std::sync::atomic::Ordering::Relaxed), 0);
     assert_eq!(dev.platform.counters().reboots, 8);
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
--- a/tests/testsuite/policy_model.rs
+++ b/tests/testsuite/policy_model.rs
@@ -38,7 +38,7 @@
     let f = mean(&calm(), 3);
     assert!(f.in_time > 0.99, "{f:?}");
     assert!(f.jobs > 50.0 && f.machines < 41.0, "{f:?}");
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 #[test]
@@ -52,7 +52,7 @@
         assert!(f.in_time < calm.in_time, "{kind:?}: {f:?} against {calm:?}");
         assert!(f.in_time > 0.5, "{kind:?}: {f:?}, it has to come back");
     }
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 /// Half of the data centres are evacuated, one after the other and while the holder dies: nothing begins there,
@@ -69,7 +69,7 @@
     ];
     let f = mean(&spec, 3);
     assert!(f.in_time > 0.5, "{f:?}");
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 /// Without a wave and faults nothing but the turns makes jobs late.
@@ -265,5 +265,5 @@
     let before = mean(&ModelSpec { policy: first_due, ..spec.clone() }, 2);
     let f = mean(&spec, 2);
     assert!(f.in_time > before.in_time * 1.8, "{f:?} against {before:?}");
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
--- a/tests/testsuite/random_fleet.rs
+++ b/tests/testsuite/random_fleet.rs
@@ -52,7 +52,7 @@
         })
         .seed(seed);
     }
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
     total
 }
 
--- a/tests/testsuite/random_jobs.rs
+++ b/tests/testsuite/random_jobs.rs
@@ -152,7 +152,7 @@
         takeovers += t;
     }
     assert!(starts > HISTORIES && takeovers > HISTORIES, "{starts} starts, {takeovers} takeovers");
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 #[test]
@@ -165,7 +165,7 @@
     }
     assert!(starts > HISTORIES, "{starts} starts");
     assert!(without * 20 < starts, "{without} starts without a ticket that holds, beside {starts}");
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 #[test]
@@ -177,21 +177,21 @@
         sessions += seen.sessions;
     }
     assert!(starts > HISTORIES && sessions > 10 * HISTORIES, "{starts} starts, {sessions} sessions");
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 #[test]
 fn short_histories_with_limit() {
     let starts: u64 = (1..=HISTORIES).map(|seed| play(seed, World::limited, With::Nothing).starts).sum();
     assert!(starts > HISTORIES, "{starts} starts");
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 #[test]
 fn short_histories_with_crashes() {
     let starts: u64 = (1..=HISTORIES).map(|seed| play(seed, World::new, With::Crashes).starts).sum();
     assert!(starts > HISTORIES, "{starts} starts");
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 #[test]
@@ -199,7 +199,7 @@
     let starts: u64 =
         (1..=HISTORIES).map(|seed| play(seed, World::two_centres, With::Evacuations).starts).sum();
     assert!(starts > HISTORIES, "{starts} starts");
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 /// Workers start again under their names: what was meant for one life reaches the next one.
@@ -207,7 +207,7 @@
 fn short_histories_with_restarts() {
     let starts: u64 = (1..=HISTORIES).map(|seed| play(seed, World::restarting, With::Nothing).starts).sum();
     assert!(starts > HISTORIES, "{starts} starts");
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 /// A task that crashes its workers, among workers that crash so often by themselves that chance
@@ -222,7 +222,7 @@
     let starts: u64 =
         (1..=HISTORIES).map(|seed| play(seed, World::restarting_relayed, With::Relays).starts).sum();
     assert!(starts > HISTORIES, "{starts} starts");
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 #[test]
--- a/tests/testsuite/slot_dispatch.rs
+++ b/tests/testsuite/slot_dispatch.rs
@@ -134,7 +134,7 @@
         .seed((900 + i) << 32 | 4_096);
     }
     assert!(lent > 100, "only {lent} slots were lent");
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 #[test]
--- a/tests/testsuite/state_checkpoints.rs
+++ b/tests/testsuite/state_checkpoints.rs
@@ -84,5 +84,5 @@
         .seed(SEED + (i << 32));
     }
     assert!(compared >= 100);
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
