--- a/crates/workswood-core/src/lib.rs
+++ b/crates/workswood-core/src/lib.rs
@@ -1,26 +1,27 @@
-//! The decisions of workswood, without input, output, clocks or randomness.
+//! The decision logic of workswood, without input, output, clocks or randomness.
 //!
-//! Everything in this crate is a function of state and time. The processes
-//! around it read the platform's log, sockets and clocks, hand the facts in
-//! and carry out the actions that come back.
+//! Everything in this crate is a function of state and time. The processes that use
+//! it read the platform's log, sockets and clocks, pass in what they read, and carry
+//! out the actions that are returned.
 //!
-//! How the pieces meet:
+//! The modules:
 //!
-//! * [`fleet`] holds the files operators write, and checks them offline.
-//! * [`record`] holds what is appended to the platform's log. An envelope is
-//!   one append and carries many records of one process.
-//! * [`fold`] turns envelopes, in offset order, into [`fold::State`]. Each
-//!   record states a precondition; a record whose precondition does not hold
-//!   at its offset is void, and every process decides that alike.
-//! * [`plan`] proposes records: which hosts belong to which pool, where
-//!   instances run, which hosts are maintained together. The fold checks each
-//!   proposal again, so that a slow or paused planner can't break a budget.
-//! * [`route`] decides on one entry host which request gets which endpoint.
-//! * [`jobs`] queues and runs jobs of many steps on the workers of services.
-//! * [`idempotency`] decides what a request that may not be repeated is told.
-//! * [`membership`] decides which other entry hosts are alive.
-//! * [`invariant`] counts what must never happen, in release builds too.
-//! * [`code`] numbers every answer that says something went wrong.
+//! * [`fleet`] defines the files that operators write, and checks them offline.
+//! * [`record`] defines what is appended to the platform's log. An envelope is one
+//!   append and carries records of one process.
+//! * [`fold`] applies envelopes, in offset order, to [`fold::State`]. Each record has
+//!   a precondition; a record whose precondition does not hold at its offset is
+//!   rejected, and every process decides this in the same way.
+//! * [`plan`] proposes records: which hosts belong to which pool, where instances
+//!   run, which hosts are maintained together. The fold checks each proposal again,
+//!   so that a slow or paused planner can't break a budget.
+//! * [`route`] decides, on one entry host, which endpoint gets which request.
+//! * [`jobs`] queues jobs of many steps and runs them on the workers of services.
+//! * [`idempotency`] decides how copies of a request that may not be repeated are
+//!   answered.
+//! * [`membership`] judges which other entry processes are alive.
+//! * [`invariant`] checks invariants, also in release builds.
+//! * [`code`] lists the numbered result codes.
 
 pub mod code;
 pub mod fleet;
@@ -34,12 +35,13 @@
 pub mod record;
 pub mod route;
 
-/// Digest of several byte strings, each with its length.
+/// Digest of several byte strings. Each is preceded by its length, so that the
+/// boundaries between them count.
 pub fn digest(parts: &[&[u8]]) -> u64 {
-    let mut h = xxhash_rust::xxh3::Xxh3::new();
-    for p in parts {
-        h.update(&(p.len() as u64).to_le_bytes());
-        h.update(p);
+    let mut hasher = xxhash_rust::xxh3::Xxh3::new();
+    for part in parts {
+        hasher.update(&(part.len() as u64).to_le_bytes());
+        hasher.update(part);
     }
-    h.digest()
+    hasher.digest()
 }
--- a/crates/workswood-core/src/record.rs
+++ b/crates/workswood-core/src/record.rs
@@ -1,10 +1,11 @@
-//! What the processes append to the platform's log.
+//! The records that processes append to the platform's log.
 //!
-//! One append is one [`Envelope`]: the group commit of one process. Envelopes
-//! of a process carry a growing `seq`; the fold takes each `seq` once and none
-//! that is lower than one it has taken. An append whose answer was lost can
-//! therefore be sent again, and one that was given up is void for good as soon
-//! as a later envelope of the same process is in the log.
+//! One append is one [`Envelope`]: the group commit of one process. The envelopes of a
+//! process carry a growing `seq`, and the fold rejects an envelope whose `seq` is not
+//! higher than the last one that it has folded from the process. An append whose
+//! answer was lost can therefore be retried, and an append that the process has
+//! abandoned can no longer take effect once a later envelope of the process is in
+//! the log.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -15,18 +16,18 @@
 /// Version of the record format that this program writes.
 pub const FORMAT_VERSION: u16 = 1;
 
-/// One append of one process.
+/// One append to the log, by one process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Format version.
+    /// Version of the record format, [`FORMAT_VERSION`].
     #[serde(rename = "v")]
     pub format_version: u16,
     /// The process that wrote it.
     #[serde(rename = "from")]
     pub sender: Incarnation,
-    /// Number of the envelope among those of the process, from 1.
+    /// Sequence number of the envelope among those of the process, from 1.
     pub seq: u64,
-    /// Clock of the process when it wrote the envelope.
+    /// Time at which the process wrote the envelope, by its own clock.
     #[serde(rename = "at")]
     pub written_at: UnixMs,
     /// The records, folded in order.
@@ -37,31 +38,32 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Record {
-    /// Puts a file in force if `base` is its version.
+    /// Puts a fleet file in force if `base` is the version in force.
     Apply {
         /// Unique id of the operator's change.
         id: String,
-        /// Version that the change was made on; 0 for a new file.
+        /// Version that the change is based on; 0 for a new file.
         base: u64,
-        /// Who applied it.
+        /// Who applied the change.
         author: String,
         /// The whole file.
         file: Box<FleetFile>,
     },
-    /// Takes a role if `term` is the next and no renewal came since `seen`.
+    /// Acquires the lease on a role if `term` is the next one and the lease was not
+    /// renewed since the taker counted `seen_renewals`.
     Take {
         /// The role.
         #[serde(rename = "duty")]
         role: Role,
-        /// Who takes it.
+        /// The new holder.
         holder: Incarnation,
         /// The next term.
         term: Term,
-        /// Renewals of the former term that the taker has seen.
+        /// Renewals of the current term that the taker has seen.
         #[serde(rename = "seen")]
         seen_renewals: u64,
     },
-    /// Shows that the holder of the term is alive.
+    /// Renews the lease, which shows that its holder is alive.
     Renew {
         /// The role.
         #[serde(rename = "duty")]
@@ -69,7 +71,7 @@
         /// The holder's term.
         term: Term,
     },
-    /// Gives a role up before its lease ends.
+    /// Releases the lease on a role before it ends.
     GiveUp {
         /// The role.
         #[serde(rename = "duty")]
@@ -77,7 +79,7 @@
         /// The holder's term.
         term: Term,
     },
-    /// Sets which entry processes share slots; planner only.
+    /// Sets which entry processes share the slots of endpoints; planner only.
     Roster {
         /// The planner's term.
         term: Term,
@@ -90,7 +92,7 @@
         term: Term,
         /// The host.
         host: HostId,
-        /// Generation of the host that the step was decided on.
+        /// Generation of the host that the change was decided on.
         generation: u64,
         /// The change.
         #[serde(rename = "step")]
@@ -115,14 +117,14 @@
         service: ServiceId,
         /// Digest of method, path and body.
         digest: u64,
-        /// The process that runs it; none for a deferred request.
+        /// The process that runs the request; none for a deferred request.
         holder: Option<Incarnation>,
-        /// After this moment no copy is started.
+        /// No copy of the request is started after this moment.
         last_moment: UnixMs,
-        /// The request itself when it is deferred.
+        /// The request itself if it is deferred.
         deferred: Option<DeferredRequest>,
     },
-    /// Starts a deferred request if `attempt` is the next.
+    /// Starts an attempt of a deferred request if `attempt` is the next one.
     Start {
         /// The key.
         key: IdempotencyKey,
@@ -131,13 +133,13 @@
         /// Number of the attempt, from 1.
         attempt: u32,
     },
-    /// Ends an attempt; only its holder may.
+    /// Records the outcome of an attempt; only its holder may.
     Finish {
         /// The key.
         key: IdempotencyKey,
         /// The process that ran it.
         holder: Incarnation,
-        /// What is known of the run.
+        /// How the attempt ended.
         #[serde(rename = "end")]
         outcome: AttemptOutcome,
     },
@@ -151,26 +153,28 @@
         #[serde(rename = "step")]
         change: JobChange,
     },
-    /// Asks every process to note the digest of its state here.
+    /// Marks an offset for a checkpoint: every process records the digest of its
+    /// state there.
     Mark {
         /// The checkpointer's term.
         term: Term,
     },
-    /// One part of the state as it was at the mark.
+    /// One part of a checkpoint of the state at a marker.
     Checkpoint {
-        /// Offset of the envelope with the mark.
+        /// Offset of the envelope with the `Mark` record.
         #[serde(rename = "upto")]
         marker_offset: Offset,
         /// Number of this part, from 0.
         part: u32,
-        /// How many parts there are.
+        /// Number of parts.
         parts: u32,
         /// Digest of the state.
         digest: u64,
-        /// Part of the state's JSON text.
+        /// This part of the state's JSON text.
         data: String,
     },
-    /// A record of a kind this program does not know: kept in the log, counted.
+    /// A record of a kind that this program does not know. It has no effect and is
+    /// counted.
     #[serde(untagged)]
     Unknown(Value),
 }
@@ -181,7 +185,7 @@
 pub enum Role {
     /// Decides about hosts, instances, jobs and the roster.
     Planner,
-    /// Writes checkpoints of the state into the log.
+    /// Writes checkpoints of the state to the log.
     Checkpointer,
 }
 
@@ -190,7 +194,7 @@
     pub const ALL: [Role; 2] = [Role::Planner, Role::Checkpointer];
 }
 
-/// An entry process that shares slots.
+/// An entry process on the roster.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RosterMember {
     /// Its incarnation.
@@ -203,9 +207,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "why", rename_all = "snake_case")]
 pub enum DrainReason {
-    /// It goes to another pool.
+    /// It moves to another pool.
     Move {
-        /// The pool it goes to.
+        /// The pool that it moves to.
         to: PoolId,
     },
     /// It is rebooted for maintenance.
@@ -221,7 +225,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "step", rename_all = "snake_case")]
 pub enum HostChange {
-    /// Notes where the host stands and what it has.
+    /// Records the location and the resources of the host, as the platform lists them.
     Seen {
         /// Data centre and rack.
         #[serde(rename = "place")]
@@ -230,43 +234,44 @@
         cpus: u32,
         /// Memory in GiB.
         memory_gib: u32,
-        /// Accelerators.
+        /// Number of accelerators.
         accelerators: u32,
     },
-    /// Notes that the host answers or not.
+    /// Records whether the host answers.
     Health {
         /// Whether it answers.
         up: bool,
     },
-    /// Notes that a script moved the host; it is left alone while set.
+    /// Records whether something other than workswood moved the host; the host is not
+    /// managed while set.
     Foreign {
-        /// Whether it was moved by others.
+        /// Whether it was moved.
         foreign: bool,
     },
-    /// Gives a free host to a pool.
+    /// Assigns a free host to a pool.
     Assign {
         /// The pool.
         pool: PoolId,
     },
     /// Stops new work on the host, if every budget allows it.
     Drain {
-        /// Why.
+        /// Why the host is drained.
         reason: DrainReason,
     },
-    /// Notes that no work is left on a draining host.
+    /// Records that no work is left on a draining host.
     Drained,
-    /// Withdraws a drain.
+    /// Cancels a drain.
     Undrain,
-    /// Moves a drained host to the pool named by its drain.
+    /// Moves a drained host to the pool named in its drain reason.
     Flip,
     /// Starts the reboot of a drained host.
     Reboot {
         /// Boot id before the reboot.
         boot: String,
     },
-    /// Puts a rebooted host back to work.
+    /// Returns a rebooted host to service.
     Return,
-    /// Gives up a drained host that no file claims.
+    /// Removes a drained host that no file claims from the state.
     Forget,
 }
 
@@ -274,19 +279,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "step", rename_all = "snake_case")]
 pub enum InstanceChange {
-    /// Places it on a host.
+    /// Places the instance on a host.
     Place {
         /// The host.
         host: HostId,
     },
-    /// Notes its address and whether it takes work.
+    /// Records the instance's address and whether it takes work.
     Ready {
         /// IP address and port.
         address: String,
         /// Whether it takes work.
         ready: bool,
     },
-    /// Takes it from its host.
+    /// Removes the instance from its host.
     Remove,
 }
 
@@ -294,23 +299,23 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "step", rename_all = "snake_case")]
 pub enum JobChange {
-    /// Starts it on a host with the next token.
+    /// Starts the job on a host; the offset of the record is the fencing token.
     Start {
         /// The host.
         host: HostId,
     },
-    /// Stops it so that it may start again later.
+    /// Stops the job so that it may start again later.
     Preempt,
-    /// Notes that its host is gone; it may have run.
+    /// Records that the job was lost with its host; it may have run.
     Lost,
-    /// Notes that it has ended.
+    /// Records that the job has ended.
     End {
         /// Whether it succeeded.
         ok: bool,
     },
 }
 
-/// A request kept in the log until it has run.
+/// A request that is kept in the log until it has run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeferredRequest {
     /// Method.
@@ -319,7 +324,7 @@
     pub path: String,
     /// Body, base64.
     pub body: String,
-    /// Whether another attempt may follow one of unknown end.
+    /// Whether an attempt with an unknown outcome may be followed by another one.
     pub repeatable: bool,
 }
 
@@ -336,6 +341,6 @@
     },
     /// Nothing was sent.
     NotSent,
-    /// Something was sent and no answer came.
+    /// The request was sent at least in part, and no answer arrived.
     Unknown,
 }
