--- a/crates/workswood-core/src/fleet/file.rs
+++ b/crates/workswood-core/src/fleet/file.rs
@@ -1,4 +1,4 @@
-//! The types of a fleet file. See `docs/FLEET.md` for the reference.
+//! The types of a fleet file; `docs/FLEET.md` is the reference.
 
 use std::time::Duration;
 
@@ -7,15 +7,15 @@
 use super::time::serde_rfc3339;
 use crate::ids::{DataCentre, FileId, HostId, JobId, PoolId, Rack, ServiceId, TeamId, UnixMs};
 
-/// One file of an operator; applied as a whole or not at all.
+/// A fleet file; applied as a whole or not at all.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetFile {
-    /// Name of the unit; the same name replaces the earlier version.
+    /// Name of the file; a file with the same name replaces the earlier version.
     pub file: FileId,
-    /// What the plan weighs.
+    /// Weights of the planner's objective.
     #[serde(default)]
     pub objective: Objective,
-    /// Hosts handed over to the system. Hosts named nowhere are not touched.
+    /// Hosts that the file claims. Hosts that no file claims are not managed.
     #[serde(default)]
     pub hosts: Vec<Host>,
     /// Pools that the hosts are divided into.
@@ -24,7 +24,7 @@
     /// Services and their budgets.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// Maintenance that is planned.
+    /// Planned maintenance.
     #[serde(default)]
     pub maintenance: Vec<Maintenance>,
     /// Teams and their quotas.
@@ -35,16 +35,16 @@
     pub jobs: Vec<Job>,
 }
 
-/// Weights of the three measures; higher is more important.
+/// Weights of the planner's three measures; a higher weight is more important.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Objective {
     /// Weight of host and instance moves.
     #[serde(default = "one")]
     pub moves: u32,
-    /// Weight of the time a roll-out takes.
+    /// Weight of the duration of a rollout.
     #[serde(default = "one")]
     pub rollout: u32,
-    /// Weight of spare buffer capacity.
+    /// Weight of spare capacity.
     #[serde(default = "one")]
     pub buffer: u32,
 }
@@ -59,32 +59,32 @@
     1
 }
 
-/// A named set of hosts of one shape.
+/// A named set of hosts with the same minimum resources.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pool {
     /// Name, unique in the fleet.
     pub name: PoolId,
-    /// How many hosts the pool shall have.
+    /// Target number of hosts.
     pub size: u32,
-    /// Least processors of a host, in cores.
+    /// Minimum processors of a host, in cores.
     #[serde(default)]
     pub min_cpus: u32,
-    /// Least memory of a host, in GiB.
+    /// Minimum memory of a host, in GiB.
     #[serde(default)]
     pub min_memory_gib: u32,
-    /// Least accelerators of a host.
+    /// Minimum number of accelerators of a host.
     #[serde(default)]
     pub min_accelerators: u32,
 }
 
-/// A service that callers reach.
+/// A service that callers send requests to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// Name, unique in the fleet.
     pub name: ServiceId,
     /// Pool whose hosts run the instances.
     pub pool: PoolId,
-    /// How many instances shall run, each on a host of its own.
+    /// Target number of instances, each on a host of its own.
     pub instances: u32,
     /// Processors that one instance needs, in cores.
     #[serde(default = "default_instance_cpus")]
@@ -92,19 +92,19 @@
     /// Memory that one instance needs, in GiB.
     #[serde(default = "default_instance_memory")]
     pub memory_gib: u32,
-    /// Requests that one instance works on at a time.
+    /// Number of requests that one instance processes at a time.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Requests that may be under way to one instance at a time, those on the
-    /// wire included; 0 is a quarter more than `slots`.
+    /// Maximum requests in flight to one instance, including those in transit; 0 means
+    /// a quarter more than `slots`.
     #[serde(default)]
     pub window: u32,
-    /// Connections that one instance accepts, over all entry hosts.
+    /// Maximum connections to one instance, from all entry hosts together.
     #[serde(default = "default_connections")]
     pub connections: u32,
     /// The availability budget.
     pub budget: Budget,
-    /// Routes of callers to this service.
+    /// Routes to this service.
     #[serde(default)]
     pub routes: Vec<Route>,
 }
@@ -126,7 +126,7 @@
 }
 
 impl Service {
-    /// Requests that may be under way to one instance at a time.
+    /// Maximum requests in flight to one instance, with the default applied.
     pub fn window(&self) -> u32 {
         match self.window {
             0 => self.slots + self.slots / 4,
@@ -135,30 +135,31 @@
     }
 }
 
-/// What the service must keep, counting every cause together.
+/// The availability budget of a service; it counts unavailability of every cause.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Budget {
-    /// Least instances that are available at any time.
+    /// Minimum instances that are available at any time.
     pub min_available: u32,
-    /// Most instances of one data centre that may be unavailable by our acts.
+    /// Maximum instances of one data centre on hosts that are draining, drained or
+    /// rebooting.
     #[serde(default)]
     pub max_unavailable_per_data_centre: Option<u32>,
-    /// Whether one more rack may fail at any time without breaking the budget.
+    /// Whether the budget must still hold if one more rack fails.
     #[serde(default)]
     pub reserve_rack: bool,
 }
 
-/// How soon a request is needed.
+/// Priority class of a request or job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PriorityClass {
-    /// A person waits.
+    /// A person is waiting for the answer.
     Urgent,
     /// Ordinary work.
     Normal,
-    /// Long transfers, streamed; has a reserved share.
+    /// Long, streamed transfers; they have a reserved share.
     Long,
-    /// May wait an hour; kept in the log until it has run.
+    /// Deferred: may wait an hour, and is kept in the log until it has run.
     Later,
 }
 
@@ -167,7 +168,7 @@
     pub const ALL: [PriorityClass; 4] =
         [PriorityClass::Urgent, PriorityClass::Normal, PriorityClass::Long, PriorityClass::Later];
 
-    /// The name used in files and logs.
+    /// The name of the class in files and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             PriorityClass::Urgent => "urgent",
@@ -178,16 +179,16 @@
     }
 }
 
-/// A path that callers use.
+/// A path prefix that is routed to a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Prefix of the path; the longest that fits wins.
+    /// Prefix of the path; the longest matching prefix wins.
     pub path: String,
-    /// How soon it is needed.
+    /// Priority class of its requests.
     pub class: PriorityClass,
-    /// Whether running it twice does no harm.
+    /// Whether its requests may run more than once.
     pub repeatable: bool,
-    /// Longest time from arrival to answer.
+    /// Maximum time from the arrival of a request to its answer.
     #[serde(with = "humantime_serde", default = "default_deadline")]
     pub deadline: Duration,
 }
@@ -196,26 +197,26 @@
     Duration::from_secs(10)
 }
 
-/// Work on every host of a pool that needs a reboot.
+/// Maintenance of every host of a pool, which reboots each host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Maintenance {
-    /// Name, unique in the fleet; a new name is new maintenance.
+    /// Name, unique in the fleet; hosts are maintained once per name.
     pub name: String,
     /// Pool whose hosts are maintained.
     pub pool: PoolId,
-    /// Expected time that one host is away.
+    /// Expected time that one host is out of service.
     #[serde(with = "humantime_serde")]
     pub duration: Duration,
-    /// Not before this time.
+    /// Time before which no host is drained; 0 means no limit.
     #[serde(with = "serde_rfc3339", default)]
     pub start: UnixMs,
-    /// Every host is back by this time; 0 is no deadline.
+    /// Time by which every host is back in service; 0 means no deadline.
     #[serde(with = "serde_rfc3339", default)]
     pub deadline: UnixMs,
-    /// Releases that no host may be away for.
+    /// Time windows, for example of releases, in which no host may be out of service.
     #[serde(default, rename = "keep_clear")]
     pub blackout_windows: Vec<TimeWindow>,
-    /// Most hosts away at a time; 0 is as many as the budgets allow.
+    /// Maximum hosts out of service at a time; 0 means as many as the budgets allow.
     #[serde(default)]
     pub max_parallel: u32,
     /// Whether the operator has paused it.
@@ -223,13 +224,13 @@
     pub paused: bool,
 }
 
-/// A span of time.
+/// A time window.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TimeWindow {
-    /// First moment.
+    /// Start, inclusive.
     #[serde(with = "serde_rfc3339")]
     pub from: UnixMs,
-    /// First moment after it.
+    /// End, exclusive.
     #[serde(with = "serde_rfc3339")]
     pub to: UnixMs,
 }
@@ -239,11 +240,11 @@
 pub struct Team {
     /// Name, unique in the fleet.
     pub name: TeamId,
-    /// Processors that its running jobs may use together, in cores.
+    /// Maximum processors that its running jobs may use together, in cores.
     pub quota_cpus: u32,
 }
 
-/// A job to run once on a pool.
+/// A job that runs once, on a host of a pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
     /// Name, unique in the fleet.
@@ -252,18 +253,18 @@
     pub team: TeamId,
     /// Pool whose hosts may run it.
     pub pool: PoolId,
-    /// Declared processors, in cores.
+    /// Processors that the job needs, in cores.
     pub cpus: u32,
-    /// Declared memory, in GiB.
+    /// Memory that the job needs, in GiB.
     #[serde(default)]
     pub memory_gib: u32,
-    /// How soon it is needed; `long` is not used for jobs.
+    /// Priority class; `long` is not used for jobs.
     pub class: PriorityClass,
-    /// Whether it may be started again after an unknown end.
+    /// Whether it may be started again when it failed, was lost or was preempted.
     pub repeatable: bool,
 }
 
-/// Where a host stands.
+/// Location of a host.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct HostLocation {
     /// Data centre of the host.
@@ -272,15 +273,15 @@
     pub rack: Rack,
 }
 
-/// A host that is handed over, as the operator knows it. What the platform's
-/// list says of it later goes before these values.
+/// A host that a file claims, as its operator describes it. The platform's list takes
+/// precedence over these values.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Host {
     /// Name, unique in the fleet.
     pub name: HostId,
-    /// Where it stands.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// Rack, unique in the fleet.
+    /// Rack of the host; the name is unique in the fleet.
     pub rack: Rack,
     /// Processors, in cores.
     #[serde(default = "default_host_cpus")]
@@ -288,7 +289,7 @@
     /// Memory, in GiB.
     #[serde(default = "default_host_memory")]
     pub memory_gib: u32,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accelerators: u32,
 }
@@ -302,7 +303,7 @@
 }
 
 impl Host {
-    /// Its data centre and rack.
+    /// Data centre and rack of the host.
     pub fn location(&self) -> HostLocation {
         HostLocation { data_centre: self.data_centre.clone(), rack: self.rack.clone() }
     }
--- a/crates/workswood-core/src/fleet/mod.rs
+++ b/crates/workswood-core/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Fleet files: what operators declare, and the offline checks of it.
+//! Fleet files: the types that operators declare, the parser, and offline checks.
 
 mod check;
 mod file;
