--- a/crates/workswood-core/src/fold/files.rs
+++ b/crates/workswood-core/src/fold/files.rs
@@ -15,7 +15,8 @@
     /// Offset at which the version was accepted.
     pub offset: Offset,
     /// Id of the operator's change that set this version.
-    pub change: String,
+    #[serde(rename = "change")]
+    pub change_id: String,
     /// Who applied the change.
     pub author: String,
     /// Digest of the file's content.
@@ -41,8 +42,8 @@
     ) -> RecordResult {
         let digest = digest(file);
         if let Some(current) = self.files.get(&file.file) {
-            // A change that was sent twice takes effect once.
-            if current.change == id || current.digest == digest {
+            // A change that was sent twice, or that changes nothing, has no effect.
+            if current.change_id == id || current.digest == digest {
                 return Ok(());
             }
         }
@@ -57,7 +58,7 @@
         let applied = AppliedFile {
             version: version + 1,
             offset,
-            change: id.to_string(),
+            change_id: id.to_string(),
             author: author.to_string(),
             digest,
             file: file.clone(),
@@ -111,8 +112,8 @@
         self.hosts.retain(|_, h| !(h.released && h.pool.is_none()));
     }
 
-    /// Removes instances and jobs that are no longer declared from the state. They
-    /// are not stopped.
+    /// Removes instances and jobs that are no longer declared from the state. Running
+    /// instances are not stopped.
     fn remove_undeclared(&mut self) {
         let by_service = &self.by_service;
         self.instances.retain(|_, i| by_service.contains_key(&i.service));
--- a/crates/workswood-core/src/fold/hosts.rs
+++ b/crates/workswood-core/src/fold/hosts.rs
@@ -125,29 +125,29 @@
     pub(super) fn change_host(
         &mut self,
         term: Term,
-        host: &str,
+        host_id: &str,
         generation: u64,
         change: &HostChange,
     ) -> RecordResult {
         self.check_term(Role::Planner, term)?;
-        let rec = self.hosts.get(host).ok_or(Rejection::Missing)?;
-        if rec.generation != generation {
+        let host = self.hosts.get(host_id).ok_or(Rejection::Missing)?;
+        if host.generation != generation {
             return Err(Rejection::Generation);
         }
         if let HostChange::Drain { .. } = change {
-            self.check_drain_budgets(host)?;
+            self.check_drain_budgets(host_id)?;
         }
         if let HostChange::Flip | HostChange::Forget = change
-            && self.by_host.contains_key(host)
+            && self.by_host.contains_key(host_id)
         {
             return Err(Rejection::Phase);
         }
         if let HostChange::Forget = change {
-            let released = rec.released && matches!(rec.phase, HostPhase::Drained(DrainReason::Release));
+            let released = host.released && matches!(host.phase, HostPhase::Drained(DrainReason::Release));
             if !released {
                 return Err(Rejection::Phase);
             }
-            self.hosts.remove(host);
+            self.hosts.remove(host_id);
             return Ok(());
         }
         let pool_exists = |p: &str| self.pools().any(|x| x.name == p);
@@ -159,28 +159,28 @@
             _ => {}
         }
         let (time, offset) = (self.log_time, self.next_offset - 1);
-        let rec = self.hosts.get_mut(host).ok_or(Rejection::Missing)?;
-        let changed_pool = apply_change(rec, change)?;
-        rec.generation += 1;
-        rec.changed_at_offset = offset;
+        let host = self.hosts.get_mut(host_id).ok_or(Rejection::Missing)?;
+        let changed_pool = apply_change(host, change)?;
+        host.generation += 1;
+        host.changed_at_offset = offset;
         if !matches!(change, HostChange::Seen { .. }) {
-            rec.changed_at = time;
+            host.changed_at = time;
         }
-        update_fencing_generations(rec, change);
-        let consistent = rec.pool.is_some() || rec.phase == HostPhase::Free;
-        invariant::check(consistent, || format!("host {host} is in no pool and not free"));
+        update_fencing_generations(host, change);
+        let consistent = host.pool.is_some() || host.phase == HostPhase::Free;
+        invariant::check(consistent, || format!("host {host_id} is in no pool and not free"));
         self.host_moves += u64::from(changed_pool);
         // An instance that was ready before the action counts as ready again only
         // once the platform lists it as ready after the action.
         if let HostChange::Reboot { .. } | HostChange::Undrain | HostChange::Return = change {
-            self.mark_instances_not_ready(host);
+            self.mark_instances_not_ready(host_id);
         }
         Ok(())
     }
 
     /// Marks the instances on a host as not ready.
-    fn mark_instances_not_ready(&mut self, host: &str) {
-        for id in self.by_host.get(host).into_iter().flatten() {
+    fn mark_instances_not_ready(&mut self, host_id: &str) {
+        for id in self.by_host.get(host_id).into_iter().flatten() {
             if let Some(i) = self.instances.get_mut(id) {
                 i.ready = false;
             }
@@ -189,54 +189,54 @@
 }
 
 /// Updates the generations that are fencing tokens of actions on the platform.
-fn update_fencing_generations(rec: &mut ManagedHost, change: &HostChange) {
+fn update_fencing_generations(host: &mut ManagedHost, change: &HostChange) {
     match change {
-        HostChange::Assign { .. } => rec.pool_generation = rec.generation,
+        HostChange::Assign { .. } => host.pool_generation = host.generation,
         // A flip is followed by two actions on the platform: setting the pool and
         // ending the drain. Each has a generation of its own.
         HostChange::Flip => {
-            rec.pool_generation = rec.generation;
-            rec.generation += 1;
-            rec.action_generation = rec.generation;
+            host.pool_generation = host.generation;
+            host.generation += 1;
+            host.action_generation = host.generation;
         }
         HostChange::Drain { .. } | HostChange::Undrain | HostChange::Reboot { .. } | HostChange::Return => {
-            rec.action_generation = rec.generation;
+            host.action_generation = host.generation;
         }
         _ => {}
     }
 }
 
 /// Applies a change to a host; returns true if it moved the host to another pool.
-fn apply_change(rec: &mut ManagedHost, change: &HostChange) -> Result<bool, Rejection> {
-    match (change, rec.phase.clone()) {
+fn apply_change(host: &mut ManagedHost, change: &HostChange) -> Result<bool, Rejection> {
+    match (change, host.phase.clone()) {
         (HostChange::Seen { location, cpus, memory_gib, accelerators }, _) => {
-            rec.location = location.clone();
-            rec.cpus = *cpus;
-            rec.memory_gib = *memory_gib;
-            rec.accelerators = *accelerators;
+            host.location = location.clone();
+            host.cpus = *cpus;
+            host.memory_gib = *memory_gib;
+            host.accelerators = *accelerators;
         }
-        (HostChange::Health { up }, _) => rec.up = *up,
-        (HostChange::Foreign { foreign }, _) => rec.externally_moved = *foreign,
+        (HostChange::Health { up }, _) => host.up = *up,
+        (HostChange::Foreign { foreign }, _) => host.externally_moved = *foreign,
         (HostChange::Assign { pool }, HostPhase::Free) => {
-            rec.pool = Some(pool.clone());
-            rec.phase = HostPhase::Active;
+            host.pool = Some(pool.clone());
+            host.phase = HostPhase::Active;
         }
-        (HostChange::Drain { reason }, HostPhase::Active) => rec.phase = HostPhase::Draining(reason.clone()),
-        (HostChange::Drained, HostPhase::Draining(reason)) => rec.phase = HostPhase::Drained(reason),
+        (HostChange::Drain { reason }, HostPhase::Active) => host.phase = HostPhase::Draining(reason.clone()),
+        (HostChange::Drained, HostPhase::Draining(reason)) => host.phase = HostPhase::Drained(reason),
         (HostChange::Undrain, HostPhase::Draining(_) | HostPhase::Drained(_)) => {
-            rec.phase = HostPhase::Active
+            host.phase = HostPhase::Active
         }
         (HostChange::Flip, HostPhase::Drained(DrainReason::Move { to })) => {
-            rec.pool = Some(to);
-            rec.phase = HostPhase::Active;
+            host.pool = Some(to);
+            host.phase = HostPhase::Active;
             return Ok(true);
         }
         (HostChange::Reboot { boot }, HostPhase::Drained(DrainReason::Maintain { name })) => {
-            rec.phase = HostPhase::Rebooting { name, boot: boot.clone() };
+            host.phase = HostPhase::Rebooting { name, boot: boot.clone() };
         }
         (HostChange::Return, HostPhase::Rebooting { name, .. }) => {
-            rec.maintained.insert(name);
-            rec.phase = HostPhase::Active;
+            host.maintained.insert(name);
+            host.phase = HostPhase::Active;
         }
         _ => return Err(Rejection::Phase),
     }
--- a/crates/workswood-core/src/fold/idempotency.rs
+++ b/crates/workswood-core/src/fold/idempotency.rs
@@ -96,8 +96,8 @@
 impl State {
     /// Looks up a key that a request with this last moment names.
     pub fn lookup(&self, key: &str, last_moment: UnixMs) -> KeyLookup<'_> {
-        if let Some(rec) = self.keys.get(key) {
-            return KeyLookup::Known(rec);
+        if let Some(request) = self.keys.get(key) {
+            return KeyLookup::Known(request);
         }
         if last_moment >= self.log_time {
             return KeyLookup::Claimable;
@@ -133,7 +133,7 @@
             Some(h) => KeyState::Running { holder: h.clone() },
             None => KeyState::Waiting,
         };
-        let rec = KeyedRequest {
+        let request = KeyedRequest {
             service: service.clone(),
             digest,
             last_moment,
@@ -141,30 +141,30 @@
             state,
             deferred: deferred.cloned(),
         };
-        self.expiries.insert((rec.expires_at(), key.clone()));
-        if rec.is_open() {
+        self.expiries.insert((request.expires_at(), key.clone()));
+        if request.is_open() {
             self.open_keys.insert(key.clone());
         }
-        self.keys.insert(key.clone(), rec);
+        self.keys.insert(key.clone(), request);
         Ok(())
     }
 
     /// Starts the next attempt of a deferred request.
     pub(super) fn start_attempt(&mut self, key: &str, holder: &str, attempt: u32) -> RecordResult {
-        let rec = self.keys.get_mut(key).ok_or(Rejection::Missing)?;
-        if rec.deferred.is_none() {
+        let request = self.keys.get_mut(key).ok_or(Rejection::Missing)?;
+        if request.deferred.is_none() {
             return Err(Rejection::Phase);
         }
-        let may_start = match rec.state {
+        let may_start = match request.state {
             KeyState::Waiting => true,
-            KeyState::Running { .. } => rec.may_repeat(),
+            KeyState::Running { .. } => request.may_repeat(),
             KeyState::Done { .. } | KeyState::Unknown => false,
         };
-        if !may_start || attempt != rec.attempts + 1 {
+        if !may_start || attempt != request.attempts + 1 {
             return Err(Rejection::KeyTaken);
         }
-        rec.attempts = attempt;
-        rec.state = KeyState::Running { holder: holder.to_string() };
+        request.attempts = attempt;
+        request.state = KeyState::Running { holder: holder.to_string() };
         Ok(())
     }
 
@@ -175,32 +175,32 @@
         holder: &str,
         outcome: &AttemptOutcome,
     ) -> RecordResult {
-        let rec = self.keys.get_mut(key).ok_or(Rejection::Missing)?;
-        let is_holder = matches!(&rec.state, KeyState::Running { holder: h } if h == holder);
+        let request = self.keys.get_mut(key).ok_or(Rejection::Missing)?;
+        let is_holder = matches!(&request.state, KeyState::Running { holder: h } if h == holder);
         if !is_holder {
             return Err(Rejection::Phase);
         }
-        let may_repeat = rec.may_repeat();
+        let may_repeat = request.may_repeat();
         match outcome {
             AttemptOutcome::Answered { status, body } => {
-                rec.state = KeyState::Done { status: *status, body: body.clone() };
+                request.state = KeyState::Done { status: *status, body: body.clone() };
             }
-            AttemptOutcome::NotSent if rec.deferred.is_some() => rec.state = KeyState::Waiting,
+            AttemptOutcome::NotSent if request.deferred.is_some() => request.state = KeyState::Waiting,
             // Nothing ran, and the caller is told so: the key may be claimed again.
             AttemptOutcome::NotSent => {
-                let expiry = (rec.expires_at(), key.to_string());
+                let expiry = (request.expires_at(), key.to_string());
                 self.expiries.remove(&expiry);
                 self.keys.remove(key);
                 return Ok(());
             }
-            AttemptOutcome::Unknown if may_repeat => rec.state = KeyState::Waiting,
-            AttemptOutcome::Unknown => rec.state = KeyState::Unknown,
+            AttemptOutcome::Unknown if may_repeat => request.state = KeyState::Waiting,
+            AttemptOutcome::Unknown => request.state = KeyState::Unknown,
         }
-        if !rec.is_open() {
+        if !request.is_open() {
             // A request that ended after its retention expires now, and not in the past.
-            rec.last_moment =
-                rec.last_moment.max(self.log_time.saturating_sub(KEY_RETENTION.as_millis() as UnixMs));
-            let expires_at = rec.expires_at();
+            request.last_moment =
+                request.last_moment.max(self.log_time.saturating_sub(KEY_RETENTION.as_millis() as UnixMs));
+            let expires_at = request.expires_at();
             self.open_keys.remove(key);
             self.expiries.insert((expires_at, key.to_string()));
         }
--- a/crates/workswood-core/src/fold/instances.rs
+++ b/crates/workswood-core/src/fold/instances.rs
@@ -134,14 +134,14 @@
     }
 
     /// Checks that all budgets allow the host to stop taking work.
-    pub fn check_drain_budgets(&self, host: &str) -> RecordResult {
-        let rec = self.hosts.get(host).ok_or(Rejection::Missing)?;
+    pub fn check_drain_budgets(&self, host_id: &str) -> RecordResult {
+        let host = self.hosts.get(host_id).ok_or(Rejection::Missing)?;
         // Instances on a host that takes no work are already unavailable.
-        if !rec.takes_work() {
+        if !host.takes_work() {
             return Ok(());
         }
-        for s in self.services_ready_on(host) {
-            let allowed = self.availability_of(&s.name).without_one_on(&s.budget, rec).is_some();
+        for s in self.services_ready_on(host_id) {
+            let allowed = self.availability_of(&s.name).without_one_on(&s.budget, host).is_some();
             if !allowed {
                 return Err(Rejection::Budget(s.name.clone()));
             }
@@ -175,9 +175,9 @@
         match change {
             InstanceChange::Place { host } => self.place_instance(instance, host),
             InstanceChange::Ready { address, ready } => {
-                let rec = self.instances.get_mut(instance).ok_or(Rejection::Missing)?;
-                rec.address.clone_from(address);
-                rec.ready = *ready;
+                let placed = self.instances.get_mut(instance).ok_or(Rejection::Missing)?;
+                placed.address.clone_from(address);
+                placed.ready = *ready;
                 Ok(())
             }
             InstanceChange::Remove => self.remove_instance(instance),
@@ -194,32 +194,32 @@
         if already_placed || host_occupied || !h.takes_work() || h.pool.as_ref() != Some(&s.pool) {
             return Err(Rejection::Phase);
         }
-        let rec = PlacedInstance {
+        let placed = PlacedInstance {
             service: service.to_string(),
             host: host.to_string(),
             address: String::new(),
             ready: false,
             token: self.next_offset - 1,
         };
-        self.instances.insert(instance.to_string(), rec);
+        self.instances.insert(instance.to_string(), placed);
         self.by_host.entry(host.to_string()).or_default().push(instance.to_string());
         Ok(())
     }
 
     /// Removes an instance from its host, if the budget allows it.
     fn remove_instance(&mut self, instance: &str) -> RecordResult {
-        let rec = self.instances.get(instance).ok_or(Rejection::Missing)?;
-        let host = self.hosts.get(&rec.host);
-        let available = rec.ready && host.is_some_and(|h| h.takes_work());
+        let placed = self.instances.get(instance).ok_or(Rejection::Missing)?;
+        let host = self.hosts.get(&placed.host);
+        let available = placed.ready && host.is_some_and(|h| h.takes_work());
         if available {
-            let s = self.service(&rec.service).ok_or(Rejection::Missing)?;
-            let a = self.availability_of(&rec.service);
+            let s = self.service(&placed.service).ok_or(Rejection::Missing)?;
+            let a = self.availability_of(&placed.service);
             let allowed = host.is_some_and(|h| a.without_one_on(&s.budget, h).is_some());
             if !allowed {
-                return Err(Rejection::Budget(rec.service.clone()));
+                return Err(Rejection::Budget(placed.service.clone()));
             }
         }
-        let host = rec.host.clone();
+        let host = placed.host.clone();
         self.instances.remove(instance);
         if let Some(ids) = self.by_host.get_mut(&host) {
             ids.retain(|id| id != instance);
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -140,6 +140,7 @@
 /// How long the highest `seq` of a process is kept after its last envelope. Must
 /// exceed the longest time by which the platform may delay an append.
 const SENDER_RETENTION_MS: UnixMs = 24 * 3600 * 1000;
+
 impl State {
     /// Folds the envelope at `offset`; returns one result per record.
     pub fn fold(&mut self, offset: Offset, env: &Envelope) -> Vec<RecordResult> {
@@ -154,8 +155,8 @@
             self.unknown_records += 1;
             return vec![Err(Rejection::Unknown); env.records.len()];
         }
-        let last = self.senders.get(&env.sender).map_or(0, |s| s.0);
-        if env.seq <= last {
+        let last_seq = self.senders.get(&env.sender).map_or(0, |s| s.0);
+        if env.seq <= last_seq {
             return vec![Err(Rejection::Repeated); env.records.len()];
         }
         self.log_time = self.log_time.max(env.written_at);
@@ -164,8 +165,11 @@
         let results: Vec<RecordResult> =
             env.records.iter().map(|r| self.fold_record(env, offset, r)).collect();
         // The digest covers the whole envelope, wherever the marker is in it.
-        let has_marker =
-            env.records.iter().zip(&results).any(|(r, v)| matches!(r, Record::Mark { .. }) && v.is_ok());
+        let has_marker = env
+            .records
+            .iter()
+            .zip(&results)
+            .any(|(record, result)| matches!(record, Record::Mark { .. }) && result.is_ok());
         if has_marker {
             self.record_digest(offset);
         }
@@ -178,11 +182,12 @@
         self.unknown_records += 1;
     }
 
+    /// Applies one record if its precondition holds.
     fn fold_record(&mut self, env: &Envelope, offset: Offset, record: &Record) -> RecordResult {
         match record {
             Record::Apply { id, base, author, file } => self.apply_file(offset, id, *base, author, file),
-            Record::Take { role, holder, term, seen_renewals: seen } => {
-                self.acquire_lease(*role, holder, *term, *seen)
+            Record::Take { role, holder, term, seen_renewals } => {
+                self.acquire_lease(*role, holder, *term, *seen_renewals)
             }
             Record::Renew { role, term } => self.renew_lease(*role, *term, &env.sender),
             Record::GiveUp { role, term } => self.release_lease(*role, *term, &env.sender),
@@ -223,12 +228,12 @@
         }
     }
 
-    /// Every pool in force.
+    /// All pools in force.
     pub fn pools(&self) -> impl Iterator<Item = &Pool> {
         self.files.values().flat_map(|f| &f.file.pools)
     }
 
-    /// Every service in force.
+    /// All services in force.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.files.values().flat_map(|f| &f.file.services)
     }
--- a/crates/workswood-core/src/idempotency.rs
+++ b/crates/workswood-core/src/idempotency.rs
@@ -77,10 +77,12 @@
 /// The answer to a copy of a request by the state; `None` if the key may be claimed.
 pub fn answer_if_known(state: &State, request: &RequestIdentity) -> Option<KeyAnswer> {
     match state.lookup(&request.key, request.last_moment) {
-        KeyLookup::Known(rec) if rec.digest != request.digest || rec.last_moment != request.last_moment => {
+        KeyLookup::Known(known)
+            if known.digest != request.digest || known.last_moment != request.last_moment =>
+        {
             Some(KeyAnswer::Conflict)
         }
-        KeyLookup::Known(rec) => Some(answer_for(state, rec)),
+        KeyLookup::Known(known) => Some(answer_for(state, known)),
         KeyLookup::Claimable => None,
         KeyLookup::NeverRun => Some(KeyAnswer::NeverRun),
         KeyLookup::Expired => Some(KeyAnswer::Expired),
@@ -88,13 +90,13 @@
 }
 
 /// The answer to a copy of a request that is known in the state.
-pub fn answer_for(state: &State, rec: &KeyedRequest) -> KeyAnswer {
+pub fn answer_for(state: &State, known: &KeyedRequest) -> KeyAnswer {
     let alive = |id: &str| state.roster.iter().any(|m| m.id == id);
-    match &rec.state {
+    match &known.state {
         KeyState::Done { status, body } => KeyAnswer::Done { status: *status, body: body.clone() },
         KeyState::Unknown => KeyAnswer::Unknown,
         // A deferred request is taken over by another process when its holder is gone.
-        KeyState::Running { holder } if rec.deferred.is_none() && !alive(holder) => KeyAnswer::Unknown,
+        KeyState::Running { holder } if known.deferred.is_none() && !alive(holder) => KeyAnswer::Unknown,
         KeyState::Running { .. } | KeyState::Waiting => KeyAnswer::Running,
     }
 }
