--- a/crates/workswood-core/src/fold/hosts.rs
+++ b/crates/workswood-core/src/fold/hosts.rs
@@ -1,28 +1,29 @@
-//! Hosts: one pool at most, changed by steps that name the generation.
+//! Hosts: each is in at most one pool, and each change names the generation of the
+//! host that it was decided on.
 
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
 
-use super::{State, Verdict, Void};
-use crate::fleet::{Host, Place};
+use super::{RecordResult, Rejection, State};
+use crate::fleet::{Host, HostLocation};
 use crate::ids::{FileId, PoolId, Term};
 use crate::invariant;
-use crate::record::{DrainReason, Duty, HostStep};
+use crate::record::{DrainReason, HostChange, Role};
 
-/// Where a host is in its life with us.
+/// Phase of a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "phase", rename_all = "snake_case")]
-pub enum Phase {
+pub enum HostPhase {
     /// In no pool.
     Free,
-    /// In its pool, takes work.
+    /// In its pool; takes work.
     Active,
-    /// Takes no new work; work in progress goes on.
+    /// Takes no new work; running work continues.
     Draining(DrainReason),
     /// No work is left on it.
     Drained(DrainReason),
-    /// Being rebooted for the maintenance named.
+    /// Being rebooted for maintenance.
     Rebooting {
         /// Name of the maintenance.
         name: String,
@@ -31,62 +32,68 @@
     },
 }
 
-/// What is known and decided of a host.
+/// A host that a fleet file claims, with what is known and decided about it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HostRec {
-    /// The file that claims it.
+pub struct ManagedHost {
+    /// The fleet file that claims it.
     pub file: FileId,
-    /// The one pool it belongs to.
+    /// The pool that it is in.
     pub pool: Option<PoolId>,
-    /// Grows with each accepted step.
+    /// Grows with each accepted change; the next change must name it.
     pub generation: u64,
-    /// Where it is in its life.
-    pub phase: Phase,
-    /// Offset of the last step.
-    pub offset: u64,
+    /// Its phase.
+    pub phase: HostPhase,
+    /// Offset of the last change.
+    #[serde(rename = "offset")]
+    pub changed_at_offset: u64,
     /// Log time of the last change of phase or health.
-    pub since: u64,
-    /// Generation at which the pool was set; token of that act.
+    #[serde(rename = "since")]
+    pub changed_at: u64,
+    /// Generation at which the pool was set; fencing token of that action on the
+    /// platform.
     pub pool_generation: u64,
-    /// Generation of the last step that asks for a drain, a reboot or the end
-    /// of a drain; token of that act.
-    pub act_generation: u64,
-    /// Where it stands.
-    pub place: Place,
+    /// Generation of the last change that asks for a drain, a reboot or the end of a
+    /// drain; fencing token of that action on the platform.
+    #[serde(rename = "act_generation")]
+    pub action_generation: u64,
+    /// Its data centre and rack.
+    #[serde(rename = "place")]
+    pub location: HostLocation,
     /// Processors in cores.
     pub cpus: u32,
     /// Memory in GiB.
     pub memory_gib: u32,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
     /// Whether it answers.
     pub up: bool,
-    /// Whether a script moved it; it is left alone while set.
-    pub foreign: bool,
+    /// Whether something other than workswood moved it; it is not managed while set.
+    #[serde(rename = "foreign")]
+    pub externally_moved: bool,
     /// Whether no file claims it any longer.
     pub released: bool,
-    /// Maintenance that it has been through.
+    /// Names of the maintenance completed on it.
     pub maintained: BTreeSet<String>,
 }
 
-impl HostRec {
-    /// A host just claimed and not yet seen by the platform's list.
-    pub fn new(file: &str, host: &Host) -> HostRec {
-        HostRec {
+impl ManagedHost {
+    /// A newly claimed host that the platform has not listed yet.
+    pub fn new(file: &str, host: &Host) -> ManagedHost {
+        ManagedHost {
             file: file.to_string(),
             pool: None,
             generation: 0,
-            phase: Phase::Free,
-            offset: 0,
-            since: 0,
+            phase: HostPhase::Free,
+            changed_at_offset: 0,
+            changed_at: 0,
             pool_generation: 0,
-            act_generation: 0,
-            place: host.place(),
+            action_generation: 0,
+            location: host.location(),
             cpus: host.cpus,
             memory_gib: host.memory_gib,
             accelerators: host.accelerators,
             up: false,
-            foreign: false,
+            externally_moved: false,
             released: false,
             maintained: BTreeSet::new(),
         }
@@ -94,78 +101,86 @@
 
     /// Whether instances on it may take new work.
     pub fn takes_work(&self) -> bool {
-        self.up && !self.foreign && self.phase == Phase::Active
+        self.up && !self.externally_moved && self.phase == HostPhase::Active
     }
 
-    /// Whether it is away by our own act.
-    pub fn away(&self) -> bool {
-        !matches!(self.phase, Phase::Free | Phase::Active)
+    /// Whether it is draining, drained or rebooting by a decision of the planner.
+    pub fn out_of_service(&self) -> bool {
+        !matches!(self.phase, HostPhase::Free | HostPhase::Active)
     }
 
-    /// The maintenance it is under, if any.
-    pub fn under(&self) -> Option<&str> {
+    /// The maintenance that it is drained or rebooted for, if any.
+    pub fn maintenance(&self) -> Option<&str> {
         match &self.phase {
-            Phase::Draining(DrainReason::Maintain { name })
-            | Phase::Drained(DrainReason::Maintain { name }) => Some(name),
-            Phase::Rebooting { name, .. } => Some(name),
+            HostPhase::Draining(DrainReason::Maintain { name })
+            | HostPhase::Drained(DrainReason::Maintain { name }) => Some(name),
+            HostPhase::Rebooting { name, .. } => Some(name),
             _ => None,
         }
     }
 }
 
 impl State {
-    pub(super) fn step_host(&mut self, term: Term, host: &str, generation: u64, step: &HostStep) -> Verdict {
-        self.holds(Duty::Planner, term)?;
-        let rec = self.hosts.get(host).ok_or(Void::Missing)?;
-        if rec.generation != generation {
-            return Err(Void::Generation);
-        }
-        if let HostStep::Drain { .. } = step {
-            self.may_leave(host)?;
-        }
-        if let HostStep::Flip | HostStep::Forget = step
-            && self.by_host.contains_key(host)
+    /// Applies a change of a host.
+    pub(super) fn change_host(
+        &mut self,
+        term: Term,
+        host_id: &str,
+        generation: u64,
+        change: &HostChange,
+    ) -> RecordResult {
+        self.check_term(Role::Planner, term)?;
+        let host = self.hosts.get(host_id).ok_or(Rejection::Missing)?;
+        if host.generation != generation {
+            return Err(Rejection::Generation);
+        }
+        if let HostChange::Drain { .. } = change {
+            self.check_drain_budgets(host_id)?;
+        }
+        if let HostChange::Flip | HostChange::Forget = change
+            && self.by_host.contains_key(host_id)
         {
-            return Err(Void::Phase);
+            return Err(Rejection::Phase);
         }
-        if let HostStep::Forget = step {
-            let released = rec.released && matches!(rec.phase, Phase::Drained(DrainReason::Release));
+        if let HostChange::Forget = change {
+            let released = host.released && matches!(host.phase, HostPhase::Drained(DrainReason::Release));
             if !released {
-                return Err(Void::Phase);
+                return Err(Rejection::Phase);
             }
-            self.hosts.remove(host);
+            self.hosts.remove(host_id);
             return Ok(());
         }
-        let pool_known = |p: &str| self.pools().any(|x| x.name == p);
-        match step {
-            HostStep::Assign { pool } if !pool_known(pool) => return Err(Void::Missing),
-            HostStep::Drain { reason: DrainReason::Move { to } } if !pool_known(to) => {
-                return Err(Void::Missing);
+        let pool_exists = |p: &str| self.pools().any(|x| x.name == p);
+        match change {
+            HostChange::Assign { pool } if !pool_exists(pool) => return Err(Rejection::Missing),
+            HostChange::Drain { reason: DrainReason::Move { to } } if !pool_exists(to) => {
+                return Err(Rejection::Missing);
             }
             _ => {}
         }
-        let (time, offset) = (self.time, self.next - 1);
-        let rec = self.hosts.get_mut(host).ok_or(Void::Missing)?;
-        let moved = next(rec, step)?;
-        rec.generation += 1;
-        rec.offset = offset;
-        if !matches!(step, HostStep::Seen { .. }) {
-            rec.since = time;
-        }
-        note_generation(rec, step);
-        let whole = rec.pool.is_some() || rec.phase == Phase::Free;
-        invariant::check(whole, || format!("host {host} is in no pool and not free"));
-        self.host_moves += u64::from(moved);
-        // What was ready before is not until the list shows it after the act.
-        if let HostStep::Reboot { .. } | HostStep::Undrain | HostStep::Return = step {
-            self.stop_instances(host);
+        let (time, offset) = (self.log_time, self.next_offset - 1);
+        let host = self.hosts.get_mut(host_id).ok_or(Rejection::Missing)?;
+        let changed_pool = apply_change(host, change)?;
+        host.generation += 1;
+        host.changed_at_offset = offset;
+        if !matches!(change, HostChange::Seen { .. }) {
+            host.changed_at = time;
+        }
+        update_fencing_generations(host, change);
+        let consistent = host.pool.is_some() || host.phase == HostPhase::Free;
+        invariant::check(consistent, || format!("host {host_id} is in no pool and not free"));
+        self.host_moves += u64::from(changed_pool);
+        // An instance that was ready before the action counts as ready again only
+        // once the platform lists it as ready after the action.
+        if let HostChange::Reboot { .. } | HostChange::Undrain | HostChange::Return = change {
+            self.mark_instances_not_ready(host_id);
         }
         Ok(())
     }
 
-    /// Instances on a host are not ready until they are seen again.
-    fn stop_instances(&mut self, host: &str) {
-        for id in self.by_host.get(host).into_iter().flatten() {
+    /// Marks the instances on a host as not ready.
+    fn mark_instances_not_ready(&mut self, host_id: &str) {
+        for id in self.by_host.get(host_id).into_iter().flatten() {
             if let Some(i) = self.instances.get_mut(id) {
                 i.ready = false;
             }
@@ -173,54 +188,57 @@
     }
 }
 
-/// Keeps the generations that serve as tokens of acts on the platform.
-fn note_generation(rec: &mut HostRec, step: &HostStep) {
-    match step {
-        HostStep::Assign { .. } => rec.pool_generation = rec.generation,
-        // Two acts follow a flip, so it takes two generations.
-        HostStep::Flip => {
-            rec.pool_generation = rec.generation;
-            rec.generation += 1;
-            rec.act_generation = rec.generation;
-        }
-        HostStep::Drain { .. } | HostStep::Undrain | HostStep::Reboot { .. } | HostStep::Return => {
-            rec.act_generation = rec.generation;
+/// Updates the generations that are fencing tokens of actions on the platform.
+fn update_fencing_generations(host: &mut ManagedHost, change: &HostChange) {
+    match change {
+        HostChange::Assign { .. } => host.pool_generation = host.generation,
+        // A flip is followed by two actions on the platform: setting the pool and
+        // ending the drain. Each has a generation of its own.
+        HostChange::Flip => {
+            host.pool_generation = host.generation;
+            host.generation += 1;
+            host.action_generation = host.generation;
+        }
+        HostChange::Drain { .. } | HostChange::Undrain | HostChange::Reboot { .. } | HostChange::Return => {
+            host.action_generation = host.generation;
         }
         _ => {}
     }
 }
 
-/// Carries one step out on a host; true if it changed the pool.
-fn next(rec: &mut HostRec, step: &HostStep) -> Result<bool, Void> {
-    match (step, rec.phase.clone()) {
-        (HostStep::Seen { place, cpus, memory_gib, accelerators }, _) => {
-            rec.place = place.clone();
-            rec.cpus = *cpus;
-            rec.memory_gib = *memory_gib;
-            rec.accelerators = *accelerators;
-        }
-        (HostStep::Health { up }, _) => rec.up = *up,
-        (HostStep::Foreign { foreign }, _) => rec.foreign = *foreign,
-        (HostStep::Assign { pool }, Phase::Free) => {
-            rec.pool = Some(pool.clone());
-            rec.phase = Phase::Active;
-        }
-        (HostStep::Drain { reason }, Phase::Active) => rec.phase = Phase::Draining(reason.clone()),
-        (HostStep::Drained, Phase::Draining(reason)) => rec.phase = Phase::Drained(reason),
-        (HostStep::Undrain, Phase::Draining(_) | Phase::Drained(_)) => rec.phase = Phase::Active,
-        (HostStep::Flip, Phase::Drained(DrainReason::Move { to })) => {
-            rec.pool = Some(to);
-            rec.phase = Phase::Active;
+/// Applies a change to a host; returns true if it moved the host to another pool.
+fn apply_change(host: &mut ManagedHost, change: &HostChange) -> Result<bool, Rejection> {
+    match (change, host.phase.clone()) {
+        (HostChange::Seen { location, cpus, memory_gib, accelerators }, _) => {
+            host.location = location.clone();
+            host.cpus = *cpus;
+            host.memory_gib = *memory_gib;
+            host.accelerators = *accelerators;
+        }
+        (HostChange::Health { up }, _) => host.up = *up,
+        (HostChange::Foreign { foreign }, _) => host.externally_moved = *foreign,
+        (HostChange::Assign { pool }, HostPhase::Free) => {
+            host.pool = Some(pool.clone());
+            host.phase = HostPhase::Active;
+        }
+        (HostChange::Drain { reason }, HostPhase::Active) => host.phase = HostPhase::Draining(reason.clone()),
+        (HostChange::Drained, HostPhase::Draining(reason)) => host.phase = HostPhase::Drained(reason),
+        (HostChange::Undrain, HostPhase::Draining(_) | HostPhase::Drained(_)) => {
+            host.phase = HostPhase::Active
+        }
+        (HostChange::Flip, HostPhase::Drained(DrainReason::Move { to })) => {
+            host.pool = Some(to);
+            host.phase = HostPhase::Active;
             return Ok(true);
         }
-        (HostStep::Reboot { boot }, Phase::Drained(DrainReason::Maintain { name })) => {
-            rec.phase = Phase::Rebooting { name, boot: boot.clone() };
+        (HostChange::Reboot { boot }, HostPhase::Drained(DrainReason::Maintain { name })) => {
+            host.phase = HostPhase::Rebooting { name, boot: boot.clone() };
         }
-        (HostStep::Return, Phase::Rebooting { name, .. }) => {
-            rec.maintained.insert(name);
-            rec.phase = Phase::Active;
+        (HostChange::Return, HostPhase::Rebooting { name, .. }) => {
+            host.maintained.insert(name);
+            host.phase = HostPhase::Active;
         }
-        _ => return Err(Void::Phase),
+        _ => return Err(Rejection::Phase),
     }
     Ok(false)
 }
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -1,16 +1,17 @@
-//! The state that every process folds from the log, and the fold itself.
+//! The state that every process derives from the log, and the fold that derives it.
 //!
-//! [`State::fold`] is the only place where state changes. It reads nothing but
-//! the envelope: time is the highest `at` seen so far, so that all processes
-//! agree on it. Sub-modules hold one family of records each.
+//! To fold an envelope is to apply its records to the state. [`State::fold`] is the
+//! only function that changes the state. It depends on nothing but the envelope:
+//! time is the highest [`Envelope::written_at`] folded so far, so that all processes
+//! agree on it. Each submodule handles one kind of record.
 
-mod apply;
-mod duty;
+mod checkpoint;
+mod files;
 mod hosts;
+mod idempotency;
 mod instances;
 mod jobs;
-mod keys;
-mod snapshot;
+mod lease;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,32 +21,32 @@
 use crate::fleet::{FleetFile, Job, Maintenance, Pool, Service};
 use crate::ids::*;
 use crate::invariant;
-use crate::record::{Duty, Envelope, FORMAT, Record, RosterMember};
+use crate::record::{Envelope, FORMAT_VERSION, Record, Role, RosterMember};
 
-pub use apply::FileRec;
-pub use duty::LeaseRec;
-pub use hosts::{HostRec, Phase};
-pub use instances::{Availability, InstanceRec, Stance};
-pub use jobs::{JobPhase, JobRec};
-pub use keys::{KEY_GRACE, KeyRec, KeyState, Lookup, MAX_KEY_WINDOW};
-pub use snapshot::{Assembler, Digest};
+pub use checkpoint::{CheckpointAssembler, StateDigest};
+pub use files::AppliedFile;
+pub use hosts::{HostPhase, ManagedHost};
+pub use idempotency::{KEY_RETENTION, KeyLookup, KeyState, KeyedRequest, MAX_KEY_WINDOW};
+pub use instances::{Availability, BudgetStatus, PlacedInstance};
+pub use jobs::{JobPhase, StartedJob};
+pub use lease::Lease;
 
-/// Why a record had no effect.
+/// Why a record was rejected and had no effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Void {
-    /// The term is not the current one.
+pub enum Rejection {
+    /// The term is not the current one of the role, or its holder has renewed since.
     Term,
-    /// The generation is not the current one.
+    /// The generation is not the current one of the host.
     Generation,
-    /// The phase does not allow the step.
+    /// The state of the host, instance, job or key does not allow the change.
     Phase,
-    /// The thing named does not exist.
+    /// A host, instance, pool, job or key that the record names does not exist.
     Missing,
-    /// A budget would be broken.
+    /// The availability budget of this service would be broken.
     Budget(ServiceId),
-    /// The key was claimed before.
+    /// The key was claimed before, or the attempt is not the next one.
     KeyTaken,
-    /// The last moment has passed in log time.
+    /// The key's last moment has passed in log time.
     Expired,
     /// Another change of the file was accepted first.
     Stale {
@@ -54,174 +55,190 @@
         /// Who applied it.
         author: String,
     },
-    /// Something in the file belongs to another file.
+    /// A host or name in the file belongs to another file.
     Claimed {
-        /// What belongs elsewhere.
+        /// The host or name, for example ``host `a` ``.
         what: String,
         /// The file it belongs to.
         file: FileId,
     },
-    /// The record's kind or format is not known.
+    /// The kind or format of the record is not known, or it is a checkpoint that
+    /// differs from the state.
     Unknown,
-    /// The envelope was folded before, or one after it.
+    /// The envelope, or a later one of its sender, was folded before.
     Repeated,
 }
 
-impl Void {
-    /// The code that an operator or caller is shown.
+impl Rejection {
+    /// The result code that an operator or a caller is shown.
     pub fn code(&self) -> Code {
         match self {
-            Void::Stale { .. } => Code::StaleBase,
-            Void::Claimed { .. } => Code::ClaimedElsewhere,
-            Void::KeyTaken => Code::KeyConflict,
-            Void::Expired => Code::KeyExpired,
+            Rejection::Stale { .. } => Code::StaleBase,
+            Rejection::Claimed { .. } => Code::ClaimedElsewhere,
+            Rejection::KeyTaken => Code::KeyConflict,
+            Rejection::Expired => Code::KeyExpired,
             _ => Code::ApplyNotTaken,
         }
     }
 }
 
-/// Outcome of one record: accepted, or void with a reason.
-pub type Verdict = Result<(), Void>;
+/// Outcome of one record: accepted, or rejected with a reason.
+pub type RecordResult = Result<(), Rejection>;
 
 /// The state of the whole system at one offset.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct State {
     /// Offset of the next envelope to fold.
-    pub next: Offset,
-    /// Log time: the highest `at` folded.
-    pub time: UnixMs,
-    /// Files in force.
-    pub files: BTreeMap<FileId, FileRec>,
-    /// Duties and who holds them.
-    pub leases: BTreeMap<Duty, LeaseRec>,
-    /// Processes that share slots.
+    #[serde(rename = "next")]
+    pub next_offset: Offset,
+    /// Log time: the highest [`Envelope::written_at`] folded.
+    #[serde(rename = "time")]
+    pub log_time: UnixMs,
+    /// Fleet files in force.
+    pub files: BTreeMap<FileId, AppliedFile>,
+    /// Roles and the leases on them.
+    pub leases: BTreeMap<Role, Lease>,
+    /// Entry processes that share the slots of endpoints.
     pub roster: Vec<RosterMember>,
-    /// Grows with each change of the roster.
+    /// Number of changes of the roster.
     pub roster_generation: u64,
-    /// Hosts that files claim, or that are being given up.
-    pub hosts: BTreeMap<HostId, HostRec>,
+    /// Hosts that files claim, and released hosts that are still being drained.
+    pub hosts: BTreeMap<HostId, ManagedHost>,
     /// Instances that are placed.
-    pub instances: BTreeMap<InstanceId, InstanceRec>,
-    /// Keys within their window, and open deferred requests.
-    pub keys: BTreeMap<RequestKey, KeyRec>,
+    pub instances: BTreeMap<InstanceId, PlacedInstance>,
+    /// Idempotency keys that are retained, and open deferred requests.
+    pub keys: BTreeMap<IdempotencyKey, KeyedRequest>,
     /// Jobs that were started or have ended.
-    pub jobs: BTreeMap<JobId, JobRec>,
-    /// Highest `seq` folded of each process, and log time then.
+    pub jobs: BTreeMap<JobId, StartedJob>,
+    /// Highest `seq` folded from each process, and the log time at that fold.
     pub senders: BTreeMap<Incarnation, (u64, UnixMs)>,
-    /// Records of unknown kind or format.
-    pub unknown: u64,
-    /// Hosts moved between pools so far.
+    /// Number of records and envelopes of unknown kind or format.
+    #[serde(rename = "unknown")]
+    pub unknown_records: u64,
+    /// Number of moves of hosts between pools.
     pub host_moves: u64,
-    /// Instances moved between hosts so far.
+    /// Number of removals of instances from hosts.
     pub instance_moves: u64,
-    /// Digests at recent marks; not part of the digest itself.
+    /// Digests of the state at the most recent checkpoint markers; not part of the
+    /// digested state.
     #[serde(skip)]
-    pub marks: Vec<Digest>,
+    pub marks: Vec<StateDigest>,
     /// Instances by host, derived from `instances`.
     #[serde(skip)]
     pub by_host: BTreeMap<HostId, Vec<InstanceId>>,
     /// Where each service in force is declared, derived from `files`.
     #[serde(skip)]
     pub by_service: BTreeMap<ServiceId, (FileId, usize)>,
-    /// Keys by the time they are forgotten, derived from `keys`.
+    /// Keys by the log time at which they expire, derived from `keys`.
     #[serde(skip)]
-    pub expiries: BTreeSet<(UnixMs, RequestKey)>,
-    /// Deferred requests that still have to run, derived from `keys`.
+    pub expiries: BTreeSet<(UnixMs, IdempotencyKey)>,
+    /// Keys of deferred requests that still have to run, derived from `keys`.
     #[serde(skip)]
-    pub open_keys: BTreeSet<RequestKey>,
+    pub open_keys: BTreeSet<IdempotencyKey>,
 }
 
-/// How long a process may be silent in the log before its `seq` is dropped.
-/// Must exceed the longest time that the platform may hold back an append.
-const SENDER_MEMORY_MS: UnixMs = 24 * 3600 * 1000;
+/// How long the highest `seq` of a process is kept after its last envelope. Must
+/// exceed the longest time by which the platform may delay an append.
+const SENDER_RETENTION_MS: UnixMs = 24 * 3600 * 1000;
 
 impl State {
-    /// Folds the envelope at `offset`; returns one verdict a record.
-    pub fn fold(&mut self, offset: Offset, env: &Envelope) -> Vec<Verdict> {
-        let in_order = invariant::check(offset >= self.next, || {
-            format!("offset {offset} folded again, next is {}", self.next)
+    /// Folds the envelope at `offset`; returns one result per record.
+    pub fn fold(&mut self, offset: Offset, env: &Envelope) -> Vec<RecordResult> {
+        let in_order = invariant::check(offset >= self.next_offset, || {
+            format!("offset {offset} folded again, next is {}", self.next_offset)
         });
         if !in_order {
-            return vec![Err(Void::Repeated); env.records.len()];
+            return vec![Err(Rejection::Repeated); env.records.len()];
         }
-        self.next = offset + 1;
-        if env.v != FORMAT {
-            self.unknown += 1;
-            return vec![Err(Void::Unknown); env.records.len()];
+        self.next_offset = offset + 1;
+        if env.format_version != FORMAT_VERSION {
+            self.unknown_records += 1;
+            return vec![Err(Rejection::Unknown); env.records.len()];
         }
-        let last = self.senders.get(&env.from).map_or(0, |s| s.0);
-        if env.seq <= last {
-            return vec![Err(Void::Repeated); env.records.len()];
+        let last_seq = self.senders.get(&env.sender).map_or(0, |s| s.0);
+        if env.seq <= last_seq {
+            return vec![Err(Rejection::Repeated); env.records.len()];
         }
-        self.time = self.time.max(env.at);
-        self.senders.insert(env.from.clone(), (env.seq, self.time));
+        self.log_time = self.log_time.max(env.written_at);
+        self.senders.insert(env.sender.clone(), (env.seq, self.log_time));
         self.prune();
-        let verdicts: Vec<Verdict> = env.records.iter().map(|r| self.fold_record(env, offset, r)).collect();
-        // The mark is of the state after the whole envelope, wherever it stands.
-        let marked =
-            env.records.iter().zip(&verdicts).any(|(r, v)| matches!(r, Record::Mark { .. }) && v.is_ok());
-        if marked {
-            self.mark(offset);
+        let results: Vec<RecordResult> =
+            env.records.iter().map(|r| self.fold_record(env, offset, r)).collect();
+        // The digest covers the whole envelope, wherever the marker is in it.
+        let has_marker = env
+            .records
+            .iter()
+            .zip(&results)
+            .any(|(record, result)| matches!(record, Record::Mark { .. }) && result.is_ok());
+        if has_marker {
+            self.record_digest(offset);
         }
-        verdicts
+        results
     }
 
-    /// Passes over an envelope that can't be read.
+    /// Skips an envelope that can't be decoded.
     pub fn skip(&mut self, offset: Offset) {
-        self.next = offset + 1;
-        self.unknown += 1;
+        self.next_offset = offset + 1;
+        self.unknown_records += 1;
     }
 
-    fn fold_record(&mut self, env: &Envelope, offset: Offset, record: &Record) -> Verdict {
+    /// Applies one record if its precondition holds.
+    fn fold_record(&mut self, env: &Envelope, offset: Offset, record: &Record) -> RecordResult {
         match record {
-            Record::Apply { id, base, author, file } => self.apply(offset, id, *base, author, file),
-            Record::Take { duty, holder, term, seen } => self.take(*duty, holder, *term, *seen),
-            Record::Renew { duty, term } => self.renew(*duty, *term, &env.from),
-            Record::GiveUp { duty, term } => self.give_up(*duty, *term, &env.from),
+            Record::Apply { id, base, author, file } => self.apply_file(offset, id, *base, author, file),
+            Record::Take { role, holder, term, seen_renewals } => {
+                self.acquire_lease(*role, holder, *term, *seen_renewals)
+            }
+            Record::Renew { role, term } => self.renew_lease(*role, *term, &env.sender),
+            Record::GiveUp { role, term } => self.release_lease(*role, *term, &env.sender),
             Record::Roster { term, members } => self.set_roster(*term, members),
-            Record::Host { term, host, generation, step } => self.step_host(*term, host, *generation, step),
-            Record::Instance { term, instance, step } => self.step_instance(*term, instance, step),
+            Record::Host { term, host, generation, change } => {
+                self.change_host(*term, host, *generation, change)
+            }
+            Record::Instance { term, instance, change } => self.change_instance(*term, instance, change),
             Record::Claim { key, service, digest, holder, last_moment, deferred } => {
-                self.claim(key, service, *digest, holder.as_ref(), *last_moment, deferred.as_ref())
+                self.claim_key(key, service, *digest, holder.as_ref(), *last_moment, deferred.as_ref())
             }
-            Record::Start { key, holder, attempt } => self.start(key, holder, *attempt),
-            Record::Finish { key, holder, end } => self.finish(key, holder, end),
-            Record::Job { term, job, step } => self.step_job(*term, job, step),
-            Record::Mark { term } => self.holds(Duty::Checkpointer, *term),
-            Record::Checkpoint { upto, digest, .. } => self.compare(*upto, *digest),
+            Record::Start { key, holder, attempt } => self.start_attempt(key, holder, *attempt),
+            Record::Finish { key, holder, outcome } => self.finish_attempt(key, holder, outcome),
+            Record::Job { term, job, change } => self.change_job(*term, job, change),
+            Record::Mark { term } => self.check_term(Role::Checkpointer, *term),
+            Record::Checkpoint { marker_offset, digest, .. } => self.check_digest(*marker_offset, *digest),
             Record::Unknown(_) => {
-                self.unknown += 1;
-                Err(Void::Unknown)
+                self.unknown_records += 1;
+                Err(Rejection::Unknown)
             }
         }
     }
 
-    /// Builds everything that is derived from other fields anew.
-    fn index(&mut self) {
-        self.index_services();
-        self.index_instances();
-        self.index_keys();
+    /// Rebuilds the fields that are derived from other fields.
+    fn rebuild_indexes(&mut self) {
+        self.rebuild_service_index();
+        self.rebuild_host_index();
+        self.rebuild_key_indexes();
     }
 
+    /// Removes expired keys, and senders that have not written for
+    /// [`SENDER_RETENTION_MS`].
     fn prune(&mut self) {
         self.prune_keys();
-        let floor = self.time.saturating_sub(SENDER_MEMORY_MS);
+        let oldest = self.log_time.saturating_sub(SENDER_RETENTION_MS);
         if self.senders.len() > 64 {
-            self.senders.retain(|_, (_, at)| *at >= floor);
+            self.senders.retain(|_, (_, at)| *at >= oldest);
         }
     }
 
-    /// Every pool in force.
+    /// All pools in force.
     pub fn pools(&self) -> impl Iterator<Item = &Pool> {
         self.files.values().flat_map(|f| &f.file.pools)
     }
 
-    /// Every service in force.
+    /// All services in force.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.files.values().flat_map(|f| &f.file.services)
     }
 
-    /// The service of a name.
+    /// The service in force with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         let (file, i) = self.by_service.get(name)?;
         self.files.get(file)?.file.services.get(*i)
--- a/crates/workswood-core/src/plan/acts.rs
+++ b/crates/workswood-core/src/plan/acts.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::seen::{HostSeen, HostState, Seen};
-use crate::fold::{HostRec, JobPhase, Phase, State};
+use crate::fold::{HostPhase, JobPhase, ManagedHost, State};
 use crate::ids::{HostId, PoolId};
 
 /// One call on the platform. Every call may be made twice: the platform
@@ -81,7 +81,7 @@
 /// All calls that the list shows to be missing.
 pub fn acts(state: &State, seen: &Seen) -> Vec<Act> {
     let mut all = Vec::new();
-    for (id, rec) in state.hosts.iter().filter(|(_, r)| !r.foreign) {
+    for (id, rec) in state.hosts.iter().filter(|(_, r)| !r.externally_moved) {
         let Some(s) = seen.hosts.get(id).filter(|s| s.state != HostState::Down) else { continue };
         all.extend(host_acts(id, rec, s));
         all.extend(starts(state, id, rec, s));
@@ -90,7 +90,7 @@
     all
 }
 
-fn host_acts(id: &HostId, rec: &HostRec, s: &HostSeen) -> Vec<Act> {
+fn host_acts(id: &HostId, rec: &ManagedHost, s: &HostSeen) -> Vec<Act> {
     let mut all = Vec::new();
     let host = id.clone();
     if let Some(pool) =
@@ -101,23 +101,23 @@
         return vec![Act::SetPool { host, pool, token: rec.pool_generation }];
     }
     match &rec.phase {
-        Phase::Draining(_) | Phase::Drained(_) if !s.draining || s.token < rec.act_generation => {
-            all.push(Act::Drain { host, token: rec.act_generation });
+        HostPhase::Draining(_) | HostPhase::Drained(_) if !s.draining || s.token < rec.action_generation => {
+            all.push(Act::Drain { host, token: rec.action_generation });
         }
         // It also fences off a drain that is still on its way. A later drain
         // by other scripts stays.
-        Phase::Active if s.token < rec.act_generation => {
-            all.push(Act::Undrain { host, token: rec.act_generation });
+        HostPhase::Active if s.token < rec.action_generation => {
+            all.push(Act::Undrain { host, token: rec.action_generation });
         }
-        Phase::Rebooting { boot, .. } if s.boot == *boot => {
-            all.push(Act::Reboot { host, boot: boot.clone(), token: rec.act_generation });
+        HostPhase::Rebooting { boot, .. } if s.boot == *boot => {
+            all.push(Act::Reboot { host, boot: boot.clone(), token: rec.action_generation });
         }
         _ => {}
     }
     all
 }
 
-fn starts(state: &State, id: &HostId, rec: &HostRec, s: &HostSeen) -> Vec<Act> {
+fn starts(state: &State, id: &HostId, rec: &ManagedHost, s: &HostSeen) -> Vec<Act> {
     if !rec.takes_work() || s.draining {
         return Vec::new();
     }
@@ -135,7 +135,7 @@
 fn stops(state: &State, id: &HostId, s: &HostSeen) -> Vec<Act> {
     let mut all = Vec::new();
     // Tokens are offsets: a start that is not folded yet is not judged.
-    for t in s.tasks.iter().filter(|t| t.ended.is_none() && t.token > 0 && t.token < state.next) {
+    for t in s.tasks.iter().filter(|t| t.ended.is_none() && t.token > 0 && t.token < state.next_offset) {
         let elsewhere = match (state.instances.get(&t.id), state.jobs.get(&t.id)) {
             (Some(i), _) => i.host != *id && t.token < i.token,
             (None, Some(j)) => {
--- a/crates/workswood-core/src/plan/measure.rs
+++ b/crates/workswood-core/src/plan/measure.rs
@@ -8,7 +8,7 @@
 use super::index::Index;
 use super::wave::choose;
 use crate::fleet::Maintenance;
-use crate::fold::{Phase, State};
+use crate::fold::{HostPhase, State};
 use crate::ids::{HostId, Rack, UnixMs};
 use crate::record::DrainReason;
 
@@ -58,17 +58,19 @@
         let picked = choose(&mut index, m, now);
         if picked.is_empty() {
             // A span that is kept clear is waited out; anything else is final.
-            let Some(w) = m.keep_clear.iter().find(|w| now + length > w.from && now < w.to) else { break };
+            let Some(w) = m.blackout_windows.iter().find(|w| now + length > w.from && now < w.to) else {
+                break;
+            };
             now = w.to;
             continue;
         }
         for id in &picked {
-            set_phase(&mut state, id, Phase::Draining(DrainReason::Maintain { name: m.name.clone() }));
+            set_phase(&mut state, id, HostPhase::Draining(DrainReason::Maintain { name: m.name.clone() }));
         }
         now += length;
         end = now;
         for id in &picked {
-            set_phase(&mut state, id, Phase::Active);
+            set_phase(&mut state, id, HostPhase::Active);
             if let Some(h) = state.hosts.get_mut(id) {
                 h.maintained.insert(m.name.clone());
             }
@@ -84,7 +86,7 @@
     Measures { spare_instances: 0, rollout, host_moves: 0, instance_moves: 0, rounds, left }
 }
 
-fn set_phase(state: &mut State, host: &HostId, phase: Phase) {
+fn set_phase(state: &mut State, host: &HostId, phase: HostPhase) {
     if let Some(h) = state.hosts.get_mut(host) {
         h.phase = phase;
     }
@@ -93,14 +95,14 @@
 fn racks(state: &State, m: &Maintenance) -> Measures {
     let mut by_rack: BTreeMap<&Rack, Vec<HostId>> = BTreeMap::new();
     for (id, h) in state.hosts.iter().filter(|(_, h)| h.pool.as_ref() == Some(&m.pool)) {
-        by_rack.entry(&h.place.rack).or_default().push(id.clone());
+        by_rack.entry(&h.location.rack).or_default().push(id.clone());
     }
     let mut spare = 0;
     for s in state.services().filter(|s| s.pool == m.pool) {
         let mut held: BTreeMap<&Rack, u32> = BTreeMap::new();
         for (_, i) in state.instances_of(&s.name) {
             if let Some(h) = state.hosts.get(&i.host) {
-                *held.entry(&h.place.rack).or_default() += 1;
+                *held.entry(&h.location.rack).or_default() += 1;
             }
         }
         // Extra instances that the budget's own slack does not cover.
--- a/crates/workswood-core/src/plan/place.rs
+++ b/crates/workswood-core/src/plan/place.rs
@@ -6,9 +6,9 @@
 use super::index::Index;
 use super::seen::Seen;
 use crate::fleet::Service;
-use crate::fold::{HostRec, InstanceRec, Phase, State};
+use crate::fold::{HostPhase, ManagedHost, PlacedInstance, State};
 use crate::ids::{HostId, InstanceId, Term, UnixMs};
-use crate::record::{DrainReason, InstanceStep, Record};
+use crate::record::{DrainReason, InstanceChange, Record};
 
 /// How long a failed host may take to come back before its instances move.
 pub const REPLACE_AFTER_MS: UnixMs = 30_000;
@@ -18,10 +18,10 @@
     let mut all = Vec::new();
     let mut load: Option<BTreeMap<HostId, (u32, u32)>> = None;
     for s in state.services() {
-        let have: Vec<(&InstanceId, &InstanceRec)> = state.instances_of(&s.name).collect();
+        let have: Vec<(&InstanceId, &PlacedInstance)> = state.instances_of(&s.name).collect();
         for (id, i) in &have {
             if leaves(state, index, s, id, i, now) {
-                all.push(Record::Instance { term, instance: (*id).clone(), step: InstanceStep::Remove });
+                all.push(Record::Instance { term, instance: (*id).clone(), change: InstanceChange::Remove });
             }
         }
         if have.len() >= s.instances as usize {
@@ -38,7 +38,7 @@
             let used = load.entry(host.clone()).or_default();
             used.0 += s.cpus;
             used.1 += s.memory_gib;
-            all.push(Record::Instance { term, instance: id, step: InstanceStep::Place { host } });
+            all.push(Record::Instance { term, instance: id, change: InstanceChange::Place { host } });
         }
     }
     all
@@ -59,16 +59,16 @@
 }
 
 /// Whether an instance must leave its host now.
-fn leaves(state: &State, index: &mut Index, s: &Service, id: &str, i: &InstanceRec, now: UnixMs) -> bool {
+fn leaves(state: &State, index: &mut Index, s: &Service, id: &str, i: &PlacedInstance, now: UnixMs) -> bool {
     let Some(h) = state.hosts.get(&i.host) else { return true };
     match &h.phase {
-        Phase::Drained(DrainReason::Move { .. } | DrainReason::Release) => return true,
-        Phase::Active => {}
+        HostPhase::Drained(DrainReason::Move { .. } | DrainReason::Release) => return true,
+        HostPhase::Active => {}
         _ => return false,
     }
-    let lost = !h.up || h.foreign;
+    let lost = !h.up || h.externally_moved;
     if lost {
-        return now.saturating_sub(h.since) >= REPLACE_AFTER_MS;
+        return now.saturating_sub(h.changed_at) >= REPLACE_AFTER_MS;
     }
     let number: u32 = id.rsplit_once('/').and_then(|(_, n)| n.parse().ok()).unwrap_or(0);
     let unwanted = number >= s.instances || h.pool.as_ref() != Some(&s.pool);
@@ -83,7 +83,7 @@
 }
 
 impl Spread {
-    fn new(state: &State, have: &[(&InstanceId, &InstanceRec)]) -> Spread {
+    fn new(state: &State, have: &[(&InstanceId, &PlacedInstance)]) -> Spread {
         let mut spread = Spread { centres: BTreeMap::new(), racks: BTreeMap::new(), hosts: Vec::new() };
         for (_, i) in have {
             if let Some(h) = state.hosts.get(&i.host) {
@@ -93,9 +93,9 @@
         spread
     }
 
-    fn add(&mut self, h: &HostRec, host: &HostId) {
-        *self.centres.entry(h.place.data_centre.clone()).or_default() += 1;
-        *self.racks.entry(h.place.rack.clone()).or_default() += 1;
+    fn add(&mut self, h: &ManagedHost, host: &HostId) {
+        *self.centres.entry(h.location.data_centre.clone()).or_default() += 1;
+        *self.racks.entry(h.location.rack.clone()).or_default() += 1;
         self.hosts.push(host.clone());
     }
 
@@ -110,7 +110,7 @@
         load: &BTreeMap<HostId, (u32, u32)>,
     ) -> Option<HostId> {
         let used = |id: &HostId| load.get(id).copied().unwrap_or_default();
-        let fits = |(id, h): &&(&HostId, &HostRec)| {
+        let fits = |(id, h): &&(&HostId, &ManagedHost)| {
             let (cpus, memory) = used(id);
             h.takes_work()
                 && !h.released
@@ -118,10 +118,10 @@
                 && memory + s.memory_gib <= h.memory_gib
                 && !self.hosts.contains(*id)
         };
-        let rank = |(host, h): &&(&HostId, &HostRec)| {
+        let rank = |(host, h): &&(&HostId, &ManagedHost)| {
             let runs = seen.hosts.get(*host).is_some_and(|x| x.tasks.iter().any(|t| t.id == id));
-            let centre = self.centres.get(&h.place.data_centre).copied().unwrap_or(0);
-            let rack = self.racks.get(&h.place.rack).copied().unwrap_or(0);
+            let centre = self.centres.get(&h.location.data_centre).copied().unwrap_or(0);
+            let rack = self.racks.get(&h.location.rack).copied().unwrap_or(0);
             (!runs, rack, centre, used(host).0, (*host).clone())
         };
         index.pool(&s.pool).iter().filter(fits).min_by_key(rank).map(|(id, _)| (*id).clone())
--- a/crates/workswood-core/src/plan/pools.rs
+++ b/crates/workswood-core/src/plan/pools.rs
@@ -5,18 +5,19 @@
 use super::index::Index;
 use super::seen::Seen;
 use crate::fleet::{FleetFile, Pool};
-use crate::fold::{HostRec, Phase, State};
+use crate::fold::{HostPhase, ManagedHost, State};
 use crate::ids::{HostId, PoolId, Term};
-use crate::record::{DrainReason, HostStep, Record};
+use crate::record::{DrainReason, HostChange, Record};
 
 /// Records that fill pools and give released hosts up.
 pub(super) fn records(state: &State, seen: &Seen, index: &mut Index, term: Term) -> Vec<Record> {
     let mut all = Vec::new();
     let mut taken: BTreeMap<HostId, PoolId> = BTreeMap::new();
-    for (id, rec) in state.hosts.iter().filter(|(_, r)| r.released && r.phase == Phase::Active && !r.foreign)
+    for (id, rec) in
+        state.hosts.iter().filter(|(_, r)| r.released && r.phase == HostPhase::Active && !r.externally_moved)
     {
         if index.take(id) {
-            all.push(step(term, id, rec, HostStep::Drain { reason: DrainReason::Release }));
+            all.push(step(term, id, rec, HostChange::Drain { reason: DrainReason::Release }));
         }
     }
     let heading = headings(state);
@@ -29,7 +30,7 @@
             let free = free_hosts(state, seen, file, pool, &taken);
             for id in free.into_iter().take(want) {
                 taken.insert(id.clone(), pool.name.clone());
-                let assign = HostStep::Assign { pool: pool.name.clone() };
+                let assign = HostChange::Assign { pool: pool.name.clone() };
                 all.push(step(term, &id, &state.hosts[&id], assign));
             }
         }
@@ -43,7 +44,7 @@
                 if index.take(&id) {
                     taken.insert(id.clone(), pool.name.clone());
                     let reason = DrainReason::Move { to: pool.name.clone() };
-                    all.push(step(term, &id, &state.hosts[&id], HostStep::Drain { reason }));
+                    all.push(step(term, &id, &state.hosts[&id], HostChange::Drain { reason }));
                 }
             }
         }
@@ -51,20 +52,22 @@
     all
 }
 
-fn step(term: Term, host: &HostId, rec: &HostRec, step: HostStep) -> Record {
-    Record::Host { term, host: host.clone(), generation: rec.generation, step }
+fn step(term: Term, host: &HostId, rec: &ManagedHost, step: HostChange) -> Record {
+    Record::Host { term, host: host.clone(), generation: rec.generation, change: step }
 }
 
 /// The pool that a host is in or on its way to.
-fn heading(rec: &HostRec) -> Option<&PoolId> {
+fn heading(rec: &ManagedHost) -> Option<&PoolId> {
     match &rec.phase {
-        Phase::Draining(DrainReason::Move { to }) | Phase::Drained(DrainReason::Move { to }) => Some(to),
+        HostPhase::Draining(DrainReason::Move { to }) | HostPhase::Drained(DrainReason::Move { to }) => {
+            Some(to)
+        }
         _ => rec.pool.as_ref(),
     }
 }
 
-fn healthy(rec: &HostRec) -> bool {
-    rec.up && !rec.foreign && !rec.released
+fn healthy(rec: &ManagedHost) -> bool {
+    rec.up && !rec.externally_moved && !rec.released
 }
 
 /// Healthy hosts that are in each pool or on their way to it.
@@ -81,7 +84,7 @@
     (pool.size as usize).saturating_sub(have)
 }
 
-fn fits(rec: &HostRec, pool: &Pool) -> bool {
+fn fits(rec: &ManagedHost, pool: &Pool) -> bool {
     rec.cpus >= pool.min_cpus
         && rec.memory_gib >= pool.min_memory_gib
         && rec.accelerators >= pool.min_accelerators
@@ -98,18 +101,18 @@
 ) -> Vec<HostId> {
     let mut racks: BTreeMap<&str, usize> = BTreeMap::new();
     for r in state.hosts.values().filter(|r| r.pool.as_ref() == Some(&pool.name)) {
-        *racks.entry(&r.place.rack).or_default() += 1;
+        *racks.entry(&r.location.rack).or_default() += 1;
     }
-    let usable = |(id, r): &(&HostId, &HostRec)| {
+    let usable = |(id, r): &(&HostId, &ManagedHost)| {
         r.file == file.file
-            && r.phase == Phase::Free
+            && r.phase == HostPhase::Free
             && healthy(r)
             && fits(r, pool)
             && !taken.contains_key(*id)
     };
     let mut free: Vec<(bool, usize, &HostId)> = Vec::new();
     for (id, r) in state.hosts.iter().filter(usable) {
-        let in_rack = racks.entry(&r.place.rack).or_default();
+        let in_rack = racks.entry(&r.location.rack).or_default();
         let there = seen.hosts.get(id).is_some_and(|s| s.pool.as_ref() == Some(&pool.name));
         free.push((!there, *in_rack, id));
         *in_rack += 1;
@@ -129,7 +132,7 @@
 ) -> Vec<HostId> {
     let mut spare: BTreeMap<&str, usize> = BTreeMap::new();
     let mut all: Vec<(usize, &HostId)> = Vec::new();
-    for (id, r) in state.hosts.iter().filter(|(_, r)| r.file == file.file && r.phase == Phase::Active) {
+    for (id, r) in state.hosts.iter().filter(|(_, r)| r.file == file.file && r.phase == HostPhase::Active) {
         let Some(from) = r.pool.as_deref().filter(|p| *p != to.name) else { continue };
         if healthy(r) && fits(r, to) && !taken.contains_key(id) {
             spare.entry(from).or_insert_with(|| surplus(heading, file, from));
--- a/crates/workswood-core/src/plan/wave.rs
+++ b/crates/workswood-core/src/plan/wave.rs
@@ -9,9 +9,9 @@
 
 use super::index::Index;
 use crate::fleet::{Maintenance, rfc3339_ms};
-use crate::fold::{HostRec, Phase, State};
+use crate::fold::{HostPhase, ManagedHost, State};
 use crate::ids::{HostId, Term, UnixMs};
-use crate::record::{DrainReason, HostStep, Record};
+use crate::record::{DrainReason, HostChange, Record};
 
 /// A host that is away for this many times the expected duration is unwell.
 const OVERDUE_FACTOR: u64 = 3;
@@ -82,14 +82,14 @@
 
 struct Members<'a> {
     done: usize,
-    away: Vec<(&'a HostId, &'a HostRec)>,
-    left: Vec<(&'a HostId, &'a HostRec)>,
+    away: Vec<(&'a HostId, &'a ManagedHost)>,
+    left: Vec<(&'a HostId, &'a ManagedHost)>,
 }
 
 fn members<'a>(index: &Index<'a>, m: &Maintenance) -> Members<'a> {
     let mut all = Members { done: 0, away: Vec::new(), left: Vec::new() };
     for (id, rec) in index.pool(&m.pool).iter().filter(|(_, r)| !r.released) {
-        if rec.under() == Some(&m.name) {
+        if rec.maintenance() == Some(&m.name) {
             all.away.push((id, rec));
         } else if rec.maintained.contains(&m.name) {
             all.done += 1;
@@ -106,8 +106,8 @@
     for m in state.maintenance() {
         for id in choose(index, m, now) {
             let rec = &state.hosts[&id];
-            let step = HostStep::Drain { reason: DrainReason::Maintain { name: m.name.clone() } };
-            all.push(Record::Host { term, host: id, generation: rec.generation, step });
+            let step = HostChange::Drain { reason: DrainReason::Maintain { name: m.name.clone() } };
+            all.push(Record::Host { term, host: id, generation: rec.generation, change: step });
         }
     }
     all
@@ -126,7 +126,7 @@
         (false, n) => n as usize,
     };
     let room = room.saturating_sub(all.away.len());
-    let usable = |(_, r): &&(&HostId, &HostRec)| r.takes_work();
+    let usable = |(_, r): &&(&HostId, &ManagedHost)| r.takes_work();
     let mut left: Vec<&HostId> = all.left.iter().filter(usable).map(|(id, _)| *id).collect();
     let works = |id: &&HostId| index.state.by_host.contains_key(*id);
     if canary && left.iter().any(works) {
@@ -165,9 +165,9 @@
     if now < m.start {
         return Some(Stop::NotYet { start: rfc3339_ms(m.start) });
     }
-    let overdue = |(_, r): &&(&HostId, &HostRec)| {
-        let rebooting = matches!(r.phase, Phase::Rebooting { .. });
-        rebooting && now.saturating_sub(r.since) > length * OVERDUE_FACTOR
+    let overdue = |(_, r): &&(&HostId, &ManagedHost)| {
+        let rebooting = matches!(r.phase, HostPhase::Rebooting { .. });
+        rebooting && now.saturating_sub(r.changed_at) > length * OVERDUE_FACTOR
     };
     if let Some((id, _)) = all.away.iter().find(overdue) {
         return Some(Stop::Unwell { host: (*id).clone() });
@@ -183,7 +183,7 @@
     if m.deadline != 0 && now + length > m.deadline {
         return Some(Stop::Deadline { deadline: rfc3339_ms(m.deadline) });
     }
-    let clash = m.keep_clear.iter().find(|w| now + length > w.from && now < w.to);
+    let clash = m.blackout_windows.iter().find(|w| now + length > w.from && now < w.to);
     clash.map(|w| Stop::KeepClear { from: rfc3339_ms(w.from) })
 }
 
@@ -191,11 +191,10 @@
 /// ready again.
 fn unwell(index: &Index, m: &Maintenance) -> Option<HostId> {
     let state = index.state;
-    let through = index
-        .pool(&m.pool)
-        .iter()
-        .filter(|(_, r)| r.maintained.contains(&m.name) && r.phase == Phase::Active && !r.foreign);
-    let ill = |id: &HostId, r: &HostRec| {
+    let through = index.pool(&m.pool).iter().filter(|(_, r)| {
+        r.maintained.contains(&m.name) && r.phase == HostPhase::Active && !r.externally_moved
+    });
+    let ill = |id: &HostId, r: &ManagedHost| {
         let on = state.by_host.get(id).into_iter().flatten();
         let idle = on.filter_map(|i| state.instances.get(i)).any(|i| !i.ready);
         !r.up || idle
@@ -230,9 +229,9 @@
         if !r.takes_work() {
             continue;
         }
-        match state.may_leave(id) {
+        match state.check_drain_budgets(id) {
             Ok(()) => return Stop::Running,
-            Err(crate::fold::Void::Budget(service)) => budget = Some(service),
+            Err(crate::fold::Rejection::Budget(service)) => budget = Some(service),
             Err(_) => {}
         }
     }
--- a/crates/workswood-core/src/record.rs
+++ b/crates/workswood-core/src/record.rs
@@ -1,31 +1,35 @@
-//! What the processes append to the platform's log.
+//! The records that processes append to the platform's log.
 //!
-//! One append is one [`Envelope`]: the group commit of one process. Envelopes
-//! of a process carry a growing `seq`; the fold takes each `seq` once and none
-//! that is lower than one it has taken. An append whose answer was lost can
-//! therefore be sent again, and one that was given up is void for good as soon
-//! as a later envelope of the same process is in the log.
+//! One append is one [`Envelope`]: the group commit of one process. The envelopes of a
+//! process carry a growing `seq`, and the fold rejects an envelope whose `seq` is not
+//! higher than the last one that it has folded from the process. An append whose
+//! answer was lost can therefore be retried, and an append that the process has
+//! abandoned can no longer take effect once a later envelope of the process is in
+//! the log.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::fleet::{FleetFile, Place};
+use crate::fleet::{FleetFile, HostLocation};
 use crate::ids::*;
 
 /// Version of the record format that this program writes.
-pub const FORMAT: u16 = 1;
+pub const FORMAT_VERSION: u16 = 1;
 
-/// One append of one process.
+/// One append to the log, by one process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Format version.
-    pub v: u16,
+    /// Version of the record format, [`FORMAT_VERSION`].
+    #[serde(rename = "v")]
+    pub format_version: u16,
     /// The process that wrote it.
-    pub from: Incarnation,
-    /// Number of the envelope among those of the process, from 1.
+    #[serde(rename = "from")]
+    pub sender: Incarnation,
+    /// Sequence number of the envelope among those of the process, from 1.
     pub seq: u64,
-    /// Clock of the process when it wrote the envelope.
-    pub at: UnixMs,
+    /// Time at which the process wrote the envelope, by its own clock.
+    #[serde(rename = "at")]
+    pub written_at: UnixMs,
     /// The records, folded in order.
     pub records: Vec<Record>,
 }
@@ -34,43 +38,48 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Record {
-    /// Puts a file in force if `base` is its version.
+    /// Puts a fleet file in force if `base` is the version in force.
     Apply {
         /// Unique id of the operator's change.
         id: String,
-        /// Version that the change was made on; 0 for a new file.
+        /// Version that the change is based on; 0 for a new file.
         base: u64,
-        /// Who applied it.
+        /// Who applied the change.
         author: String,
         /// The whole file.
         file: Box<FleetFile>,
     },
-    /// Takes a duty if `term` is the next and no renewal came since `seen`.
+    /// Acquires the lease on a role if `term` is the next one and the lease was not
+    /// renewed since the taker counted `seen_renewals`.
     Take {
-        /// The duty.
-        duty: Duty,
-        /// Who takes it.
+        /// The role.
+        #[serde(rename = "duty")]
+        role: Role,
+        /// The new holder.
         holder: Incarnation,
         /// The next term.
         term: Term,
-        /// Renewals of the former term that the taker has seen.
-        seen: u64,
+        /// Renewals of the current term that the taker has seen.
+        #[serde(rename = "seen")]
+        seen_renewals: u64,
     },
-    /// Shows that the holder of the term is alive.
+    /// Renews the lease, which shows that its holder is alive.
     Renew {
-        /// The duty.
-        duty: Duty,
+        /// The role.
+        #[serde(rename = "duty")]
+        role: Role,
         /// The holder's term.
         term: Term,
     },
-    /// Gives a duty up before its lease ends.
+    /// Releases the lease on a role before it ends.
     GiveUp {
-        /// The duty.
-        duty: Duty,
+        /// The role.
+        #[serde(rename = "duty")]
+        role: Role,
         /// The holder's term.
         term: Term,
     },
-    /// Sets which entry processes share slots; planner only.
+    /// Sets which entry processes share the slots of endpoints; planner only.
     Roster {
         /// The planner's term.
         term: Term,
@@ -83,10 +92,11 @@
         term: Term,
         /// The host.
         host: HostId,
-        /// Generation of the host that the step was decided on.
+        /// Generation of the host that the change was decided on.
         generation: u64,
         /// The change.
-        step: HostStep,
+        #[serde(rename = "step")]
+        change: HostChange,
     },
     /// Changes one instance of a service; planner only.
     Instance {
@@ -95,41 +105,43 @@
         /// The instance.
         instance: InstanceId,
         /// The change.
-        step: InstanceStep,
+        #[serde(rename = "step")]
+        change: InstanceChange,
     },
     /// Claims the right to run a request that may not be repeated, or accepts
     /// a deferred one. The first claim of a key wins.
     Claim {
         /// The caller's key.
-        key: RequestKey,
+        key: IdempotencyKey,
         /// Service of the request.
         service: ServiceId,
         /// Digest of method, path and body.
         digest: u64,
-        /// The process that runs it; none for a deferred request.
+        /// The process that runs the request; none for a deferred request.
         holder: Option<Incarnation>,
-        /// After this moment no copy is started.
+        /// No copy of the request is started after this moment.
         last_moment: UnixMs,
-        /// The request itself when it is deferred.
-        deferred: Option<Deferred>,
+        /// The request itself if it is deferred.
+        deferred: Option<DeferredRequest>,
     },
-    /// Starts a deferred request if `attempt` is the next.
+    /// Starts an attempt of a deferred request if `attempt` is the next one.
     Start {
         /// The key.
-        key: RequestKey,
+        key: IdempotencyKey,
         /// The process that runs it.
         holder: Incarnation,
         /// Number of the attempt, from 1.
         attempt: u32,
     },
-    /// Ends an attempt; only its holder may.
+    /// Records the outcome of an attempt; only its holder may.
     Finish {
         /// The key.
-        key: RequestKey,
+        key: IdempotencyKey,
         /// The process that ran it.
         holder: Incarnation,
-        /// What is known of the run.
-        end: End,
+        /// How the attempt ended.
+        #[serde(rename = "end")]
+        outcome: AttemptOutcome,
     },
     /// Changes one job; planner only.
     Job {
@@ -138,47 +150,51 @@
         /// The job.
         job: JobId,
         /// The change.
-        step: JobStep,
+        #[serde(rename = "step")]
+        change: JobChange,
     },
-    /// Asks every process to note the digest of its state here.
+    /// Marks an offset for a checkpoint: every process records the digest of its
+    /// state there.
     Mark {
         /// The checkpointer's term.
         term: Term,
     },
-    /// One part of the state as it was at the mark.
+    /// One part of a checkpoint of the state at a marker.
     Checkpoint {
-        /// Offset of the envelope with the mark.
-        upto: Offset,
+        /// Offset of the envelope with the `Mark` record.
+        #[serde(rename = "upto")]
+        marker_offset: Offset,
         /// Number of this part, from 0.
         part: u32,
-        /// How many parts there are.
+        /// Number of parts.
         parts: u32,
         /// Digest of the state.
         digest: u64,
-        /// Part of the state's JSON text.
+        /// This part of the state's JSON text.
         data: String,
     },
-    /// A record of a kind this program does not know: kept in the log, counted.
+    /// A record of a kind that this program does not know. It has no effect and is
+    /// counted.
     #[serde(untagged)]
     Unknown(Value),
 }
 
-/// A duty that one process holds at a time.
+/// A role that one process holds at a time, under a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Duty {
+pub enum Role {
     /// Decides about hosts, instances, jobs and the roster.
     Planner,
-    /// Writes checkpoints of the state into the log.
+    /// Writes checkpoints of the state to the log.
     Checkpointer,
 }
 
-impl Duty {
-    /// All duties.
-    pub const ALL: [Duty; 2] = [Duty::Planner, Duty::Checkpointer];
+impl Role {
+    /// All roles.
+    pub const ALL: [Role; 2] = [Role::Planner, Role::Checkpointer];
 }
 
-/// An entry process that shares slots.
+/// An entry process on the roster.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RosterMember {
     /// Its incarnation.
@@ -191,9 +207,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "why", rename_all = "snake_case")]
 pub enum DrainReason {
-    /// It goes to another pool.
+    /// It moves to another pool.
     Move {
-        /// The pool it goes to.
+        /// The pool that it moves to.
         to: PoolId,
     },
     /// It is rebooted for maintenance.
@@ -208,112 +224,114 @@
 /// A change of one host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "step", rename_all = "snake_case")]
-pub enum HostStep {
-    /// Notes where the host stands and what it has.
+pub enum HostChange {
+    /// Records the location and the resources of the host, as the platform lists them.
     Seen {
         /// Data centre and rack.
-        place: Place,
+        #[serde(rename = "place")]
+        location: HostLocation,
         /// Processors in cores.
         cpus: u32,
         /// Memory in GiB.
         memory_gib: u32,
-        /// Accelerators.
+        /// Number of accelerators.
         accelerators: u32,
     },
-    /// Notes that the host answers or not.
+    /// Records whether the host answers.
     Health {
         /// Whether it answers.
         up: bool,
     },
-    /// Notes that a script moved the host; it is left alone while set.
+    /// Records whether something other than workswood moved the host; the host is not
+    /// managed while set.
     Foreign {
-        /// Whether it was moved by others.
+        /// Whether it was moved.
         foreign: bool,
     },
-    /// Gives a free host to a pool.
+    /// Assigns a free host to a pool.
     Assign {
         /// The pool.
         pool: PoolId,
     },
     /// Stops new work on the host, if every budget allows it.
     Drain {
-        /// Why.
+        /// Why the host is drained.
         reason: DrainReason,
     },
-    /// Notes that no work is left on a draining host.
+    /// Records that no work is left on a draining host.
     Drained,
-    /// Withdraws a drain.
+    /// Cancels a drain.
     Undrain,
-    /// Moves a drained host to the pool named by its drain.
+    /// Moves a drained host to the pool named in its drain reason.
     Flip,
     /// Starts the reboot of a drained host.
     Reboot {
         /// Boot id before the reboot.
         boot: String,
     },
-    /// Puts a rebooted host back to work.
+    /// Returns a rebooted host to service.
     Return,
-    /// Gives up a drained host that no file claims.
+    /// Removes a drained host that no file claims from the state.
     Forget,
 }
 
 /// A change of one instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "step", rename_all = "snake_case")]
-pub enum InstanceStep {
-    /// Places it on a host.
+pub enum InstanceChange {
+    /// Places the instance on a host.
     Place {
         /// The host.
         host: HostId,
     },
-    /// Notes its address and whether it takes work.
+    /// Records the instance's address and whether it takes work.
     Ready {
         /// IP address and port.
         address: String,
         /// Whether it takes work.
         ready: bool,
     },
-    /// Takes it from its host.
+    /// Removes the instance from its host.
     Remove,
 }
 
 /// A change of one job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "step", rename_all = "snake_case")]
-pub enum JobStep {
-    /// Starts it on a host with the next token.
+pub enum JobChange {
+    /// Starts the job on a host; the offset of the record is the fencing token.
     Start {
         /// The host.
         host: HostId,
     },
-    /// Stops it so that it may start again later.
+    /// Stops the job so that it may start again later.
     Preempt,
-    /// Notes that its host is gone; it may have run.
+    /// Records that the job was lost with its host; it may have run.
     Lost,
-    /// Notes that it has ended.
+    /// Records that the job has ended.
     End {
         /// Whether it succeeded.
         ok: bool,
     },
 }
 
-/// A request kept in the log until it has run.
+/// A request that is kept in the log until it has run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Deferred {
+pub struct DeferredRequest {
     /// Method.
     pub method: String,
     /// Path with query.
     pub path: String,
     /// Body, base64.
     pub body: String,
-    /// Whether another attempt may follow one of unknown end.
+    /// Whether an attempt with an unknown outcome may be followed by another one.
     pub repeatable: bool,
 }
 
-/// The end of an attempt.
+/// How an attempt to run a request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "end", rename_all = "snake_case")]
-pub enum End {
+pub enum AttemptOutcome {
     /// An endpoint answered.
     Answered {
         /// HTTP status.
@@ -323,6 +341,6 @@
     },
     /// Nothing was sent.
     NotSent,
-    /// Something was sent and no answer came.
+    /// The request was sent at least in part, and no answer arrived.
     Unknown,
 }
--- a/crates/workswood-core/src/route/table.rs
+++ b/crates/workswood-core/src/route/table.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::fleet::{Class, Route};
+use crate::fleet::{PriorityClass, Route};
 use crate::fold::State;
 use crate::ids::{DataCentre, HostId, InstanceId, Offset, ServiceId};
 
@@ -58,7 +58,12 @@
             (s.name.clone(), ServiceView { window: s.window(), endpoints })
         });
         let me = state.roster.iter().position(|m| m.id == me);
-        RouteTable { next: state.next, services: services.collect(), routes, share: (me, state.roster.len()) }
+        RouteTable {
+            next: state.next_offset,
+            services: services.collect(),
+            routes,
+            share: (me, state.roster.len()),
+        }
     }
 
     /// The route of a path.
@@ -67,7 +72,7 @@
     }
 
     /// The longest deadline of a service's class.
-    pub fn deadline(&self, service: &str, class: Class) -> Option<Duration> {
+    pub fn deadline(&self, service: &str, class: PriorityClass) -> Option<Duration> {
         let fits = self.routes.iter().filter(|(r, s)| s == service && r.class == class);
         fits.map(|(r, _)| r.deadline).max()
     }
@@ -75,14 +80,14 @@
 
 fn endpoints(state: &State, service: &str) -> Vec<Endpoint> {
     let known = state.instances_of(service).filter(|(_, i)| !i.address.is_empty());
-    let view = |(id, i): (&InstanceId, &crate::fold::InstanceRec)| {
+    let view = |(id, i): (&InstanceId, &crate::fold::PlacedInstance)| {
         let host = state.hosts.get(&i.host);
         Endpoint {
             id: id.clone(),
             number: number(id),
             address: i.address.clone(),
             host: i.host.clone(),
-            data_centre: host.map(|h| h.place.data_centre.clone()).unwrap_or_default(),
+            data_centre: host.map(|h| h.location.data_centre.clone()).unwrap_or_default(),
             open: i.ready && host.is_some_and(|h| h.takes_work()),
         }
     };
--- a/crates/workswood-test-support/src/history.rs
+++ b/crates/workswood-test-support/src/history.rs
@@ -3,10 +3,10 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use workswood_core::fleet::FleetFile;
-use workswood_core::fold::{State, Void};
+use workswood_core::fold::{Rejection, State};
 use workswood_core::ids::{Term, UnixMs};
 use workswood_core::plan::{Act, Facts, Stop, acts, decide, wave_status};
-use workswood_core::record::{Duty, Envelope, HostStep, InstanceStep, Record};
+use workswood_core::record::{Envelope, HostChange, InstanceChange, Record, Role};
 
 use crate::log::{Log, Process};
 use crate::platform::Platform;
@@ -149,7 +149,7 @@
                 Err(_) => self.tally.void += 1,
             }
             if self.tally.budgets_broken.is_empty() {
-                self.tally.note(format!("{} #{offset} {} {v:?} {r:?}", self.now, env.from));
+                self.tally.note(format!("{} #{offset} {} {v:?} {r:?}", self.now, env.sender));
             }
             if v.is_ok() {
                 self.judge(&state, r);
@@ -158,13 +158,13 @@
             let single = Envelope {
                 records: vec![r.clone()],
                 seq: u64::MAX - 1,
-                from: format!("o{offset}"),
+                sender: format!("o{offset}"),
                 ..env.clone()
             };
             let mut next = state.clone();
-            next.next = offset;
-            next.senders.remove(&single.from);
-            next.fold(offset, &Envelope { from: env.from.clone(), seq: env.seq + 1, ..single });
+            next.next_offset = offset;
+            next.senders.remove(&single.sender);
+            next.fold(offset, &Envelope { sender: env.sender.clone(), seq: env.seq + 1, ..single });
             state = next;
         }
     }
@@ -172,8 +172,8 @@
     /// Recounts a service's instances for an accepted step that takes some.
     fn judge(&mut self, before: &State, r: &Record) {
         let host = match r {
-            Record::Host { host, step: HostStep::Drain { .. }, .. } => Some(host.clone()),
-            Record::Instance { instance, step: InstanceStep::Remove, .. } => {
+            Record::Host { host, change: HostChange::Drain { .. }, .. } => Some(host.clone()),
+            Record::Instance { instance, change: InstanceChange::Remove, .. } => {
                 before.instances.get(instance).map(|i| i.host.clone())
             }
             _ => None,
@@ -185,7 +185,7 @@
         }
         for s in before.services() {
             let of =
-                |i: &&workswood_core::fold::InstanceRec| i.service == s.name && i.ready && works(&i.host);
+                |i: &&workswood_core::fold::PlacedInstance| i.service == s.name && i.ready && works(&i.host);
             let have = before.instances.values().filter(of).count() as u32;
             let touched = match r {
                 Record::Instance { instance, .. } => before.instances.get(instance).filter(of).is_some(),
@@ -201,12 +201,12 @@
     fn take_over(&mut self, i: usize) {
         let p = &mut self.planners[i];
         p.process.follow(&self.log, usize::MAX);
-        let lease = p.process.state.lease(Duty::Planner);
+        let lease = p.process.state.lease(Role::Planner);
         let record = Record::Take {
-            duty: Duty::Planner,
+            role: Role::Planner,
             holder: p.process.id.clone(),
             term: lease.term + 1,
-            seen: lease.renewals,
+            seen_renewals: lease.renewals,
         };
         p.term = lease.term + 1;
         let env = p.process.envelope(self.now, vec![record]);
@@ -447,7 +447,7 @@
         let declared: u32 = state.services().map(|s| s.instances).sum();
         let ready = state.instances.values().filter(|i| i.ready).count() as u32;
         waves.iter().all(|w| w.stop == Stop::Finished)
-            && state.hosts.values().all(|h| !h.away())
+            && state.hosts.values().all(|h| !h.out_of_service())
             && ready == declared
     }
 
@@ -457,7 +457,9 @@
                 self.tally.unsettled.push(format!("{w:?}"));
             }
         }
-        for (id, h) in self.truth.state.hosts.iter().filter(|(_, h)| h.away() || h.foreign || !h.up) {
+        for (id, h) in
+            self.truth.state.hosts.iter().filter(|(_, h)| h.out_of_service() || h.externally_moved || !h.up)
+        {
             self.tally.unsettled.push(format!("host {id} {h:?} {:?}", self.platform.hosts.get(id)));
         }
         for (id, i) in self.truth.state.instances.iter().filter(|(_, i)| !i.ready) {
@@ -470,7 +472,7 @@
     }
 
     /// The verdict of a record that takes a host, for focused tests.
-    pub fn may_leave(&self, host: &str) -> std::result::Result<(), Void> {
-        self.truth.state.may_leave(host)
+    pub fn may_leave(&self, host: &str) -> std::result::Result<(), Rejection> {
+        self.truth.state.check_drain_budgets(host)
     }
 }
--- a/crates/workswood-test-support/src/keys.rs
+++ b/crates/workswood-test-support/src/keys.rs
@@ -5,11 +5,13 @@
 use std::collections::BTreeMap;
 
 use arbtest::arbitrary::{Result, Unstructured};
-use workswood_core::code::Ran;
-use workswood_core::fold::Verdict;
+use workswood_core::code::ExecutionStatus;
+use workswood_core::fold::RecordResult;
+use workswood_core::idempotency::{
+    ClaimDecision, ClaimInquiry, InquiryReply, RequestIdentity, answer_if_known, decide_after_claim,
+};
 use workswood_core::ids::UnixMs;
-use workswood_core::keyed::{AfterClaim, Given, Inquiry, Reply, after_claim, known};
-use workswood_core::record::{Duty, End, Envelope, Record, RosterMember};
+use workswood_core::record::{AttemptOutcome, Envelope, Record, Role, RosterMember};
 
 use crate::log::{Log, Process};
 
@@ -30,7 +32,7 @@
     /// Its process has won and will send.
     Won,
     /// Its process asks the others before it refuses.
-    Asking(Inquiry),
+    Asking(ClaimInquiry),
     /// The endpoint has it; the outcome is not in the log.
     Ran,
     /// Nothing was sent; the release is not in the log.
@@ -42,7 +44,7 @@
 struct Copy {
     number: u64,
     entry: usize,
-    given: Given,
+    given: RequestIdentity,
     stage: Stage,
     /// The caller was answered and the process only tidies up.
     told: bool,
@@ -117,7 +119,7 @@
             steps: 0,
             tally: KeyTally::default(),
         };
-        let take = Record::Take { duty: Duty::Planner, holder: "planner".into(), term: 1, seen: 0 };
+        let take = Record::Take { role: Role::Planner, holder: "planner".into(), term: 1, seen_renewals: 0 };
         s.planner.append(&mut s.log, s.now, vec![take]);
         s.set_roster();
         s.entries.iter_mut().for_each(|e| e.process.follow(&s.log, usize::MAX));
@@ -161,7 +163,7 @@
         let era = self.now / (4 * WINDOW);
         // Copies of one request carry the same last moment.
         let last_moment = (era * 4 + 1 + key as u64) * WINDOW;
-        let given = Given { key: format!("k{key}-{era}"), last_moment, digest: key as u64 };
+        let given = RequestIdentity { key: format!("k{key}-{era}"), last_moment, digest: key as u64 };
         let entry = u.choose_index(ENTRIES)?;
         self.tally.copies += 1;
         let number = self.tally.copies;
@@ -206,13 +208,13 @@
             // The process releases what it no longer wants.
             let e = &mut self.entries[i];
             let holder = e.process.id.clone();
-            let record = Record::Finish { key, holder, end: End::NotSent };
+            let record = Record::Finish { key, holder, outcome: AttemptOutcome::NotSent };
             e.process.append(&mut self.log, self.now, vec![record]);
         }
         Ok(())
     }
 
-    fn verdict_at(&self, offset: u64) -> Verdict {
+    fn verdict_at(&self, offset: u64) -> RecordResult {
         let mut state = workswood_core::fold::State::default();
         let mut last = Ok(());
         for (i, env) in self.log.all.iter().enumerate().take(offset as usize + 1) {
@@ -241,8 +243,8 @@
             Stage::Claimed(offset) => self.read_verdict(n, offset),
             Stage::Won => self.send(n, luck),
             Stage::Asking(inquiry) => self.ask(n, inquiry),
-            Stage::Ran => self.finish(n, End::Answered { status: 200, body: None }),
-            Stage::Released => self.finish(n, End::NotSent),
+            Stage::Ran => self.finish(n, AttemptOutcome::Answered { status: 200, body: None }),
+            Stage::Released => self.finish(n, AttemptOutcome::NotSent),
             Stage::Over => Stage::Over,
         };
         self.copies[n].stage = next;
@@ -252,8 +254,8 @@
 
     fn look(&mut self, n: usize, luck: u8) -> Stage {
         let (i, given) = (self.copies[n].entry, self.copies[n].given.clone());
-        if let Some(told) = known(&self.entries[i].process.state, &given) {
-            self.tell(n, told.ran());
+        if let Some(told) = answer_if_known(&self.entries[i].process.state, &given) {
+            self.tell(n, told.execution());
             return Stage::Over;
         }
         // Questions that began before it came on the roster are over by the
@@ -262,7 +264,7 @@
         let asked = |c: &Copy| matches!(c.stage, Stage::Asking(_)) && c.asking_since <= joined;
         let earlier = self.copies.iter().any(|c| c.given.key == given.key && asked(c));
         if earlier || self.entries[i].held.iter().any(|(k, _)| *k == given.key) {
-            self.tell(n, Ran::Unknown);
+            self.tell(n, ExecutionStatus::Unknown);
             return Stage::Over;
         }
         if luck == 0 || self.log_down {
@@ -301,13 +303,13 @@
         let (i, given) = (self.copies[n].entry, self.copies[n].given.clone());
         self.entries[i].process.follow(&self.log, usize::MAX);
         let verdict = self.verdict_at(offset);
-        match after_claim(&self.entries[i].process.state, &given, &verdict) {
-            AfterClaim::Run => Stage::Won,
-            AfterClaim::Tell(told) => {
-                self.tell(n, told.ran());
+        match decide_after_claim(&self.entries[i].process.state, &given, &verdict) {
+            ClaimDecision::Send => Stage::Won,
+            ClaimDecision::Answer(told) => {
+                self.tell(n, told.execution());
                 Stage::Over
             }
-            AfterClaim::NotNow => self.begin_asking(n),
+            ClaimDecision::RetryLater => self.begin_asking(n),
         }
     }
 
@@ -325,17 +327,17 @@
         Stage::Ran
     }
 
-    fn finish(&mut self, n: usize, end: End) -> Stage {
+    fn finish(&mut self, n: usize, end: AttemptOutcome) -> Stage {
         if self.log_down {
-            return if end == End::NotSent { Stage::Released } else { Stage::Ran };
+            return if end == AttemptOutcome::NotSent { Stage::Released } else { Stage::Ran };
         }
         let (i, key) = (self.copies[n].entry, self.copies[n].given.key.clone());
         let process = &mut self.entries[i].process;
         let holder = process.id.clone();
-        let released = end == End::NotSent;
-        process.append(&mut self.log, self.now, vec![Record::Finish { key, holder, end }]);
+        let released = end == AttemptOutcome::NotSent;
+        process.append(&mut self.log, self.now, vec![Record::Finish { key, holder, outcome: end }]);
         if released {
-            self.tell(n, Ran::NotRun);
+            self.tell(n, ExecutionStatus::NotRun);
         }
         Stage::Over
     }
@@ -344,36 +346,37 @@
         self.copies[n].asking_since = self.steps;
         let i = self.copies[n].entry;
         let own = self.reply(i, n);
-        Stage::Asking(Inquiry::new(&self.entries[i].process.id, own))
+        Stage::Asking(ClaimInquiry::new(&self.entries[i].process.id, own))
     }
 
     /// What an entry says of the key of copy `n`, apart from that copy.
-    fn reply(&mut self, i: usize, n: usize) -> Reply {
+    fn reply(&mut self, i: usize, n: usize) -> InquiryReply {
         let (key, number) = (self.copies[n].given.key.clone(), self.copies[n].number);
         let e = &self.entries[i];
         let claiming = self.copies.iter().enumerate().any(|(m, c)| {
             let on_way = !matches!(c.stage, Stage::Came | Stage::Asking(_) | Stage::Over);
             m != n && c.entry == i && c.given.key == key && on_way
         });
-        let behind = e.process.state.next == 0;
+        let behind = e.process.state.next_offset == 0;
         let known = e.process.state.keys.contains_key(&key) || claiming || behind;
         let roster = e.process.state.roster.iter().map(|m| m.id.clone()).collect();
         if !known {
             self.entries[i].held.push((key, number));
         }
-        Reply { known, roster }
+        InquiryReply { known, roster }
     }
 
     /// The planner never claims here. It may lag, but it knows what it has put
     /// on the roster.
-    fn planner_reply(&self) -> Reply {
+    fn planner_reply(&self) -> InquiryReply {
         let roster = self.planner.state.roster.iter().map(|m| m.id.clone()).collect();
-        Reply { known: false, roster }
+        InquiryReply { known: false, roster }
     }
 
-    fn ask(&mut self, n: usize, mut inquiry: Inquiry) -> Stage {
-        let Some(id) = inquiry.ask().cloned() else {
-            let ran = if inquiry.never_claimed() { Ran::NotRun } else { Ran::Unknown };
+    fn ask(&mut self, n: usize, mut inquiry: ClaimInquiry) -> Stage {
+        let Some(id) = inquiry.next_to_ask().cloned() else {
+            let ran =
+                if inquiry.never_claimed() { ExecutionStatus::NotRun } else { ExecutionStatus::Unknown };
             self.tell(n, ran);
             return Stage::Over;
         };
@@ -383,11 +386,11 @@
             None if id == "planner" => Some(self.planner_reply()),
             None => None,
         };
-        inquiry.heard(reply);
+        inquiry.record_reply(reply);
         Stage::Asking(inquiry)
     }
 
-    fn tell(&mut self, n: usize, ran: Ran) {
+    fn tell(&mut self, n: usize, ran: ExecutionStatus) {
         if std::mem::replace(&mut self.copies[n].told, true) {
             return;
         }
@@ -395,16 +398,16 @@
         self.tally.trace.push(format!("copy {number} is told {ran:?}"));
         self.entries.iter_mut().for_each(|e| e.held.retain(|(_, of)| *of != number));
         match ran {
-            Ran::NotRun => self.tally.not_run += 1,
-            Ran::Unknown => self.tally.unknown += 1,
-            Ran::Run => {}
+            ExecutionStatus::NotRun => self.tally.not_run += 1,
+            ExecutionStatus::Unknown => self.tally.unknown += 1,
+            ExecutionStatus::Run => {}
         }
         let key = &self.copies[n].given.key;
         let runs = self.runs.get(key).copied().unwrap_or(0);
-        if ran == Ran::NotRun && runs > 0 {
+        if ran == ExecutionStatus::NotRun && runs > 0 {
             self.tally.broken.push(format!("{key} was told not run, and ran"));
         }
-        if ran == Ran::Run && runs == 0 {
+        if ran == ExecutionStatus::Run && runs == 0 {
             self.tally.broken.push(format!("{key} was told run, and did not"));
         }
     }
--- a/crates/workswood-test-support/src/log.rs
+++ b/crates/workswood-test-support/src/log.rs
@@ -1,8 +1,8 @@
 //! A log in memory, and processes that fold it at their own pace.
 
-use workswood_core::fold::{State, Verdict};
+use workswood_core::fold::{RecordResult, State};
 use workswood_core::ids::UnixMs;
-use workswood_core::record::{Envelope, FORMAT, Record};
+use workswood_core::record::{Envelope, FORMAT_VERSION, Record};
 
 /// The log.
 #[derive(Default)]
@@ -29,19 +29,25 @@
     /// The next envelope of the process; it is not in the log yet.
     pub fn envelope(&mut self, at: UnixMs, records: Vec<Record>) -> Envelope {
         self.seq += 1;
-        Envelope { v: FORMAT, from: self.id.clone(), seq: self.seq, at, records }
+        Envelope {
+            format_version: FORMAT_VERSION,
+            sender: self.id.clone(),
+            seq: self.seq,
+            written_at: at,
+            records,
+        }
     }
 
     /// Folds up to `most` further envelopes.
     pub fn follow(&mut self, log: &Log, most: usize) {
-        let from = self.state.next as usize;
+        let from = self.state.next_offset as usize;
         for (i, env) in log.all.iter().enumerate().skip(from).take(most) {
             self.state.fold(i as u64, env);
         }
     }
 
     /// Appends records and folds everything; returns their verdicts.
-    pub fn append(&mut self, log: &mut Log, at: UnixMs, records: Vec<Record>) -> Vec<Verdict> {
+    pub fn append(&mut self, log: &mut Log, at: UnixMs, records: Vec<Record>) -> Vec<RecordResult> {
         let env = self.envelope(at, records);
         self.follow(log, usize::MAX);
         log.all.push(env.clone());
--- a/src/workswood/ops/bench/fold.rs
+++ b/src/workswood/ops/bench/fold.rs
@@ -2,9 +2,9 @@
 
 use std::time::Instant;
 
-use workswood_core::fleet::{Budget, Class, FleetFile, Host, Pool, Route, Service};
+use workswood_core::fleet::{Budget, FleetFile, Host, Pool, PriorityClass, Route, Service};
 use workswood_core::fold::State;
-use workswood_core::record::{Duty, End, Envelope, FORMAT, Record, RosterMember};
+use workswood_core::record::{AttemptOutcome, Envelope, FORMAT_VERSION, Record, Role, RosterMember};
 
 use super::stats::median;
 use crate::ops::plan::settled;
@@ -62,7 +62,7 @@
         },
         routes: vec![Route {
             path: format!("/svc-{pool}-{n}/"),
-            class: Class::Urgent,
+            class: PriorityClass::Urgent,
             repeatable: true,
             deadline: std::time::Duration::from_secs(2),
         }],
@@ -114,10 +114,19 @@
     let mut state = State::default();
     let member = RosterMember { id: "me".to_string(), data_centre: "dc0".to_string() };
     let records = vec![
-        Record::Take { duty: Duty::Planner, holder: "me".to_string(), term: 1, seen: 0 },
+        Record::Take { role: Role::Planner, holder: "me".to_string(), term: 1, seen_renewals: 0 },
         Record::Roster { term: 1, members: vec![member] },
     ];
-    state.fold(0, &Envelope { v: FORMAT, from: "me".to_string(), seq: 1, at: 1, records });
+    state.fold(
+        0,
+        &Envelope {
+            format_version: FORMAT_VERSION,
+            sender: "me".to_string(),
+            seq: 1,
+            written_at: 1,
+            records,
+        },
+    );
     state
 }
 
@@ -131,8 +140,8 @@
         last_moment: 10_000_000,
         deferred: None,
     };
-    let end = End::Answered { status: 200, body: Some("b2s=".to_string()) };
-    [claim, Record::Finish { key, holder: "me".to_string(), end }]
+    let end = AttemptOutcome::Answered { status: 200, body: Some("b2s=".to_string()) };
+    [claim, Record::Finish { key, holder: "me".to_string(), outcome: end }]
 }
 
 fn claims(keys: u64) -> (f64, usize) {
@@ -140,10 +149,10 @@
     let empty = state.text().len();
     let envelopes: Vec<Envelope> = (0..keys / 10)
         .map(|e| Envelope {
-            v: FORMAT,
-            from: "me".to_string(),
+            format_version: FORMAT_VERSION,
+            sender: "me".to_string(),
             seq: e + 2,
-            at: 1,
+            written_at: 1,
             records: (0..10).flat_map(|i| pair(e * 10 + i)).collect(),
         })
         .collect();
@@ -158,7 +167,13 @@
 fn log_texts(envelopes: usize) -> Vec<String> {
     let text = |e: usize| {
         let records = (0..5).flat_map(|i| pair((e * 5 + i) as u64)).collect();
-        let env = Envelope { v: FORMAT, from: "me".to_string(), seq: e as u64 + 1, at: 1, records };
+        let env = Envelope {
+            format_version: FORMAT_VERSION,
+            sender: "me".to_string(),
+            seq: e as u64 + 1,
+            written_at: 1,
+            records,
+        };
         serde_json::to_string(&env).unwrap_or_default()
     };
     (0..envelopes).map(text).collect()
--- a/src/workswood/ops/bench/plan.rs
+++ b/src/workswood/ops/bench/plan.rs
@@ -6,7 +6,7 @@
 use workswood_core::fold::State;
 use workswood_core::ids::UnixMs;
 use workswood_core::plan::{Bound, Facts, Seen, Strategy, acts, decide, measure};
-use workswood_core::record::{Envelope, FORMAT};
+use workswood_core::record::{Envelope, FORMAT_VERSION};
 
 use super::fold::fleet;
 use super::stats::median;
@@ -78,8 +78,14 @@
         if records.is_empty() {
             break;
         }
-        let env = Envelope { v: FORMAT, from: "offline".to_string(), seq, at: now, records };
-        state.fold(state.next, &env);
+        let env = Envelope {
+            format_version: FORMAT_VERSION,
+            sender: "offline".to_string(),
+            seq,
+            written_at: now,
+            records,
+        };
+        state.fold(state.next_offset, &env);
     }
     total
 }
@@ -91,7 +97,7 @@
         duration: Duration::from_secs(600),
         start: 0,
         deadline: 0,
-        keep_clear: Vec::new(),
+        blackout_windows: Vec::new(),
         max_parallel: 0,
         paused: false,
     }
@@ -119,7 +125,7 @@
 fn show(name: &str, file: &FleetFile, maintenance: &[Maintenance]) {
     let state = settled(std::slice::from_ref(file), NOW);
     for m in maintenance {
-        let m = Maintenance { start: 0, deadline: 0, keep_clear: Vec::new(), ..m.clone() };
+        let m = Maintenance { start: 0, deadline: 0, blackout_windows: Vec::new(), ..m.clone() };
         let bound = Bound::of(&state, &m);
         for (way, strategy) in [("waves", Strategy::Waves), ("rack_by_rack", Strategy::RackByRack)] {
             let x = measure(&state, &m, strategy, NOW);
--- a/src/workswood/ops/entry/deferred_requests.rs
+++ b/src/workswood/ops/entry/deferred_requests.rs
@@ -8,12 +8,12 @@
 use bytes::Bytes;
 use hyper::Response;
 use workswood_callers::{KEY_HEADER, RAN_HEADER, full_body, refusal};
-use workswood_core::code::{Code, Ran};
-use workswood_core::fleet::Class;
-use workswood_core::fold::{KeyRec, KeyState, MAX_KEY_WINDOW, State, Void};
-use workswood_core::ids::{RequestKey, UnixMs};
-use workswood_core::keyed::{Given, HOLD};
-use workswood_core::record::{Deferred, End as KeyEnd, Record};
+use workswood_core::code::{Code, ExecutionStatus};
+use workswood_core::fleet::PriorityClass;
+use workswood_core::fold::{KeyState, KeyedRequest, MAX_KEY_WINDOW, Rejection, State};
+use workswood_core::idempotency::{CLAIM_HOLD, RequestIdentity};
+use workswood_core::ids::{IdempotencyKey, UnixMs};
+use workswood_core::record::{AttemptOutcome, DeferredRequest, Record};
 
 use super::dispatch::{self, SlotRequest};
 use super::keyed_requests::{self, ClaimGuard};
@@ -42,7 +42,7 @@
     let given = match needs_key {
         true => match keyed_requests::parse_key(node, &request, &body, key) {
             Ok(given) => given,
-            Err(code) => return refusal(code, Ran::NotRun, None),
+            Err(code) => return refusal(code, ExecutionStatus::NotRun, None),
         },
         false => with_generated_key(node, &request, &body),
     };
@@ -59,9 +59,9 @@
         .await;
     }
     let Some(claim_guard) = ClaimGuard::begin(node, &given.key, request.deadline).await else {
-        return keyed_requests::refuse(node, Some(&given.key), Code::WaitTooLong, Some(HOLD)).await;
+        return keyed_requests::refuse(node, Some(&given.key), Code::WaitTooLong, Some(CLAIM_HOLD)).await;
     };
-    let deferred = Deferred {
+    let deferred = DeferredRequest {
         method: request.head.method.to_string(),
         path: request.head.path.clone(),
         body: STANDARD.encode(&body),
@@ -78,9 +78,9 @@
     match node.append(vec![record]).await.map(|appended| appended.verdicts) {
         Ok(verdicts) => match verdicts.first() {
             Some(Ok(())) => accepted_reply(&given.key),
-            Some(Err(Void::KeyTaken | Void::Expired)) => keyed_requests::recorded_reply(node, &given)
-                .unwrap_or_else(|| refusal(Code::KeyExpired, Ran::Unknown, None)),
-            _ => refusal(Code::LogUnavailable, Ran::NotRun, Some(Duration::from_secs(1))),
+            Some(Err(Rejection::KeyTaken | Rejection::Expired)) => keyed_requests::recorded_reply(node, &given)
+                .unwrap_or_else(|| refusal(Code::KeyExpired, ExecutionStatus::Unknown, None)),
+            _ => refusal(Code::LogUnavailable, ExecutionStatus::NotRun, Some(Duration::from_secs(1))),
         },
         Err(AppendError::NotSent) => {
             drop(claim_guard);
@@ -89,14 +89,14 @@
         }
         // The request may still reach the log and run; the caller can ask for the outcome of its key.
         Err(AppendError::Unknown) => {
-            refusal(Code::LogUnavailable, Ran::Unknown, Some(Duration::from_secs(1)))
+            refusal(Code::LogUnavailable, ExecutionStatus::Unknown, Some(Duration::from_secs(1)))
         }
     }
 }
 
 /// Generates a key for a repeatable request that has none.
-fn with_generated_key(node: &Node, request: &RoutedRequest, body: &Bytes) -> Given {
-    Given {
+fn with_generated_key(node: &Node, request: &RoutedRequest, body: &Bytes) -> RequestIdentity {
+    RequestIdentity {
         key: uuid::Uuid::new_v4().simple().to_string(),
         last_moment: node.wall() + MAX_KEY_WINDOW.as_millis() as UnixMs,
         digest: keyed_requests::request_digest(request, body),
@@ -107,13 +107,14 @@
 fn accepted_reply(key: &str) -> Reply {
     let text = format!("accepted; ask for the outcome at /workswood/outcome/{key}\n");
     let res = Response::builder().status(202).header(RAN_HEADER, "accepted").header(KEY_HEADER, key);
-    res.body(full_body(Bytes::from(text))).unwrap_or_else(|_| refusal(Code::KeyRunning, Ran::Unknown, None))
+    res.body(full_body(Bytes::from(text)))
+        .unwrap_or_else(|_| refusal(Code::KeyRunning, ExecutionStatus::Unknown, None))
 }
 
 /// Runs the open requests that are assigned to this process until it ends.
 pub async fn run(node: Arc<Node>) {
     let mut tasks = tokio::task::JoinSet::new();
-    let mut running_keys: Vec<RequestKey> = Vec::new();
+    let mut running_keys: Vec<IdempotencyKey> = Vec::new();
     loop {
         while let Some(finished) = tasks.try_join_next() {
             if let Ok(key) = finished {
@@ -140,14 +141,14 @@
 /// What to do with an open request.
 enum OpenAction {
     /// Run the request.
-    Run { rec: KeyRec },
+    Run { rec: KeyedRequest },
     /// Record an unknown outcome: the process that ran the request is gone, and the request may not be
     /// repeated.
     RecordUnknown { holder: String },
 }
 
 /// Selects open requests that are assigned to this process, as many as it may still run.
-fn select_requests(node: &Node, running_keys: &[RequestKey]) -> Vec<(RequestKey, OpenAction)> {
+fn select_requests(node: &Node, running_keys: &[IdempotencyKey]) -> Vec<(IdempotencyKey, OpenAction)> {
     let state = node.state.read();
     let capacity = MAX_CONCURRENT_REQUESTS.saturating_sub(running_keys.len());
     let open =
@@ -163,7 +164,7 @@
     assigned == Some(id)
 }
 
-fn action_for(state: &State, rec: &KeyRec) -> Option<OpenAction> {
+fn action_for(state: &State, rec: &KeyedRequest) -> Option<OpenAction> {
     match &rec.state {
         KeyState::Waiting => Some(OpenAction::Run { rec: rec.clone() }),
         KeyState::Running { holder } if !state.roster.iter().any(|m| m.id == *holder) => {
@@ -182,7 +183,7 @@
         OpenAction::Run { rec } => run_attempt(node, key, rec).await,
         OpenAction::RecordUnknown { holder } => {
             log::warn!("event=deferred_unknown key={key} holder={holder} reason=holder_gone");
-            let record = Record::Finish { key: key.to_string(), holder, end: KeyEnd::Unknown };
+            let record = Record::Finish { key: key.to_string(), holder, outcome: AttemptOutcome::Unknown };
             let _ = node.append(vec![record]).await;
         }
     }
@@ -190,10 +191,10 @@
 
 /// Makes one attempt. The slot is acquired before the start is recorded, so that little time passes
 /// between the record and the sending.
-async fn run_attempt(node: &Arc<Node>, key: &str, rec: KeyRec) {
+async fn run_attempt(node: &Arc<Node>, key: &str, rec: KeyedRequest) {
     let Some(deferred) = &rec.deferred else { return };
     let Some(dispatcher) = dispatch::dispatcher_of(node, &rec.service) else { return };
-    let slot_request = SlotRequest { class: Class::Later, deadline: node.now() + SLOT_TIMEOUT, tried: &[] };
+    let slot_request = SlotRequest { class: PriorityClass::Later, deadline: node.now() + SLOT_TIMEOUT, tried: &[] };
     let Some(Ok(slot)) = dispatch::acquire(node, &dispatcher, slot_request).await else { return };
     let Some(request) = routed_request(node, key, &rec, deferred) else { return };
     let attempt = rec.attempts + 1;
@@ -227,7 +228,7 @@
 }
 
 /// Rebuilds a request from the log; `None` if its route is no longer in force.
-fn routed_request(node: &Node, key: &str, rec: &KeyRec, deferred: &Deferred) -> Option<RoutedRequest> {
+fn routed_request(node: &Node, key: &str, rec: &KeyedRequest, deferred: &DeferredRequest) -> Option<RoutedRequest> {
     let table = node.table.load();
     let path = deferred.path.split('?').next().unwrap_or_default();
     let (route, service) = table.find(path).filter(|(_, s)| *s == rec.service)?.clone();
--- a/src/workswood/ops/entry/dispatch.rs
+++ b/src/workswood/ops/entry/dispatch.rs
@@ -8,7 +8,7 @@
 use parking_lot::Mutex;
 use tokio::sync::oneshot;
 use workswood_core::code::Code;
-use workswood_core::fleet::Class;
+use workswood_core::fleet::PriorityClass;
 use workswood_core::ids::{InstanceId, ServiceId};
 use workswood_core::route::{Action, Dispatcher, Limits, Loan, Outcome, RouteTable, Ticket, Want};
 use workswood_peers::{Msg, SlotAsk, SlotState};
@@ -124,7 +124,7 @@
     }
 
     /// Expected wait of a new request of a class.
-    pub fn expected_wait(&self, now: Duration, class: Class) -> Duration {
+    pub fn expected_wait(&self, now: Duration, class: PriorityClass) -> Duration {
         let inner = self.inner.lock();
         inner.dispatcher.wait(class, inner.dispatcher.slots(now))
     }
@@ -222,8 +222,8 @@
 
 /// What a request needs a slot for.
 pub struct SlotRequest<'a> {
-    /// Class of the request.
-    pub class: Class,
+    /// Priority class of the request.
+    pub class: PriorityClass,
     /// When the request must be answered, since the start of the process.
     pub deadline: Duration,
     /// Endpoints that the request was sent to before; empty for its first attempt.
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood_core::fold::{HostRec, InstanceRec, LeaseRec, State};
+use workswood_core::fold::{Lease, ManagedHost, PlacedInstance, State};
 use workswood_core::ids::{InstanceId, Term};
-use workswood_core::member::{Liveness, MemberRec};
+use workswood_core::membership::{Liveness, Member};
 use workswood_core::plan::{Act, Facts, Seen, acts, decide};
-use workswood_core::record::{Duty, HostStep, InstanceStep, JobStep, Record, RosterMember};
+use workswood_core::record::{HostChange, InstanceChange, JobChange, Record, Role, RosterMember};
 
 use super::node::Node;
 use crate::util::logs::DECISION;
@@ -38,7 +38,7 @@
 
 /// A lease as this process last saw it. Times are since the start of the process.
 struct ObservedLease {
-    lease: LeaseRec,
+    lease: Lease,
     changed_at: Duration,
     /// When this process last renewed the lease.
     renewed_at: Duration,
@@ -46,7 +46,7 @@
 
 /// Takes free duties and renews those held, until the process ends.
 pub async fn run_leases(node: Arc<Node>) {
-    let mut observed: BTreeMap<Duty, ObservedLease> = BTreeMap::new();
+    let mut observed: BTreeMap<Role, ObservedLease> = BTreeMap::new();
     loop {
         tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
         if !node.is_set(&node.ready) || !node.is_set(&node.log_up) {
@@ -54,7 +54,7 @@
             observed.clear();
             continue;
         }
-        for duty in Duty::ALL {
+        for duty in Role::ALL {
             let record = lease_record(&node, &mut observed, duty);
             if let Some(record) = record {
                 let _ = node.append(vec![record]).await;
@@ -64,7 +64,7 @@
 }
 
 /// Returns the record that renews a lease of this process or takes over an expired one, if it is time.
-fn lease_record(node: &Node, observed: &mut BTreeMap<Duty, ObservedLease>, duty: Duty) -> Option<Record> {
+fn lease_record(node: &Node, observed: &mut BTreeMap<Role, ObservedLease>, duty: Role) -> Option<Record> {
     let now = node.now();
     let (lease, roster_place) = {
         let state = node.state.read();
@@ -83,7 +83,7 @@
             return None;
         }
         seen.renewed_at = now;
-        return Some(Record::Renew { duty, term: lease.term });
+        return Some(Record::Renew { role: duty, term: lease.term });
     }
     let timeout = match lease.holder {
         Some(_) => LEASE_TIMEOUT,
@@ -94,7 +94,12 @@
         return None;
     }
     log::info!(target: DECISION, "event=take_duty duty={duty:?} term={} reason=silence", lease.term + 1);
-    Some(Record::Take { duty, holder: node.id.clone(), term: lease.term + 1, seen: lease.renewals })
+    Some(Record::Take {
+        role: duty,
+        holder: node.id.clone(),
+        term: lease.term + 1,
+        seen_renewals: lease.renewals,
+    })
 }
 
 /// A lease that this process holds. Times are since the start of the process.
@@ -109,7 +114,7 @@
 
 impl HeldLease {
     /// Updates what is known of the lease; `None` if this process does not hold it.
-    fn refresh(held: Option<HeldLease>, node: &Node, duty: Duty) -> Option<HeldLease> {
+    fn refresh(held: Option<HeldLease>, node: &Node, duty: Role) -> Option<HeldLease> {
         let now = node.now();
         let lease = node.state.read().lease(duty);
         if lease.holder.as_ref() != Some(&node.id) {
@@ -149,19 +154,19 @@
         if idle {
             let _ = tokio::time::timeout(IDLE_PLAN_DELAY, next_offset.changed()).await;
         }
-        held = HeldLease::refresh(held, &node, Duty::Planner);
+        held = HeldLease::refresh(held, &node, Role::Planner);
         let Some(lease) = held.as_ref().filter(|h| h.is_unexpired(node.now())) else { continue };
         let Ok(listing) = node.platform.hosts().await else { continue };
         let records = plan_round(&node, &listing, lease.term);
         next_offset.mark_unchanged();
-        idle = records.is_empty() && !node.state.read().hosts.values().any(HostRec::away);
+        idle = records.is_empty() && !node.state.read().hosts.values().any(ManagedHost::out_of_service);
         if !records.is_empty() {
             log_decisions(&records);
             if node.append(records).await.is_err() {
                 continue;
             }
         }
-        held = HeldLease::refresh(held, &node, Duty::Planner);
+        held = HeldLease::refresh(held, &node, Role::Planner);
         let Some(lease) =
             held.as_ref().filter(|h| h.is_unexpired(node.now()) && h.former_actions_ended(node.now()))
         else {
@@ -187,17 +192,17 @@
 fn collect_facts(node: &Node) -> Facts {
     let (own_next, draining) = {
         let state = node.state.read();
-        let is_away = |i: &InstanceRec| state.hosts.get(&i.host).is_some_and(|h| h.away());
+        let is_away = |i: &PlacedInstance| state.hosts.get(&i.host).is_some_and(|h| h.out_of_service());
         let draining: Vec<InstanceId> =
             state.instances.iter().filter(|(_, i)| is_away(i)).map(|(id, _)| id.clone()).collect();
-        (state.next, draining)
+        (state.next_offset, draining)
     };
     let mut in_flight = super::dispatch::in_flight_to(node, &draining);
     let members = node.members.lock();
-    let others: Vec<&MemberRec> = members.present().filter(|m| m.beat.id != node.id).collect();
-    let confirmed = others.iter().map(|m| m.beat.next).fold(own_next, u64::min);
+    let others: Vec<&Member> = members.present().filter(|m| m.heartbeat.id != node.id).collect();
+    let confirmed = others.iter().map(|m| m.heartbeat.next_offset).fold(own_next, u64::min);
     let reports = node.peer_reports.lock();
-    for report in others.iter().filter_map(|m| reports.get(&m.beat.address)) {
+    for report in others.iter().filter_map(|m| reports.get(&m.heartbeat.address)) {
         for (id, n) in &report.open_requests {
             *in_flight.entry(id.clone()).or_default() += n;
         }
@@ -210,15 +215,15 @@
     let members = node.members.lock();
     let on_roster = |id: &str| state.roster.iter().any(|m| m.id == id);
     // Suspected members stay on the roster but are not added to it.
-    let eligible = |m: &&MemberRec| {
-        let beat = &m.beat;
+    let eligible = |m: &&Member| {
+        let beat = &m.heartbeat;
         !beat.stopping
             && (m.liveness == Liveness::Alive || (m.liveness == Liveness::Suspect && on_roster(&beat.id)))
     };
     let mut wanted: Vec<RosterMember> = members
         .iter()
         .filter(eligible)
-        .map(|m| RosterMember { id: m.beat.id.clone(), data_centre: m.beat.data_centre.clone() })
+        .map(|m| RosterMember { id: m.heartbeat.id.clone(), data_centre: m.heartbeat.data_centre.clone() })
         .collect();
     wanted.sort();
     let differs = wanted != state.roster && !wanted.is_empty();
@@ -232,7 +237,7 @@
 async fn perform_actions(node: &Arc<Node>, listing: &Seen, term: Term) -> bool {
     let outstanding = acts(&node.state.read(), listing);
     for chunk in outstanding.chunks(MAX_CONCURRENT_ACTIONS) {
-        let lease = node.state.read().lease(Duty::Planner);
+        let lease = node.state.read().lease(Role::Planner);
         if lease.term != term || lease.holder.as_ref() != Some(&node.id) {
             break;
         }
@@ -254,22 +259,22 @@
 fn log_decisions(records: &[Record]) {
     for record in records {
         match record {
-            Record::Host { host, step, .. } if !matches!(step, HostStep::Seen { .. }) => {
+            Record::Host { host, change: step, .. } if !matches!(step, HostChange::Seen { .. }) => {
                 log::info!(target: DECISION, "event=host host={host} step={step:?}");
             }
             Record::Instance {
                 instance,
-                step: step @ (InstanceStep::Place { .. } | InstanceStep::Remove),
+                change: step @ (InstanceChange::Place { .. } | InstanceChange::Remove),
                 ..
             } => {
                 log::info!(target: DECISION, "event=place instance={instance} step={step:?}");
             }
-            Record::Job { job, step, .. } => {
+            Record::Job { job, change: step, .. } => {
                 let reason = match step {
-                    JobStep::Start { .. } => "free_capacity",
-                    JobStep::Preempt => "urgent_job",
-                    JobStep::End { .. } => "list",
-                    JobStep::Lost => "host_gone",
+                    JobChange::Start { .. } => "free_capacity",
+                    JobChange::Preempt => "urgent_job",
+                    JobChange::End { .. } => "list",
+                    JobChange::Lost => "host_gone",
                 };
                 log::info!(target: DECISION, "event=job job={job} step={step:?} reason={reason}");
             }
@@ -288,14 +293,14 @@
     let mut held: Option<HeldLease> = None;
     loop {
         tokio::time::sleep(interval).await;
-        held = HeldLease::refresh(held, &node, Duty::Checkpointer);
+        held = HeldLease::refresh(held, &node, Role::Checkpointer);
         let Some(lease) = &held else { continue };
-        let next = node.state.read().next;
+        let next = node.state.read().next_offset;
         if next == checkpointed_next || !node.is_set(&node.log_up) {
             continue;
         }
         if write_checkpoint(&node, lease.term).await {
-            checkpointed_next = node.state.read().next;
+            checkpointed_next = node.state.read().next_offset;
         }
     }
 }
@@ -307,7 +312,7 @@
         return false;
     }
     let parts = node.state.read().checkpoint();
-    node.state.write().forget_mark_text();
+    node.state.write().drop_checkpoint_text();
     let count = parts.len();
     for chunk in parts.chunks(PARTS_PER_APPEND) {
         if node.append(chunk.to_vec()).await.is_err() {
@@ -320,10 +325,10 @@
 
 /// Releases all duties that this process holds.
 pub async fn release_all(node: &Arc<Node>) {
-    for duty in Duty::ALL {
+    for duty in Role::ALL {
         let lease = node.state.read().lease(duty);
         if lease.holder.as_ref() == Some(&node.id) {
-            let _ = node.append(vec![Record::GiveUp { duty, term: lease.term }]).await;
+            let _ = node.append(vec![Record::GiveUp { role: duty, term: lease.term }]).await;
         }
     }
 }
--- a/src/workswood/ops/entry/keyed_requests.rs
+++ b/src/workswood/ops/entry/keyed_requests.rs
@@ -11,11 +11,13 @@
 use bytes::Bytes;
 use hyper::Response;
 use workswood_callers::{KEY_HEADER, RAN_HEADER, full_body, refusal};
-use workswood_core::code::{Code, Ran};
-use workswood_core::fold::{MAX_KEY_WINDOW, Void};
-use workswood_core::ids::{RequestKey, UnixMs};
-use workswood_core::keyed::{self, AfterClaim, Given, HOLD, Inquiry, Told};
-use workswood_core::record::{End as KeyEnd, Record};
+use workswood_core::code::{Code, ExecutionStatus};
+use workswood_core::fold::{MAX_KEY_WINDOW, Rejection};
+use workswood_core::idempotency::{
+    self, CLAIM_HOLD, ClaimDecision, ClaimInquiry, KeyAnswer, RequestIdentity,
+};
+use workswood_core::ids::{IdempotencyKey, UnixMs};
+use workswood_core::record::{AttemptOutcome, Record};
 use workswood_peers::{KeyAsk, Msg};
 
 use super::dispatch;
@@ -41,7 +43,7 @@
     request: &RoutedRequest,
     body: &Bytes,
     key: Option<String>,
-) -> Result<Given, Code> {
+) -> Result<RequestIdentity, Code> {
     let key = key.ok_or(Code::KeyMissing)?;
     let visible = key.bytes().all(|b| b.is_ascii_graphic());
     if key.is_empty() || key.len() > MAX_KEY_BYTES || !visible {
@@ -55,7 +57,7 @@
     if last_moment > latest {
         return Err(Code::KeyMalformed);
     }
-    Ok(Given { key, last_moment, digest: request_digest(request, body) })
+    Ok(RequestIdentity { key, last_moment, digest: request_digest(request, body) })
 }
 
 /// Digest of the method, path and body of a request.
@@ -68,18 +70,18 @@
     let given = match parse_key(node, &request, &body, key) {
         Ok(given) => given,
         // A request without a valid key is never claimed, so no copy of it can have run.
-        Err(code) => return refusal(code, Ran::NotRun, None),
+        Err(code) => return refusal(code, ExecutionStatus::NotRun, None),
     };
     // A task of its own continues when the caller disconnects, so that the outcome is recorded.
     let node = node.clone();
     let run = tokio::spawn(async move { claim_and_run(&node, request, body, given).await });
-    run.await.unwrap_or_else(|_| refusal(Code::KeyUnknownOutcome, Ran::Unknown, None))
+    run.await.unwrap_or_else(|_| refusal(Code::KeyUnknownOutcome, ExecutionStatus::Unknown, None))
 }
 
 /// Marks a key as being claimed by this process until dropped. Peers that ask about the key are told.
 pub struct ClaimGuard {
     node: Arc<Node>,
-    key: RequestKey,
+    key: IdempotencyKey,
 }
 
 impl ClaimGuard {
@@ -104,7 +106,7 @@
 }
 
 /// Claims the key of a request in the log and sends the request if the claim wins.
-async fn claim_and_run(node: &Arc<Node>, request: RoutedRequest, body: Bytes, given: Given) -> Reply {
+async fn claim_and_run(node: &Arc<Node>, request: RoutedRequest, body: Bytes, given: RequestIdentity) -> Reply {
     if let Some(reply) = recorded_reply(node, &given) {
         return reply;
     }
@@ -112,7 +114,7 @@
         return refuse(node, Some(&given.key), code, Some(LOG_RETRY_AFTER)).await;
     }
     let Some(claim_guard) = ClaimGuard::begin(node, &given.key, request.deadline).await else {
-        return refuse(node, Some(&given.key), Code::WaitTooLong, Some(HOLD)).await;
+        return refuse(node, Some(&given.key), Code::WaitTooLong, Some(CLAIM_HOLD)).await;
     };
     let record = Record::Claim {
         key: given.key.clone(),
@@ -128,12 +130,12 @@
         drop(claim_guard);
         return refuse(node, Some(&given.key), Code::LogUnavailable, Some(LOG_RETRY_AFTER)).await;
     };
-    let verdict = appended.verdicts.first().cloned().unwrap_or(Err(Void::Unknown));
-    let next = keyed::after_claim(&node.state.read(), &given, &verdict);
+    let verdict = appended.verdicts.first().cloned().unwrap_or(Err(Rejection::Unknown));
+    let next = idempotency::decide_after_claim(&node.state.read(), &given, &verdict);
     match next {
-        AfterClaim::Run => send_claimed(node, request, body, &given.key).await,
-        AfterClaim::Tell(told) => reply_of(&told, &given.key),
-        AfterClaim::NotNow => {
+        ClaimDecision::Send => send_claimed(node, request, body, &given.key).await,
+        ClaimDecision::Answer(told) => reply_of(&told, &given.key),
+        ClaimDecision::RetryLater => {
             drop(claim_guard);
             refuse(node, Some(&given.key), Code::LogUnavailable, Some(LOG_RETRY_AFTER)).await
         }
@@ -145,7 +147,7 @@
     if !node.is_set(&node.log_up) {
         return Some(Code::LogUnavailable);
     }
-    let clock_behind = node.wall() + (MAX_CLOCK_SKEW.as_millis() as UnixMs) < node.state.read().time;
+    let clock_behind = node.wall() + (MAX_CLOCK_SKEW.as_millis() as UnixMs) < node.state.read().log_time;
     if clock_behind {
         return Some(Code::ClockSkew);
     }
@@ -174,26 +176,26 @@
         SendOutcome::Answered(reply, body) => {
             let stored =
                 body.as_ref().filter(|b| b.len() <= MAX_STORED_BODY_BYTES).map(|b| STANDARD.encode(b));
-            KeyEnd::Answered { status: reply.status().as_u16(), body: stored }
+            AttemptOutcome::Answered { status: reply.status().as_u16(), body: stored }
         }
-        SendOutcome::NotSent(..) => KeyEnd::NotSent,
-        SendOutcome::Broken(_) => KeyEnd::Unknown,
+        SendOutcome::NotSent(..) => AttemptOutcome::NotSent,
+        SendOutcome::Broken(_) => AttemptOutcome::Unknown,
     };
-    Record::Finish { key: key.to_string(), holder: node.id.clone(), end }
+    Record::Finish { key: key.to_string(), holder: node.id.clone(), outcome: end }
 }
 
 /// Response to a copy of a request that the log knows of; `None` if its key may be claimed.
-pub fn recorded_reply(node: &Node, given: &Given) -> Option<Reply> {
-    let told = keyed::known(&node.state.read(), given)?;
+pub fn recorded_reply(node: &Node, given: &RequestIdentity) -> Option<Reply> {
+    let told = idempotency::answer_if_known(&node.state.read(), given)?;
     Some(reply_of(&told, &given.key))
 }
 
 /// Response to a copy of a request that is not sent.
-pub fn reply_of(told: &Told, key: &str) -> Reply {
-    let retry_after = matches!(told, Told::Running).then_some(RUNNING_RETRY_AFTER);
+pub fn reply_of(told: &KeyAnswer, key: &str) -> Reply {
+    let retry_after = matches!(told, KeyAnswer::Running).then_some(RUNNING_RETRY_AFTER);
     match (told, told.code()) {
-        (Told::Done { status, body }, _) => stored_reply(*status, body.as_deref(), key),
-        (_, code) => refusal(code.unwrap_or(Code::KeyUnknownOutcome), told.ran(), retry_after),
+        (KeyAnswer::Done { status, body }, _) => stored_reply(*status, body.as_deref(), key),
+        (_, code) => refusal(code.unwrap_or(Code::KeyUnknownOutcome), told.execution(), retry_after),
     }
 }
 
@@ -201,20 +203,20 @@
 fn stored_reply(status: u16, body: Option<&str>, key: &str) -> Reply {
     let bytes = body.and_then(|b| STANDARD.decode(b).ok()).unwrap_or_default();
     let mut res =
-        Response::builder().status(status).header(RAN_HEADER, Ran::Run.as_str()).header(KEY_HEADER, key);
+        Response::builder().status(status).header(RAN_HEADER, ExecutionStatus::Run.as_str()).header(KEY_HEADER, key);
     if body.is_none() {
         res = res.header("x-workswood-body", "not-kept");
     }
     res.body(full_body(Bytes::from(bytes)))
-        .unwrap_or_else(|_| refusal(Code::KeyUnknownOutcome, Ran::Run, None))
+        .unwrap_or_else(|_| refusal(Code::KeyUnknownOutcome, ExecutionStatus::Run, None))
 }
 
 /// Answers a caller that asks for the outcome of a key.
 pub fn outcome_reply(node: &Node, key: &str) -> Reply {
     let state = node.state.read();
     match state.keys.get(key) {
-        Some(rec) => reply_of(&keyed::told(&state, rec), key),
-        None => refusal(Code::KeyNotFound, Ran::Unknown, None),
+        Some(rec) => reply_of(&idempotency::answer_for(&state, rec), key),
+        None => refusal(Code::KeyNotFound, ExecutionStatus::Unknown, None),
     }
 }
 
@@ -222,39 +224,39 @@
 /// any copy of it.
 pub async fn refuse(node: &Arc<Node>, key: Option<&str>, code: Code, retry_after: Option<Duration>) -> Reply {
     let ran = match key {
-        None => Ran::NotRun,
-        Some(key) if never_claimed(node, key).await => Ran::NotRun,
-        Some(_) => Ran::Unknown,
+        None => ExecutionStatus::NotRun,
+        Some(key) if never_claimed(node, key).await => ExecutionStatus::NotRun,
+        Some(_) => ExecutionStatus::Unknown,
     };
     refusal(code, ran, retry_after)
 }
 
 /// Returns whether this process knows a key, and the roster, for a peer that asks.
-pub fn key_status(node: &Node, key: &str) -> keyed::Reply {
+pub fn key_status(node: &Node, key: &str) -> idempotency::InquiryReply {
     let state = node.state.read();
     // A process that has not caught up with the log can't deny that it knows the key.
     let known = state.keys.contains_key(key)
         || !node.is_set(&node.ready)
-        || node.claims.lock().begun_or_hold(key, node.now());
+        || node.claims.lock().claim_begun_or_hold(key, node.now());
     let roster = state.roster.iter().map(|m| m.id.clone());
-    keyed::Reply { known, roster: roster.chain(node.proposed_roster.lock().iter().cloned()).collect() }
+    idempotency::InquiryReply { known, roster: roster.chain(node.proposed_roster.lock().iter().cloned()).collect() }
 }
 
 /// Asks all processes that may claim a key, and returns whether none of them knows it.
 async fn never_claimed(node: &Arc<Node>, key: &str) -> bool {
     let started_at = node.now();
-    let mut inquiry = Inquiry::new(&node.id, key_status(node, key));
-    while let Some(id) = inquiry.ask() {
+    let mut inquiry = ClaimInquiry::new(&node.id, key_status(node, key));
+    while let Some(id) = inquiry.next_to_ask() {
         let request = Msg::KeyAsk(KeyAsk { key: key.to_string() });
         let answer = match node.link_to(id) {
             Some(link) => link.call(request, KEY_STATUS_TIMEOUT).await,
             None => None,
         };
-        inquiry.heard(match answer {
-            Some(Msg::KeyReply(reply)) => Some(keyed::Reply { known: reply.known, roster: reply.roster }),
+        inquiry.record_reply(match answer {
+            Some(Msg::KeyReply(reply)) => Some(idempotency::InquiryReply { known: reply.known, roster: reply.roster }),
             _ => None,
         });
     }
     // Peers that answered refrain from claiming the key only for `HOLD`.
-    inquiry.never_claimed() && node.now() - started_at < HOLD / 2
+    inquiry.never_claimed() && node.now() - started_at < CLAIM_HOLD / 2
 }
--- a/src/workswood/ops/entry/log_appender.rs
+++ b/src/workswood/ops/entry/log_appender.rs
@@ -10,9 +10,9 @@
 
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
-use workswood_core::fold::{Verdict, Void};
+use workswood_core::fold::{RecordResult, Rejection};
 use workswood_core::ids::Offset;
-use workswood_core::record::{End, Envelope, FORMAT, Record};
+use workswood_core::record::{AttemptOutcome, Envelope, FORMAT_VERSION, Record};
 use workswood_peers::{Head, Msg};
 use workswood_platform::Error;
 
@@ -37,7 +37,7 @@
     /// Offset of the envelope in the log.
     pub offset: Offset,
     /// Verdicts on the records, in their order.
-    pub verdicts: Vec<Verdict>,
+    pub verdicts: Vec<RecordResult>,
 }
 
 /// Why an append did not return verdicts.
@@ -75,8 +75,8 @@
     }
 
     /// Sends the verdicts on an envelope of this process to the callers of [`Node::append`].
-    pub fn complete_append(self: &Arc<Self>, offset: Offset, envelope: &Envelope, verdicts: &[Verdict]) {
-        if verdicts.contains(&Err(Void::Repeated)) {
+    pub fn complete_append(self: &Arc<Self>, offset: Offset, envelope: &Envelope, verdicts: &[RecordResult]) {
+        if verdicts.contains(&Err(Rejection::Repeated)) {
             return;
         }
         let mut pending = self.pending_envelopes.lock();
@@ -98,7 +98,7 @@
 
     /// Releases claims and starts that were accepted after their caller had stopped waiting: no
     /// request was sent to an endpoint for them.
-    fn release_abandoned(self: &Arc<Self>, records: &[Record], verdicts: &[Verdict]) {
+    fn release_abandoned(self: &Arc<Self>, records: &[Record], verdicts: &[RecordResult]) {
         for (record, verdict) in records.iter().zip(verdicts) {
             let (Record::Claim { key, holder: Some(holder), .. } | Record::Start { key, holder, .. }) =
                 record
@@ -109,7 +109,8 @@
                 continue;
             }
             log::info!("event=claim_released key={key} reason=abandoned");
-            let record = Record::Finish { key: key.clone(), holder: holder.clone(), end: End::NotSent };
+            let record =
+                Record::Finish { key: key.clone(), holder: holder.clone(), outcome: AttemptOutcome::NotSent };
             let node = self.clone();
             tokio::spawn(async move { node.append(vec![record]).await });
         }
@@ -156,7 +157,13 @@
             continue;
         }
         seq += 1;
-        let envelope = Envelope { v: FORMAT, from: node.id.clone(), seq, at: node.wall(), records };
+        let envelope = Envelope {
+            format_version: FORMAT_VERSION,
+            sender: node.id.clone(),
+            seq,
+            written_at: node.wall(),
+            records,
+        };
         node.pending_envelopes.lock().insert(seq, PendingEnvelope { waiters });
         append_envelope(&node, &envelope).await;
     }
@@ -195,7 +202,7 @@
     match record {
         Record::Checkpoint { data, .. } => data.len() * 2,
         Record::Claim { deferred: Some(deferred), .. } => deferred.body.len() + 512,
-        Record::Finish { end: End::Answered { body: Some(body), .. }, .. } => body.len() + 256,
+        Record::Finish { outcome: AttemptOutcome::Answered { body: Some(body), .. }, .. } => body.len() + 256,
         Record::Apply { file, .. } => (file.hosts.len() + file.services.len()) * 256 + 1024,
         _ => 256,
     }
--- a/src/workswood/ops/entry/log_reader.rs
+++ b/src/workswood/ops/entry/log_reader.rs
@@ -4,9 +4,9 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use workswood_core::fold::{Assembler, State};
+use workswood_core::fold::{CheckpointAssembler, State};
 use workswood_core::invariant;
-use workswood_core::record::{Duty, Envelope};
+use workswood_core::record::{Envelope, Role};
 use workswood_core::route::RouteTable;
 use workswood_peers::{Msg, StateAsk};
 use workswood_platform::{Error, LogRecord};
@@ -61,7 +61,7 @@
 /// Returns the newest complete checkpoint in the log, or the empty state if there is none but the log
 /// still begins at offset 0.
 async fn load_checkpoint(node: &Node) -> Result<Option<State>, Error> {
-    let mut assembler = Assembler::default();
+    let mut assembler = CheckpointAssembler::default();
     let mut newest = None;
     let mut from = 0;
     let mut starts_at_zero = None;
@@ -71,7 +71,7 @@
         for log_record in &read.records {
             let Some(envelope) = decode_envelope(log_record) else { continue };
             for record in &envelope.records {
-                newest = assembler.take(record).or(newest);
+                newest = assembler.add(record).or(newest);
             }
         }
         from = read.records.last().map_or(read.head, |r| r.offset + 1);
@@ -95,16 +95,18 @@
         Msg::StateReply(reply) if !reply.text.is_empty() => State::from_text(&reply.text),
         _ => None,
     });
-    states.max_by_key(|s| s.next)
+    states.max_by_key(|s| s.next_offset)
 }
 
 /// Replaces the state of this process, unless the new one is older.
 fn adopt_state(node: &Arc<Node>, state: State) {
-    let current = node.state.read().next;
+    let current = node.state.read().next_offset;
     let newer =
-        invariant::check(state.next >= current, || format!("state {} is older than {current}", state.next));
+        invariant::check(state.next_offset >= current, || {
+        format!("state {} is older than {current}", state.next_offset)
+    });
     if newer {
-        log::info!("event=state_adopted next={}", state.next);
+        log::info!("event=state_adopted next={}", state.next_offset);
         *node.state.write() = state;
         publish_state(node);
     }
@@ -123,7 +125,7 @@
 
 /// Reads the next envelopes and folds them; returns whether the next read should follow immediately.
 async fn read_and_fold(node: &Arc<Node>, failures: &mut u32) -> bool {
-    let from = node.state.read().next;
+    let from = node.state.read().next_offset;
     let read = match node.platform.read(from, MAX_READ_RECORDS).await {
         Ok(r) => {
             *failures = 0;
@@ -164,7 +166,7 @@
     if has_records {
         publish_state(node);
     }
-    let caught_up = node.state.read().next >= read.head;
+    let caught_up = node.state.read().next_offset >= read.head;
     if caught_up && !node.ready.swap(true, Ordering::AcqRel) {
         log::info!("event=ready next={}", read.head);
     }
@@ -177,11 +179,11 @@
         return;
     }
     let Some(state) = fetch_peer_state(node).await else { return };
-    if state.next > node.state.read().next {
+    if state.next_offset > node.state.read().next_offset {
         adopt_state(node, state);
     }
     node.ready.store(true, Ordering::Release);
-    log::info!("event=ready reason=peer_state next={}", node.state.read().next);
+    log::info!("event=ready reason=peer_state next={}", node.state.read().next_offset);
 }
 
 /// Folds one log record and completes the append if the envelope is this process's own.
@@ -194,14 +196,14 @@
     let verdicts = {
         let mut state = node.state.write();
         let verdicts = state.fold(log_record.offset, &envelope);
-        let is_checkpointer = state.lease(Duty::Checkpointer).holder.as_deref() == Some(&node.id);
+        let is_checkpointer = state.lease(Role::Checkpointer).holder.as_deref() == Some(&node.id);
         if !is_checkpointer {
-            state.forget_mark_text();
+            state.drop_checkpoint_text();
         }
         verdicts
     };
     node.metrics.folded.inc();
-    if envelope.from == node.id {
+    if envelope.sender == node.id {
         node.complete_append(log_record.offset, &envelope, &verdicts);
     }
 }
@@ -210,9 +212,9 @@
 fn publish_state(node: &Arc<Node>) {
     let (table, next) = {
         let state = node.state.read();
-        (RouteTable::new(&state, &node.id), state.next)
+        (RouteTable::new(&state, &node.id), state.next_offset)
     };
-    node.claims.lock().on_roster(table.share.0.is_some(), node.now());
+    node.claims.lock().set_on_roster(table.share.0.is_some(), node.now());
     let table = Arc::new(table);
     node.table.store(table.clone());
     dispatch::update_routes(node, &table);
--- a/src/workswood/ops/entry/node.rs
+++ b/src/workswood/ops/entry/node.rs
@@ -9,9 +9,9 @@
 use parking_lot::{Mutex, RwLock};
 use tokio::sync::{Notify, mpsc, watch};
 use workswood_core::fold::State;
+use workswood_core::idempotency::LocalClaims;
 use workswood_core::ids::{Incarnation, InstanceId, Offset, ServiceId, UnixMs};
-use workswood_core::keyed::Claims;
-use workswood_core::member::Members;
+use workswood_core::membership::Members;
 use workswood_core::route::RouteTable;
 use workswood_endpoints::EndpointClient;
 use workswood_liveness::HalfOpen;
@@ -68,7 +68,7 @@
     /// Queue of the log appender.
     pub append_queue: mpsc::Sender<AppendRequest>,
     /// Keys that this process is claiming, and keys that it must not claim for a while.
-    pub claims: Mutex<Claims>,
+    pub claims: Mutex<LocalClaims>,
     /// The roster that this process proposed last as the planner.
     pub proposed_roster: Mutex<Vec<Incarnation>>,
     /// Metrics of the process.
@@ -171,8 +171,12 @@
 
     /// Link to the process with an id, if one is open.
     pub fn link_to(&self, id: &str) -> Option<Link> {
-        let address =
-            self.members.lock().present().find(|m| m.beat.id == id).map(|m| m.beat.address.clone())?;
+        let address = self
+            .members
+            .lock()
+            .present()
+            .find(|m| m.heartbeat.id == id)
+            .map(|m| m.heartbeat.address.clone())?;
         self.links.lock().get(&address).cloned()
     }
 
--- a/src/workswood/ops/entry/operator_api.rs
+++ b/src/workswood/ops/entry/operator_api.rs
@@ -8,11 +8,11 @@
 use futures::future::BoxFuture;
 use workswood_core::code::Code;
 use workswood_core::fleet::{FleetFile, check, parse};
-use workswood_core::fold::{Phase, State, Void};
+use workswood_core::fold::{HostPhase, Rejection, State};
 use workswood_core::ids::Offset;
 use workswood_core::invariant;
 use workswood_core::plan::{Stop, wave_status};
-use workswood_core::record::{Duty, Record};
+use workswood_core::record::{Record, Role};
 use workswood_operators::{
     ApplyReply, ApplyRequest, DutyStatus, EntryStatus, FileIssue, FileStatus, OperatorApi, PoolStatus, Status,
 };
@@ -35,7 +35,7 @@
     }
 
     fn metrics(&self) -> String {
-        self.metrics.broken.set(invariant::total() as i64);
+        self.metrics.broken.set(invariant::failed_checks() as i64);
         self.metrics.lines_dropped.set(logs::dropped() as i64);
         self.metrics.text()
     }
@@ -112,9 +112,10 @@
     loop {
         let behind: Vec<String> = {
             let members = node.members.lock();
-            let behind =
-                members.iter().filter(|m| m.beat.id != node.id && m.beat.next <= offset && !m.beat.stopping);
-            behind.map(|m| m.beat.address.clone()).collect()
+            let behind = members.iter().filter(|m| {
+                m.heartbeat.id != node.id && m.heartbeat.next_offset <= offset && !m.heartbeat.stopping
+            });
+            behind.map(|m| m.heartbeat.address.clone()).collect()
         };
         if behind.is_empty() || node.now() >= deadline {
             return behind;
@@ -124,11 +125,11 @@
 }
 
 /// Answer for a file that was folded but did not come into force.
-fn rejected(node: &Node, file: &FleetFile, void: &Void) -> ApplyReply {
+fn rejected(node: &Node, file: &FleetFile, void: &Rejection) -> ApplyReply {
     let state = node.state.read();
     let message = match void {
-        Void::Stale { version: 0, .. } => format!("file `{}` is not in force; use base 0", file.file),
-        Void::Stale { version, author } => {
+        Rejection::Stale { version: 0, .. } => format!("file `{}` is not in force; use base 0", file.file),
+        Rejection::Stale { version, author } => {
             let current = state.files.get(&file.file).map(|f| &f.file);
             let changed = current.map(|c| differences(c, file)).unwrap_or_default();
             format!(
@@ -137,7 +138,7 @@
                 changed.join(", ")
             )
         }
-        Void::Claimed { what, file } => format!("{what} belongs to file `{file}`"),
+        Rejection::Claimed { what, file } => format!("{what} belongs to file `{file}`"),
         other => format!("{other:?}"),
     };
     refused(void.code(), message)
@@ -177,7 +178,7 @@
     let state = node.state.read();
     let now = node.wall();
     let waves = wave_status(&state, now);
-    let stances = state.stances();
+    let stances = state.budget_statuses();
     let mut stuck: Vec<String> = Vec::new();
     for w in &waves {
         if let Stop::Unwell { .. } | Stop::Deadline { .. } | Stop::HostsMissing { .. } | Stop::Budget { .. } =
@@ -194,19 +195,19 @@
         entry: node.peer_address(),
         ready: node.is_set(&node.ready),
         log_up: node.is_set(&node.log_up),
-        next: state.next,
+        next: state.next_offset,
         files: file_statuses(&state),
         entries: entry_statuses(node, &state),
-        duties: Duty::ALL.iter().map(|d| duty_status(&state, *d)).collect(),
+        duties: Role::ALL.iter().map(|d| duty_status(&state, *d)).collect(),
         waves: serde_json::to_value(waves).unwrap_or_default(),
         budgets: serde_json::to_value(stances).unwrap_or_default(),
         hosts: pool_statuses(&state),
         stuck,
         keys: state.keys.len(),
         open_deferred: state.open_keys.len(),
-        unknown_records: state.unknown,
-        invariants_broken: invariant::total(),
-        first_broken: invariant::first(),
+        unknown_records: state.unknown_records,
+        invariants_broken: invariant::failed_checks(),
+        first_broken: invariant::first_failure(),
         host_moves: state.host_moves,
         instance_moves: state.instance_moves,
     }
@@ -225,17 +226,17 @@
 fn entry_statuses(node: &Node, state: &State) -> Vec<EntryStatus> {
     let members = node.members.lock();
     let entries = members.iter().map(|m| EntryStatus {
-        address: m.beat.address.clone(),
-        id: m.beat.id.clone(),
-        data_centre: m.beat.data_centre.clone(),
-        next: m.beat.next,
+        address: m.heartbeat.address.clone(),
+        id: m.heartbeat.id.clone(),
+        data_centre: m.heartbeat.data_centre.clone(),
+        next: m.heartbeat.next_offset,
         liveness: format!("{:?}", m.liveness).to_lowercase(),
-        on_roster: state.roster.iter().any(|r| r.id == m.beat.id),
+        on_roster: state.roster.iter().any(|r| r.id == m.heartbeat.id),
     });
     entries.collect()
 }
 
-fn duty_status(state: &State, duty: Duty) -> DutyStatus {
+fn duty_status(state: &State, duty: Role) -> DutyStatus {
     let lease = state.lease(duty);
     DutyStatus { duty: format!("{duty:?}").to_lowercase(), holder: lease.holder, term: lease.term }
 }
@@ -245,11 +246,11 @@
     for (id, h) in &state.hosts {
         let pool = h.pool.clone().unwrap_or_default();
         let p = pools.entry(pool.clone()).or_insert_with(|| PoolStatus { pool, ..PoolStatus::default() });
-        if h.foreign {
+        if h.externally_moved {
             p.foreign.push(id.clone());
-        } else if !h.up && !matches!(h.phase, Phase::Rebooting { .. }) {
+        } else if !h.up && !matches!(h.phase, HostPhase::Rebooting { .. }) {
             p.down.push(id.clone());
-        } else if h.away() {
+        } else if h.out_of_service() {
             p.away.push(id.clone());
         } else {
             p.active += 1;
--- a/src/workswood/ops/entry/peers.rs
+++ b/src/workswood/ops/entry/peers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use futures::FutureExt;
-use workswood_core::member::Beat;
+use workswood_core::membership::Heartbeat;
 use workswood_core::route::{Loan, Want};
 use workswood_peers::{
     Beat as WireBeat, Beats, Handler, KeyAsk, KeyReply, Leaving, Lent, Link, Msg, Open, SlotAsk, SlotLoan,
@@ -25,24 +25,24 @@
 /// The same while no other entry process is known.
 const HEARTBEATS_PER_LISTING_ALONE: u64 = 4;
 
-fn to_wire(beat: &Beat) -> WireBeat {
+fn to_wire(beat: &Heartbeat) -> WireBeat {
     WireBeat {
         address: beat.address.clone(),
         id: beat.id.clone(),
         data_centre: beat.data_centre.clone(),
-        number: beat.number,
-        next: beat.next,
+        number: beat.seq,
+        next: beat.next_offset,
         stopping: beat.stopping,
     }
 }
 
-fn from_wire(beat: WireBeat) -> Beat {
-    Beat {
+fn from_wire(beat: WireBeat) -> Heartbeat {
+    Heartbeat {
         address: beat.address,
         id: beat.id,
         data_centre: beat.data_centre,
-        number: beat.number,
-        next: beat.next,
+        seq: beat.number,
+        next_offset: beat.next,
         stopping: beat.stopping,
     }
 }
@@ -68,12 +68,17 @@
     let own = own_heartbeat(node, number);
     let (others, contacts) = {
         let mut members = node.members.lock();
-        for m in members.tick(node.now()) {
-            log::info!("event=member id={} address={} liveness={:?}", m.beat.id, m.beat.address, m.liveness);
+        for m in members.update_liveness(node.now()) {
+            log::info!(
+                "event=member id={} address={} liveness={:?}",
+                m.heartbeat.id,
+                m.heartbeat.address,
+                m.liveness
+            );
         }
-        members.heard(node.now(), own.clone(), true);
-        let contacts = members.contacts(&own.address, &own.data_centre);
-        (members.sample(number, MEMBERS_PER_HEARTBEAT), contacts)
+        members.record_heartbeat(node.now(), own.clone(), true);
+        let contacts = members.link_addresses(&own.address, &own.data_centre);
+        (members.sample_heartbeats(number, MEMBERS_PER_HEARTBEAT), contacts)
     };
     let open = open_on_draining(node);
     let beats = Beats { own: Some(to_wire(&own)), others: others.iter().map(to_wire).collect(), open };
@@ -82,13 +87,13 @@
     }
 }
 
-fn own_heartbeat(node: &Node, number: u64) -> Beat {
-    Beat {
+fn own_heartbeat(node: &Node, number: u64) -> Heartbeat {
+    Heartbeat {
         address: node.peer_address(),
         id: node.id.clone(),
         data_centre: node.settings.data_centre.clone(),
-        number,
-        next: node.state.read().next,
+        seq: number,
+        next_offset: node.state.read().next_offset,
         stopping: node.is_set(&node.callers_done),
     }
 }
@@ -97,7 +102,7 @@
 fn open_on_draining(node: &Node) -> Vec<Open> {
     let instances: Vec<String> = {
         let state = node.state.read();
-        let hosts = state.hosts.iter().filter(|(_, h)| h.away()).map(|(id, _)| id);
+        let hosts = state.hosts.iter().filter(|(_, h)| h.out_of_service()).map(|(id, _)| id);
         hosts.flat_map(|h| state.by_host.get(h).into_iter().flatten().cloned()).collect()
     };
     dispatch::in_flight_to(node, &instances)
@@ -109,7 +114,7 @@
 /// Opens links to contacts and to seeds that are not known as members yet, closes all other links, and
 /// returns the open ones.
 fn update_links(node: &Arc<Node>, contacts: &[String], seeds: &BTreeSet<String>) -> Vec<Link> {
-    let known: BTreeSet<String> = node.members.lock().iter().map(|m| m.beat.address.clone()).collect();
+    let known: BTreeSet<String> = node.members.lock().iter().map(|m| m.heartbeat.address.clone()).collect();
     let own = node.peer_address();
     let unknown_seeds = seeds.iter().filter(|s| **s != own && !known.contains(*s));
     let wanted: BTreeSet<String> = contacts.iter().chain(unknown_seeds).cloned().collect();
@@ -142,7 +147,7 @@
     match msg {
         Msg::Beats(beats) => receive_heartbeat(node, beats),
         Msg::Head(head) => {
-            if head.offset >= node.state.read().next {
+            if head.offset >= node.state.read().next_offset {
                 node.log_grown.notify_one();
             }
         }
@@ -171,7 +176,7 @@
 
 /// Updates the members from the heartbeat of a peer.
 fn receive_heartbeat(node: &Arc<Node>, beats: Beats) {
-    let (now, own_next) = (node.now(), node.state.read().next);
+    let (now, own_next) = (node.now(), node.state.read().next_offset);
     // The state must not be locked while the members are, so it was read before.
     let mut members = node.members.lock();
     if let Some(sender) = beats.own {
@@ -180,7 +185,7 @@
         node.peer_reports.lock().insert(sender.address.clone(), report);
         let next = sender.next;
         let id = sender.id.clone();
-        if members.heard(now, from_wire(sender), true) {
+        if members.record_heartbeat(now, from_wire(sender), true) {
             log::info!("event=member id={id} liveness=alive");
         }
         if next > own_next {
@@ -189,7 +194,7 @@
     }
     for other in beats.others {
         if other.address != node.peer_address() {
-            members.heard(now, from_wire(other), false);
+            members.record_heartbeat(now, from_wire(other), false);
         }
     }
 }
--- a/src/workswood/ops/entry/proxy.rs
+++ b/src/workswood/ops/entry/proxy.rs
@@ -15,8 +15,8 @@
     BodyError, CODE_HEADER, DEADLINE_HEADER, Handler, KEY_HEADER, LAST_MOMENT_HEADER, RAN_HEADER, ReplyBody,
     full_body, read_body, refusal,
 };
-use workswood_core::code::{Code, Ran};
-use workswood_core::fleet::{Class, Route};
+use workswood_core::code::{Code, ExecutionStatus};
+use workswood_core::fleet::{PriorityClass, Route};
 use workswood_core::ids::{InstanceId, ServiceId};
 use workswood_core::route::Outcome;
 use workswood_endpoints::{EndpointBody, EndpointResponse, SendError, incoming_body};
@@ -138,7 +138,7 @@
     let reply = run_by_class(node, request, body, key).await;
     let ran = reply.headers().get(RAN_HEADER).and_then(|v| v.to_str().ok()).unwrap_or("run");
     node.metrics.requests.with_label_values(&[service.as_str(), class.as_str(), ran]).inc();
-    if class == Class::Urgent {
+    if class == PriorityClass::Urgent {
         node.metrics.urgent_seconds.observe((node.now() - arrived_at).as_secs_f64());
     }
     reply
@@ -152,18 +152,18 @@
     key: Option<String>,
 ) -> Reply {
     match (request.route.class, request.route.repeatable) {
-        (Class::Later, _) => match buffer_body(body).await {
+        (PriorityClass::Later, _) => match buffer_body(body).await {
             Ok(b) => deferred_requests::accept(node, request, b, key).await,
             Err(code) => keyed_requests::refuse(node, key.as_deref(), code, None).await,
         },
-        (Class::Long, true) => stream_long_request(node, request, body).await,
+        (PriorityClass::Long, true) => stream_long_request(node, request, body).await,
         (_, false) => match buffer_body(body).await {
             Ok(b) => keyed_requests::answer(node, request, b, key).await,
             Err(code) => keyed_requests::refuse(node, key.as_deref(), code, None).await,
         },
         (_, true) => match buffer_body(body).await {
             Ok(b) => reply_of(send_with_retries(node, &request, b).await),
-            Err(code) => refusal(code, Ran::NotRun, None),
+            Err(code) => refusal(code, ExecutionStatus::NotRun, None),
         },
     }
 }
@@ -173,7 +173,7 @@
         return Response::new(full_body(Bytes::from_static(b"ready\n")));
     }
     let code = if node.is_set(&node.shutting_down) { Code::Stopping } else { Code::NotCaughtUp };
-    refusal(code, Ran::NotRun, None)
+    refusal(code, ExecutionStatus::NotRun, None)
 }
 
 /// Value of a header field, if it is visible ASCII text.
@@ -200,8 +200,8 @@
 pub fn reply_of(outcome: SendOutcome) -> Reply {
     match outcome {
         SendOutcome::Answered(reply, _) => reply,
-        SendOutcome::NotSent(code, retry_after) => refusal(code, Ran::NotRun, retry_after),
-        SendOutcome::Broken(code) => refusal(code, Ran::Unknown, None),
+        SendOutcome::NotSent(code, retry_after) => refusal(code, ExecutionStatus::NotRun, retry_after),
+        SendOutcome::Broken(code) => refusal(code, ExecutionStatus::Unknown, None),
     }
 }
 
@@ -322,20 +322,20 @@
     reply.headers_mut().remove(CODE_HEADER);
     reply
         .headers_mut()
-        .insert(HeaderName::from_static(RAN_HEADER), HeaderValue::from_static(Ran::Run.as_str()));
+        .insert(HeaderName::from_static(RAN_HEADER), HeaderValue::from_static(ExecutionStatus::Run.as_str()));
     reply
 }
 
 /// Runs a request of class `long`. Both bodies are streamed, so the request is sent at most once.
 async fn stream_long_request(node: &Arc<Node>, request: RoutedRequest, body: Incoming) -> Reply {
     let Some(dispatcher) = dispatch::dispatcher_of(node, &request.service) else {
-        return refusal(Code::UnknownRoute, Ran::NotRun, None);
+        return refusal(Code::UnknownRoute, ExecutionStatus::NotRun, None);
     };
     let slot_request = SlotRequest { class: request.route.class, deadline: request.deadline, tried: &[] };
     let mut slot = match dispatch::acquire(node, &dispatcher, slot_request).await {
         Some(Ok(slot)) => slot,
-        Some(Err(refused)) => return refusal(refused.code, Ran::NotRun, Some(refused.retry_after)),
-        None => return refusal(Code::NoEndpoint, Ran::NotRun, None),
+        Some(Err(refused)) => return refusal(refused.code, ExecutionStatus::NotRun, Some(refused.retry_after)),
+        None => return refusal(Code::NoEndpoint, ExecutionStatus::NotRun, None),
     };
     node.metrics.sends.inc();
     let limited = Limited::new(body, MAX_LONG_BODY_BYTES);
@@ -354,15 +354,15 @@
         }
         Ok(Err(SendError::NotSent { .. })) => {
             slot.set_outcome(Outcome::Bad);
-            refusal(Code::ConnectFailed, Ran::NotRun, Some(Duration::from_millis(200)))
+            refusal(Code::ConnectFailed, ExecutionStatus::NotRun, Some(Duration::from_millis(200)))
         }
         Ok(Err(SendError::Broken { .. })) => {
             slot.set_outcome(Outcome::Bad);
-            refusal(Code::EndpointBroke, Ran::Unknown, None)
+            refusal(Code::EndpointBroke, ExecutionStatus::Unknown, None)
         }
         Err(_) => {
             slot.set_outcome(Outcome::Bad);
-            refusal(Code::EndpointTimeout, Ran::Unknown, None)
+            refusal(Code::EndpointTimeout, ExecutionStatus::Unknown, None)
         }
     }
 }
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -8,7 +8,7 @@
 use workswood_core::plan::{
     Bound, Facts, HostSeen, HostState, Measures, Seen, Strategy, TaskSeen, decide, measure,
 };
-use workswood_core::record::{Duty, Envelope, FORMAT, InstanceStep, Record};
+use workswood_core::record::{Envelope, FORMAT_VERSION, InstanceChange, Record, Role};
 
 use crate::util::errors::{Error, Result};
 
@@ -41,7 +41,13 @@
 impl Offline {
     fn append(&mut self, records: Vec<Record>) {
         self.seq += 1;
-        let env = Envelope { v: FORMAT, from: PLANNER.to_string(), seq: self.seq, at: self.now, records };
+        let env = Envelope {
+            format_version: FORMAT_VERSION,
+            sender: PLANNER.to_string(),
+            seq: self.seq,
+            written_at: self.now,
+            records,
+        };
         self.state.fold(self.seq, &env);
     }
 }
@@ -50,7 +56,8 @@
 /// instance placed and ready.
 pub fn settled(files: &[FleetFile], now: UnixMs) -> State {
     let mut log = Offline { state: State::default(), seq: 0, now };
-    let take = Record::Take { duty: Duty::Planner, holder: PLANNER.to_string(), term: TERM, seen: 0 };
+    let take =
+        Record::Take { role: Role::Planner, holder: PLANNER.to_string(), term: TERM, seen_renewals: 0 };
     log.append(vec![take]);
     for f in files {
         log.append(vec![Record::Apply {
@@ -96,7 +103,7 @@
             token: state.instances.get(i).map_or(0, |r| r.token),
         };
         let host = HostSeen {
-            place: h.place.clone(),
+            place: h.location.clone(),
             cpus: h.cpus,
             memory_gib: h.memory_gib,
             accelerators: h.accelerators,
@@ -116,7 +123,7 @@
 /// Lets the list show what was decided, as a platform without faults would.
 fn show(seen: &mut Seen, records: &[Record]) {
     for r in records {
-        if let Record::Instance { instance, step: InstanceStep::Place { host }, .. } = r
+        if let Record::Instance { instance, change: InstanceChange::Place { host }, .. } = r
             && let Some(h) = seen.hosts.get_mut(host)
         {
             h.tasks.push(TaskSeen {
@@ -184,7 +191,7 @@
     for (id, i) in &state.instances {
         let h = state.hosts.get(&i.host);
         let (centre, rack) =
-            h.map(|h| (h.place.data_centre.as_str(), h.place.rack.as_str())).unwrap_or_default();
+            h.map(|h| (h.location.data_centre.as_str(), h.location.rack.as_str())).unwrap_or_default();
         out += &format!("place {id} host={} data_centre={centre} rack={rack}\n", i.host);
     }
     for p in plans {
--- a/tests/testsuite/log_retention.rs
+++ b/tests/testsuite/log_retention.rs
@@ -34,13 +34,13 @@
     dev.add_with(settings).await.expect("an entry starts");
     let fresh = dev.entries[2].node.clone();
     until("it is ready", || fresh.is_set(&fresh.ready)).await;
-    let head = dev.entries[0].node.state.read().next;
-    until("it has caught up", || fresh.state.read().next >= head).await;
+    let head = dev.entries[0].node.state.read().next_offset;
+    until("it has caught up", || fresh.state.read().next_offset >= head).await;
     assert_eq!(fresh.state.read().files["small"].version, 81);
     let res = dev.call(2, req).await.expect("an answer");
     assert_eq!(ran(&res), "run");
     assert_eq!(dev.platform.ledger.runs("kept"), 1);
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -81,10 +81,10 @@
     for base in 1..=60 {
         change(&dev, &mut file, base).await;
     }
-    let slept = sleeper.state.read().next;
+    let slept = sleeper.state.read().next_offset;
     until("its records have expired", || dev.platform.log().first().is_some_and(|r| r.offset > slept)).await;
     tokio::time::sleep(Duration::from_millis(10)).await;
     proxy.cut(false);
     until("it has the newest", || sleeper.state.read().files["small"].version == 61).await;
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
--- a/tests/testsuite/lost_attempts.rs
+++ b/tests/testsuite/lost_attempts.rs
@@ -4,9 +4,9 @@
 //! the entry with it, leave no word of how they ended. Both were started again for ever; only ends that were
 //! told counted.
 
-use workswood_core::fleet::Class;
+use workswood_core::fleet::PriorityClass;
 use workswood_core::fold::{JobPhase, KeyState};
-use workswood_core::record::{Deferred, Duty, End, HostStep, JobStep, Record};
+use workswood_core::record::{AttemptOutcome, DeferredRequest, HostChange, JobChange, Record, Role};
 use workswood_test_support::files::{job, small, team};
 use workswood_test_support::log::{Log, Process};
 
@@ -18,14 +18,15 @@
     let (mut log, mut p) = (Log::default(), Process::new("p"));
     let mut file = small(3, 0, 0);
     file.teams = vec![team()];
-    file.jobs = vec![job("report", "main", Class::Normal, true)];
+    file.jobs = vec![job("report", "main", PriorityClass::Normal, true)];
     let apply = Record::Apply { id: "1".into(), base: 0, author: "a".into(), file: Box::new(file) };
-    let take = Record::Take { duty: Duty::Planner, holder: "p".into(), term: 1, seen: 0 };
+    let take = Record::Take { role: Role::Planner, holder: "p".into(), term: 1, seen_renewals: 0 };
     assert_eq!(p.append(&mut log, 1, vec![take, apply]), [Ok(()), Ok(())]);
     for n in 0..3 {
-        let host = |generation, step| Record::Host { term: 1, host: format!("h{n}"), generation, step };
-        let up = host(0, HostStep::Health { up: true });
-        let assign = host(1, HostStep::Assign { pool: "main".into() });
+        let host =
+            |generation, step| Record::Host { term: 1, host: format!("h{n}"), generation, change: step };
+        let up = host(0, HostChange::Health { up: true });
+        let assign = host(1, HostChange::Assign { pool: "main".into() });
         assert_eq!(p.append(&mut log, 1, vec![up, assign]), [Ok(()), Ok(())]);
     }
     (log, p)
@@ -34,15 +35,15 @@
 #[test]
 fn job_that_loses_its_hosts() {
     let (mut log, mut p) = fleet();
-    let step = |step| vec![Record::Job { term: 1, job: "report".into(), step }];
+    let step = |step| vec![Record::Job { term: 1, job: "report".into(), change: step }];
     let mut starts = 0;
     for n in 0..MANY {
-        let start = JobStep::Start { host: format!("h{}", n % 3) };
+        let start = JobChange::Start { host: format!("h{}", n % 3) };
         if p.append(&mut log, 2, step(start)) != [Ok(())] {
             break;
         }
         starts += 1;
-        assert_eq!(p.append(&mut log, 2, step(JobStep::Lost)), [Ok(())]);
+        assert_eq!(p.append(&mut log, 2, step(JobChange::Lost)), [Ok(())]);
     }
     assert_eq!(starts, 3);
     assert_eq!(p.state.jobs["report"].phase, JobPhase::Failed);
@@ -52,7 +53,7 @@
 fn attempts(mut ends: impl FnMut(&mut Log, &mut Process, &str)) -> (u32, KeyState) {
     let (mut log, mut p) = fleet();
     let deferred =
-        Deferred { method: "POST".into(), path: "/".into(), body: String::new(), repeatable: true };
+        DeferredRequest { method: "POST".into(), path: "/".into(), body: String::new(), repeatable: true };
     let claim = Record::Claim {
         key: "k".into(),
         service: "shop".into(),
@@ -76,7 +77,7 @@
 #[test]
 fn request_of_unknown_end() {
     let (starts, state) = attempts(|log, p, holder| {
-        let end = Record::Finish { key: "k".into(), holder: holder.into(), end: End::Unknown };
+        let end = Record::Finish { key: "k".into(), holder: holder.into(), outcome: AttemptOutcome::Unknown };
         assert_eq!(p.append(log, 3, vec![end]), [Ok(())]);
     });
     assert_eq!((starts, state), (5, KeyState::Unknown));
--- a/tests/testsuite/maintenance_waves.rs
+++ b/tests/testsuite/maintenance_waves.rs
@@ -3,9 +3,9 @@
 use std::time::{Duration, Instant};
 
 use workswood::ops::dev::{CallerRequest, Dev};
-use workswood_core::fleet::{FleetFile, Window};
+use workswood_core::fleet::{FleetFile, TimeWindow};
 use workswood_core::invariant;
-use workswood_core::record::Duty;
+use workswood_core::record::Role;
 use workswood_operators::ApplyReply;
 use workswood_test_support::files::{maintenance, small};
 use workswood_test_support::live::{Load, Watch, fleet, until};
@@ -29,7 +29,7 @@
 }
 
 fn planner(dev: &Dev) -> Option<usize> {
-    let holder = dev.entries[0].node.state.read().lease(Duty::Planner).holder?;
+    let holder = dev.entries[0].node.state.read().lease(Role::Planner).holder?;
     dev.entries.iter().position(|e| e.node.id == holder)
 }
 
@@ -47,7 +47,7 @@
     assert!(watch.least() >= 4, "only {} were available", watch.least());
     assert_eq!(dev.platform.ledger.cut_off.load(std::sync::atomic::Ordering::Relaxed), 0);
     assert_eq!(dev.platform.counters().reboots, 8);
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -62,7 +62,7 @@
         let dead = dev.entries.remove(i);
         dead.kill();
         drop(dead);
-        let term = |dev: &Dev| dev.entries[0].node.state.read().lease(Duty::Planner).term;
+        let term = |dev: &Dev| dev.entries[0].node.state.read().lease(Role::Planner).term;
         let before = term(&dev);
         until("another takes over", || term(&dev) > before).await;
     }
@@ -113,7 +113,7 @@
     let node = dev.entries[0].node.clone();
     until("hosts under way are back", || {
         let state = node.state.read();
-        state.hosts.values().all(|h| !h.away()) && state.instances.values().all(|i| i.ready)
+        state.hosts.values().all(|h| !h.out_of_service()) && state.instances.values().all(|i| i.ready)
     })
     .await;
     assert!(dev.platform.counters().reboots < 8);
@@ -131,7 +131,7 @@
     assert_eq!(code.number(), 209);
     assert!(message.contains("nearest deadline"), "{message}");
     file.maintenance[0].deadline = 0;
-    file.maintenance[0].keep_clear = vec![Window { from: now, to: now + 3_600_000 }];
+    file.maintenance[0].blackout_windows = vec![TimeWindow { from: now, to: now + 3_600_000 }];
     let reply = dev.apply(0, &file, 1).await.expect("an answer");
     assert!(matches!(reply, ApplyReply::Accepted { .. }), "{reply:?}");
     dev.wait(0, "the release is kept clear", |s| s.waves[0]["stop"]["stop"] == "keep_clear")
--- a/tests/testsuite/state_checkpoints.rs
+++ b/tests/testsuite/state_checkpoints.rs
@@ -1,9 +1,9 @@
 //! The fold of a checkpoint is the fold of the records.
 
 use arbtest::arbtest;
-use workswood_core::fold::{Assembler, State};
+use workswood_core::fold::{CheckpointAssembler, State};
 use workswood_core::invariant;
-use workswood_core::record::{Duty, End, Record, RosterMember};
+use workswood_core::record::{AttemptOutcome, Record, Role, RosterMember};
 use workswood_test_support::files::small;
 use workswood_test_support::log::{Log, Process};
 
@@ -20,9 +20,13 @@
             last_moment: u.int_in_range(0..=20_000_000u64)?,
             deferred: None,
         },
-        1 => Record::Finish { key, holder: "p".into(), end: End::NotSent },
-        2 => Record::Finish { key, holder: "p".into(), end: End::Answered { status: 200, body: None } },
-        3 => Record::Renew { duty: Duty::Planner, term: 1 },
+        1 => Record::Finish { key, holder: "p".into(), outcome: AttemptOutcome::NotSent },
+        2 => Record::Finish {
+            key,
+            holder: "p".into(),
+            outcome: AttemptOutcome::Answered { status: 200, body: None },
+        },
+        3 => Record::Renew { role: Role::Planner, term: 1 },
         _ => Record::Apply {
             id: format!("c{n}"),
             base: u.int_in_range(0..=9u64)?,
@@ -42,10 +46,10 @@
     for i in 0..100 {
         arbtest(|u| {
             let (mut log, mut p) = (Log::default(), Process::new("p"));
-            let take = |duty| Record::Take { duty, holder: "p".into(), term: 1, seen: 0 };
+            let take = |duty| Record::Take { role: duty, holder: "p".into(), term: 1, seen_renewals: 0 };
             let member = RosterMember { id: "p".into(), data_centre: "d".into() };
             let roster = Record::Roster { term: 1, members: vec![member] };
-            p.append(&mut log, 1, vec![take(Duty::Planner), take(Duty::Checkpointer), roster]);
+            p.append(&mut log, 1, vec![take(Role::Planner), take(Role::Checkpointer), roster]);
             let mut now = 1;
             for n in 0..40 {
                 now += u.int_in_range(0..=1_000_000u64)?;
@@ -61,16 +65,16 @@
                     p.append(&mut log, now, parts);
                 }
             }
-            let mut assembler = Assembler::default();
+            let mut assembler = CheckpointAssembler::default();
             let mut from = None;
             for env in &log.all {
                 for r in &env.records {
-                    from = assembler.take(r).or(from);
+                    from = assembler.add(r).or(from);
                 }
             }
             let mut fresh: State = from.expect("the checkpoint is whole");
-            assert_eq!(fresh.next, 22);
-            for (i, env) in log.all.iter().enumerate().skip(fresh.next as usize) {
+            assert_eq!(fresh.next_offset, 22);
+            for (i, env) in log.all.iter().enumerate().skip(fresh.next_offset as usize) {
                 fresh.fold(i as u64, env);
             }
             assert_eq!(fresh.text(), p.state.text());
@@ -80,5 +84,5 @@
         .seed(SEED + (i << 32));
     }
     assert!(compared >= 100);
-    assert_eq!(invariant::total(), 0, "{:?}", invariant::first());
+    assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
