--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -15,7 +15,7 @@
 use crate::invariant;
 
 /// Number of a request on this entry host.
-pub type Ticket = u64;
+pub type RequestId = u64;
 
 /// How long a borrowed slot is kept while it is idle.
 const IDLE_LOAN: Duration = Duration::from_millis(100);
@@ -44,7 +44,7 @@
     /// Send it to the endpoint.
     Send {
         /// The request.
-        ticket: Ticket,
+        request_id: RequestId,
         /// The endpoint.
         endpoint: InstanceId,
         /// Its address.
@@ -57,7 +57,7 @@
     /// Answer that it was not run.
     Refuse {
         /// The request.
-        ticket: Ticket,
+        request_id: RequestId,
         /// Why.
         code: Code,
         /// When to come back.
@@ -114,7 +114,7 @@
     data_centre: DataCentre,
     endpoints: BTreeMap<InstanceId, EndpointView>,
     queues: ClassQueues,
-    flights: BTreeMap<Ticket, Flight>,
+    flights: BTreeMap<RequestId, Flight>,
     retries: RetryBudget,
     seconds: f64,
     calmed: Duration,
@@ -184,9 +184,15 @@
     }
 
     /// A new request.
-    pub fn offer(&mut self, now: Duration, ticket: Ticket, class: Class, deadline: Duration) -> Vec<Action> {
+    pub fn offer(
+        &mut self,
+        now: Duration,
+        request_id: RequestId,
+        class: Class,
+        deadline: Duration,
+    ) -> Vec<Action> {
         self.retries.first_try();
-        self.enter(now, ticket, class, deadline, &[])
+        self.enter(now, request_id, class, deadline, &[])
     }
 
     /// A request that failed and may be sent again; refused if the budget of
@@ -194,7 +200,7 @@
     pub fn retry(
         &mut self,
         now: Duration,
-        ticket: Ticket,
+        request_id: RequestId,
         class: Class,
         deadline: Duration,
         tried: &[InstanceId],
@@ -202,13 +208,13 @@
         if !self.retries.retry() {
             return None;
         }
-        Some(self.enter(now, ticket, class, deadline, tried))
+        Some(self.enter(now, request_id, class, deadline, tried))
     }
 
     fn enter(
         &mut self,
         now: Duration,
-        ticket: Ticket,
+        request_id: RequestId,
         class: Class,
         deadline: Duration,
         tried: &[InstanceId],
@@ -219,24 +225,24 @@
             && self.queues.allowed(class, slots)
             && let Some(id) = self.choose(now, tried)
         {
-            return vec![self.send(now, ticket, class, id)];
+            return vec![self.send(now, request_id, class, id)];
         }
-        if let Some(refusal) = self.refusal(now, ticket, class, deadline, slots) {
+        if let Some(refusal) = self.refusal(now, request_id, class, deadline, slots) {
             return vec![refusal];
         }
-        self.queues.push(class, Waiting { ticket, deadline });
+        self.queues.push(class, Waiting { request_id, deadline });
         Vec::new()
     }
 
     fn refusal(
         &self,
         now: Duration,
-        ticket: Ticket,
+        request_id: RequestId,
         class: Class,
         deadline: Duration,
         slots: u32,
     ) -> Option<Action> {
-        let refuse = |code, retry_after| Some(Action::Refuse { ticket, code, retry_after });
+        let refuse = |code, retry_after| Some(Action::Refuse { request_id, code, retry_after });
         if !self.endpoints.values().any(|e| e.open) {
             return refuse(Code::NoEndpoint, Duration::from_secs(1));
         }
@@ -257,8 +263,8 @@
     }
 
     /// A request that held a slot has ended.
-    pub fn done(&mut self, now: Duration, ticket: Ticket, outcome: Outcome) -> Vec<Action> {
-        let Some(f) = self.flights.remove(&ticket) else {
+    pub fn done(&mut self, now: Duration, request_id: RequestId, outcome: Outcome) -> Vec<Action> {
+        let Some(f) = self.flights.remove(&request_id) else {
             return Vec::new();
         };
         self.queues.gave_back(f.class);
@@ -282,8 +288,8 @@
     }
 
     /// A request was cancelled; true if it was waiting.
-    pub fn cancel(&mut self, ticket: Ticket) -> bool {
-        self.queues.remove(ticket)
+    pub fn cancel(&mut self, request_id: RequestId) -> bool {
+        self.queues.remove(request_id)
     }
 
     /// Refuses requests whose deadline has come and looks for bad endpoints.
@@ -291,8 +297,9 @@
         let slots = self.slots(now);
         let retry_after = self.wait(Class::Later, slots).max(Duration::from_millis(100));
         let late = self.queues.expire(now).into_iter();
-        let mut actions: Vec<Action> =
-            late.map(|ticket| Action::Refuse { ticket, code: Code::DeadlinePassed, retry_after }).collect();
+        let mut actions: Vec<Action> = late
+            .map(|request_id| Action::Refuse { request_id, code: Code::DeadlinePassed, retry_after })
+            .collect();
         for e in self.endpoints.values_mut() {
             e.settle(now);
             e.lent.retain(|(_, confirmed)| now.saturating_sub(*confirmed) < LOAN_SILENCE);
@@ -312,7 +319,7 @@
     pub fn refuse_all(&mut self, code: Code) -> Vec<Action> {
         let retry_after = Duration::from_millis(100);
         let all = self.queues.drain().into_iter();
-        all.map(|ticket| Action::Refuse { ticket, code, retry_after }).collect()
+        all.map(|request_id| Action::Refuse { request_id, code, retry_after }).collect()
     }
 
     /// Slots to ask peers for.
@@ -440,15 +447,15 @@
         best
     }
 
-    fn send(&mut self, now: Duration, ticket: Ticket, class: Class, id: InstanceId) -> Action {
+    fn send(&mut self, now: Duration, request_id: RequestId, class: Class, id: InstanceId) -> Action {
         let passed_over = self.endpoints.values().filter(|e| e.open && !e.health.may_send(now)).count();
-        let mut action = Action::Refuse { ticket, code: Code::NoEndpoint, retry_after: Duration::ZERO };
+        let mut action = Action::Refuse { request_id, code: Code::NoEndpoint, retry_after: Duration::ZERO };
         if let Some(e) = self.endpoints.get_mut(&id) {
             invariant::check(e.free(now) > 0, || format!("no slot is held on {id}"));
             e.health.sent(now, e.in_flight);
             e.in_flight += 1;
             action = Action::Send {
-                ticket,
+                request_id,
                 endpoint: id.clone(),
                 address: e.address.clone(),
                 borrowed: e.in_flight > e.owned,
@@ -456,7 +463,7 @@
             };
         }
         self.queues.took(class);
-        self.flights.insert(ticket, Flight { endpoint: id, class, since: now });
+        self.flights.insert(request_id, Flight { endpoint: id, class, since: now });
         action
     }
 
@@ -468,7 +475,7 @@
             let Some(class) = self.queues.turn(slots) else { break };
             let Some(id) = self.choose(now, &[]) else { break };
             let Some(w) = self.queues.pop(class) else { break };
-            actions.push(self.send(now, w.ticket, class, id));
+            actions.push(self.send(now, w.request_id, class, id));
         }
         actions
     }
--- a/crates/workswood-core/src/route/mod.rs
+++ b/crates/workswood-core/src/route/mod.rs
@@ -14,7 +14,7 @@
 mod share;
 mod table;
 
-pub use dispatch::{Action, Dispatcher, Limits, Outcome, Ticket, Want};
+pub use dispatch::{Action, Dispatcher, Limits, Outcome, RequestId, Want};
 pub use endpoint::Loan;
 pub use health::{Health, Standing};
 pub use queue::{ClassQueues, MAX_QUEUED, Waiting};
--- a/crates/workswood-core/src/route/queue.rs
+++ b/crates/workswood-core/src/route/queue.rs
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use super::dispatch::Ticket;
+use super::dispatch::RequestId;
 use crate::fleet::Class;
 
 /// Most requests waiting in one class of one service on one entry host.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Waiting {
     /// The request.
-    pub ticket: Ticket,
+    pub request_id: RequestId,
     /// When it must be answered, since the start of the process.
     pub deadline: Duration,
 }
@@ -109,26 +109,26 @@
     }
 
     /// Takes a waiting request out; true if it was there.
-    pub fn remove(&mut self, ticket: Ticket) -> bool {
+    pub fn remove(&mut self, request_id: RequestId) -> bool {
         let before = self.waiting();
         for q in &mut self.queues {
-            q.retain(|w| w.ticket != ticket);
+            q.retain(|w| w.request_id != request_id);
         }
         self.waiting() < before
     }
 
     /// Takes out all requests whose deadline has come.
-    pub fn expire(&mut self, now: Duration) -> Vec<Ticket> {
+    pub fn expire(&mut self, now: Duration) -> Vec<RequestId> {
         let mut late = Vec::new();
         for q in &mut self.queues {
-            late.extend(q.iter().filter(|w| w.deadline <= now).map(|w| w.ticket));
+            late.extend(q.iter().filter(|w| w.deadline <= now).map(|w| w.request_id));
             q.retain(|w| w.deadline > now);
         }
         late
     }
 
     /// Takes out everything.
-    pub fn drain(&mut self) -> Vec<Ticket> {
-        self.queues.iter_mut().flat_map(|q| q.drain(..)).map(|w| w.ticket).collect()
+    pub fn drain(&mut self) -> Vec<RequestId> {
+        self.queues.iter_mut().flat_map(|q| q.drain(..)).map(|w| w.request_id).collect()
     }
 }
--- a/src/workswood/ops/bench/route.rs
+++ b/src/workswood/ops/bench/route.rs
@@ -394,8 +394,8 @@
     fn carry_out(&mut self, entry: usize, actions: Vec<Action>) {
         for a in actions {
             match a {
-                Action::Send { ticket, address, .. } => {
-                    self.send(ticket as usize, address.parse().unwrap_or(0));
+                Action::Send { request_id, address, .. } => {
+                    self.send(request_id as usize, address.parse().unwrap_or(0));
                 }
                 Action::Refuse { .. } => self.shown.refused += 1,
                 Action::GiveBack(loan) => {
--- a/src/workswood/ops/entry/lanes.rs
+++ b/src/workswood/ops/entry/lanes.rs
@@ -9,7 +9,7 @@
 use workswood_core::code::Code;
 use workswood_core::fleet::Class;
 use workswood_core::ids::{InstanceId, ServiceId};
-use workswood_core::route::{Action, Dispatcher, Limits, Loan, Outcome, RouteTable, Ticket, Want};
+use workswood_core::route::{Action, Dispatcher, Limits, Loan, Outcome, RequestId, RouteTable, Want};
 use workswood_peers::{Msg, SlotAsk, SlotState};
 
 use super::node::Node;
@@ -44,7 +44,7 @@
 
 struct Inner {
     dispatcher: Dispatcher,
-    waiting: HashMap<Ticket, oneshot::Sender<Reply>>,
+    waiting: HashMap<RequestId, oneshot::Sender<Reply>>,
 }
 
 /// The lane of one service.
@@ -142,26 +142,26 @@
         let mut left: std::collections::VecDeque<Action> = actions.into();
         while let Some(a) = left.pop_front() {
             match a {
-                Action::Send { ticket, endpoint, address, borrowed, passed_over } => {
+                Action::Send { request_id, endpoint, address, borrowed, passed_over } => {
                     log::info!(
                         target: DECISION,
-                        "event=route req={ticket} service={service} endpoint={endpoint} reason=least_used \
+                        "event=route req={request_id} service={service} endpoint={endpoint} reason=least_used \
                          borrowed={borrowed} passed_over={passed_over}"
                     );
                     let grant = Grant { endpoint, address };
-                    let heard = self.waiting.remove(&ticket).is_some_and(|tx| tx.send(Ok(grant)).is_ok());
+                    let heard = self.waiting.remove(&request_id).is_some_and(|tx| tx.send(Ok(grant)).is_ok());
                     if !heard {
-                        left.extend(self.dispatcher.done(now, ticket, Outcome::Neutral));
+                        left.extend(self.dispatcher.done(now, request_id, Outcome::Neutral));
                     }
                 }
-                Action::Refuse { ticket, code, retry_after } => {
+                Action::Refuse { request_id, code, retry_after } => {
                     log::info!(
                         target: DECISION,
-                        "event=refuse req={ticket} service={service} code={} retry_after_ms={}",
+                        "event=refuse req={request_id} service={service} code={} retry_after_ms={}",
                         code.number(),
                         retry_after.as_millis()
                     );
-                    if let Some(tx) = self.waiting.remove(&ticket) {
+                    if let Some(tx) = self.waiting.remove(&request_id) {
                         let _ = tx.send(Err(Refusal { code, retry_after }));
                     }
                 }
@@ -178,7 +178,7 @@
     pub grant: Grant,
     node: Arc<Node>,
     lane: Arc<Lane>,
-    ticket: Ticket,
+    ticket: RequestId,
     outcome: Outcome,
 }
 
@@ -200,7 +200,7 @@
 struct Place<'a> {
     node: &'a Arc<Node>,
     lane: &'a Arc<Lane>,
-    ticket: Ticket,
+    ticket: RequestId,
     left: bool,
 }
 
--- a/tests/testsuite/slot_dispatch.rs
+++ b/tests/testsuite/slot_dispatch.rs
@@ -39,7 +39,7 @@
 
 fn sent(actions: &[Action]) -> Vec<(u64, String)> {
     let send = |a: &Action| match a {
-        Action::Send { ticket, endpoint, .. } => Some((*ticket, endpoint.clone())),
+        Action::Send { request_id, endpoint, .. } => Some((*request_id, endpoint.clone())),
         _ => None,
     };
     actions.iter().filter_map(send).collect()
@@ -113,7 +113,7 @@
                 let mut at = e;
                 while let Some(a) = left.pop() {
                     match a {
-                        Action::Send { ticket, .. } => open.push((at, ticket)),
+                        Action::Send { request_id, .. } => open.push((at, request_id)),
                         Action::GiveBack(l) => {
                             at = l.peer.parse().expect("a number");
                             left.extend(all[at].returned(now, l.id));
