--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -23,7 +23,7 @@
 /// this long: the borrower is gone.
 const LOAN_SILENCE: Duration = Duration::from_secs(4);
 /// Most slots asked for at once.
-const MOST_WANTED: u32 = 8;
+const MAX_SLOT_DEMAND: u32 = 8;
 /// Mean time of a request assumed before any was measured, in seconds.
 const FIRST_GUESS: f64 = 0.02;
 /// Ejected endpoints of a service, at most one in this many.
@@ -80,7 +80,7 @@
 
 /// Slots that this entry host would like to borrow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Want {
+pub struct SlotDemand {
     /// How many.
     pub slots: u32,
 }
@@ -323,24 +323,24 @@
     }
 
     /// Slots to ask peers for.
-    pub fn want(&self, now: Duration) -> Option<Want> {
+    pub fn slot_demand(&self, now: Duration) -> Option<SlotDemand> {
         if now < self.ask_after {
             return None;
         }
         let waiting = self.queues.waiting() as u32;
         let spare: u32 = self.usable(now).map(|e| e.free(now)).sum();
-        let slots = waiting.saturating_sub(spare).min(MOST_WANTED);
-        (slots > 0 && self.limits.lend).then_some(Want { slots })
+        let slots = waiting.saturating_sub(spare).min(MAX_SLOT_DEMAND);
+        (slots > 0 && self.limits.lend).then_some(SlotDemand { slots })
     }
 
     /// Lends idle slots to a peer. Half of what is idle on an endpoint stays.
-    pub fn lend(&mut self, now: Duration, to: &str, want: Want) -> Vec<Loan> {
+    pub fn lend(&mut self, now: Duration, to: &str, demand: SlotDemand) -> Vec<Loan> {
         if self.queues.waiting() > 0 || !self.limits.lend {
             return Vec::new();
         }
         let mut all = Vec::new();
         for (id, e) in &mut self.endpoints {
-            let left = want.slots - all.len() as u32;
+            let left = demand.slots - all.len() as u32;
             let own_free = e.free(now).saturating_sub(e.borrowed.len() as u32);
             if !e.open || e.health.standing() != Standing::Good {
                 continue;
--- a/src/workswood/ops/bench/route.rs
+++ b/src/workswood/ops/bench/route.rs
@@ -13,7 +13,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use workswood_core::fleet::Class;
-use workswood_core::route::{Action, Dispatcher, Endpoint, Limits, Loan, Outcome, ServiceView, Want};
+use workswood_core::route::{Action, Dispatcher, Endpoint, Limits, Loan, Outcome, ServiceView, SlotDemand};
 
 use super::stats::{Times, median};
 
@@ -364,7 +364,7 @@
             return;
         }
         let now = self.clock();
-        if let Some(want) = self.entries[entry].want(now) {
+        if let Some(want) = self.entries[entry].slot_demand(now) {
             self.asking[entry] = true;
             self.turn += 1;
             let to = (entry + 1 + self.turn % (ENTRIES - 1)) % ENTRIES;
@@ -375,7 +375,7 @@
 
     fn ask(&mut self, from: usize, to: usize, want: u32) {
         let now = self.clock();
-        let loans = self.entries[to].lend(now, &from.to_string(), Want { slots: want });
+        let loans = self.entries[to].lend(now, &from.to_string(), SlotDemand { slots: want });
         let loans = loans.into_iter().map(|l| Loan { peer: to.to_string(), ..l }).collect();
         self.at(WIRE, Event::Lent { to: from, loans });
     }
--- a/src/workswood/ops/entry/gossip.rs
+++ b/src/workswood/ops/entry/gossip.rs
@@ -6,7 +6,7 @@
 
 use futures::FutureExt;
 use workswood_core::member::Beat;
-use workswood_core::route::{Loan, Want};
+use workswood_core::route::{Loan, SlotDemand};
 use workswood_peers::{
     Beat as WireBeat, Beats, Handler, KeyAsk, KeyReply, Leaving, Lent, Link, Msg, Open, SlotAsk, SlotLoan,
     SlotState, StateReply,
@@ -192,7 +192,8 @@
 
 fn lend(node: &Arc<Node>, ask: &SlotAsk) -> SlotLoan {
     let lane = node.lanes.read().get(&ask.service).cloned();
-    let loans = lane.map(|l| l.lend(node.now(), &ask.from, Want { slots: ask.slots })).unwrap_or_default();
+    let loans =
+        lane.map(|l| l.lend(node.now(), &ask.from, SlotDemand { slots: ask.slots })).unwrap_or_default();
     let wire = |l: &Loan| Lent { id: l.id, endpoint: l.endpoint.clone() };
     SlotLoan { loans: loans.iter().map(wire).collect() }
 }
--- a/src/workswood/ops/entry/lanes.rs
+++ b/src/workswood/ops/entry/lanes.rs
@@ -9,7 +9,7 @@
 use workswood_core::code::Code;
 use workswood_core::fleet::Class;
 use workswood_core::ids::{InstanceId, ServiceId};
-use workswood_core::route::{Action, Dispatcher, Limits, Loan, Outcome, RequestId, RouteTable, Want};
+use workswood_core::route::{Action, Dispatcher, Limits, Loan, Outcome, RequestId, RouteTable, SlotDemand};
 use workswood_peers::{Msg, SlotAsk, SlotState};
 
 use super::node::Node;
@@ -77,7 +77,7 @@
     }
 
     /// Lends slots to a peer.
-    pub fn lend(&self, now: Duration, to: &str, want: Want) -> Vec<Loan> {
+    pub fn lend(&self, now: Duration, to: &str, want: SlotDemand) -> Vec<Loan> {
         self.inner.lock().dispatcher.lend(now, to, want)
     }
 
@@ -117,8 +117,8 @@
         }
     }
 
-    fn want(&self, now: Duration) -> Option<Want> {
-        self.inner.lock().dispatcher.want(now)
+    fn want(&self, now: Duration) -> Option<SlotDemand> {
+        self.inner.lock().dispatcher.slot_demand(now)
     }
 
     /// The wait that a new request of a class would have.
--- a/tests/testsuite/slot_dispatch.rs
+++ b/tests/testsuite/slot_dispatch.rs
@@ -8,7 +8,7 @@
 use workswood_core::fleet::Class;
 use workswood_core::invariant;
 use workswood_core::route::{
-    Action, Dispatcher, Endpoint, Limits, Loan, Outcome, ServiceView, Want, owned_slots,
+    Action, Dispatcher, Endpoint, Limits, Loan, Outcome, ServiceView, SlotDemand, owned_slots,
 };
 
 const ENTRIES: usize = 3;
@@ -91,7 +91,7 @@
                     }
                     3 => {
                         let from = (e + 1) % ENTRIES;
-                        let want = Want { slots: u.int_in_range(1..=4u32)? };
+                        let want = SlotDemand { slots: u.int_in_range(1..=4u32)? };
                         let loans = all[from].lend(now, &e.to_string(), want);
                         lent += loans.len() as u64;
                         let loans = loans.into_iter().map(|l| Loan { peer: from.to_string(), ..l }).collect();
