--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -71,9 +71,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The endpoint answered.
-    Good,
+    Success,
     /// The endpoint failed or was not reached.
-    Bad,
+    Failure,
     /// The caller went away or the request was of no account to health.
     Neutral,
 }
@@ -273,12 +273,12 @@
         if let Some(e) = self.endpoints.get_mut(&f.endpoint) {
             e.in_flight = e.in_flight.saturating_sub(1);
             match outcome {
-                Outcome::Good => e.health.good(now, took),
-                Outcome::Bad => eject = e.health.bad(now),
+                Outcome::Success => e.health.good(now, took),
+                Outcome::Failure => eject = e.health.bad(now),
                 Outcome::Neutral => {}
             }
         }
-        if outcome == Outcome::Good && f.class != Class::Long {
+        if outcome == Outcome::Success && f.class != Class::Long {
             self.seconds += 0.02 * (took.as_secs_f64() - self.seconds);
         }
         if eject {
--- a/src/workswood/ops/bench/route.rs
+++ b/src/workswood/ops/bench/route.rs
@@ -325,7 +325,7 @@
         self.shown.done += u64::from(took <= DEADLINE);
         if self.leased() {
             let now = self.clock();
-            let actions = self.entries[entry].done(now, req as u64, Outcome::Good);
+            let actions = self.entries[entry].done(now, req as u64, Outcome::Success);
             self.carry_out(entry, actions);
         }
     }
@@ -557,7 +557,7 @@
             for t in 0..ROUNDS {
                 let sent = d.offer(now, t, Class::Urgent, now * 2);
                 std::hint::black_box(&sent);
-                d.done(now, t, Outcome::Good);
+                d.done(now, t, Outcome::Success);
             }
             started.elapsed().as_nanos() as f64 / ROUNDS as f64
         });
--- a/src/workswood/ops/entry/serve.rs
+++ b/src/workswood/ops/entry/serve.rs
@@ -267,17 +267,17 @@
             End::Answered(ran(res.map(|b| b.map_err(Into::into).boxed())), None)
         }
         Ok(Err(SendError::NotSent { text })) => {
-            slot.ended(Outcome::Bad);
+            slot.ended(Outcome::Failure);
             log::warn!("event=not_sent endpoint={} error={text:?}", slot.grant.endpoint);
             End::NotSent(Code::ConnectFailed, Some(Duration::from_millis(200)))
         }
         Ok(Err(SendError::Broke { text })) => {
-            slot.ended(Outcome::Bad);
+            slot.ended(Outcome::Failure);
             log::warn!("event=broke endpoint={} error={text:?}", slot.grant.endpoint);
             End::Broke(Code::EndpointBroke)
         }
         Err(_) => {
-            slot.ended(Outcome::Bad);
+            slot.ended(Outcome::Failure);
             End::Broke(Code::EndpointTimeout)
         }
     }
@@ -285,7 +285,7 @@
 
 /// Notes how an endpoint answered, and whether it says that it leaves.
 fn note(node: &Node, slot: &mut Slot, failed: bool, headers: &hyper::HeaderMap) {
-    slot.ended(if failed { Outcome::Bad } else { Outcome::Good });
+    slot.ended(if failed { Outcome::Failure } else { Outcome::Success });
     if headers.contains_key(LEAVING) {
         let id = slot.grant.endpoint.clone();
         lanes::close(node, std::slice::from_ref(&id));
@@ -329,15 +329,15 @@
             ran(body)
         }
         Ok(Err(SendError::NotSent { .. })) => {
-            slot.ended(Outcome::Bad);
+            slot.ended(Outcome::Failure);
             refusal(Code::ConnectFailed, Ran::NotRun, Some(Duration::from_millis(200)))
         }
         Ok(Err(SendError::Broke { .. })) => {
-            slot.ended(Outcome::Bad);
+            slot.ended(Outcome::Failure);
             refusal(Code::EndpointBroke, Ran::Unknown, None)
         }
         Err(_) => {
-            slot.ended(Outcome::Bad);
+            slot.ended(Outcome::Failure);
             refusal(Code::EndpointTimeout, Ran::Unknown, None)
         }
     }
--- a/tests/testsuite/slot_dispatch.rs
+++ b/tests/testsuite/slot_dispatch.rs
@@ -84,7 +84,7 @@
                     }
                     2 if !open.is_empty() => {
                         let (e, t) = open.swap_remove(u.choose_index(open.len())?);
-                        let outcome = *u.choose(&[Outcome::Good, Outcome::Bad, Outcome::Neutral])?;
+                        let outcome = *u.choose(&[Outcome::Success, Outcome::Failure, Outcome::Neutral])?;
                         let actions = all[e].done(now, t, outcome);
                         open.extend(sent(&actions).iter().map(|(t, _)| (e, *t)));
                         actions.into_iter().filter(|a| !matches!(a, Action::Send { .. })).collect()
@@ -176,7 +176,7 @@
     let (long, started) = offer(&mut d, Class::Long);
     assert!(!started);
     let first = long - 21;
-    let next = sent(&d.done(now, first, Outcome::Good));
+    let next = sent(&d.done(now, first, Outcome::Success));
     assert_eq!(next.first().map(|n| n.0), Some(long));
 }
 
@@ -209,10 +209,10 @@
     let mut retries = 0;
     for t in 0..10_000u64 {
         d.offer(now, t, Class::Urgent, ms(100_000));
-        d.done(now, t, Outcome::Bad);
+        d.done(now, t, Outcome::Failure);
         if d.retry(now, 100_000 + t, Class::Urgent, ms(100_000), &[]).is_some() {
             retries += 1;
-            d.done(now, 100_000 + t, Outcome::Bad);
+            d.done(now, 100_000 + t, Outcome::Failure);
             d.cancel(100_000 + t);
         }
     }
@@ -229,7 +229,7 @@
         for (t, e) in sent(&d.offer(now, t, Class::Urgent, now + ms(1_000))) {
             // One of this data centre, which gets most while all are idle.
             to_bad += u64::from(e == "s/4");
-            let outcome = if e == "s/4" { Outcome::Bad } else { Outcome::Good };
+            let outcome = if e == "s/4" { Outcome::Failure } else { Outcome::Success };
             d.done(now + ms(if e == "s/4" { 0 } else { 5 }), t, outcome);
         }
     }
@@ -243,7 +243,7 @@
     for t in 0..900u64 {
         now += ms(1);
         for (t, _) in sent(&d.offer(now, t, Class::Urgent, now + ms(1_000))) {
-            d.done(now, t, Outcome::Bad);
+            d.done(now, t, Outcome::Failure);
         }
     }
     // All fail: at most a third is left out, the rest still gets work.
