--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -64,7 +64,7 @@
         retry_after: Duration,
     },
     /// Tell the lender that a borrowed slot is free.
-    GiveBack(Loan),
+    ReturnLoan(Loan),
 }
 
 /// How a request that held a slot ended.
@@ -364,7 +364,7 @@
         for loan in loans {
             match self.endpoints.get_mut(&loan.endpoint) {
                 Some(e) if e.open => e.borrowed.push((loan, now)),
-                _ => actions.push(Action::GiveBack(loan)),
+                _ => actions.push(Action::ReturnLoan(loan)),
             }
         }
         actions.extend(self.pump(now));
@@ -400,7 +400,7 @@
             let idle = e.free(now) as usize;
             let old = |(_, since): &(Loan, Duration)| now.saturating_sub(*since) >= IDLE_LOAN;
             let n = e.borrowed.iter().filter(|b| old(b)).count().min(idle);
-            actions.extend(e.borrowed.drain(..n).map(|(l, _)| Action::GiveBack(l)));
+            actions.extend(e.borrowed.drain(..n).map(|(l, _)| Action::ReturnLoan(l)));
         }
         actions
     }
--- a/src/workswood/ops/bench/route.rs
+++ b/src/workswood/ops/bench/route.rs
@@ -398,7 +398,7 @@
                     self.send(request_id as usize, address.parse().unwrap_or(0));
                 }
                 Action::Refuse { .. } => self.shown.refused += 1,
-                Action::GiveBack(loan) => {
+                Action::ReturnLoan(loan) => {
                     self.shown.messages += 1;
                     let to = loan.peer.parse().unwrap_or(entry);
                     self.at(WIRE, Event::Returned { to, loan: loan.id });
--- a/src/workswood/ops/entry/lanes.rs
+++ b/src/workswood/ops/entry/lanes.rs
@@ -165,7 +165,7 @@
                         let _ = tx.send(Err(Refusal { code, retry_after }));
                     }
                 }
-                Action::GiveBack(loan) => back.push(loan),
+                Action::ReturnLoan(loan) => back.push(loan),
             }
         }
         back
--- a/tests/testsuite/slot_dispatch.rs
+++ b/tests/testsuite/slot_dispatch.rs
@@ -114,7 +114,7 @@
                 while let Some(a) = left.pop() {
                     match a {
                         Action::Send { request_id, .. } => open.push((at, request_id)),
-                        Action::GiveBack(l) => {
+                        Action::ReturnLoan(l) => {
                             at = l.peer.parse().expect("a number");
                             left.extend(all[at].returned(now, l.id));
                         }
