--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -85,18 +85,18 @@
     pub slots: u32,
 }
 
-/// Limits of the queues.
+/// Settings of a dispatcher.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// Most requests waiting in one class.
-    pub queued: usize,
+pub struct DispatcherConfig {
+    /// Maximum number of queued requests per class.
+    pub max_queued: usize,
     /// Whether idle slots are lent to peers.
     pub lend: bool,
 }
 
-impl Default for Limits {
+impl Default for DispatcherConfig {
     fn default() -> Self {
-        Limits { queued: MAX_QUEUED, lend: true }
+        DispatcherConfig { max_queued: MAX_QUEUED, lend: true }
     }
 }
 
@@ -110,7 +110,7 @@
 /// The dispatcher of one service on one entry host.
 #[derive(Clone, Debug)]
 pub struct Dispatcher {
-    limits: Limits,
+    config: DispatcherConfig,
     data_centre: DataCentre,
     endpoints: BTreeMap<InstanceId, EndpointView>,
     queues: ClassQueues,
@@ -137,9 +137,9 @@
 
 impl Dispatcher {
     /// A dispatcher for an entry host in a data centre, without endpoints yet.
-    pub fn new(data_centre: &str, limits: Limits) -> Dispatcher {
+    pub fn new(data_centre: &str, config: DispatcherConfig) -> Dispatcher {
         Dispatcher {
-            limits,
+            config,
             data_centre: data_centre.to_string(),
             endpoints: BTreeMap::new(),
             queues: ClassQueues::default(),
@@ -247,7 +247,7 @@
             return refuse(Code::NoEndpoint, Duration::from_secs(1));
         }
         let wait = self.wait(class, slots);
-        if self.queues.len(class) >= self.limits.queued.min(most_queued(class, slots)) {
+        if self.queues.len(class) >= self.config.max_queued.min(most_queued(class, slots)) {
             return refuse(Code::QueueFull, wait.max(Duration::from_millis(100)));
         }
         if now + wait >= deadline {
@@ -330,12 +330,12 @@
         let waiting = self.queues.waiting() as u32;
         let spare: u32 = self.usable(now).map(|e| e.free(now)).sum();
         let slots = waiting.saturating_sub(spare).min(MAX_SLOT_DEMAND);
-        (slots > 0 && self.limits.lend).then_some(SlotDemand { slots })
+        (slots > 0 && self.config.lend).then_some(SlotDemand { slots })
     }
 
     /// Lends idle slots to a peer. Half of what is idle on an endpoint stays.
     pub fn lend(&mut self, now: Duration, to: &str, demand: SlotDemand) -> Vec<Loan> {
-        if self.queues.waiting() > 0 || !self.limits.lend {
+        if self.queues.waiting() > 0 || !self.config.lend {
             return Vec::new();
         }
         let mut all = Vec::new();
--- a/crates/workswood-core/src/route/mod.rs
+++ b/crates/workswood-core/src/route/mod.rs
@@ -14,7 +14,7 @@
 mod share;
 mod table;
 
-pub use dispatch::{Action, Dispatcher, Limits, Outcome, RequestId, SlotDemand};
+pub use dispatch::{Action, Dispatcher, DispatcherConfig, Outcome, RequestId, SlotDemand};
 pub use endpoint::Loan;
 pub use health::{Health, Standing};
 pub use queue::{ClassQueues, MAX_QUEUED, Waiting};
--- a/src/workswood/ops/bench/route.rs
+++ b/src/workswood/ops/bench/route.rs
@@ -13,7 +13,9 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use workswood_core::fleet::Class;
-use workswood_core::route::{Action, Dispatcher, Endpoint, Limits, Loan, Outcome, ServiceView, SlotDemand};
+use workswood_core::route::{
+    Action, Dispatcher, DispatcherConfig, Endpoint, Loan, Outcome, ServiceView, SlotDemand,
+};
 
 use super::stats::{Times, median};
 
@@ -133,11 +135,11 @@
 
 impl Model {
     fn new(policy: Policy, window: u32, seed: u64) -> Model {
-        Model::with_limits(policy, window, seed, Limits::default())
+        Model::with_limits(policy, window, seed, DispatcherConfig::default())
     }
 
-    fn with_limits(policy: Policy, window: u32, seed: u64, limits: Limits) -> Model {
-        let limits = Limits { lend: policy == Policy::Lending, ..limits };
+    fn with_limits(policy: Policy, window: u32, seed: u64, limits: DispatcherConfig) -> Model {
+        let limits = DispatcherConfig { lend: policy == Policy::Lending, ..limits };
         let entry = |i: usize| {
             let mut d = Dispatcher::new(&format!("dc{}", i % 4), limits);
             // Long before the start, so that shares have settled.
@@ -492,7 +494,7 @@
     let capacity = f64::from(SLOTS) * ENDPOINTS as f64 / MEAN;
     for load in [0.8, 0.95, 1.2] {
         for queued in [0, 3, 30, 300, 1_000] {
-            let limits = Limits { queued, ..Limits::default() };
+            let limits = DispatcherConfig { max_queued: queued, ..DispatcherConfig::default() };
             let model = |seed| Model::with_limits(Policy::Lending, WINDOW, seed, limits);
             let all: Vec<Shown> =
                 (1..=RUNS).map(|s| model(s).run(&[(Class::Urgent, load)], SECONDS)).collect();
@@ -549,7 +551,7 @@
         v.endpoints =
             (0..n).map(|i| Endpoint { id: format!("s/{i}"), number: i, ..v.endpoints[0].clone() }).collect();
         let times = (0..RUNS).map(|_| {
-            let mut d = Dispatcher::new("dc0", Limits::default());
+            let mut d = Dispatcher::new("dc0", DispatcherConfig::default());
             d.update(Duration::ZERO, &v, Some(0), 1);
             let now = Duration::from_secs(10);
             d.tick(now);
--- a/src/workswood/ops/entry/lanes.rs
+++ b/src/workswood/ops/entry/lanes.rs
@@ -9,7 +9,9 @@
 use workswood_core::code::Code;
 use workswood_core::fleet::Class;
 use workswood_core::ids::{InstanceId, ServiceId};
-use workswood_core::route::{Action, Dispatcher, Limits, Loan, Outcome, RequestId, RouteTable, SlotDemand};
+use workswood_core::route::{
+    Action, Dispatcher, DispatcherConfig, Loan, Outcome, RequestId, RouteTable, SlotDemand,
+};
 use workswood_peers::{Msg, SlotAsk, SlotState};
 
 use super::node::Node;
@@ -58,7 +60,7 @@
 
 impl Lane {
     fn new(service: &str, data_centre: &str) -> Lane {
-        let dispatcher = Dispatcher::new(data_centre, Limits::default());
+        let dispatcher = Dispatcher::new(data_centre, DispatcherConfig::default());
         Lane {
             service: service.to_string(),
             inner: Mutex::new(Inner { dispatcher, waiting: HashMap::new() }),
--- a/tests/testsuite/slot_dispatch.rs
+++ b/tests/testsuite/slot_dispatch.rs
@@ -8,7 +8,7 @@
 use workswood_core::fleet::Class;
 use workswood_core::invariant;
 use workswood_core::route::{
-    Action, Dispatcher, Endpoint, Limits, Loan, Outcome, ServiceView, SlotDemand, owned_slots,
+    Action, Dispatcher, DispatcherConfig, Endpoint, Loan, Outcome, ServiceView, SlotDemand, owned_slots,
 };
 
 const ENTRIES: usize = 3;
@@ -31,7 +31,7 @@
 }
 
 fn alone(endpoints: usize) -> Dispatcher {
-    let mut d = Dispatcher::new("dc0", Limits::default());
+    let mut d = Dispatcher::new("dc0", DispatcherConfig::default());
     d.update(ms(0), &view(endpoints), Some(0), 1);
     d.tick(ms(5_000));
     d
@@ -65,8 +65,9 @@
     let mut lent = 0u64;
     for i in 0..300 {
         arbtest(|u| {
-            let mut all: Vec<Dispatcher> =
-                (0..ENTRIES).map(|i| Dispatcher::new(&format!("dc{i}"), Limits::default())).collect();
+            let mut all: Vec<Dispatcher> = (0..ENTRIES)
+                .map(|i| Dispatcher::new(&format!("dc{i}"), DispatcherConfig::default()))
+                .collect();
             let mut now = ms(0);
             for (i, d) in all.iter_mut().enumerate() {
                 d.update(now, &view(2), Some(i), ENTRIES);
