--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -184,7 +184,7 @@
     }
 
     /// A new request.
-    pub fn offer(
+    pub fn submit(
         &mut self,
         now: Duration,
         request_id: RequestId,
@@ -263,7 +263,7 @@
     }
 
     /// A request that held a slot has ended.
-    pub fn done(&mut self, now: Duration, request_id: RequestId, outcome: Outcome) -> Vec<Action> {
+    pub fn finish(&mut self, now: Duration, request_id: RequestId, outcome: Outcome) -> Vec<Action> {
         let Some(f) = self.flights.remove(&request_id) else {
             return Vec::new();
         };
--- a/src/workswood/ops/bench/route.rs
+++ b/src/workswood/ops/bench/route.rs
@@ -251,7 +251,7 @@
         if self.leased() {
             let now = self.clock();
             let deadline = now + Duration::from_secs_f64(DEADLINE);
-            let actions = self.entries[entry].offer(now, req as u64, class, deadline);
+            let actions = self.entries[entry].submit(now, req as u64, class, deadline);
             self.carry_out(entry, actions);
             self.borrow(entry);
         } else {
@@ -327,7 +327,7 @@
         self.shown.done += u64::from(took <= DEADLINE);
         if self.leased() {
             let now = self.clock();
-            let actions = self.entries[entry].done(now, req as u64, Outcome::Success);
+            let actions = self.entries[entry].finish(now, req as u64, Outcome::Success);
             self.carry_out(entry, actions);
         }
     }
@@ -557,9 +557,9 @@
             d.tick(now);
             let started = Instant::now();
             for t in 0..ROUNDS {
-                let sent = d.offer(now, t, Class::Urgent, now * 2);
+                let sent = d.submit(now, t, Class::Urgent, now * 2);
                 std::hint::black_box(&sent);
-                d.done(now, t, Outcome::Success);
+                d.finish(now, t, Outcome::Success);
             }
             started.elapsed().as_nanos() as f64 / ROUNDS as f64
         });
--- a/src/workswood/ops/entry/lanes.rs
+++ b/src/workswood/ops/entry/lanes.rs
@@ -153,7 +153,7 @@
                     let grant = Grant { endpoint, address };
                     let heard = self.waiting.remove(&request_id).is_some_and(|tx| tx.send(Ok(grant)).is_ok());
                     if !heard {
-                        left.extend(self.dispatcher.done(now, request_id, Outcome::Neutral));
+                        left.extend(self.dispatcher.finish(now, request_id, Outcome::Neutral));
                     }
                 }
                 Action::Refuse { request_id, code, retry_after } => {
@@ -194,7 +194,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let (ticket, outcome) = (self.ticket, self.outcome);
-        self.lane.with(&self.node, |d, now| d.done(now, ticket, outcome));
+        self.lane.with(&self.node, |d, now| d.finish(now, ticket, outcome));
     }
 }
 
@@ -214,7 +214,7 @@
         let ticket = self.ticket;
         // It may have got its slot just now; then the slot goes to the next.
         self.lane.with(self.node, |d, now| {
-            if d.cancel(ticket) { Vec::new() } else { d.done(now, ticket, Outcome::Neutral) }
+            if d.cancel(ticket) { Vec::new() } else { d.finish(now, ticket, Outcome::Neutral) }
         });
         self.lane.inner.lock().waiting.remove(&ticket);
     }
@@ -239,7 +239,7 @@
     let mut allowed = true;
     lane.with(node, |d, now| {
         if ask.tried.is_empty() {
-            return d.offer(now, ticket, ask.class, ask.deadline);
+            return d.submit(now, ticket, ask.class, ask.deadline);
         }
         d.retry(now, ticket, ask.class, ask.deadline, ask.tried).unwrap_or_else(|| {
             allowed = false;
--- a/tests/testsuite/slot_dispatch.rs
+++ b/tests/testsuite/slot_dispatch.rs
@@ -81,12 +81,12 @@
                     0..=1 => {
                         ticket += 1;
                         let class = *u.choose(&Class::ALL)?;
-                        all[e].offer(now, ticket, class, now + ms(900))
+                        all[e].submit(now, ticket, class, now + ms(900))
                     }
                     2 if !open.is_empty() => {
                         let (e, t) = open.swap_remove(u.choose_index(open.len())?);
                         let outcome = *u.choose(&[Outcome::Success, Outcome::Failure, Outcome::Neutral])?;
-                        let actions = all[e].done(now, t, outcome);
+                        let actions = all[e].finish(now, t, outcome);
                         open.extend(sent(&actions).iter().map(|(t, _)| (e, *t)));
                         actions.into_iter().filter(|a| !matches!(a, Action::Send { .. })).collect()
                     }
@@ -144,12 +144,12 @@
     let now = ms(6_000);
     let mut running = Vec::new();
     for t in 0..10_000 {
-        running.extend(sent(&d.offer(now, t, Class::Urgent, ms(900_000))));
+        running.extend(sent(&d.submit(now, t, Class::Urgent, ms(900_000))));
     }
     assert_eq!(running.len(), 10);
     for t in 0..10_000 {
         if !d.cancel(t) {
-            d.done(now, t, Outcome::Neutral);
+            d.finish(now, t, Outcome::Neutral);
         }
     }
     assert_eq!((d.waiting(), d.busy()), (0, 0));
@@ -163,7 +163,7 @@
     let ticket = std::cell::Cell::new(0);
     let offer = |d: &mut Dispatcher, class| {
         ticket.set(ticket.get() + 1);
-        (ticket.get(), !sent(&d.offer(now, ticket.get(), class, ms(100_000))).is_empty())
+        (ticket.get(), !sent(&d.submit(now, ticket.get(), class, ms(100_000))).is_empty())
     };
     let normal = (0..40).filter(|_| offer(&mut d, Class::Normal).1).count();
     assert!(normal < 20, "a flood of normal requests took all {normal} slots");
@@ -177,7 +177,7 @@
     let (long, started) = offer(&mut d, Class::Long);
     assert!(!started);
     let first = long - 21;
-    let next = sent(&d.done(now, first, Outcome::Success));
+    let next = sent(&d.finish(now, first, Outcome::Success));
     assert_eq!(next.first().map(|n| n.0), Some(long));
 }
 
@@ -185,7 +185,7 @@
 fn early_refusal() {
     let mut d = alone(1);
     let now = ms(6_000);
-    let refused = (0..2_000).find_map(|t| match d.offer(now, t, Class::Urgent, now + ms(40)).first() {
+    let refused = (0..2_000).find_map(|t| match d.submit(now, t, Class::Urgent, now + ms(40)).first() {
         Some(Action::Refuse { code, retry_after, .. }) => Some((*code, *retry_after)),
         _ => None,
     });
@@ -193,7 +193,7 @@
     assert_eq!(code, Code::WaitTooLong);
     assert!(after >= ms(40), "{after:?}");
     // A longer queue adds waiting and no answers.
-    let full = (2_000..4_000).find_map(|t| match d.offer(now, t, Class::Urgent, now + ms(9_000)).first() {
+    let full = (2_000..4_000).find_map(|t| match d.submit(now, t, Class::Urgent, now + ms(9_000)).first() {
         Some(Action::Refuse { code, .. }) => Some(*code),
         _ => None,
     });
@@ -209,11 +209,11 @@
     let now = ms(6_000);
     let mut retries = 0;
     for t in 0..10_000u64 {
-        d.offer(now, t, Class::Urgent, ms(100_000));
-        d.done(now, t, Outcome::Failure);
+        d.submit(now, t, Class::Urgent, ms(100_000));
+        d.finish(now, t, Outcome::Failure);
         if d.retry(now, 100_000 + t, Class::Urgent, ms(100_000), &[]).is_some() {
             retries += 1;
-            d.done(now, 100_000 + t, Outcome::Failure);
+            d.finish(now, 100_000 + t, Outcome::Failure);
             d.cancel(100_000 + t);
         }
     }
@@ -227,11 +227,11 @@
     let mut to_bad = 0;
     for t in 0..2_000u64 {
         now += ms(1);
-        for (t, e) in sent(&d.offer(now, t, Class::Urgent, now + ms(1_000))) {
+        for (t, e) in sent(&d.submit(now, t, Class::Urgent, now + ms(1_000))) {
             // One of this data centre, which gets most while all are idle.
             to_bad += u64::from(e == "s/4");
             let outcome = if e == "s/4" { Outcome::Failure } else { Outcome::Success };
-            d.done(now + ms(if e == "s/4" { 0 } else { 5 }), t, outcome);
+            d.finish(now + ms(if e == "s/4" { 0 } else { 5 }), t, outcome);
         }
     }
     assert!((3..20).contains(&to_bad), "{to_bad} of 2,000 went to the endpoint that fails fast");
@@ -243,14 +243,14 @@
     let mut now = ms(6_000);
     for t in 0..900u64 {
         now += ms(1);
-        for (t, _) in sent(&d.offer(now, t, Class::Urgent, now + ms(1_000))) {
-            d.done(now, t, Outcome::Failure);
+        for (t, _) in sent(&d.submit(now, t, Class::Urgent, now + ms(1_000))) {
+            d.finish(now, t, Outcome::Failure);
         }
     }
     // All fail: at most a third is left out, the rest still gets work.
     let mut got = std::collections::BTreeSet::new();
     for t in 1_000..1_100u64 {
-        got.extend(sent(&d.offer(now, t, Class::Urgent, now + ms(1_000))).into_iter().map(|(_, e)| e));
+        got.extend(sent(&d.submit(now, t, Class::Urgent, now + ms(1_000))).into_iter().map(|(_, e)| e));
     }
     assert!(got.len() >= 6, "only {got:?} get work");
 }
