--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -311,7 +311,7 @@
             good.for_each(|e| e.health.calm());
         }
         actions.extend(self.pump(now));
-        actions.extend(self.give_back(now));
+        actions.extend(self.return_idle_loans(now));
         actions
     }
 
@@ -356,7 +356,7 @@
     }
 
     /// Takes slots that a peer lends; those not needed go back at once.
-    pub fn borrow(&mut self, now: Duration, loans: Vec<Loan>) -> Vec<Action> {
+    pub fn accept_loans(&mut self, now: Duration, loans: Vec<Loan>) -> Vec<Action> {
         if loans.is_empty() {
             self.ask_after = now + ASK_PAUSE;
         }
@@ -372,7 +372,7 @@
     }
 
     /// A borrower is done with a loan.
-    pub fn returned(&mut self, now: Duration, loan: u64) -> Vec<Action> {
+    pub fn loan_returned(&mut self, now: Duration, loan: u64) -> Vec<Action> {
         for e in self.endpoints.values_mut() {
             e.lent.retain(|(l, _)| l.id != loan);
         }
@@ -380,7 +380,7 @@
     }
 
     /// A borrower still uses its loans.
-    pub fn confirmed(&mut self, now: Duration, from: &str, loans: &[u64]) {
+    pub fn loans_confirmed(&mut self, now: Duration, from: &str, loans: &[u64]) {
         for (l, confirmed) in self.endpoints.values_mut().flat_map(|e| &mut e.lent) {
             if l.peer == from && loans.contains(&l.id) {
                 *confirmed = now;
@@ -389,12 +389,12 @@
     }
 
     /// Loans that this entry host uses.
-    pub fn borrowed(&self) -> impl Iterator<Item = &Loan> {
+    pub fn borrowed_loans(&self) -> impl Iterator<Item = &Loan> {
         self.endpoints.values().flat_map(|e| e.borrowed.iter().map(|(l, _)| l))
     }
 
     /// Returns borrowed slots that have been idle for a while.
-    fn give_back(&mut self, now: Duration) -> Vec<Action> {
+    fn return_idle_loans(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         for e in self.endpoints.values_mut() {
             let idle = e.free(now) as usize;
--- a/src/workswood/ops/bench/route.rs
+++ b/src/workswood/ops/bench/route.rs
@@ -233,7 +233,7 @@
             Event::Lent { to, loans } => self.lent(to, loans),
             Event::Returned { to, loan } => {
                 let now = self.clock();
-                let actions = self.entries[to].returned(now, loan);
+                let actions = self.entries[to].loan_returned(now, loan);
                 self.carry_out(to, actions);
             }
         }
@@ -348,10 +348,10 @@
                 let now = self.clock();
                 // Every loan is confirmed: nobody dies in this model.
                 let held: Vec<(String, u64)> =
-                    self.entries[i].borrowed().map(|l| (l.peer.clone(), l.id)).collect();
+                    self.entries[i].borrowed_loans().map(|l| (l.peer.clone(), l.id)).collect();
                 for (peer, id) in held {
                     let lender: usize = peer.parse().unwrap_or(0);
-                    self.entries[lender].confirmed(now, &i.to_string(), &[id]);
+                    self.entries[lender].loans_confirmed(now, &i.to_string(), &[id]);
                 }
                 let actions = self.entries[i].tick(now);
                 self.carry_out(i, actions);
@@ -386,7 +386,7 @@
         self.asking[to] = false;
         let some = !loans.is_empty();
         let now = self.clock();
-        let actions = self.entries[to].borrow(now, loans);
+        let actions = self.entries[to].accept_loans(now, loans);
         self.carry_out(to, actions);
         if some {
             self.borrow(to);
--- a/src/workswood/ops/entry/lanes.rs
+++ b/src/workswood/ops/entry/lanes.rs
@@ -86,8 +86,8 @@
     /// Takes in what a borrower says of its loans.
     pub fn loans_told(&self, node: &Node, s: &SlotState) {
         self.with(node, |d, now| {
-            d.confirmed(now, &s.from, &s.kept);
-            s.returned.iter().flat_map(|id| d.returned(now, *id)).collect()
+            d.loans_confirmed(now, &s.from, &s.kept);
+            s.returned.iter().flat_map(|id| d.loan_returned(now, *id)).collect()
         });
     }
 
@@ -111,7 +111,7 @@
     /// Tells lenders which loans are still in use.
     fn confirm(&self, node: &Node) {
         let mut by_peer: BTreeMap<String, Vec<u64>> = BTreeMap::new();
-        for l in self.inner.lock().dispatcher.borrowed() {
+        for l in self.inner.lock().dispatcher.borrowed_loans() {
             by_peer.entry(l.peer.clone()).or_default().push(l.id);
         }
         for (peer, kept) in by_peer {
@@ -364,6 +364,6 @@
             .map(|l| Loan { id: l.id, peer: peer.clone(), endpoint: l.endpoint })
             .collect();
         node.metrics.loans.inc_by(loans.len() as u64);
-        lane.with(node, |d, now| d.borrow(now, loans));
+        lane.with(node, |d, now| d.accept_loans(now, loans));
     }
 }
--- a/tests/testsuite/slot_dispatch.rs
+++ b/tests/testsuite/slot_dispatch.rs
@@ -96,15 +96,15 @@
                         let loans = all[from].lend(now, &e.to_string(), want);
                         lent += loans.len() as u64;
                         let loans = loans.into_iter().map(|l| Loan { peer: from.to_string(), ..l }).collect();
-                        all[e].borrow(now, loans)
+                        all[e].accept_loans(now, loans)
                     }
                     4 => {
                         // Loans in use are confirmed, as entries do.
                         let used: Vec<(String, u64)> =
-                            all[e].borrowed().map(|l| (l.peer.clone(), l.id)).collect();
+                            all[e].borrowed_loans().map(|l| (l.peer.clone(), l.id)).collect();
                         for (peer, id) in used {
                             let lender: usize = peer.parse().expect("a number");
-                            all[lender].confirmed(now, &e.to_string(), &[id]);
+                            all[lender].loans_confirmed(now, &e.to_string(), &[id]);
                         }
                         all[e].tick(now)
                     }
@@ -117,7 +117,7 @@
                         Action::Send { request_id, .. } => open.push((at, request_id)),
                         Action::ReturnLoan(l) => {
                             at = l.peer.parse().expect("a number");
-                            left.extend(all[at].returned(now, l.id));
+                            left.extend(all[at].loan_returned(now, l.id));
                         }
                         Action::Refuse { .. } => {}
                     }
