--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -177,7 +177,7 @@
     }
 
     /// Closes an endpoint before the log says so: it has said that it leaves.
-    pub fn close(&mut self, now: Duration, endpoint: &str) {
+    pub fn mark_leaving(&mut self, now: Duration, endpoint: &str) {
         if let Some(e) = self.endpoints.get_mut(endpoint) {
             e.closed_until = now + CLOSED_FOR;
         }
@@ -219,7 +219,7 @@
         deadline: Duration,
         tried: &[InstanceId],
     ) -> Vec<Action> {
-        let slots = self.slots(now);
+        let slots = self.usable_slots(now);
         let nobody_ahead = self.queues.len(class) == 0;
         if nobody_ahead
             && self.queues.allowed(class, slots)
@@ -246,7 +246,7 @@
         if !self.endpoints.values().any(|e| e.open) {
             return refuse(Code::NoEndpoint, Duration::from_secs(1));
         }
-        let wait = self.wait(class, slots);
+        let wait = self.expected_wait(class, slots);
         if self.queues.len(class) >= self.config.max_queued.min(most_queued(class, slots)) {
             return refuse(Code::QueueFull, wait.max(Duration::from_millis(100)));
         }
@@ -257,7 +257,7 @@
     }
 
     /// The wait that a new request of a class would have.
-    pub fn wait(&self, class: Class, slots: u32) -> Duration {
+    pub fn expected_wait(&self, class: Class, slots: u32) -> Duration {
         let ahead = self.queues.ahead(class) as f64;
         Duration::from_secs_f64(ahead * self.seconds / f64::from(slots.max(1)))
     }
@@ -294,8 +294,8 @@
 
     /// Refuses requests whose deadline has come and looks for bad endpoints.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
-        let slots = self.slots(now);
-        let retry_after = self.wait(Class::Later, slots).max(Duration::from_millis(100));
+        let slots = self.usable_slots(now);
+        let retry_after = self.expected_wait(Class::Later, slots).max(Duration::from_millis(100));
         let late = self.queues.expire(now).into_iter();
         let mut actions: Vec<Action> = late
             .map(|request_id| Action::Refuse { request_id, code: Code::DeadlinePassed, retry_after })
@@ -406,22 +406,22 @@
     }
 
     /// Requests that hold a slot of each endpoint.
-    pub fn in_flight(&self) -> impl Iterator<Item = (&InstanceId, u32)> {
+    pub fn in_flight_by_endpoint(&self) -> impl Iterator<Item = (&InstanceId, u32)> {
         self.endpoints.iter().map(|(id, e)| (id, e.in_flight))
     }
 
     /// Requests that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.queues.waiting()
     }
 
     /// Requests that hold a slot.
-    pub fn busy(&self) -> usize {
+    pub fn in_flight_count(&self) -> usize {
         self.flights.len()
     }
 
     /// Slots that may be used now.
-    pub fn slots(&self, now: Duration) -> u32 {
+    pub fn usable_slots(&self, now: Duration) -> u32 {
         self.usable(now).map(|e| e.held(now)).sum()
     }
 
@@ -471,7 +471,7 @@
     fn pump(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         loop {
-            let slots = self.slots(now);
+            let slots = self.usable_slots(now);
             let Some(class) = self.queues.turn(slots) else { break };
             let Some(id) = self.choose(now, &[]) else { break };
             let Some(w) = self.queues.pop(class) else { break };
--- a/src/workswood/ops/entry/lanes.rs
+++ b/src/workswood/ops/entry/lanes.rs
@@ -126,13 +126,13 @@
     /// The wait that a new request of a class would have.
     pub fn wait(&self, now: Duration, class: Class) -> Duration {
         let inner = self.inner.lock();
-        inner.dispatcher.wait(class, inner.dispatcher.slots(now))
+        inner.dispatcher.expected_wait(class, inner.dispatcher.usable_slots(now))
     }
 
     /// Requests that wait or hold a slot.
     pub fn load(&self) -> usize {
         let inner = self.inner.lock();
-        inner.dispatcher.waiting() + inner.dispatcher.busy()
+        inner.dispatcher.waiting_count() + inner.dispatcher.in_flight_count()
     }
 }
 
@@ -298,7 +298,7 @@
     let mut open = BTreeMap::new();
     for lane in lanes {
         let inner = lane.inner.lock();
-        let of = inner.dispatcher.in_flight().filter(|(id, n)| *n > 0 && instances.contains(id));
+        let of = inner.dispatcher.in_flight_by_endpoint().filter(|(id, n)| *n > 0 && instances.contains(id));
         open.extend(of.map(|(id, n)| (id.clone(), n)));
     }
     open
@@ -314,7 +314,7 @@
     let now = node.now();
     for lane in node.lanes.read().values() {
         let mut inner = lane.inner.lock();
-        instances.iter().for_each(|i| inner.dispatcher.close(now, i));
+        instances.iter().for_each(|i| inner.dispatcher.mark_leaving(now, i));
     }
 }
 
--- a/tests/testsuite/slot_dispatch.rs
+++ b/tests/testsuite/slot_dispatch.rs
@@ -124,7 +124,7 @@
                 }
                 let mut used: BTreeMap<String, u32> = BTreeMap::new();
                 for d in &all {
-                    for (id, n) in d.in_flight() {
+                    for (id, n) in d.in_flight_by_endpoint() {
                         *used.entry(id.clone()).or_default() += n;
                     }
                 }
@@ -152,8 +152,8 @@
             d.finish(now, t, Outcome::Neutral);
         }
     }
-    assert_eq!((d.waiting(), d.busy()), (0, 0));
-    assert!(d.in_flight().all(|(_, n)| n == 0));
+    assert_eq!((d.waiting_count(), d.in_flight_count()), (0, 0));
+    assert!(d.in_flight_by_endpoint().all(|(_, n)| n == 0));
 }
 
 #[test]
@@ -197,10 +197,10 @@
         Some(Action::Refuse { code, .. }) => Some(*code),
         _ => None,
     });
-    assert_eq!((full, d.waiting()), (Some(Code::QueueFull), 16));
+    assert_eq!((full, d.waiting_count()), (Some(Code::QueueFull), 16));
     let late = d.tick(now + ms(9_000));
     assert!(late.iter().any(|a| matches!(a, Action::Refuse { code: Code::DeadlinePassed, .. })));
-    assert_eq!(d.waiting(), 0);
+    assert_eq!(d.waiting_count(), 0);
 }
 
 #[test]
