--- a/crates/workswood-core/src/route/table.rs
+++ b/crates/workswood-core/src/route/table.rs
@@ -44,7 +44,7 @@
     /// Routes with their service, longest path first.
     pub routes: Vec<(Route, ServiceId)>,
     /// This process's number on the roster, and the roster's length.
-    pub share: (Option<usize>, usize),
+    pub roster_position: (Option<usize>, usize),
 }
 
 impl RouteTable {
@@ -58,16 +58,21 @@
             (s.name.clone(), ServiceView { window: s.window(), endpoints })
         });
         let me = state.roster.iter().position(|m| m.id == me);
-        RouteTable { next: state.next, services: services.collect(), routes, share: (me, state.roster.len()) }
+        RouteTable {
+            next: state.next,
+            services: services.collect(),
+            routes,
+            roster_position: (me, state.roster.len()),
+        }
     }
 
     /// The route of a path.
-    pub fn find(&self, path: &str) -> Option<&(Route, ServiceId)> {
+    pub fn route_for(&self, path: &str) -> Option<&(Route, ServiceId)> {
         self.routes.iter().find(|(r, _)| path.starts_with(&r.path))
     }
 
     /// The longest deadline of a service's class.
-    pub fn deadline(&self, service: &str, class: Class) -> Option<Duration> {
+    pub fn longest_deadline(&self, service: &str, class: Class) -> Option<Duration> {
         let fits = self.routes.iter().filter(|(r, s)| s == service && r.class == class);
         fits.map(|(r, _)| r.deadline).max()
     }
--- a/crates/workswood-test-support/src/live.rs
+++ b/crates/workswood-test-support/src/live.rs
@@ -32,7 +32,7 @@
     for i in 0..entries {
         until("every entry shares slots", || {
             let node = &dev.entries[i].node;
-            node.table.load().share.0.is_some() && node.state.read().roster.len() == entries
+            node.table.load().roster_position.0.is_some() && node.state.read().roster.len() == entries
         })
         .await;
     }
--- a/src/workswood/ops/entry/deferred.rs
+++ b/src/workswood/ops/entry/deferred.rs
@@ -216,7 +216,7 @@
 fn call(node: &Node, key: &str, rec: &KeyRec, d: &Deferred) -> Option<Call> {
     let table = node.table.load();
     let path = d.path.split('?').next().unwrap_or_default();
-    let (route, service) = table.find(path).filter(|(_, s)| *s == rec.service)?.clone();
+    let (route, service) = table.route_for(path).filter(|(_, s)| *s == rec.service)?.clone();
     let mut headers = hyper::HeaderMap::new();
     headers.insert(KEY, key.parse().ok()?);
     let head = Head { method: d.method.parse().ok()?, path: d.path.clone(), headers };
--- a/src/workswood/ops/entry/follower.rs
+++ b/src/workswood/ops/entry/follower.rs
@@ -206,7 +206,7 @@
         let state = node.state.read();
         (RouteTable::new(&state, &node.id), state.next)
     };
-    node.claims.lock().on_roster(table.share.0.is_some(), node.now());
+    node.claims.lock().on_roster(table.roster_position.0.is_some(), node.now());
     let table = Arc::new(table);
     node.table.store(table.clone());
     lanes::update(node, &table);
--- a/src/workswood/ops/entry/lanes.rs
+++ b/src/workswood/ops/entry/lanes.rs
@@ -271,7 +271,7 @@
 
 /// Takes a new routing table over.
 pub fn update(node: &Arc<Node>, table: &RouteTable) {
-    let (member, members) = table.share;
+    let (member, members) = table.roster_position;
     for (service, view) in &table.services {
         let known = of(node, service);
         let lane = known.unwrap_or_else(|| {
--- a/src/workswood/ops/entry/serve.rs
+++ b/src/workswood/ops/entry/serve.rs
@@ -119,7 +119,7 @@
         return keys::outcome(node, key);
     }
     let key = header(req.headers(), KEY);
-    let found = node.table.load().find(path).cloned();
+    let found = node.table.load().route_for(path).cloned();
     let Some((route, service)) = found.filter(|_| node.is(&node.ready)) else {
         let code = if node.is(&node.ready) { Code::UnknownRoute } else { Code::NotCaughtUp };
         return keys::refuse(node, key.as_deref(), code, Some(Duration::from_secs(1))).await;
--- a/tests/testsuite/entry_stop.rs
+++ b/tests/testsuite/entry_stop.rs
@@ -36,7 +36,7 @@
         flag.store(true, Ordering::Relaxed);
         dev.add(&format!("new-{round}"), "dc0").await.expect("an entry starts");
         let new = dev.entries.last().expect("just added").node.clone();
-        until("the new one shares slots", || new.table.load().share.0.is_some()).await;
+        until("the new one shares slots", || new.table.load().roster_position.0.is_some()).await;
         let flag = Arc::new(AtomicBool::new(false));
         load.add_until(dev.caller(ENTRIES - 1), 2, "/shop/get?ms=10", flag.clone());
         gone.push(flag);
