--- a/crates/workswood-core/src/route/table.rs
+++ b/crates/workswood-core/src/route/table.rs
@@ -1,5 +1,5 @@
-//! The routing table: a read-only view of the state, shared with every request
-//! by read-copy-update.
+//! The routing table: an immutable extract of the folded state, replaced as a whole when
+//! the state changes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use crate::fold::State;
 use crate::ids::{DataCentre, HostId, InstanceId, Offset, ServiceId};
 
-/// An endpoint that is in force.
+/// An endpoint of a service in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// The instance.
+    /// Name of the instance.
     pub id: InstanceId,
-    /// Number of the instance in its service; shares are computed of it.
+    /// Number of the instance in its service, from which slot shares are computed.
     pub number: usize,
     /// IP address and port.
     pub address: String,
@@ -21,80 +21,81 @@
     pub host: HostId,
     /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub open: bool,
 }
 
-/// A service that is in force.
+/// A service in force, as routing needs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceView {
-    /// Requests that may be under way to one endpoint at a time.
+    /// Maximum number of requests in flight to one endpoint, over all entry hosts.
     pub window: u32,
-    /// All endpoints, by instance.
+    /// All endpoints, ordered by instance name.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// What is needed to route a request.
+/// What an entry process needs to route a request.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
-    /// Next offset of the state it was made of.
+    /// Offset of the next envelope to fold in the state that the table was built from.
     pub next: Offset,
     /// Services by name.
     pub services: BTreeMap<ServiceId, ServiceView>,
-    /// Routes with their service, longest path first.
+    /// Routes and their services, longest path prefix first.
     pub routes: Vec<(Route, ServiceId)>,
-    /// This process's number on the roster, and the roster's length.
+    /// Index of this process on the roster, if it is there, and the length of the roster.
     pub roster_position: (Option<usize>, usize),
 }
 
 impl RouteTable {
-    /// Makes the table of a state for the process `me`.
-    pub fn new(state: &State, me: &str) -> RouteTable {
+    /// Builds the table of a state for the process `own_id`.
+    pub fn new(state: &State, own_id: &str) -> RouteTable {
         let mut routes: Vec<(Route, ServiceId)> =
             state.services().flat_map(|s| s.routes.iter().map(|r| (r.clone(), s.name.clone()))).collect();
         routes.sort_by(|a, b| b.0.path.len().cmp(&a.0.path.len()).then(a.0.path.cmp(&b.0.path)));
         let services = state.services().map(|s| {
-            let endpoints = endpoints(state, &s.name);
+            let endpoints = endpoints_of(state, &s.name);
             (s.name.clone(), ServiceView { window: s.window(), endpoints })
         });
-        let me = state.roster.iter().position(|m| m.id == me);
+        let own_index = state.roster.iter().position(|m| m.id == own_id);
         RouteTable {
             next: state.next,
             services: services.collect(),
             routes,
-            roster_position: (me, state.roster.len()),
+            roster_position: (own_index, state.roster.len()),
         }
     }
 
-    /// The route of a path.
+    /// The route with the longest prefix of a path, and its service.
     pub fn route_for(&self, path: &str) -> Option<&(Route, ServiceId)> {
         self.routes.iter().find(|(r, _)| path.starts_with(&r.path))
     }
 
-    /// The longest deadline of a service's class.
+    /// The longest deadline of the routes of a service that have a class.
     pub fn longest_deadline(&self, service: &str, class: Class) -> Option<Duration> {
-        let fits = self.routes.iter().filter(|(r, s)| s == service && r.class == class);
-        fits.map(|(r, _)| r.deadline).max()
+        let matching = self.routes.iter().filter(|(r, s)| s == service && r.class == class);
+        matching.map(|(r, _)| r.deadline).max()
     }
 }
 
-fn endpoints(state: &State, service: &str) -> Vec<Endpoint> {
-    let known = state.instances_of(service).filter(|(_, i)| !i.address.is_empty());
-    let view = |(id, i): (&InstanceId, &crate::fold::InstanceRec)| {
+/// The endpoints of a service whose address is known.
+fn endpoints_of(state: &State, service: &str) -> Vec<Endpoint> {
+    let with_address = state.instances_of(service).filter(|(_, i)| !i.address.is_empty());
+    let endpoint = |(id, i): (&InstanceId, &crate::fold::InstanceRec)| {
         let host = state.hosts.get(&i.host);
         Endpoint {
             id: id.clone(),
-            number: number(id),
+            number: instance_number(id),
             address: i.address.clone(),
             host: i.host.clone(),
             data_centre: host.map(|h| h.place.data_centre.clone()).unwrap_or_default(),
             open: i.ready && host.is_some_and(|h| h.takes_work()),
         }
     };
-    known.map(view).collect()
+    with_address.map(endpoint).collect()
 }
 
-/// The number at the end of an instance's name.
-fn number(id: &str) -> usize {
+/// The number at the end of an instance's name, 0 if there is none.
+fn instance_number(id: &str) -> usize {
     id.rsplit_once('/').and_then(|(_, n)| n.parse().ok()).unwrap_or_default()
 }
