--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -115,7 +115,7 @@
     endpoints: BTreeMap<InstanceId, EndpointView>,
     queues: ClassQueues,
     flights: BTreeMap<RequestId, Flight>,
-    retries: RetryBudget,
+    retry_budget: RetryBudget,
     seconds: f64,
     calmed: Duration,
     turn: usize,
@@ -144,7 +144,7 @@
             endpoints: BTreeMap::new(),
             queues: ClassQueues::default(),
             flights: BTreeMap::new(),
-            retries: RetryBudget::default(),
+            retry_budget: RetryBudget::default(),
             seconds: FIRST_GUESS,
             calmed: Duration::ZERO,
             turn: 0,
@@ -191,7 +191,7 @@
         class: Class,
         deadline: Duration,
     ) -> Vec<Action> {
-        self.retries.first_try();
+        self.retry_budget.record_first_attempt();
         self.enter(now, request_id, class, deadline, &[])
     }
 
@@ -205,7 +205,7 @@
         deadline: Duration,
         tried: &[InstanceId],
     ) -> Option<Vec<Action>> {
-        if !self.retries.retry() {
+        if !self.retry_budget.try_take() {
             return None;
         }
         Some(self.enter(now, request_id, class, deadline, tried))
--- a/crates/workswood-core/src/route/retry.rs
+++ b/crates/workswood-core/src/route/retry.rs
@@ -1,11 +1,11 @@
-//! The retry budget: retries as a share of first tries.
+//! The retry budget, which limits retries to a share of the first attempts.
 
-/// Retries allowed for each first try.
-const SHARE: f64 = 0.1;
-/// Retries that may be saved up.
-const MOST: f64 = 20.0;
+/// Tokens that each first attempt adds; a retry costs one.
+const TOKENS_PER_FIRST_ATTEMPT: f64 = 0.1;
+/// Maximum number of saved tokens.
+const MAX_TOKENS: f64 = 20.0;
 
-/// Tokens earned by first tries and spent by retries.
+/// A token bucket that first attempts fill and retries drain.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     tokens: f64,
@@ -13,18 +13,18 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { tokens: MOST / 4.0 }
+        RetryBudget { tokens: MAX_TOKENS / 4.0 }
     }
 }
 
 impl RetryBudget {
-    /// Notes a first try.
-    pub fn first_try(&mut self) {
-        self.tokens = (self.tokens + SHARE).min(MOST);
+    /// Adds the tokens of one first attempt.
+    pub fn record_first_attempt(&mut self) {
+        self.tokens = (self.tokens + TOKENS_PER_FIRST_ATTEMPT).min(MAX_TOKENS);
     }
 
-    /// Takes a token for a retry, if there is one.
-    pub fn retry(&mut self) -> bool {
+    /// Takes one token for a retry; returns false if less than one is left.
+    pub fn try_take(&mut self) -> bool {
         let allowed = self.tokens >= 1.0;
         if allowed {
             self.tokens -= 1.0;
