--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -7,7 +7,7 @@
 use super::health::Standing;
 use super::queue::{ClassQueues, MAX_QUEUED, Waiting};
 use super::retry::RetryBudget;
-use super::share::owned_slots;
+use super::slot_ownership::owned_slots;
 use super::table::ServiceView;
 use crate::code::Code;
 use crate::fleet::Class;
--- a/crates/workswood-core/src/route/mod.rs
+++ b/crates/workswood-core/src/route/mod.rs
@@ -11,7 +11,7 @@
 mod health;
 mod queue;
 mod retry;
-mod share;
+mod slot_ownership;
 mod table;
 
 pub use dispatch::{Action, Dispatcher, DispatcherConfig, Outcome, RequestId, SlotDemand};
@@ -19,5 +19,5 @@
 pub use health::{Health, Standing};
 pub use queue::{ClassQueues, MAX_QUEUED, Waiting};
 pub use retry::RetryBudget;
-pub use share::owned_slots;
+pub use slot_ownership::owned_slots;
 pub use table::{Endpoint, RouteTable, ServiceView};
