--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -5,7 +5,7 @@
 
 use super::endpoint::{EndpointView, Loan};
 use super::health::Standing;
-use super::queue::{ClassQueues, MAX_QUEUED, Waiting};
+use super::queue::{ClassQueues, MAX_QUEUED, QueuedRequest};
 use super::retry::RetryBudget;
 use super::slot_ownership::owned_slots;
 use super::table::ServiceView;
@@ -222,7 +222,7 @@
         let slots = self.usable_slots(now);
         let nobody_ahead = self.queues.len(class) == 0;
         if nobody_ahead
-            && self.queues.allowed(class, slots)
+            && self.queues.may_take_slot(class, slots)
             && let Some(id) = self.choose(now, tried)
         {
             return vec![self.send(now, request_id, class, id)];
@@ -230,7 +230,7 @@
         if let Some(refusal) = self.refusal(now, request_id, class, deadline, slots) {
             return vec![refusal];
         }
-        self.queues.push(class, Waiting { request_id, deadline });
+        self.queues.push(class, QueuedRequest { request_id, deadline });
         Vec::new()
     }
 
@@ -258,7 +258,7 @@
 
     /// The wait that a new request of a class would have.
     pub fn expected_wait(&self, class: Class, slots: u32) -> Duration {
-        let ahead = self.queues.ahead(class) as f64;
+        let ahead = self.queues.len_ahead(class) as f64;
         Duration::from_secs_f64(ahead * self.seconds / f64::from(slots.max(1)))
     }
 
@@ -267,7 +267,7 @@
         let Some(f) = self.flights.remove(&request_id) else {
             return Vec::new();
         };
-        self.queues.gave_back(f.class);
+        self.queues.slot_released(f.class);
         let took = now.saturating_sub(f.since);
         let mut eject = false;
         if let Some(e) = self.endpoints.get_mut(&f.endpoint) {
@@ -296,7 +296,7 @@
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         let slots = self.usable_slots(now);
         let retry_after = self.expected_wait(Class::Later, slots).max(Duration::from_millis(100));
-        let late = self.queues.expire(now).into_iter();
+        let late = self.queues.remove_expired(now).into_iter();
         let mut actions: Vec<Action> = late
             .map(|request_id| Action::Refuse { request_id, code: Code::DeadlinePassed, retry_after })
             .collect();
@@ -327,7 +327,7 @@
         if now < self.ask_after {
             return None;
         }
-        let waiting = self.queues.waiting() as u32;
+        let waiting = self.queues.total_len() as u32;
         let spare: u32 = self.usable(now).map(|e| e.free(now)).sum();
         let slots = waiting.saturating_sub(spare).min(MAX_SLOT_DEMAND);
         (slots > 0 && self.config.lend).then_some(SlotDemand { slots })
@@ -335,7 +335,7 @@
 
     /// Lends idle slots to a peer. Half of what is idle on an endpoint stays.
     pub fn lend(&mut self, now: Duration, to: &str, demand: SlotDemand) -> Vec<Loan> {
-        if self.queues.waiting() > 0 || !self.config.lend {
+        if self.queues.total_len() > 0 || !self.config.lend {
             return Vec::new();
         }
         let mut all = Vec::new();
@@ -412,7 +412,7 @@
 
     /// Requests that wait.
     pub fn waiting_count(&self) -> usize {
-        self.queues.waiting()
+        self.queues.total_len()
     }
 
     /// Requests that hold a slot.
@@ -462,7 +462,7 @@
                 passed_over,
             };
         }
-        self.queues.took(class);
+        self.queues.slot_taken(class);
         self.flights.insert(request_id, Flight { endpoint: id, class, since: now });
         action
     }
@@ -472,7 +472,7 @@
         let mut actions = Vec::new();
         loop {
             let slots = self.usable_slots(now);
-            let Some(class) = self.queues.turn(slots) else { break };
+            let Some(class) = self.queues.next_class(slots) else { break };
             let Some(id) = self.choose(now, &[]) else { break };
             let Some(w) = self.queues.pop(class) else { break };
             actions.push(self.send(now, w.request_id, class, id));
