--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::endpoint::{EndpointView, Loan};
-use super::health::Standing;
+use super::health::HealthState;
 use super::queue::{ClassQueues, MAX_QUEUED, QueuedRequest};
 use super::retry::RetryBudget;
 use super::slot_ownership::owned_slots;
@@ -273,8 +273,8 @@
         if let Some(e) = self.endpoints.get_mut(&f.endpoint) {
             e.in_flight = e.in_flight.saturating_sub(1);
             match outcome {
-                Outcome::Success => e.health.good(now, took),
-                Outcome::Failure => eject = e.health.bad(now),
+                Outcome::Success => e.health.record_success(now, took),
+                Outcome::Failure => eject = e.health.record_failure(now),
                 Outcome::Neutral => {}
             }
         }
@@ -307,8 +307,8 @@
         self.eject_outliers(now);
         if now.saturating_sub(self.calmed) > CALM_EVERY {
             self.calmed = now;
-            let good = self.endpoints.values_mut().filter(|e| e.health.standing() == Standing::Good);
-            good.for_each(|e| e.health.calm());
+            let good = self.endpoints.values_mut().filter(|e| e.health.state() == HealthState::Healthy);
+            good.for_each(|e| e.health.reset_backoff());
         }
         actions.extend(self.pump(now));
         actions.extend(self.return_idle_loans(now));
@@ -342,7 +342,7 @@
         for (id, e) in &mut self.endpoints {
             let left = demand.slots - all.len() as u32;
             let own_free = e.free(now).saturating_sub(e.borrowed.len() as u32);
-            if !e.open || e.health.standing() != Standing::Good {
+            if !e.open || e.health.state() != HealthState::Healthy {
                 continue;
             }
             for _ in 0..own_free.div_ceil(2).min(left) {
@@ -452,7 +452,7 @@
         let mut action = Action::Refuse { request_id, code: Code::NoEndpoint, retry_after: Duration::ZERO };
         if let Some(e) = self.endpoints.get_mut(&id) {
             invariant::check(e.free(now) > 0, || format!("no slot is held on {id}"));
-            e.health.sent(now, e.in_flight);
+            e.health.record_send(now, e.in_flight);
             e.in_flight += 1;
             action = Action::Send {
                 request_id,
@@ -481,15 +481,15 @@
     }
 
     fn usual(&self) -> f64 {
-        let mut means: Vec<f64> = self.endpoints.values().filter_map(|e| e.health.mean()).collect();
+        let mut means: Vec<f64> = self.endpoints.values().filter_map(|e| e.health.mean_secs()).collect();
         means.sort_by(f64::total_cmp);
         means.get(means.len() / 2).copied().unwrap_or(self.seconds)
     }
 
     fn eject_outliers(&mut self, now: Duration) {
         let usual = self.usual();
-        let bad = |e: &EndpointView| e.health.frozen(now, e.in_flight, usual) || e.health.slow(usual);
-        let good = self.endpoints.iter().filter(|(_, e)| e.health.standing() == Standing::Good);
+        let bad = |e: &EndpointView| e.health.is_stalled(now, e.in_flight, usual) || e.health.is_slow(usual);
+        let good = self.endpoints.iter().filter(|(_, e)| e.health.state() == HealthState::Healthy);
         let outliers: Vec<InstanceId> = good.filter(|(_, e)| bad(e)).map(|(id, _)| id.clone()).collect();
         for id in outliers {
             self.eject(now, &id);
@@ -499,14 +499,17 @@
     /// Ejects an endpoint unless too many are: trouble that many share is not
     /// theirs, and the service must never be without endpoints.
     fn eject(&mut self, now: Duration, id: &str) {
-        let out =
-            self.endpoints.iter().filter(|(i, e)| *i != id && e.health.standing() != Standing::Good).count();
+        let out = self
+            .endpoints
+            .iter()
+            .filter(|(i, e)| *i != id && e.health.state() != HealthState::Healthy)
+            .count();
         let within_cap = (out + 1) * EJECT_CAP <= self.endpoints.len().max(EJECT_CAP);
         let Some(e) = self.endpoints.get_mut(id) else { return };
         if within_cap {
             e.health.eject(now);
         } else {
-            e.health.restore();
+            e.health.readmit();
         }
     }
 }
--- a/crates/workswood-core/src/route/health.rs
+++ b/crates/workswood-core/src/route/health.rs
@@ -1,134 +1,146 @@
 //! Health of one endpoint as one entry host sees it.
 //!
-//! Bad endpoints are told by failures in a row, by an old request that has not
-//! come back while nothing else did, and by answers much slower than those of
-//! the other endpoints. An ejected endpoint is probed with one request after a
-//! back-off that doubles. The cap on ejections is kept by the dispatcher.
+//! An endpoint is ejected after several consecutive failures, when its requests make no
+//! progress, or when it responds much more slowly than the other endpoints. An ejected
+//! endpoint is probed with one request after a back-off that doubles with each ejection.
+//! The dispatcher limits how many endpoints are ejected at a time.
 
 use std::time::Duration;
 
+/// Consecutive failures after which an endpoint is to be ejected.
 const FAILURES_TO_EJECT: u32 = 3;
-const FIRST_BACKOFF: Duration = Duration::from_millis(500);
-const MOST_BACKOFF: Duration = Duration::from_secs(30);
-const FROZEN_LEAST: Duration = Duration::from_millis(750);
-const FROZEN_FACTOR: f64 = 10.0;
+/// Time from the first ejection to the probe.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
+/// Upper bound of the back-off.
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
+/// Lower bound of the time without a response after which an endpoint counts as stalled.
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(750);
+/// Multiple of the typical response time that may pass without a response.
+const STALL_FACTOR: f64 = 10.0;
+/// Multiple of the typical response time above which an endpoint counts as slow.
 const SLOW_FACTOR: f64 = 4.0;
-const SLOW_LEAST: f64 = 0.005;
-const MIN_ANSWERS: u32 = 8;
-const EWMA: f64 = 0.1;
-
-/// Whether an endpoint gets work.
+/// Lower bound of the mean response time of a slow endpoint, in seconds.
+const MIN_SLOW_SECS: f64 = 0.005;
+/// Responses needed before the mean response time is used.
+const MIN_SAMPLES: u32 = 8;
+/// Weight of a new sample in the moving average of the response time.
+const EWMA_WEIGHT: f64 = 0.1;
+
+/// Whether an endpoint gets requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// It does.
-    Good,
-    /// Not before the time given, since the start of the process.
+pub enum HealthState {
+    /// It gets requests.
+    Healthy,
+    /// It gets no requests before the given time, measured from the start of the process.
     Ejected(Duration),
-    /// One request is out to see whether it is well.
+    /// One probe request is in flight, and no others are sent.
     Probing,
 }
 
 /// Health of one endpoint.
 #[derive(Clone, Debug)]
 pub struct Health {
-    standing: Standing,
-    failures: u32,
-    answers: u32,
-    seconds: f64,
+    state: HealthState,
+    consecutive_failures: u32,
+    samples: u32,
+    mean_secs: f64,
     backoff: Duration,
-    progress: Duration,
+    last_progress: Duration,
 }
 
 impl Default for Health {
     fn default() -> Self {
         Health {
-            standing: Standing::Good,
-            failures: 0,
-            answers: 0,
-            seconds: 0.0,
-            backoff: FIRST_BACKOFF,
-            progress: Duration::ZERO,
+            state: HealthState::Healthy,
+            consecutive_failures: 0,
+            samples: 0,
+            mean_secs: 0.0,
+            backoff: INITIAL_BACKOFF,
+            last_progress: Duration::ZERO,
         }
     }
 }
 
 impl Health {
-    /// Whether it gets work.
-    pub fn standing(&self) -> Standing {
-        self.standing
+    /// Whether the endpoint gets requests.
+    pub fn state(&self) -> HealthState {
+        self.state
     }
 
-    /// Mean time of an answer in seconds; none before enough answers.
-    pub fn mean(&self) -> Option<f64> {
-        (self.answers >= MIN_ANSWERS).then_some(self.seconds)
+    /// Mean response time in seconds; `None` until there are enough samples.
+    pub fn mean_secs(&self) -> Option<f64> {
+        (self.samples >= MIN_SAMPLES).then_some(self.mean_secs)
     }
 
-    /// Whether a request may go there now.
+    /// Whether a request may be sent to the endpoint now.
     pub fn may_send(&self, now: Duration) -> bool {
-        match self.standing {
-            Standing::Good => true,
-            Standing::Ejected(until) => now >= until,
-            Standing::Probing => false,
+        match self.state {
+            HealthState::Healthy => true,
+            HealthState::Ejected(until) => now >= until,
+            HealthState::Probing => false,
         }
     }
 
-    /// Notes that a request goes there.
-    pub fn sent(&mut self, now: Duration, in_flight: u32) {
+    /// Records that a request is sent while `in_flight` others are in flight. The first
+    /// request to an ejected endpoint is its probe.
+    pub fn record_send(&mut self, now: Duration, in_flight: u32) {
         if in_flight == 0 {
-            self.progress = now;
+            self.last_progress = now;
         }
-        if let Standing::Ejected(_) = self.standing {
-            self.standing = Standing::Probing;
+        if let HealthState::Ejected(_) = self.state {
+            self.state = HealthState::Probing;
         }
     }
 
-    /// Notes a good answer and its time.
-    pub fn good(&mut self, now: Duration, took: Duration) {
+    /// Records a success and its response time.
+    pub fn record_success(&mut self, now: Duration, took: Duration) {
         let s = took.as_secs_f64();
-        self.seconds = if self.answers == 0 { s } else { self.seconds + EWMA * (s - self.seconds) };
-        self.answers = self.answers.saturating_add(1);
-        self.failures = 0;
-        self.progress = now;
-        if self.standing == Standing::Probing {
-            // A probe that was answered starts the measurement of time anew.
-            *self = Health { progress: now, backoff: self.backoff, ..Health::default() };
+        self.mean_secs =
+            if self.samples == 0 { s } else { self.mean_secs + EWMA_WEIGHT * (s - self.mean_secs) };
+        self.samples = self.samples.saturating_add(1);
+        self.consecutive_failures = 0;
+        self.last_progress = now;
+        if self.state == HealthState::Probing {
+            // Response times from before the ejection no longer count.
+            *self = Health { last_progress: now, backoff: self.backoff, ..Health::default() };
         }
     }
 
-    /// Notes a failure; true if the endpoint deserves ejection.
-    pub fn bad(&mut self, now: Duration) -> bool {
-        self.failures += 1;
-        self.progress = now;
-        self.standing == Standing::Probing || self.failures >= FAILURES_TO_EJECT
+    /// Records a failure; returns whether the endpoint is to be ejected.
+    pub fn record_failure(&mut self, now: Duration) -> bool {
+        self.consecutive_failures += 1;
+        self.last_progress = now;
+        self.state == HealthState::Probing || self.consecutive_failures >= FAILURES_TO_EJECT
     }
 
-    /// Whether requests are out and none came back for much too long.
-    pub fn frozen(&self, now: Duration, in_flight: u32, usual: f64) -> bool {
-        let limit = FROZEN_LEAST.max(Duration::from_secs_f64(usual * FROZEN_FACTOR));
-        in_flight > 0 && self.standing != Standing::Probing && now.saturating_sub(self.progress) > limit
+    /// Whether requests are in flight and none has ended for much longer than the typical
+    /// response time, given in seconds.
+    pub fn is_stalled(&self, now: Duration, in_flight: u32, typical_secs: f64) -> bool {
+        let limit = MIN_STALL_TIMEOUT.max(Duration::from_secs_f64(typical_secs * STALL_FACTOR));
+        in_flight > 0 && self.state != HealthState::Probing && now.saturating_sub(self.last_progress) > limit
     }
 
-    /// Whether its answers take much longer than is usual.
-    pub fn slow(&self, usual: f64) -> bool {
-        self.mean().is_some_and(|m| m > SLOW_LEAST && m > usual * SLOW_FACTOR)
+    /// Whether the mean response time is much longer than the typical one, given in seconds.
+    pub fn is_slow(&self, typical_secs: f64) -> bool {
+        self.mean_secs().is_some_and(|m| m > MIN_SLOW_SECS && m > typical_secs * SLOW_FACTOR)
     }
 
-    /// Ejects it for a back-off.
+    /// Ejects the endpoint for the current back-off and doubles the next one.
     pub fn eject(&mut self, now: Duration) {
-        self.standing = Standing::Ejected(now + self.backoff);
-        self.backoff = (self.backoff * 2).min(MOST_BACKOFF);
-        self.failures = 0;
-        self.answers = 0;
+        self.state = HealthState::Ejected(now + self.backoff);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
+        self.consecutive_failures = 0;
+        self.samples = 0;
     }
 
-    /// Gives it work again without a probe.
-    pub fn restore(&mut self) {
-        self.standing = Standing::Good;
-        self.failures = 0;
+    /// Makes the endpoint healthy again without a probe.
+    pub fn readmit(&mut self) {
+        self.state = HealthState::Healthy;
+        self.consecutive_failures = 0;
     }
 
-    /// Notes a long time without trouble.
-    pub fn calm(&mut self) {
-        self.backoff = FIRST_BACKOFF;
+    /// Resets the back-off after a long time without ejections.
+    pub fn reset_backoff(&mut self) {
+        self.backoff = INITIAL_BACKOFF;
     }
 }
--- a/crates/workswood-core/src/route/mod.rs
+++ b/crates/workswood-core/src/route/mod.rs
@@ -16,7 +16,7 @@
 
 pub use dispatch::{Action, Dispatcher, DispatcherConfig, Outcome, RequestId, SlotDemand};
 pub use endpoint::Loan;
-pub use health::{Health, Standing};
+pub use health::{Health, HealthState};
 pub use queue::{ClassQueues, MAX_QUEUED, QueuedRequest};
 pub use retry::RetryBudget;
 pub use slot_ownership::owned_slots;
