--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -179,7 +179,7 @@
     /// Closes an endpoint before the log says so: it has said that it leaves.
     pub fn mark_leaving(&mut self, now: Duration, endpoint: &str) {
         if let Some(e) = self.endpoints.get_mut(endpoint) {
-            e.closed_until = now + CLOSED_FOR;
+            e.leaving_until = now + CLOSED_FOR;
         }
     }
 
@@ -301,7 +301,7 @@
             .map(|request_id| Action::Refuse { request_id, code: Code::DeadlinePassed, retry_after })
             .collect();
         for e in self.endpoints.values_mut() {
-            e.settle(now);
+            e.apply_pending_gain(now);
             e.lent.retain(|(_, confirmed)| now.saturating_sub(*confirmed) < LOAN_SILENCE);
         }
         self.eject_outliers(now);
@@ -328,7 +328,7 @@
             return None;
         }
         let waiting = self.queues.total_len() as u32;
-        let spare: u32 = self.usable(now).map(|e| e.free(now)).sum();
+        let spare: u32 = self.usable(now).map(|e| e.free_slots(now)).sum();
         let slots = waiting.saturating_sub(spare).min(MAX_SLOT_DEMAND);
         (slots > 0 && self.config.lend).then_some(SlotDemand { slots })
     }
@@ -341,7 +341,7 @@
         let mut all = Vec::new();
         for (id, e) in &mut self.endpoints {
             let left = demand.slots - all.len() as u32;
-            let own_free = e.free(now).saturating_sub(e.borrowed.len() as u32);
+            let own_free = e.free_slots(now).saturating_sub(e.borrowed.len() as u32);
             if !e.open || e.health.state() != HealthState::Healthy {
                 continue;
             }
@@ -397,7 +397,7 @@
     fn return_idle_loans(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         for e in self.endpoints.values_mut() {
-            let idle = e.free(now) as usize;
+            let idle = e.free_slots(now) as usize;
             let old = |(_, since): &(Loan, Duration)| now.saturating_sub(*since) >= IDLE_LOAN;
             let n = e.borrowed.iter().filter(|b| old(b)).count().min(idle);
             actions.extend(e.borrowed.drain(..n).map(|(l, _)| Action::ReturnLoan(l)));
@@ -422,11 +422,11 @@
 
     /// Slots that may be used now.
     pub fn usable_slots(&self, now: Duration) -> u32 {
-        self.usable(now).map(|e| e.held(now)).sum()
+        self.usable(now).map(|e| e.held_slots(now)).sum()
     }
 
     fn usable(&self, now: Duration) -> impl Iterator<Item = &EndpointView> {
-        self.endpoints.values().filter(move |e| e.usable(now))
+        self.endpoints.values().filter(move |e| e.accepts_requests(now))
     }
 
     /// The endpoint with the smallest part of its slots in use; among equals
@@ -435,10 +435,10 @@
         let n = self.endpoints.len();
         let start = self.turn;
         let rank = |(i, (_, e)): &(usize, (&InstanceId, &EndpointView))| {
-            let used = u64::from(e.in_flight) * 1_000 / u64::from(e.held(now).max(1));
+            let used = u64::from(e.in_flight) * 1_000 / u64::from(e.held_slots(now).max(1));
             (used, e.data_centre != self.data_centre, (i + n - start % n.max(1)) % n.max(1))
         };
-        let usable = |e: &EndpointView| e.usable(now) && e.free(now) > 0;
+        let usable = |e: &EndpointView| e.accepts_requests(now) && e.free_slots(now) > 0;
         let fits = self.endpoints.iter().enumerate().filter(|(_, (id, e))| usable(e) && !tried.contains(id));
         let best = fits.min_by_key(rank).map(|(_, (id, _))| id.clone());
         if best.is_some() {
@@ -451,7 +451,7 @@
         let passed_over = self.endpoints.values().filter(|e| e.open && !e.health.may_send(now)).count();
         let mut action = Action::Refuse { request_id, code: Code::NoEndpoint, retry_after: Duration::ZERO };
         if let Some(e) = self.endpoints.get_mut(&id) {
-            invariant::check(e.free(now) > 0, || format!("no slot is held on {id}"));
+            invariant::check(e.free_slots(now) > 0, || format!("no slot is held on {id}"));
             e.health.record_send(now, e.in_flight);
             e.in_flight += 1;
             action = Action::Send {
--- a/crates/workswood-core/src/route/endpoint.rs
+++ b/crates/workswood-core/src/route/endpoint.rs
@@ -1,5 +1,5 @@
-//! An endpoint as one dispatcher sees it: the slots it may use there, and
-//! whether it may use them.
+//! An endpoint as one dispatcher sees it: its health and the slots that the dispatcher
+//! holds there.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 use super::table::Endpoint;
 use crate::ids::{DataCentre, Incarnation, InstanceId};
 
-/// How long a slot gained by a change of the roster stays unused, so that its
-/// former owner's work can end.
-const SETTLE: Duration = Duration::from_secs(1);
+/// Delay before a slot gained by a change of the roster is used. Requests that its former
+/// owner has in flight there can end meanwhile.
+const SLOT_HANDOVER_DELAY: Duration = Duration::from_secs(1);
 
 /// One slot of an endpoint, lent by one entry process to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Loan {
-    /// Number of the loan at its lender.
+    /// Number of the loan, assigned by its lender.
     pub id: u64,
     /// The other side: the lender at the borrower, the borrower at the lender.
     pub peer: Incarnation,
@@ -28,25 +28,30 @@
     pub(super) address: String,
     pub(super) data_centre: DataCentre,
     pub(super) open: bool,
-    pub(super) closed_until: Duration,
+    /// No requests are sent before this time, because the endpoint announced that it is leaving.
+    pub(super) leaving_until: Duration,
+    /// Owned slots, including those that are lent to peers.
     pub(super) owned: u32,
-    pub(super) gained: Option<(u32, Duration)>,
+    /// Slots gained by a change of the roster, and the time from which they are owned.
+    pub(super) pending_gain: Option<(u32, Duration)>,
+    /// Slots lent to peers, and when each loan was last confirmed.
     pub(super) lent: Vec<(Loan, Duration)>,
+    /// Slots borrowed from peers, and when each was borrowed.
     pub(super) borrowed: Vec<(Loan, Duration)>,
     pub(super) in_flight: u32,
     pub(super) health: Health,
 }
 
 impl EndpointView {
-    /// An endpoint just seen, without slots.
+    /// A new endpoint of the routing table, without slots.
     pub(super) fn new(e: &Endpoint) -> EndpointView {
         EndpointView {
             address: e.address.clone(),
             data_centre: e.data_centre.clone(),
             open: e.open,
-            closed_until: Duration::ZERO,
+            leaving_until: Duration::ZERO,
             owned: 0,
-            gained: None,
+            pending_gain: None,
             lent: Vec::new(),
             borrowed: Vec::new(),
             in_flight: 0,
@@ -54,42 +59,45 @@
         }
     }
 
-    /// Slots that may be used here at a time.
-    pub(super) fn held(&self, now: Duration) -> u32 {
-        let gained = self.gained.filter(|(_, from)| now >= *from).map_or(0, |(n, _)| n);
+    /// Number of slots that this dispatcher may use on the endpoint, free or not.
+    pub(super) fn held_slots(&self, now: Duration) -> u32 {
+        let gained = self.pending_gain.filter(|(_, from)| now >= *from).map_or(0, |(n, _)| n);
         let own = (self.owned + gained).saturating_sub(self.lent.len() as u32);
         own + self.borrowed.len() as u32
     }
 
-    /// Takes a share over; what is gained settles first.
-    pub(super) fn set_share(&mut self, now: Duration, share: u32, settle: bool) {
-        let held = self.owned + self.gained.map_or(0, |(n, _)| n);
-        if share == held {
+    /// Sets the number of owned slots. If the roster has changed, slots that are gained can be
+    /// used only after a delay.
+    pub(super) fn set_share(&mut self, now: Duration, share: u32, roster_changed: bool) {
+        let current = self.owned + self.pending_gain.map_or(0, |(n, _)| n);
+        if share == current {
             return;
         }
-        self.gained = None;
-        if share > self.owned && settle {
-            self.gained = Some((share - self.owned, now + SETTLE));
+        self.pending_gain = None;
+        if share > self.owned && roster_changed {
+            self.pending_gain = Some((share - self.owned, now + SLOT_HANDOVER_DELAY));
         } else {
             self.owned = share;
         }
     }
 
-    pub(super) fn settle(&mut self, now: Duration) {
-        if let Some((n, from)) = self.gained
+    /// Turns gained slots into owned ones when their delay is over.
+    pub(super) fn apply_pending_gain(&mut self, now: Duration) {
+        if let Some((n, from)) = self.pending_gain
             && now >= from
         {
             self.owned += n;
-            self.gained = None;
+            self.pending_gain = None;
         }
     }
 
-    /// Whether it may get a new request, slots aside.
-    pub(super) fn usable(&self, now: Duration) -> bool {
-        self.open && now >= self.closed_until && self.health.may_send(now)
+    /// Whether the endpoint may get a new request, apart from free slots.
+    pub(super) fn accepts_requests(&self, now: Duration) -> bool {
+        self.open && now >= self.leaving_until && self.health.may_send(now)
     }
 
-    pub(super) fn free(&self, now: Duration) -> u32 {
-        self.held(now).saturating_sub(self.in_flight)
+    /// Number of held slots without a request.
+    pub(super) fn free_slots(&self, now: Duration) -> u32 {
+        self.held_slots(now).saturating_sub(self.in_flight)
     }
 }
