--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -14,34 +14,34 @@
 use crate::ids::{DataCentre, InstanceId};
 use crate::invariant;
 
-/// Number of a request on this entry host.
+/// Number of a request, unique on this entry host.
 pub type RequestId = u64;
 
-/// How long a borrowed slot is kept while it is idle.
-const IDLE_LOAN: Duration = Duration::from_millis(100);
-/// A lender takes a slot back if its borrower has not confirmed the loan for
-/// this long: the borrower is gone.
-const LOAN_SILENCE: Duration = Duration::from_secs(4);
-/// Most slots asked for at once.
+/// Minimum time between borrowing a slot and returning it because it is free.
+const MIN_LOAN_DURATION: Duration = Duration::from_millis(100);
+/// A lender takes a slot back when its borrower has not confirmed the loan for this long,
+/// because the borrower has presumably failed.
+const LOAN_CONFIRM_TIMEOUT: Duration = Duration::from_secs(4);
+/// Maximum number of slots to borrow at once.
 const MAX_SLOT_DEMAND: u32 = 8;
-/// Mean time of a request assumed before any was measured, in seconds.
-const FIRST_GUESS: f64 = 0.02;
-/// Ejected endpoints of a service, at most one in this many.
-const EJECT_CAP: usize = 3;
-/// Urgent requests that may wait even while hardly a slot is held.
-const LEAST_QUEUED: usize = 16;
-/// Pause before peers are asked again after one had nothing to lend.
-const ASK_PAUSE: Duration = Duration::from_millis(10);
-/// How often an endpoint without trouble has its back-off reset.
-const CALM_EVERY: Duration = Duration::from_secs(60);
-/// How long an endpoint that says it leaves is left alone, unless the log says
-/// something by then.
-const CLOSED_FOR: Duration = Duration::from_secs(10);
-
-/// What an entry host does for a request.
+/// Initial estimate of the mean time that a request holds a slot, in seconds.
+const INITIAL_MEAN_SECS: f64 = 0.02;
+/// At most one in this many endpoints of a service is ejected.
+const ENDPOINTS_PER_EJECTION: usize = 3;
+/// Lower bound of the limit on queued urgent requests; that of normal ones is a multiple of it.
+const MIN_QUEUE_LIMIT: usize = 16;
+/// Delay before peers are asked again after one of them lent nothing.
+const BORROW_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Interval at which the back-off of healthy endpoints is reset.
+const BACKOFF_RESET_INTERVAL: Duration = Duration::from_secs(60);
+/// How long an endpoint that announced that it is leaving gets no requests. After that only
+/// the routing table says whether it is open.
+const LEAVING_DURATION: Duration = Duration::from_secs(10);
+
+/// What an entry host has to do for the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send it to the endpoint.
+    /// Sends a request to an endpoint.
     Send {
         /// The request.
         request_id: RequestId,
@@ -49,39 +49,40 @@
         endpoint: InstanceId,
         /// Its address.
         address: String,
-        /// Whether the slot was borrowed.
+        /// Whether the endpoint has more requests in flight than this entry host owns slots.
         borrowed: bool,
-        /// Endpoints passed over because they are not well.
+        /// Number of open endpoints that get no requests because of their health.
         passed_over: usize,
     },
-    /// Answer that it was not run.
+    /// Refuses a request without sending it.
     Refuse {
         /// The request.
         request_id: RequestId,
-        /// Why.
+        /// The reason.
         code: Code,
-        /// When to come back.
+        /// How long the caller should wait before it tries again.
         retry_after: Duration,
     },
-    /// Tell the lender that a borrowed slot is free.
+    /// Returns a borrowed slot to its lender.
     ReturnLoan(Loan),
 }
 
 /// How a request that held a slot ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The endpoint answered.
+    /// The endpoint answered without an error.
     Success,
-    /// The endpoint failed or was not reached.
+    /// The endpoint failed or could not be reached.
     Failure,
-    /// The caller went away or the request was of no account to health.
+    /// The result says nothing about the endpoint's health, for example because the caller
+    /// disconnected.
     Neutral,
 }
 
-/// Slots that this entry host would like to borrow.
+/// Slots that an entry host wants to borrow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotDemand {
-    /// How many.
+    /// Number of slots.
     pub slots: u32,
 }
 
@@ -90,7 +91,7 @@
 pub struct DispatcherConfig {
     /// Maximum number of queued requests per class.
     pub max_queued: usize,
-    /// Whether idle slots are lent to peers.
+    /// Whether slots are lent to and borrowed from peers.
     pub lend: bool,
 }
 
@@ -100,11 +101,12 @@
     }
 }
 
+/// A request that holds a slot.
 #[derive(Clone, Debug)]
-struct Flight {
+struct InFlightRequest {
     endpoint: InstanceId,
     class: Class,
-    since: Duration,
+    sent_at: Duration,
 }
 
 /// The dispatcher of one service on one entry host.
@@ -114,76 +116,81 @@
     data_centre: DataCentre,
     endpoints: BTreeMap<InstanceId, EndpointView>,
     queues: ClassQueues,
-    flights: BTreeMap<RequestId, Flight>,
+    in_flight: BTreeMap<RequestId, InFlightRequest>,
     retry_budget: RetryBudget,
-    seconds: f64,
-    calmed: Duration,
-    turn: usize,
-    roster: (Option<usize>, usize),
-    loans: u64,
-    ask_after: Duration,
+    /// Moving average of the time that a request holds a slot.
+    mean_request_secs: f64,
+    last_backoff_reset: Duration,
+    /// Number of endpoints chosen so far.
+    round_robin: usize,
+    /// Index on the roster, if this entry host is on it, and the length of the roster.
+    roster_position: (Option<usize>, usize),
+    last_loan_id: u64,
+    borrow_not_before: Duration,
 }
 
-/// Most requests of a class that wait for so many slots. A longer queue of
-/// urgent requests adds waiting and no answers.
-fn most_queued(class: Class, slots: u32) -> usize {
+/// Maximum number of queued requests of a class while `slots` slots can be used. A longer
+/// queue of urgent requests would add waiting time without serving more of them.
+fn queue_limit(class: Class, slots: u32) -> usize {
     let slots = slots as usize;
     match class {
-        Class::Urgent => (2 * slots).max(LEAST_QUEUED),
-        Class::Normal => (16 * slots).max(8 * LEAST_QUEUED),
+        Class::Urgent => (2 * slots).max(MIN_QUEUE_LIMIT),
+        Class::Normal => (16 * slots).max(8 * MIN_QUEUE_LIMIT),
         Class::Long | Class::Later => MAX_QUEUED,
     }
 }
 
 impl Dispatcher {
-    /// A dispatcher for an entry host in a data centre, without endpoints yet.
+    /// Creates a dispatcher without endpoints for an entry host in a data centre.
     pub fn new(data_centre: &str, config: DispatcherConfig) -> Dispatcher {
         Dispatcher {
             config,
             data_centre: data_centre.to_string(),
             endpoints: BTreeMap::new(),
             queues: ClassQueues::default(),
-            flights: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             retry_budget: RetryBudget::default(),
-            seconds: FIRST_GUESS,
-            calmed: Duration::ZERO,
-            turn: 0,
-            roster: (None, 0),
-            loans: 0,
-            ask_after: Duration::ZERO,
+            mean_request_secs: INITIAL_MEAN_SECS,
+            last_backoff_reset: Duration::ZERO,
+            round_robin: 0,
+            roster_position: (None, 0),
+            last_loan_id: 0,
+            borrow_not_before: Duration::ZERO,
         }
     }
 
-    /// Takes a new view of the service and of the roster over.
+    /// Applies a new routing table: the service, this entry host's index on the roster if it is
+    /// there, and the length of the roster.
     pub fn update(
         &mut self,
         now: Duration,
         view: &ServiceView,
         member: Option<usize>,
-        members: usize,
+        member_count: usize,
     ) -> Vec<Action> {
-        let settle = self.roster != (member, members);
-        self.roster = (member, members);
-        let mut old = std::mem::take(&mut self.endpoints);
+        let roster_changed = self.roster_position != (member, member_count);
+        self.roster_position = (member, member_count);
+        let mut previous = std::mem::take(&mut self.endpoints);
         for e in &view.endpoints {
-            let kept = old.remove(&e.id).filter(|o| o.address == e.address);
+            let kept = previous.remove(&e.id).filter(|p| p.address == e.address);
             let mut ep = kept.unwrap_or_else(|| EndpointView::new(e));
             ep.open = e.open;
-            let share = member.map_or(0, |m| owned_slots(view.window, e.number, m, members));
-            ep.set_share(now, share, settle);
+            let share = member.map_or(0, |m| owned_slots(view.window, e.number, m, member_count));
+            ep.set_share(now, share, roster_changed);
             self.endpoints.insert(e.id.clone(), ep);
         }
-        self.pump(now)
+        self.dispatch_queued(now)
     }
 
-    /// Closes an endpoint before the log says so: it has said that it leaves.
+    /// Stops sending requests for a while to an endpoint that announced that it is leaving, before
+    /// the routing table shows it as closed.
     pub fn mark_leaving(&mut self, now: Duration, endpoint: &str) {
         if let Some(e) = self.endpoints.get_mut(endpoint) {
-            e.leaving_until = now + CLOSED_FOR;
+            e.leaving_until = now + LEAVING_DURATION;
         }
     }
 
-    /// A new request.
+    /// Takes in a new request: it is sent, queued or refused.
     pub fn submit(
         &mut self,
         now: Duration,
@@ -192,11 +199,11 @@
         deadline: Duration,
     ) -> Vec<Action> {
         self.retry_budget.record_first_attempt();
-        self.enter(now, request_id, class, deadline, &[])
+        self.admit(now, request_id, class, deadline, &[])
     }
 
-    /// A request that failed and may be sent again; refused if the budget of
-    /// retries is spent.
+    /// Takes in a request for another attempt that avoids the endpoints in `tried` if it can be
+    /// sent at once. Returns `None` if the retry budget is exhausted.
     pub fn retry(
         &mut self,
         now: Duration,
@@ -208,10 +215,11 @@
         if !self.retry_budget.try_take() {
             return None;
         }
-        Some(self.enter(now, request_id, class, deadline, tried))
+        Some(self.admit(now, request_id, class, deadline, tried))
     }
 
-    fn enter(
+    /// Sends, queues or refuses a request.
+    fn admit(
         &mut self,
         now: Duration,
         request_id: RequestId,
@@ -220,10 +228,10 @@
         tried: &[InstanceId],
     ) -> Vec<Action> {
         let slots = self.usable_slots(now);
-        let nobody_ahead = self.queues.len(class) == 0;
-        if nobody_ahead
+        let queue_is_empty = self.queues.len(class) == 0;
+        if queue_is_empty
             && self.queues.may_take_slot(class, slots)
-            && let Some(id) = self.choose(now, tried)
+            && let Some(id) = self.choose_endpoint(now, tried)
         {
             return vec![self.send(now, request_id, class, id)];
         }
@@ -234,6 +242,7 @@
         Vec::new()
     }
 
+    /// Refuses a request that cannot be queued or would wait past its deadline.
     fn refusal(
         &self,
         now: Duration,
@@ -247,7 +256,7 @@
             return refuse(Code::NoEndpoint, Duration::from_secs(1));
         }
         let wait = self.expected_wait(class, slots);
-        if self.queues.len(class) >= self.config.max_queued.min(most_queued(class, slots)) {
+        if self.queues.len(class) >= self.config.max_queued.min(queue_limit(class, slots)) {
             return refuse(Code::QueueFull, wait.max(Duration::from_millis(100)));
         }
         if now + wait >= deadline {
@@ -256,21 +265,21 @@
         None
     }
 
-    /// The wait that a new request of a class would have.
+    /// Estimated time until a new request of a class gets one of `slots`.
     pub fn expected_wait(&self, class: Class, slots: u32) -> Duration {
         let ahead = self.queues.len_ahead(class) as f64;
-        Duration::from_secs_f64(ahead * self.seconds / f64::from(slots.max(1)))
+        Duration::from_secs_f64(ahead * self.mean_request_secs / f64::from(slots.max(1)))
     }
 
-    /// A request that held a slot has ended.
+    /// Ends a request that held a slot and dispatches queued requests.
     pub fn finish(&mut self, now: Duration, request_id: RequestId, outcome: Outcome) -> Vec<Action> {
-        let Some(f) = self.flights.remove(&request_id) else {
+        let Some(request) = self.in_flight.remove(&request_id) else {
             return Vec::new();
         };
-        self.queues.slot_released(f.class);
-        let took = now.saturating_sub(f.since);
+        self.queues.slot_released(request.class);
+        let took = now.saturating_sub(request.sent_at);
         let mut eject = false;
-        if let Some(e) = self.endpoints.get_mut(&f.endpoint) {
+        if let Some(e) = self.endpoints.get_mut(&request.endpoint) {
             e.in_flight = e.in_flight.saturating_sub(1);
             match outcome {
                 Outcome::Success => e.health.record_success(now, took),
@@ -278,87 +287,90 @@
                 Outcome::Neutral => {}
             }
         }
-        if outcome == Outcome::Success && f.class != Class::Long {
-            self.seconds += 0.02 * (took.as_secs_f64() - self.seconds);
+        if outcome == Outcome::Success && request.class != Class::Long {
+            self.mean_request_secs += 0.02 * (took.as_secs_f64() - self.mean_request_secs);
         }
         if eject {
-            self.eject(now, &f.endpoint);
+            self.eject(now, &request.endpoint);
         }
-        self.pump(now)
+        self.dispatch_queued(now)
     }
 
-    /// A request was cancelled; true if it was waiting.
+    /// Removes a request from its queue; returns whether it was queued.
     pub fn cancel(&mut self, request_id: RequestId) -> bool {
         self.queues.remove(request_id)
     }
 
-    /// Refuses requests whose deadline has come and looks for bad endpoints.
+    /// Does the periodic work: refuses queued requests past their deadline, ends loans that are
+    /// no longer confirmed, ejects endpoints, dispatches requests and returns idle loans.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         let slots = self.usable_slots(now);
         let retry_after = self.expected_wait(Class::Later, slots).max(Duration::from_millis(100));
-        let late = self.queues.remove_expired(now).into_iter();
-        let mut actions: Vec<Action> = late
+        let expired = self.queues.remove_expired(now).into_iter();
+        let mut actions: Vec<Action> = expired
             .map(|request_id| Action::Refuse { request_id, code: Code::DeadlinePassed, retry_after })
             .collect();
         for e in self.endpoints.values_mut() {
             e.apply_pending_gain(now);
-            e.lent.retain(|(_, confirmed)| now.saturating_sub(*confirmed) < LOAN_SILENCE);
+            e.lent.retain(|(_, confirmed)| now.saturating_sub(*confirmed) < LOAN_CONFIRM_TIMEOUT);
         }
         self.eject_outliers(now);
-        if now.saturating_sub(self.calmed) > CALM_EVERY {
-            self.calmed = now;
-            let good = self.endpoints.values_mut().filter(|e| e.health.state() == HealthState::Healthy);
-            good.for_each(|e| e.health.reset_backoff());
+        if now.saturating_sub(self.last_backoff_reset) > BACKOFF_RESET_INTERVAL {
+            self.last_backoff_reset = now;
+            let healthy = self.endpoints.values_mut().filter(|e| e.health.state() == HealthState::Healthy);
+            healthy.for_each(|e| e.health.reset_backoff());
         }
-        actions.extend(self.pump(now));
+        actions.extend(self.dispatch_queued(now));
         actions.extend(self.return_idle_loans(now));
         actions
     }
 
-    /// Takes every waiting request out, at the end of a planned stop.
+    /// Refuses every queued request with a code.
     pub fn refuse_all(&mut self, code: Code) -> Vec<Action> {
         let retry_after = Duration::from_millis(100);
-        let all = self.queues.drain().into_iter();
-        all.map(|request_id| Action::Refuse { request_id, code, retry_after }).collect()
+        let queued = self.queues.drain().into_iter();
+        queued.map(|request_id| Action::Refuse { request_id, code, retry_after }).collect()
     }
 
-    /// Slots to ask peers for.
+    /// Slots to borrow from peers; `None` if there is nothing to ask for now.
     pub fn slot_demand(&self, now: Duration) -> Option<SlotDemand> {
-        if now < self.ask_after {
+        if now < self.borrow_not_before {
             return None;
         }
         let waiting = self.queues.total_len() as u32;
-        let spare: u32 = self.usable(now).map(|e| e.free_slots(now)).sum();
-        let slots = waiting.saturating_sub(spare).min(MAX_SLOT_DEMAND);
+        let free: u32 = self.usable_endpoints(now).map(|e| e.free_slots(now)).sum();
+        let slots = waiting.saturating_sub(free).min(MAX_SLOT_DEMAND);
         (slots > 0 && self.config.lend).then_some(SlotDemand { slots })
     }
 
-    /// Lends idle slots to a peer. Half of what is idle on an endpoint stays.
+    /// Lends a peer up to half of the free slots of each healthy endpoint, rounded up. Lends
+    /// nothing while requests are queued here.
     pub fn lend(&mut self, now: Duration, to: &str, demand: SlotDemand) -> Vec<Loan> {
         if self.queues.total_len() > 0 || !self.config.lend {
             return Vec::new();
         }
-        let mut all = Vec::new();
+        let mut loans = Vec::new();
         for (id, e) in &mut self.endpoints {
-            let left = demand.slots - all.len() as u32;
+            let still_wanted = demand.slots - loans.len() as u32;
             let own_free = e.free_slots(now).saturating_sub(e.borrowed.len() as u32);
             if !e.open || e.health.state() != HealthState::Healthy {
                 continue;
             }
-            for _ in 0..own_free.div_ceil(2).min(left) {
-                self.loans += 1;
-                let loan = Loan { id: self.loans, peer: to.to_string(), endpoint: id.clone() };
+            for _ in 0..own_free.div_ceil(2).min(still_wanted) {
+                self.last_loan_id += 1;
+                let loan = Loan { id: self.last_loan_id, peer: to.to_string(), endpoint: id.clone() };
                 e.lent.push((loan.clone(), now));
-                all.push(loan);
+                loans.push(loan);
             }
         }
-        all
+        loans
     }
 
-    /// Takes slots that a peer lends; those not needed go back at once.
+    /// Takes over slots that a peer has lent. Those of endpoints that are unknown or closed are
+    /// returned at once.
     pub fn accept_loans(&mut self, now: Duration, loans: Vec<Loan>) -> Vec<Action> {
         if loans.is_empty() {
-            self.ask_after = now + ASK_PAUSE;
+            self.borrow_not_before = now + BORROW_RETRY_DELAY;
         }
         let mut actions = Vec::new();
         for loan in loans {
@@ -367,19 +379,19 @@
                 _ => actions.push(Action::ReturnLoan(loan)),
             }
         }
-        actions.extend(self.pump(now));
+        actions.extend(self.dispatch_queued(now));
         actions
     }
 
-    /// A borrower is done with a loan.
+    /// Takes back a slot that its borrower has returned.
     pub fn loan_returned(&mut self, now: Duration, loan: u64) -> Vec<Action> {
         for e in self.endpoints.values_mut() {
             e.lent.retain(|(l, _)| l.id != loan);
         }
-        self.pump(now)
+        self.dispatch_queued(now)
     }
 
-    /// A borrower still uses its loans.
+    /// Records that a borrower still uses some loans.
     pub fn loans_confirmed(&mut self, now: Duration, from: &str, loans: &[u64]) {
         for (l, confirmed) in self.endpoints.values_mut().flat_map(|e| &mut e.lent) {
             if l.peer == from && loans.contains(&l.id) {
@@ -388,70 +400,74 @@
         }
     }
 
-    /// Loans that this entry host uses.
+    /// Loans from peers that this entry host holds.
     pub fn borrowed_loans(&self) -> impl Iterator<Item = &Loan> {
         self.endpoints.values().flat_map(|e| e.borrowed.iter().map(|(l, _)| l))
     }
 
-    /// Returns borrowed slots that have been idle for a while.
+    /// Returns borrowed slots that are free and have been held for a minimum time.
     fn return_idle_loans(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         for e in self.endpoints.values_mut() {
-            let idle = e.free_slots(now) as usize;
-            let old = |(_, since): &(Loan, Duration)| now.saturating_sub(*since) >= IDLE_LOAN;
-            let n = e.borrowed.iter().filter(|b| old(b)).count().min(idle);
+            let free = e.free_slots(now) as usize;
+            let is_old = |(_, since): &(Loan, Duration)| now.saturating_sub(*since) >= MIN_LOAN_DURATION;
+            let n = e.borrowed.iter().filter(|b| is_old(b)).count().min(free);
             actions.extend(e.borrowed.drain(..n).map(|(l, _)| Action::ReturnLoan(l)));
         }
         actions
     }
 
-    /// Requests that hold a slot of each endpoint.
+    /// Number of requests that hold a slot, for each endpoint.
     pub fn in_flight_by_endpoint(&self) -> impl Iterator<Item = (&InstanceId, u32)> {
         self.endpoints.iter().map(|(id, e)| (id, e.in_flight))
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn waiting_count(&self) -> usize {
         self.queues.total_len()
     }
 
-    /// Requests that hold a slot.
+    /// Number of requests that hold a slot.
     pub fn in_flight_count(&self) -> usize {
-        self.flights.len()
+        self.in_flight.len()
     }
 
-    /// Slots that may be used now.
+    /// Number of slots, free or not, on endpoints that accept requests.
     pub fn usable_slots(&self, now: Duration) -> u32 {
-        self.usable(now).map(|e| e.held_slots(now)).sum()
+        self.usable_endpoints(now).map(|e| e.held_slots(now)).sum()
     }
 
-    fn usable(&self, now: Duration) -> impl Iterator<Item = &EndpointView> {
+    fn usable_endpoints(&self, now: Duration) -> impl Iterator<Item = &EndpointView> {
         self.endpoints.values().filter(move |e| e.accepts_requests(now))
     }
 
-    /// The endpoint with the smallest part of its slots in use; among equals
-    /// one in this data centre, then the next in turn.
-    fn choose(&mut self, now: Duration, tried: &[InstanceId]) -> Option<InstanceId> {
+    /// Chooses the endpoint with the smallest share of its slots in use, then one in this data
+    /// centre, then the next in round-robin order.
+    fn choose_endpoint(&mut self, now: Duration, tried: &[InstanceId]) -> Option<InstanceId> {
         let n = self.endpoints.len();
-        let start = self.turn;
+        let start = self.round_robin;
         let rank = |(i, (_, e)): &(usize, (&InstanceId, &EndpointView))| {
             let used = u64::from(e.in_flight) * 1_000 / u64::from(e.held_slots(now).max(1));
             (used, e.data_centre != self.data_centre, (i + n - start % n.max(1)) % n.max(1))
         };
-        let usable = |e: &EndpointView| e.accepts_requests(now) && e.free_slots(now) > 0;
-        let fits = self.endpoints.iter().enumerate().filter(|(_, (id, e))| usable(e) && !tried.contains(id));
-        let best = fits.min_by_key(rank).map(|(_, (id, _))| id.clone());
+        let has_free_slot = |e: &EndpointView| e.accepts_requests(now) && e.free_slots(now) > 0;
+        let candidates =
+            self.endpoints.iter().enumerate().filter(|(_, (id, e))| has_free_slot(e) && !tried.contains(id));
+        let best = candidates.min_by_key(rank).map(|(_, (id, _))| id.clone());
         if best.is_some() {
-            self.turn = self.turn.wrapping_add(1);
+            self.round_robin = self.round_robin.wrapping_add(1);
         }
         best
     }
 
+    /// Takes a free slot of an endpoint for a request.
     fn send(&mut self, now: Duration, request_id: RequestId, class: Class, id: InstanceId) -> Action {
         let passed_over = self.endpoints.values().filter(|e| e.open && !e.health.may_send(now)).count();
         let mut action = Action::Refuse { request_id, code: Code::NoEndpoint, retry_after: Duration::ZERO };
         if let Some(e) = self.endpoints.get_mut(&id) {
-            invariant::check(e.free_slots(now) > 0, || format!("no slot is held on {id}"));
+            invariant::check(e.free_slots(now) > 0, || {
+                format!("a request is sent to {id} without a free slot")
+            });
             e.health.record_send(now, e.in_flight);
             e.in_flight += 1;
             action = Action::Send {
@@ -463,48 +479,54 @@
             };
         }
         self.queues.slot_taken(class);
-        self.flights.insert(request_id, Flight { endpoint: id, class, since: now });
+        self.in_flight.insert(request_id, InFlightRequest { endpoint: id, class, sent_at: now });
         action
     }
 
-    /// Gives free slots to waiting requests.
-    fn pump(&mut self, now: Duration) -> Vec<Action> {
+    /// Sends queued requests while there are free slots.
+    fn dispatch_queued(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         loop {
             let slots = self.usable_slots(now);
             let Some(class) = self.queues.next_class(slots) else { break };
-            let Some(id) = self.choose(now, &[]) else { break };
-            let Some(w) = self.queues.pop(class) else { break };
-            actions.push(self.send(now, w.request_id, class, id));
+            let Some(id) = self.choose_endpoint(now, &[]) else { break };
+            let Some(request) = self.queues.pop(class) else { break };
+            actions.push(self.send(now, request.request_id, class, id));
         }
         actions
     }
 
-    fn usual(&self) -> f64 {
+    /// Median of the endpoints' mean response times, in seconds.
+    fn typical_secs(&self) -> f64 {
         let mut means: Vec<f64> = self.endpoints.values().filter_map(|e| e.health.mean_secs()).collect();
         means.sort_by(f64::total_cmp);
-        means.get(means.len() / 2).copied().unwrap_or(self.seconds)
+        means.get(means.len() / 2).copied().unwrap_or(self.mean_request_secs)
     }
 
+    /// Ejects endpoints that are stalled or slow.
     fn eject_outliers(&mut self, now: Duration) {
-        let usual = self.usual();
-        let bad = |e: &EndpointView| e.health.is_stalled(now, e.in_flight, usual) || e.health.is_slow(usual);
-        let good = self.endpoints.iter().filter(|(_, e)| e.health.state() == HealthState::Healthy);
-        let outliers: Vec<InstanceId> = good.filter(|(_, e)| bad(e)).map(|(id, _)| id.clone()).collect();
+        let typical_secs = self.typical_secs();
+        let is_outlier = |e: &EndpointView| {
+            e.health.is_stalled(now, e.in_flight, typical_secs) || e.health.is_slow(typical_secs)
+        };
+        let healthy = self.endpoints.iter().filter(|(_, e)| e.health.state() == HealthState::Healthy);
+        let outliers: Vec<InstanceId> =
+            healthy.filter(|(_, e)| is_outlier(e)).map(|(id, _)| id.clone()).collect();
         for id in outliers {
             self.eject(now, &id);
         }
     }
 
-    /// Ejects an endpoint unless too many are: trouble that many share is not
-    /// theirs, and the service must never be without endpoints.
+    /// Ejects an endpoint, unless too many would be ejected: a failure that many endpoints share
+    /// is probably not theirs, and a service must keep endpoints that get requests.
     fn eject(&mut self, now: Duration, id: &str) {
-        let out = self
+        let ejected = self
             .endpoints
             .iter()
             .filter(|(i, e)| *i != id && e.health.state() != HealthState::Healthy)
             .count();
-        let within_cap = (out + 1) * EJECT_CAP <= self.endpoints.len().max(EJECT_CAP);
+        let within_cap =
+            (ejected + 1) * ENDPOINTS_PER_EJECTION <= self.endpoints.len().max(ENDPOINTS_PER_EJECTION);
         let Some(e) = self.endpoints.get_mut(id) else { return };
         if within_cap {
             e.health.eject(now);
--- a/crates/workswood-core/src/route/mod.rs
+++ b/crates/workswood-core/src/route/mod.rs
@@ -1,10 +1,10 @@
-//! Decisions of one entry host about requests.
+//! Request routing on one entry host.
 //!
-//! A [`Dispatcher`] serves one service on one entry host. It owns a share of
-//! the slots of each endpoint ([`share`]), may borrow idle slots of its peers,
-//! keeps bounded queues by class, and never uses a slot that it does not hold.
-//! So the slots of an endpoint are used by all entry hosts together without
-//! any of them knowing the others' load.
+//! A [`Dispatcher`] serves one service on one entry host. It owns a share of the
+//! slots of each endpoint ([`owned_slots`]), may borrow idle slots from its peers,
+//! keeps a bounded queue for each class, and sends a request only in a slot that it
+//! holds. So the entry hosts together never exceed the slots of an endpoint, although
+//! none of them knows the load of the others.
 
 mod dispatch;
 mod endpoint;
