--- a/crates/workswood-core/src/plan/acts.rs
+++ b/crates/workswood-core/src/plan/host_actions.rs
@@ -11,7 +11,7 @@
 /// a reboot names the boot that it ends.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(tag = "act", rename_all = "snake_case")]
-pub enum Act {
+pub enum HostAction {
     /// Puts a host into a pool.
     SetPool {
         /// The host.
@@ -64,33 +64,33 @@
     },
 }
 
-impl Act {
+impl HostAction {
     /// The host that the act is on.
     pub fn host(&self) -> &HostId {
         match self {
-            Act::SetPool { host, .. }
-            | Act::Drain { host, .. }
-            | Act::Undrain { host, .. }
-            | Act::Reboot { host, .. }
-            | Act::Start { host, .. }
-            | Act::Stop { host, .. } => host,
+            HostAction::SetPool { host, .. }
+            | HostAction::Drain { host, .. }
+            | HostAction::Undrain { host, .. }
+            | HostAction::Reboot { host, .. }
+            | HostAction::Start { host, .. }
+            | HostAction::Stop { host, .. } => host,
         }
     }
 }
 
 /// All calls that the list shows to be missing.
-pub fn acts(state: &State, seen: &Seen) -> Vec<Act> {
+pub fn missing_actions(state: &State, seen: &Seen) -> Vec<HostAction> {
     let mut all = Vec::new();
     for (id, rec) in state.hosts.iter().filter(|(_, r)| !r.foreign) {
         let Some(s) = seen.hosts.get(id).filter(|s| s.state != HostState::Down) else { continue };
-        all.extend(host_acts(id, rec, s));
+        all.extend(actions_for_host(id, rec, s));
         all.extend(starts(state, id, rec, s));
         all.extend(stops(state, id, s));
     }
     all
 }
 
-fn host_acts(id: &HostId, rec: &HostRec, s: &HostSeen) -> Vec<Act> {
+fn actions_for_host(id: &HostId, rec: &HostRec, s: &HostSeen) -> Vec<HostAction> {
     let mut all = Vec::new();
     let host = id.clone();
     if let Some(pool) =
@@ -98,26 +98,26 @@
     {
         // Later acts carry higher tokens, which would make the pool look as if
         // others had set it: they wait until the list shows this one.
-        return vec![Act::SetPool { host, pool, token: rec.pool_generation }];
+        return vec![HostAction::SetPool { host, pool, token: rec.pool_generation }];
     }
     match &rec.phase {
         Phase::Draining(_) | Phase::Drained(_) if !s.draining || s.token < rec.act_generation => {
-            all.push(Act::Drain { host, token: rec.act_generation });
+            all.push(HostAction::Drain { host, token: rec.act_generation });
         }
         // It also fences off a drain that is still on its way. A later drain
         // by other scripts stays.
         Phase::Active if s.token < rec.act_generation => {
-            all.push(Act::Undrain { host, token: rec.act_generation });
+            all.push(HostAction::Undrain { host, token: rec.act_generation });
         }
         Phase::Rebooting { boot, .. } if s.boot == *boot => {
-            all.push(Act::Reboot { host, boot: boot.clone(), token: rec.act_generation });
+            all.push(HostAction::Reboot { host, boot: boot.clone(), token: rec.act_generation });
         }
         _ => {}
     }
     all
 }
 
-fn starts(state: &State, id: &HostId, rec: &HostRec, s: &HostSeen) -> Vec<Act> {
+fn starts(state: &State, id: &HostId, rec: &HostRec, s: &HostSeen) -> Vec<HostAction> {
     if !rec.takes_work() || s.draining {
         return Vec::new();
     }
@@ -128,11 +128,11 @@
         state.jobs.iter().filter(|(_, j)| matches!(&j.phase, JobPhase::Running { host } if host == id));
     let all = placed.chain(jobs.map(|(name, j)| (name, j.token)));
     let missing = all.filter(|(task, token)| !running(task, *token));
-    missing.map(|(task, token)| Act::Start { host: id.clone(), task: task.clone(), token }).collect()
+    missing.map(|(task, token)| HostAction::Start { host: id.clone(), task: task.clone(), token }).collect()
 }
 
 /// Tasks of ours that run where they should not.
-fn stops(state: &State, id: &HostId, s: &HostSeen) -> Vec<Act> {
+fn stops(state: &State, id: &HostId, s: &HostSeen) -> Vec<HostAction> {
     let mut all = Vec::new();
     // Tokens are offsets: a start that is not folded yet is not judged.
     for t in s.tasks.iter().filter(|t| t.ended.is_none() && t.token > 0 && t.token < state.next) {
@@ -147,7 +147,7 @@
             }
         };
         if elsewhere {
-            all.push(Act::Stop { host: id.clone(), task: t.id.clone(), token: t.token });
+            all.push(HostAction::Stop { host: id.clone(), task: t.id.clone(), token: t.token });
         }
     }
     all
--- a/crates/workswood-core/src/plan/mod.rs
+++ b/crates/workswood-core/src/plan/mod.rs
@@ -5,13 +5,13 @@
 //! that is replaced in the middle of anything goes on from the log. The fold
 //! checks each record again at its offset.
 //!
-//! [`acts()`] compares the state with the list and returns the calls on the
+//! [`missing_actions`] compares the state with the list and returns the calls on the
 //! platform that bring the list nearer to the state. A call is repeated only
 //! while the list does not show its effect, and carries the generation of the
 //! host as its token.
 
-mod acts;
 mod bound;
+mod host_actions;
 mod index;
 mod jobs;
 mod measure;
@@ -25,8 +25,8 @@
 use crate::ids::{Term, UnixMs};
 use crate::record::Record;
 
-pub use acts::{Act, acts};
 pub use bound::Bound;
+pub use host_actions::{HostAction, missing_actions};
 pub use index::Index;
 pub use measure::{Measures, Strategy, measure};
 pub use seen::{HostSeen, HostState, Seen, TaskSeen};
--- a/crates/workswood-platform/src/http.rs
+++ b/crates/workswood-platform/src/http.rs
@@ -10,7 +10,7 @@
 use serde::de::DeserializeOwned;
 use snafu::ResultExt;
 use workswood_core::ids::Offset;
-use workswood_core::plan::{Act, Seen};
+use workswood_core::plan::{HostAction, Seen};
 use workswood_http::{Answer, Call, Failure, HttpClient, Limits, Repeat};
 use workswood_liveness::HalfOpen;
 use workswood_traffic::Traffic;
@@ -121,7 +121,7 @@
         async move { self.get("/hosts").await }.boxed()
     }
 
-    fn act(&self, act: &Act) -> BoxFuture<'_, Result<(), Error>> {
+    fn act(&self, act: &HostAction) -> BoxFuture<'_, Result<(), Error>> {
         let body = serde_json::to_string(act).unwrap_or_default();
         async move {
             let _: serde_json::Value = self.post("/acts", body).await?;
--- a/crates/workswood-platform/src/lib.rs
+++ b/crates/workswood-platform/src/lib.rs
@@ -9,7 +9,7 @@
 //! | `POST /log` with one record as body | `{"offset": n}` |
 //! | `GET /log?from=N&max=M` | [`ReadReply`] |
 //! | `GET /hosts` | the list, [`workswood_core::plan::Seen`] |
-//! | `POST /acts` with an [`Act`] | `{}` |
+//! | `POST /acts` with a [`HostAction`] | `{}` |
 
 mod http;
 pub mod jobs;
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 use workswood_core::ids::Offset;
-use workswood_core::plan::{Act, Seen};
+use workswood_core::plan::{HostAction, Seen};
 
 pub use http::HttpPlatform;
 
@@ -88,5 +88,5 @@
     /// Reads the list of hosts, which lags.
     fn hosts(&self) -> BoxFuture<'_, Result<Seen, Error>>;
     /// Acts on a host or task.
-    fn act(&self, act: &Act) -> BoxFuture<'_, Result<(), Error>>;
+    fn act(&self, act: &HostAction) -> BoxFuture<'_, Result<(), Error>>;
 }
--- a/crates/workswood-standin/src/platform.rs
+++ b/crates/workswood-standin/src/platform.rs
@@ -12,7 +12,7 @@
 use warp::reply::Response;
 use warp::{Filter, Reply};
 use workswood_core::fleet::FleetFile;
-use workswood_core::plan::{Act, HostState, Seen};
+use workswood_core::plan::{HostAction, HostState, Seen};
 use workswood_platform::{LogRecord, ReadReply};
 
 use crate::endpoint::{EndpointStandin, Ledger};
@@ -307,7 +307,7 @@
     json(&ReadReply { first, head: inner.head, records })
 }
 
-async fn act_on(act: Act, inner: Arc<Mutex<Inner>>, ledger: Arc<Ledger>) -> Response {
+async fn act_on(act: HostAction, inner: Arc<Mutex<Inner>>, ledger: Arc<Ledger>) -> Response {
     {
         let mut inner = inner.lock();
         if inner.faults.refuse_acts > 0 {
@@ -330,16 +330,16 @@
 }
 
 /// Carries an act out; false if it is fenced off.
-async fn carry_out(act: &Act, inner: &Arc<Mutex<Inner>>, ledger: &Arc<Ledger>) -> bool {
+async fn carry_out(act: &HostAction, inner: &Arc<Mutex<Inner>>, ledger: &Arc<Ledger>) -> bool {
     match act {
-        Act::SetPool { host, pool, token } => {
+        HostAction::SetPool { host, pool, token } => {
             on_host(inner, host, *token, |h| h.seen.pool = Some(pool.clone()))
         }
-        Act::Drain { host, token } => on_host(inner, host, *token, |h| h.seen.draining = true),
-        Act::Undrain { host, token } => on_host(inner, host, *token, |h| h.seen.draining = false),
-        Act::Reboot { host, boot, token } => reboot(inner, host, boot, *token, ledger),
-        Act::Start { host, task, token } => start(inner, host, task, *token, ledger).await,
-        Act::Stop { host, task, token } => stop(inner, host, task, *token),
+        HostAction::Drain { host, token } => on_host(inner, host, *token, |h| h.seen.draining = true),
+        HostAction::Undrain { host, token } => on_host(inner, host, *token, |h| h.seen.draining = false),
+        HostAction::Reboot { host, boot, token } => reboot(inner, host, boot, *token, ledger),
+        HostAction::Start { host, task, token } => start(inner, host, task, *token, ledger).await,
+        HostAction::Stop { host, task, token } => stop(inner, host, task, *token),
     }
 }
 
--- a/crates/workswood-test-support/src/history.rs
+++ b/crates/workswood-test-support/src/history.rs
@@ -5,7 +5,7 @@
 use workswood_core::fleet::FleetFile;
 use workswood_core::fold::{State, Void};
 use workswood_core::ids::{Term, UnixMs};
-use workswood_core::plan::{Act, Facts, Stop, acts, decide, wave_status};
+use workswood_core::plan::{Facts, HostAction, Stop, decide, missing_actions, wave_status};
 use workswood_core::record::{Duty, Envelope, HostStep, InstanceStep, Record};
 
 use crate::log::{Log, Process};
@@ -76,7 +76,7 @@
     process: Process,
     term: Term,
     held: Vec<Envelope>,
-    late: Vec<Act>,
+    late: Vec<HostAction>,
 }
 
 /// A history.
@@ -214,18 +214,18 @@
     }
 
     /// Lets a planner decide on what it has folded and on a list of some age.
-    fn decide(&mut self, i: usize, lag: usize) -> (Option<Envelope>, Vec<Act>) {
+    fn decide(&mut self, i: usize, lag: usize) -> (Option<Envelope>, Vec<HostAction>) {
         let seen = self.platform.list(lag);
         let now = self.now;
         let p = &mut self.planners[i];
         let facts = Facts { confirmed: u64::MAX, ..Facts::default() };
         let records = decide(&p.process.state, &seen, &facts, now, p.term);
-        let acts = acts(&p.process.state, &seen);
+        let acts = missing_actions(&p.process.state, &seen);
         let env = (!records.is_empty()).then(|| p.process.envelope(now, records));
         (env, acts)
     }
 
-    fn act(&mut self, act: &Act) {
+    fn act(&mut self, act: &HostAction) {
         self.tally.acts += 1;
         if self.tally.budgets_broken.is_empty() {
             self.tally.note(format!("{} {act:?}", self.now));
--- a/crates/workswood-test-support/src/one.rs
+++ b/crates/workswood-test-support/src/one.rs
@@ -1,7 +1,7 @@
 //! One planner on a platform without sockets, round by round.
 
 use workswood_core::fleet::FleetFile;
-use workswood_core::plan::{Act, Facts, Seen, acts, decide};
+use workswood_core::plan::{Facts, HostAction, Seen, decide, missing_actions};
 use workswood_core::record::{Duty, Record};
 
 use crate::log::{Log, Process};
@@ -42,13 +42,13 @@
     }
 
     /// Decides on a list; returns the acts that follow, not carried out.
-    pub fn decide(&mut self, seen: &Seen) -> Vec<Act> {
+    pub fn decide(&mut self, seen: &Seen) -> Vec<HostAction> {
         let facts = Facts { confirmed: u64::MAX, ..Facts::default() };
         let records = decide(&self.p.state, seen, &facts, self.now, 1);
         if !records.is_empty() {
             self.p.append(&mut self.log, self.now, records);
         }
-        acts(&self.p.state, seen)
+        missing_actions(&self.p.state, seen)
     }
 
     /// Lets a second pass; returns the list as it is then.
--- a/crates/workswood-test-support/src/platform.rs
+++ b/crates/workswood-test-support/src/platform.rs
@@ -4,7 +4,7 @@
 
 use workswood_core::fleet::FleetFile;
 use workswood_core::ids::UnixMs;
-use workswood_core::plan::{Act, HostSeen, HostState, Seen, TaskSeen};
+use workswood_core::plan::{HostAction, HostSeen, HostState, Seen, TaskSeen};
 
 /// Time that a reboot takes.
 pub const REBOOT_MS: UnixMs = 5_000;
@@ -87,27 +87,27 @@
     }
 
     /// Carries an act out unless its token or boot is old.
-    pub fn act(&mut self, act: &Act, now: UnixMs) {
-        if let Act::Start { host, task, token } = act {
+    pub fn act(&mut self, act: &HostAction, now: UnixMs) {
+        if let HostAction::Start { host, task, token } = act {
             return self.start(host, task, *token);
         }
         let Some(h) = self.hosts.get_mut(act.host()) else { return };
         match act {
-            Act::SetPool { pool, token, .. } if h.token <= *token => {
+            HostAction::SetPool { pool, token, .. } if h.token <= *token => {
                 h.token = *token;
                 h.pool = Some(pool.clone());
             }
-            Act::Drain { token, .. } if h.token <= *token => {
+            HostAction::Drain { token, .. } if h.token <= *token => {
                 h.token = *token;
                 h.draining = true;
                 h.drained = true;
             }
-            Act::Undrain { token, .. } if h.token <= *token => {
+            HostAction::Undrain { token, .. } if h.token <= *token => {
                 h.token = *token;
                 h.draining = false;
                 h.drained = false;
             }
-            Act::Reboot { host, boot, token } if h.token <= *token && h.boot == *boot => {
+            HostAction::Reboot { host, boot, token } if h.token <= *token && h.boot == *boot => {
                 h.token = *token;
                 let n = self.reboots.entry(host.clone()).or_default();
                 *n += 1;
@@ -115,7 +115,7 @@
                 self.back_at.insert(host.clone(), now + REBOOT_MS);
                 self.refresh(host);
             }
-            Act::Stop { task, token, .. } => h.tasks.retain(|t| t.id != *task || t.token != *token),
+            HostAction::Stop { task, token, .. } => h.tasks.retain(|t| t.id != *task || t.token != *token),
             _ => {}
         }
     }
--- a/src/workswood/ops/bench/plan.rs
+++ b/src/workswood/ops/bench/plan.rs
@@ -5,7 +5,7 @@
 use workswood_core::fleet::{FleetFile, Maintenance};
 use workswood_core::fold::State;
 use workswood_core::ids::UnixMs;
-use workswood_core::plan::{Bound, Facts, Seen, Strategy, acts, decide, measure};
+use workswood_core::plan::{Bound, Facts, Seen, Strategy, decide, measure, missing_actions};
 use workswood_core::record::{Envelope, FORMAT};
 
 use super::fold::fleet;
@@ -58,7 +58,7 @@
 fn round(state: &State, seen: &Seen, now: UnixMs) {
     let facts = Facts { confirmed: u64::MAX, ..Facts::default() };
     std::hint::black_box(decide(state, seen, &facts, now, 1));
-    std::hint::black_box(acts(state, seen));
+    std::hint::black_box(missing_actions(state, seen));
 }
 
 /// Time from the loss of a host in the list to its instances placed anew.
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -7,7 +7,7 @@
 use workswood_core::fold::{HostRec, InstanceRec, LeaseRec, State};
 use workswood_core::ids::{InstanceId, Term};
 use workswood_core::member::{Liveness, MemberRec};
-use workswood_core::plan::{Act, Facts, Seen, acts, decide};
+use workswood_core::plan::{Facts, HostAction, Seen, decide, missing_actions};
 use workswood_core::record::{Duty, HostStep, InstanceStep, JobStep, Record, RosterMember};
 
 use super::node::Node;
@@ -220,7 +220,7 @@
 
 /// Carries out what the list shows to be missing; true if that was anything.
 async fn act(node: &Arc<Node>, seen: &Seen, term: Term) -> bool {
-    let wanted = acts(&node.state.read(), seen);
+    let wanted = missing_actions(&node.state.read(), seen);
     for chunk in wanted.chunks(MOST_ACTS) {
         let still = node.state.read().lease(Duty::Planner);
         if still.term != term || still.holder.as_ref() != Some(&node.id) {
@@ -232,7 +232,7 @@
     !wanted.is_empty()
 }
 
-async fn call(node: &Node, a: &Act) {
+async fn call(node: &Node, a: &HostAction) {
     node.metrics.acts.inc();
     match node.platform.act(a).await {
         Ok(()) => log::info!(target: DECISION, "event=act host={} act={a:?}", a.host()),
--- a/tests/testsuite/act_tokens.rs
+++ b/tests/testsuite/act_tokens.rs
@@ -1,7 +1,7 @@
 //! Acts that come late, and lists that are old, change nothing.
 
 use workswood_core::fold::Phase;
-use workswood_core::plan::{Act, Seen};
+use workswood_core::plan::{HostAction, Seen};
 use workswood_test_support::files::{maintenance, small};
 use workswood_test_support::one::Fleet;
 
@@ -11,14 +11,14 @@
 
 /// A fleet in which the first host has been drained in the log, and the act
 /// that drains it is still on its way.
-fn drain_on_its_way() -> (Fleet, Act) {
+fn drain_on_its_way() -> (Fleet, HostAction) {
     let mut file = small(4, 3, 1);
     let mut fleet = Fleet::new(&file);
     fleet.rounds(10);
     file.maintenance = vec![maintenance("m", "main")];
     fleet.apply(&file, 1);
     let seen = fleet.tick();
-    let late = fleet.decide(&seen).into_iter().find(|a| matches!(a, Act::Drain { .. }));
+    let late = fleet.decide(&seen).into_iter().find(|a| matches!(a, HostAction::Drain { .. }));
     (fleet, late.expect("the first host is drained"))
 }
 
--- a/tests/testsuite/entry_silence.rs
+++ b/tests/testsuite/entry_silence.rs
@@ -11,7 +11,7 @@
 use workswood::ops::dev::loopback;
 use workswood::ops::entry::Entry;
 use workswood::util::settings::Tokens;
-use workswood_core::plan::Act;
+use workswood_core::plan::HostAction;
 use workswood_platform::{Error, HttpPlatform, Platform};
 use workswood_standin::PlatformStandin;
 use workswood_test_support::cut::{Cut, Fault};
@@ -68,7 +68,7 @@
 async fn refusal_told() {
     let (_platform, cut) = log().await;
     let c = HttpPlatform::new(&cut.address);
-    let act = Act::Drain { host: "unknown".to_string(), token: 1 };
+    let act = HostAction::Drain { host: "unknown".to_string(), token: 1 };
     let refused = c.act(&act).await;
     assert!(matches!(refused, Err(Error::Refused { status: 409, .. })), "{refused:?}");
     // Nothing listens on this port.
--- a/tests/testsuite/fold_rules.rs
+++ b/tests/testsuite/fold_rules.rs
@@ -135,7 +135,7 @@
     let apply = Record::Apply { id: "2".into(), base: 1, author: "a".into(), file: Box::new(file) };
     assert_eq!(p.append(&mut log, 2, vec![apply]), [Ok(())]);
     assert!(p.state.instances.is_empty(), "handed back as it runs");
-    assert_eq!(workswood_core::plan::acts(&p.state, &Default::default()), []);
+    assert_eq!(workswood_core::plan::missing_actions(&p.state, &Default::default()), []);
 }
 
 #[test]
