--- a/crates/workswood-core/src/plan/host_actions.rs
+++ b/crates/workswood-core/src/plan/host_actions.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::seen::{HostSeen, HostState, Seen};
+use super::observed::{HostState, ObservedFleet, ObservedHost};
 use crate::fold::{HostRec, JobPhase, Phase, State};
 use crate::ids::{HostId, PoolId};
 
@@ -79,10 +79,10 @@
 }
 
 /// All calls that the list shows to be missing.
-pub fn missing_actions(state: &State, seen: &Seen) -> Vec<HostAction> {
+pub fn missing_actions(state: &State, observed: &ObservedFleet) -> Vec<HostAction> {
     let mut all = Vec::new();
     for (id, rec) in state.hosts.iter().filter(|(_, r)| !r.foreign) {
-        let Some(s) = seen.hosts.get(id).filter(|s| s.state != HostState::Down) else { continue };
+        let Some(s) = observed.hosts.get(id).filter(|s| s.state != HostState::Down) else { continue };
         all.extend(actions_for_host(id, rec, s));
         all.extend(starts(state, id, rec, s));
         all.extend(stops(state, id, s));
@@ -90,7 +90,7 @@
     all
 }
 
-fn actions_for_host(id: &HostId, rec: &HostRec, s: &HostSeen) -> Vec<HostAction> {
+fn actions_for_host(id: &HostId, rec: &HostRec, s: &ObservedHost) -> Vec<HostAction> {
     let mut all = Vec::new();
     let host = id.clone();
     if let Some(pool) =
@@ -117,7 +117,7 @@
     all
 }
 
-fn starts(state: &State, id: &HostId, rec: &HostRec, s: &HostSeen) -> Vec<HostAction> {
+fn starts(state: &State, id: &HostId, rec: &HostRec, s: &ObservedHost) -> Vec<HostAction> {
     if !rec.takes_work() || s.draining {
         return Vec::new();
     }
@@ -132,7 +132,7 @@
 }
 
 /// Tasks of ours that run where they should not.
-fn stops(state: &State, id: &HostId, s: &HostSeen) -> Vec<HostAction> {
+fn stops(state: &State, id: &HostId, s: &ObservedHost) -> Vec<HostAction> {
     let mut all = Vec::new();
     // Tokens are offsets: a start that is not folded yet is not judged.
     for t in s.tasks.iter().filter(|t| t.ended.is_none() && t.token > 0 && t.token < state.next) {
--- a/crates/workswood-core/src/plan/jobs.rs
+++ b/crates/workswood-core/src/plan/jobs.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
+use super::observed::ObservedFleet;
 use super::place::loads;
-use super::seen::Seen;
 use crate::fleet::{Class, Job};
 use crate::fold::{HostRec, JobPhase, JobRec, State};
 use crate::ids::{HostId, JobId, Term, UnixMs};
@@ -19,13 +19,13 @@
 const USE_MARGIN_PERCENT: u64 = 120;
 
 /// Records of jobs that end, start or are stopped now.
-pub(super) fn records(state: &State, seen: &Seen, now: UnixMs, term: Term) -> Vec<Record> {
+pub(super) fn records(state: &State, observed: &ObservedFleet, now: UnixMs, term: Term) -> Vec<Record> {
     let jobs: Vec<&Job> = state.declared_jobs().collect();
     if jobs.is_empty() {
         return Vec::new();
     }
-    let mut steps = ended(state, seen, now);
-    let mut room = Room::new(state, seen, &jobs);
+    let mut steps = ended(state, observed, now);
+    let mut room = Room::new(state, observed, &jobs);
     let mut waiting: Vec<&&Job> = jobs.iter().filter(|j| waits(state, &j.name)).collect();
     waiting.sort_by_key(|j| (j.class, j.name.clone()));
     for j in waiting.into_iter().take(MOST_STARTS) {
@@ -39,13 +39,13 @@
 }
 
 /// Jobs whose end the list shows, and jobs lost with their host.
-fn ended(state: &State, seen: &Seen, now: UnixMs) -> Vec<(JobId, JobStep)> {
+fn ended(state: &State, observed: &ObservedFleet, now: UnixMs) -> Vec<(JobId, JobStep)> {
     let running = state.jobs.iter().filter_map(|(id, r)| match &r.phase {
         JobPhase::Running { host } => Some((id, r, host)),
         _ => None,
     });
     let end = |(id, r, host): (&JobId, &JobRec, &HostId)| {
-        let on = seen.hosts.get(host);
+        let on = observed.hosts.get(host);
         let task = on.and_then(|h| h.tasks.iter().find(|t| t.id == *id && t.token == r.token));
         if let Some(ok) = task.and_then(|t| t.ended) {
             return Some((id.clone(), JobStep::End { ok }));
@@ -70,7 +70,7 @@
 }
 
 impl<'a> Room<'a> {
-    fn new(state: &'a State, seen: &Seen, jobs: &[&'a Job]) -> Room<'a> {
+    fn new(state: &'a State, observed: &ObservedFleet, jobs: &[&'a Job]) -> Room<'a> {
         let load = loads(state);
         let free = state.hosts.iter().filter(|(_, h)| h.takes_work()).map(|(id, h)| {
             let (cpus, memory) = load.get(id).copied().unwrap_or_default();
@@ -85,7 +85,7 @@
         for j in jobs {
             if let Some(JobPhase::Running { host }) = state.jobs.get(&j.name).map(|r| &r.phase) {
                 let Some((host, _)) = state.hosts.get_key_value(host) else { continue };
-                room.take(j, host, cautious_cpus(seen, host, j));
+                room.take(j, host, cautious_cpus(observed, host, j));
                 room.running.push((j, host));
             }
         }
@@ -155,8 +155,8 @@
 }
 
 /// Declared processors or more than the reported use, in whole cores.
-fn cautious_cpus(seen: &Seen, host: &HostId, j: &Job) -> i64 {
-    let task = seen.hosts.get(host).and_then(|h| h.tasks.iter().find(|t| t.id == j.name));
+fn cautious_cpus(observed: &ObservedFleet, host: &HostId, j: &Job) -> i64 {
+    let task = observed.hosts.get(host).and_then(|h| h.tasks.iter().find(|t| t.id == j.name));
     let used = task.map_or(0, |t| (t.used_millis * USE_MARGIN_PERCENT / 100).div_ceil(1_000));
     i64::from(j.cpus).max(used as i64)
 }
--- a/crates/workswood-core/src/plan/mod.rs
+++ b/crates/workswood-core/src/plan/mod.rs
@@ -16,9 +16,9 @@
 mod jobs;
 mod measure;
 mod observe;
+mod observed;
 mod place;
 mod pools;
-mod seen;
 mod wave;
 
 use crate::fold::State;
@@ -29,7 +29,7 @@
 pub use host_actions::{HostAction, missing_actions};
 pub use index::Index;
 pub use measure::{Measures, Strategy, measure};
-pub use seen::{HostSeen, HostState, Seen, TaskSeen};
+pub use observed::{HostState, ObservedFleet, ObservedHost, ObservedTask};
 pub use wave::{Stop, WaveStatus, wave_status};
 
 /// What the planner must know besides the state and the list.
@@ -42,21 +42,27 @@
 }
 
 /// Returns the records to append now. `term` is the planner's.
-pub fn decide(state: &State, seen: &Seen, facts: &Facts, now: UnixMs, term: Term) -> Vec<Record> {
-    let mut records = observe::records(state, seen, term);
+pub fn decide(
+    state: &State,
+    observed: &ObservedFleet,
+    facts: &Facts,
+    now: UnixMs,
+    term: Term,
+) -> Vec<Record> {
+    let mut records = observe::records(state, observed, term);
     // Facts first: what is decided on them follows when they are in the log.
     if !records.is_empty() {
         return records;
     }
     let mut index = Index::new(state);
-    records.extend(pools::records(state, seen, &mut index, term));
-    records.extend(place::records(state, seen, &mut index, now, term));
+    records.extend(pools::records(state, observed, &mut index, term));
+    records.extend(place::records(state, observed, &mut index, now, term));
     // Jobs count the room that is left when placements are in the log.
     let settled = records.is_empty();
-    records.extend(observe::progress(state, seen, facts, term));
+    records.extend(observe::progress(state, observed, facts, term));
     records.extend(wave::records(state, &mut index, now, term));
     if settled {
-        records.extend(jobs::records(state, seen, now, term));
+        records.extend(jobs::records(state, observed, now, term));
     }
     records
 }
--- a/crates/workswood-core/src/plan/observe.rs
+++ b/crates/workswood-core/src/plan/observe.rs
@@ -1,34 +1,34 @@
 //! Facts of the platform's list that belong in the log.
 
 use super::Facts;
-use super::seen::{HostSeen, HostState, Seen};
+use super::observed::{HostState, ObservedFleet, ObservedHost};
 use crate::fold::{HostRec, Phase, State};
 use crate::ids::{HostId, Term};
 use crate::record::{DrainReason, HostStep, InstanceStep, Record};
 
 /// Records of what the list shows and the state does not say yet.
-pub(super) fn records(state: &State, seen: &Seen, term: Term) -> Vec<Record> {
+pub(super) fn records(state: &State, observed: &ObservedFleet, term: Term) -> Vec<Record> {
     let mut all = Vec::new();
     for (id, rec) in &state.hosts {
-        let steps = host_facts(rec, seen.hosts.get(id));
+        let steps = host_facts(rec, observed.hosts.get(id));
         for (i, step) in steps.into_iter().enumerate() {
             let generation = rec.generation + i as u64;
             all.push(Record::Host { term, host: id.clone(), generation, step });
         }
     }
-    all.extend(instance_facts(state, seen, term));
+    all.extend(instance_facts(state, observed, term));
     all
 }
 
-fn host_facts(rec: &HostRec, seen: Option<&HostSeen>) -> Vec<HostStep> {
+fn host_facts(rec: &HostRec, observed: Option<&ObservedHost>) -> Vec<HostStep> {
     let mut steps = Vec::new();
-    let up = seen.is_some_and(|s| s.state == HostState::Live);
+    let up = observed.is_some_and(|s| s.state == HostState::Live);
     // A host under reboot is away anyhow; its return is decided on its boot id.
     let rebooting = matches!(rec.phase, Phase::Rebooting { .. });
     if up != rec.up && !rebooting {
         steps.push(HostStep::Health { up });
     }
-    let Some(s) = seen else { return steps };
+    let Some(s) = observed else { return steps };
     let same = s.place == rec.place
         && (s.cpus, s.memory_gib, s.accelerators) == (rec.cpus, rec.memory_gib, rec.accelerators);
     if !same {
@@ -49,10 +49,10 @@
     steps
 }
 
-fn instance_facts(state: &State, seen: &Seen, term: Term) -> Vec<Record> {
+fn instance_facts(state: &State, observed: &ObservedFleet, term: Term) -> Vec<Record> {
     let mut all = Vec::new();
     for (id, rec) in &state.instances {
-        let host = seen.hosts.get(&rec.host);
+        let host = observed.hosts.get(&rec.host);
         let task = host.and_then(|h| h.tasks.iter().find(|t| t.id == *id && t.ended.is_none()));
         let rec_host = state.hosts.get(&rec.host);
         // The list must show the end of a drain before the instance counts.
@@ -70,10 +70,10 @@
 }
 
 /// Steps of hosts under way whose condition the list now shows.
-pub(super) fn progress(state: &State, seen: &Seen, facts: &Facts, term: Term) -> Vec<Record> {
+pub(super) fn progress(state: &State, observed: &ObservedFleet, facts: &Facts, term: Term) -> Vec<Record> {
     let mut all = Vec::new();
     for (id, rec) in state.hosts.iter().filter(|(_, r)| r.away() && !r.foreign) {
-        let Some(step) = next_step(state, id, rec, seen.hosts.get(id), facts) else { continue };
+        let Some(step) = next_step(state, id, rec, observed.hosts.get(id), facts) else { continue };
         all.push(Record::Host { term, host: id.clone(), generation: rec.generation, step });
     }
     all
@@ -83,7 +83,7 @@
     state: &State,
     id: &HostId,
     rec: &HostRec,
-    seen: Option<&HostSeen>,
+    observed: Option<&ObservedHost>,
     facts: &Facts,
 ) -> Option<HostStep> {
     let busy = |id: &HostId| {
@@ -102,21 +102,21 @@
                 return Some(HostStep::Undrain);
             }
             // A host that has failed has no work left to wait for.
-            let acted = |s: &&HostSeen| s.token >= rec.act_generation;
-            let drained = !rec.up || seen.filter(acted).is_some_and(|s| s.drained && s.draining);
+            let acted = |s: &&ObservedHost| s.token >= rec.act_generation;
+            let drained = !rec.up || observed.filter(acted).is_some_and(|s| s.drained && s.draining);
             let told = facts.confirmed > rec.offset;
             (drained && told && !busy(id)).then_some(HostStep::Drained)
         }
         Phase::Drained(DrainReason::Move { .. }) => empty.then_some(HostStep::Flip),
         Phase::Drained(DrainReason::Release) => empty.then_some(HostStep::Forget),
         Phase::Drained(DrainReason::Maintain { .. }) => {
-            let s = seen.filter(|s| s.state == HostState::Live)?;
+            let s = observed.filter(|s| s.state == HostState::Live)?;
             Some(HostStep::Reboot { boot: s.boot.clone() })
         }
         Phase::Rebooting { boot, .. } => {
             // An older list may show a boot before the one that was ended.
-            let after = |s: &HostSeen| s.token >= rec.act_generation && s.boot != *boot;
-            let back = seen.is_some_and(|s| s.state == HostState::Live && after(s));
+            let after = |s: &ObservedHost| s.token >= rec.act_generation && s.boot != *boot;
+            let back = observed.is_some_and(|s| s.state == HostState::Live && after(s));
             back.then_some(HostStep::Return)
         }
         Phase::Free | Phase::Active => None,
--- a/crates/workswood-core/src/plan/seen.rs
+++ b/crates/workswood-core/src/plan/observed.rs
@@ -21,7 +21,7 @@
 
 /// A task that the platform runs on a host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TaskSeen {
+pub struct ObservedTask {
     /// Name of the instance or job.
     pub id: String,
     /// IP address and port, for instances.
@@ -38,7 +38,7 @@
 
 /// A host in the platform's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HostSeen {
+pub struct ObservedHost {
     /// Where it stands.
     pub place: Place,
     /// Processors in cores.
@@ -60,13 +60,13 @@
     /// Highest token of an act carried out on it.
     pub token: u64,
     /// Tasks on it.
-    pub tasks: Vec<TaskSeen>,
+    pub tasks: Vec<ObservedTask>,
 }
 
-impl HostSeen {
+impl ObservedHost {
     /// A host as declared: live, in no pool, just booted, without tasks.
-    pub fn fresh(h: &Host) -> HostSeen {
-        HostSeen {
+    pub fn newly_declared(h: &Host) -> ObservedHost {
+        ObservedHost {
             place: h.place(),
             cpus: h.cpus,
             memory_gib: h.memory_gib,
@@ -84,9 +84,9 @@
 
 /// The whole list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct ObservedFleet {
     /// Hosts by name.
-    pub hosts: BTreeMap<HostId, HostSeen>,
+    pub hosts: BTreeMap<HostId, ObservedHost>,
     /// Peer addresses of entry processes that the platform knows.
     pub entries: Vec<String>,
 }
--- a/crates/workswood-core/src/plan/place.rs
+++ b/crates/workswood-core/src/plan/place.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use super::index::Index;
-use super::seen::Seen;
+use super::observed::ObservedFleet;
 use crate::fleet::Service;
 use crate::fold::{HostRec, InstanceRec, Phase, State};
 use crate::ids::{HostId, InstanceId, Term, UnixMs};
@@ -14,7 +14,13 @@
 pub const REPLACE_AFTER_MS: UnixMs = 30_000;
 
 /// Records that place missing instances and remove those that must go.
-pub(super) fn records(state: &State, seen: &Seen, index: &mut Index, now: UnixMs, term: Term) -> Vec<Record> {
+pub(super) fn records(
+    state: &State,
+    observed: &ObservedFleet,
+    index: &mut Index,
+    now: UnixMs,
+    term: Term,
+) -> Vec<Record> {
     let mut all = Vec::new();
     let mut load: Option<BTreeMap<HostId, (u32, u32)>> = None;
     for s in state.services() {
@@ -33,7 +39,7 @@
             .filter(|id| !state.instances.contains_key(id));
         let mut spread = Spread::new(state, &have);
         for id in missing {
-            let Some(host) = spread.choose(index, seen, s, &id, load) else { break };
+            let Some(host) = spread.choose(index, observed, s, &id, load) else { break };
             spread.add(&state.hosts[&host], &host);
             let used = load.entry(host.clone()).or_default();
             used.0 += s.cpus;
@@ -104,7 +110,7 @@
     fn choose(
         &self,
         index: &Index,
-        seen: &Seen,
+        observed: &ObservedFleet,
         s: &Service,
         id: &str,
         load: &BTreeMap<HostId, (u32, u32)>,
@@ -119,7 +125,7 @@
                 && !self.hosts.contains(*id)
         };
         let rank = |(host, h): &&(&HostId, &HostRec)| {
-            let runs = seen.hosts.get(*host).is_some_and(|x| x.tasks.iter().any(|t| t.id == id));
+            let runs = observed.hosts.get(*host).is_some_and(|x| x.tasks.iter().any(|t| t.id == id));
             let centre = self.centres.get(&h.place.data_centre).copied().unwrap_or(0);
             let rack = self.racks.get(&h.place.rack).copied().unwrap_or(0);
             (!runs, rack, centre, used(host).0, (*host).clone())
--- a/crates/workswood-core/src/plan/pools.rs
+++ b/crates/workswood-core/src/plan/pools.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 
 use super::index::Index;
-use super::seen::Seen;
+use super::observed::ObservedFleet;
 use crate::fleet::{FleetFile, Pool};
 use crate::fold::{HostRec, Phase, State};
 use crate::ids::{HostId, PoolId, Term};
 use crate::record::{DrainReason, HostStep, Record};
 
 /// Records that fill pools and give released hosts up.
-pub(super) fn records(state: &State, seen: &Seen, index: &mut Index, term: Term) -> Vec<Record> {
+pub(super) fn records(state: &State, observed: &ObservedFleet, index: &mut Index, term: Term) -> Vec<Record> {
     let mut all = Vec::new();
     let mut taken: BTreeMap<HostId, PoolId> = BTreeMap::new();
     for (id, rec) in state.hosts.iter().filter(|(_, r)| r.released && r.phase == Phase::Active && !r.foreign)
@@ -26,7 +26,7 @@
             if want == 0 {
                 continue;
             }
-            let free = free_hosts(state, seen, file, pool, &taken);
+            let free = free_hosts(state, observed, file, pool, &taken);
             for id in free.into_iter().take(want) {
                 taken.insert(id.clone(), pool.name.clone());
                 let assign = HostStep::Assign { pool: pool.name.clone() };
@@ -91,7 +91,7 @@
 /// then those in racks where the pool has fewest.
 fn free_hosts(
     state: &State,
-    seen: &Seen,
+    observed: &ObservedFleet,
     file: &FleetFile,
     pool: &Pool,
     taken: &BTreeMap<HostId, PoolId>,
@@ -110,7 +110,7 @@
     let mut free: Vec<(bool, usize, &HostId)> = Vec::new();
     for (id, r) in state.hosts.iter().filter(usable) {
         let in_rack = racks.entry(&r.place.rack).or_default();
-        let there = seen.hosts.get(id).is_some_and(|s| s.pool.as_ref() == Some(&pool.name));
+        let there = observed.hosts.get(id).is_some_and(|s| s.pool.as_ref() == Some(&pool.name));
         free.push((!there, *in_rack, id));
         *in_rack += 1;
     }
--- a/crates/workswood-platform/src/http.rs
+++ b/crates/workswood-platform/src/http.rs
@@ -10,7 +10,7 @@
 use serde::de::DeserializeOwned;
 use snafu::ResultExt;
 use workswood_core::ids::Offset;
-use workswood_core::plan::{HostAction, Seen};
+use workswood_core::plan::{HostAction, ObservedFleet};
 use workswood_http::{Answer, Call, Failure, HttpClient, Limits, Repeat};
 use workswood_liveness::HalfOpen;
 use workswood_traffic::Traffic;
@@ -117,7 +117,7 @@
         async move { self.get(&format!("/log?from={from}&max={max}")).await }.boxed()
     }
 
-    fn hosts(&self) -> BoxFuture<'_, Result<Seen, Error>> {
+    fn hosts(&self) -> BoxFuture<'_, Result<ObservedFleet, Error>> {
         async move { self.get("/hosts").await }.boxed()
     }
 
--- a/crates/workswood-platform/src/lib.rs
+++ b/crates/workswood-platform/src/lib.rs
@@ -8,7 +8,7 @@
 //! |---|---|
 //! | `POST /log` with one record as body | `{"offset": n}` |
 //! | `GET /log?from=N&max=M` | [`ReadReply`] |
-//! | `GET /hosts` | the list, [`workswood_core::plan::Seen`] |
+//! | `GET /hosts` | the list, [`workswood_core::plan::ObservedFleet`] |
 //! | `POST /acts` with a [`HostAction`] | `{}` |
 
 mod http;
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 use workswood_core::ids::Offset;
-use workswood_core::plan::{HostAction, Seen};
+use workswood_core::plan::{HostAction, ObservedFleet};
 
 pub use http::HttpPlatform;
 
@@ -86,7 +86,7 @@
     /// Reads up to `max` records from an offset on.
     fn read(&self, from: Offset, max: usize) -> BoxFuture<'_, Result<ReadReply, Error>>;
     /// Reads the list of hosts, which lags.
-    fn hosts(&self) -> BoxFuture<'_, Result<Seen, Error>>;
+    fn hosts(&self) -> BoxFuture<'_, Result<ObservedFleet, Error>>;
     /// Acts on a host or task.
     fn act(&self, act: &HostAction) -> BoxFuture<'_, Result<(), Error>>;
 }
--- a/crates/workswood-standin/src/hosts.rs
+++ b/crates/workswood-standin/src/hosts.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use workswood_core::fleet::FleetFile;
-use workswood_core::plan::{HostSeen, HostState, TaskSeen};
+use workswood_core::plan::{HostState, ObservedHost, ObservedTask};
 
 use crate::endpoint::EndpointStandin;
 
@@ -21,7 +21,7 @@
 /// A host.
 pub struct HostSim {
     /// What the list says of it, apart from tasks.
-    pub seen: HostSeen,
+    pub seen: ObservedHost,
     /// Tasks by name.
     pub tasks: BTreeMap<String, TaskSim>,
     /// Counts boots.
@@ -32,8 +32,8 @@
 
 impl HostSim {
     /// The host as the list shows it.
-    pub fn list(&self) -> HostSeen {
-        let tasks = self.tasks.iter().map(|(id, t)| TaskSeen {
+    pub fn list(&self) -> ObservedHost {
+        let tasks = self.tasks.iter().map(|(id, t)| ObservedTask {
             id: id.clone(),
             address: t.endpoint.as_ref().map(|e| e.address.to_string()).unwrap_or_default(),
             ready: t.endpoint.is_some() && self.seen.state == HostState::Live,
@@ -42,14 +42,14 @@
             token: t.token,
         });
         let idle = self.tasks.values().all(|t| t.endpoint.as_ref().is_none_or(|e| e.in_flight() == 0));
-        HostSeen { tasks: tasks.collect(), drained: self.seen.draining && idle, ..self.seen.clone() }
+        ObservedHost { tasks: tasks.collect(), drained: self.seen.draining && idle, ..self.seen.clone() }
     }
 }
 
 /// All hosts that files name, live and in no pool.
 pub fn hosts_of(files: &[FleetFile]) -> BTreeMap<String, HostSim> {
     let all = files.iter().flat_map(|f| &f.hosts).map(|h| {
-        let seen = HostSeen::fresh(h);
+        let seen = ObservedHost::newly_declared(h);
         (h.name.clone(), HostSim { seen, tasks: BTreeMap::new(), boots: 1, rebooting: false })
     });
     all.collect()
--- a/crates/workswood-standin/src/platform.rs
+++ b/crates/workswood-standin/src/platform.rs
@@ -12,7 +12,7 @@
 use warp::reply::Response;
 use warp::{Filter, Reply};
 use workswood_core::fleet::FleetFile;
-use workswood_core::plan::{HostAction, HostState, Seen};
+use workswood_core::plan::{HostAction, HostState, ObservedFleet};
 use workswood_platform::{LogRecord, ReadReply};
 
 use crate::endpoint::{EndpointStandin, Ledger};
@@ -82,7 +82,7 @@
     log: VecDeque<LogRecord>,
     head: u64,
     hosts: BTreeMap<String, HostSim>,
-    lists: VecDeque<(tokio::time::Instant, Seen)>,
+    lists: VecDeque<(tokio::time::Instant, ObservedFleet)>,
     entries: Vec<String>,
     task_tokens: BTreeMap<String, u64>,
     faults: Faults,
@@ -177,7 +177,7 @@
     }
 
     /// The list without lag.
-    pub fn truth(&self) -> Seen {
+    pub fn truth(&self) -> ObservedFleet {
         self.inner.lock().seen()
     }
 
@@ -195,9 +195,9 @@
 }
 
 impl Inner {
-    fn seen(&self) -> Seen {
+    fn seen(&self) -> ObservedFleet {
         let hosts = self.hosts.iter().map(|(id, h)| (id.clone(), h.list())).collect();
-        Seen { hosts, entries: self.entries.clone() }
+        ObservedFleet { hosts, entries: self.entries.clone() }
     }
 
     fn push(&mut self, body: String) -> u64 {
--- a/crates/workswood-test-support/src/one.rs
+++ b/crates/workswood-test-support/src/one.rs
@@ -1,7 +1,7 @@
 //! One planner on a platform without sockets, round by round.
 
 use workswood_core::fleet::FleetFile;
-use workswood_core::plan::{Facts, HostAction, Seen, decide, missing_actions};
+use workswood_core::plan::{Facts, HostAction, ObservedFleet, decide, missing_actions};
 use workswood_core::record::{Duty, Record};
 
 use crate::log::{Log, Process};
@@ -42,7 +42,7 @@
     }
 
     /// Decides on a list; returns the acts that follow, not carried out.
-    pub fn decide(&mut self, seen: &Seen) -> Vec<HostAction> {
+    pub fn decide(&mut self, seen: &ObservedFleet) -> Vec<HostAction> {
         let facts = Facts { confirmed: u64::MAX, ..Facts::default() };
         let records = decide(&self.p.state, seen, &facts, self.now, 1);
         if !records.is_empty() {
@@ -52,7 +52,7 @@
     }
 
     /// Lets a second pass; returns the list as it is then.
-    pub fn tick(&mut self) -> Seen {
+    pub fn tick(&mut self) -> ObservedFleet {
         self.now += 1_000;
         self.platform.tick(self.now);
         self.platform.list(0)
--- a/crates/workswood-test-support/src/platform.rs
+++ b/crates/workswood-test-support/src/platform.rs
@@ -4,7 +4,7 @@
 
 use workswood_core::fleet::FleetFile;
 use workswood_core::ids::UnixMs;
-use workswood_core::plan::{HostAction, HostSeen, HostState, Seen, TaskSeen};
+use workswood_core::plan::{HostAction, HostState, ObservedFleet, ObservedHost, ObservedTask};
 
 /// Time that a reboot takes.
 pub const REBOOT_MS: UnixMs = 5_000;
@@ -12,7 +12,7 @@
 /// The platform.
 pub struct Platform {
     /// Hosts as they are.
-    pub hosts: BTreeMap<String, HostSeen>,
+    pub hosts: BTreeMap<String, ObservedHost>,
     /// Hosts that have failed, whatever else is done to them.
     pub failed: BTreeMap<String, bool>,
     /// Starts of each task so far.
@@ -21,14 +21,14 @@
     pub reboots: BTreeMap<String, u32>,
     tokens: BTreeMap<String, u64>,
     back_at: BTreeMap<String, UnixMs>,
-    lists: VecDeque<(UnixMs, Seen)>,
+    lists: VecDeque<(UnixMs, ObservedFleet)>,
 }
 
 impl Platform {
     /// A platform with the hosts of a file, all live and in no pool.
     pub fn new(file: &FleetFile) -> Platform {
         let hosts = file.hosts.iter().map(|h| {
-            let seen = HostSeen::fresh(h);
+            let seen = ObservedHost::newly_declared(h);
             (h.name.clone(), seen)
         });
         Platform {
@@ -50,7 +50,7 @@
             self.back_at.remove(&h);
             self.refresh(&h);
         }
-        self.lists.push_back((now, Seen { hosts: self.hosts.clone(), entries: Vec::new() }));
+        self.lists.push_back((now, ObservedFleet { hosts: self.hosts.clone(), entries: Vec::new() }));
         while self.lists.len() > 8 {
             self.lists.pop_front();
         }
@@ -73,7 +73,7 @@
     }
 
     /// The list as it was some ticks ago.
-    pub fn list(&self, lag: usize) -> Seen {
+    pub fn list(&self, lag: usize) -> ObservedFleet {
         let newest = self.lists.len().saturating_sub(1);
         self.lists.get(newest.saturating_sub(lag)).map(|(_, s)| s.clone()).unwrap_or_default()
     }
@@ -81,7 +81,7 @@
     /// Instances of a service that take work.
     pub fn available(&self, service: &str) -> u32 {
         let prefix = format!("{service}/");
-        let takes = |h: &&HostSeen| h.state == HostState::Live && !h.draining;
+        let takes = |h: &&ObservedHost| h.state == HostState::Live && !h.draining;
         let tasks = self.hosts.values().filter(takes).flat_map(|h| &h.tasks);
         tasks.filter(|t| t.ready && t.id.starts_with(&prefix)).count() as u32
     }
@@ -130,7 +130,7 @@
         *self.starts.entry(task.to_string()).or_default() += 1;
         let instance = task.contains('/');
         h.tasks.retain(|t| t.id != task);
-        h.tasks.push(TaskSeen {
+        h.tasks.push(ObservedTask {
             id: task.to_string(),
             address: "127.0.0.1:1".to_string(),
             ready: instance,
--- a/src/workswood/ops/bench/plan.rs
+++ b/src/workswood/ops/bench/plan.rs
@@ -5,7 +5,7 @@
 use workswood_core::fleet::{FleetFile, Maintenance};
 use workswood_core::fold::State;
 use workswood_core::ids::UnixMs;
-use workswood_core::plan::{Bound, Facts, Seen, Strategy, decide, measure, missing_actions};
+use workswood_core::plan::{Bound, Facts, ObservedFleet, Strategy, decide, measure, missing_actions};
 use workswood_core::record::{Envelope, FORMAT};
 
 use super::fold::fleet;
@@ -55,14 +55,14 @@
     started.elapsed().as_secs_f64() * 1e3
 }
 
-fn round(state: &State, seen: &Seen, now: UnixMs) {
+fn round(state: &State, seen: &ObservedFleet, now: UnixMs) {
     let facts = Facts { confirmed: u64::MAX, ..Facts::default() };
     std::hint::black_box(decide(state, seen, &facts, now, 1));
     std::hint::black_box(missing_actions(state, seen));
 }
 
 /// Time from the loss of a host in the list to its instances placed anew.
-fn replan(state: &State, seen: &Seen) -> f64 {
+fn replan(state: &State, seen: &ObservedFleet) -> f64 {
     let mut state = state.clone();
     let Some(host) = state.by_host.keys().next().cloned() else { return f64::NAN };
     let mut seen = seen.clone();
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -7,7 +7,7 @@
 use workswood_core::fold::{HostRec, InstanceRec, LeaseRec, State};
 use workswood_core::ids::{InstanceId, Term};
 use workswood_core::member::{Liveness, MemberRec};
-use workswood_core::plan::{Facts, HostAction, Seen, decide, missing_actions};
+use workswood_core::plan::{Facts, HostAction, ObservedFleet, decide, missing_actions};
 use workswood_core::record::{Duty, HostStep, InstanceStep, JobStep, Record, RosterMember};
 
 use super::node::Node;
@@ -164,7 +164,7 @@
 }
 
 /// One round of deciding; pure but for reading what the node shares.
-fn round(node: &Node, seen: &Seen, term: Term) -> Vec<Record> {
+fn round(node: &Node, seen: &ObservedFleet, term: Term) -> Vec<Record> {
     let facts = facts(node);
     let now = node.wall();
     let state = node.state.read();
@@ -219,7 +219,7 @@
 }
 
 /// Carries out what the list shows to be missing; true if that was anything.
-async fn act(node: &Arc<Node>, seen: &Seen, term: Term) -> bool {
+async fn act(node: &Arc<Node>, seen: &ObservedFleet, term: Term) -> bool {
     let wanted = missing_actions(&node.state.read(), seen);
     for chunk in wanted.chunks(MOST_ACTS) {
         let still = node.state.read().lease(Duty::Planner);
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -6,7 +6,7 @@
 use workswood_core::fold::State;
 use workswood_core::ids::UnixMs;
 use workswood_core::plan::{
-    Bound, Facts, HostSeen, HostState, Measures, Seen, Strategy, TaskSeen, decide, measure,
+    Bound, Facts, HostState, Measures, ObservedFleet, ObservedHost, ObservedTask, Strategy, decide, measure,
 };
 use workswood_core::record::{Duty, Envelope, FORMAT, InstanceStep, Record};
 
@@ -74,20 +74,20 @@
 }
 
 /// A list of all hosts of the files, live and in no pool.
-fn live(files: &[FleetFile]) -> Seen {
+fn live(files: &[FleetFile]) -> ObservedFleet {
     let hosts = files.iter().flat_map(|f| &f.hosts).map(|h| {
-        let seen = HostSeen::fresh(h);
+        let seen = ObservedHost::newly_declared(h);
         (h.name.clone(), seen)
     });
-    Seen { hosts: hosts.collect(), entries: Vec::new() }
+    ObservedFleet { hosts: hosts.collect(), entries: Vec::new() }
 }
 
 /// The list that a platform without faults would show for a state.
-pub fn listed(state: &State) -> Seen {
-    let mut seen = Seen::default();
+pub fn listed(state: &State) -> ObservedFleet {
+    let mut seen = ObservedFleet::default();
     for (id, h) in &state.hosts {
         let on = state.by_host.get(id).into_iter().flatten();
-        let task = |i: &String| TaskSeen {
+        let task = |i: &String| ObservedTask {
             id: i.clone(),
             address: ADDRESS.to_string(),
             ready: true,
@@ -95,7 +95,7 @@
             ended: None,
             token: state.instances.get(i).map_or(0, |r| r.token),
         };
-        let host = HostSeen {
+        let host = ObservedHost {
             place: h.place.clone(),
             cpus: h.cpus,
             memory_gib: h.memory_gib,
@@ -114,12 +114,12 @@
 }
 
 /// Lets the list show what was decided, as a platform without faults would.
-fn show(seen: &mut Seen, records: &[Record]) {
+fn show(seen: &mut ObservedFleet, records: &[Record]) {
     for r in records {
         if let Record::Instance { instance, step: InstanceStep::Place { host }, .. } = r
             && let Some(h) = seen.hosts.get_mut(host)
         {
-            h.tasks.push(TaskSeen {
+            h.tasks.push(ObservedTask {
                 id: instance.clone(),
                 address: ADDRESS.to_string(),
                 ready: true,
--- a/tests/testsuite/act_tokens.rs
+++ b/tests/testsuite/act_tokens.rs
@@ -1,7 +1,7 @@
 //! Acts that come late, and lists that are old, change nothing.
 
 use workswood_core::fold::Phase;
-use workswood_core::plan::{HostAction, Seen};
+use workswood_core::plan::{HostAction, ObservedFleet};
 use workswood_test_support::files::{maintenance, small};
 use workswood_test_support::one::Fleet;
 
@@ -55,7 +55,7 @@
     let mut file = small(4, 3, 1);
     let mut fleet = Fleet::new(&file);
     fleet.rounds(10);
-    let old: Seen = fleet.tick();
+    let old: ObservedFleet = fleet.tick();
     let mut maintain = |fleet: &mut Fleet, name: &str, base| {
         file.maintenance = vec![maintenance(name, "main")];
         fleet.apply(&file, base);
