--- a/crates/workswood-core/src/plan/mod.rs
+++ b/crates/workswood-core/src/plan/mod.rs
@@ -34,9 +34,9 @@
 
 /// What the planner must know besides the state and the list.
 #[derive(Clone, Debug, Default)]
-pub struct Facts {
+pub struct EntryReports {
     /// Whether every entry process that may send work has folded the offset.
-    pub confirmed: crate::ids::Offset,
+    pub folded_by_all: crate::ids::Offset,
     /// Requests that entry processes have open on instances.
     pub in_flight: std::collections::BTreeMap<crate::ids::InstanceId, u32>,
 }
@@ -45,7 +45,7 @@
 pub fn decide(
     state: &State,
     observed: &ObservedFleet,
-    facts: &Facts,
+    reports: &EntryReports,
     now: UnixMs,
     term: Term,
 ) -> Vec<Record> {
@@ -59,7 +59,7 @@
     records.extend(place::records(state, observed, &mut index, now, term));
     // Jobs count the room that is left when placements are in the log.
     let settled = records.is_empty();
-    records.extend(observe::progress(state, observed, facts, term));
+    records.extend(observe::progress(state, observed, reports, term));
     records.extend(wave::records(state, &mut index, now, term));
     if settled {
         records.extend(jobs::records(state, observed, now, term));
--- a/crates/workswood-core/src/plan/observe.rs
+++ b/crates/workswood-core/src/plan/observe.rs
@@ -1,6 +1,6 @@
 //! Facts of the platform's list that belong in the log.
 
-use super::Facts;
+use super::EntryReports;
 use super::observed::{HostState, ObservedFleet, ObservedHost};
 use crate::fold::{HostRec, Phase, State};
 use crate::ids::{HostId, Term};
@@ -70,10 +70,15 @@
 }
 
 /// Steps of hosts under way whose condition the list now shows.
-pub(super) fn progress(state: &State, observed: &ObservedFleet, facts: &Facts, term: Term) -> Vec<Record> {
+pub(super) fn progress(
+    state: &State,
+    observed: &ObservedFleet,
+    reports: &EntryReports,
+    term: Term,
+) -> Vec<Record> {
     let mut all = Vec::new();
     for (id, rec) in state.hosts.iter().filter(|(_, r)| r.away() && !r.foreign) {
-        let Some(step) = next_step(state, id, rec, observed.hosts.get(id), facts) else { continue };
+        let Some(step) = next_step(state, id, rec, observed.hosts.get(id), reports) else { continue };
         all.push(Record::Host { term, host: id.clone(), generation: rec.generation, step });
     }
     all
@@ -84,11 +89,11 @@
     id: &HostId,
     rec: &HostRec,
     observed: Option<&ObservedHost>,
-    facts: &Facts,
+    reports: &EntryReports,
 ) -> Option<HostStep> {
     let busy = |id: &HostId| {
         let on = state.by_host.get(id).into_iter().flatten();
-        on.map(|i| facts.in_flight.get(i).copied().unwrap_or(0)).sum::<u32>() > 0
+        on.map(|i| reports.in_flight.get(i).copied().unwrap_or(0)).sum::<u32>() > 0
     };
     let empty = !state.by_host.contains_key(id);
     match &rec.phase {
@@ -104,7 +109,7 @@
             // A host that has failed has no work left to wait for.
             let acted = |s: &&ObservedHost| s.token >= rec.act_generation;
             let drained = !rec.up || observed.filter(acted).is_some_and(|s| s.drained && s.draining);
-            let told = facts.confirmed > rec.offset;
+            let told = reports.folded_by_all > rec.offset;
             (drained && told && !busy(id)).then_some(HostStep::Drained)
         }
         Phase::Drained(DrainReason::Move { .. }) => empty.then_some(HostStep::Flip),
--- a/crates/workswood-test-support/src/history.rs
+++ b/crates/workswood-test-support/src/history.rs
@@ -5,7 +5,7 @@
 use workswood_core::fleet::FleetFile;
 use workswood_core::fold::{State, Void};
 use workswood_core::ids::{Term, UnixMs};
-use workswood_core::plan::{Facts, HostAction, Stop, decide, missing_actions, wave_status};
+use workswood_core::plan::{EntryReports, HostAction, Stop, decide, missing_actions, wave_status};
 use workswood_core::record::{Duty, Envelope, HostStep, InstanceStep, Record};
 
 use crate::log::{Log, Process};
@@ -218,7 +218,7 @@
         let seen = self.platform.list(lag);
         let now = self.now;
         let p = &mut self.planners[i];
-        let facts = Facts { confirmed: u64::MAX, ..Facts::default() };
+        let facts = EntryReports { folded_by_all: u64::MAX, ..EntryReports::default() };
         let records = decide(&p.process.state, &seen, &facts, now, p.term);
         let acts = missing_actions(&p.process.state, &seen);
         let env = (!records.is_empty()).then(|| p.process.envelope(now, records));
--- a/crates/workswood-test-support/src/one.rs
+++ b/crates/workswood-test-support/src/one.rs
@@ -1,7 +1,7 @@
 //! One planner on a platform without sockets, round by round.
 
 use workswood_core::fleet::FleetFile;
-use workswood_core::plan::{Facts, HostAction, ObservedFleet, decide, missing_actions};
+use workswood_core::plan::{EntryReports, HostAction, ObservedFleet, decide, missing_actions};
 use workswood_core::record::{Duty, Record};
 
 use crate::log::{Log, Process};
@@ -43,7 +43,7 @@
 
     /// Decides on a list; returns the acts that follow, not carried out.
     pub fn decide(&mut self, seen: &ObservedFleet) -> Vec<HostAction> {
-        let facts = Facts { confirmed: u64::MAX, ..Facts::default() };
+        let facts = EntryReports { folded_by_all: u64::MAX, ..EntryReports::default() };
         let records = decide(&self.p.state, seen, &facts, self.now, 1);
         if !records.is_empty() {
             self.p.append(&mut self.log, self.now, records);
--- a/src/workswood/ops/bench/plan.rs
+++ b/src/workswood/ops/bench/plan.rs
@@ -5,7 +5,7 @@
 use workswood_core::fleet::{FleetFile, Maintenance};
 use workswood_core::fold::State;
 use workswood_core::ids::UnixMs;
-use workswood_core::plan::{Bound, Facts, ObservedFleet, Strategy, decide, measure, missing_actions};
+use workswood_core::plan::{Bound, EntryReports, ObservedFleet, Strategy, decide, measure, missing_actions};
 use workswood_core::record::{Envelope, FORMAT};
 
 use super::fold::fleet;
@@ -56,7 +56,7 @@
 }
 
 fn round(state: &State, seen: &ObservedFleet, now: UnixMs) {
-    let facts = Facts { confirmed: u64::MAX, ..Facts::default() };
+    let facts = EntryReports { folded_by_all: u64::MAX, ..EntryReports::default() };
     std::hint::black_box(decide(state, seen, &facts, now, 1));
     std::hint::black_box(missing_actions(state, seen));
 }
@@ -68,7 +68,7 @@
     let mut seen = seen.clone();
     seen.hosts.remove(&host);
     let mut now = NOW;
-    let facts = Facts { confirmed: u64::MAX, ..Facts::default() };
+    let facts = EntryReports { folded_by_all: u64::MAX, ..EntryReports::default() };
     let mut total = 0.0;
     for seq in 1_000_000..1_000_006 {
         let started = Instant::now();
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -7,7 +7,7 @@
 use workswood_core::fold::{HostRec, InstanceRec, LeaseRec, State};
 use workswood_core::ids::{InstanceId, Term};
 use workswood_core::member::{Liveness, MemberRec};
-use workswood_core::plan::{Facts, HostAction, ObservedFleet, decide, missing_actions};
+use workswood_core::plan::{EntryReports, HostAction, ObservedFleet, decide, missing_actions};
 use workswood_core::record::{Duty, HostStep, InstanceStep, JobStep, Record, RosterMember};
 
 use super::node::Node;
@@ -175,7 +175,7 @@
     records
 }
 
-fn facts(node: &Node) -> Facts {
+fn facts(node: &Node) -> EntryReports {
     let (own, draining) = {
         let state = node.state.read();
         let away = |i: &InstanceRec| state.hosts.get(&i.host).is_some_and(|h| h.away());
@@ -193,7 +193,7 @@
             *in_flight.entry(id.clone()).or_default() += n;
         }
     }
-    Facts { confirmed, in_flight }
+    EntryReports { folded_by_all: confirmed, in_flight }
 }
 
 /// The roster that should be in force, if it differs from the one that is.
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -6,7 +6,8 @@
 use workswood_core::fold::State;
 use workswood_core::ids::UnixMs;
 use workswood_core::plan::{
-    Bound, Facts, HostState, Measures, ObservedFleet, ObservedHost, ObservedTask, Strategy, decide, measure,
+    Bound, EntryReports, HostState, Measures, ObservedFleet, ObservedHost, ObservedTask, Strategy, decide,
+    measure,
 };
 use workswood_core::record::{Duty, Envelope, FORMAT, InstanceStep, Record};
 
@@ -63,7 +64,7 @@
     }
     let mut seen = live(files);
     for _ in 0..MOST_ROUNDS {
-        let records = decide(&log.state, &seen, &Facts::default(), now, TERM);
+        let records = decide(&log.state, &seen, &EntryReports::default(), now, TERM);
         if records.is_empty() {
             break;
         }
