--- a/crates/workswood-core/src/plan/mod.rs
+++ b/crates/workswood-core/src/plan/mod.rs
@@ -30,7 +30,7 @@
 pub use index::Index;
 pub use measure::{Measures, Strategy, measure};
 pub use observed::{HostState, ObservedFleet, ObservedHost, ObservedTask};
-pub use wave::{Stop, WaveStatus, wave_status};
+pub use wave::{WaveState, WaveStatus, wave_status};
 
 /// What the planner must know besides the state and the list.
 #[derive(Clone, Debug, Default)]
--- a/crates/workswood-core/src/plan/wave.rs
+++ b/crates/workswood-core/src/plan/wave.rs
@@ -19,7 +19,7 @@
 /// Why a wave takes no further hosts now.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "stop", rename_all = "snake_case")]
-pub enum Stop {
+pub enum WaveState {
     /// Every host has been through.
     Finished,
     /// The file pauses it.
@@ -75,9 +75,11 @@
     /// Hosts that are away for it.
     pub away: Vec<HostId>,
     /// Hosts that are left.
-    pub left: usize,
+    #[serde(rename = "left")]
+    pub remaining: usize,
     /// Why no further host leaves now.
-    pub stop: Stop,
+    #[serde(rename = "stop")]
+    pub state: WaveState,
 }
 
 struct Members<'a> {
@@ -154,37 +156,37 @@
 }
 
 /// What keeps any further host from leaving, apart from budgets.
-fn barrier(index: &Index, m: &Maintenance, all: &Members, now: UnixMs) -> Option<Stop> {
+fn barrier(index: &Index, m: &Maintenance, all: &Members, now: UnixMs) -> Option<WaveState> {
     let length = m.duration.as_millis() as UnixMs;
     if all.left.is_empty() && all.away.is_empty() {
-        return Some(Stop::Finished);
+        return Some(WaveState::Finished);
     }
     if m.paused {
-        return Some(Stop::Paused);
+        return Some(WaveState::Paused);
     }
     if now < m.start {
-        return Some(Stop::NotYet { start: rfc3339_ms(m.start) });
+        return Some(WaveState::NotYet { start: rfc3339_ms(m.start) });
     }
     let overdue = |(_, r): &&(&HostId, &HostRec)| {
         let rebooting = matches!(r.phase, Phase::Rebooting { .. });
         rebooting && now.saturating_sub(r.since) > length * OVERDUE_FACTOR
     };
     if let Some((id, _)) = all.away.iter().find(overdue) {
-        return Some(Stop::Unwell { host: (*id).clone() });
+        return Some(WaveState::Unwell { host: (*id).clone() });
     }
     if let Some(host) = unwell(index, m) {
-        return Some(Stop::Unwell { host });
+        return Some(WaveState::Unwell { host });
     }
     if all.done == 0
         && let Some((id, _)) = all.away.first()
     {
-        return Some(Stop::Canary { host: (*id).clone() });
+        return Some(WaveState::Canary { host: (*id).clone() });
     }
     if m.deadline != 0 && now + length > m.deadline {
-        return Some(Stop::Deadline { deadline: rfc3339_ms(m.deadline) });
+        return Some(WaveState::Deadline { deadline: rfc3339_ms(m.deadline) });
     }
     let clash = m.keep_clear.iter().find(|w| now + length > w.from && now < w.to);
-    clash.map(|w| Stop::KeepClear { from: rfc3339_ms(w.from) })
+    clash.map(|w| WaveState::KeepClear { from: rfc3339_ms(w.from) })
 }
 
 /// A host that has been through and is down, or has instances that are not
@@ -211,19 +213,19 @@
 
 fn status(index: &Index, m: &Maintenance, now: UnixMs) -> WaveStatus {
     let all = members(index, m);
-    let stop = barrier(index, m, &all, now).unwrap_or_else(|| hold(index.state, m, &all));
+    let state = barrier(index, m, &all, now).unwrap_or_else(|| hold(index.state, m, &all));
     WaveStatus {
         name: m.name.clone(),
         done: all.done,
         away: all.away.iter().map(|(id, _)| (*id).clone()).collect(),
-        left: all.left.len(),
-        stop,
+        remaining: all.left.len(),
+        state,
     }
 }
 
-fn hold(state: &State, m: &Maintenance, all: &Members) -> Stop {
+fn hold(state: &State, m: &Maintenance, all: &Members) -> WaveState {
     if m.max_parallel > 0 && all.away.len() >= m.max_parallel as usize {
-        return Stop::MaxParallel;
+        return WaveState::MaxParallel;
     }
     let mut budget = None;
     for (id, r) in &all.left {
@@ -231,14 +233,14 @@
             continue;
         }
         match state.may_leave(id) {
-            Ok(()) => return Stop::Running,
+            Ok(()) => return WaveState::Running,
             Err(crate::fold::Void::Budget(service)) => budget = Some(service),
             Err(_) => {}
         }
     }
     match (budget, all.left.first()) {
-        (Some(service), _) => Stop::Budget { service },
-        (None, Some((id, _))) => Stop::HostsMissing { host: (*id).clone() },
-        (None, None) => Stop::Running,
+        (Some(service), _) => WaveState::Budget { service },
+        (None, Some((id, _))) => WaveState::HostsMissing { host: (*id).clone() },
+        (None, None) => WaveState::Running,
     }
 }
--- a/crates/workswood-test-support/src/history.rs
+++ b/crates/workswood-test-support/src/history.rs
@@ -5,7 +5,7 @@
 use workswood_core::fleet::FleetFile;
 use workswood_core::fold::{State, Void};
 use workswood_core::ids::{Term, UnixMs};
-use workswood_core::plan::{EntryReports, HostAction, Stop, decide, missing_actions, wave_status};
+use workswood_core::plan::{EntryReports, HostAction, WaveState, decide, missing_actions, wave_status};
 use workswood_core::record::{Duty, Envelope, HostStep, InstanceStep, Record};
 
 use crate::log::{Log, Process};
@@ -446,14 +446,14 @@
         let waves = wave_status(state, self.now);
         let declared: u32 = state.services().map(|s| s.instances).sum();
         let ready = state.instances.values().filter(|i| i.ready).count() as u32;
-        waves.iter().all(|w| w.stop == Stop::Finished)
+        waves.iter().all(|w| w.state == WaveState::Finished)
             && state.hosts.values().all(|h| !h.away())
             && ready == declared
     }
 
     fn explain(&mut self) {
         for w in wave_status(&self.truth.state, self.now) {
-            if w.stop != Stop::Finished {
+            if w.state != WaveState::Finished {
                 self.tally.unsettled.push(format!("{w:?}"));
             }
         }
--- a/src/workswood/ops/entry/operate.rs
+++ b/src/workswood/ops/entry/operate.rs
@@ -11,7 +11,7 @@
 use workswood_core::fold::{Phase, State, Void};
 use workswood_core::ids::Offset;
 use workswood_core::invariant;
-use workswood_core::plan::{Stop, wave_status};
+use workswood_core::plan::{WaveState, wave_status};
 use workswood_core::record::{Duty, Record};
 use workswood_operators::{
     ApplyReply, ApplyRequest, DutyStatus, EntryStatus, FileStatus, Operations, PoolStatus, ShownIssue, Status,
@@ -173,10 +173,12 @@
     let stances = state.stances();
     let mut stuck: Vec<String> = Vec::new();
     for w in &waves {
-        if let Stop::Unwell { .. } | Stop::Deadline { .. } | Stop::HostsMissing { .. } | Stop::Budget { .. } =
-            w.stop
+        if let WaveState::Unwell { .. }
+        | WaveState::Deadline { .. }
+        | WaveState::HostsMissing { .. }
+        | WaveState::Budget { .. } = w.state
         {
-            stuck.push(format!("wave={} left={} stop={:?}", w.name, w.left, w.stop));
+            stuck.push(format!("wave={} left={} stop={:?}", w.name, w.remaining, w.state));
         }
     }
     stuck.extend(stances.iter().filter(|s| s.slack < 0).map(|s| {
