--- a/crates/workswood-core/src/plan/bound.rs
+++ b/crates/workswood-core/src/plan/lower_bound.rs
@@ -9,17 +9,17 @@
 
 /// The least that a maintenance can cost.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Bound {
+pub struct LowerBound {
     /// Rounds of one duration each.
     pub rounds: u32,
     /// The time that they take.
     pub rollout: Duration,
 }
 
-impl Bound {
+impl LowerBound {
     /// Every instance of a service is away once, and never more at a time than
     /// its budget leaves; the tightest service sets the bound.
-    pub fn of(state: &State, m: &Maintenance) -> Bound {
+    pub fn for_maintenance(state: &State, m: &Maintenance) -> LowerBound {
         let index = Index::new(state);
         let mut rounds = 0;
         for s in state.services().filter(|s| s.pool == m.pool) {
@@ -45,6 +45,6 @@
             rounds = rounds.max(hosts.div_ceil(m.max_parallel));
         }
         let rounds = rounds.max(u32::from(hosts > 0));
-        Bound { rounds, rollout: m.duration * rounds }
+        LowerBound { rounds, rollout: m.duration * rounds }
     }
 }
--- a/crates/workswood-core/src/plan/mod.rs
+++ b/crates/workswood-core/src/plan/mod.rs
@@ -10,10 +10,10 @@
 //! while the list does not show its effect, and carries the generation of the
 //! host as its token.
 
-mod bound;
 mod host_actions;
 mod index;
 mod jobs;
+mod lower_bound;
 mod measure;
 mod observe;
 mod observed;
@@ -25,9 +25,9 @@
 use crate::ids::{Term, UnixMs};
 use crate::record::Record;
 
-pub use bound::Bound;
 pub use host_actions::{HostAction, missing_actions};
 pub use index::Index;
+pub use lower_bound::LowerBound;
 pub use measure::{Measures, Strategy, measure};
 pub use observed::{HostState, ObservedFleet, ObservedHost, ObservedTask};
 pub use wave::{WaveState, WaveStatus, wave_status};
--- a/src/workswood/ops/bench/plan.rs
+++ b/src/workswood/ops/bench/plan.rs
@@ -5,7 +5,9 @@
 use workswood_core::fleet::{FleetFile, Maintenance};
 use workswood_core::fold::State;
 use workswood_core::ids::UnixMs;
-use workswood_core::plan::{Bound, EntryReports, ObservedFleet, Strategy, decide, measure, missing_actions};
+use workswood_core::plan::{
+    EntryReports, LowerBound, ObservedFleet, Strategy, decide, measure, missing_actions,
+};
 use workswood_core::record::{Envelope, FORMAT};
 
 use super::fold::fleet;
@@ -120,7 +122,7 @@
     let state = settled(std::slice::from_ref(file), NOW);
     for m in maintenance {
         let m = Maintenance { start: 0, deadline: 0, keep_clear: Vec::new(), ..m.clone() };
-        let bound = Bound::of(&state, &m);
+        let bound = LowerBound::for_maintenance(&state, &m);
         for (way, strategy) in [("waves", Strategy::Waves), ("rack_by_rack", Strategy::RackByRack)] {
             let x = measure(&state, &m, strategy, NOW);
             crate::outln!(
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -6,8 +6,8 @@
 use workswood_core::fold::State;
 use workswood_core::ids::UnixMs;
 use workswood_core::plan::{
-    Bound, EntryReports, HostState, Measures, ObservedFleet, ObservedHost, ObservedTask, Strategy, decide,
-    measure,
+    EntryReports, HostState, LowerBound, Measures, ObservedFleet, ObservedHost, ObservedTask, Strategy,
+    decide, measure,
 };
 use workswood_core::record::{Duty, Envelope, FORMAT, InstanceStep, Record};
 
@@ -29,7 +29,7 @@
     /// One rack after the other.
     pub racks: Measures,
     /// What no safe plan can beat.
-    pub bound: Bound,
+    pub bound: LowerBound,
 }
 
 /// A log of one writer, folded as it is written.
@@ -140,7 +140,7 @@
         maintenance: m.clone(),
         waves: measure(&state, m, Strategy::Waves, now),
         racks: measure(&state, m, Strategy::RackByRack, now),
-        bound: Bound::of(&state, m),
+        bound: LowerBound::for_maintenance(&state, m),
     });
     let plans = plans.collect();
     (state, plans)
