--- a/crates/workswood-core/src/plan/mod.rs
+++ b/crates/workswood-core/src/plan/mod.rs
@@ -14,11 +14,11 @@
 mod index;
 mod jobs;
 mod lower_bound;
-mod measure;
 mod observe;
 mod observed;
 mod place;
 mod pools;
+mod simulate;
 mod wave;
 
 use crate::fold::State;
@@ -28,8 +28,8 @@
 pub use host_actions::{HostAction, missing_actions};
 pub use index::Index;
 pub use lower_bound::LowerBound;
-pub use measure::{Measures, Strategy, measure};
 pub use observed::{HostState, ObservedFleet, ObservedHost, ObservedTask};
+pub use simulate::{SimulatedRollout, Strategy, simulate_rollout};
 pub use wave::{WaveState, WaveStatus, wave_status};
 
 /// What the planner must know besides the state and the list.
--- a/crates/workswood-core/src/plan/measure.rs
+++ b/crates/workswood-core/src/plan/simulate.rs
@@ -24,7 +24,7 @@
 
 /// What a way costs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Measures {
+pub struct SimulatedRollout {
     /// Instances run beyond those declared.
     pub spare_instances: u32,
     /// Time from the first drain to the last return.
@@ -36,18 +36,19 @@
     /// Hosts by the round they leave in.
     pub rounds: Vec<Vec<HostId>>,
     /// Hosts that could not be maintained in time, with the reason.
-    pub left: Vec<HostId>,
+    #[serde(rename = "left")]
+    pub not_maintained: Vec<HostId>,
 }
 
 /// Goes through a maintenance from `now` on a state whose instances are placed.
-pub fn measure(state: &State, m: &Maintenance, strategy: Strategy, now: UnixMs) -> Measures {
+pub fn simulate_rollout(state: &State, m: &Maintenance, strategy: Strategy, now: UnixMs) -> SimulatedRollout {
     match strategy {
         Strategy::Waves => waves(state, m, now.max(m.start)),
         Strategy::RackByRack => racks(state, m),
     }
 }
 
-fn waves(state: &State, m: &Maintenance, start: UnixMs) -> Measures {
+fn waves(state: &State, m: &Maintenance, start: UnixMs) -> SimulatedRollout {
     let mut state = state.clone();
     let length = m.duration.as_millis() as UnixMs;
     let mut now = start;
@@ -79,9 +80,9 @@
         .hosts
         .iter()
         .filter(|(_, h)| h.pool.as_ref() == Some(&m.pool) && !h.maintained.contains(&m.name));
-    let left = missed.map(|(id, _)| id.clone()).collect();
+    let not_maintained = missed.map(|(id, _)| id.clone()).collect();
     let rollout = Duration::from_millis(end - start);
-    Measures { spare_instances: 0, rollout, host_moves: 0, instance_moves: 0, rounds, left }
+    SimulatedRollout { spare_instances: 0, rollout, host_moves: 0, instance_moves: 0, rounds, not_maintained }
 }
 
 fn set_phase(state: &mut State, host: &HostId, phase: Phase) {
@@ -90,7 +91,7 @@
     }
 }
 
-fn racks(state: &State, m: &Maintenance) -> Measures {
+fn racks(state: &State, m: &Maintenance) -> SimulatedRollout {
     let mut by_rack: BTreeMap<&Rack, Vec<HostId>> = BTreeMap::new();
     for (id, h) in state.hosts.iter().filter(|(_, h)| h.pool.as_ref() == Some(&m.pool)) {
         by_rack.entry(&h.place.rack).or_default().push(id.clone());
@@ -110,7 +111,15 @@
     let rounds: Vec<Vec<HostId>> = by_rack.into_values().collect();
     let rollout = m.duration * rounds.len() as u32;
     let through: BTreeSet<&HostId> = rounds.iter().flatten().collect();
-    let left = state.hosts.iter().filter(|(id, h)| h.pool.as_ref() == Some(&m.pool) && !through.contains(id));
-    let left = left.map(|(id, _)| id.clone()).collect();
-    Measures { spare_instances: spare, rollout, host_moves: 0, instance_moves: 0, rounds, left }
+    let not_maintained =
+        state.hosts.iter().filter(|(id, h)| h.pool.as_ref() == Some(&m.pool) && !through.contains(id));
+    let not_maintained = not_maintained.map(|(id, _)| id.clone()).collect();
+    SimulatedRollout {
+        spare_instances: spare,
+        rollout,
+        host_moves: 0,
+        instance_moves: 0,
+        rounds,
+        not_maintained,
+    }
 }
--- a/src/workswood/ops/bench/plan.rs
+++ b/src/workswood/ops/bench/plan.rs
@@ -6,7 +6,7 @@
 use workswood_core::fold::State;
 use workswood_core::ids::UnixMs;
 use workswood_core::plan::{
-    EntryReports, LowerBound, ObservedFleet, Strategy, decide, measure, missing_actions,
+    EntryReports, LowerBound, ObservedFleet, Strategy, decide, missing_actions, simulate_rollout,
 };
 use workswood_core::record::{Envelope, FORMAT};
 
@@ -33,7 +33,7 @@
         let loss = median((0..RUNS).map(|_| replan(&state, &seen)).collect());
         let m = maintenance("pool0");
         let started = Instant::now();
-        let rounds = measure(&state, &m, Strategy::Waves, NOW).rounds.len();
+        let rounds = simulate_rollout(&state, &m, Strategy::Waves, NOW).rounds.len();
         let wave = started.elapsed().as_secs_f64() * 1e3 / rounds.max(1) as f64;
         crate::outln!("{hosts} {pools} {first:.0} {quiet:.1} {loss:.1} {wave:.1}");
     }
@@ -124,7 +124,7 @@
         let m = Maintenance { start: 0, deadline: 0, keep_clear: Vec::new(), ..m.clone() };
         let bound = LowerBound::for_maintenance(&state, &m);
         for (way, strategy) in [("waves", Strategy::Waves), ("rack_by_rack", Strategy::RackByRack)] {
-            let x = measure(&state, &m, strategy, NOW);
+            let x = simulate_rollout(&state, &m, strategy, NOW);
             crate::outln!(
                 "{name} {} {way} {:.0} {:.2} {} {} {} {}",
                 m.name,
@@ -133,7 +133,7 @@
                 x.host_moves,
                 x.instance_moves,
                 x.spare_instances,
-                x.left.len()
+                x.not_maintained.len()
             );
         }
     }
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -6,8 +6,8 @@
 use workswood_core::fold::State;
 use workswood_core::ids::UnixMs;
 use workswood_core::plan::{
-    EntryReports, HostState, LowerBound, Measures, ObservedFleet, ObservedHost, ObservedTask, Strategy,
-    decide, measure,
+    EntryReports, HostState, LowerBound, ObservedFleet, ObservedHost, ObservedTask, SimulatedRollout,
+    Strategy, decide, simulate_rollout,
 };
 use workswood_core::record::{Duty, Envelope, FORMAT, InstanceStep, Record};
 
@@ -25,9 +25,9 @@
     /// The maintenance.
     pub maintenance: Maintenance,
     /// Our waves.
-    pub waves: Measures,
+    pub waves: SimulatedRollout,
     /// One rack after the other.
-    pub racks: Measures,
+    pub racks: SimulatedRollout,
     /// What no safe plan can beat.
     pub bound: LowerBound,
 }
@@ -138,8 +138,8 @@
     let all = files.iter().flat_map(|f| &f.maintenance);
     let plans = all.map(|m| MaintenancePlan {
         maintenance: m.clone(),
-        waves: measure(&state, m, Strategy::Waves, now),
-        racks: measure(&state, m, Strategy::RackByRack, now),
+        waves: simulate_rollout(&state, m, Strategy::Waves, now),
+        racks: simulate_rollout(&state, m, Strategy::RackByRack, now),
         bound: LowerBound::for_maintenance(&state, m),
     });
     let plans = plans.collect();
@@ -150,25 +150,28 @@
 pub fn refuse_impossible(files: &[FleetFile], now: UnixMs) -> Result<()> {
     let (state, plans) = run(files, now);
     for p in &plans {
-        if p.maintenance.paused || p.waves.left.is_empty() {
+        if p.maintenance.paused || p.waves.not_maintained.is_empty() {
             continue;
         }
         let free = Maintenance { deadline: 0, ..p.maintenance.clone() };
-        let nearest = measure(&state, &free, Strategy::Waves, now);
+        let nearest = simulate_rollout(&state, &free, Strategy::Waves, now);
         let start = now.max(p.maintenance.start);
-        let hint = match nearest.left.is_empty() {
+        let hint = match nearest.not_maintained.is_empty() {
             true => {
                 let end = start + nearest.rollout.as_millis() as UnixMs;
                 format!("the nearest deadline that can be kept is {}", rfc3339_ms(end + 1_000))
             }
             false => {
-                format!("host `{}` can't leave at all: the budgets allow no maintenance", nearest.left[0])
+                format!(
+                    "host `{}` can't leave at all: the budgets allow no maintenance",
+                    nearest.not_maintained[0]
+                )
             }
         };
         let message = format!(
             "maintenance `{}` leaves {} host(s) undone; {hint}",
             p.maintenance.name,
-            p.waves.left.len()
+            p.waves.not_maintained.len()
         );
         return Err(Error::PlanImpossible { message });
     }
@@ -193,10 +196,10 @@
         for (i, hosts) in p.waves.rounds.iter().enumerate() {
             out += &format!("  round {} hosts={}\n", i + 1, hosts.join(","));
         }
-        for host in &p.waves.left {
+        for host in &p.waves.not_maintained {
             out += &format!("  not in time: {host}\n");
         }
-        let line = |name: &str, m: &Measures| {
+        let line = |name: &str, m: &SimulatedRollout| {
             format!(
                 "  {name}: rollout={} host_moves={} instance_moves={} spare_instances={}\n",
                 show_time(m.rollout),
--- a/tests/testsuite/fleet_files.rs
+++ b/tests/testsuite/fleet_files.rs
@@ -26,7 +26,7 @@
         plan::refuse_impossible(std::slice::from_ref(&f), at).expect("its maintenance fits");
         let (state, plans) = plan::run(&[f], at);
         assert_eq!(state.instances.len(), 50);
-        assert!(plans.iter().all(|p| p.waves.left.is_empty() && p.waves.instance_moves == 0));
+        assert!(plans.iter().all(|p| p.waves.not_maintained.is_empty() && p.waves.instance_moves == 0));
     }
 }
 
