--- a/crates/workswood-core/src/plan/lower_bound.rs
+++ b/crates/workswood-core/src/plan/lower_bound.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::index::Index;
+use super::fleet_index::FleetIndex;
 use crate::fleet::Maintenance;
 use crate::fold::State;
 
@@ -20,7 +20,7 @@
     /// Every instance of a service is away once, and never more at a time than
     /// its budget leaves; the tightest service sets the bound.
     pub fn for_maintenance(state: &State, m: &Maintenance) -> LowerBound {
-        let index = Index::new(state);
+        let index = FleetIndex::new(state);
         let mut rounds = 0;
         for s in state.services().filter(|s| s.pool == m.pool) {
             let Some(a) = index.availability.get(&s.name) else { continue };
--- a/crates/workswood-core/src/plan/mod.rs
+++ b/crates/workswood-core/src/plan/mod.rs
@@ -10,8 +10,8 @@
 //! while the list does not show its effect, and carries the generation of the
 //! host as its token.
 
+mod fleet_index;
 mod host_actions;
-mod index;
 mod jobs;
 mod lower_bound;
 mod observe;
@@ -25,8 +25,8 @@
 use crate::ids::{Term, UnixMs};
 use crate::record::Record;
 
+pub use fleet_index::FleetIndex;
 pub use host_actions::{HostAction, missing_actions};
-pub use index::Index;
 pub use lower_bound::LowerBound;
 pub use observed::{HostState, ObservedFleet, ObservedHost, ObservedTask};
 pub use simulate::{SimulatedRollout, Strategy, simulate_rollout};
@@ -54,7 +54,7 @@
     if !records.is_empty() {
         return records;
     }
-    let mut index = Index::new(state);
+    let mut index = FleetIndex::new(state);
     records.extend(pools::records(state, observed, &mut index, term));
     records.extend(place::records(state, observed, &mut index, now, term));
     // Jobs count the room that is left when placements are in the log.
--- a/crates/workswood-core/src/plan/place.rs
+++ b/crates/workswood-core/src/plan/place.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use super::index::Index;
+use super::fleet_index::FleetIndex;
 use super::observed::ObservedFleet;
 use crate::fleet::Service;
 use crate::fold::{HostRec, InstanceRec, Phase, State};
@@ -17,7 +17,7 @@
 pub(super) fn records(
     state: &State,
     observed: &ObservedFleet,
-    index: &mut Index,
+    index: &mut FleetIndex,
     now: UnixMs,
     term: Term,
 ) -> Vec<Record> {
@@ -65,7 +65,14 @@
 }
 
 /// Whether an instance must leave its host now.
-fn leaves(state: &State, index: &mut Index, s: &Service, id: &str, i: &InstanceRec, now: UnixMs) -> bool {
+fn leaves(
+    state: &State,
+    index: &mut FleetIndex,
+    s: &Service,
+    id: &str,
+    i: &InstanceRec,
+    now: UnixMs,
+) -> bool {
     let Some(h) = state.hosts.get(&i.host) else { return true };
     match &h.phase {
         Phase::Drained(DrainReason::Move { .. } | DrainReason::Release) => return true,
@@ -78,7 +85,7 @@
     }
     let number: u32 = id.rsplit_once('/').and_then(|(_, n)| n.parse().ok()).unwrap_or(0);
     let unwanted = number >= s.instances || h.pool.as_ref() != Some(&s.pool);
-    unwanted && (!i.ready || index.take_instance(&s.name, &i.host))
+    unwanted && (!i.ready || index.withdraw_instance(&s.name, &i.host))
 }
 
 /// How a service's instances are spread.
@@ -109,7 +116,7 @@
     /// the emptiest rack, data centre and host.
     fn choose(
         &self,
-        index: &Index,
+        index: &FleetIndex,
         observed: &ObservedFleet,
         s: &Service,
         id: &str,
@@ -130,6 +137,6 @@
             let rack = self.racks.get(&h.place.rack).copied().unwrap_or(0);
             (!runs, rack, centre, used(host).0, (*host).clone())
         };
-        index.pool(&s.pool).iter().filter(fits).min_by_key(rank).map(|(id, _)| (*id).clone())
+        index.pool_hosts(&s.pool).iter().filter(fits).min_by_key(rank).map(|(id, _)| (*id).clone())
     }
 }
--- a/crates/workswood-core/src/plan/pools.rs
+++ b/crates/workswood-core/src/plan/pools.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::index::Index;
+use super::fleet_index::FleetIndex;
 use super::observed::ObservedFleet;
 use crate::fleet::{FleetFile, Pool};
 use crate::fold::{HostRec, Phase, State};
@@ -10,12 +10,17 @@
 use crate::record::{DrainReason, HostStep, Record};
 
 /// Records that fill pools and give released hosts up.
-pub(super) fn records(state: &State, observed: &ObservedFleet, index: &mut Index, term: Term) -> Vec<Record> {
+pub(super) fn records(
+    state: &State,
+    observed: &ObservedFleet,
+    index: &mut FleetIndex,
+    term: Term,
+) -> Vec<Record> {
     let mut all = Vec::new();
     let mut taken: BTreeMap<HostId, PoolId> = BTreeMap::new();
     for (id, rec) in state.hosts.iter().filter(|(_, r)| r.released && r.phase == Phase::Active && !r.foreign)
     {
-        if index.take(id) {
+        if index.withdraw_host(id) {
             all.push(step(term, id, rec, HostStep::Drain { reason: DrainReason::Release }));
         }
     }
@@ -40,7 +45,7 @@
                 continue;
             }
             for id in spare_hosts(state, index, &heading, file, pool, &taken).into_iter().take(want) {
-                if index.take(&id) {
+                if index.withdraw_host(&id) {
                     taken.insert(id.clone(), pool.name.clone());
                     let reason = DrainReason::Move { to: pool.name.clone() };
                     all.push(step(term, &id, &state.hosts[&id], HostStep::Drain { reason }));
@@ -121,7 +126,7 @@
 /// Hosts that other pools can spare, those with the fewest instances first.
 fn spare_hosts(
     state: &State,
-    index: &Index,
+    index: &FleetIndex,
     heading: &BTreeMap<&str, usize>,
     file: &FleetFile,
     to: &Pool,
--- a/crates/workswood-core/src/plan/simulate.rs
+++ b/crates/workswood-core/src/plan/simulate.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-use super::index::Index;
+use super::fleet_index::FleetIndex;
 use super::wave::choose;
 use crate::fleet::Maintenance;
 use crate::fold::{Phase, State};
@@ -55,7 +55,7 @@
     let mut rounds = Vec::new();
     let mut end = start;
     loop {
-        let mut index = Index::new(&state);
+        let mut index = FleetIndex::new(&state);
         let picked = choose(&mut index, m, now);
         if picked.is_empty() {
             // A span that is kept clear is waited out; anything else is final.
--- a/crates/workswood-core/src/plan/wave.rs
+++ b/crates/workswood-core/src/plan/wave.rs
@@ -7,7 +7,7 @@
 
 use serde::Serialize;
 
-use super::index::Index;
+use super::fleet_index::FleetIndex;
 use crate::fleet::{Maintenance, rfc3339_ms};
 use crate::fold::{HostRec, Phase, State};
 use crate::ids::{HostId, Term, UnixMs};
@@ -88,9 +88,9 @@
     left: Vec<(&'a HostId, &'a HostRec)>,
 }
 
-fn members<'a>(index: &Index<'a>, m: &Maintenance) -> Members<'a> {
+fn members<'a>(index: &FleetIndex<'a>, m: &Maintenance) -> Members<'a> {
     let mut all = Members { done: 0, away: Vec::new(), left: Vec::new() };
-    for (id, rec) in index.pool(&m.pool).iter().filter(|(_, r)| !r.released) {
+    for (id, rec) in index.pool_hosts(&m.pool).iter().filter(|(_, r)| !r.released) {
         if rec.under() == Some(&m.name) {
             all.away.push((id, rec));
         } else if rec.maintained.contains(&m.name) {
@@ -103,7 +103,7 @@
 }
 
 /// Records that start the maintenance of hosts.
-pub(super) fn records(state: &State, index: &mut Index, now: UnixMs, term: Term) -> Vec<Record> {
+pub(super) fn records(state: &State, index: &mut FleetIndex, now: UnixMs, term: Term) -> Vec<Record> {
     let mut all = Vec::new();
     for m in state.maintenance() {
         for id in choose(index, m, now) {
@@ -116,7 +116,7 @@
 }
 
 /// The hosts that leave for a maintenance now; takes them from the index.
-pub(super) fn choose(index: &mut Index, m: &Maintenance, now: UnixMs) -> Vec<HostId> {
+pub(super) fn choose(index: &mut FleetIndex, m: &Maintenance, now: UnixMs) -> Vec<HostId> {
     let all = members(index, m);
     if barrier(index, m, &all, now).is_some() {
         return Vec::new();
@@ -140,15 +140,16 @@
 
 /// Takes hosts one by one, each time the one whose leaving costs the tightest
 /// budgets least, until none fits.
-fn pack(index: &mut Index, left: Vec<&HostId>, room: usize) -> Vec<HostId> {
-    let mut ranked: Vec<(f64, &HostId)> = left.into_iter().map(|id| (index.cost(id), id)).collect();
+fn pack(index: &mut FleetIndex, left: Vec<&HostId>, room: usize) -> Vec<HostId> {
+    let mut ranked: Vec<(f64, &HostId)> =
+        left.into_iter().map(|id| (index.withdrawal_cost(id), id)).collect();
     ranked.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1)));
     let mut picked = Vec::new();
     for (_, id) in ranked {
         if picked.len() >= room {
             break;
         }
-        if index.take(id) {
+        if index.withdraw_host(id) {
             picked.push(id.clone());
         }
     }
@@ -156,7 +157,7 @@
 }
 
 /// What keeps any further host from leaving, apart from budgets.
-fn barrier(index: &Index, m: &Maintenance, all: &Members, now: UnixMs) -> Option<WaveState> {
+fn barrier(index: &FleetIndex, m: &Maintenance, all: &Members, now: UnixMs) -> Option<WaveState> {
     let length = m.duration.as_millis() as UnixMs;
     if all.left.is_empty() && all.away.is_empty() {
         return Some(WaveState::Finished);
@@ -191,10 +192,10 @@
 
 /// A host that has been through and is down, or has instances that are not
 /// ready again.
-fn unwell(index: &Index, m: &Maintenance) -> Option<HostId> {
+fn unwell(index: &FleetIndex, m: &Maintenance) -> Option<HostId> {
     let state = index.state;
     let through = index
-        .pool(&m.pool)
+        .pool_hosts(&m.pool)
         .iter()
         .filter(|(_, r)| r.maintained.contains(&m.name) && r.phase == Phase::Active && !r.foreign);
     let ill = |id: &HostId, r: &HostRec| {
@@ -207,11 +208,11 @@
 
 /// Where every maintenance in force stands at a time.
 pub fn wave_status(state: &State, now: UnixMs) -> Vec<WaveStatus> {
-    let index = Index::new(state);
+    let index = FleetIndex::new(state);
     state.maintenance().map(|m| status(&index, m, now)).collect()
 }
 
-fn status(index: &Index, m: &Maintenance, now: UnixMs) -> WaveStatus {
+fn status(index: &FleetIndex, m: &Maintenance, now: UnixMs) -> WaveStatus {
     let all = members(index, m);
     let state = barrier(index, m, &all, now).unwrap_or_else(|| hold(index.state, m, &all));
     WaveStatus {
