--- a/crates/workswood-core/src/plan/simulate.rs
+++ b/crates/workswood-core/src/plan/simulate.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::fleet_index::FleetIndex;
-use super::wave::choose;
+use super::wave::choose_hosts;
 use crate::fleet::Maintenance;
 use crate::fold::{Phase, State};
 use crate::ids::{HostId, Rack, UnixMs};
@@ -56,7 +56,7 @@
     let mut end = start;
     loop {
         let mut index = FleetIndex::new(&state);
-        let picked = choose(&mut index, m, now);
+        let picked = choose_hosts(&mut index, m, now);
         if picked.is_empty() {
             // A span that is kept clear is waited out; anything else is final.
             let Some(w) = m.keep_clear.iter().find(|w| now + length > w.from && now < w.to) else { break };
--- a/crates/workswood-core/src/plan/wave.rs
+++ b/crates/workswood-core/src/plan/wave.rs
@@ -1,9 +1,8 @@
-//! Which hosts are maintained now.
+//! Choice of the hosts that are maintained now.
 //!
-//! A host leaves for maintenance with its instances in place and comes back
-//! with them, so maintenance moves nothing. As many hosts leave together as
-//! the budgets of all services allow. The first host of a maintenance goes
-//! alone: if it does not come back well, nothing else follows.
+//! A host keeps its instances during maintenance, so maintenance moves none of them. As many
+//! hosts leave together as the budgets of all services allow. The first host of a maintenance
+//! is a canary: no other host leaves until it is back and its instances are ready.
 
 use serde::Serialize;
 
@@ -13,30 +12,30 @@
 use crate::ids::{HostId, Term, UnixMs};
 use crate::record::{DrainReason, HostStep, Record};
 
-/// A host that is away for this many times the expected duration is unwell.
+/// A host whose reboot takes more than this many times the expected duration counts as unwell.
 const OVERDUE_FACTOR: u64 = 3;
 
-/// Why a wave takes no further hosts now.
+/// State of a wave, with the reason why no further host leaves.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "stop", rename_all = "snake_case")]
 pub enum WaveState {
-    /// Every host has been through.
+    /// Every host has been maintained.
     Finished,
-    /// The file pauses it.
+    /// The fleet file pauses the maintenance.
     Paused,
-    /// Its start has not come.
+    /// The start time has not come.
     NotYet {
-        /// The start.
+        /// The start time.
         start: String,
     },
-    /// A host could not be back before the deadline.
+    /// A host that left now could not be back before the deadline.
     Deadline {
         /// The deadline.
         deadline: String,
     },
-    /// A host could not be back before a span that is kept clear.
+    /// A host that left now would still be away in a window that is kept clear.
     KeepClear {
-        /// The start of the span.
+        /// Start of the window.
         from: String,
     },
     /// The first host is not back yet.
@@ -44,122 +43,123 @@
         /// The host.
         host: HostId,
     },
-    /// A host has been away for too long, or came back unwell.
+    /// A host has been rebooting for too long, or came back and is unhealthy.
     Unwell {
         /// The host.
         host: HostId,
     },
-    /// Every host left would break the budget of the service named.
+    /// Each of the remaining hosts would break the budget of a service.
     Budget {
-        /// A service that allows no further host.
+        /// One of these services.
         service: String,
     },
-    /// As many hosts are away as the file allows.
+    /// The maximum number of hosts is away.
     MaxParallel,
-    /// Hosts that are left are down or left to other scripts.
+    /// The remaining hosts are down, or something else moved them to another pool.
     HostsMissing {
         /// One of them.
         host: HostId,
     },
-    /// Nothing stops it; hosts are on their way.
+    /// Nothing stops the wave, or its last hosts are away.
     Running,
 }
 
-/// Where a maintenance stands.
+/// Progress of a maintenance.
 #[derive(Clone, Debug, Serialize)]
 pub struct WaveStatus {
-    /// The maintenance.
+    /// Name of the maintenance.
     pub name: String,
-    /// Hosts that have been through.
+    /// Number of hosts that have been maintained.
     pub done: usize,
-    /// Hosts that are away for it.
+    /// Hosts that are away for the maintenance.
     pub away: Vec<HostId>,
-    /// Hosts that are left.
+    /// Number of hosts that still have to leave.
     #[serde(rename = "left")]
     pub remaining: usize,
-    /// Why no further host leaves now.
+    /// State of the wave.
     #[serde(rename = "stop")]
     pub state: WaveState,
 }
 
-struct Members<'a> {
+/// The hosts of a maintained pool by their progress.
+struct WaveHosts<'a> {
     done: usize,
     away: Vec<(&'a HostId, &'a HostRec)>,
-    left: Vec<(&'a HostId, &'a HostRec)>,
+    remaining: Vec<(&'a HostId, &'a HostRec)>,
 }
 
-fn members<'a>(index: &FleetIndex<'a>, m: &Maintenance) -> Members<'a> {
-    let mut all = Members { done: 0, away: Vec::new(), left: Vec::new() };
+fn hosts_of_wave<'a>(index: &FleetIndex<'a>, m: &Maintenance) -> WaveHosts<'a> {
+    let mut hosts = WaveHosts { done: 0, away: Vec::new(), remaining: Vec::new() };
     for (id, rec) in index.pool_hosts(&m.pool).iter().filter(|(_, r)| !r.released) {
         if rec.under() == Some(&m.name) {
-            all.away.push((id, rec));
+            hosts.away.push((id, rec));
         } else if rec.maintained.contains(&m.name) {
-            all.done += 1;
+            hosts.done += 1;
         } else {
-            all.left.push((id, rec));
+            hosts.remaining.push((id, rec));
         }
     }
-    all
+    hosts
 }
 
-/// Records that start the maintenance of hosts.
+/// Returns the records that drain hosts for maintenance.
 pub(super) fn records(state: &State, index: &mut FleetIndex, now: UnixMs, term: Term) -> Vec<Record> {
-    let mut all = Vec::new();
+    let mut records = Vec::new();
     for m in state.maintenance() {
-        for id in choose(index, m, now) {
+        for id in choose_hosts(index, m, now) {
             let rec = &state.hosts[&id];
             let step = HostStep::Drain { reason: DrainReason::Maintain { name: m.name.clone() } };
-            all.push(Record::Host { term, host: id, generation: rec.generation, step });
+            records.push(Record::Host { term, host: id, generation: rec.generation, step });
         }
     }
-    all
+    records
 }
 
-/// The hosts that leave for a maintenance now; takes them from the index.
-pub(super) fn choose(index: &mut FleetIndex, m: &Maintenance, now: UnixMs) -> Vec<HostId> {
-    let all = members(index, m);
-    if barrier(index, m, &all, now).is_some() {
+/// Chooses the hosts that leave for a maintenance now, and withdraws them from the index.
+pub(super) fn choose_hosts(index: &mut FleetIndex, m: &Maintenance, now: UnixMs) -> Vec<HostId> {
+    let hosts = hosts_of_wave(index, m);
+    if blocked_state(index, m, &hosts, now).is_some() {
         return Vec::new();
     }
-    let canary = all.done == 0;
-    let room = match (canary, m.max_parallel) {
+    let canary = hosts.done == 0;
+    let max_away = match (canary, m.max_parallel) {
         (true, _) => 1,
         (false, 0) => usize::MAX,
         (false, n) => n as usize,
     };
-    let room = room.saturating_sub(all.away.len());
-    let usable = |(_, r): &&(&HostId, &HostRec)| r.takes_work();
-    let mut left: Vec<&HostId> = all.left.iter().filter(usable).map(|(id, _)| *id).collect();
-    let works = |id: &&HostId| index.state.by_host.contains_key(*id);
-    if canary && left.iter().any(works) {
-        // A first host without instances would show nothing.
-        left.retain(works);
-    }
-    pack(index, left, room)
+    let max_leaving = max_away.saturating_sub(hosts.away.len());
+    let takes_work = |(_, r): &&(&HostId, &HostRec)| r.takes_work();
+    let mut candidates: Vec<&HostId> = hosts.remaining.iter().filter(takes_work).map(|(id, _)| *id).collect();
+    let has_instances = |id: &&HostId| index.state.by_host.contains_key(*id);
+    if canary && candidates.iter().any(has_instances) {
+        // A canary without instances would not show whether instances become ready again.
+        candidates.retain(has_instances);
+    }
+    withdraw_cheapest(index, candidates, max_leaving)
 }
 
-/// Takes hosts one by one, each time the one whose leaving costs the tightest
-/// budgets least, until none fits.
-fn pack(index: &mut FleetIndex, left: Vec<&HostId>, room: usize) -> Vec<HostId> {
+/// Withdraws up to `max_hosts` hosts that the budgets allow, in order of their cost.
+fn withdraw_cheapest(index: &mut FleetIndex, candidates: Vec<&HostId>, max_hosts: usize) -> Vec<HostId> {
     let mut ranked: Vec<(f64, &HostId)> =
-        left.into_iter().map(|id| (index.withdrawal_cost(id), id)).collect();
+        candidates.into_iter().map(|id| (index.withdrawal_cost(id), id)).collect();
     ranked.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1)));
-    let mut picked = Vec::new();
+    let mut withdrawn = Vec::new();
     for (_, id) in ranked {
-        if picked.len() >= room {
+        if withdrawn.len() >= max_hosts {
             break;
         }
         if index.withdraw_host(id) {
-            picked.push(id.clone());
+            withdrawn.push(id.clone());
         }
     }
-    picked
+    withdrawn
 }
 
-/// What keeps any further host from leaving, apart from budgets.
-fn barrier(index: &FleetIndex, m: &Maintenance, all: &Members, now: UnixMs) -> Option<WaveState> {
-    let length = m.duration.as_millis() as UnixMs;
-    if all.left.is_empty() && all.away.is_empty() {
+/// The state of a wave in which no further host may leave, apart from budgets and the maximum
+/// number of hosts; `None` if hosts may leave.
+fn blocked_state(index: &FleetIndex, m: &Maintenance, hosts: &WaveHosts, now: UnixMs) -> Option<WaveState> {
+    let duration_ms = m.duration.as_millis() as UnixMs;
+    if hosts.remaining.is_empty() && hosts.away.is_empty() {
         return Some(WaveState::Finished);
     }
     if m.paused {
@@ -168,78 +168,80 @@
     if now < m.start {
         return Some(WaveState::NotYet { start: rfc3339_ms(m.start) });
     }
-    let overdue = |(_, r): &&(&HostId, &HostRec)| {
+    let is_overdue = |(_, r): &&(&HostId, &HostRec)| {
         let rebooting = matches!(r.phase, Phase::Rebooting { .. });
-        rebooting && now.saturating_sub(r.since) > length * OVERDUE_FACTOR
+        rebooting && now.saturating_sub(r.since) > duration_ms * OVERDUE_FACTOR
     };
-    if let Some((id, _)) = all.away.iter().find(overdue) {
+    if let Some((id, _)) = hosts.away.iter().find(is_overdue) {
         return Some(WaveState::Unwell { host: (*id).clone() });
     }
-    if let Some(host) = unwell(index, m) {
+    if let Some(host) = unhealthy_host(index, m) {
         return Some(WaveState::Unwell { host });
     }
-    if all.done == 0
-        && let Some((id, _)) = all.away.first()
+    if hosts.done == 0
+        && let Some((id, _)) = hosts.away.first()
     {
         return Some(WaveState::Canary { host: (*id).clone() });
     }
-    if m.deadline != 0 && now + length > m.deadline {
+    if m.deadline != 0 && now + duration_ms > m.deadline {
         return Some(WaveState::Deadline { deadline: rfc3339_ms(m.deadline) });
     }
-    let clash = m.keep_clear.iter().find(|w| now + length > w.from && now < w.to);
-    clash.map(|w| WaveState::KeepClear { from: rfc3339_ms(w.from) })
+    let conflict = m.keep_clear.iter().find(|w| now + duration_ms > w.from && now < w.to);
+    conflict.map(|w| WaveState::KeepClear { from: rfc3339_ms(w.from) })
 }
 
-/// A host that has been through and is down, or has instances that are not
-/// ready again.
-fn unwell(index: &FleetIndex, m: &Maintenance) -> Option<HostId> {
+/// A host that has been maintained and is down, or has instances that are not ready.
+fn unhealthy_host(index: &FleetIndex, m: &Maintenance) -> Option<HostId> {
     let state = index.state;
-    let through = index
+    let maintained = index
         .pool_hosts(&m.pool)
         .iter()
         .filter(|(_, r)| r.maintained.contains(&m.name) && r.phase == Phase::Active && !r.foreign);
-    let ill = |id: &HostId, r: &HostRec| {
-        let on = state.by_host.get(id).into_iter().flatten();
-        let idle = on.filter_map(|i| state.instances.get(i)).any(|i| !i.ready);
-        !r.up || idle
+    let is_unhealthy = |id: &HostId, r: &HostRec| {
+        let instances = state.by_host.get(id).into_iter().flatten();
+        let unready = instances.filter_map(|i| state.instances.get(i)).any(|i| !i.ready);
+        !r.up || unready
     };
-    through.into_iter().find(|(id, r)| ill(id, r)).map(|(id, _)| (*id).clone())
+    maintained.into_iter().find(|(id, r)| is_unhealthy(id, r)).map(|(id, _)| (*id).clone())
 }
 
-/// Where every maintenance in force stands at a time.
+/// The status of every maintenance in force at a time.
 pub fn wave_status(state: &State, now: UnixMs) -> Vec<WaveStatus> {
     let index = FleetIndex::new(state);
     state.maintenance().map(|m| status(&index, m, now)).collect()
 }
 
 fn status(index: &FleetIndex, m: &Maintenance, now: UnixMs) -> WaveStatus {
-    let all = members(index, m);
-    let state = barrier(index, m, &all, now).unwrap_or_else(|| hold(index.state, m, &all));
+    let hosts = hosts_of_wave(index, m);
+    let state =
+        blocked_state(index, m, &hosts, now).unwrap_or_else(|| unblocked_state(index.state, m, &hosts));
     WaveStatus {
         name: m.name.clone(),
-        done: all.done,
-        away: all.away.iter().map(|(id, _)| (*id).clone()).collect(),
-        remaining: all.left.len(),
+        done: hosts.done,
+        away: hosts.away.iter().map(|(id, _)| (*id).clone()).collect(),
+        remaining: hosts.remaining.len(),
         state,
     }
 }
 
-fn hold(state: &State, m: &Maintenance, all: &Members) -> WaveState {
-    if m.max_parallel > 0 && all.away.len() >= m.max_parallel as usize {
+/// The state of a wave from which only budgets, the maximum number of hosts or missing hosts
+/// can keep a further host.
+fn unblocked_state(state: &State, m: &Maintenance, hosts: &WaveHosts) -> WaveState {
+    if m.max_parallel > 0 && hosts.away.len() >= m.max_parallel as usize {
         return WaveState::MaxParallel;
     }
-    let mut budget = None;
-    for (id, r) in &all.left {
+    let mut service_at_limit = None;
+    for (id, r) in &hosts.remaining {
         if !r.takes_work() {
             continue;
         }
         match state.may_leave(id) {
             Ok(()) => return WaveState::Running,
-            Err(crate::fold::Void::Budget(service)) => budget = Some(service),
+            Err(crate::fold::Void::Budget(service)) => service_at_limit = Some(service),
             Err(_) => {}
         }
     }
-    match (budget, all.left.first()) {
+    match (service_at_limit, hosts.remaining.first()) {
         (Some(service), _) => WaveState::Budget { service },
         (None, Some((id, _))) => WaveState::HostsMissing { host: (*id).clone() },
         (None, None) => WaveState::Running,
