--- a/crates/workswood-core/src/plan/host_actions.rs
+++ b/crates/workswood-core/src/plan/host_actions.rs
@@ -1,4 +1,4 @@
-//! Calls on the platform that bring its list nearer to the state.
+//! Actions that the platform must carry out so that its hosts match the state.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,13 +6,13 @@
 use crate::fold::{HostRec, JobPhase, Phase, State};
 use crate::ids::{HostId, PoolId};
 
-/// One call on the platform. Every call may be made twice: the platform
-/// refuses a token lower than the highest it has seen for the same thing, and
-/// a reboot names the boot that it ends.
+/// An action of the platform on a host or on a task there. An action may be requested more than
+/// once: the platform refuses a token that is lower than the highest one it has received for the
+/// host or task, and a reboot names the boot that it ends.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(tag = "act", rename_all = "snake_case")]
 pub enum HostAction {
-    /// Puts a host into a pool.
+    /// Assigns a host to a pool.
     SetPool {
         /// The host.
         host: HostId,
@@ -21,14 +21,14 @@
         /// Fencing token.
         token: u64,
     },
-    /// Lets a host take no new work.
+    /// Stops new work on a host.
     Drain {
         /// The host.
         host: HostId,
         /// Fencing token.
         token: u64,
     },
-    /// Lets a host take work again.
+    /// Ends a drain, so that the host takes work again.
     Undrain {
         /// The host.
         host: HostId,
@@ -39,7 +39,7 @@
     Reboot {
         /// The host.
         host: HostId,
-        /// Boot id that ends.
+        /// Boot id before the reboot.
         boot: String,
         /// Fencing token.
         token: u64,
@@ -65,7 +65,7 @@
 }
 
 impl HostAction {
-    /// The host that the act is on.
+    /// The host that the action affects.
     pub fn host(&self) -> &HostId {
         match self {
             HostAction::SetPool { host, .. }
@@ -78,77 +78,83 @@
     }
 }
 
-/// All calls that the list shows to be missing.
+/// Returns the actions that follow from the state and whose effect the platform's list does not
+/// show. Hosts that are down, or that something else moved to another pool, are left out.
 pub fn missing_actions(state: &State, observed: &ObservedFleet) -> Vec<HostAction> {
-    let mut all = Vec::new();
+    let mut actions = Vec::new();
     for (id, rec) in state.hosts.iter().filter(|(_, r)| !r.foreign) {
-        let Some(s) = observed.hosts.get(id).filter(|s| s.state != HostState::Down) else { continue };
-        all.extend(actions_for_host(id, rec, s));
-        all.extend(starts(state, id, rec, s));
-        all.extend(stops(state, id, s));
+        let Some(host) = observed.hosts.get(id).filter(|h| h.state != HostState::Down) else { continue };
+        actions.extend(host_changes(id, rec, host));
+        actions.extend(missing_starts(state, id, rec, host));
+        actions.extend(missing_stops(state, id, host));
     }
-    all
+    actions
 }
 
-fn actions_for_host(id: &HostId, rec: &HostRec, s: &ObservedHost) -> Vec<HostAction> {
-    let mut all = Vec::new();
+/// Changes of the host itself: its pool, a drain or its end, a reboot.
+fn host_changes(id: &HostId, rec: &HostRec, observed: &ObservedHost) -> Vec<HostAction> {
+    let mut actions = Vec::new();
     let host = id.clone();
     if let Some(pool) =
-        rec.pool.clone().filter(|p| s.pool.as_ref() != Some(p) && s.token < rec.pool_generation)
+        rec.pool.clone().filter(|p| observed.pool.as_ref() != Some(p) && observed.token < rec.pool_generation)
     {
-        // Later acts carry higher tokens, which would make the pool look as if
-        // others had set it: they wait until the list shows this one.
+        // Other actions wait until the list shows the pool. They carry higher tokens, and with
+        // those on the host the old pool would look as if something else had set it.
         return vec![HostAction::SetPool { host, pool, token: rec.pool_generation }];
     }
     match &rec.phase {
-        Phase::Draining(_) | Phase::Drained(_) if !s.draining || s.token < rec.act_generation => {
-            all.push(HostAction::Drain { host, token: rec.act_generation });
+        Phase::Draining(_) | Phase::Drained(_)
+            if !observed.draining || observed.token < rec.act_generation =>
+        {
+            actions.push(HostAction::Drain { host, token: rec.act_generation });
         }
-        // It also fences off a drain that is still on its way. A later drain
-        // by other scripts stays.
-        Phase::Active if s.token < rec.act_generation => {
-            all.push(HostAction::Undrain { host, token: rec.act_generation });
+        // The token of an `Undrain` also fences off an earlier `Drain` that has not arrived yet.
+        // A drain that something else requests later is left in place.
+        Phase::Active if observed.token < rec.act_generation => {
+            actions.push(HostAction::Undrain { host, token: rec.act_generation });
         }
-        Phase::Rebooting { boot, .. } if s.boot == *boot => {
-            all.push(HostAction::Reboot { host, boot: boot.clone(), token: rec.act_generation });
+        Phase::Rebooting { boot, .. } if observed.boot == *boot => {
+            actions.push(HostAction::Reboot { host, boot: boot.clone(), token: rec.act_generation });
         }
         _ => {}
     }
-    all
+    actions
 }
 
-fn starts(state: &State, id: &HostId, rec: &HostRec, s: &ObservedHost) -> Vec<HostAction> {
-    if !rec.takes_work() || s.draining {
+/// Starts of the instances and jobs that should run on a host and do not.
+fn missing_starts(state: &State, id: &HostId, rec: &HostRec, observed: &ObservedHost) -> Vec<HostAction> {
+    if !rec.takes_work() || observed.draining {
         return Vec::new();
     }
-    let running = |task: &str, token: u64| s.tasks.iter().any(|t| t.id == task && t.token >= token);
+    let is_running = |task: &str, token: u64| observed.tasks.iter().any(|t| t.id == task && t.token >= token);
     let instances = state.by_host.get(id).into_iter().flatten();
-    let placed = instances.filter_map(|i| state.instances.get(i).map(|r| (i, r.token)));
+    let instances = instances.filter_map(|i| state.instances.get(i).map(|r| (i, r.token)));
     let jobs =
         state.jobs.iter().filter(|(_, j)| matches!(&j.phase, JobPhase::Running { host } if host == id));
-    let all = placed.chain(jobs.map(|(name, j)| (name, j.token)));
-    let missing = all.filter(|(task, token)| !running(task, *token));
+    let tasks = instances.chain(jobs.map(|(name, j)| (name, j.token)));
+    let missing = tasks.filter(|(task, token)| !is_running(task, *token));
     missing.map(|(task, token)| HostAction::Start { host: id.clone(), task: task.clone(), token }).collect()
 }
 
-/// Tasks of ours that run where they should not.
-fn stops(state: &State, id: &HostId, s: &ObservedHost) -> Vec<HostAction> {
-    let mut all = Vec::new();
-    // Tokens are offsets: a start that is not folded yet is not judged.
-    for t in s.tasks.iter().filter(|t| t.ended.is_none() && t.token > 0 && t.token < state.next) {
-        let elsewhere = match (state.instances.get(&t.id), state.jobs.get(&t.id)) {
+/// Stops of the tasks of declared services and jobs that run on a host and should not.
+fn missing_stops(state: &State, id: &HostId, observed: &ObservedHost) -> Vec<HostAction> {
+    let mut actions = Vec::new();
+    // Tokens are offsets. A task whose start is not folded yet may be wanted.
+    for t in observed.tasks.iter().filter(|t| t.ended.is_none() && t.token > 0 && t.token < state.next) {
+        let unwanted = match (state.instances.get(&t.id), state.jobs.get(&t.id)) {
             (Some(i), _) => i.host != *id && t.token < i.token,
             (None, Some(j)) => {
                 t.token < j.token || !matches!(&j.phase, JobPhase::Running { host } if host == id)
             }
-            // Only a service in force is ours to stop; its number is not wanted.
+            // An instance that a declared service no longer has. Other tasks do not belong to this
+            // system.
             (None, None) => {
                 t.token > 0 && t.id.rsplit_once('/').is_some_and(|(name, _)| state.service(name).is_some())
             }
         };
-        if elsewhere {
-            all.push(HostAction::Stop { host: id.clone(), task: t.id.clone(), token: t.token });
+        if unwanted {
+            actions.push(HostAction::Stop { host: id.clone(), task: t.id.clone(), token: t.token });
         }
     }
-    all
+    actions
 }
