--- a/crates/workswood-core/src/plan/lower_bound.rs
+++ b/crates/workswood-core/src/plan/lower_bound.rs
@@ -1,4 +1,4 @@
-//! Lower bounds that no safe plan can beat.
+//! Lower bound of the time that a maintenance takes under its budgets.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,37 +7,40 @@
 use crate::fleet::Maintenance;
 use crate::fold::State;
 
-/// The least that a maintenance can cost.
+/// The minimum cost of a maintenance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LowerBound {
-    /// Rounds of one duration each.
+    /// Number of rounds, each as long as one host is away.
     pub rounds: u32,
-    /// The time that they take.
+    /// Duration of all rounds.
     pub rollout: Duration,
 }
 
 impl LowerBound {
-    /// Every instance of a service is away once, and never more at a time than
-    /// its budget leaves; the tightest service sets the bound.
+    /// Computes the bound of a maintenance: every host and every instance of the pool is away once,
+    /// and never more of them at a time than the maintenance and the tightest budget allow.
     pub fn for_maintenance(state: &State, m: &Maintenance) -> LowerBound {
         let index = FleetIndex::new(state);
         let mut rounds = 0;
         for s in state.services().filter(|s| s.pool == m.pool) {
-            let Some(a) = index.availability.get(&s.name) else { continue };
-            let mut free = a.available.saturating_sub(s.budget.min_available);
+            let Some(availability) = index.availability.get(&s.name) else { continue };
+            let mut max_away = availability.available.saturating_sub(s.budget.min_available);
             if s.budget.reserve_rack {
-                // Even after leaving, some rack still holds at least one.
-                free = free.saturating_sub(1);
+                // The rack that is held in reserve has at least one instance.
+                max_away = max_away.saturating_sub(1);
             }
-            rounds = rounds.max(a.available.div_ceil(free.max(1)));
-            if let Some(most) = s.budget.max_unavailable_per_data_centre {
-                let mut centres: BTreeMap<&str, u32> = BTreeMap::new();
+            rounds = rounds.max(availability.available.div_ceil(max_away.max(1)));
+            if let Some(max_unavailable) = s.budget.max_unavailable_per_data_centre {
+                let mut by_data_centre: BTreeMap<&str, u32> = BTreeMap::new();
                 for (_, i) in state.instances_of(&s.name) {
                     if let Some(h) = state.hosts.get(&i.host) {
-                        *centres.entry(&h.place.data_centre).or_default() += 1;
+                        *by_data_centre.entry(&h.place.data_centre).or_default() += 1;
                     }
                 }
-                rounds = centres.values().map(|n| n.div_ceil(most.max(1))).fold(rounds, u32::max);
+                rounds = by_data_centre
+                    .values()
+                    .map(|n| n.div_ceil(max_unavailable.max(1)))
+                    .fold(rounds, u32::max);
             }
         }
         let hosts = state.hosts.values().filter(|h| h.pool.as_ref() == Some(&m.pool)).count() as u32;
