--- a/crates/workswood-core/src/plan/observed.rs
+++ b/crates/workswood-core/src/plan/observed.rs
@@ -1,4 +1,4 @@
-//! The platform's list as the planner reads it. It lags and may be wrong.
+//! The platform's list of hosts and tasks, which may be out of date or wrong.
 
 use std::collections::BTreeMap;
 
@@ -11,60 +11,60 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
-    /// It answers the platform.
+    /// It responds to the platform.
     Live,
-    /// The platform is about to take it away.
+    /// The platform is about to remove it.
     Leaving,
-    /// It does not answer.
+    /// It does not respond.
     Down,
 }
 
-/// A task that the platform runs on a host.
+/// A task in the platform's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObservedTask {
     /// Name of the instance or job.
     pub id: String,
-    /// IP address and port, for instances.
+    /// IP address and port of an instance; empty for a job.
     pub address: String,
-    /// Whether it takes work.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// Processors it uses as last reported, in thousandths of a core.
+    /// Last reported processor usage, in thousandths of a core.
     pub used_millis: u64,
-    /// How it ended; none while it runs.
+    /// Whether it ended with success; `None` while it runs.
     pub ended: Option<bool>,
-    /// Token it was started with.
+    /// Fencing token of its start.
     pub token: u64,
 }
 
 /// A host in the platform's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObservedHost {
-    /// Where it stands.
+    /// Data centre and rack.
     pub place: Place,
-    /// Processors in cores.
+    /// Number of processor cores.
     pub cpus: u32,
     /// Memory in GiB.
     pub memory_gib: u32,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
-    /// The pool that the platform has it in.
+    /// The pool that it belongs to on the platform.
     pub pool: Option<PoolId>,
-    /// Its state.
+    /// Whether the platform reaches it.
     pub state: HostState,
     /// Whether it takes no new work.
     pub draining: bool,
-    /// Whether no work is left on it while it drains.
+    /// Whether it is draining and has no work left.
     pub drained: bool,
-    /// Changes with each boot.
+    /// Boot id, different after each boot.
     pub boot: String,
-    /// Highest token of an act carried out on it.
+    /// Highest fencing token of the actions that were carried out on it.
     pub token: u64,
     /// Tasks on it.
     pub tasks: Vec<ObservedTask>,
 }
 
 impl ObservedHost {
-    /// A host as declared: live, in no pool, just booted, without tasks.
+    /// A host as a fleet file declares it, live after its first boot, without a pool or tasks.
     pub fn newly_declared(h: &Host) -> ObservedHost {
         ObservedHost {
             place: h.place(),
@@ -82,11 +82,11 @@
     }
 }
 
-/// The whole list.
+/// The platform's list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ObservedFleet {
     /// Hosts by name.
     pub hosts: BTreeMap<HostId, ObservedHost>,
-    /// Peer addresses of entry processes that the platform knows.
+    /// Peer addresses of the entry processes that the platform knows.
     pub entries: Vec<String>,
 }
