--- a/crates/workswood-core/src/plan/jobs.rs
+++ b/crates/workswood-core/src/plan/jobs.rs
@@ -157,6 +157,6 @@
 /// Declared processors or more than the reported use, in whole cores.
 fn cautious_cpus(observed: &ObservedFleet, host: &HostId, j: &Job) -> i64 {
     let task = observed.hosts.get(host).and_then(|h| h.tasks.iter().find(|t| t.id == j.name));
-    let used = task.map_or(0, |t| (t.used_millis * USE_MARGIN_PERCENT / 100).div_ceil(1_000));
+    let used = task.map_or(0, |t| (t.used_millicores * USE_MARGIN_PERCENT / 100).div_ceil(1_000));
     i64::from(j.cpus).max(used as i64)
 }
--- a/crates/workswood-core/src/plan/observed.rs
+++ b/crates/workswood-core/src/plan/observed.rs
@@ -29,7 +29,8 @@
     /// Whether it accepts requests.
     pub ready: bool,
     /// Last reported processor usage, in thousandths of a core.
-    pub used_millis: u64,
+    #[serde(rename = "used_millis")]
+    pub used_millicores: u64,
     /// Whether it ended with success; `None` while it runs.
     pub ended: Option<bool>,
     /// Fencing token of its start.
--- a/crates/workswood-standin/src/hosts.rs
+++ b/crates/workswood-standin/src/hosts.rs
@@ -37,7 +37,7 @@
             id: id.clone(),
             address: t.endpoint.as_ref().map(|e| e.address.to_string()).unwrap_or_default(),
             ready: t.endpoint.is_some() && self.seen.state == HostState::Live,
-            used_millis: 0,
+            used_millicores: 0,
             ended: t.ended,
             token: t.token,
         });
--- a/crates/workswood-test-support/src/platform.rs
+++ b/crates/workswood-test-support/src/platform.rs
@@ -134,7 +134,7 @@
             id: task.to_string(),
             address: "127.0.0.1:1".to_string(),
             ready: instance,
-            used_millis: 0,
+            used_millicores: 0,
             ended: None,
             token,
         });
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -92,7 +92,7 @@
             id: i.clone(),
             address: ADDRESS.to_string(),
             ready: true,
-            used_millis: 0,
+            used_millicores: 0,
             ended: None,
             token: state.instances.get(i).map_or(0, |r| r.token),
         };
@@ -124,7 +124,7 @@
                 id: instance.clone(),
                 address: ADDRESS.to_string(),
                 ready: true,
-                used_millis: 0,
+                used_millicores: 0,
                 ended: None,
                 token: 1,
             });
