--- a/crates/workswood-core/src/plan/jobs.rs
+++ b/crates/workswood-core/src/plan/jobs.rs
@@ -1,162 +1,171 @@
-//! Which jobs start where, which are stopped for urgent ones, and which have
-//! ended.
+//! Starts and preemptions of jobs, and the ends that the platform's list shows.
 
 use std::collections::BTreeMap;
 
 use super::observed::ObservedFleet;
-use super::place::loads;
+use super::place::instance_loads;
 use crate::fleet::{Class, Job};
 use crate::fold::{HostRec, JobPhase, JobRec, State};
 use crate::ids::{HostId, JobId, Term, UnixMs};
 use crate::record::{JobStep, Record};
 
-/// Jobs started in one round, so that one record batch stays small.
-const MOST_STARTS: usize = 256;
-/// How long a job on a lost host is given to be seen again.
+/// Maximum number of waiting jobs considered in one round, which bounds the batch of records.
+const MAX_STARTS_PER_ROUND: usize = 256;
+/// How long a host may be down before the jobs on it count as lost.
 const LOST_AFTER_MS: UnixMs = 30_000;
-/// A running job counts with its declared size or this many percent of its
-/// reported use, whichever is more.
-const USE_MARGIN_PERCENT: u64 = 120;
+/// A running job reserves this percentage of its reported processor usage, if that is more than
+/// it declares.
+const USAGE_PERCENT: u64 = 120;
 
-/// Records of jobs that end, start or are stopped now.
+/// Returns the records of jobs that end, start or are preempted now.
 pub(super) fn records(state: &State, observed: &ObservedFleet, now: UnixMs, term: Term) -> Vec<Record> {
     let jobs: Vec<&Job> = state.declared_jobs().collect();
     if jobs.is_empty() {
         return Vec::new();
     }
-    let mut steps = ended(state, observed, now);
-    let mut room = Room::new(state, observed, &jobs);
-    let mut waiting: Vec<&&Job> = jobs.iter().filter(|j| waits(state, &j.name)).collect();
+    let mut steps = end_steps(state, observed, now);
+    let mut capacity = FreeCapacity::new(state, observed, &jobs);
+    let mut waiting: Vec<&&Job> = jobs.iter().filter(|j| is_waiting(state, &j.name)).collect();
     waiting.sort_by_key(|j| (j.class, j.name.clone()));
-    for j in waiting.into_iter().take(MOST_STARTS) {
-        steps.extend(room.start(state, j));
+    for j in waiting.into_iter().take(MAX_STARTS_PER_ROUND) {
+        steps.extend(capacity.start(state, j));
     }
     steps.into_iter().map(|(job, step)| Record::Job { term, job, step }).collect()
 }
 
-fn waits(state: &State, job: &str) -> bool {
+fn is_waiting(state: &State, job: &str) -> bool {
     state.jobs.get(job).is_none_or(|r| r.phase == JobPhase::Waiting)
 }
 
-/// Jobs whose end the list shows, and jobs lost with their host.
-fn ended(state: &State, observed: &ObservedFleet, now: UnixMs) -> Vec<(JobId, JobStep)> {
+/// Steps of the jobs that the list shows as ended or whose host is lost.
+fn end_steps(state: &State, observed: &ObservedFleet, now: UnixMs) -> Vec<(JobId, JobStep)> {
     let running = state.jobs.iter().filter_map(|(id, r)| match &r.phase {
         JobPhase::Running { host } => Some((id, r, host)),
         _ => None,
     });
     let end = |(id, r, host): (&JobId, &JobRec, &HostId)| {
-        let on = observed.hosts.get(host);
-        let task = on.and_then(|h| h.tasks.iter().find(|t| t.id == *id && t.token == r.token));
+        let observed_host = observed.hosts.get(host);
+        let task = observed_host.and_then(|h| h.tasks.iter().find(|t| t.id == *id && t.token == r.token));
         if let Some(ok) = task.and_then(|t| t.ended) {
             return Some((id.clone(), JobStep::End { ok }));
         }
-        // What the list shows on a host that is gone is old.
-        lost(state, host, r, now).then(|| (id.clone(), JobStep::Lost))
+        // A task that the list shows as running on a host that is down may be out of date.
+        is_lost(state, host, r, now).then(|| (id.clone(), JobStep::Lost))
     };
     running.filter_map(end).collect()
 }
 
-/// Whether a running job's host has been gone for too long.
-fn lost(state: &State, host: &HostId, r: &JobRec, now: UnixMs) -> bool {
-    let gone = state.hosts.get(host).map_or(Some(r.since), |h| (!h.up).then_some(h.since.max(r.since)));
-    gone.is_some_and(|since| now.saturating_sub(since) > LOST_AFTER_MS)
+/// Whether the host of a running job has been down or unknown for too long.
+fn is_lost(state: &State, host: &HostId, r: &JobRec, now: UnixMs) -> bool {
+    let down_since = state.hosts.get(host).map_or(Some(r.since), |h| (!h.up).then_some(h.since.max(r.since)));
+    down_since.is_some_and(|since| now.saturating_sub(since) > LOST_AFTER_MS)
 }
 
-/// Room on hosts and in quotas, kept up to date by the round.
-struct Room<'a> {
-    free: BTreeMap<&'a HostId, (i64, i64)>,
-    quota: BTreeMap<&'a str, i64>,
+/// Free capacity of hosts and of team quotas, reduced by the jobs that the round starts.
+struct FreeCapacity<'a> {
+    /// Free processor cores and memory in GiB of each host that takes work.
+    hosts: BTreeMap<&'a HostId, (i64, i64)>,
+    /// Processor cores that each team may still use.
+    quota_cpus: BTreeMap<&'a str, i64>,
+    /// Running jobs, without those that the round preempts.
     running: Vec<(&'a Job, &'a HostId)>,
 }
 
-impl<'a> Room<'a> {
-    fn new(state: &'a State, observed: &ObservedFleet, jobs: &[&'a Job]) -> Room<'a> {
-        let load = loads(state);
+impl<'a> FreeCapacity<'a> {
+    fn new(state: &'a State, observed: &ObservedFleet, jobs: &[&'a Job]) -> FreeCapacity<'a> {
+        let loads = instance_loads(state);
         let free = state.hosts.iter().filter(|(_, h)| h.takes_work()).map(|(id, h)| {
-            let (cpus, memory) = load.get(id).copied().unwrap_or_default();
+            let (cpus, memory) = loads.get(id).copied().unwrap_or_default();
             (id, (i64::from(h.cpus) - i64::from(cpus), i64::from(h.memory_gib) - i64::from(memory)))
         });
         let teams = state.fleet_files().flat_map(|f| &f.teams);
-        let mut room = Room {
-            free: free.collect(),
-            quota: teams.map(|t| (t.name.as_str(), i64::from(t.quota_cpus))).collect(),
+        let mut capacity = FreeCapacity {
+            hosts: free.collect(),
+            quota_cpus: teams.map(|t| (t.name.as_str(), i64::from(t.quota_cpus))).collect(),
             running: Vec::new(),
         };
         for j in jobs {
             if let Some(JobPhase::Running { host }) = state.jobs.get(&j.name).map(|r| &r.phase) {
                 let Some((host, _)) = state.hosts.get_key_value(host) else { continue };
-                room.take(j, host, cautious_cpus(observed, host, j));
-                room.running.push((j, host));
+                capacity.reserve(j, host, reserved_cpus(observed, host, j));
+                capacity.running.push((j, host));
             }
         }
-        room
+        capacity
     }
 
-    fn take(&mut self, j: &'a Job, host: &'a HostId, cpus: i64) {
-        if let Some((c, m)) = self.free.get_mut(host) {
-            *c -= cpus;
-            *m -= i64::from(j.memory_gib);
+    /// Reserves capacity for a job on a host: `cpus` cores of the host, and what the job declares
+    /// of the quota and of the memory.
+    fn reserve(&mut self, j: &'a Job, host: &'a HostId, cpus: i64) {
+        if let Some((free_cpus, free_gib)) = self.hosts.get_mut(host) {
+            *free_cpus -= cpus;
+            *free_gib -= i64::from(j.memory_gib);
         }
-        if let Some(q) = self.quota.get_mut(j.team.as_str()) {
-            *q -= i64::from(j.cpus);
+        if let Some(quota) = self.quota_cpus.get_mut(j.team.as_str()) {
+            *quota -= i64::from(j.cpus);
         }
     }
 
     fn fits(&self, host: &HostId, j: &Job) -> bool {
-        let room = self.free.get(host).copied().unwrap_or_default();
-        room.0 >= i64::from(j.cpus) && room.1 >= i64::from(j.memory_gib)
+        let (cpus, gib) = self.hosts.get(host).copied().unwrap_or_default();
+        cpus >= i64::from(j.cpus) && gib >= i64::from(j.memory_gib)
     }
 
+    /// Steps that start a waiting job, or preempt others for an urgent one; none while the quota of
+    /// its team is used up or there is no room for it.
     fn start(&mut self, state: &'a State, j: &'a Job) -> Vec<(JobId, JobStep)> {
-        if self.quota.get(j.team.as_str()).copied().unwrap_or(0) < i64::from(j.cpus) {
+        if self.quota_cpus.get(j.team.as_str()).copied().unwrap_or(0) < i64::from(j.cpus) {
             return Vec::new();
         }
-        let in_pool = |h: &HostRec| h.pool.as_ref() == Some(&j.pool) && h.takes_work();
-        let hosts = state.hosts.iter().filter(|(_, h)| in_pool(h)).map(|(id, _)| id);
-        let best = hosts.filter(|id| self.fits(id, j)).max_by_key(|id| self.free.get(id).map(|f| f.0));
+        let is_usable = |h: &HostRec| h.pool.as_ref() == Some(&j.pool) && h.takes_work();
+        let hosts = state.hosts.iter().filter(|(_, h)| is_usable(h)).map(|(id, _)| id);
+        let best = hosts.filter(|id| self.fits(id, j)).max_by_key(|id| self.hosts.get(id).map(|free| free.0));
         if let Some(host) = best {
-            self.take(j, host, i64::from(j.cpus));
+            self.reserve(j, host, i64::from(j.cpus));
             return vec![(j.name.clone(), JobStep::Start { host: host.clone() })];
         }
         if j.class == Class::Urgent { self.preempt(j) } else { Vec::new() }
     }
 
-    /// Stops the least urgent repeatable jobs of one host of the pool; the
-    /// urgent job starts there when they are gone.
+    /// Preempts repeatable jobs of lower classes on one host of the pool, the least urgent first.
+    /// The urgent job starts in a later round, when they have stopped.
     fn preempt(&mut self, j: &Job) -> Vec<(JobId, JobStep)> {
-        let lower = |(o, _): &&(&'a Job, &'a HostId)| o.pool == j.pool && o.class > j.class && o.repeatable;
+        let preemptible = |(other, _): &&(&'a Job, &'a HostId)| {
+            other.pool == j.pool && other.class > j.class && other.repeatable
+        };
         let mut by_host: BTreeMap<&HostId, Vec<&Job>> = BTreeMap::new();
-        for (o, host) in self.running.iter().filter(lower) {
-            by_host.entry(host).or_default().push(o);
+        for (other, host) in self.running.iter().filter(preemptible) {
+            by_host.entry(host).or_default().push(other);
         }
         let mut best: Option<(&HostId, Vec<&Job>)> = None;
         for (host, mut jobs) in by_host {
-            jobs.sort_by_key(|o| (std::cmp::Reverse(o.class), o.cpus));
-            let mut room = self.free.get(host).copied().unwrap_or_default();
-            let mut victims = Vec::new();
-            for o in jobs {
-                if room.0 >= i64::from(j.cpus) && room.1 >= i64::from(j.memory_gib) {
+            jobs.sort_by_key(|other| (std::cmp::Reverse(other.class), other.cpus));
+            let (mut cpus, mut gib) = self.hosts.get(host).copied().unwrap_or_default();
+            let mut preempted = Vec::new();
+            for other in jobs {
+                if cpus >= i64::from(j.cpus) && gib >= i64::from(j.memory_gib) {
                     break;
                 }
-                room.0 += i64::from(o.cpus);
-                room.1 += i64::from(o.memory_gib);
-                victims.push(o);
+                cpus += i64::from(other.cpus);
+                gib += i64::from(other.memory_gib);
+                preempted.push(other);
             }
-            let enough = room.0 >= i64::from(j.cpus) && room.1 >= i64::from(j.memory_gib);
-            if enough && best.as_ref().is_none_or(|(_, v)| victims.len() < v.len()) {
-                best = Some((host, victims));
+            let enough = cpus >= i64::from(j.cpus) && gib >= i64::from(j.memory_gib);
+            if enough && best.as_ref().is_none_or(|(_, v)| preempted.len() < v.len()) {
+                best = Some((host, preempted));
             }
         }
-        let Some((_, victims)) = best else { return Vec::new() };
-        let names: Vec<JobId> = victims.iter().map(|o| o.name.clone()).collect();
-        self.running.retain(|(o, _)| !names.contains(&o.name));
+        let Some((_, preempted)) = best else { return Vec::new() };
+        let names: Vec<JobId> = preempted.iter().map(|other| other.name.clone()).collect();
+        self.running.retain(|(other, _)| !names.contains(&other.name));
         names.into_iter().map(|n| (n, JobStep::Preempt)).collect()
     }
 }
 
-/// Declared processors or more than the reported use, in whole cores.
-fn cautious_cpus(observed: &ObservedFleet, host: &HostId, j: &Job) -> i64 {
+/// Processor cores that a running job reserves: those that it declares, or its reported usage
+/// with a margin if that is more.
+fn reserved_cpus(observed: &ObservedFleet, host: &HostId, j: &Job) -> i64 {
     let task = observed.hosts.get(host).and_then(|h| h.tasks.iter().find(|t| t.id == j.name));
-    let used = task.map_or(0, |t| (t.used_millicores * USE_MARGIN_PERCENT / 100).div_ceil(1_000));
+    let used = task.map_or(0, |t| (t.used_millicores * USAGE_PERCENT / 100).div_ceil(1_000));
     i64::from(j.cpus).max(used as i64)
 }
--- a/crates/workswood-core/src/plan/place.rs
+++ b/crates/workswood-core/src/plan/place.rs
@@ -1,5 +1,5 @@
-//! Where instances run: stay where they are if they can, else spread over
-//! data centres and racks.
+//! Placement of instances. An instance stays on its host as long as it can; a missing one is
+//! placed so that the service is spread over racks and data centres.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 use crate::ids::{HostId, InstanceId, Term, UnixMs};
 use crate::record::{DrainReason, InstanceStep, Record};
 
-/// How long a failed host may take to come back before its instances move.
+/// How long a host may be down or foreign before its instances are placed elsewhere.
 pub const REPLACE_AFTER_MS: UnixMs = 30_000;
 
-/// Records that place missing instances and remove those that must go.
+/// Returns the records that remove instances from hosts they must leave and place missing ones.
 pub(super) fn records(
     state: &State,
     observed: &ObservedFleet,
@@ -21,51 +21,53 @@
     now: UnixMs,
     term: Term,
 ) -> Vec<Record> {
-    let mut all = Vec::new();
-    let mut load: Option<BTreeMap<HostId, (u32, u32)>> = None;
+    let mut records = Vec::new();
+    let mut loads: Option<BTreeMap<HostId, (u32, u32)>> = None;
     for s in state.services() {
-        let have: Vec<(&InstanceId, &InstanceRec)> = state.instances_of(&s.name).collect();
-        for (id, i) in &have {
-            if leaves(state, index, s, id, i, now) {
-                all.push(Record::Instance { term, instance: (*id).clone(), step: InstanceStep::Remove });
+        let placed: Vec<(&InstanceId, &InstanceRec)> = state.instances_of(&s.name).collect();
+        for (id, i) in &placed {
+            if must_leave(state, index, s, id, i, now) {
+                records.push(Record::Instance { term, instance: (*id).clone(), step: InstanceStep::Remove });
             }
         }
-        if have.len() >= s.instances as usize {
+        if placed.len() >= s.instances as usize {
             continue;
         }
-        let load = load.get_or_insert_with(|| loads(state));
+        let loads = loads.get_or_insert_with(|| instance_loads(state));
         let missing = (0..s.instances)
             .map(|n| format!("{}/{n}", s.name))
             .filter(|id| !state.instances.contains_key(id));
-        let mut spread = Spread::new(state, &have);
+        let mut spread = Spread::new(state, &placed);
         for id in missing {
-            let Some(host) = spread.choose(index, observed, s, &id, load) else { break };
+            let Some(host) = spread.choose_host(index, observed, s, &id, loads) else { break };
             spread.add(&state.hosts[&host], &host);
-            let used = load.entry(host.clone()).or_default();
-            used.0 += s.cpus;
-            used.1 += s.memory_gib;
-            all.push(Record::Instance { term, instance: id, step: InstanceStep::Place { host } });
+            let load = loads.entry(host.clone()).or_default();
+            load.0 += s.cpus;
+            load.1 += s.memory_gib;
+            records.push(Record::Instance { term, instance: id, step: InstanceStep::Place { host } });
         }
     }
-    all
+    records
 }
 
-/// Processors and memory that instances take on each host.
-pub(super) fn loads(state: &State) -> BTreeMap<HostId, (u32, u32)> {
+/// Processor cores and memory in GiB that the instances on each host need.
+pub(super) fn instance_loads(state: &State) -> BTreeMap<HostId, (u32, u32)> {
     let sizes: BTreeMap<&str, (u32, u32)> =
         state.services().map(|s| (s.name.as_str(), (s.cpus, s.memory_gib))).collect();
-    let mut load: BTreeMap<HostId, (u32, u32)> = BTreeMap::new();
+    let mut loads: BTreeMap<HostId, (u32, u32)> = BTreeMap::new();
     for i in state.instances.values() {
         let (cpus, memory) = sizes.get(i.service.as_str()).copied().unwrap_or_default();
-        let used = load.entry(i.host.clone()).or_default();
-        used.0 += cpus;
-        used.1 += memory;
+        let load = loads.entry(i.host.clone()).or_default();
+        load.0 += cpus;
+        load.1 += memory;
     }
-    load
+    loads
 }
 
-/// Whether an instance must leave its host now.
-fn leaves(
+/// Whether an instance must leave its host now: its host is unknown, drained for a move or a
+/// release, or lost; or the instance is surplus or in the wrong pool, and the budget allows that
+/// it stops.
+fn must_leave(
     state: &State,
     index: &mut FleetIndex,
     s: &Service,
@@ -88,17 +90,17 @@
     unwanted && (!i.ready || index.withdraw_instance(&s.name, &i.host))
 }
 
-/// How a service's instances are spread.
+/// Number of instances of one service by data centre and rack, and the hosts that have one.
 struct Spread {
-    centres: BTreeMap<String, u32>,
+    data_centres: BTreeMap<String, u32>,
     racks: BTreeMap<String, u32>,
     hosts: Vec<HostId>,
 }
 
 impl Spread {
-    fn new(state: &State, have: &[(&InstanceId, &InstanceRec)]) -> Spread {
-        let mut spread = Spread { centres: BTreeMap::new(), racks: BTreeMap::new(), hosts: Vec::new() };
-        for (_, i) in have {
+    fn new(state: &State, placed: &[(&InstanceId, &InstanceRec)]) -> Spread {
+        let mut spread = Spread { data_centres: BTreeMap::new(), racks: BTreeMap::new(), hosts: Vec::new() };
+        for (_, i) in placed {
             if let Some(h) = state.hosts.get(&i.host) {
                 spread.add(h, &i.host);
             }
@@ -107,24 +109,24 @@
     }
 
     fn add(&mut self, h: &HostRec, host: &HostId) {
-        *self.centres.entry(h.place.data_centre.clone()).or_default() += 1;
+        *self.data_centres.entry(h.place.data_centre.clone()).or_default() += 1;
         *self.racks.entry(h.place.rack.clone()).or_default() += 1;
         self.hosts.push(host.clone());
     }
 
-    /// The best host for a missing instance: one that already runs it, then
-    /// the emptiest rack, data centre and host.
-    fn choose(
+    /// Chooses the host for a missing instance among those with room for it: one that already runs
+    /// it, then one in the rack and data centre with the fewest instances and with the lowest load.
+    fn choose_host(
         &self,
         index: &FleetIndex,
         observed: &ObservedFleet,
         s: &Service,
         id: &str,
-        load: &BTreeMap<HostId, (u32, u32)>,
+        loads: &BTreeMap<HostId, (u32, u32)>,
     ) -> Option<HostId> {
-        let used = |id: &HostId| load.get(id).copied().unwrap_or_default();
+        let load = |id: &HostId| loads.get(id).copied().unwrap_or_default();
         let fits = |(id, h): &&(&HostId, &HostRec)| {
-            let (cpus, memory) = used(id);
+            let (cpus, memory) = load(id);
             h.takes_work()
                 && !h.released
                 && cpus + s.cpus <= h.cpus
@@ -132,10 +134,10 @@
                 && !self.hosts.contains(*id)
         };
         let rank = |(host, h): &&(&HostId, &HostRec)| {
-            let runs = observed.hosts.get(*host).is_some_and(|x| x.tasks.iter().any(|t| t.id == id));
-            let centre = self.centres.get(&h.place.data_centre).copied().unwrap_or(0);
-            let rack = self.racks.get(&h.place.rack).copied().unwrap_or(0);
-            (!runs, rack, centre, used(host).0, (*host).clone())
+            let runs_already = observed.hosts.get(*host).is_some_and(|h| h.tasks.iter().any(|t| t.id == id));
+            let in_data_centre = self.data_centres.get(&h.place.data_centre).copied().unwrap_or(0);
+            let in_rack = self.racks.get(&h.place.rack).copied().unwrap_or(0);
+            (!runs_already, in_rack, in_data_centre, load(host).0, (*host).clone())
         };
         index.pool_hosts(&s.pool).iter().filter(fits).min_by_key(rank).map(|(id, _)| (*id).clone())
     }
