--- a/crates/workswood-core/src/plan/pools.rs
+++ b/crates/workswood-core/src/plan/pools.rs
@@ -1,4 +1,4 @@
-//! Which pool has which hosts, with the fewest moves.
+//! Assignment of hosts to pools with as few moves as possible.
 
 use std::collections::BTreeMap;
 
@@ -9,59 +9,60 @@
 use crate::ids::{HostId, PoolId, Term};
 use crate::record::{DrainReason, HostStep, Record};
 
-/// Records that fill pools and give released hosts up.
+/// Returns the records that drain released hosts and fill the pools that are too small.
 pub(super) fn records(
     state: &State,
     observed: &ObservedFleet,
     index: &mut FleetIndex,
     term: Term,
 ) -> Vec<Record> {
-    let mut all = Vec::new();
-    let mut taken: BTreeMap<HostId, PoolId> = BTreeMap::new();
+    let mut records = Vec::new();
+    let mut assigned: BTreeMap<HostId, PoolId> = BTreeMap::new();
     for (id, rec) in state.hosts.iter().filter(|(_, r)| r.released && r.phase == Phase::Active && !r.foreign)
     {
         if index.withdraw_host(id) {
-            all.push(step(term, id, rec, HostStep::Drain { reason: DrainReason::Release }));
+            records.push(host_record(term, id, rec, HostStep::Drain { reason: DrainReason::Release }));
         }
     }
-    let heading = headings(state);
+    let host_counts = count_by_target_pool(state);
     for file in state.fleet_files() {
         for pool in &file.pools {
-            let want = deficit(&heading, pool);
-            if want == 0 {
+            let missing = deficit(&host_counts, pool);
+            if missing == 0 {
                 continue;
             }
-            let free = free_hosts(state, observed, file, pool, &taken);
-            for id in free.into_iter().take(want) {
-                taken.insert(id.clone(), pool.name.clone());
+            let free = free_hosts(state, observed, file, pool, &assigned);
+            for id in free.into_iter().take(missing) {
+                assigned.insert(id.clone(), pool.name.clone());
                 let assign = HostStep::Assign { pool: pool.name.clone() };
-                all.push(step(term, &id, &state.hosts[&id], assign));
+                records.push(host_record(term, &id, &state.hosts[&id], assign));
             }
         }
         for pool in &file.pools {
-            let got = taken.values().filter(|p| **p == pool.name).count();
-            let want = deficit(&heading, pool).saturating_sub(got);
-            if want == 0 {
+            let newly_assigned = assigned.values().filter(|p| **p == pool.name).count();
+            let missing = deficit(&host_counts, pool).saturating_sub(newly_assigned);
+            if missing == 0 {
                 continue;
             }
-            for id in spare_hosts(state, index, &heading, file, pool, &taken).into_iter().take(want) {
+            for id in spare_hosts(state, index, &host_counts, file, pool, &assigned).into_iter().take(missing)
+            {
                 if index.withdraw_host(&id) {
-                    taken.insert(id.clone(), pool.name.clone());
+                    assigned.insert(id.clone(), pool.name.clone());
                     let reason = DrainReason::Move { to: pool.name.clone() };
-                    all.push(step(term, &id, &state.hosts[&id], HostStep::Drain { reason }));
+                    records.push(host_record(term, &id, &state.hosts[&id], HostStep::Drain { reason }));
                 }
             }
         }
     }
-    all
+    records
 }
 
-fn step(term: Term, host: &HostId, rec: &HostRec, step: HostStep) -> Record {
+fn host_record(term: Term, host: &HostId, rec: &HostRec, step: HostStep) -> Record {
     Record::Host { term, host: host.clone(), generation: rec.generation, step }
 }
 
-/// The pool that a host is in or on its way to.
-fn heading(rec: &HostRec) -> Option<&PoolId> {
+/// The pool that a host is in, or is moving to.
+fn target_pool(rec: &HostRec) -> Option<&PoolId> {
     match &rec.phase {
         Phase::Draining(DrainReason::Move { to }) | Phase::Drained(DrainReason::Move { to }) => Some(to),
         _ => rec.pool.as_ref(),
@@ -72,90 +73,93 @@
     rec.up && !rec.foreign && !rec.released
 }
 
-/// Healthy hosts that are in each pool or on their way to it.
-fn headings(state: &State) -> BTreeMap<&str, usize> {
-    let mut all: BTreeMap<&str, usize> = BTreeMap::new();
-    for pool in state.hosts.values().filter(|r| healthy(r)).filter_map(heading) {
-        *all.entry(pool).or_default() += 1;
+/// Number of healthy hosts that are in each pool or moving to it.
+fn count_by_target_pool(state: &State) -> BTreeMap<&str, usize> {
+    let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
+    for pool in state.hosts.values().filter(|r| healthy(r)).filter_map(target_pool) {
+        *counts.entry(pool).or_default() += 1;
     }
-    all
+    counts
 }
 
-fn deficit(heading: &BTreeMap<&str, usize>, pool: &Pool) -> usize {
-    let have = heading.get(pool.name.as_str()).copied().unwrap_or(0);
-    (pool.size as usize).saturating_sub(have)
+/// Number of hosts that a pool is short of.
+fn deficit(host_counts: &BTreeMap<&str, usize>, pool: &Pool) -> usize {
+    let count = host_counts.get(pool.name.as_str()).copied().unwrap_or(0);
+    (pool.size as usize).saturating_sub(count)
 }
 
-fn fits(rec: &HostRec, pool: &Pool) -> bool {
+/// Whether a host has the minimum resources of a pool.
+fn meets_minimums(rec: &HostRec, pool: &Pool) -> bool {
     rec.cpus >= pool.min_cpus
         && rec.memory_gib >= pool.min_memory_gib
         && rec.accelerators >= pool.min_accelerators
 }
 
-/// Free hosts for a pool: those that the platform already has in it first,
-/// then those in racks where the pool has fewest.
+/// Free hosts that suit a pool: first those that are in it on the platform already, then those in
+/// the racks where the pool has the fewest hosts.
 fn free_hosts(
     state: &State,
     observed: &ObservedFleet,
     file: &FleetFile,
     pool: &Pool,
-    taken: &BTreeMap<HostId, PoolId>,
+    assigned: &BTreeMap<HostId, PoolId>,
 ) -> Vec<HostId> {
-    let mut racks: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut by_rack: BTreeMap<&str, usize> = BTreeMap::new();
     for r in state.hosts.values().filter(|r| r.pool.as_ref() == Some(&pool.name)) {
-        *racks.entry(&r.place.rack).or_default() += 1;
+        *by_rack.entry(&r.place.rack).or_default() += 1;
     }
-    let usable = |(id, r): &(&HostId, &HostRec)| {
+    let is_candidate = |(id, r): &(&HostId, &HostRec)| {
         r.file == file.file
             && r.phase == Phase::Free
             && healthy(r)
-            && fits(r, pool)
-            && !taken.contains_key(*id)
+            && meets_minimums(r, pool)
+            && !assigned.contains_key(*id)
     };
     let mut free: Vec<(bool, usize, &HostId)> = Vec::new();
-    for (id, r) in state.hosts.iter().filter(usable) {
-        let in_rack = racks.entry(&r.place.rack).or_default();
-        let there = observed.hosts.get(id).is_some_and(|s| s.pool.as_ref() == Some(&pool.name));
-        free.push((!there, *in_rack, id));
+    for (id, r) in state.hosts.iter().filter(is_candidate) {
+        let in_rack = by_rack.entry(&r.place.rack).or_default();
+        let already_in_pool = observed.hosts.get(id).is_some_and(|s| s.pool.as_ref() == Some(&pool.name));
+        free.push((!already_in_pool, *in_rack, id));
         *in_rack += 1;
     }
     free.sort();
     free.into_iter().map(|(_, _, id)| id.clone()).collect()
 }
 
-/// Hosts that other pools can spare, those with the fewest instances first.
+/// Hosts that suit a pool and are beyond the size of their own, those with the fewest instances
+/// first.
 fn spare_hosts(
     state: &State,
     index: &FleetIndex,
-    heading: &BTreeMap<&str, usize>,
+    host_counts: &BTreeMap<&str, usize>,
     file: &FleetFile,
     to: &Pool,
-    taken: &BTreeMap<HostId, PoolId>,
+    assigned: &BTreeMap<HostId, PoolId>,
 ) -> Vec<HostId> {
-    let mut spare: BTreeMap<&str, usize> = BTreeMap::new();
-    let mut all: Vec<(usize, &HostId)> = Vec::new();
+    let mut surplus_by_pool: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut candidates: Vec<(usize, &HostId)> = Vec::new();
     for (id, r) in state.hosts.iter().filter(|(_, r)| r.file == file.file && r.phase == Phase::Active) {
         let Some(from) = r.pool.as_deref().filter(|p| *p != to.name) else { continue };
-        if healthy(r) && fits(r, to) && !taken.contains_key(id) {
-            spare.entry(from).or_insert_with(|| surplus(heading, file, from));
-            all.push((index.services_on(id).len(), id));
+        if healthy(r) && meets_minimums(r, to) && !assigned.contains_key(id) {
+            surplus_by_pool.entry(from).or_insert_with(|| surplus(host_counts, file, from));
+            candidates.push((index.services_on(id).len(), id));
         }
     }
-    all.sort();
-    let mut picked = Vec::new();
-    for (_, id) in all {
-        let left = state.hosts[id].pool.as_deref().and_then(|p| spare.get_mut(p));
-        if let Some(n) = left.filter(|n| **n > 0) {
+    candidates.sort();
+    let mut spare = Vec::new();
+    for (_, id) in candidates {
+        let surplus = state.hosts[id].pool.as_deref().and_then(|p| surplus_by_pool.get_mut(p));
+        if let Some(n) = surplus.filter(|n| **n > 0) {
             *n -= 1;
-            picked.push(id.clone());
+            spare.push(id.clone());
         }
     }
-    picked
+    spare
 }
 
-/// Hosts that a pool has beyond its size; all, if it is no longer declared.
-fn surplus(heading: &BTreeMap<&str, usize>, file: &FleetFile, pool: &str) -> usize {
-    let have = heading.get(pool).copied().unwrap_or(0);
+/// Number of hosts that a pool has beyond its size; all of them if it is no longer declared.
+fn surplus(host_counts: &BTreeMap<&str, usize>, file: &FleetFile, pool: &str) -> usize {
+    let count = host_counts.get(pool).copied().unwrap_or(0);
     let size = file.pools.iter().find(|p| p.name == pool).map_or(0, |p| p.size as usize);
-    have.saturating_sub(size)
+    count.saturating_sub(size)
 }
