--- a/crates/workswood-core/src/plan/mod.rs
+++ b/crates/workswood-core/src/plan/mod.rs
@@ -1,24 +1,23 @@
-//! Decisions about the fleet: pools, instances, maintenance, jobs.
+//! The planner: pools, placement of instances, maintenance and jobs.
 //!
-//! [`decide`] takes the folded state, what the platform's list shows, and the
-//! time, and returns records to append. It holds no state of its own: a planner
-//! that is replaced in the middle of anything goes on from the log. The fold
-//! checks each record again at its offset.
+//! [`decide`] takes the folded state, the platform's list, reports of the entry processes and the
+//! time, and returns records to append to the log. It keeps no state of its own, so that a planner
+//! that takes over at any point continues from the log. The fold checks each record again at its
+//! offset.
 //!
-//! [`missing_actions`] compares the state with the list and returns the calls on the
-//! platform that bring the list nearer to the state. A call is repeated only
-//! while the list does not show its effect, and carries the generation of the
-//! host as its token.
+//! [`missing_actions`] compares the state with the platform's list and returns the actions that the
+//! platform has to carry out. An action is repeated only while the list does not show its effect.
+//! Its fencing token is a generation of the host, or the token of the task.
 
 mod fleet_index;
 mod host_actions;
 mod jobs;
 mod lower_bound;
-mod observe;
 mod observed;
 mod place;
 mod pools;
 mod simulate;
+mod transitions;
 mod wave;
 
 use crate::fold::State;
@@ -32,16 +31,16 @@
 pub use simulate::{SimulatedRollout, Strategy, simulate_rollout};
 pub use wave::{WaveState, WaveStatus, wave_status};
 
-/// What the planner must know besides the state and the list.
+/// What the entry processes report to the planner.
 #[derive(Clone, Debug, Default)]
 pub struct EntryReports {
-    /// Whether every entry process that may send work has folded the offset.
+    /// Every entry process that may send requests has folded the log up to this offset, exclusive.
     pub folded_by_all: crate::ids::Offset,
-    /// Requests that entry processes have open on instances.
+    /// Number of requests that all entry processes together have in flight to an instance.
     pub in_flight: std::collections::BTreeMap<crate::ids::InstanceId, u32>,
 }
 
-/// Returns the records to append now. `term` is the planner's.
+/// Returns the records to append now. `term` is the term of the planner.
 pub fn decide(
     state: &State,
     observed: &ObservedFleet,
@@ -49,19 +48,20 @@
     now: UnixMs,
     term: Term,
 ) -> Vec<Record> {
-    let mut records = observe::records(state, observed, term);
-    // Facts first: what is decided on them follows when they are in the log.
+    let mut records = transitions::observed_changes(state, observed, term);
+    // Decisions that depend on these changes are made after they are folded.
     if !records.is_empty() {
         return records;
     }
     let mut index = FleetIndex::new(state);
     records.extend(pools::records(state, observed, &mut index, term));
     records.extend(place::records(state, observed, &mut index, now, term));
-    // Jobs count the room that is left when placements are in the log.
-    let settled = records.is_empty();
-    records.extend(observe::progress(state, observed, reports, term));
+    // Jobs get the capacity that instances leave, so no job starts while instances are being placed
+    // or hosts are moved.
+    let placement_settled = records.is_empty();
+    records.extend(transitions::phase_changes(state, observed, reports, term));
     records.extend(wave::records(state, &mut index, now, term));
-    if settled {
+    if placement_settled {
         records.extend(jobs::records(state, observed, now, term));
     }
     records
--- /dev/null
+++ b/crates/workswood-core/src/plan/transitions.rs
@@ -0,0 +1,132 @@
+//! Records that follow from the platform's list: changes of hosts and instances that it shows, and
+//! the next phase of hosts that are away.
+
+use super::EntryReports;
+use super::observed::{HostState, ObservedFleet, ObservedHost};
+use crate::fold::{HostRec, Phase, State};
+use crate::ids::{HostId, Term};
+use crate::record::{DrainReason, HostStep, InstanceStep, Record};
+
+/// Returns the records of what the list shows and the state does not contain yet.
+pub(super) fn observed_changes(state: &State, observed: &ObservedFleet, term: Term) -> Vec<Record> {
+    let mut records = Vec::new();
+    for (id, rec) in &state.hosts {
+        let steps = host_changes(rec, observed.hosts.get(id));
+        for (i, step) in steps.into_iter().enumerate() {
+            let generation = rec.generation + i as u64;
+            records.push(Record::Host { term, host: id.clone(), generation, step });
+        }
+    }
+    records.extend(instance_changes(state, observed, term));
+    records
+}
+
+fn host_changes(rec: &HostRec, observed: Option<&ObservedHost>) -> Vec<HostStep> {
+    let mut steps = Vec::new();
+    let up = observed.is_some_and(|s| s.state == HostState::Live);
+    // The return of a rebooting host is decided by its boot id.
+    let rebooting = matches!(rec.phase, Phase::Rebooting { .. });
+    if up != rec.up && !rebooting {
+        steps.push(HostStep::Health { up });
+    }
+    let Some(s) = observed else { return steps };
+    let unchanged = s.place == rec.place
+        && (s.cpus, s.memory_gib, s.accelerators) == (rec.cpus, rec.memory_gib, rec.accelerators);
+    if !unchanged {
+        steps.push(HostStep::Seen {
+            place: s.place.clone(),
+            cpus: s.cpus,
+            memory_gib: s.memory_gib,
+            accelerators: s.accelerators,
+        });
+    }
+    // If the host has the token of the planner's own move, but another pool, then something else
+    // has set that pool.
+    let other_pool = rec.pool.is_some() && s.pool.is_some() && s.pool != rec.pool;
+    let foreign = other_pool && s.token >= rec.pool_generation;
+    if foreign != rec.foreign {
+        steps.push(HostStep::Foreign { foreign });
+    }
+    steps
+}
+
+fn instance_changes(state: &State, observed: &ObservedFleet, term: Term) -> Vec<Record> {
+    let mut records = Vec::new();
+    for (id, rec) in &state.instances {
+        let host = observed.hosts.get(&rec.host);
+        let task = host.and_then(|h| h.tasks.iter().find(|t| t.id == *id && t.ended.is_none()));
+        let host_rec = state.hosts.get(&rec.host);
+        // An instance is not ready before the list shows the end of the drain of its host.
+        let drain_ended = host.zip(host_rec).is_some_and(|(s, h)| !s.draining && s.token >= h.act_generation);
+        let ready = drain_ended && task.is_some_and(|t| t.ready);
+        let address = task.map_or(rec.address.clone(), |t| t.address.clone());
+        // The instance of a host that is away keeps its recorded state.
+        let away = host_rec.is_some_and(HostRec::away);
+        if !away && (ready != rec.ready || address != rec.address) {
+            let step = InstanceStep::Ready { address, ready };
+            records.push(Record::Instance { term, instance: id.clone(), step });
+        }
+    }
+    records
+}
+
+/// Returns the records that take the hosts that are away to their next phase, where the list and
+/// the reports show that the condition for it is met.
+pub(super) fn phase_changes(
+    state: &State,
+    observed: &ObservedFleet,
+    reports: &EntryReports,
+    term: Term,
+) -> Vec<Record> {
+    let mut records = Vec::new();
+    for (id, rec) in state.hosts.iter().filter(|(_, r)| r.away() && !r.foreign) {
+        let Some(step) = next_step(state, id, rec, observed.hosts.get(id), reports) else { continue };
+        records.push(Record::Host { term, host: id.clone(), generation: rec.generation, step });
+    }
+    records
+}
+
+fn next_step(
+    state: &State,
+    id: &HostId,
+    rec: &HostRec,
+    observed: Option<&ObservedHost>,
+    reports: &EntryReports,
+) -> Option<HostStep> {
+    let has_requests = |id: &HostId| {
+        let instances = state.by_host.get(id).into_iter().flatten();
+        instances.map(|i| reports.in_flight.get(i).copied().unwrap_or(0)).sum::<u32>() > 0
+    };
+    let has_no_instances = !state.by_host.contains_key(id);
+    match &rec.phase {
+        Phase::Draining(reason) => {
+            let withdrawn = match reason {
+                DrainReason::Maintain { name } => !state.maintenance().any(|m| m.name == *name),
+                DrainReason::Move { to } => !state.pools().any(|p| p.name == *to),
+                DrainReason::Release => !rec.released,
+            };
+            if withdrawn {
+                return Some(HostStep::Undrain);
+            }
+            // A host that is down has no work left.
+            let has_drain_token = |s: &&ObservedHost| s.token >= rec.act_generation;
+            let drained =
+                !rec.up || observed.filter(has_drain_token).is_some_and(|s| s.drained && s.draining);
+            let drain_known = reports.folded_by_all > rec.offset;
+            (drained && drain_known && !has_requests(id)).then_some(HostStep::Drained)
+        }
+        Phase::Drained(DrainReason::Move { .. }) => has_no_instances.then_some(HostStep::Flip),
+        Phase::Drained(DrainReason::Release) => has_no_instances.then_some(HostStep::Forget),
+        Phase::Drained(DrainReason::Maintain { .. }) => {
+            let s = observed.filter(|s| s.state == HostState::Live)?;
+            Some(HostStep::Reboot { boot: s.boot.clone() })
+        }
+        Phase::Rebooting { boot, .. } => {
+            // The token rules out an old list, which may show an earlier boot.
+            let has_rebooted = |s: &ObservedHost| s.token >= rec.act_generation && s.boot != *boot;
+            let back = observed.is_some_and(|s| s.state == HostState::Live && has_rebooted(s));
+            back.then_some(HostStep::Return)
+        }
+        Phase::Free | Phase::Active => None,
+    }
+}
