--- a/crates/workswood-core/src/plan/pools.rs
+++ b/crates/workswood-core/src/plan/pools.rs
@@ -69,14 +69,15 @@
     }
 }
 
-fn healthy(rec: &HostRec) -> bool {
+/// Whether a host is up, claimed by a file, and not moved by something else.
+fn is_usable(rec: &HostRec) -> bool {
     rec.up && !rec.foreign && !rec.released
 }
 
-/// Number of healthy hosts that are in each pool or moving to it.
+/// Number of usable hosts that are in each pool or moving to it.
 fn count_by_target_pool(state: &State) -> BTreeMap<&str, usize> {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-    for pool in state.hosts.values().filter(|r| healthy(r)).filter_map(target_pool) {
+    for pool in state.hosts.values().filter(|r| is_usable(r)).filter_map(target_pool) {
         *counts.entry(pool).or_default() += 1;
     }
     counts
@@ -111,7 +112,7 @@
     let is_candidate = |(id, r): &(&HostId, &HostRec)| {
         r.file == file.file
             && r.phase == Phase::Free
-            && healthy(r)
+            && is_usable(r)
             && meets_minimums(r, pool)
             && !assigned.contains_key(*id)
     };
@@ -140,7 +141,7 @@
     let mut candidates: Vec<(usize, &HostId)> = Vec::new();
     for (id, r) in state.hosts.iter().filter(|(_, r)| r.file == file.file && r.phase == Phase::Active) {
         let Some(from) = r.pool.as_deref().filter(|p| *p != to.name) else { continue };
-        if healthy(r) && meets_minimums(r, to) && !assigned.contains_key(id) {
+        if is_usable(r) && meets_minimums(r, to) && !assigned.contains_key(id) {
             surplus_by_pool.entry(from).or_insert_with(|| surplus(host_counts, file, from));
             candidates.push((index.services_on(id).len(), id));
         }
--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -165,17 +165,17 @@
         &mut self,
         now: Duration,
         view: &ServiceView,
-        member: Option<usize>,
+        member_index: Option<usize>,
         member_count: usize,
     ) -> Vec<Action> {
-        let roster_changed = self.roster_position != (member, member_count);
-        self.roster_position = (member, member_count);
+        let roster_changed = self.roster_position != (member_index, member_count);
+        self.roster_position = (member_index, member_count);
         let mut previous = std::mem::take(&mut self.endpoints);
         for e in &view.endpoints {
             let kept = previous.remove(&e.id).filter(|p| p.address == e.address);
             let mut ep = kept.unwrap_or_else(|| EndpointView::new(e));
             ep.open = e.open;
-            let share = member.map_or(0, |m| owned_slots(view.window, e.number, m, member_count));
+            let share = member_index.map_or(0, |m| owned_slots(view.window, e.number, m, member_count));
             ep.set_share(now, share, roster_changed);
             self.endpoints.insert(e.id.clone(), ep);
         }
--- a/crates/workswood-core/src/route/table.rs
+++ b/crates/workswood-core/src/route/table.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     /// Offset of the next envelope to fold in the state that the table was built from.
-    pub next: Offset,
+    pub next_offset: Offset,
     /// Services by name.
     pub services: BTreeMap<ServiceId, ServiceView>,
     /// Routes and their services, longest path prefix first.
@@ -59,7 +59,7 @@
         });
         let own_index = state.roster.iter().position(|m| m.id == own_id);
         RouteTable {
-            next: state.next,
+            next_offset: state.next,
             services: services.collect(),
             routes,
             roster_position: (own_index, state.roster.len()),
