--- a/crates/workswood-standin/src/platform.rs
+++ b/crates/workswood-standin/src/platform.rs
@@ -12,7 +12,7 @@
 use warp::reply::Response;
 use warp::{Filter, Reply};
 use workswood_core::fleet::FleetFile;
-use workswood_core::plan::{Act, HostState, Seen};
+use workswood_core::plan::{HostAction, HostState, ObservedFleet};
 use workswood_platform::{LogRecord, ReadReply};
 
 use crate::endpoint::{EndpointStandin, Ledger};
@@ -82,7 +82,7 @@
     log: VecDeque<LogRecord>,
     head: u64,
     hosts: BTreeMap<String, HostSim>,
-    lists: VecDeque<(tokio::time::Instant, Seen)>,
+    lists: VecDeque<(tokio::time::Instant, ObservedFleet)>,
     entries: Vec<String>,
     task_tokens: BTreeMap<String, u64>,
     faults: Faults,
@@ -177,7 +177,7 @@
     }
 
     /// The list without lag.
-    pub fn truth(&self) -> Seen {
+    pub fn truth(&self) -> ObservedFleet {
         self.inner.lock().seen()
     }
 
@@ -195,9 +195,9 @@
 }
 
 impl Inner {
-    fn seen(&self) -> Seen {
+    fn seen(&self) -> ObservedFleet {
         let hosts = self.hosts.iter().map(|(id, h)| (id.clone(), h.list())).collect();
-        Seen { hosts, entries: self.entries.clone() }
+        ObservedFleet { hosts, entries: self.entries.clone() }
     }
 
     fn push(&mut self, body: String) -> u64 {
@@ -307,7 +307,7 @@
     json(&ReadReply { first, head: inner.head, records })
 }
 
-async fn act_on(act: Act, inner: Arc<Mutex<Inner>>, ledger: Arc<Ledger>) -> Response {
+async fn act_on(act: HostAction, inner: Arc<Mutex<Inner>>, ledger: Arc<Ledger>) -> Response {
     {
         let mut inner = inner.lock();
         if inner.faults.refuse_acts > 0 {
@@ -330,16 +330,16 @@
 }
 
 /// Carries an act out; false if it is fenced off.
-async fn carry_out(act: &Act, inner: &Arc<Mutex<Inner>>, ledger: &Arc<Ledger>) -> bool {
+async fn carry_out(act: &HostAction, inner: &Arc<Mutex<Inner>>, ledger: &Arc<Ledger>) -> bool {
     match act {
-        Act::SetPool { host, pool, token } => {
+        HostAction::SetPool { host, pool, token } => {
             on_host(inner, host, *token, |h| h.seen.pool = Some(pool.clone()))
         }
-        Act::Drain { host, token } => on_host(inner, host, *token, |h| h.seen.draining = true),
-        Act::Undrain { host, token } => on_host(inner, host, *token, |h| h.seen.draining = false),
-        Act::Reboot { host, boot, token } => reboot(inner, host, boot, *token, ledger),
-        Act::Start { host, task, token } => start(inner, host, task, *token, ledger).await,
-        Act::Stop { host, task, token } => stop(inner, host, task, *token),
+        HostAction::Drain { host, token } => on_host(inner, host, *token, |h| h.seen.draining = true),
+        HostAction::Undrain { host, token } => on_host(inner, host, *token, |h| h.seen.draining = false),
+        HostAction::Reboot { host, boot, token } => reboot(inner, host, boot, *token, ledger),
+        HostAction::Start { host, task, token } => start(inner, host, task, *token, ledger).await,
+        HostAction::Stop { host, task, token } => stop(inner, host, task, *token),
     }
 }
 
--- a/crates/workswood-test-support/src/history.rs
+++ b/crates/workswood-test-support/src/history.rs
@@ -5,7 +5,7 @@
 use workswood_core::fleet::FleetFile;
 use workswood_core::fold::{Rejection, State};
 use workswood_core::ids::{Term, UnixMs};
-use workswood_core::plan::{Act, Facts, Stop, acts, decide, wave_status};
+use workswood_core::plan::{EntryReports, HostAction, WaveState, decide, missing_actions, wave_status};
 use workswood_core::record::{Envelope, HostChange, InstanceChange, Record, Role};
 
 use crate::log::{Log, Process};
@@ -76,7 +76,7 @@
     process: Process,
     term: Term,
     held: Vec<Envelope>,
-    late: Vec<Act>,
+    late: Vec<HostAction>,
 }
 
 /// A history.
@@ -214,18 +214,18 @@
     }
 
     /// Lets a planner decide on what it has folded and on a list of some age.
-    fn decide(&mut self, i: usize, lag: usize) -> (Option<Envelope>, Vec<Act>) {
+    fn decide(&mut self, i: usize, lag: usize) -> (Option<Envelope>, Vec<HostAction>) {
         let seen = self.platform.list(lag);
         let now = self.now;
         let p = &mut self.planners[i];
-        let facts = Facts { confirmed: u64::MAX, ..Facts::default() };
+        let facts = EntryReports { folded_by_all: u64::MAX, ..EntryReports::default() };
         let records = decide(&p.process.state, &seen, &facts, now, p.term);
-        let acts = acts(&p.process.state, &seen);
+        let acts = missing_actions(&p.process.state, &seen);
         let env = (!records.is_empty()).then(|| p.process.envelope(now, records));
         (env, acts)
     }
 
-    fn act(&mut self, act: &Act) {
+    fn act(&mut self, act: &HostAction) {
         self.tally.acts += 1;
         if self.tally.budgets_broken.is_empty() {
             self.tally.note(format!("{} {act:?}", self.now));
@@ -446,14 +446,14 @@
         let waves = wave_status(state, self.now);
         let declared: u32 = state.services().map(|s| s.instances).sum();
         let ready = state.instances.values().filter(|i| i.ready).count() as u32;
-        waves.iter().all(|w| w.stop == Stop::Finished)
+        waves.iter().all(|w| w.state == WaveState::Finished)
             && state.hosts.values().all(|h| !h.out_of_service())
             && ready == declared
     }
 
     fn explain(&mut self) {
         for w in wave_status(&self.truth.state, self.now) {
-            if w.stop != Stop::Finished {
+            if w.state != WaveState::Finished {
                 self.tally.unsettled.push(format!("{w:?}"));
             }
         }
--- a/crates/workswood-test-support/src/one.rs
+++ b/crates/workswood-test-support/src/one.rs
@@ -1,7 +1,7 @@
 //! One planner on a platform without sockets, round by round.
 
 use workswood_core::fleet::FleetFile;
-use workswood_core::plan::{Act, Facts, Seen, acts, decide};
+use workswood_core::plan::{EntryReports, HostAction, ObservedFleet, decide, missing_actions};
 use workswood_core::record::{Record, Role};
 
 use crate::log::{Log, Process};
@@ -42,17 +42,17 @@
     }
 
     /// Decides on a list; returns the acts that follow, not carried out.
-    pub fn decide(&mut self, seen: &Seen) -> Vec<Act> {
-        let facts = Facts { confirmed: u64::MAX, ..Facts::default() };
+    pub fn decide(&mut self, seen: &ObservedFleet) -> Vec<HostAction> {
+        let facts = EntryReports { folded_by_all: u64::MAX, ..EntryReports::default() };
         let records = decide(&self.p.state, seen, &facts, self.now, 1);
         if !records.is_empty() {
             self.p.append(&mut self.log, self.now, records);
         }
-        acts(&self.p.state, seen)
+        missing_actions(&self.p.state, seen)
     }
 
     /// Lets a second pass; returns the list as it is then.
-    pub fn tick(&mut self) -> Seen {
+    pub fn tick(&mut self) -> ObservedFleet {
         self.now += 1_000;
         self.platform.tick(self.now);
         self.platform.list(0)
--- a/src/workswood/ops/bench/plan.rs
+++ b/src/workswood/ops/bench/plan.rs
@@ -5,7 +5,9 @@
 use workswood_core::fleet::{FleetFile, Maintenance};
 use workswood_core::fold::State;
 use workswood_core::ids::UnixMs;
-use workswood_core::plan::{Bound, Facts, Seen, Strategy, acts, decide, measure};
+use workswood_core::plan::{
+    EntryReports, LowerBound, ObservedFleet, Strategy, decide, missing_actions, simulate_rollout,
+};
 use workswood_core::record::{Envelope, FORMAT_VERSION};
 
 use super::fold::fleet;
@@ -31,7 +33,7 @@
         let loss = median((0..RUNS).map(|_| replan(&state, &seen)).collect());
         let m = maintenance("pool0");
         let started = Instant::now();
-        let rounds = measure(&state, &m, Strategy::Waves, NOW).rounds.len();
+        let rounds = simulate_rollout(&state, &m, Strategy::Waves, NOW).rounds.len();
         let wave = started.elapsed().as_secs_f64() * 1e3 / rounds.max(1) as f64;
         crate::outln!("{hosts} {pools} {first:.0} {quiet:.1} {loss:.1} {wave:.1}");
     }
@@ -55,20 +57,20 @@
     started.elapsed().as_secs_f64() * 1e3
 }
 
-fn round(state: &State, seen: &Seen, now: UnixMs) {
-    let facts = Facts { confirmed: u64::MAX, ..Facts::default() };
+fn round(state: &State, seen: &ObservedFleet, now: UnixMs) {
+    let facts = EntryReports { folded_by_all: u64::MAX, ..EntryReports::default() };
     std::hint::black_box(decide(state, seen, &facts, now, 1));
-    std::hint::black_box(acts(state, seen));
+    std::hint::black_box(missing_actions(state, seen));
 }
 
 /// Time from the loss of a host in the list to its instances placed anew.
-fn replan(state: &State, seen: &Seen) -> f64 {
+fn replan(state: &State, seen: &ObservedFleet) -> f64 {
     let mut state = state.clone();
     let Some(host) = state.by_host.keys().next().cloned() else { return f64::NAN };
     let mut seen = seen.clone();
     seen.hosts.remove(&host);
     let mut now = NOW;
-    let facts = Facts { confirmed: u64::MAX, ..Facts::default() };
+    let facts = EntryReports { folded_by_all: u64::MAX, ..EntryReports::default() };
     let mut total = 0.0;
     for seq in 1_000_000..1_000_006 {
         let started = Instant::now();
@@ -126,9 +128,9 @@
     let state = settled(std::slice::from_ref(file), NOW);
     for m in maintenance {
         let m = Maintenance { start: 0, deadline: 0, blackout_windows: Vec::new(), ..m.clone() };
-        let bound = Bound::of(&state, &m);
+        let bound = LowerBound::for_maintenance(&state, &m);
         for (way, strategy) in [("waves", Strategy::Waves), ("rack_by_rack", Strategy::RackByRack)] {
-            let x = measure(&state, &m, strategy, NOW);
+            let x = simulate_rollout(&state, &m, strategy, NOW);
             crate::outln!(
                 "{name} {} {way} {:.0} {:.2} {} {} {} {}",
                 m.name,
@@ -137,7 +139,7 @@
                 x.host_moves,
                 x.instance_moves,
                 x.spare_instances,
-                x.left.len()
+                x.not_maintained.len()
             );
         }
     }
--- a/src/workswood/ops/bench/route.rs
+++ b/src/workswood/ops/bench/route.rs
@@ -13,7 +13,9 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use workswood_core::fleet::PriorityClass;
-use workswood_core::route::{Action, Dispatcher, Endpoint, Limits, Loan, Outcome, ServiceView, Want};
+use workswood_core::route::{
+    Action, Dispatcher, DispatcherConfig, Endpoint, Loan, Outcome, ServiceView, SlotDemand,
+};
 
 use super::stats::{Times, median};
 
@@ -133,11 +135,11 @@
 
 impl Model {
     fn new(policy: Policy, window: u32, seed: u64) -> Model {
-        Model::with_limits(policy, window, seed, Limits::default())
+        Model::with_limits(policy, window, seed, DispatcherConfig::default())
     }
 
-    fn with_limits(policy: Policy, window: u32, seed: u64, limits: Limits) -> Model {
-        let limits = Limits { lend: policy == Policy::Lending, ..limits };
+    fn with_limits(policy: Policy, window: u32, seed: u64, limits: DispatcherConfig) -> Model {
+        let limits = DispatcherConfig { lend: policy == Policy::Lending, ..limits };
         let entry = |i: usize| {
             let mut d = Dispatcher::new(&format!("dc{}", i % 4), limits);
             // Long before the start, so that shares have settled.
@@ -213,7 +215,7 @@
     fn account(&mut self, now: f64) {
         let idle: u32 = self.servers.iter().map(|s| SLOTS.saturating_sub(s.busy)).sum();
         let waiting: usize = match self.leased() {
-            true => self.entries.iter().map(Dispatcher::waiting).sum(),
+            true => self.entries.iter().map(Dispatcher::waiting_count).sum(),
             false => self.servers.iter().map(|s| s.queue.len()).sum(),
         };
         self.shown.idle_while_waiting += f64::from(idle).min(waiting as f64) * (now - self.now);
@@ -231,7 +233,7 @@
             Event::Lent { to, loans } => self.lent(to, loans),
             Event::Returned { to, loan } => {
                 let now = self.clock();
-                let actions = self.entries[to].returned(now, loan);
+                let actions = self.entries[to].loan_returned(now, loan);
                 self.carry_out(to, actions);
             }
         }
@@ -249,7 +251,7 @@
         if self.leased() {
             let now = self.clock();
             let deadline = now + Duration::from_secs_f64(DEADLINE);
-            let actions = self.entries[entry].offer(now, req as u64, class, deadline);
+            let actions = self.entries[entry].submit(now, req as u64, class, deadline);
             self.carry_out(entry, actions);
             self.borrow(entry);
         } else {
@@ -325,7 +327,7 @@
         self.shown.done += u64::from(took <= DEADLINE);
         if self.leased() {
             let now = self.clock();
-            let actions = self.entries[entry].done(now, req as u64, Outcome::Good);
+            let actions = self.entries[entry].finish(now, req as u64, Outcome::Success);
             self.carry_out(entry, actions);
         }
     }
@@ -346,10 +348,10 @@
                 let now = self.clock();
                 // Every loan is confirmed: nobody dies in this model.
                 let held: Vec<(String, u64)> =
-                    self.entries[i].borrowed().map(|l| (l.peer.clone(), l.id)).collect();
+                    self.entries[i].borrowed_loans().map(|l| (l.peer.clone(), l.id)).collect();
                 for (peer, id) in held {
                     let lender: usize = peer.parse().unwrap_or(0);
-                    self.entries[lender].confirmed(now, &i.to_string(), &[id]);
+                    self.entries[lender].loans_confirmed(now, &i.to_string(), &[id]);
                 }
                 let actions = self.entries[i].tick(now);
                 self.carry_out(i, actions);
@@ -364,7 +366,7 @@
             return;
         }
         let now = self.clock();
-        if let Some(want) = self.entries[entry].want(now) {
+        if let Some(want) = self.entries[entry].slot_demand(now) {
             self.asking[entry] = true;
             self.turn += 1;
             let to = (entry + 1 + self.turn % (ENTRIES - 1)) % ENTRIES;
@@ -375,7 +377,7 @@
 
     fn ask(&mut self, from: usize, to: usize, want: u32) {
         let now = self.clock();
-        let loans = self.entries[to].lend(now, &from.to_string(), Want { slots: want });
+        let loans = self.entries[to].lend(now, &from.to_string(), SlotDemand { slots: want });
         let loans = loans.into_iter().map(|l| Loan { peer: to.to_string(), ..l }).collect();
         self.at(WIRE, Event::Lent { to: from, loans });
     }
@@ -384,7 +386,7 @@
         self.asking[to] = false;
         let some = !loans.is_empty();
         let now = self.clock();
-        let actions = self.entries[to].borrow(now, loans);
+        let actions = self.entries[to].accept_loans(now, loans);
         self.carry_out(to, actions);
         if some {
             self.borrow(to);
@@ -394,11 +396,11 @@
     fn carry_out(&mut self, entry: usize, actions: Vec<Action>) {
         for a in actions {
             match a {
-                Action::Send { ticket, address, .. } => {
-                    self.send(ticket as usize, address.parse().unwrap_or(0));
+                Action::Send { request_id, address, .. } => {
+                    self.send(request_id as usize, address.parse().unwrap_or(0));
                 }
                 Action::Refuse { .. } => self.shown.refused += 1,
-                Action::GiveBack(loan) => {
+                Action::ReturnLoan(loan) => {
                     self.shown.messages += 1;
                     let to = loan.peer.parse().unwrap_or(entry);
                     self.at(WIRE, Event::Returned { to, loan: loan.id });
@@ -492,7 +494,7 @@
     let capacity = f64::from(SLOTS) * ENDPOINTS as f64 / MEAN;
     for load in [0.8, 0.95, 1.2] {
         for queued in [0, 3, 30, 300, 1_000] {
-            let limits = Limits { queued, ..Limits::default() };
+            let limits = DispatcherConfig { max_queued: queued, ..DispatcherConfig::default() };
             let model = |seed| Model::with_limits(Policy::Lending, WINDOW, seed, limits);
             let all: Vec<Shown> =
                 (1..=RUNS).map(|s| model(s).run(&[(PriorityClass::Urgent, load)], SECONDS)).collect();
@@ -549,15 +551,15 @@
         v.endpoints =
             (0..n).map(|i| Endpoint { id: format!("s/{i}"), number: i, ..v.endpoints[0].clone() }).collect();
         let times = (0..RUNS).map(|_| {
-            let mut d = Dispatcher::new("dc0", Limits::default());
+            let mut d = Dispatcher::new("dc0", DispatcherConfig::default());
             d.update(Duration::ZERO, &v, Some(0), 1);
             let now = Duration::from_secs(10);
             d.tick(now);
             let started = Instant::now();
             for t in 0..ROUNDS {
-                let sent = d.offer(now, t, PriorityClass::Urgent, now * 2);
+                let sent = d.submit(now, t, PriorityClass::Urgent, now * 2);
                 std::hint::black_box(&sent);
-                d.done(now, t, Outcome::Good);
+                d.finish(now, t, Outcome::Success);
             }
             started.elapsed().as_nanos() as f64 / ROUNDS as f64
         });
--- a/src/workswood/ops/entry/deferred_requests.rs
+++ b/src/workswood/ops/entry/deferred_requests.rs
@@ -231,7 +231,7 @@
 fn routed_request(node: &Node, key: &str, rec: &KeyedRequest, deferred: &DeferredRequest) -> Option<RoutedRequest> {
     let table = node.table.load();
     let path = deferred.path.split('?').next().unwrap_or_default();
-    let (route, service) = table.find(path).filter(|(_, s)| *s == rec.service)?.clone();
+    let (route, service) = table.route_for(path).filter(|(_, s)| *s == rec.service)?.clone();
     let mut headers = hyper::HeaderMap::new();
     headers.insert(KEY_HEADER, key.parse().ok()?);
     let head = RequestHead { method: deferred.method.parse().ok()?, path: deferred.path.clone(), headers };
--- a/src/workswood/ops/entry/dispatch.rs
+++ b/src/workswood/ops/entry/dispatch.rs
@@ -10,7 +10,9 @@
 use workswood_core::code::Code;
 use workswood_core::fleet::PriorityClass;
 use workswood_core::ids::{InstanceId, ServiceId};
-use workswood_core::route::{Action, Dispatcher, Limits, Loan, Outcome, RouteTable, Ticket, Want};
+use workswood_core::route::{
+    Action, Dispatcher, DispatcherConfig, Loan, Outcome, RequestId, RouteTable, SlotDemand,
+};
 use workswood_peers::{Msg, SlotAsk, SlotState};
 
 use super::node::Node;
@@ -45,7 +47,7 @@
 
 struct Inner {
     dispatcher: Dispatcher,
-    waiting: HashMap<Ticket, oneshot::Sender<GrantResult>>,
+    waiting: HashMap<RequestId, oneshot::Sender<GrantResult>>,
 }
 
 /// Dispatcher of one service, shared by the tasks of the process.
@@ -59,7 +61,7 @@
 
 impl ServiceDispatcher {
     fn new(service: &str, data_centre: &str) -> ServiceDispatcher {
-        let dispatcher = Dispatcher::new(data_centre, Limits::default());
+        let dispatcher = Dispatcher::new(data_centre, DispatcherConfig::default());
         ServiceDispatcher {
             service: service.to_string(),
             inner: Mutex::new(Inner { dispatcher, waiting: HashMap::new() }),
@@ -78,15 +80,15 @@
     }
 
     /// Lends slots to a peer.
-    pub fn lend(&self, now: Duration, to: &str, want: Want) -> Vec<Loan> {
+    pub fn lend(&self, now: Duration, to: &str, want: SlotDemand) -> Vec<Loan> {
         self.inner.lock().dispatcher.lend(now, to, want)
     }
 
     /// Applies a borrower's report on the loans that it keeps and returns.
     pub fn update_loans(&self, node: &Node, report: &SlotState) {
         self.apply(node, |d, now| {
-            d.confirmed(now, &report.from, &report.kept);
-            report.returned.iter().flat_map(|id| d.returned(now, *id)).collect()
+            d.loans_confirmed(now, &report.from, &report.kept);
+            report.returned.iter().flat_map(|id| d.loan_returned(now, *id)).collect()
         });
     }
 
@@ -111,7 +113,7 @@
     /// Confirms to lenders the loans that are still in use.
     fn confirm_loans(&self, node: &Node) {
         let mut by_peer: BTreeMap<String, Vec<u64>> = BTreeMap::new();
-        for loan in self.inner.lock().dispatcher.borrowed() {
+        for loan in self.inner.lock().dispatcher.borrowed_loans() {
             by_peer.entry(loan.peer.clone()).or_default().push(loan.id);
         }
         for (peer, kept) in by_peer {
@@ -119,20 +121,20 @@
         }
     }
 
-    fn wanted_slots(&self, now: Duration) -> Option<Want> {
-        self.inner.lock().dispatcher.want(now)
+    fn wanted_slots(&self, now: Duration) -> Option<SlotDemand> {
+        self.inner.lock().dispatcher.slot_demand(now)
     }
 
     /// Expected wait of a new request of a class.
     pub fn expected_wait(&self, now: Duration, class: PriorityClass) -> Duration {
         let inner = self.inner.lock();
-        inner.dispatcher.wait(class, inner.dispatcher.slots(now))
+        inner.dispatcher.expected_wait(class, inner.dispatcher.usable_slots(now))
     }
 
     /// Number of requests that wait for or hold a slot.
     pub fn open_requests(&self) -> usize {
         let inner = self.inner.lock();
-        inner.dispatcher.waiting() + inner.dispatcher.busy()
+        inner.dispatcher.waiting_count() + inner.dispatcher.in_flight_count()
     }
 }
 
@@ -144,30 +146,30 @@
         let mut remaining: std::collections::VecDeque<Action> = actions.into();
         while let Some(action) = remaining.pop_front() {
             match action {
-                Action::Send { ticket, endpoint, address, borrowed, passed_over } => {
+                Action::Send { request_id, endpoint, address, borrowed, passed_over } => {
                     log::info!(
                         target: DECISION,
-                        "event=route req={ticket} service={service} endpoint={endpoint} reason=least_used \
+                        "event=route req={request_id} service={service} endpoint={endpoint} reason=least_used \
                          borrowed={borrowed} passed_over={passed_over}"
                     );
                     let grant = Grant { endpoint, address };
-                    let delivered = self.waiting.remove(&ticket).is_some_and(|tx| tx.send(Ok(grant)).is_ok());
+                    let delivered = self.waiting.remove(&request_id).is_some_and(|tx| tx.send(Ok(grant)).is_ok());
                     if !delivered {
-                        remaining.extend(self.dispatcher.done(now, ticket, Outcome::Neutral));
+                        remaining.extend(self.dispatcher.finish(now, request_id, Outcome::Neutral));
                     }
                 }
-                Action::Refuse { ticket, code, retry_after } => {
+                Action::Refuse { request_id, code, retry_after } => {
                     log::info!(
                         target: DECISION,
-                        "event=refuse req={ticket} service={service} code={} retry_after_ms={}",
+                        "event=refuse req={request_id} service={service} code={} retry_after_ms={}",
                         code.number(),
                         retry_after.as_millis()
                     );
-                    if let Some(tx) = self.waiting.remove(&ticket) {
+                    if let Some(tx) = self.waiting.remove(&request_id) {
                         let _ = tx.send(Err(Refusal { code, retry_after }));
                     }
                 }
-                Action::GiveBack(loan) => loans.push(loan),
+                Action::ReturnLoan(loan) => loans.push(loan),
             }
         }
         loans
@@ -180,7 +182,7 @@
     pub grant: Grant,
     node: Arc<Node>,
     dispatcher: Arc<ServiceDispatcher>,
-    ticket: Ticket,
+    ticket: RequestId,
     outcome: Outcome,
 }
 
@@ -194,7 +196,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let (ticket, outcome) = (self.ticket, self.outcome);
-        self.dispatcher.apply(&self.node, |d, now| d.done(now, ticket, outcome));
+        self.dispatcher.apply(&self.node, |d, now| d.finish(now, ticket, outcome));
     }
 }
 
@@ -202,7 +204,7 @@
 struct CancelGuard<'a> {
     node: &'a Arc<Node>,
     dispatcher: &'a Arc<ServiceDispatcher>,
-    ticket: Ticket,
+    ticket: RequestId,
     answered: bool,
 }
 
@@ -214,7 +216,7 @@
         let ticket = self.ticket;
         // The request may have been granted a slot just now, which is then freed for the next one.
         self.dispatcher.apply(self.node, |d, now| {
-            if d.cancel(ticket) { Vec::new() } else { d.done(now, ticket, Outcome::Neutral) }
+            if d.cancel(ticket) { Vec::new() } else { d.finish(now, ticket, Outcome::Neutral) }
         });
         self.dispatcher.inner.lock().waiting.remove(&ticket);
     }
@@ -243,7 +245,7 @@
     let mut allowed = true;
     dispatcher.apply(node, |d, now| {
         if request.tried.is_empty() {
-            return d.offer(now, ticket, request.class, request.deadline);
+            return d.submit(now, ticket, request.class, request.deadline);
         }
         d.retry(now, ticket, request.class, request.deadline, request.tried).unwrap_or_else(|| {
             allowed = false;
@@ -275,7 +277,7 @@
 
 /// Updates the dispatchers to a new routing table and removes those of services that are no longer in it.
 pub fn update_routes(node: &Arc<Node>, table: &RouteTable) {
-    let (member, members) = table.share;
+    let (member, members) = table.roster_position;
     for (service, view) in &table.services {
         let existing = dispatcher_of(node, service);
         let dispatcher = existing.unwrap_or_else(|| {
@@ -302,7 +304,7 @@
     let mut in_flight = BTreeMap::new();
     for dispatcher in dispatchers {
         let inner = dispatcher.inner.lock();
-        let of_service = inner.dispatcher.in_flight().filter(|(id, n)| *n > 0 && instances.contains(id));
+        let of_service = inner.dispatcher.in_flight_by_endpoint().filter(|(id, n)| *n > 0 && instances.contains(id));
         in_flight.extend(of_service.map(|(id, n)| (id.clone(), n)));
     }
     in_flight
@@ -318,7 +320,7 @@
     let now = node.now();
     for dispatcher in node.dispatchers.read().values() {
         let mut inner = dispatcher.inner.lock();
-        instances.iter().for_each(|i| inner.dispatcher.close(now, i));
+        instances.iter().for_each(|i| inner.dispatcher.mark_leaving(now, i));
     }
 }
 
@@ -371,6 +373,6 @@
             .map(|l| Loan { id: l.id, peer: peer.clone(), endpoint: l.endpoint })
             .collect();
         node.metrics.loans.inc_by(loans.len() as u64);
-        dispatcher.apply(node, |d, now| d.borrow(now, loans));
+        dispatcher.apply(node, |d, now| d.accept_loans(now, loans));
     }
 }
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -7,7 +7,7 @@
 use workswood_core::fold::{Lease, ManagedHost, PlacedInstance, State};
 use workswood_core::ids::{InstanceId, Term};
 use workswood_core::membership::{Liveness, Member};
-use workswood_core::plan::{Act, Facts, Seen, acts, decide};
+use workswood_core::plan::{EntryReports, HostAction, ObservedFleet, decide, missing_actions};
 use workswood_core::record::{HostChange, InstanceChange, JobChange, Record, Role, RosterMember};
 
 use super::node::Node;
@@ -177,7 +177,7 @@
 }
 
 /// Decides on one round of planning from the state, the platform's list and the peers' reports.
-fn plan_round(node: &Node, listing: &Seen, term: Term) -> Vec<Record> {
+fn plan_round(node: &Node, listing: &ObservedFleet, term: Term) -> Vec<Record> {
     let facts = collect_facts(node);
     let now = node.wall();
     let state = node.state.read();
@@ -189,7 +189,7 @@
 }
 
 /// Collects the offset that all processes have folded and the requests in flight to draining instances.
-fn collect_facts(node: &Node) -> Facts {
+fn collect_facts(node: &Node) -> EntryReports {
     let (own_next, draining) = {
         let state = node.state.read();
         let is_away = |i: &PlacedInstance| state.hosts.get(&i.host).is_some_and(|h| h.out_of_service());
@@ -207,7 +207,7 @@
             *in_flight.entry(id.clone()).or_default() += n;
         }
     }
-    Facts { confirmed, in_flight }
+    EntryReports { folded_by_all: confirmed, in_flight }
 }
 
 /// Returns the record of a new roster if the eligible members differ from the roster in force.
@@ -234,8 +234,8 @@
 }
 
 /// Performs the actions that the platform's list shows to be outstanding; returns whether there were any.
-async fn perform_actions(node: &Arc<Node>, listing: &Seen, term: Term) -> bool {
-    let outstanding = acts(&node.state.read(), listing);
+async fn perform_actions(node: &Arc<Node>, listing: &ObservedFleet, term: Term) -> bool {
+    let outstanding = missing_actions(&node.state.read(), listing);
     for chunk in outstanding.chunks(MAX_CONCURRENT_ACTIONS) {
         let lease = node.state.read().lease(Role::Planner);
         if lease.term != term || lease.holder.as_ref() != Some(&node.id) {
@@ -247,7 +247,7 @@
     !outstanding.is_empty()
 }
 
-async fn perform_action(node: &Node, action: &Act) {
+async fn perform_action(node: &Node, action: &HostAction) {
     node.metrics.acts.inc();
     match node.platform.act(action).await {
         Ok(()) => log::info!(target: DECISION, "event=act host={} act={action:?}", action.host()),
--- a/src/workswood/ops/entry/log_reader.rs
+++ b/src/workswood/ops/entry/log_reader.rs
@@ -214,7 +214,7 @@
         let state = node.state.read();
         (RouteTable::new(&state, &node.id), state.next_offset)
     };
-    node.claims.lock().set_on_roster(table.share.0.is_some(), node.now());
+    node.claims.lock().set_on_roster(table.roster_position.0.is_some(), node.now());
     let table = Arc::new(table);
     node.table.store(table.clone());
     dispatch::update_routes(node, &table);
--- a/src/workswood/ops/entry/peers.rs
+++ b/src/workswood/ops/entry/peers.rs
@@ -6,7 +6,7 @@
 
 use futures::FutureExt;
 use workswood_core::membership::Heartbeat;
-use workswood_core::route::{Loan, Want};
+use workswood_core::route::{Loan, SlotDemand};
 use workswood_peers::{
     Beat as WireBeat, Beats, Handler, KeyAsk, KeyReply, Leaving, Lent, Link, Msg, Open, SlotAsk, SlotLoan,
     SlotState, StateReply,
@@ -203,7 +203,7 @@
 fn lend_slots(node: &Arc<Node>, request: &SlotAsk) -> SlotLoan {
     let dispatcher = node.dispatchers.read().get(&request.service).cloned();
     let loans = dispatcher
-        .map(|d| d.lend(node.now(), &request.from, Want { slots: request.slots }))
+        .map(|d| d.lend(node.now(), &request.from, SlotDemand { slots: request.slots }))
         .unwrap_or_default();
     let to_lent = |loan: &Loan| Lent { id: loan.id, endpoint: loan.endpoint.clone() };
     SlotLoan { loans: loans.iter().map(to_lent).collect() }
--- a/src/workswood/ops/entry/proxy.rs
+++ b/src/workswood/ops/entry/proxy.rs
@@ -122,7 +122,7 @@
         return keyed_requests::outcome_reply(node, key);
     }
     let key = header(req.headers(), KEY_HEADER);
-    let matched = node.table.load().find(path).cloned();
+    let matched = node.table.load().route_for(path).cloned();
     let Some((route, service)) = matched.filter(|_| node.is_set(&node.ready)) else {
         let code = if node.is_set(&node.ready) { Code::UnknownRoute } else { Code::NotCaughtUp };
         return keyed_requests::refuse(node, key.as_deref(), code, Some(Duration::from_secs(1))).await;
@@ -289,17 +289,17 @@
             SendOutcome::Answered(endpoint_reply(res.map(|b| b.map_err(Into::into).boxed())), None)
         }
         Ok(Err(SendError::NotSent { text })) => {
-            slot.set_outcome(Outcome::Bad);
+            slot.set_outcome(Outcome::Failure);
             log::warn!("event=not_sent endpoint={} error={text:?}", slot.grant.endpoint);
             SendOutcome::NotSent(Code::ConnectFailed, Some(Duration::from_millis(200)))
         }
         Ok(Err(SendError::Broken { text })) => {
-            slot.set_outcome(Outcome::Bad);
+            slot.set_outcome(Outcome::Failure);
             log::warn!("event=broke endpoint={} error={text:?}", slot.grant.endpoint);
             SendOutcome::Broken(Code::EndpointBroke)
         }
         Err(_) => {
-            slot.set_outcome(Outcome::Bad);
+            slot.set_outcome(Outcome::Failure);
             SendOutcome::Broken(Code::EndpointTimeout)
         }
     }
@@ -307,7 +307,7 @@
 
 /// Records the health of the endpoint, and closes it if the response announces that it is leaving.
 fn record_response(node: &Node, slot: &mut Slot, failed: bool, headers: &hyper::HeaderMap) {
-    slot.set_outcome(if failed { Outcome::Bad } else { Outcome::Good });
+    slot.set_outcome(if failed { Outcome::Failure } else { Outcome::Success });
     if headers.contains_key(LEAVING_HEADER) {
         let id = slot.grant.endpoint.clone();
         dispatch::close_endpoints(node, std::slice::from_ref(&id));
@@ -353,15 +353,15 @@
             endpoint_reply(reply)
         }
         Ok(Err(SendError::NotSent { .. })) => {
-            slot.set_outcome(Outcome::Bad);
+            slot.set_outcome(Outcome::Failure);
             refusal(Code::ConnectFailed, ExecutionStatus::NotRun, Some(Duration::from_millis(200)))
         }
         Ok(Err(SendError::Broken { .. })) => {
-            slot.set_outcome(Outcome::Bad);
+            slot.set_outcome(Outcome::Failure);
             refusal(Code::EndpointBroke, ExecutionStatus::Unknown, None)
         }
         Err(_) => {
-            slot.set_outcome(Outcome::Bad);
+            slot.set_outcome(Outcome::Failure);
             refusal(Code::EndpointTimeout, ExecutionStatus::Unknown, None)
         }
     }
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -6,7 +6,8 @@
 use workswood_core::fold::State;
 use workswood_core::ids::UnixMs;
 use workswood_core::plan::{
-    Bound, Facts, HostSeen, HostState, Measures, Seen, Strategy, TaskSeen, decide, measure,
+    EntryReports, HostState, LowerBound, ObservedFleet, ObservedHost, ObservedTask, SimulatedRollout,
+    Strategy, decide, simulate_rollout,
 };
 use workswood_core::record::{Envelope, FORMAT_VERSION, InstanceChange, Record, Role};
 
@@ -24,11 +25,11 @@
     /// The maintenance.
     pub maintenance: Maintenance,
     /// Our waves.
-    pub waves: Measures,
+    pub waves: SimulatedRollout,
     /// One rack after the other.
-    pub racks: Measures,
+    pub racks: SimulatedRollout,
     /// What no safe plan can beat.
-    pub bound: Bound,
+    pub bound: LowerBound,
 }
 
 /// A log of one writer, folded as it is written.
@@ -70,7 +71,7 @@
     }
     let mut seen = live(files);
     for _ in 0..MOST_ROUNDS {
-        let records = decide(&log.state, &seen, &Facts::default(), now, TERM);
+        let records = decide(&log.state, &seen, &EntryReports::default(), now, TERM);
         if records.is_empty() {
             break;
         }
@@ -81,28 +82,28 @@
 }
 
 /// A list of all hosts of the files, live and in no pool.
-fn live(files: &[FleetFile]) -> Seen {
+fn live(files: &[FleetFile]) -> ObservedFleet {
     let hosts = files.iter().flat_map(|f| &f.hosts).map(|h| {
-        let seen = HostSeen::fresh(h);
+        let seen = ObservedHost::newly_declared(h);
         (h.name.clone(), seen)
     });
-    Seen { hosts: hosts.collect(), entries: Vec::new() }
+    ObservedFleet { hosts: hosts.collect(), entries: Vec::new() }
 }
 
 /// The list that a platform without faults would show for a state.
-pub fn listed(state: &State) -> Seen {
-    let mut seen = Seen::default();
+pub fn listed(state: &State) -> ObservedFleet {
+    let mut seen = ObservedFleet::default();
     for (id, h) in &state.hosts {
         let on = state.by_host.get(id).into_iter().flatten();
-        let task = |i: &String| TaskSeen {
+        let task = |i: &String| ObservedTask {
             id: i.clone(),
             address: ADDRESS.to_string(),
             ready: true,
-            used_millis: 0,
+            used_millicores: 0,
             ended: None,
             token: state.instances.get(i).map_or(0, |r| r.token),
         };
-        let host = HostSeen {
+        let host = ObservedHost {
             place: h.location.clone(),
             cpus: h.cpus,
             memory_gib: h.memory_gib,
@@ -121,16 +122,16 @@
 }
 
 /// Lets the list show what was decided, as a platform without faults would.
-fn show(seen: &mut Seen, records: &[Record]) {
+fn show(seen: &mut ObservedFleet, records: &[Record]) {
     for r in records {
         if let Record::Instance { instance, change: InstanceChange::Place { host }, .. } = r
             && let Some(h) = seen.hosts.get_mut(host)
         {
-            h.tasks.push(TaskSeen {
+            h.tasks.push(ObservedTask {
                 id: instance.clone(),
                 address: ADDRESS.to_string(),
                 ready: true,
-                used_millis: 0,
+                used_millicores: 0,
                 ended: None,
                 token: 1,
             });
@@ -144,9 +145,9 @@
     let all = files.iter().flat_map(|f| &f.maintenance);
     let plans = all.map(|m| MaintenancePlan {
         maintenance: m.clone(),
-        waves: measure(&state, m, Strategy::Waves, now),
-        racks: measure(&state, m, Strategy::RackByRack, now),
-        bound: Bound::of(&state, m),
+        waves: simulate_rollout(&state, m, Strategy::Waves, now),
+        racks: simulate_rollout(&state, m, Strategy::RackByRack, now),
+        bound: LowerBound::for_maintenance(&state, m),
     });
     let plans = plans.collect();
     (state, plans)
@@ -156,25 +157,28 @@
 pub fn refuse_impossible(files: &[FleetFile], now: UnixMs) -> Result<()> {
     let (state, plans) = run(files, now);
     for p in &plans {
-        if p.maintenance.paused || p.waves.left.is_empty() {
+        if p.maintenance.paused || p.waves.not_maintained.is_empty() {
             continue;
         }
         let free = Maintenance { deadline: 0, ..p.maintenance.clone() };
-        let nearest = measure(&state, &free, Strategy::Waves, now);
+        let nearest = simulate_rollout(&state, &free, Strategy::Waves, now);
         let start = now.max(p.maintenance.start);
-        let hint = match nearest.left.is_empty() {
+        let hint = match nearest.not_maintained.is_empty() {
             true => {
                 let end = start + nearest.rollout.as_millis() as UnixMs;
                 format!("the nearest deadline that can be kept is {}", rfc3339_ms(end + 1_000))
             }
             false => {
-                format!("host `{}` can't leave at all: the budgets allow no maintenance", nearest.left[0])
+                format!(
+                    "host `{}` can't leave at all: the budgets allow no maintenance",
+                    nearest.not_maintained[0]
+                )
             }
         };
         let message = format!(
             "maintenance `{}` leaves {} host(s) undone; {hint}",
             p.maintenance.name,
-            p.waves.left.len()
+            p.waves.not_maintained.len()
         );
         return Err(Error::PlanImpossible { message });
     }
@@ -199,10 +203,10 @@
         for (i, hosts) in p.waves.rounds.iter().enumerate() {
             out += &format!("  round {} hosts={}\n", i + 1, hosts.join(","));
         }
-        for host in &p.waves.left {
+        for host in &p.waves.not_maintained {
             out += &format!("  not in time: {host}\n");
         }
-        let line = |name: &str, m: &Measures| {
+        let line = |name: &str, m: &SimulatedRollout| {
             format!(
                 "  {name}: rollout={} host_moves={} instance_moves={} spare_instances={}\n",
                 show_time(m.rollout),
--- a/tests/testsuite/act_tokens.rs
+++ b/tests/testsuite/act_tokens.rs
@@ -1,7 +1,7 @@
 //! Acts that come late, and lists that are old, change nothing.
 
 use workswood_core::fold::HostPhase;
-use workswood_core::plan::{Act, Seen};
+use workswood_core::plan::{HostAction, ObservedFleet};
 use workswood_test_support::files::{maintenance, small};
 use workswood_test_support::one::Fleet;
 
@@ -11,14 +11,14 @@
 
 /// A fleet in which the first host has been drained in the log, and the act
 /// that drains it is still on its way.
-fn drain_on_its_way() -> (Fleet, Act) {
+fn drain_on_its_way() -> (Fleet, HostAction) {
     let mut file = small(4, 3, 1);
     let mut fleet = Fleet::new(&file);
     fleet.rounds(10);
     file.maintenance = vec![maintenance("m", "main")];
     fleet.apply(&file, 1);
     let seen = fleet.tick();
-    let late = fleet.decide(&seen).into_iter().find(|a| matches!(a, Act::Drain { .. }));
+    let late = fleet.decide(&seen).into_iter().find(|a| matches!(a, HostAction::Drain { .. }));
     (fleet, late.expect("the first host is drained"))
 }
 
@@ -55,7 +55,7 @@
     let mut file = small(4, 3, 1);
     let mut fleet = Fleet::new(&file);
     fleet.rounds(10);
-    let old: Seen = fleet.tick();
+    let old: ObservedFleet = fleet.tick();
     let mut maintain = |fleet: &mut Fleet, name: &str, base| {
         file.maintenance = vec![maintenance(name, "main")];
         fleet.apply(&file, base);
--- a/tests/testsuite/slot_dispatch.rs
+++ b/tests/testsuite/slot_dispatch.rs
@@ -8,7 +8,7 @@
 use workswood_core::fleet::PriorityClass;
 use workswood_core::invariant;
 use workswood_core::route::{
-    Action, Dispatcher, Endpoint, Limits, Loan, Outcome, ServiceView, Want, owned_slots,
+    Action, Dispatcher, DispatcherConfig, Endpoint, Loan, Outcome, ServiceView, SlotDemand, owned_slots,
 };
 
 const ENTRIES: usize = 3;
@@ -31,7 +31,7 @@
 }
 
 fn alone(endpoints: usize) -> Dispatcher {
-    let mut d = Dispatcher::new("dc0", Limits::default());
+    let mut d = Dispatcher::new("dc0", DispatcherConfig::default());
     d.update(ms(0), &view(endpoints), Some(0), 1);
     d.tick(ms(5_000));
     d
@@ -39,7 +39,7 @@
 
 fn sent(actions: &[Action]) -> Vec<(u64, String)> {
     let send = |a: &Action| match a {
-        Action::Send { ticket, endpoint, .. } => Some((*ticket, endpoint.clone())),
+        Action::Send { request_id, endpoint, .. } => Some((*request_id, endpoint.clone())),
         _ => None,
     };
     actions.iter().filter_map(send).collect()
@@ -65,8 +65,9 @@
     let mut lent = 0u64;
     for i in 0..300 {
         arbtest(|u| {
-            let mut all: Vec<Dispatcher> =
-                (0..ENTRIES).map(|i| Dispatcher::new(&format!("dc{i}"), Limits::default())).collect();
+            let mut all: Vec<Dispatcher> = (0..ENTRIES)
+                .map(|i| Dispatcher::new(&format!("dc{i}"), DispatcherConfig::default()))
+                .collect();
             let mut now = ms(0);
             for (i, d) in all.iter_mut().enumerate() {
                 d.update(now, &view(2), Some(i), ENTRIES);
@@ -80,30 +81,30 @@
                     0..=1 => {
                         ticket += 1;
                         let class = *u.choose(&PriorityClass::ALL)?;
-                        all[e].offer(now, ticket, class, now + ms(900))
+                        all[e].submit(now, ticket, class, now + ms(900))
                     }
                     2 if !open.is_empty() => {
                         let (e, t) = open.swap_remove(u.choose_index(open.len())?);
-                        let outcome = *u.choose(&[Outcome::Good, Outcome::Bad, Outcome::Neutral])?;
-                        let actions = all[e].done(now, t, outcome);
+                        let outcome = *u.choose(&[Outcome::Success, Outcome::Failure, Outcome::Neutral])?;
+                        let actions = all[e].finish(now, t, outcome);
                         open.extend(sent(&actions).iter().map(|(t, _)| (e, *t)));
                         actions.into_iter().filter(|a| !matches!(a, Action::Send { .. })).collect()
                     }
                     3 => {
                         let from = (e + 1) % ENTRIES;
-                        let want = Want { slots: u.int_in_range(1..=4u32)? };
+                        let want = SlotDemand { slots: u.int_in_range(1..=4u32)? };
                         let loans = all[from].lend(now, &e.to_string(), want);
                         lent += loans.len() as u64;
                         let loans = loans.into_iter().map(|l| Loan { peer: from.to_string(), ..l }).collect();
-                        all[e].borrow(now, loans)
+                        all[e].accept_loans(now, loans)
                     }
                     4 => {
                         // Loans in use are confirmed, as entries do.
                         let used: Vec<(String, u64)> =
-                            all[e].borrowed().map(|l| (l.peer.clone(), l.id)).collect();
+                            all[e].borrowed_loans().map(|l| (l.peer.clone(), l.id)).collect();
                         for (peer, id) in used {
                             let lender: usize = peer.parse().expect("a number");
-                            all[lender].confirmed(now, &e.to_string(), &[id]);
+                            all[lender].loans_confirmed(now, &e.to_string(), &[id]);
                         }
                         all[e].tick(now)
                     }
@@ -113,17 +114,17 @@
                 let mut at = e;
                 while let Some(a) = left.pop() {
                     match a {
-                        Action::Send { ticket, .. } => open.push((at, ticket)),
-                        Action::GiveBack(l) => {
+                        Action::Send { request_id, .. } => open.push((at, request_id)),
+                        Action::ReturnLoan(l) => {
                             at = l.peer.parse().expect("a number");
-                            left.extend(all[at].returned(now, l.id));
+                            left.extend(all[at].loan_returned(now, l.id));
                         }
                         Action::Refuse { .. } => {}
                     }
                 }
                 let mut used: BTreeMap<String, u32> = BTreeMap::new();
                 for d in &all {
-                    for (id, n) in d.in_flight() {
+                    for (id, n) in d.in_flight_by_endpoint() {
                         *used.entry(id.clone()).or_default() += n;
                     }
                 }
@@ -143,16 +144,16 @@
     let now = ms(6_000);
     let mut running = Vec::new();
     for t in 0..10_000 {
-        running.extend(sent(&d.offer(now, t, PriorityClass::Urgent, ms(900_000))));
+        running.extend(sent(&d.submit(now, t, PriorityClass::Urgent, ms(900_000))));
     }
     assert_eq!(running.len(), 10);
     for t in 0..10_000 {
         if !d.cancel(t) {
-            d.done(now, t, Outcome::Neutral);
+            d.finish(now, t, Outcome::Neutral);
         }
     }
-    assert_eq!((d.waiting(), d.busy()), (0, 0));
-    assert!(d.in_flight().all(|(_, n)| n == 0));
+    assert_eq!((d.waiting_count(), d.in_flight_count()), (0, 0));
+    assert!(d.in_flight_by_endpoint().all(|(_, n)| n == 0));
 }
 
 #[test]
@@ -162,7 +163,7 @@
     let ticket = std::cell::Cell::new(0);
     let offer = |d: &mut Dispatcher, class| {
         ticket.set(ticket.get() + 1);
-        (ticket.get(), !sent(&d.offer(now, ticket.get(), class, ms(100_000))).is_empty())
+        (ticket.get(), !sent(&d.submit(now, ticket.get(), class, ms(100_000))).is_empty())
     };
     let normal = (0..40).filter(|_| offer(&mut d, PriorityClass::Normal).1).count();
     assert!(normal < 20, "a flood of normal requests took all {normal} slots");
@@ -176,7 +177,7 @@
     let (long, started) = offer(&mut d, PriorityClass::Long);
     assert!(!started);
     let first = long - 21;
-    let next = sent(&d.done(now, first, Outcome::Good));
+    let next = sent(&d.finish(now, first, Outcome::Success));
     assert_eq!(next.first().map(|n| n.0), Some(long));
 }
 
@@ -185,7 +186,7 @@
     let mut d = alone(1);
     let now = ms(6_000);
     let refused =
-        (0..2_000).find_map(|t| match d.offer(now, t, PriorityClass::Urgent, now + ms(40)).first() {
+        (0..2_000).find_map(|t| match d.submit(now, t, PriorityClass::Urgent, now + ms(40)).first() {
             Some(Action::Refuse { code, retry_after, .. }) => Some((*code, *retry_after)),
             _ => None,
         });
@@ -194,14 +195,14 @@
     assert!(after >= ms(40), "{after:?}");
     // A longer queue adds waiting and no answers.
     let full =
-        (2_000..4_000).find_map(|t| match d.offer(now, t, PriorityClass::Urgent, now + ms(9_000)).first() {
+        (2_000..4_000).find_map(|t| match d.submit(now, t, PriorityClass::Urgent, now + ms(9_000)).first() {
             Some(Action::Refuse { code, .. }) => Some(*code),
             _ => None,
         });
-    assert_eq!((full, d.waiting()), (Some(Code::QueueFull), 16));
+    assert_eq!((full, d.waiting_count()), (Some(Code::QueueFull), 16));
     let late = d.tick(now + ms(9_000));
     assert!(late.iter().any(|a| matches!(a, Action::Refuse { code: Code::DeadlinePassed, .. })));
-    assert_eq!(d.waiting(), 0);
+    assert_eq!(d.waiting_count(), 0);
 }
 
 #[test]
@@ -210,11 +211,11 @@
     let now = ms(6_000);
     let mut retries = 0;
     for t in 0..10_000u64 {
-        d.offer(now, t, PriorityClass::Urgent, ms(100_000));
-        d.done(now, t, Outcome::Bad);
+        d.submit(now, t, PriorityClass::Urgent, ms(100_000));
+        d.finish(now, t, Outcome::Failure);
         if d.retry(now, 100_000 + t, PriorityClass::Urgent, ms(100_000), &[]).is_some() {
             retries += 1;
-            d.done(now, 100_000 + t, Outcome::Bad);
+            d.finish(now, 100_000 + t, Outcome::Failure);
             d.cancel(100_000 + t);
         }
     }
@@ -228,11 +229,11 @@
     let mut to_bad = 0;
     for t in 0..2_000u64 {
         now += ms(1);
-        for (t, e) in sent(&d.offer(now, t, PriorityClass::Urgent, now + ms(1_000))) {
+        for (t, e) in sent(&d.submit(now, t, PriorityClass::Urgent, now + ms(1_000))) {
             // One of this data centre, which gets most while all are idle.
             to_bad += u64::from(e == "s/4");
-            let outcome = if e == "s/4" { Outcome::Bad } else { Outcome::Good };
-            d.done(now + ms(if e == "s/4" { 0 } else { 5 }), t, outcome);
+            let outcome = if e == "s/4" { Outcome::Failure } else { Outcome::Success };
+            d.finish(now + ms(if e == "s/4" { 0 } else { 5 }), t, outcome);
         }
     }
     assert!((3..20).contains(&to_bad), "{to_bad} of 2,000 went to the endpoint that fails fast");
@@ -244,15 +245,15 @@
     let mut now = ms(6_000);
     for t in 0..900u64 {
         now += ms(1);
-        for (t, _) in sent(&d.offer(now, t, PriorityClass::Urgent, now + ms(1_000))) {
-            d.done(now, t, Outcome::Bad);
+        for (t, _) in sent(&d.submit(now, t, PriorityClass::Urgent, now + ms(1_000))) {
+            d.finish(now, t, Outcome::Failure);
         }
     }
     // All fail: at most a third is left out, the rest still gets work.
     let mut got = std::collections::BTreeSet::new();
     for t in 1_000..1_100u64 {
         got.extend(
-            sent(&d.offer(now, t, PriorityClass::Urgent, now + ms(1_000))).into_iter().map(|(_, e)| e),
+            sent(&d.submit(now, t, PriorityClass::Urgent, now + ms(1_000))).into_iter().map(|(_, e)| e),
         );
     }
     assert!(got.len() >= 6, "only {got:?} get work");
