--- a/crates/workswood-core/src/jobs/accounts.rs
+++ b/crates/workswood-core/src/jobs/accounts.rs
@@ -6,24 +6,24 @@
 //! that is cut off.
 
 use super::map::Map;
-use super::spec::Room;
+use super::spec::Resources;
 use super::workspace::Owner;
 
 /// Room that a run takes of its worker, and that is charged to its workspace.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Held {
     /// Room that it takes of its worker's.
-    pub room: Room,
+    pub room: Resources,
     /// Room that it is charged for: that of tasks which live on what others leave unused
     /// counts in full.
-    pub charged: Room,
+    pub charged: Resources,
     /// Whose it is.
     pub owner: Owner,
 }
 
-impl From<Room> for Held {
+impl From<Resources> for Held {
     /// A run of nobody's.
-    fn from(room: Room) -> Held {
+    fn from(room: Resources) -> Held {
         Held { room, charged: room, owner: Owner::PUBLIC }
     }
 }
@@ -39,7 +39,7 @@
 
 /// What each owner has at work.
 #[derive(Clone, Debug, Default)]
-pub struct Accounts(Map<Owner, Room>);
+pub struct Accounts(Map<Owner, Resources>);
 
 impl Accounts {
     /// Takes a change in.
@@ -57,12 +57,12 @@
     }
 
     /// What an owner has at work.
-    pub fn at_work(&self, owner: Owner) -> Room {
+    pub fn at_work(&self, owner: Owner) -> Resources {
         self.0.get(&owner).copied().unwrap_or_default()
     }
 
     /// What each owner has at work, in no order.
-    pub fn iter(&self) -> impl Iterator<Item = (Owner, Room)> {
+    pub fn iter(&self) -> impl Iterator<Item = (Owner, Resources)> {
         self.0.iter().map(|(owner, room)| (*owner, *room))
     }
 }
@@ -71,7 +71,7 @@
 ///
 /// One that is under half of its limit is not kept from it by the size of a task: a task
 /// larger than the limit would never begin.
-pub fn admits(at_work: &Room, limit: &Room, task: &Room) -> bool {
+pub fn admits(at_work: &Resources, limit: &Resources, task: &Resources) -> bool {
     let within = |used: u64, most: u64, more: u64| most == 0 || used + more <= most || used * 2 < most;
     within(at_work.cpu_millis, limit.cpu_millis, task.cpu_millis)
         && within(at_work.mem_mb, limit.mem_mb, task.mem_mb)
@@ -79,7 +79,7 @@
 }
 
 /// The largest share of its limit that an owner uses of any kind of room; 0 without a limit.
-pub fn used_share(at_work: &Room, limit: &Room) -> f64 {
+pub fn used_share(at_work: &Resources, limit: &Resources) -> f64 {
     let share = |used: u64, most: u64| if most == 0 { 0.0 } else { used as f64 / most as f64 };
     let cpu = share(at_work.cpu_millis, limit.cpu_millis);
     cpu.max(share(at_work.mem_mb, limit.mem_mb)).max(share(at_work.gpus, limit.gpus))
--- a/crates/workswood-core/src/jobs/advice_need.rs
+++ b/crates/workswood-core/src/jobs/advice_need.rs
@@ -9,7 +9,7 @@
 use super::order::Place;
 use super::place::same_step;
 use super::sched::Scheduler;
-use super::spec::{Room, StepId, StepSpec, TaskId};
+use super::spec::{Resources, StepId, StepSpec, TaskId};
 use super::worker::{Verdict, Worker};
 use crate::ids::ServiceId;
 
@@ -212,7 +212,7 @@
 }
 
 /// How many times a room holds another.
-fn times(whole: &Room, part: &Room) -> u32 {
+fn times(whole: &Resources, part: &Resources) -> u32 {
     let fit = |whole: u64, part: u64| whole.checked_div(part).unwrap_or(u64::MAX);
     let least = fit(whole.cpu_millis, part.cpu_millis)
         .min(fit(whole.mem_mb, part.mem_mb))
--- a/crates/workswood-core/src/jobs/host.rs
+++ b/crates/workswood-core/src/jobs/host.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::job::WorkerId;
-use super::spec::Room;
+use super::spec::Resources;
 use crate::ids::{DataCentre, HostId, ServiceId};
 
 /// An order without an outcome is sent again after this time.
@@ -36,7 +36,7 @@
     /// Kind and rack.
     pub labels: Vec<String>,
     /// Its room.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Its worker, of which the list may tell the name only.
     pub worker: Option<WorkerId>,
 }
--- a/crates/workswood-core/src/jobs/job.rs
+++ b/crates/workswood-core/src/jobs/job.rs
@@ -8,7 +8,7 @@
 use smallvec::SmallVec;
 
 use super::crash::{Crashes, Suspicion};
-use super::spec::{JobKey, JobSpec, QueueId, Room, StepId, StepSpec, TaskId};
+use super::spec::{JobKey, JobSpec, QueueId, Resources, StepId, StepSpec, TaskId};
 use super::workspace::Owner;
 
 pub use super::worker_id::WorkerId;
@@ -273,7 +273,7 @@
         if self.most_cpu == 0 {
             return 1;
         }
-        let wide = u64::from(step.count).saturating_mul(step.room.cpu_millis);
+        let wide = u64::from(step.count).saturating_mul(step.resources.cpu_millis);
         u32::try_from(wide.div_ceil(self.most_cpu)).unwrap_or(u32::MAX).clamp(1, step.count.max(1))
     }
 
@@ -383,7 +383,7 @@
     /// Its work, if it was one that ends by itself, in core-milliseconds.
     pub work: Option<u64>,
     /// Room that holds any of its tasks: a start may be carried out late.
-    pub room: Room,
+    pub room: Resources,
     /// Whose it was.
     pub owner: Owner,
 }
--- a/crates/workswood-core/src/jobs/need.rs
+++ b/crates/workswood-core/src/jobs/need.rs
@@ -10,7 +10,7 @@
 use super::order::whole_work;
 use super::pool_count::PoolCount;
 use super::sched::Scheduler;
-use super::spec::{JobKey, Room};
+use super::spec::{JobKey, Resources};
 use crate::ids::ServiceId;
 
 /// Need of a service in hosts, falling from its peaks at two speeds.
@@ -94,7 +94,7 @@
         let cpu = (room.cpu_millis as f64 + late.cpu_millis as f64 * policy.late) / size.cpu_millis as f64;
         let mem = (room.mem_mb as f64 + late.mem_mb as f64 * policy.late) / size.mem_mb.max(1) as f64;
         Wanted {
-            any: room != Room::default(),
+            any: room != Resources::default(),
             load: cpu.max(mem),
             cores: size.cpu_millis as f64 / 1000.0,
             apart: f64::from(self.hosts_apart(service)),
@@ -103,7 +103,7 @@
 
     /// Room that runs take in a service, and that is waited for by tasks which may begin and can
     /// be in time.
-    pub fn room_wanted(&self, service: &ServiceId) -> Room {
+    pub fn room_wanted(&self, service: &ServiceId) -> Resources {
         let mut room = self.workers.room_in_use(service);
         room.add(&self.waiting_room(service).0);
         room
@@ -111,7 +111,7 @@
 
     /// Room that is waited for by tasks whose job can be in time, and by others. What a limit
     /// keeps from beginning asks for no hosts.
-    fn waiting_room(&self, service: &ServiceId) -> (Room, Room) {
+    fn waiting_room(&self, service: &ServiceId) -> (Resources, Resources) {
         let waiting = self.ready.get(service);
         waiting.map(|w| w.room_within(|owner| self.left_of_limit(owner))).unwrap_or_default()
     }
--- a/crates/workswood-core/src/jobs/order.rs
+++ b/crates/workswood-core/src/jobs/order.rs
@@ -198,5 +198,5 @@
 /// Work of a step and those that come after it, in core-milliseconds.
 fn work_from(spec: &JobSpec, step: usize, took: &dyn Fn(usize) -> Duration) -> u64 {
     let steps = spec.steps.iter().enumerate().skip(step);
-    steps.map(|(n, s)| u64::from(s.count) * s.room.cpu_millis * took(n).as_millis() as u64 / 1000).sum()
+    steps.map(|(n, s)| u64::from(s.count) * s.resources.cpu_millis * took(n).as_millis() as u64 / 1000).sum()
 }
--- a/crates/workswood-core/src/jobs/place.rs
+++ b/crates/workswood-core/src/jobs/place.rs
@@ -10,7 +10,7 @@
 use super::policy::ShareOrder;
 use super::sched::Scheduler;
 use super::shares::use_by_share;
-use super::spec::{Room, StepId, StepSpec, TaskId};
+use super::spec::{Resources, StepId, StepSpec, TaskId};
 use super::types::Action;
 use super::worker::Worker;
 use super::workspace::Owner;
@@ -69,26 +69,30 @@
     }
 
     /// Whether so much more of an owner may begin.
-    pub(super) fn may_begin(&self, owner: Owner, room: &Room) -> bool {
+    pub(super) fn may_begin(&self, owner: Owner, room: &Resources) -> bool {
         let limit = self.config.workspaces.limit(owner);
-        limit == Room::default() || admits(&self.workers.accounts().at_work(owner), &limit, room)
+        limit == Resources::default() || admits(&self.workers.accounts().at_work(owner), &limit, room)
     }
 
     /// The largest share of its limit that a workspace has at work, and how many have
     /// something at work.
     pub fn use_of_limits(&self) -> (f64, usize) {
-        let at_work = || self.workers.accounts().iter().filter(|(_, room)| *room != Room::default());
-        let share = |(owner, room): (Owner, Room)| used_share(&room, &self.config.workspaces.limit(owner));
+        let at_work = || self.workers.accounts().iter().filter(|(_, room)| *room != Resources::default());
+        let share =
+            |(owner, room): (Owner, Resources)| used_share(&room, &self.config.workspaces.limit(owner));
         (at_work().map(share).fold(0.0, f64::max), at_work().count())
     }
 
     /// What an owner may still use; `None` without a limit.
-    pub(super) fn left_of_limit(&self, owner: Owner) -> Option<Room> {
+    pub(super) fn left_of_limit(&self, owner: Owner) -> Option<Resources> {
         let limit = self.config.workspaces.limit(owner);
         let open = |most: u64| if most == 0 { u64::MAX } else { most };
-        let most =
-            Room { cpu_millis: open(limit.cpu_millis), mem_mb: open(limit.mem_mb), gpus: open(limit.gpus) };
-        (limit != Room::default()).then(|| most.minus(&self.workers.accounts().at_work(owner)))
+        let most = Resources {
+            cpu_millis: open(limit.cpu_millis),
+            mem_mb: open(limit.mem_mb),
+            gpus: open(limit.gpus),
+        };
+        (limit != Resources::default()).then(|| most.minus(&self.workers.accounts().at_work(owner)))
     }
 
     /// Whether tasks of a step run until their job is cancelled; one that has no place
@@ -182,7 +186,7 @@
         let fits = |w: &Worker| {
             let ticket = !advised || w.ticket(&id.step_id(), self.now).is_some();
             let closed = w.is_shunned(self.now) || w.in_quarantine(self.now);
-            ticket && !closed && w.free().holds(&room) && self.allowed(w, step, id)
+            ticket && !closed && w.free().contains(&room) && self.allowed(w, step, id)
         };
         let takers = || self.workers.takers(service, room.cpu_millis).filter(|(_, w)| fits(w));
         let best = |skip: Option<&WorkerId>| {
@@ -270,7 +274,7 @@
         self.dirty.insert(id.job);
         if let Some(mut w) = self.workers.get_mut(worker) {
             let held = spec.held(step);
-            let fits = w.free().holds(&held.room);
+            let fits = w.free().contains(&held.room);
             invariant::check(fits, || format!("start of {id} on {worker} does not fit"));
             w.take(*id, attempt, held);
             w.mark(id, step);
--- a/crates/workswood-core/src/jobs/shares.rs
+++ b/crates/workswood-core/src/jobs/shares.rs
@@ -1,7 +1,7 @@
 //! Who sends more than its share, and whose turn it is when all is full.
 
 use super::map::Map;
-use super::spec::Room;
+use super::spec::Resources;
 use super::workspace::Owner;
 use crate::ids::UnixMs;
 
@@ -40,7 +40,7 @@
 
 /// What an owner has at work by its share, for comparing: the processor is what is short. What
 /// nobody owns goes first; it is not counted.
-pub fn use_by_share(owner: Owner, at_work: &Room, weight: Option<f64>) -> u64 {
+pub fn use_by_share(owner: Owner, at_work: &Resources, weight: Option<f64>) -> u64 {
     if owner.is_public() {
         return 0;
     }
--- a/crates/workswood-core/src/jobs/spec.rs
+++ b/crates/workswood-core/src/jobs/spec.rs
@@ -27,9 +27,9 @@
 /// Most steps of a job; step numbers are stored in 16 bits.
 pub const MOST_STEPS: usize = 1_000;
 
-/// Room that a task takes, or that a worker has.
+/// Amounts of each kind of resource: what a task asks for, or what a worker has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     /// Thousandths of a core.
     #[serde(default, rename = "c")]
     pub cpu_millis: u64,
@@ -41,22 +41,22 @@
     pub gpus: u64,
 }
 
-impl Room {
+impl Resources {
     /// Whether `other` fits in here.
-    pub fn holds(&self, other: &Room) -> bool {
+    pub fn contains(&self, other: &Resources) -> bool {
         other.cpu_millis <= self.cpu_millis && other.mem_mb <= self.mem_mb && other.gpus <= self.gpus
     }
 
     /// Adds another amount.
-    pub fn add(&mut self, other: &Room) {
+    pub fn add(&mut self, other: &Resources) {
         self.cpu_millis += other.cpu_millis;
         self.mem_mb += other.mem_mb;
         self.gpus += other.gpus;
     }
 
     /// The least room that holds both.
-    pub fn max(&self, other: &Room) -> Room {
-        Room {
+    pub fn max(&self, other: &Resources) -> Resources {
+        Resources {
             cpu_millis: self.cpu_millis.max(other.cpu_millis),
             mem_mb: self.mem_mb.max(other.mem_mb),
             gpus: self.gpus.max(other.gpus),
@@ -64,8 +64,8 @@
     }
 
     /// What both hold.
-    pub fn min(&self, other: &Room) -> Room {
-        Room {
+    pub fn min(&self, other: &Resources) -> Resources {
+        Resources {
             cpu_millis: self.cpu_millis.min(other.cpu_millis),
             mem_mb: self.mem_mb.min(other.mem_mb),
             gpus: self.gpus.min(other.gpus),
@@ -73,14 +73,14 @@
     }
 
     /// This room so many times.
-    pub fn times(&self, count: u64) -> Room {
+    pub fn times(&self, count: u64) -> Resources {
         let times = |n: u64| n.saturating_mul(count);
-        Room { cpu_millis: times(self.cpu_millis), mem_mb: times(self.mem_mb), gpus: times(self.gpus) }
+        Resources { cpu_millis: times(self.cpu_millis), mem_mb: times(self.mem_mb), gpus: times(self.gpus) }
     }
 
     /// What is left after taking `other` out; nothing goes below zero.
-    pub fn minus(&self, other: &Room) -> Room {
-        Room {
+    pub fn minus(&self, other: &Resources) -> Resources {
+        Resources {
             cpu_millis: self.cpu_millis.saturating_sub(other.cpu_millis),
             mem_mb: self.mem_mb.saturating_sub(other.mem_mb),
             gpus: self.gpus.saturating_sub(other.gpus),
@@ -94,7 +94,8 @@
     /// How many tasks.
     pub count: u32,
     /// Room that each task asks for.
-    pub room: Room,
+    #[serde(rename = "room")]
+    pub resources: Resources,
     /// Rough guess of how long a task takes.
     #[serde(default)]
     pub estimate: Duration,
@@ -144,8 +145,8 @@
 
 impl StepSpec {
     /// The room that a task takes from a worker's capacity.
-    pub fn reserved(&self) -> Room {
-        if self.fills { Room { cpu_millis: 0, ..self.room } } else { self.room }
+    pub fn reserved(&self) -> Resources {
+        if self.fills { Resources { cpu_millis: 0, ..self.resources } } else { self.resources }
     }
 }
 
@@ -194,12 +195,12 @@
 
     /// What a task of one of its steps takes of a worker, and of its workspace's limit.
     pub fn held(&self, step: &StepSpec) -> Held {
-        Held { room: step.reserved(), charged: step.room, owner: self.owner() }
+        Held { room: step.reserved(), charged: step.resources, owner: self.owner() }
     }
 
     /// Room that holds any of its tasks.
-    pub fn largest_room(&self) -> Room {
-        self.steps.iter().map(StepSpec::reserved).fold(Room::default(), |most, room| most.max(&room))
+    pub fn largest_room(&self) -> Resources {
+        self.steps.iter().map(StepSpec::reserved).fold(Resources::default(), |most, room| most.max(&room))
     }
 
     /// Checks what the scheduler relies on.
--- a/crates/workswood-core/src/jobs/trials.rs
+++ b/crates/workswood-core/src/jobs/trials.rs
@@ -130,7 +130,7 @@
         let young = self.policy.crashes.young;
         let quiet = |w: &Worker| w.last_start.is_none_or(|at| at + young <= self.now);
         let free = |w: &Worker| !w.in_quarantine(self.now) || w.quarantine.is_some_and(|q| q.trial.is_none());
-        let fits = |w: &Worker| quiet(w) && free(w) && w.free().holds(&room) && self.may_try(w, step, id);
+        let fits = |w: &Worker| quiet(w) && free(w) && w.free().contains(&room) && self.may_try(w, step, id);
         let open = self.workers.takers(service, room.cpu_millis).filter(|(_, w)| fits(w));
         open.min_by_key(|(_, w)| (self.cost(w, step, id).0, w.runs.len())).map(|(id, _)| id.clone())
     }
@@ -140,7 +140,7 @@
     fn keep_for_trial(&mut self, service: &str, id: &TaskId) -> bool {
         let Some(step) = self.jobs.get(&id.job).and_then(|j| j.step(id)) else { return false };
         let room = step.reserved();
-        let large = |w: &Worker| w.info.as_ref().is_some_and(|i| i.capacity.holds(&room));
+        let large = |w: &Worker| w.info.as_ref().is_some_and(|i| i.capacity.contains(&room));
         let open = |w: &Worker| !w.in_quarantine(self.now) && large(w) && self.may_try(w, step, id);
         let open = self.workers.takers(service, 0).filter(|(_, w)| open(w));
         let Some(worker) = open.min_by_key(|(_, w)| w.runs.len()).map(|(id, _)| id.clone()) else {
--- a/crates/workswood-core/src/jobs/waiting.rs
+++ b/crates/workswood-core/src/jobs/waiting.rs
@@ -9,7 +9,7 @@
 use std::ops::Bound;
 
 use super::order::{Dues, Place, Rank, Standing};
-use super::spec::{Room, StepId, TaskId};
+use super::spec::{Resources, StepId, TaskId};
 use super::workspace::Owner;
 use crate::ids::UnixMs;
 
@@ -19,7 +19,7 @@
     place: Place,
     dues: Dues,
     /// Room that each task asks for.
-    room: Room,
+    room: Resources,
     /// Numbers of the tasks.
     tasks: BTreeSet<u32>,
 }
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Sum {
     tasks: usize,
-    room: Room,
+    room: Resources,
 }
 
 /// A place, in the order of the work that is left.
@@ -75,7 +75,13 @@
 
 impl Waiting {
     /// Adds tasks of a step, which all take this place; each asks for so much room.
-    pub fn insert(&mut self, place: Place, dues: Dues, room: Room, tasks: impl IntoIterator<Item = u32>) {
+    pub fn insert(
+        &mut self,
+        place: Place,
+        dues: Dues,
+        room: Resources,
+        tasks: impl IntoIterator<Item = u32>,
+    ) {
         let before = self.take(&place.step);
         let mut all = before.map(|s| s.tasks).unwrap_or_default();
         all.extend(tasks);
@@ -114,13 +120,13 @@
     }
 
     /// Room that is waited for: by tasks whose job can be in time, and by others.
-    pub fn room(&self) -> (Room, Room) {
+    pub fn room(&self) -> (Resources, Resources) {
         self.room_within(|_| None)
     }
 
     /// Likewise, of each owner no more than what it may still use, if that is limited.
-    pub fn room_within(&self, left: impl Fn(Owner) -> Option<Room>) -> (Room, Room) {
-        let (mut in_time, mut late) = (Room::default(), Room::default());
+    pub fn room_within(&self, left: impl Fn(Owner) -> Option<Resources>) -> (Resources, Resources) {
+        let (mut in_time, mut late) = (Resources::default(), Resources::default());
         for (owner, queue) in &self.by_owner {
             let (first, second) = (queue.in_time.room, queue.late.room);
             let Some(left) = left(*owner) else {
@@ -234,12 +240,12 @@
 }
 
 impl Sum {
-    fn add(&mut self, tasks: usize, room: &Room) {
+    fn add(&mut self, tasks: usize, room: &Resources) {
         self.tasks += tasks;
         self.room.add(&room.times(tasks as u64));
     }
 
-    fn remove(&mut self, tasks: usize, room: &Room) {
+    fn remove(&mut self, tasks: usize, room: &Resources) {
         self.tasks -= tasks;
         self.room = self.room.minus(&room.times(tasks as u64));
     }
--- a/crates/workswood-core/src/jobs/worker.rs
+++ b/crates/workswood-core/src/jobs/worker.rs
@@ -11,7 +11,7 @@
 use super::crash::Lost;
 use super::job::WorkerId;
 use super::map::Map;
-use super::spec::{Room, StepId, StepSpec, TaskId};
+use super::spec::{Resources, StepId, StepSpec, TaskId};
 use super::trials::Quarantine;
 use crate::ids::{DataCentre, HostId, ServiceId};
 
@@ -29,7 +29,7 @@
     /// Host that it is a life of; empty if it does not say.
     pub host: HostId,
     /// Its whole room.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Its kind and its rack.
     pub labels: Vec<String>,
     /// Whether it is leaving.
@@ -91,7 +91,7 @@
             address: rec.address,
             data_centre: rec.data_centre,
             host: rec.host,
-            capacity: Room::default(),
+            capacity: Resources::default(),
             labels: Vec::new(),
             draining: false,
         }
@@ -216,7 +216,7 @@
     /// Tasks of these runs that serve users.
     pub serves: BTreeSet<TaskId>,
     /// Room taken by `runs`.
-    pub used: Room,
+    pub used: Resources,
     /// When it was found to be listed no longer.
     pub unlisted_at: Option<Duration>,
     /// Runs that are over since its lease has ended; whether it has crashed is not known.
@@ -274,7 +274,7 @@
             lasting: BTreeSet::new(),
             fills: BTreeSet::new(),
             serves: BTreeSet::new(),
-            used: Room::default(),
+            used: Resources::default(),
             unlisted_at: None,
             lapsed: Vec::new(),
             quarantine: None,
@@ -321,7 +321,7 @@
     }
 
     /// Room that is free.
-    pub fn free(&self) -> Room {
+    pub fn free(&self) -> Resources {
         self.info.as_ref().map(|i| i.capacity.minus(&self.used)).unwrap_or_default()
     }
 
--- a/crates/workswood-core/src/jobs/workers.rs
+++ b/crates/workswood-core/src/jobs/workers.rs
@@ -11,7 +11,7 @@
 
 use super::accounts::{Accounts, Change};
 use super::map::Map;
-use super::spec::Room;
+use super::spec::Resources;
 use super::worker::{Worker, WorkerInfo};
 use super::worker_id::WorkerId;
 use crate::ids::{DataCentre, HostId, ServiceId};
@@ -25,7 +25,7 @@
     /// Workers that take work, by the faults held against them and by free room.
     takers: BTreeMap<u32, BTreeSet<Free>>,
     /// Room that runs take where new work may begin.
-    used: Room,
+    used: Resources,
     /// Capacities of listed workers, by processor first, with how many have each.
     capacities: BTreeMap<(u64, u64, u64), usize>,
 }
@@ -36,7 +36,7 @@
     info: Option<Arc<WorkerInfo>>,
     /// Faults and free processor room, if it takes work.
     taker: Option<(u32, u64)>,
-    used: Room,
+    used: Resources,
     listed: bool,
     silent: bool,
 }
@@ -159,7 +159,7 @@
     }
 
     /// Room that runs take in a service, outside of data centres that are being evacuated.
-    pub fn room_in_use(&self, service: &str) -> Room {
+    pub fn room_in_use(&self, service: &str) -> Resources {
         self.index.pools.get(service).map(|p| p.used).unwrap_or_default()
     }
 
@@ -176,10 +176,10 @@
     }
 
     /// Room of the largest worker that is listed for a service.
-    pub fn largest(&self, service: &str) -> Room {
+    pub fn largest(&self, service: &str) -> Resources {
         let pool = self.index.pools.get(service);
         let largest = pool.and_then(|p| p.capacities.keys().next_back());
-        largest.map_or(Room::default(), |(cpu, mem, gpus)| Room {
+        largest.map_or(Resources::default(), |(cpu, mem, gpus)| Resources {
             cpu_millis: *cpu,
             mem_mb: *mem,
             gpus: *gpus,
@@ -246,7 +246,7 @@
     /// Takes in what changes with each run.
     fn update_room(&mut self, id: &WorkerId, w: &Worker, kept: &mut Kept) {
         let Some(pool) = kept.info.as_ref().and_then(|i| self.pools.get_mut(&i.service)) else { return };
-        let used = if w.evacuated { Room::default() } else { w.used };
+        let used = if w.evacuated { Resources::default() } else { w.used };
         if kept.used != used {
             pool.used = pool.used.minus(&kept.used);
             pool.used.add(&used);
@@ -317,7 +317,7 @@
         }
     }
 
-    fn remove_capacity(&mut self, capacity: &Room) {
+    fn remove_capacity(&mut self, capacity: &Resources) {
         let key = in_order(capacity);
         let Some(n) = self.capacities.get_mut(&key) else { return };
         *n -= 1;
@@ -328,7 +328,7 @@
 }
 
 /// A room in an order that looks at the processor first.
-fn in_order(room: &Room) -> (u64, u64, u64) {
+fn in_order(room: &Resources) -> (u64, u64, u64) {
     (room.cpu_millis, room.mem_mb, room.gpus)
 }
 
--- a/crates/workswood-core/src/jobs/workspace.rs
+++ b/crates/workswood-core/src/jobs/workspace.rs
@@ -9,7 +9,7 @@
 use sha2::{Digest, Sha256};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::spec::Room;
+use super::spec::Resources;
 use crate::ids::WorkspaceId;
 
 /// Whose a job is: a number made from the name of its workspace, so that every entry and
@@ -50,7 +50,7 @@
     /// Jobs a second that it may count on; its share when all is full.
     pub weight: f64,
     /// What it may have at work over all services; what is 0 has no limit.
-    pub limit: Room,
+    pub limit: Resources,
 }
 
 /// Keys that are in force, and whose each is.
@@ -93,7 +93,7 @@
     }
 
     /// What an owner's jobs may have at work; what is 0 has no limit.
-    pub fn limit(&self, owner: Owner) -> Room {
+    pub fn limit(&self, owner: Owner) -> Resources {
         self.by_owner.get(&owner).map(|w| w.limit).unwrap_or_default()
     }
 
--- a/crates/workswood-test-support/src/host_world.rs
+++ b/crates/workswood-test-support/src/host_world.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use workswood_core::jobs::job::WorkerId;
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
     Action, Event, Follow, Host, HostState, Limits, Listing, News, Record, ReportedRun, Scheduler,
     ServiceConfig, StartReply, TaskId, Wave, WorkerInfo,
@@ -37,8 +37,8 @@
 const LATE: Duration = Duration::from_millis(1100);
 
 /// Room of each host and its worker.
-fn room() -> Room {
-    Room { cpu_millis: 4000, mem_mb: 8000, gpus: 0 }
+fn room() -> Resources {
+    Resources { cpu_millis: 4000, mem_mb: 8000, gpus: 0 }
 }
 
 /// Limits with which a new holder waits for no host.
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -22,7 +22,7 @@
 
 use workswood_core::ids::{HostId, Term};
 use workswood_core::jobs::job::WorkerId;
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
     EndKind, Event, JobKey, JobRecord, JobSpec, Limits, Owner, QueueConfig, RelayEntry, SchedConfig,
     Scheduler, ServiceConfig, Shown, StepSpec, TaskId, WorkerInfo, WorkerRecord, Workspace, Workspaces,
@@ -188,7 +188,7 @@
     StepSpec {
         count,
         after,
-        room: Room { cpu_millis: 1000, mem_mb: 100, gpus: 0 },
+        resources: Resources { cpu_millis: 1000, mem_mb: 100, gpus: 0 },
         estimate: Duration::from_millis(500),
         ..StepSpec::default()
     }
@@ -286,7 +286,7 @@
             address: format!("10.0.0.{n}:80"),
             data_centre: self.data_centre(n),
             host: format!("m-{n}"),
-            capacity: Room { cpu_millis: 4000, mem_mb: 8000, gpus: 0 },
+            capacity: Resources { cpu_millis: 4000, mem_mb: 8000, gpus: 0 },
             labels: Vec::new(),
             draining: false,
         }
@@ -305,7 +305,7 @@
             cfg.queues.values_mut().for_each(|q| q.advice = Some(ADVICE));
         }
         if self.limited {
-            let room = Room { cpu_millis: 1000 * LIMIT as u64, ..Room::default() };
+            let room = Resources { cpu_millis: 1000 * LIMIT as u64, ..Resources::default() };
             let workspace = Workspace { name: WORKSPACE.to_string(), weight: 1.0, limit: room };
             cfg.workspaces.add(workspace, []);
         }
--- a/src/workswood/ops/bench/pools.rs
+++ b/src/workswood/ops/bench/pools.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use workswood_core::ids::{HostId, ServiceId};
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
     Action, Event, Host, HostReply, HostState, JobSpec, Limits, News, QueueConfig, Report, SchedConfig,
     Scheduler, ServiceConfig, StepSpec, Wave, WorkerInfo,
@@ -27,7 +27,7 @@
 /// Rounds from when demand turns.
 const TURN: usize = 25;
 /// Room of a host.
-const HOST: Room = Room { cpu_millis: 4000, mem_mb: 8000, gpus: 0 };
+const HOST: Resources = Resources { cpu_millis: 4000, mem_mb: 8000, gpus: 0 };
 
 /// A scheduler with hosts whose orders are all carried out at once.
 struct Fleet {
@@ -89,7 +89,7 @@
     fn turn(&mut self, hosts: usize) {
         let step = StepSpec {
             count: 4,
-            room: Room { cpu_millis: 2000, mem_mb: 100, gpus: 0 },
+            resources: Resources { cpu_millis: 2000, mem_mb: 100, gpus: 0 },
             estimate: Duration::from_secs(2),
             ..StepSpec::default()
         };
--- a/src/workswood/ops/job_status/sum.rs
+++ b/src/workswood/ops/job_status/sum.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 use workswood_core::ids::{DataCentre, HostId, Term, UnixMs, WorkspaceId};
-use workswood_core::jobs::spec::{Room, parse_job};
+use workswood_core::jobs::spec::{Resources, parse_job};
 use workswood_core::jobs::{
     Host, HostState, JobKey, JobRecord, JobSpec, Outcome, SchedConfig, Wave, WaveRecord,
 };
@@ -101,9 +101,9 @@
     /// Tasks of them that run somewhere.
     pub tasks_running: usize,
     /// What those take.
-    pub at_work: Room,
+    pub at_work: Resources,
     /// What they may take; what is 0 has no limit.
-    pub limit: Room,
+    pub limit: Resources,
 }
 
 /// Hosts and workers of a pool.
@@ -276,7 +276,7 @@
         for (step, tasks) in rec.into_iter().flat_map(|r| &r.rounds).flat_map(|r| spec.steps.iter().zip(r)) {
             let running = tasks.iter().filter(|t| !t.done && !t.runs.is_empty()).count();
             self.tasks_running += running;
-            self.at_work.add(&step.room.times(running as u64));
+            self.at_work.add(&step.resources.times(running as u64));
         }
     }
 }
--- a/src/workswood/ops/jobs/job_spec.rs
+++ b/src/workswood/ops/jobs/job_spec.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use prost::Message;
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{JobSpec, Repeat, StepSpec};
 
 /// First byte of a record that a version before this one wrote.
@@ -110,9 +110,9 @@
 fn write_step(s: &StepSpec) -> Step {
     Step {
         count: s.count,
-        cpu_millis: s.room.cpu_millis,
-        mem_mb: s.room.mem_mb,
-        gpus: s.room.gpus,
+        cpu_millis: s.resources.cpu_millis,
+        mem_mb: s.resources.mem_mb,
+        gpus: s.resources.gpus,
         estimate_ms: millis(s.estimate),
         after: s.after.iter().map(|a| u32::from(*a)).collect(),
         checkpointing: s.checkpointing,
@@ -157,7 +157,7 @@
     let after = s.after.into_iter().map(u16::try_from).collect::<Result<_, _>>();
     Ok(StepSpec {
         count: s.count,
-        room: Room { cpu_millis: s.cpu_millis, mem_mb: s.mem_mb, gpus: s.gpus },
+        resources: Resources { cpu_millis: s.cpu_millis, mem_mb: s.mem_mb, gpus: s.gpus },
         estimate: Duration::from_millis(s.estimate_ms),
         after: after.map_err(|_| "a step waits for one that there is not".to_string())?,
         checkpointing: s.checkpointing,
--- a/src/workswood/ops/jobs/job_state.rs
+++ b/src/workswood/ops/jobs/job_state.rs
@@ -11,7 +11,7 @@
 use prost::Message;
 use workswood_core::jobs::crash::{Crash, Evidence};
 use workswood_core::jobs::job::{TaskRecord, WorkerId};
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{JobRecord, Outcome, OverRecord, Owner};
 
 /// First byte of a record that a version before this one wrote.
@@ -212,7 +212,7 @@
             service: o.service,
             accepted: o.accepted,
             work: o.work,
-            room: Room { cpu_millis: o.cpu_millis, mem_mb: o.mem_mb, gpus: o.gpus },
+            room: Resources { cpu_millis: o.cpu_millis, mem_mb: o.mem_mb, gpus: o.gpus },
             owner: Owner::from_number(o.owner),
         }),
     })
--- a/src/workswood/ops/model/bound.rs
+++ b/src/workswood/ops/model/bound.rs
@@ -51,7 +51,7 @@
         let begins = begins(&j.spec, &j.takes);
         for (n, step) in j.spec.steps.iter().enumerate() {
             let (from, to) = (j.at + begins[n], j.at + begins[n] + j.takes[n]);
-            let step_room = u64::from(step.count) * step.room.cpu_millis;
+            let step_room = u64::from(step.count) * step.resources.cpu_millis;
             let span = slot_of(from).min(slots)..slot_of(to).min(slots);
             room[span].iter_mut().for_each(|r| *r += step_room);
         }
--- a/src/workswood/ops/model/fleet.rs
+++ b/src/workswood/ops/model/fleet.rs
@@ -5,7 +5,7 @@
 
 use workswood_core::ids::{DataCentre, HostId, ServiceId};
 use workswood_core::jobs::job::WorkerId;
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
     EndKind, Follow, Host, HostState, Listing, Report, ReportedEnd, ReportedRun, TaskId, WorkerInfo,
 };
@@ -94,7 +94,7 @@
     }
 
     /// What its worker says of itself.
-    pub fn info(&self, room: Room) -> WorkerInfo {
+    pub fn info(&self, room: Resources) -> WorkerInfo {
         WorkerInfo {
             id: self.worker.clone(),
             service: self.pool.clone(),
@@ -118,7 +118,7 @@
     }
 
     /// How the platform lists it.
-    pub fn listed(&self, room: Room) -> Host {
+    pub fn listed(&self, room: Resources) -> Host {
         Host {
             name: self.name.clone(),
             pool: self.pool.clone(),
--- a/src/workswood/ops/model/hosts.rs
+++ b/src/workswood/ops/model/hosts.rs
@@ -4,7 +4,7 @@
 use workswood_core::ids::HostId;
 use workswood_core::invariant;
 use workswood_core::jobs::job::WorkerId;
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{EndKind, Event, HostReply, HostState, News, StartReply, StopReply, TaskId};
 
 use super::agenda::{Happening, Order};
@@ -23,8 +23,8 @@
         }
     }
 
-    fn room(&self) -> Room {
-        Room { cpu_millis: self.spec.cpu_millis, mem_mb: self.spec.mem_mb, gpus: 0 }
+    fn room(&self) -> Resources {
+        Resources { cpu_millis: self.spec.cpu_millis, mem_mb: self.spec.mem_mb, gpus: 0 }
     }
 
     /// The host on which a life of a worker runs, if it still does.
@@ -96,7 +96,7 @@
         let asked = &job.spec.steps[step];
         let ends_after = job.takes[step];
         let takes = if asked.lasting { WARM_UP } else { ends_after };
-        let run = ModelRun { attempt, cpu_millis: asked.room.cpu_millis, since: self.now, takes };
+        let run = ModelRun { attempt, cpu_millis: asked.resources.cpu_millis, since: self.now, takes };
         if job.crashes && task.step == 0 && task.index == 0 {
             self.after(CRASH_AFTER, Happening::Crashes(n, worker.clone()));
         }
--- a/src/workswood/ops/model/load.rs
+++ b/src/workswood/ops/model/load.rs
@@ -5,7 +5,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{JobKey, JobSpec, StepSpec};
 
 use super::deployment::MAX_ATTEMPTS;
@@ -143,7 +143,7 @@
 fn lasting_job(key: JobKey, s: &ServiceSpec) -> ModelJob {
     let step = StepSpec {
         count: s.lasting,
-        room: Room { cpu_millis: s.task_cpu_millis, mem_mb: TASK_MEM_MB, gpus: 0 },
+        resources: Resources { cpu_millis: s.task_cpu_millis, mem_mb: TASK_MEM_MB, gpus: 0 },
         lasting: true,
         most_per_worker: LASTING_SHARE,
         may_miss: 1,
@@ -173,7 +173,7 @@
         work += f64::from(tasks) * cpu_millis as f64 / 1000.0 * time.as_secs_f64();
         steps.push(StepSpec {
             count: tasks,
-            room: Room { cpu_millis, mem_mb: TASK_MEM_MB, gpus: 0 },
+            resources: Resources { cpu_millis, mem_mb: TASK_MEM_MB, gpus: 0 },
             estimate: time.mul_f64(draw.factor(ESTIMATE_OFF)),
             after: if n == 0 { Vec::new() } else { vec![n as u16 - 1] },
             ..StepSpec::default()
--- a/tests/testsuite/advice_batches.rs
+++ b/tests/testsuite/advice_batches.rs
@@ -87,7 +87,7 @@
 fn label_and_room_are_heeded() {
     let mut world = advised(3, cfg());
     let mut huge = step(1, vec![]);
-    huge.room.cpu_millis = 5000;
+    huge.resources.cpu_millis = 5000;
     let labelled = StepSpec { label: Some("gold".to_string()), ..step(1, vec![]) };
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![huge], 0))));
     world.sched.handle(Event::Submitted(2, Arc::new(job(vec![labelled], 0))));
--- a/tests/testsuite/changing_room.rs
+++ b/tests/testsuite/changing_room.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
     Action, EndKind, Event, Listing, News, Owner, ReportedEnd, ReportedRun, StopReply, TaskId, WorkerInfo,
 };
@@ -12,7 +12,7 @@
 
 /// The only worker, with room for so many tasks of one core.
 fn with_room(cores: u64) -> WorkerInfo {
-    WorkerInfo { capacity: Room { cpu_millis: cores * 1000, mem_mb: 8000, gpus: 0 }, ..worker(0, 0) }
+    WorkerInfo { capacity: Resources { cpu_millis: cores * 1000, mem_mb: 8000, gpus: 0 }, ..worker(0, 0) }
 }
 
 /// A job of so many tasks of one core each.
--- a/tests/testsuite/job_limits.rs
+++ b/tests/testsuite/job_limits.rs
@@ -25,7 +25,7 @@
         address: "10.0.0.1:80".to_string(),
         data_centre: "north".to_string(),
         host: "m".to_string(),
-        capacity: workswood_core::jobs::spec::Room { cpu_millis: cores * 1000, mem_mb: 8000, gpus: 0 },
+        capacity: workswood_core::jobs::spec::Resources { cpu_millis: cores * 1000, mem_mb: 8000, gpus: 0 },
         labels: Vec::new(),
         draining: false,
     };
@@ -103,7 +103,7 @@
     lasting.most_per_worker = 1;
     s.handle(Event::Submitted(1, Arc::new(job(vec![lasting], 0))));
     let mut large = step(50, vec![]);
-    large.room.cpu_millis = 64_000;
+    large.resources.cpu_millis = 64_000;
     s.handle(Event::Submitted(2, Arc::new(job(vec![large], 0))));
     s.handle(Event::Submitted(3, Arc::new(job(vec![step(1, vec![])], 0))));
     assert!(starts(&mut s).contains(&3), "tasks that fit nowhere keep nobody from starting");
--- a/tests/testsuite/job_records.rs
+++ b/tests/testsuite/job_records.rs
@@ -9,7 +9,7 @@
 use workswood::ops::jobs::shown::ShownJobs;
 use workswood_core::jobs::crash::{Crash, Evidence};
 use workswood_core::jobs::job::{TaskRecord, WorkerId};
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
     JobRecord, JobSpec, Outcome, OverRecord, Owner, Repeat, Shown, ShownJob, StepSpec,
 };
@@ -65,7 +65,7 @@
         service: "till".to_string(),
         accepted: u.arbitrary()?,
         work: u.arbitrary()?,
-        room: Room { cpu_millis: u.arbitrary()?, mem_mb: u.arbitrary()?, gpus: u.arbitrary()? },
+        room: Resources { cpu_millis: u.arbitrary()?, mem_mb: u.arbitrary()?, gpus: u.arbitrary()? },
         owner: Owner::from_number(u.arbitrary()?),
     };
     let over = outcome.is_some().then_some(over);
@@ -116,7 +116,7 @@
     let span = |u: &mut Unstructured<'_>| Ok(Duration::from_millis(u.arbitrary::<u32>()?.into()));
     Ok(StepSpec {
         count: u.arbitrary()?,
-        room: Room { cpu_millis: u.arbitrary()?, mem_mb: u.arbitrary()?, gpus: u.arbitrary()? },
+        resources: Resources { cpu_millis: u.arbitrary()?, mem_mb: u.arbitrary()?, gpus: u.arbitrary()? },
         estimate: span(u)?,
         after: u.arbitrary()?,
         checkpointing: u.arbitrary()?,
--- a/tests/testsuite/policy_model.rs
+++ b/tests/testsuite/policy_model.rs
@@ -124,7 +124,7 @@
 /// A job of two steps, one after the other, of so many thousandths of a core each.
 fn two_steps(key: u64, handed_in: u64, cpu_millis: u64, takes: [u64; 2]) -> ModelJob {
     let mut spec = job(vec![step(2, vec![]), step(1, vec![0])], handed_in);
-    spec.steps.iter_mut().for_each(|s| s.room.cpu_millis = cpu_millis);
+    spec.steps.iter_mut().for_each(|s| s.resources.cpu_millis = cpu_millis);
     ModelJob {
         key,
         at: Duration::from_millis(handed_in),
--- a/tests/testsuite/queue_order.rs
+++ b/tests/testsuite/queue_order.rs
@@ -5,7 +5,7 @@
 
 use workswood_core::jobs::order::{Durations, Place, Rank, Standing, place_of};
 use workswood_core::jobs::policy::OrderPolicy;
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::waiting::Waiting;
 use workswood_core::jobs::{Job, JobSpec, Owner, StepId};
 use workswood_test_support::job_world::{QUEUE, config, job, step};
@@ -29,7 +29,7 @@
 /// Steps are estimated at 500 ms: one is owed within 1.6 x 500 + 600 ms.
 const OWED: u64 = 1400;
 /// Room of a task.
-const ROOM: Room = Room { cpu_millis: 1000, mem_mb: 100, gpus: 0 };
+const ROOM: Resources = Resources { cpu_millis: 1000, mem_mb: 100, gpus: 0 };
 
 #[test]
 fn late_behind_in_time() {
@@ -87,14 +87,14 @@
         place_of(&j, &id, cfg.queues.get(QUEUE), &Durations::default(), &OrderPolicy::default(), 0);
     waiting.insert(place, dues, ROOM, [0, 1]);
     waiting.insert(place, dues, ROOM, [1, 2]);
-    assert_eq!((waiting.count(), waiting.room()), (3, (ROOM.times(3), Room::default())));
+    assert_eq!((waiting.count(), waiting.room()), (3, (ROOM.times(3), Resources::default())));
     waiting.remove(&id.task(1));
     assert_eq!(waiting.tasks_of(&id).collect::<Vec<_>>(), [id.task(0), id.task(2)]);
     waiting.age(OWED);
-    assert_eq!((waiting.count(), waiting.room()), (2, (Room::default(), ROOM.times(2))));
+    assert_eq!((waiting.count(), waiting.room()), (2, (Resources::default(), ROOM.times(2))));
     assert_eq!(waiting.next_after(None).map(|p| p.standing), Some(Standing::Late));
     waiting.remove_step(&id);
-    assert_eq!((waiting.count(), waiting.room()), (0, (Room::default(), Room::default())));
+    assert_eq!((waiting.count(), waiting.room()), (0, (Resources::default(), Resources::default())));
     assert_eq!(waiting.next_after(None), None);
 }
 
--- a/tests/testsuite/worker_index.rs
+++ b/tests/testsuite/worker_index.rs
@@ -5,7 +5,7 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
 use workswood_core::jobs::TaskId;
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::worker::{Worker, WorkerInfo};
 use workswood_core::jobs::worker_id::WorkerId;
 use workswood_core::jobs::workers::Workers;
@@ -20,7 +20,7 @@
         address: "10.0.0.1:80".to_string(),
         data_centre: "north".to_string(),
         host: u.choose(&HOSTS)?.to_string(),
-        capacity: Room { cpu_millis: u.int_in_range(2..=5)? * 1000, mem_mb: 800, gpus: 0 },
+        capacity: Resources { cpu_millis: u.int_in_range(2..=5)? * 1000, mem_mb: 800, gpus: 0 },
         labels: Vec::new(),
         draining: u.ratio(1, 4)?,
     })
@@ -35,7 +35,7 @@
     let id = WorkerId::from(format!("w-{}", u.int_in_range(0..=4)?));
     let info = info(u, &id)?;
     let run = (task(u)?, 1);
-    let room = Room { cpu_millis: u.int_in_range(0..=2)? * 500, mem_mb: 100, gpus: 0 };
+    let room = Resources { cpu_millis: u.int_in_range(0..=2)? * 500, mem_mb: 100, gpus: 0 };
     let what = u.int_in_range(0..=9)?;
     if what == 0 {
         all.remove(&id);
--- a/tests/testsuite/workspace_limits.rs
+++ b/tests/testsuite/workspace_limits.rs
@@ -7,7 +7,7 @@
 use workswood_core::jobs::order::{Durations, place_of};
 use workswood_core::jobs::policy::OrderPolicy;
 use workswood_core::jobs::shares::{Shares, use_by_share};
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
     Action, EndKind, Event, Job, JobSpec, Listing, News, Owner, Report, ReportedEnd, SchedConfig, StartReply,
     StepId, TaskId, Workspace, Workspaces,
@@ -16,8 +16,8 @@
 use workswood_test_support::job_world::{QUEUE, config, job, step};
 
 /// Thousandths of a core.
-fn cpu(millis: u64) -> Room {
-    Room { cpu_millis: millis, mem_mb: 0, gpus: 0 }
+fn cpu(millis: u64) -> Resources {
+    Resources { cpu_millis: millis, mem_mb: 0, gpus: 0 }
 }
 
 fn workspaces(limits: &[(&str, u64)]) -> Workspaces {
@@ -152,7 +152,7 @@
 #[test]
 fn large_task_begins() {
     let mut wide = of("north", 3);
-    wide.steps[0].room = cpu(3000);
+    wide.steps[0].resources = cpu(3000);
     let mut world = world(&[("north", 2000)]);
     assert_eq!(submit(&mut world, 1, wide).len(), 1);
 }
@@ -162,8 +162,8 @@
     assert!(admits(&cpu(3999), &cpu(8000), &cpu(9000)), "under half, any task may begin");
     assert!(!admits(&cpu(4000), &cpu(8000), &cpu(4001)));
     assert!(admits(&cpu(4000), &cpu(8000), &cpu(4000)));
-    assert!(admits(&cpu(4000), &Room::default(), &cpu(4000)), "no limit");
-    let gpus = |gpus| Room { gpus, ..Room::default() };
+    assert!(admits(&cpu(4000), &Resources::default(), &cpu(4000)), "no limit");
+    let gpus = |gpus| Resources { gpus, ..Resources::default() };
     assert!(!admits(&gpus(2), &gpus(2), &gpus(1)));
     assert!(admits(&gpus(2), &cpu(100), &gpus(1)), "only what is declared is limited");
 }
@@ -176,7 +176,7 @@
     all.take(Change::Taken(held));
     assert_eq!(all.at_work(north), cpu(1000), "what lives on what others leave counts in full");
     all.take(Change::Taken(Held::from(cpu(700))));
-    assert_eq!(all.at_work(Owner::PUBLIC), Room::default());
+    assert_eq!(all.at_work(Owner::PUBLIC), Resources::default());
     all.take(Change::GivenBack(held));
     assert_eq!(all.iter().collect::<Vec<_>>(), [(north, cpu(500))]);
 }
