--- a/crates/workswood-core/src/jobs/advice_need.rs
+++ b/crates/workswood-core/src/jobs/advice_need.rs
@@ -66,7 +66,7 @@
                 if room <= 0.0 {
                     break;
                 }
-                let each = step.reserved().cpu_millis as f64;
+                let each = step.reserved_resources().cpu_millis as f64;
                 let mut tasks: Vec<TaskId> = Vec::new();
                 for task in waiting.tasks_of(&place.step) {
                     if room <= 0.0 {
@@ -195,9 +195,9 @@
         let task = |t: &TaskId| wish.job.task(t);
         let avoids = |t: &&TaskId| wish.others > 1 && task(t).is_some_and(|t| t.avoid.as_ref() == Some(id));
         let mut most = wish.wanted.tasks.iter().filter(|t| !avoids(t)).count() as u32;
-        if wish.spec.most_per_worker > 0 {
+        if wish.spec.max_per_worker > 0 {
             let here = wish.wanted.tasks.first().map_or(0, |t| same_step(w, t)) as u32;
-            most = most.min(wish.spec.most_per_worker.saturating_sub(here));
+            most = most.min(wish.spec.max_per_worker.saturating_sub(here));
         }
         let mut free = w.free();
         if wish.wanted.opens > self.now {
@@ -206,7 +206,7 @@
             own.for_each(|(_, held)| free.add(&held.room));
         }
         let whole = w.info.as_ref().map(|i| i.capacity).unwrap_or_default();
-        let room = wish.spec.reserved();
+        let room = wish.spec.reserved_resources();
         (times(&free, &room).min(most), times(&whole, &room).min(most))
     }
 }
--- a/crates/workswood-core/src/jobs/crash.rs
+++ b/crates/workswood-core/src/jobs/crash.rs
@@ -366,7 +366,7 @@
         self.tally.given_up += 1;
         self.crash_rate.explain(task, self.now);
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        if !job.step(task).is_some_and(|s| s.lasting) {
+        if !job.step(task).is_some_and(|s| s.long_running) {
             self.end_job(task.job, Outcome::Failed);
             return;
         }
--- a/crates/workswood-core/src/jobs/ends.rs
+++ b/crates/workswood-core/src/jobs/ends.rs
@@ -175,8 +175,8 @@
         }
         self.dirty.insert(task_id.job);
         match end.kind {
-            EndKind::Done => self.task_done(id, &task_id, step.gang, step.lasting),
-            EndKind::Failed => self.task_failed(id, &task_id, end.attempt, step.lasting),
+            EndKind::Done => self.task_done(id, &task_id, step.gang, step.long_running),
+            EndKind::Failed => self.task_failed(id, &task_id, end.attempt, step.long_running),
             EndKind::Stopped | EndKind::Lapsed | EndKind::Broken | EndKind::Alone => {}
         }
         self.queue_task(&task_id);
--- a/crates/workswood-core/src/jobs/evict.rs
+++ b/crates/workswood-core/src/jobs/evict.rs
@@ -30,7 +30,7 @@
         let Some(w) = self.workers.get(id) else { return Vec::new() };
         let lasting = |task: &TaskId| {
             let step = self.jobs.get(&task.job).and_then(|j| j.step(task));
-            step.is_some_and(|s| s.lasting)
+            step.is_some_and(|s| s.long_running)
         };
         let mut runs: Vec<(TaskId, u32)> = w.runs.keys().filter(|(t, _)| lasting(t)).copied().collect();
         runs.sort();
@@ -44,7 +44,7 @@
             return true;
         }
         let Some(step) = job.step(id) else { return true };
-        job.others_away(id, |run| self.is_at_work(run)) < step.may_miss
+        job.others_away(id, |run| self.is_at_work(run)) < step.max_unavailable
     }
 
     /// Whether a task goes on although its job has ended: one that we have ended ourselves still
@@ -56,7 +56,7 @@
         if job.cancelled || job.outcome != Some(Outcome::Failed) {
             return false;
         }
-        let lasting = job.step(id).is_some_and(|s| s.lasting);
+        let lasting = job.step(id).is_some_and(|s| s.long_running);
         let at_work = || job.task(id).is_some_and(|t| t.runs.iter().any(Run::warm));
         lasting && at_work() && !self.may_evict(id)
     }
--- a/crates/workswood-core/src/jobs/job.rs
+++ b/crates/workswood-core/src/jobs/job.rs
@@ -254,7 +254,7 @@
 
     /// Whether every task of every round is done.
     pub fn all_done(&self) -> bool {
-        let opened = self.rounds.len() as u32 == self.spec.rounds();
+        let opened = self.rounds.len() as u32 == self.spec.round_count();
         opened && self.rounds.iter().flatten().flatten().all(|t| t.done)
     }
 
--- a/crates/workswood-core/src/jobs/known.rs
+++ b/crates/workswood-core/src/jobs/known.rs
@@ -117,7 +117,7 @@
             if job.spec.repeat.is_some() {
                 self.timed.insert(key);
             }
-            if job.spec.lasts() {
+            if job.spec.is_long_running() {
                 self.lasting.entry(job.spec.service.clone()).or_default().insert(key);
             }
         }
--- a/crates/workswood-core/src/jobs/need.rs
+++ b/crates/workswood-core/src/jobs/need.rs
@@ -119,8 +119,8 @@
     /// Hosts that lasting tasks need because only so many may share one.
     fn hosts_apart(&self, service: &ServiceId) -> u32 {
         let jobs = self.jobs.lasting(service).filter(|j| j.open());
-        let steps = jobs.flat_map(|j| &j.spec.steps).filter(|s| s.lasting && s.most_per_worker > 0);
-        steps.map(|s| s.count.div_ceil(s.most_per_worker)).max().unwrap_or(0)
+        let steps = jobs.flat_map(|j| &j.spec.steps).filter(|s| s.long_running && s.max_per_worker > 0);
+        steps.map(|s| s.count.div_ceil(s.max_per_worker)).max().unwrap_or(0)
     }
 
     /// Takes in the work of a job that was handed in.
@@ -138,7 +138,7 @@
             .jobs
             .values()
             .filter_map(|j| {
-                let ago = Duration::from_millis(self.wall.saturating_sub(j.spec.accepted));
+                let ago = Duration::from_millis(self.wall.saturating_sub(j.spec.accepted_at));
                 Some((j.spec.service.clone(), ago, self.work_of(j)?))
             })
             .chain(self.jobs.over().filter_map(|over| {
@@ -155,7 +155,7 @@
 
     /// Work of a job that ends by itself, in core-milliseconds.
     pub(super) fn work_of(&self, job: &Job) -> Option<u64> {
-        if job.spec.lasts() || job.rounds.is_empty() {
+        if job.spec.is_long_running() || job.rounds.is_empty() {
             return None;
         }
         let took =
--- a/crates/workswood-core/src/jobs/order.rs
+++ b/crates/workswood-core/src/jobs/order.rs
@@ -157,8 +157,8 @@
         let step = &spec.steps[n];
         known.expect(&spec.queue, step.estimate, policy) * job.waves(step)
     };
-    let lasting = spec.steps.get(usize::from(id.step)).is_some_and(|s| s.lasting);
-    let begin = spec.accepted.max(spec.due(id.round));
+    let lasting = spec.steps.get(usize::from(id.step)).is_some_and(|s| s.long_running);
+    let begin = spec.accepted_at.max(spec.round_due_at(id.round));
     let owed = owed_after(spec, queue, &took);
     let left = chain_from(spec, usize::from(id.step), &took).as_millis() as u64;
     let end = begin + owed.as_millis() as u64;
--- a/crates/workswood-core/src/jobs/place.rs
+++ b/crates/workswood-core/src/jobs/place.rs
@@ -99,7 +99,7 @@
     /// may have none for hours.
     fn lasts(&self, id: &StepId) -> bool {
         let steps = self.jobs.get(&id.job).map(|j| &j.spec.steps);
-        steps.and_then(|s| s.get(usize::from(id.step))).is_some_and(|s| s.lasting)
+        steps.and_then(|s| s.get(usize::from(id.step))).is_some_and(|s| s.long_running)
     }
 
     /// Workers of a service that take work, by name.
@@ -155,7 +155,7 @@
             let Some(job) = self.jobs.get(&id.job) else { break };
             let Some(worker) = self.choose(job, step, m, service) else { break };
             if let Some(mut w) = self.workers.get_mut(&worker) {
-                w.take(*m, attempt, step.reserved());
+                w.take(*m, attempt, step.reserved_resources());
             }
             places.push((*m, worker));
         }
@@ -180,7 +180,7 @@
     /// The best worker with room, if there is one. For tasks that neither last nor
     /// have their data in some rack it is the first one of the index that fits.
     fn choose(&self, job: &Job, step: &StepSpec, id: &TaskId, service: &str) -> Option<WorkerId> {
-        let room = step.reserved();
+        let room = step.reserved_resources();
         let avoid = job.task(id).and_then(|t| t.avoid.as_ref());
         let advised = self.is_advised(&id.step_id());
         let fits = |w: &Worker| {
@@ -191,7 +191,7 @@
         let takers = || self.workers.takers(service, room.cpu_millis).filter(|(_, w)| fits(w));
         let best = |skip: Option<&WorkerId>| {
             let mut open = takers().filter(|(wid, _)| skip != Some(*wid));
-            let found = match step.lasting || step.near.is_some() {
+            let found = match step.long_running || step.data_rack.is_some() {
                 true => open.min_by_key(|(_, w)| self.cost(w, step, id)),
                 false => open.next(),
             };
@@ -218,7 +218,7 @@
         {
             return false;
         }
-        step.most_per_worker == 0 || same_step(w, id) < step.most_per_worker as usize
+        step.max_per_worker == 0 || same_step(w, id) < step.max_per_worker as usize
     }
 
     /// What speaks against a worker; smaller is better. Among equals the one
@@ -226,7 +226,7 @@
     /// would leave none empty, and only an empty host can go to a pool that is
     /// short of them, be turned off or be maintained without a loss.
     pub(super) fn cost(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> (bool, usize, u32, u64) {
-        let far = step.near.as_ref().is_some_and(|rack| {
+        let far = step.data_rack.as_ref().is_some_and(|rack| {
             let labels = w.info.as_ref().map(|i| i.labels.as_slice()).unwrap_or_default();
             !labels.contains(rack)
         });
@@ -236,17 +236,17 @@
     /// What speaks against a worker for what runs there already.
     fn crowd(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> usize {
         let policy = &self.policy.placement;
-        if !step.lasting {
+        if !step.long_running {
             return 0;
         }
-        let beside = match (step.fills, step.target) {
+        let beside = match (step.best_effort, step.latency_target) {
             // Beside others that fill: a host with one of them is never empty.
             (true, _) if !policy.fills_beside => 2 * w.serves.len() + usize::from(w.fills.is_empty()),
             (false, Some(_)) => w.fills.len(),
             _ => 0,
         };
         // Apart from tasks that are alike, on hosts where some task lasts already.
-        let alike = if step.fills { 0 } else { same_step(w, id) };
+        let alike = if step.best_effort { 0 } else { same_step(w, id) };
         let together = 2 * alike + usize::from(w.lasting.is_empty());
         beside * MOST_ALIKE + together
     }
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -308,7 +308,7 @@
             "event=job_known job={key:016x} queue={} stretch={stretch} target_ms={target}",
             spec.queue
         ));
-        let excess = self.shares.is_excess(owner, self.config.workspaces.weight(owner), spec.accepted);
+        let excess = self.shares.is_excess(owner, self.config.workspaces.weight(owner), spec.accepted_at);
         let most_cpu = self.config.workspaces.limit(owner).cpu_millis;
         self.jobs.insert(Job { excess, most_cpu, ..Job::new(key, spec) });
         self.watch_advised(key);
@@ -367,8 +367,8 @@
     pub(super) fn open_due_rounds(&mut self, key: JobKey) {
         let ahead = self.wall + self.limits.early.as_millis() as u64;
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        while job.open() && (job.rounds.len() as u32) < job.spec.rounds() {
-            if job.spec.due(job.rounds.len() as u32) > ahead {
+        while job.open() && (job.rounds.len() as u32) < job.spec.round_count() {
+            if job.spec.round_due_at(job.rounds.len() as u32) > ahead {
                 break;
             }
             job.open_round();
@@ -416,7 +416,7 @@
         let queue = self.config.queues.get(&job.spec.queue);
         let (place, dues) = place_of(job, &id, queue, &self.durations, &self.policy.order, self.wall);
         let spec = job.spec.clone();
-        let room = step.reserved();
+        let room = step.reserved_resources();
         match self.ready.get_mut(&spec.service) {
             Some(waiting) => waiting.insert(place, dues, room, tasks.iter().copied()),
             None => {
@@ -458,7 +458,7 @@
         job.ended = self.now;
         self.notes.push(format_args!(
             "event=job_ended job={key:016x} outcome={outcome:?} age_ms={}",
-            self.wall.saturating_sub(job.spec.accepted)
+            self.wall.saturating_sub(job.spec.accepted_at)
         ));
         self.jobs.note_ended(key);
         self.dirty.insert(key);
@@ -547,9 +547,9 @@
         let record = OverRecord {
             queue: spec.queue.clone(),
             service: spec.service.clone(),
-            accepted: spec.accepted,
+            accepted: spec.accepted_at,
             work,
-            room: spec.largest_room(),
+            room: spec.max_task_resources(),
             owner: spec.owner(),
         };
         let over = Some(record.clone());
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/settle.rs
@@ -377,7 +377,7 @@
         // Progress is told in whole percent: a long task shows none for a while.
         let limit = since + policy.stuck_after + step.estimate.mul_f64(policy.stuck_share);
         let slowed = run.pace < FULL_PACE;
-        let working = slowed || step.lasting && run.percent >= 100;
+        let working = slowed || step.long_running && run.percent >= 100;
         limit < self.now && !working && !step.gang
     }
 }
--- a/crates/workswood-core/src/jobs/share.rs
+++ b/crates/workswood-core/src/jobs/share.rs
@@ -39,7 +39,7 @@
     /// The figure of a serving task as a share of its target.
     fn load_of(&self, id: &WorkerId, task: &TaskId) -> Option<f64> {
         let job = self.jobs.get(&task.job)?;
-        let target = job.step(task)?.target?.as_millis().max(1) as f64;
+        let target = job.step(task)?.latency_target?.as_millis().max(1) as f64;
         let run = job.task(task)?.runs.iter().find(|r| r.worker == *id && r.warm())?;
         Some(run.figure as f64 / target)
     }
--- a/crates/workswood-core/src/jobs/spec.rs
+++ b/crates/workswood-core/src/jobs/spec.rs
@@ -17,15 +17,15 @@
 pub type QueueId = String;
 
 /// Most tasks of one round of a job. Bounds the memory a single job can take.
-pub const MOST_TASKS: u64 = 10_000;
+pub const MAX_TASKS_PER_ROUND: u64 = 10_000;
 /// Most tasks of all rounds of a job: its state is one record of the store,
 /// which takes 256 KB, and a task takes about ten bytes of it.
-pub const MOST_TASKS_OF_ALL_ROUNDS: u64 = 20_000;
+pub const MAX_TASKS: u64 = 20_000;
 /// Longest estimate of a task. Times are reckoned in milliseconds with factors
 /// of up to some thousands, and must not overflow.
-pub const MOST_ESTIMATE: Duration = Duration::from_secs(30 * 24 * 3600);
+pub const MAX_ESTIMATE: Duration = Duration::from_secs(30 * 24 * 3600);
 /// Most steps of a job; step numbers are stored in 16 bits.
-pub const MOST_STEPS: usize = 1_000;
+pub const MAX_STEPS: usize = 1_000;
 
 /// Amounts of each kind of resource: what a task asks for, or what a worker has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -116,37 +116,37 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub label: Option<String>,
     /// Rack that holds the data.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub near: Option<Rack>,
+    #[serde(default, rename = "near", skip_serializing_if = "Option::is_none")]
+    pub data_rack: Option<Rack>,
     /// Most tasks of the step on one worker; 0 for no limit.
-    #[serde(default)]
-    pub most_per_worker: u32,
+    #[serde(default, rename = "most_per_worker")]
+    pub max_per_worker: u32,
     /// Whether copies of a task may run at the same time. The scheduler begins
     /// none by itself yet.
     #[serde(default)]
     pub speculative: bool,
     /// Whether the tasks run until the job is cancelled.
-    #[serde(default)]
-    pub lasting: bool,
+    #[serde(default, rename = "lasting")]
+    pub long_running: bool,
     /// What the tasks run; tasks of one image behave alike. The scheduler does
     /// not read it yet.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub image: Option<String>,
     /// Bound on the slow answers of a lasting task that serves users.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub target: Option<Duration>,
+    #[serde(default, rename = "target", skip_serializing_if = "Option::is_none")]
+    pub latency_target: Option<Duration>,
     /// Whether the tasks live on processor time that others leave unused.
-    #[serde(default)]
-    pub fills: bool,
+    #[serde(default, rename = "fills")]
+    pub best_effort: bool,
     /// How many tasks of a lasting step may be away at once by our doing.
-    #[serde(default)]
-    pub may_miss: u32,
+    #[serde(default, rename = "may_miss")]
+    pub max_unavailable: u32,
 }
 
 impl StepSpec {
     /// The room that a task takes from a worker's capacity.
-    pub fn reserved(&self) -> Resources {
-        if self.fills { Resources { cpu_millis: 0, ..self.resources } } else { self.resources }
+    pub fn reserved_resources(&self) -> Resources {
+        if self.best_effort { Resources { cpu_millis: 0, ..self.resources } } else { self.resources }
     }
 }
 
@@ -156,9 +156,11 @@
     /// How many rounds.
     pub count: u32,
     /// When the first round is due.
-    pub start: UnixMs,
+    #[serde(rename = "start")]
+    pub first_due_at: UnixMs,
     /// Time between the starts of two rounds.
-    pub every: Duration,
+    #[serde(rename = "every")]
+    pub interval: Duration,
 }
 
 /// A job as handed in.
@@ -184,7 +186,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeat: Option<Repeat>,
     /// When an entry accepted it.
-    pub accepted: UnixMs,
+    #[serde(rename = "accepted")]
+    pub accepted_at: UnixMs,
 }
 
 impl JobSpec {
@@ -195,34 +198,37 @@
 
     /// What a task of one of its steps takes of a worker, and of its workspace's limit.
     pub fn held(&self, step: &StepSpec) -> Held {
-        Held { room: step.reserved(), charged: step.resources, owner: self.owner() }
+        Held { room: step.reserved_resources(), charged: step.resources, owner: self.owner() }
     }
 
     /// Room that holds any of its tasks.
-    pub fn largest_room(&self) -> Resources {
-        self.steps.iter().map(StepSpec::reserved).fold(Resources::default(), |most, room| most.max(&room))
+    pub fn max_task_resources(&self) -> Resources {
+        self.steps
+            .iter()
+            .map(StepSpec::reserved_resources)
+            .fold(Resources::default(), |most, room| most.max(&room))
     }
 
     /// Checks what the scheduler relies on.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn validate(&self) -> Result<(), String> {
         if self.steps.is_empty() {
             return Err("a job needs at least one step".to_string());
         }
-        if self.steps.len() > MOST_STEPS {
-            return Err(format!("a job may have {MOST_STEPS} steps at most"));
+        if self.steps.len() > MAX_STEPS {
+            return Err(format!("a job may have {MAX_STEPS} steps at most"));
         }
         let tasks: u64 = self.steps.iter().map(|s| u64::from(s.count)).sum();
         if self.steps.iter().any(|s| s.count == 0) {
             return Err("each step needs at least one task".to_string());
         }
-        if self.steps.iter().any(|s| s.estimate > MOST_ESTIMATE) {
-            return Err(format!("a task may be estimated at {} s at most", MOST_ESTIMATE.as_secs()));
+        if self.steps.iter().any(|s| s.estimate > MAX_ESTIMATE) {
+            return Err(format!("a task may be estimated at {} s at most", MAX_ESTIMATE.as_secs()));
         }
-        if tasks.saturating_mul(u64::from(self.rounds())) > MOST_TASKS_OF_ALL_ROUNDS {
-            return Err(format!("all rounds together may have {MOST_TASKS_OF_ALL_ROUNDS} tasks at most"));
+        if tasks.saturating_mul(u64::from(self.round_count())) > MAX_TASKS {
+            return Err(format!("all rounds together may have {MAX_TASKS} tasks at most"));
         }
-        if tasks > MOST_TASKS {
-            return Err(format!("a job may have {MOST_TASKS} tasks at most"));
+        if tasks > MAX_TASKS_PER_ROUND {
+            return Err(format!("a job may have {MAX_TASKS_PER_ROUND} tasks at most"));
         }
         for (n, s) in self.steps.iter().enumerate() {
             if s.after.iter().any(|a| usize::from(*a) >= n) {
@@ -233,18 +239,18 @@
     }
 
     /// How many rounds the job has.
-    pub fn rounds(&self) -> u32 {
+    pub fn round_count(&self) -> u32 {
         self.repeat.map_or(1, |r| r.count.max(1))
     }
 
     /// When a round is due.
-    pub fn due(&self, round: u32) -> UnixMs {
-        self.repeat.map_or(0, |r| r.start + u64::from(round) * r.every.as_millis() as u64)
+    pub fn round_due_at(&self, round: u32) -> UnixMs {
+        self.repeat.map_or(0, |r| r.first_due_at + u64::from(round) * r.interval.as_millis() as u64)
     }
 
     /// Whether any step runs until the job is cancelled.
-    pub fn lasts(&self) -> bool {
-        self.steps.iter().any(|s| s.lasting)
+    pub fn is_long_running(&self) -> bool {
+        self.steps.iter().any(|s| s.long_running)
     }
 }
 
@@ -305,7 +311,7 @@
         let bad = || format!("`{s}` is not the name of a task");
         let mut parts = s.split('.');
         let mut next = || parts.next().ok_or_else(bad);
-        let job = parse_job(next()?).ok_or_else(bad)?;
+        let job = parse_job_key(next()?).ok_or_else(bad)?;
         let round = next()?.parse().map_err(|_| bad())?;
         let step = next()?.parse().map_err(|_| bad())?;
         let index = next()?.parse().map_err(|_| bad())?;
@@ -314,11 +320,11 @@
 }
 
 /// Reads the 16 hex digits of a job.
-pub fn parse_job(s: &str) -> Option<JobKey> {
+pub fn parse_job_key(s: &str) -> Option<JobKey> {
     if s.len() != 16 { None } else { u64::from_str_radix(s, 16).ok() }
 }
 
 /// The 16 hex digits of a job.
-pub fn show_job(job: JobKey) -> String {
+pub fn format_job_key(job: JobKey) -> String {
     format!("{job:016x}")
 }
--- a/crates/workswood-core/src/jobs/trials.rs
+++ b/crates/workswood-core/src/jobs/trials.rs
@@ -126,7 +126,7 @@
 
     /// The worker with the least to lose where a trial can begin now.
     fn worker_for_trial(&self, service: &str, id: &TaskId, step: &StepSpec) -> Option<WorkerId> {
-        let room = step.reserved();
+        let room = step.reserved_resources();
         let young = self.policy.crashes.young;
         let quiet = |w: &Worker| w.last_start.is_none_or(|at| at + young <= self.now);
         let free = |w: &Worker| !w.in_quarantine(self.now) || w.quarantine.is_some_and(|q| q.trial.is_none());
@@ -139,7 +139,7 @@
     /// could be found.
     fn keep_for_trial(&mut self, service: &str, id: &TaskId) -> bool {
         let Some(step) = self.jobs.get(&id.job).and_then(|j| j.step(id)) else { return false };
-        let room = step.reserved();
+        let room = step.reserved_resources();
         let large = |w: &Worker| w.info.as_ref().is_some_and(|i| i.capacity.contains(&room));
         let open = |w: &Worker| !w.in_quarantine(self.now) && large(w) && self.may_try(w, step, id);
         let open = self.workers.takers(service, 0).filter(|(_, w)| open(w));
@@ -180,7 +180,7 @@
         let s = self.suspicion.filter(|_| self.wants_trial(policy, now))?;
         if self.crashes.count() >= policy.suspect_after {
             // Until it ends: no length of a run is known to be harmless.
-            return Some(if step.lasting { PROVEN_AFTER } else { Duration::MAX });
+            return Some(if step.long_running { PROVEN_AFTER } else { Duration::MAX });
         }
         let lasted = s.lasted.map_or(UNKNOWN_TRIAL, |d| d * TRIAL_TIMES);
         Some(lasted.clamp(policy.young * TRIAL_TIMES, LONGEST_TRIAL))
--- a/crates/workswood-core/src/jobs/worker.rs
+++ b/crates/workswood-core/src/jobs/worker.rs
@@ -337,12 +337,12 @@
 
     /// Notes whether a task that runs here lasts, and whether it serves or fills.
     pub fn mark(&mut self, task: &TaskId, step: &StepSpec) {
-        if step.lasting {
+        if step.long_running {
             self.lasting.insert(*task);
         }
-        if step.fills {
+        if step.best_effort {
             self.fills.insert(*task);
-        } else if step.target.is_some() {
+        } else if step.latency_target.is_some() {
             self.serves.insert(*task);
         }
     }
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -179,7 +179,7 @@
         text: "text".into(),
         steps,
         repeat: None,
-        accepted,
+        accepted_at: accepted,
     }
 }
 
--- a/crates/workswood-test-support/src/job_world/oracle.rs
+++ b/crates/workswood-test-support/src/job_world/oracle.rs
@@ -49,7 +49,7 @@
             None => wrong.push("UNASKED: nobody handed the job in"),
             Some(spec) => {
                 let step = &spec.steps[usize::from(task.step)];
-                if !step.speculative && !step.lasting {
+                if !step.speculative && !step.long_running {
                     if self.workers.iter().any(|w| w.up && w.running.contains_key(&task)) {
                         wrong.push("TWICE: two runs at once");
                     }
@@ -64,7 +64,7 @@
                 if before.into_iter().any(|t| !self.is_done(&t)) {
                     wrong.push("ORDER: an earlier step is open");
                 }
-                if !step.lasting && self.failed.get(&task).copied().unwrap_or(0) >= ATTEMPTS {
+                if !step.long_running && self.failed.get(&task).copied().unwrap_or(0) >= ATTEMPTS {
                     wrong.push("BUDGET: failed too often");
                 }
             }
@@ -79,7 +79,7 @@
         for text in wrong {
             self.seen.broken.push(format!("{text}: {task} attempt {attempt} at {now:?}"));
         }
-        let lasting = spec.is_some_and(|s| s.steps[usize::from(task.step)].lasting);
+        let lasting = spec.is_some_and(|s| s.steps[usize::from(task.step)].long_running);
         let took = if lasting {
             Duration::from_secs(3600)
         } else {
--- a/src/bin/workswood/commands/explain.rs
+++ b/src/bin/workswood/commands/explain.rs
@@ -2,7 +2,7 @@
 
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use workswood::{Result, ops};
-use workswood_core::jobs::spec::parse_job;
+use workswood_core::jobs::spec::parse_job_key;
 
 /// Its command line.
 pub fn cli() -> Command {
@@ -35,7 +35,7 @@
         return Ok(());
     }
     let what = super::text(args, "what");
-    let Some(job) = parse_job(&what) else {
+    let Some(job) = parse_job_key(&what) else {
         workswood::out!("{}", ops::explain::run(&what)?);
         return Ok(());
     };
--- a/src/workswood/ops/bench/pools.rs
+++ b/src/workswood/ops/bench/pools.rs
@@ -103,7 +103,7 @@
                 text: "".into(),
                 steps: vec![step.clone()],
                 repeat: None,
-                accepted: self.sched.wall,
+                accepted_at: self.sched.wall,
             };
             self.sched.handle(Event::Submitted(key, Arc::new(spec)));
         }
--- a/src/workswood/ops/explain/job.rs
+++ b/src/workswood/ops/explain/job.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use workswood_core::ids::UnixMs;
 use workswood_core::jobs::JobKey;
-use workswood_core::jobs::spec::{parse_job, show_job};
+use workswood_core::jobs::spec::{format_job_key, parse_job_key};
 
 use crate::ops::late::job::{Cause, JobWay, Verdict};
 use crate::ops::late::line::{self, Line};
@@ -104,7 +104,7 @@
         .map(|(host, path)| Ok(HostLog { host, text: read_log(path)? }))
         .collect();
     account(job, &logs?).ok_or_else(|| Error::Logs {
-        message: format!("no line about job {} in {} log(s)", show_job(job), paths.len()),
+        message: format!("no line about job {} in {} log(s)", format_job_key(job), paths.len()),
     })
 }
 
@@ -125,7 +125,7 @@
 
 impl Read<'_> {
     fn is_about(&self, job: JobKey) -> bool {
-        self.line.job().and_then(parse_job) == Some(job)
+        self.line.job().and_then(parse_job_key) == Some(job)
     }
 }
 
@@ -149,7 +149,7 @@
     let lines = all.iter().filter(|r| r.is_about(job) || meanwhile(r)).map(|r| told(r, first));
     let spent = way.spent().unwrap_or_default().into_iter();
     Some(JobAccount {
-        job: show_job(job),
+        job: format_job_key(job),
         state: state(&own),
         verdict: verdict(way.verdict()),
         spent: spent.map(|(on, ms)| Spent { on: on.to_string(), ms }).collect(),
--- a/src/workswood/ops/job_status/sum.rs
+++ b/src/workswood/ops/job_status/sum.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 use workswood_core::ids::{DataCentre, HostId, Term, UnixMs, WorkspaceId};
-use workswood_core::jobs::spec::{Resources, parse_job};
+use workswood_core::jobs::spec::{Resources, parse_job_key};
 use workswood_core::jobs::{
     Host, HostState, JobKey, JobRecord, JobSpec, Outcome, SchedConfig, Wave, WaveRecord,
 };
@@ -209,7 +209,7 @@
     let mut jobs: BTreeMap<JobKey, JobRecord> = BTreeMap::new();
     let mut progress: BTreeMap<u64, WaveRecord> = BTreeMap::new();
     for rec in &seen.state {
-        if let Some(key) = parse_job(&rec.key) {
+        if let Some(key) = parse_job_key(&rec.key) {
             jobs.extend(reader.job(rec).map(|j| (key, j)));
         } else if let Some(n) = rec.key.strip_prefix(WAVE).and_then(|n| n.parse().ok()) {
             progress.extend(reader.read(rec).map(|w| (n, w)));
@@ -243,7 +243,7 @@
     for rec in &seen.inbox {
         let Some(InboxKey { job, what: InboxItem::Job, .. }) = inbox_key(&rec.key) else { continue };
         let Some(spec) = reader.spec(rec) else { continue };
-        if all.get(&job).is_none_or(|first| spec.accepted < first.accepted) {
+        if all.get(&job).is_none_or(|first| spec.accepted_at < first.accepted_at) {
             all.insert(job, spec);
         }
     }
@@ -319,7 +319,7 @@
 
     fn count(&mut self, spec: &JobSpec, rec: Option<&JobRecord>, now: UnixMs) {
         if rec.is_none_or(|r| r.outcome.is_none() && !r.begun) {
-            self.longest_wait_ms = self.longest_wait_ms.max(now.saturating_sub(spec.accepted));
+            self.longest_wait_ms = self.longest_wait_ms.max(now.saturating_sub(spec.accepted_at));
         }
         let Some(rec) = rec else {
             self.not_taken_in += 1;
--- a/src/workswood/ops/jobs/front.rs
+++ b/src/workswood/ops/jobs/front.rs
@@ -11,7 +11,7 @@
 use workswood_callers::{Handler, ReplyBody, bearer, read_body, refusal, whole};
 use workswood_core::code::{Code, Ran};
 use workswood_core::ids::WorkspaceId;
-use workswood_core::jobs::spec::parse_job;
+use workswood_core::jobs::spec::parse_job_key;
 use workswood_core::jobs::{JobKey, JobSpec, Owner, QueueConfig, SchedConfig};
 
 use super::ask::{self, Told};
@@ -67,7 +67,7 @@
     if rest.is_empty() {
         return pending(node, &req, queue).await;
     }
-    let Some(job) = parse_job(rest) else {
+    let Some(job) = parse_job_key(rest) else {
         return refusal(Code::JobMalformed, Ran::NotRun, None);
     };
     match *req.method() {
@@ -210,9 +210,9 @@
         text: handed.text.into(),
         steps: handed.steps,
         repeat: handed.repeat,
-        accepted: node.wall(),
+        accepted_at: node.wall(),
     };
-    spec.check()?;
+    spec.validate()?;
     Ok(spec)
 }
 
--- a/src/workswood/ops/jobs/job_spec.rs
+++ b/src/workswood/ops/jobs/job_spec.rs
@@ -96,8 +96,12 @@
         max_attempts: spec.max_attempts,
         text: spec.text.to_string(),
         steps: spec.steps.iter().map(write_step).collect(),
-        repeat: spec.repeat.map(|r| Rounds { count: r.count, start: r.start, every_ms: millis(r.every) }),
-        accepted: spec.accepted,
+        repeat: spec.repeat.map(|r| Rounds {
+            count: r.count,
+            start: r.first_due_at,
+            every_ms: millis(r.interval),
+        }),
+        accepted: spec.accepted_at,
         workspace: spec.workspace.clone(),
     };
     handed.encode_to_vec()
@@ -119,14 +123,14 @@
         gang: s.gang,
         same_rack: s.same_rack,
         label: s.label.clone(),
-        near: s.near.clone(),
-        most_per_worker: s.most_per_worker,
+        near: s.data_rack.clone(),
+        most_per_worker: s.max_per_worker,
         speculative: s.speculative,
-        lasting: s.lasting,
+        lasting: s.long_running,
         image: s.image.clone(),
-        target_ms: s.target.map(millis),
-        fills: s.fills,
-        may_miss: s.may_miss,
+        target_ms: s.latency_target.map(millis),
+        fills: s.best_effort,
+        may_miss: s.max_unavailable,
     }
 }
 
@@ -147,8 +151,8 @@
         max_attempts: handed.max_attempts,
         text: handed.text.into(),
         steps: handed.steps.into_iter().map(read_step).collect::<Result<_, _>>()?,
-        repeat: handed.repeat.map(|r| Repeat { count: r.count, start: r.start, every: every(r) }),
-        accepted: handed.accepted,
+        repeat: handed.repeat.map(|r| Repeat { count: r.count, first_due_at: r.start, interval: every(r) }),
+        accepted_at: handed.accepted,
         workspace: handed.workspace,
     })
 }
@@ -164,13 +168,13 @@
         gang: s.gang,
         same_rack: s.same_rack,
         label: s.label,
-        near: s.near,
-        most_per_worker: s.most_per_worker,
+        data_rack: s.near,
+        max_per_worker: s.most_per_worker,
         speculative: s.speculative,
-        lasting: s.lasting,
+        long_running: s.lasting,
         image: s.image,
-        target: s.target_ms.map(Duration::from_millis),
-        fills: s.fills,
-        may_miss: s.may_miss,
+        latency_target: s.target_ms.map(Duration::from_millis),
+        best_effort: s.fills,
+        max_unavailable: s.may_miss,
     })
 }
--- a/src/workswood/ops/jobs/load.rs
+++ b/src/workswood/ops/jobs/load.rs
@@ -146,7 +146,7 @@
 /// Of a job that was handed in at several entries, the first one counts.
 fn keep_earliest(jobs: &mut HashMap<JobKey, Arc<JobSpec>>, key: JobKey, spec: Arc<JobSpec>) {
     match jobs.get(&key) {
-        Some(known) if known.accepted <= spec.accepted => {}
+        Some(known) if known.accepted_at <= spec.accepted_at => {}
         _ => {
             jobs.insert(key, spec);
         }
--- a/src/workswood/ops/jobs/record.rs
+++ b/src/workswood/ops/jobs/record.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use workswood_core::ids::HostId;
 use workswood_core::jobs::job::WorkerId;
-use workswood_core::jobs::spec::{parse_job, show_job};
+use workswood_core::jobs::spec::{format_job_key, parse_job_key};
 use workswood_core::jobs::{JobKey, JobSpec, Owner, Record};
 use workswood_platform::jobs::KeyedRecord;
 
@@ -70,10 +70,10 @@
     };
     let (job, owner) = name.split_once(OWNER).map_or((name, None), |(job, owner)| (job, Some(owner)));
     let owner = match owner {
-        Some(digits) => Owner::from_number(parse_job(digits)?),
+        Some(digits) => Owner::from_number(parse_job_key(digits)?),
         None => Owner::PUBLIC,
     };
-    Some(InboxKey { job: parse_job(job)?, owner, what })
+    Some(InboxKey { job: parse_job_key(job)?, owner, what })
 }
 
 /// Reads a key of the state.
@@ -87,12 +87,12 @@
     if let Some(host) = key.strip_prefix(ORDERED) {
         return Some(StateKey::Ordered(host.to_string()));
     }
-    parse_job(key).map(StateKey::Job)
+    parse_job_key(key).map(StateKey::Job)
 }
 
 /// Key of a job in the state.
 pub fn job_key(job: JobKey) -> String {
-    show_job(job)
+    format_job_key(job)
 }
 
 /// A cancel as a record of the inbox.
@@ -126,8 +126,12 @@
             InboxItem::Job => "",
             InboxItem::Cancel => CANCEL,
         };
-        write!(f, "{start}{}", show_job(self.job))?;
-        if self.owner.is_public() { Ok(()) } else { write!(f, "{OWNER}{}", show_job(self.owner.number())) }
+        write!(f, "{start}{}", format_job_key(self.job))?;
+        if self.owner.is_public() {
+            Ok(())
+        } else {
+            write!(f, "{OWNER}{}", format_job_key(self.owner.number()))
+        }
     }
 }
 
--- a/src/workswood/ops/late/account.rs
+++ b/src/workswood/ops/late/account.rs
@@ -5,7 +5,7 @@
 
 use workswood_core::ids::UnixMs;
 use workswood_core::jobs::JobKey;
-use workswood_core::jobs::spec::parse_job;
+use workswood_core::jobs::spec::parse_job_key;
 
 use super::job::{Cause, JobWay, Verdict};
 use super::line::Line;
@@ -48,7 +48,7 @@
             self.take_pool(line);
             return;
         }
-        if let Some(key) = line.job().and_then(parse_job) {
+        if let Some(key) = line.job().and_then(parse_job_key) {
             self.jobs.entry(key).or_default().take(line);
         }
     }
--- a/src/workswood/ops/model/hosts.rs
+++ b/src/workswood/ops/model/hosts.rs
@@ -95,7 +95,7 @@
         let step = usize::from(task.step);
         let asked = &job.spec.steps[step];
         let ends_after = job.takes[step];
-        let takes = if asked.lasting { WARM_UP } else { ends_after };
+        let takes = if asked.long_running { WARM_UP } else { ends_after };
         let run = ModelRun { attempt, cpu_millis: asked.resources.cpu_millis, since: self.now, takes };
         if job.crashes && task.step == 0 && task.index == 0 {
             self.after(CRASH_AFTER, Happening::Crashes(n, worker.clone()));
--- a/src/workswood/ops/model/load.rs
+++ b/src/workswood/ops/model/load.rs
@@ -144,9 +144,9 @@
     let step = StepSpec {
         count: s.lasting,
         resources: Resources { cpu_millis: s.task_cpu_millis, mem_mb: TASK_MEM_MB, gpus: 0 },
-        lasting: true,
-        most_per_worker: LASTING_SHARE,
-        may_miss: 1,
+        long_running: true,
+        max_per_worker: LASTING_SHARE,
+        max_unavailable: 1,
         ..StepSpec::default()
     };
     let takes = vec![FOREVER];
@@ -203,6 +203,6 @@
         text: "".into(),
         steps,
         repeat: None,
-        accepted: at.as_millis() as u64,
+        accepted_at: at.as_millis() as u64,
     }
 }
--- a/tests/testsuite/advice_tickets.rs
+++ b/tests/testsuite/advice_tickets.rs
@@ -340,7 +340,7 @@
 fn gang_needs_tickets_for_all() {
     let mut world = advised(3, cfg());
     let mut gang = step(3, vec![]);
-    (gang.gang, gang.most_per_worker) = (true, 1);
+    (gang.gang, gang.max_per_worker) = (true, 1);
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![gang], 0))));
     let (_, ids) = asked(&world.tick()).expect("it is asked");
     assert_eq!(ids.len(), 3);
--- a/tests/testsuite/chance_crashes.rs
+++ b/tests/testsuite/chance_crashes.rs
@@ -28,7 +28,7 @@
 
 /// A step of lasting tasks on hosts of their own, of which one may be away.
 fn lasting(count: u32) -> StepSpec {
-    StepSpec { lasting: true, may_miss: 1, most_per_worker: 1, ..step(count, vec![]) }
+    StepSpec { long_running: true, max_unavailable: 1, max_per_worker: 1, ..step(count, vec![]) }
 }
 
 /// Hosts, and what runs on which of them.
--- a/tests/testsuite/crash_evidence.rs
+++ b/tests/testsuite/crash_evidence.rs
@@ -73,7 +73,7 @@
 /// A lasting task that a worker took, and one that it takes half a second later.
 fn old_and_young(world: &mut HostWorld) -> (TaskId, TaskId, usize) {
     let mut lasting = step(1, vec![]);
-    lasting.lasting = true;
+    lasting.long_running = true;
     let first = submit(world, 1, job(vec![lasting], 200));
     take(world, &first);
     let at = starts(&first)[0].1;
@@ -203,7 +203,7 @@
 fn lasting_task_is_cleared() {
     let (mut world, mut lives) = world();
     let mut lasting = step(1, vec![]);
-    lasting.lasting = true;
+    lasting.long_running = true;
     let mut actions = submit(&mut world, 1, job(vec![lasting], 200));
     take(&mut world, &actions);
     let at = starts(&actions)[0].1;
--- a/tests/testsuite/evacuated_centres.rs
+++ b/tests/testsuite/evacuated_centres.rs
@@ -99,8 +99,8 @@
 fn work_there_goes_on() {
     let mut world = two_centres();
     let mut lasting = step(2, vec![]);
-    (lasting.lasting, lasting.may_miss) = (true, 1);
-    lasting.most_per_worker = 1;
+    (lasting.long_running, lasting.max_unavailable) = (true, 1);
+    lasting.max_per_worker = 1;
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![lasting], 0))));
     let starts = world.tick();
     assert_eq!(starts.len(), 2);
--- a/tests/testsuite/eviction_budget.rs
+++ b/tests/testsuite/eviction_budget.rs
@@ -18,9 +18,9 @@
     let mut world = HostWorld::new(3);
     world.list((0..3).map(|n| host(n, SERVICE, Some(0))).collect());
     let mut lasting = step(2, vec![]);
-    lasting.lasting = true;
-    lasting.most_per_worker = 1;
-    lasting.may_miss = 1;
+    lasting.long_running = true;
+    lasting.max_per_worker = 1;
+    lasting.max_unavailable = 1;
     world.at(100);
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![lasting], 0))));
     let starts = world.sched.take_batch().actions;
--- a/tests/testsuite/eviction_handover.rs
+++ b/tests/testsuite/eviction_handover.rs
@@ -20,9 +20,9 @@
 /// A job of three lasting tasks, of which one may be away.
 fn spec() -> Arc<JobSpec> {
     let mut lasting = step(3, vec![]);
-    lasting.lasting = true;
-    lasting.most_per_worker = 1;
-    lasting.may_miss = 1;
+    lasting.long_running = true;
+    lasting.max_per_worker = 1;
+    lasting.max_unavailable = 1;
     Arc::new(job(vec![lasting], 0))
 }
 
--- a/tests/testsuite/job_limits.rs
+++ b/tests/testsuite/job_limits.rs
@@ -48,17 +48,17 @@
 #[test]
 fn out_of_bounds_refused() {
     let mut empty = job(vec![step(1, vec![]), step(0, vec![0])], 0);
-    assert!(empty.check().is_err(), "a step without tasks would be done at once");
+    assert!(empty.validate().is_err(), "a step without tasks would be done at once");
     empty.steps[1].count = 1;
-    assert!(empty.check().is_ok());
+    assert!(empty.validate().is_ok());
     let mut long = empty.clone();
     long.steps[0].estimate = Duration::from_millis(u64::MAX);
-    assert!(long.check().is_err());
+    assert!(long.validate().is_err());
     let mut often = empty.clone();
-    often.repeat = Some(Repeat { count: u32::MAX, start: 0, every: Duration::ZERO });
-    assert!(often.check().is_err());
+    often.repeat = Some(Repeat { count: u32::MAX, first_due_at: 0, interval: Duration::ZERO });
+    assert!(often.validate().is_err());
     let forward = job(vec![step(1, vec![0])], 0);
-    assert!(forward.check().is_err(), "a step may not wait for itself");
+    assert!(forward.validate().is_err(), "a step may not wait for itself");
 }
 
 #[test]
@@ -99,8 +99,8 @@
 fn many_misfits_ahead() {
     let mut s = with_worker(2);
     let mut lasting = step(60, vec![]);
-    lasting.lasting = true;
-    lasting.most_per_worker = 1;
+    lasting.long_running = true;
+    lasting.max_per_worker = 1;
     s.handle(Event::Submitted(1, Arc::new(job(vec![lasting], 0))));
     let mut large = step(50, vec![]);
     large.resources.cpu_millis = 64_000;
@@ -112,8 +112,8 @@
 #[test]
 fn filling_runs_known_after_takeover() {
     let mut filling = step(1, vec![]);
-    filling.fills = true;
-    filling.lasting = true;
+    filling.best_effort = true;
+    filling.long_running = true;
     let spec = Arc::new(job(vec![filling], 0));
     let mut s = with_worker(2);
     s.handle(Event::Submitted(1, spec.clone()));
--- a/tests/testsuite/job_records.rs
+++ b/tests/testsuite/job_records.rs
@@ -123,20 +123,20 @@
         gang: u.arbitrary()?,
         same_rack: u.arbitrary()?,
         label: u.arbitrary()?,
-        near: u.arbitrary()?,
-        most_per_worker: u.arbitrary()?,
+        data_rack: u.arbitrary()?,
+        max_per_worker: u.arbitrary()?,
         speculative: u.arbitrary()?,
-        lasting: u.arbitrary()?,
+        long_running: u.arbitrary()?,
         image: u.arbitrary()?,
-        target: if u.arbitrary()? { Some(span(u)?) } else { None },
-        fills: u.arbitrary()?,
-        may_miss: u.arbitrary()?,
+        latency_target: if u.arbitrary()? { Some(span(u)?) } else { None },
+        best_effort: u.arbitrary()?,
+        max_unavailable: u.arbitrary()?,
     })
 }
 
 fn any_spec(u: &mut Unstructured<'_>) -> Result<JobSpec> {
     let every = Duration::from_millis(u.arbitrary::<u32>()?.into());
-    let repeat = Repeat { count: u.arbitrary()?, start: u.arbitrary()?, every };
+    let repeat = Repeat { count: u.arbitrary()?, first_due_at: u.arbitrary()?, interval: every };
     let steps = (0..u.int_in_range(0..=3)?).map(|_| any_step(u)).collect::<Result<_>>()?;
     Ok(JobSpec {
         queue: u.arbitrary()?,
@@ -147,7 +147,7 @@
         text: u.arbitrary::<String>()?.into(),
         steps,
         repeat: if u.arbitrary()? { Some(repeat) } else { None },
-        accepted: u.arbitrary()?,
+        accepted_at: u.arbitrary()?,
     })
 }
 
--- a/tests/testsuite/lingering_lives.rs
+++ b/tests/testsuite/lingering_lives.rs
@@ -18,7 +18,7 @@
     world.report(M, life, &[]);
     world.list(vec![host(M, SERVICE, Some(life))]);
     let mut lasting = step(1, vec![]);
-    lasting.lasting = true;
+    lasting.long_running = true;
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![lasting], 0))));
     let starts = world.tick();
     for a in &starts {
--- a/tests/testsuite/task_packing.rs
+++ b/tests/testsuite/task_packing.rs
@@ -36,7 +36,7 @@
 #[test]
 fn filling_tasks_share_host() {
     let mut fills = step(1, vec![]);
-    (fills.lasting, fills.fills) = (true, true);
+    (fills.long_running, fills.best_effort) = (true, true);
     let used = workers_used(&fills);
     assert_eq!(used.len(), 1, "each host with one of them is never empty: {used:?}");
 }
@@ -46,7 +46,7 @@
     let mut world = HostWorld::new(6);
     for n in 1..3 {
         let mut lasting = step(2, vec![]);
-        (lasting.lasting, lasting.most_per_worker) = (true, 1);
+        (lasting.long_running, lasting.max_per_worker) = (true, 1);
         world.sched.handle(Event::Submitted(n, Arc::new(job(vec![lasting], 100))));
     }
     let starts = world.sched.take_batch().actions;
--- a/tests/testsuite/wave_orders.rs
+++ b/tests/testsuite/wave_orders.rs
@@ -67,9 +67,9 @@
     world.sched.handle(Event::WorkerListed(worker(0, 1)));
     world.report(0, 1, &[]);
     let mut lasting = step(2, vec![]);
-    lasting.lasting = true;
-    lasting.most_per_worker = 1;
-    lasting.may_miss = 1;
+    lasting.long_running = true;
+    lasting.max_per_worker = 1;
+    lasting.max_unavailable = 1;
     world.sched.handle(Event::Submitted(1, Arc::new(job(vec![lasting], 0))));
     let starts = world.sched.take_batch().actions;
     let on_first =
