--- a/crates/workswood-core/src/jobs/advice_need.rs
+++ b/crates/workswood-core/src/jobs/advice_need.rs
@@ -203,7 +203,7 @@
         if wish.wanted.opens > self.now {
             // What the job runs here has ended when the step opens.
             let own = w.runs.iter().filter(|((t, _), _)| t.job == wish.job.key);
-            own.for_each(|(_, held)| free.add(&held.room));
+            own.for_each(|(_, held)| free.add(&held.resources));
         }
         let whole = w.info.as_ref().map(|i| i.capacity).unwrap_or_default();
         let room = wish.spec.reserved_resources();
--- a/crates/workswood-core/src/jobs/ends.rs
+++ b/crates/workswood-core/src/jobs/ends.rs
@@ -110,7 +110,7 @@
         let run = Run::new(id.clone(), listed.attempt, Phase::Running, now);
         task.runs.push(Run { known_at: Some(now), ..run });
         if let Some(mut w) = self.workers.get_mut(id) {
-            w.take(listed.task, listed.attempt, spec.held(step));
+            w.take(listed.task, listed.attempt, spec.reservation(step));
             w.mark(&listed.task, step);
         }
         self.unqueue(&listed.task);
--- a/crates/workswood-core/src/jobs/known.rs
+++ b/crates/workswood-core/src/jobs/known.rs
@@ -8,11 +8,11 @@
 use std::ops::Index;
 use std::time::Duration;
 
-use super::accounts::Held;
 use super::job::{Job, Outcome, OverRecord, Shown};
 use super::map::Map;
 use super::spec::{JobKey, TaskId};
 use super::workspace::Owner;
+use super::workspace_usage::Reservation;
 use crate::ids::ServiceId;
 
 /// All jobs that are known. Callers name them, so they are kept in a tree.
@@ -88,13 +88,13 @@
     }
 
     /// What a task takes; at most that, if its job is over.
-    pub fn held_by(&self, task: &TaskId) -> Option<Held> {
+    pub fn held_by(&self, task: &TaskId) -> Option<Reservation> {
         let over = |over: &OverJob| {
             let (room, owner) = (over.record.room, over.record.owner);
-            Held { room, charged: room, owner }
+            Reservation { resources: room, charged: room, owner }
         };
         match self.by_key.get(&task.job) {
-            Some(job) => job.step(task).map(|step| job.spec.held(step)),
+            Some(job) => job.step(task).map(|step| job.spec.reservation(step)),
             None => self.over.get(&task.job).map(over),
         }
     }
--- a/crates/workswood-core/src/jobs/lives.rs
+++ b/crates/workswood-core/src/jobs/lives.rs
@@ -120,7 +120,7 @@
             w.release(*task, attempt);
         }
         if let Some(mut w) = self.workers.get_mut(later) {
-            w.take(*task, attempt, spec.held(step));
+            w.take(*task, attempt, spec.reservation(step));
             w.mark(task, step);
         }
         self.dirty.insert(task.job);
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -16,7 +16,7 @@
 //!
 //! * [`spec`] holds what callers ask for, and its checks.
 //! * [`config`] holds queues and services in force, [`workspace`] whose calls are taken.
-//! * [`accounts`] holds what each workspace has at work, and [`shares`] who sends more than its share.
+//! * [`workspace_usage`] holds what each workspace has at work, and [`shares`] who sends more than its share.
 //! * [`job`] holds the state of one job and its stored form, [`known`] all of them.
 //! * [`worker`] holds what is known of one worker, its room and its lease;
 //!   [`worker_id`] is its name, and [`workers`] holds all of them.
@@ -39,7 +39,6 @@
 //! * [`need`] works out how many hosts each pool needs, and [`pools`]
 //!   decides which host changes its pool; [`moves`] brings it there.
 
-pub mod accounts;
 pub mod advice;
 pub mod advice_batch;
 mod advice_need;
@@ -81,6 +80,7 @@
 pub mod worker_id;
 pub mod workers;
 pub mod workspace;
+pub mod workspace_usage;
 
 pub use advice::AdvicePolicy;
 pub use config::{AdviceConfig, QueueConfig, SchedConfig, ServiceConfig};
--- a/crates/workswood-core/src/jobs/place.rs
+++ b/crates/workswood-core/src/jobs/place.rs
@@ -4,7 +4,6 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
-use super::accounts::{admits, used_share};
 use super::job::{Job, Phase, Run, Task, WorkerId};
 use super::order::{Place, Rank, Standing};
 use super::policy::ShareOrder;
@@ -14,6 +13,7 @@
 use super::types::Action;
 use super::worker::Worker;
 use super::workspace::Owner;
+use super::workspace_usage::{limit_utilization, within_limit};
 use crate::ids::ServiceId;
 use crate::invariant;
 
@@ -61,7 +61,7 @@
         let used = match (self.policy.order.shares, turns.rank) {
             (ShareOrder::Plain | ShareOrder::Excess, _) | (_, Rank::Due) => 0,
             (ShareOrder::Dominant, Rank::LeastWork) => {
-                let at_work = self.workers.accounts().at_work(owner);
+                let at_work = self.workers.accounts().in_use(owner);
                 use_by_share(owner, &at_work, self.config.workspaces.weight(owner))
             }
         };
@@ -71,15 +71,16 @@
     /// Whether so much more of an owner may begin.
     pub(super) fn may_begin(&self, owner: Owner, room: &Resources) -> bool {
         let limit = self.config.workspaces.limit(owner);
-        limit == Resources::default() || admits(&self.workers.accounts().at_work(owner), &limit, room)
+        limit == Resources::default() || within_limit(&self.workers.accounts().in_use(owner), &limit, room)
     }
 
     /// The largest share of its limit that a workspace has at work, and how many have
     /// something at work.
     pub fn use_of_limits(&self) -> (f64, usize) {
         let at_work = || self.workers.accounts().iter().filter(|(_, room)| *room != Resources::default());
-        let share =
-            |(owner, room): (Owner, Resources)| used_share(&room, &self.config.workspaces.limit(owner));
+        let share = |(owner, room): (Owner, Resources)| {
+            limit_utilization(&room, &self.config.workspaces.limit(owner))
+        };
         (at_work().map(share).fold(0.0, f64::max), at_work().count())
     }
 
@@ -92,7 +93,7 @@
             mem_mb: open(limit.mem_mb),
             gpus: open(limit.gpus),
         };
-        (limit != Resources::default()).then(|| most.minus(&self.workers.accounts().at_work(owner)))
+        (limit != Resources::default()).then(|| most.minus(&self.workers.accounts().in_use(owner)))
     }
 
     /// Whether tasks of a step run until their job is cancelled; one that has no place
@@ -115,7 +116,7 @@
         let Some(job) = self.jobs.get(&id.job) else { return Placing::Done };
         let spec = job.spec.clone();
         let Some(step) = spec.steps.get(usize::from(id.step)) else { return Placing::Done };
-        let held = spec.held(step);
+        let held = spec.reservation(step);
         let at_once = if step.gang { held.charged.times(step.count.into()) } else { held.charged };
         // Members of a gang start together, each on trial where it is suspected.
         let open = |s: &Scheduler, task: &TaskId| step.gang || !s.waits_for_trial(task, service);
@@ -273,8 +274,8 @@
         job.begun = true;
         self.dirty.insert(id.job);
         if let Some(mut w) = self.workers.get_mut(worker) {
-            let held = spec.held(step);
-            let fits = w.free().contains(&held.room);
+            let held = spec.reservation(step);
+            let fits = w.free().contains(&held.resources);
             invariant::check(fits, || format!("start of {id} on {worker} does not fit"));
             w.take(*id, attempt, held);
             w.mark(id, step);
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -233,7 +233,7 @@
                 let since = self.since;
                 let mut w = self.workers.get_or_insert_with(&run.worker, || Worker::unknown(bound, since));
                 if let Some(step) = job.step(&id) {
-                    w.take(id, run.attempt, job.spec.held(step));
+                    w.take(id, run.attempt, job.spec.reservation(step));
                     w.mark(&id, step);
                 }
                 places.insert(run.worker.clone());
--- a/crates/workswood-core/src/jobs/spec.rs
+++ b/crates/workswood-core/src/jobs/spec.rs
@@ -7,8 +7,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::accounts::Held;
 use super::workspace::Owner;
+use super::workspace_usage::Reservation;
 use crate::ids::{Rack, ServiceId, UnixMs, WorkspaceId};
 
 /// Number of a job, chosen by its caller; shown as 16 hex digits.
@@ -197,8 +197,8 @@
     }
 
     /// What a task of one of its steps takes of a worker, and of its workspace's limit.
-    pub fn held(&self, step: &StepSpec) -> Held {
-        Held { room: step.reserved_resources(), charged: step.resources, owner: self.owner() }
+    pub fn reservation(&self, step: &StepSpec) -> Reservation {
+        Reservation { resources: step.reserved_resources(), charged: step.resources, owner: self.owner() }
     }
 
     /// Room that holds any of its tasks.
--- a/crates/workswood-core/src/jobs/worker.rs
+++ b/crates/workswood-core/src/jobs/worker.rs
@@ -7,12 +7,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::accounts::{Change, Held};
 use super::crash::Lost;
 use super::job::WorkerId;
 use super::map::Map;
 use super::spec::{Resources, StepId, StepSpec, TaskId};
 use super::trials::Quarantine;
+use super::workspace_usage::{Reservation, UsageChange};
 use crate::ids::{DataCentre, HostId, ServiceId};
 
 /// What a worker says of itself.
@@ -206,9 +206,9 @@
     /// When everything on it must have ended if we stop extending its lease.
     pub lease_end: Duration,
     /// Runs that may exist there, with what each takes.
-    pub runs: Map<(TaskId, u32), Held>,
+    pub runs: Map<(TaskId, u32), Reservation>,
     /// What began or ended since the accounts of workspaces were told.
-    pub(super) changes: Vec<Change>,
+    pub(super) changes: Vec<UsageChange>,
     /// Tasks of these runs that last.
     pub lasting: BTreeSet<TaskId>,
     /// Tasks of these runs that fill.
@@ -326,12 +326,12 @@
     }
 
     /// Takes room for a run.
-    pub fn take(&mut self, task: TaskId, attempt: u32, held: impl Into<Held>) {
+    pub fn take(&mut self, task: TaskId, attempt: u32, held: impl Into<Reservation>) {
         let held = held.into();
         if let Entry::Vacant(entry) = self.runs.entry((task, attempt)) {
             entry.insert(held);
-            self.used.add(&held.room);
-            self.changes.push(Change::Taken(held));
+            self.used.add(&held.resources);
+            self.changes.push(UsageChange::Reserved(held));
         }
     }
 
@@ -350,8 +350,8 @@
     /// Gives the room of a run back.
     pub fn release(&mut self, task: TaskId, attempt: u32) {
         if let Some(held) = self.runs.remove(&(task, attempt)) {
-            self.used = self.used.minus(&held.room);
-            self.changes.push(Change::GivenBack(held));
+            self.used = self.used.minus(&held.resources);
+            self.changes.push(UsageChange::Released(held));
         }
         if self.quarantine.is_some_and(|q| q.trial == Some((task, attempt))) {
             self.quarantine = None;
--- a/crates/workswood-core/src/jobs/workers.rs
+++ b/crates/workswood-core/src/jobs/workers.rs
@@ -9,11 +9,11 @@
 use std::ops::{Deref, DerefMut};
 use std::sync::Arc;
 
-use super::accounts::{Accounts, Change};
 use super::map::Map;
 use super::spec::Resources;
 use super::worker::{Worker, WorkerInfo};
 use super::worker_id::WorkerId;
+use super::workspace_usage::{UsageChange, WorkspaceUsage};
 use crate::ids::{DataCentre, HostId, ServiceId};
 
 /// Free processor room in thousandths of a core, and the worker that has it.
@@ -57,7 +57,7 @@
     by_name: Map<String, Vec<WorkerId>>,
     silent: BTreeSet<WorkerId>,
     leaving: BTreeSet<WorkerId>,
-    accounts: Accounts,
+    accounts: WorkspaceUsage,
 }
 
 /// All lives of workers that are known.
@@ -126,7 +126,7 @@
         let mut entry = self.by_id.remove(id)?;
         self.index.forget(&mut entry);
         let runs = std::mem::take(&mut entry.worker.runs);
-        runs.values().for_each(|held| self.index.accounts.take(Change::GivenBack(*held)));
+        runs.values().for_each(|held| self.index.accounts.apply(UsageChange::Released(*held)));
         entry.worker.runs = runs;
         Some(entry.worker)
     }
@@ -164,7 +164,7 @@
     }
 
     /// What each workspace has at work.
-    pub fn accounts(&self) -> &Accounts {
+    pub fn accounts(&self) -> &WorkspaceUsage {
         &self.index.accounts
     }
 
@@ -225,7 +225,7 @@
 impl Index {
     /// Takes in what changed of a worker.
     fn update(&mut self, e: &mut Entry) {
-        e.worker.changes.drain(..).for_each(|change| self.accounts.take(change));
+        e.worker.changes.drain(..).for_each(|change| self.accounts.apply(change));
         let w = &e.worker;
         let same_info = match (&e.kept.info, &w.info) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
--- a/crates/workswood-core/src/jobs/accounts.rs
+++ b/crates/workswood-core/src/jobs/workspace_usage.rs
@@ -11,9 +11,9 @@
 
 /// Room that a run takes of its worker, and that is charged to its workspace.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct Reservation {
     /// Room that it takes of its worker's.
-    pub room: Resources,
+    pub resources: Resources,
     /// Room that it is charged for: that of tasks which live on what others leave unused
     /// counts in full.
     pub charged: Resources,
@@ -21,43 +21,43 @@
     pub owner: Owner,
 }
 
-impl From<Resources> for Held {
+impl From<Resources> for Reservation {
     /// A run of nobody's.
-    fn from(room: Resources) -> Held {
-        Held { room, charged: room, owner: Owner::PUBLIC }
+    fn from(room: Resources) -> Reservation {
+        Reservation { resources: room, charged: room, owner: Owner::PUBLIC }
     }
 }
 
 /// A run that began to exist, or is over.
 #[derive(Clone, Copy, Debug)]
-pub enum Change {
+pub enum UsageChange {
     /// It may exist from now on.
-    Taken(Held),
+    Reserved(Reservation),
     /// It is over.
-    GivenBack(Held),
+    Released(Reservation),
 }
 
 /// What each owner has at work.
 #[derive(Clone, Debug, Default)]
-pub struct Accounts(Map<Owner, Resources>);
+pub struct WorkspaceUsage(Map<Owner, Resources>);
 
-impl Accounts {
+impl WorkspaceUsage {
     /// Takes a change in.
-    pub fn take(&mut self, change: Change) {
+    pub fn apply(&mut self, change: UsageChange) {
         match change {
-            Change::Taken(held) if !held.owner.is_public() => {
+            UsageChange::Reserved(held) if !held.owner.is_public() => {
                 self.0.entry(held.owner).or_default().add(&held.charged);
             }
-            Change::GivenBack(held) => {
+            UsageChange::Released(held) => {
                 let Some(at_work) = self.0.get_mut(&held.owner) else { return };
                 *at_work = at_work.minus(&held.charged);
             }
-            Change::Taken(_) => {}
+            UsageChange::Reserved(_) => {}
         }
     }
 
     /// What an owner has at work.
-    pub fn at_work(&self, owner: Owner) -> Resources {
+    pub fn in_use(&self, owner: Owner) -> Resources {
         self.0.get(&owner).copied().unwrap_or_default()
     }
 
@@ -71,7 +71,7 @@
 ///
 /// One that is under half of its limit is not kept from it by the size of a task: a task
 /// larger than the limit would never begin.
-pub fn admits(at_work: &Resources, limit: &Resources, task: &Resources) -> bool {
+pub fn within_limit(at_work: &Resources, limit: &Resources, task: &Resources) -> bool {
     let within = |used: u64, most: u64, more: u64| most == 0 || used + more <= most || used * 2 < most;
     within(at_work.cpu_millis, limit.cpu_millis, task.cpu_millis)
         && within(at_work.mem_mb, limit.mem_mb, task.mem_mb)
@@ -79,7 +79,7 @@
 }
 
 /// The largest share of its limit that an owner uses of any kind of room; 0 without a limit.
-pub fn used_share(at_work: &Resources, limit: &Resources) -> f64 {
+pub fn limit_utilization(at_work: &Resources, limit: &Resources) -> f64 {
     let share = |used: u64, most: u64| if most == 0 { 0.0 } else { used as f64 / most as f64 };
     let cpu = share(at_work.cpu_millis, limit.cpu_millis);
     cpu.max(share(at_work.mem_mb, limit.mem_mb)).max(share(at_work.gpus, limit.gpus))
--- a/tests/testsuite/workspace_limits.rs
+++ b/tests/testsuite/workspace_limits.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood_core::jobs::accounts::{Accounts, Change, Held, admits};
 use workswood_core::jobs::order::{Durations, place_of};
 use workswood_core::jobs::policy::OrderPolicy;
 use workswood_core::jobs::shares::{Shares, use_by_share};
 use workswood_core::jobs::spec::Resources;
+use workswood_core::jobs::workspace_usage::{Reservation, UsageChange, WorkspaceUsage, within_limit};
 use workswood_core::jobs::{
     Action, EndKind, Event, Job, JobSpec, Listing, News, Owner, Report, ReportedEnd, SchedConfig, StartReply,
     StepId, TaskId, Workspace, Workspaces,
@@ -159,25 +159,25 @@
 
 #[test]
 fn half_of_the_limit_is_free() {
-    assert!(admits(&cpu(3999), &cpu(8000), &cpu(9000)), "under half, any task may begin");
-    assert!(!admits(&cpu(4000), &cpu(8000), &cpu(4001)));
-    assert!(admits(&cpu(4000), &cpu(8000), &cpu(4000)));
-    assert!(admits(&cpu(4000), &Resources::default(), &cpu(4000)), "no limit");
+    assert!(within_limit(&cpu(3999), &cpu(8000), &cpu(9000)), "under half, any task may begin");
+    assert!(!within_limit(&cpu(4000), &cpu(8000), &cpu(4001)));
+    assert!(within_limit(&cpu(4000), &cpu(8000), &cpu(4000)));
+    assert!(within_limit(&cpu(4000), &Resources::default(), &cpu(4000)), "no limit");
     let gpus = |gpus| Resources { gpus, ..Resources::default() };
-    assert!(!admits(&gpus(2), &gpus(2), &gpus(1)));
-    assert!(admits(&gpus(2), &cpu(100), &gpus(1)), "only what is declared is limited");
+    assert!(!within_limit(&gpus(2), &gpus(2), &gpus(1)));
+    assert!(within_limit(&gpus(2), &cpu(100), &gpus(1)), "only what is declared is limited");
 }
 
 #[test]
 fn account_is_even() {
-    let (north, mut all) = (Owner::of(Some("north")), Accounts::default());
-    let held = Held { room: cpu(0), charged: cpu(500), owner: north };
-    all.take(Change::Taken(held));
-    all.take(Change::Taken(held));
-    assert_eq!(all.at_work(north), cpu(1000), "what lives on what others leave counts in full");
-    all.take(Change::Taken(Held::from(cpu(700))));
-    assert_eq!(all.at_work(Owner::PUBLIC), Resources::default());
-    all.take(Change::GivenBack(held));
+    let (north, mut all) = (Owner::of(Some("north")), WorkspaceUsage::default());
+    let held = Reservation { resources: cpu(0), charged: cpu(500), owner: north };
+    all.apply(UsageChange::Reserved(held));
+    all.apply(UsageChange::Reserved(held));
+    assert_eq!(all.in_use(north), cpu(1000), "what lives on what others leave counts in full");
+    all.apply(UsageChange::Reserved(Reservation::from(cpu(700))));
+    assert_eq!(all.in_use(Owner::PUBLIC), Resources::default());
+    all.apply(UsageChange::Released(held));
     assert_eq!(all.iter().collect::<Vec<_>>(), [(north, cpu(500))]);
 }
 
