--- a/crates/workswood-core/src/jobs/ends.rs
+++ b/crates/workswood-core/src/jobs/ends.rs
@@ -22,7 +22,7 @@
         }
         self.settle_missing(id, report);
         self.want_figures(id);
-        self.share_worker(id);
+        self.pace_best_effort_tasks(id);
     }
 
     /// Notes that a worker answered, and so knows our token.
--- a/crates/workswood-core/src/jobs/shares.rs
+++ b/crates/workswood-core/src/jobs/fair_share.rs
@@ -7,29 +7,29 @@
 
 /// Jobs may come so much ahead of a workspace's rate: callers send in gusts of some hundred
 /// milliseconds, and a share is declared in jobs a second.
-const GUST_S: f64 = 1.0;
+const BURST_S: f64 = 1.0;
 
 /// Jobs that an owner may still send, and when that was.
 #[derive(Clone, Copy, Debug)]
-struct Bucket {
+struct TokenBucket {
     tokens: f64,
-    at: UnixMs,
+    refilled_at: UnixMs,
 }
 
 /// What each owner has sent lately, against its share.
 #[derive(Clone, Debug, Default)]
-pub struct Shares(Map<Owner, Bucket>);
+pub struct SubmissionRates(Map<Owner, TokenBucket>);
 
-impl Shares {
+impl SubmissionRates {
     /// Takes in a job that was accepted at a time; `weight` is its owner's share in jobs a second.
     /// Returns whether it is beyond that share.
-    pub fn is_excess(&mut self, owner: Owner, weight: Option<f64>, at: UnixMs) -> bool {
+    pub fn exceeds_rate(&mut self, owner: Owner, weight: Option<f64>, at: UnixMs) -> bool {
         let Some(weight) = weight.filter(|w| *w > 0.0) else { return false };
-        let most = (weight * GUST_S).max(1.0);
-        let bucket = self.0.entry(owner).or_insert(Bucket { tokens: most, at });
-        let passed = at.saturating_sub(bucket.at) as f64 / 1000.0;
+        let most = (weight * BURST_S).max(1.0);
+        let bucket = self.0.entry(owner).or_insert(TokenBucket { tokens: most, refilled_at: at });
+        let passed = at.saturating_sub(bucket.refilled_at) as f64 / 1000.0;
         bucket.tokens = (bucket.tokens + passed * weight).min(most);
-        bucket.at = bucket.at.max(at);
+        bucket.refilled_at = bucket.refilled_at.max(at);
         let excess = bucket.tokens < 1.0;
         if !excess {
             bucket.tokens -= 1.0;
@@ -40,7 +40,7 @@
 
 /// What an owner has at work by its share, for comparing: the processor is what is short. What
 /// nobody owns goes first; it is not counted.
-pub fn use_by_share(owner: Owner, at_work: &Resources, weight: Option<f64>) -> u64 {
+pub fn weighted_usage(owner: Owner, at_work: &Resources, weight: Option<f64>) -> u64 {
     if owner.is_public() {
         return 0;
     }
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -16,7 +16,7 @@
 //!
 //! * [`spec`] holds what callers ask for, and its checks.
 //! * [`config`] holds queues and services in force, [`workspace`] whose calls are taken.
-//! * [`workspace_usage`] holds what each workspace has at work, and [`shares`] who sends more than its share.
+//! * [`workspace_usage`] holds what each workspace has at work, and [`fair_share`] who sends more than its share.
 //! * [`job`] holds the state of one job and its stored form, [`known`] all of them.
 //! * [`worker`] holds what is known of one worker, its room and its lease;
 //!   [`worker_id`] is its name, and [`workers`] holds all of them.
@@ -26,7 +26,7 @@
 //! * [`relays`] decides which entry speaks with which workers, and [`follow`] what is new
 //!   in what a worker lists.
 //! * [`types`] holds the events that go in and the batches that come out.
-//! * [`sched`] takes events in; [`ends`], [`settle`], [`place`], [`share`] and
+//! * [`sched`] takes events in; [`ends`], [`settle`], [`place`], [`pacing`] and
 //!   [`evict`] are its decisions.
 //! * [`crash`] tells which task crashes its workers, against [`crash_rate`], and [`trials`]
 //!   tries those that are suspected.
@@ -50,6 +50,7 @@
 pub mod ends;
 mod evacuation;
 pub mod evict;
+pub mod fair_share;
 pub mod follow;
 pub mod handover;
 pub mod host;
@@ -61,6 +62,7 @@
 pub mod need;
 mod notes;
 pub mod order;
+pub mod pacing;
 pub mod place;
 pub mod policy;
 mod pool_count;
@@ -68,8 +70,6 @@
 pub mod relays;
 pub mod sched;
 pub mod settle;
-pub mod share;
-pub mod shares;
 pub mod spec;
 pub mod trials;
 pub mod types;
--- a/crates/workswood-core/src/jobs/share.rs
+++ b/crates/workswood-core/src/jobs/pacing.rs
@@ -13,12 +13,12 @@
 
 impl Scheduler {
     /// Sets the pace of the filling tasks of a worker after a look.
-    pub(super) fn share_worker(&mut self, id: &WorkerId) {
+    pub(super) fn pace_best_effort_tasks(&mut self, id: &WorkerId) {
         let Some(w) = self.workers.get(id) else { return };
         if w.fills.is_empty() {
             return;
         }
-        let load = w.serves.iter().filter_map(|t| self.load_of(id, t)).fold(0.0, f64::max);
+        let load = w.serves.iter().filter_map(|t| self.latency_load(id, t)).fold(0.0, f64::max);
         let fills: Vec<TaskId> = w.fills.iter().copied().collect();
         for task in fills {
             let Some(t) = self.jobs.get_mut(&task.job).and_then(|j| j.task_mut(&task)) else { continue };
@@ -37,7 +37,7 @@
     }
 
     /// The figure of a serving task as a share of its target.
-    fn load_of(&self, id: &WorkerId, task: &TaskId) -> Option<f64> {
+    fn latency_load(&self, id: &WorkerId, task: &TaskId) -> Option<f64> {
         let job = self.jobs.get(&task.job)?;
         let target = job.step(task)?.latency_target?.as_millis().max(1) as f64;
         let run = job.task(task)?.runs.iter().find(|r| r.worker == *id && r.warm())?;
--- a/crates/workswood-core/src/jobs/place.rs
+++ b/crates/workswood-core/src/jobs/place.rs
@@ -4,11 +4,11 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
+use super::fair_share::weighted_usage;
 use super::job::{Job, Phase, Run, Task, WorkerId};
 use super::order::{Place, Rank, Standing};
 use super::policy::ShareOrder;
 use super::sched::Scheduler;
-use super::shares::use_by_share;
 use super::spec::{Resources, StepId, StepSpec, TaskId};
 use super::types::Action;
 use super::worker::Worker;
@@ -62,7 +62,7 @@
             (ShareOrder::Plain | ShareOrder::Excess, _) | (_, Rank::Due) => 0,
             (ShareOrder::Dominant, Rank::LeastWork) => {
                 let at_work = self.workers.accounts().in_use(owner);
-                use_by_share(owner, &at_work, self.config.workspaces.weight(owner))
+                weighted_usage(owner, &at_work, self.config.workspaces.jobs_per_s(owner))
             }
         };
         turns.push(place, used);
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -8,6 +8,7 @@
 use super::claim::Strength;
 use super::config::SchedConfig;
 use super::crash_rate::CrashRate;
+use super::fair_share::SubmissionRates;
 use super::handover::OrderMarks;
 use super::host::Host;
 use super::job::{Job, JobRecord, Outcome, OverRecord, Phase, Shown, Task, WorkerId};
@@ -18,7 +19,6 @@
 use super::policy::Policy;
 use super::pools::PoolState;
 use super::relays::Relays;
-use super::shares::Shares;
 use super::spec::{JobKey, JobSpec, QueueId, StepId, TaskId};
 use super::types::{Action, Batch, Event, Limits, Record, ShownJob, lease_span};
 use super::waiting::Waiting;
@@ -71,7 +71,7 @@
     /// last listed.
     pub(super) fleet_cpu: u64,
     /// What workspaces have sent lately, against their shares.
-    shares: Shares,
+    shares: SubmissionRates,
     /// How often workers crash by themselves.
     pub(super) crash_rate: CrashRate,
     /// How long tasks take.
@@ -156,7 +156,7 @@
             trials: Map::default(),
             evacuated: BTreeSet::new(),
             fleet_cpu: 0,
-            shares: Shares::default(),
+            shares: SubmissionRates::default(),
             crash_rate: CrashRate::default(),
             durations: Durations::default(),
             hosts: Map::default(),
@@ -308,7 +308,8 @@
             "event=job_known job={key:016x} queue={} stretch={stretch} target_ms={target}",
             spec.queue
         ));
-        let excess = self.shares.is_excess(owner, self.config.workspaces.weight(owner), spec.accepted_at);
+        let excess =
+            self.shares.exceeds_rate(owner, self.config.workspaces.jobs_per_s(owner), spec.accepted_at);
         let most_cpu = self.config.workspaces.limit(owner).cpu_millis;
         self.jobs.insert(Job { excess, most_cpu, ..Job::new(key, spec) });
         self.watch_advised(key);
--- a/crates/workswood-core/src/jobs/spec.rs
+++ b/crates/workswood-core/src/jobs/spec.rs
@@ -193,7 +193,7 @@
 impl JobSpec {
     /// Whose it is.
     pub fn owner(&self) -> Owner {
-        Owner::of(self.workspace.as_deref())
+        Owner::of_workspace(self.workspace.as_deref())
     }
 
     /// What a task of one of its steps takes of a worker, and of its workspace's limit.
--- a/crates/workswood-core/src/jobs/workspace.rs
+++ b/crates/workswood-core/src/jobs/workspace.rs
@@ -22,7 +22,7 @@
     pub const PUBLIC: Owner = Owner(0);
 
     /// The owner of a workspace's jobs.
-    pub fn of(workspace: Option<&str>) -> Owner {
+    pub fn of_workspace(workspace: Option<&str>) -> Owner {
         workspace.map_or(Owner::PUBLIC, |name| Owner(xxh3_64(name.as_bytes()).max(1)))
     }
 
@@ -48,7 +48,7 @@
     /// Its name.
     pub name: WorkspaceId,
     /// Jobs a second that it may count on; its share when all is full.
-    pub weight: f64,
+    pub jobs_per_s: f64,
     /// What it may have at work over all services; what is 0 has no limit.
     pub limit: Resources,
 }
@@ -70,7 +70,7 @@
     }
 
     /// The workspace whose key this is.
-    pub fn owner(&self, key: &str) -> Option<&WorkspaceId> {
+    pub fn workspace(&self, key: &str) -> Option<&WorkspaceId> {
         let digest: [u8; 32] = Sha256::digest(key).into();
         self.0.get(&digest)
     }
@@ -89,7 +89,7 @@
     /// Adds a workspace with its keys.
     pub fn add<'a>(&mut self, workspace: Workspace, keys: impl IntoIterator<Item = &'a str>) {
         keys.into_iter().for_each(|key| self.keys.add(key, &workspace.name));
-        self.by_owner.insert(Owner::of(Some(&workspace.name)), workspace);
+        self.by_owner.insert(Owner::of_workspace(Some(&workspace.name)), workspace);
     }
 
     /// What an owner's jobs may have at work; what is 0 has no limit.
@@ -98,7 +98,7 @@
     }
 
     /// Jobs a second that an owner may count on; `None` if nothing is declared.
-    pub fn weight(&self, owner: Owner) -> Option<f64> {
-        self.by_owner.get(&owner).map(|w| w.weight)
+    pub fn jobs_per_s(&self, owner: Owner) -> Option<f64> {
+        self.by_owner.get(&owner).map(|w| w.jobs_per_s)
     }
 }
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -306,7 +306,7 @@
         }
         if self.limited {
             let room = Resources { cpu_millis: 1000 * LIMIT as u64, ..Resources::default() };
-            let workspace = Workspace { name: WORKSPACE.to_string(), weight: 1.0, limit: room };
+            let workspace = Workspace { name: WORKSPACE.to_string(), jobs_per_s: 1.0, limit: room };
             cfg.workspaces.add(workspace, []);
         }
         sched.handle(Event::Config(Arc::new(cfg)));
@@ -408,7 +408,7 @@
 
     /// Whose all jobs are.
     fn owner(&self) -> Owner {
-        Owner::of(self.limited.then_some(WORKSPACE))
+        Owner::of_workspace(self.limited.then_some(WORKSPACE))
     }
 
     /// Cancels a job.
--- a/src/workswood/ops/job_status/sum.rs
+++ b/src/workswood/ops/job_status/sum.rs
@@ -257,7 +257,7 @@
 ) -> Vec<WorkspaceStatus> {
     let declared = cfg.workspaces.by_owner.values().map(|w| WorkspaceStatus {
         workspace: w.name.clone(),
-        weight: w.weight,
+        weight: w.jobs_per_s,
         limit: w.limit,
         ..WorkspaceStatus::default()
     });
--- a/src/workswood/ops/jobs/front.rs
+++ b/src/workswood/ops/jobs/front.rs
@@ -62,7 +62,7 @@
             return refusal(Code::ApiKey, Ran::NotRun, None);
         }
     };
-    let owner = Owner::of(workspace.as_deref());
+    let owner = Owner::of_workspace(workspace.as_deref());
     let rest = path[queue.path_prefix.len()..].trim_matches('/');
     if rest.is_empty() {
         return pending(node, &req, queue).await;
@@ -107,7 +107,7 @@
         return Ok(None);
     }
     let key = bearer(req.headers()).ok_or(KeyRefusal::Missing)?;
-    cfg.workspaces.keys.owner(key).cloned().map(Some).ok_or(KeyRefusal::Unknown)
+    cfg.workspaces.keys.workspace(key).cloned().map(Some).ok_or(KeyRefusal::Unknown)
 }
 
 fn host_of(req: &Request<Incoming>) -> String {
--- a/tests/testsuite/workspace_keys.rs
+++ b/tests/testsuite/workspace_keys.rs
@@ -130,8 +130,8 @@
     let mut keys = ApiKeys::default();
     keys.add("key-of-north", "north");
     keys.add("key-of-south", "south");
-    assert_eq!(keys.owner("key-of-north").map(String::as_str), Some("north"));
-    assert_eq!(keys.owner("key-of-nort"), None);
-    assert_eq!(keys.owner(""), None);
+    assert_eq!(keys.workspace("key-of-north").map(String::as_str), Some("north"));
+    assert_eq!(keys.workspace("key-of-nort"), None);
+    assert_eq!(keys.workspace(""), None);
     assert_eq!(format!("{keys:?}"), "2 keys");
 }
--- a/tests/testsuite/workspace_limits.rs
+++ b/tests/testsuite/workspace_limits.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use workswood_core::jobs::fair_share::{SubmissionRates, weighted_usage};
 use workswood_core::jobs::order::{Durations, place_of};
 use workswood_core::jobs::policy::OrderPolicy;
-use workswood_core::jobs::shares::{Shares, use_by_share};
 use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::workspace_usage::{Reservation, UsageChange, WorkspaceUsage, within_limit};
 use workswood_core::jobs::{
@@ -23,7 +23,7 @@
 fn workspaces(limits: &[(&str, u64)]) -> Workspaces {
     let mut all = Workspaces::default();
     for (name, millis) in limits {
-        all.add(Workspace { name: name.to_string(), weight: 2.0, limit: cpu(*millis) }, []);
+        all.add(Workspace { name: name.to_string(), jobs_per_s: 2.0, limit: cpu(*millis) }, []);
     }
     all
 }
@@ -88,7 +88,7 @@
     let [Action::Start { worker: w, task, attempt, .. }, ..] = first.as_slice() else { panic!("a start") };
     world.tells(w, News::Started(*task, *attempt, StartReply::NoAnswer));
     assert_eq!(submit(&mut world, 2, of("north", 3)).len(), 0);
-    world.sched.handle(Event::Cancelled(1, Owner::of(Some("north"))));
+    world.sched.handle(Event::Cancelled(1, Owner::of_workspace(Some("north"))));
     assert_eq!(submit(&mut world, 3, of("north", 3)).len(), 0, "what is stopped may still run");
     // Its worker lists nothing of it any more.
     world.tells(w, News::Reported(Report { whole: true, ..Report::default() }));
@@ -170,7 +170,7 @@
 
 #[test]
 fn account_is_even() {
-    let (north, mut all) = (Owner::of(Some("north")), WorkspaceUsage::default());
+    let (north, mut all) = (Owner::of_workspace(Some("north")), WorkspaceUsage::default());
     let held = Reservation { resources: cpu(0), charged: cpu(500), owner: north };
     all.apply(UsageChange::Reserved(held));
     all.apply(UsageChange::Reserved(held));
@@ -183,12 +183,12 @@
 
 #[test]
 fn excess_by_rate() {
-    let (north, mut shares) = (Owner::of(Some("north")), Shares::default());
-    let excess = |shares: &mut Shares, at| shares.is_excess(north, Some(2.0), at);
+    let (north, mut shares) = (Owner::of_workspace(Some("north")), SubmissionRates::default());
+    let excess = |shares: &mut SubmissionRates, at| shares.exceeds_rate(north, Some(2.0), at);
     assert_eq!([0, 0, 0, 0].map(|at| excess(&mut shares, at)), [false, false, true, true]);
     assert!(!excess(&mut shares, 500), "half a second brings one more");
     assert!(excess(&mut shares, 500));
-    assert!(!shares.is_excess(north, None, 500), "nothing is declared");
+    assert!(!shares.exceeds_rate(north, None, 500), "nothing is declared");
 }
 
 /// One workspace has sent many jobs for one of the other's. Where all can be in time, what it sent
@@ -226,9 +226,9 @@
 
 #[test]
 fn least_used_share_first() {
-    let (north, south) = (Owner::of(Some("north")), Owner::of(Some("south")));
-    assert!(use_by_share(north, &cpu(4000), Some(4.0)) < use_by_share(south, &cpu(3000), Some(2.0)));
-    assert_eq!(use_by_share(Owner::PUBLIC, &cpu(4000), None), 0);
+    let (north, south) = (Owner::of_workspace(Some("north")), Owner::of_workspace(Some("south")));
+    assert!(weighted_usage(north, &cpu(4000), Some(4.0)) < weighted_usage(south, &cpu(3000), Some(2.0)));
+    assert_eq!(weighted_usage(Owner::PUBLIC, &cpu(4000), None), 0);
 }
 
 /// Hosts are not asked for by what a limit keeps from beginning.
@@ -262,10 +262,10 @@
     let mut world = world(&[("north", 0), ("south", 0)]);
     submit(&mut world, 1, of("north", 1));
     assert_eq!(submit(&mut world, 1, of("south", 5)).len(), 0, "the number is taken");
-    world.sched.handle(Event::Cancelled(1, Owner::of(Some("south"))));
+    world.sched.handle(Event::Cancelled(1, Owner::of_workspace(Some("south"))));
     assert!(world.sched.jobs[&1].open());
-    world.sched.handle(Event::Cancelled(2, Owner::of(Some("south"))));
+    world.sched.handle(Event::Cancelled(2, Owner::of_workspace(Some("south"))));
     assert_eq!(submit(&mut world, 2, of("north", 1)).len(), 1, "a cancel that came early was not its own");
-    world.sched.handle(Event::Cancelled(1, Owner::of(Some("north"))));
+    world.sched.handle(Event::Cancelled(1, Owner::of_workspace(Some("north"))));
     assert!(!world.sched.jobs[&1].open());
 }
