--- a/crates/workswood-core/src/jobs/advice_need.rs
+++ b/crates/workswood-core/src/jobs/advice_need.rs
@@ -6,8 +6,8 @@
 use super::advice_batch::Candidate;
 use super::config::AdviceConfig;
 use super::job::{Job, Phase, Task, WorkerId};
-use super::order::Place;
 use super::place::same_step;
+use super::queue_order::QueuePosition;
 use super::sched::Scheduler;
 use super::spec::{Resources, StepId, StepSpec, TaskId};
 use super::worker::{Verdict, Worker};
@@ -54,7 +54,7 @@
 
     /// Steps whose tasks wait, most urgent first, as far as there will be room.
     pub(super) fn waiting_for_advice(&self, pools: &Pools) -> Vec<Wanted> {
-        let mut found: Vec<(Place, Wanted)> = Vec::new();
+        let mut found: Vec<(QueuePosition, Wanted)> = Vec::new();
         for (service, workers) in pools {
             let Some(waiting) = self.ready.get(service) else { continue };
             let mut room = self.room_soon(workers);
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -22,7 +22,7 @@
 //!   [`worker_id`] is its name, and [`workers`] holds all of them.
 //! * [`host`] holds what is known of one host.
 //! * [`map`] is a map whose order is the same in every run.
-//! * [`order`] decides which waiting task is next, and [`waiting`] keeps them.
+//! * [`queue_order`] decides which waiting task is next, and [`waiting`] keeps them.
 //! * [`relays`] decides which entry speaks with which workers, and [`follow`] what is new
 //!   in what a worker lists.
 //! * [`types`] holds the events that go in and the batches that come out.
@@ -61,12 +61,12 @@
 pub mod moves;
 pub mod need;
 mod notes;
-pub mod order;
 pub mod pacing;
 pub mod place;
 pub mod policy;
 mod pool_count;
 pub mod pools;
+pub mod queue_order;
 pub mod relays;
 pub mod sched;
 pub mod settle;
--- a/crates/workswood-core/src/jobs/need.rs
+++ b/crates/workswood-core/src/jobs/need.rs
@@ -7,8 +7,8 @@
 
 use super::demand::Demand;
 use super::job::Job;
-use super::order::whole_work;
 use super::pool_count::PoolCount;
+use super::queue_order::round_work;
 use super::sched::Scheduler;
 use super::spec::{JobKey, Resources};
 use crate::ids::ServiceId;
@@ -160,7 +160,7 @@
         }
         let took =
             |n: usize| self.durations.expect(&job.spec.queue, job.spec.steps[n].estimate, &self.policy.order);
-        Some(whole_work(&job.spec, &took))
+        Some(round_work(&job.spec, &took))
     }
 
     /// Cores that are busy if work goes on coming in as it did lately.
--- a/crates/workswood-core/src/jobs/place.rs
+++ b/crates/workswood-core/src/jobs/place.rs
@@ -6,8 +6,8 @@
 
 use super::fair_share::weighted_usage;
 use super::job::{Job, Phase, Run, Task, WorkerId};
-use super::order::{Place, Rank, Standing};
 use super::policy::ShareOrder;
+use super::queue_order::{QueueOrder, QueuePosition, Timeliness};
 use super::sched::Scheduler;
 use super::spec::{Resources, StepId, StepSpec, TaskId};
 use super::types::Action;
@@ -47,20 +47,24 @@
     /// While all can be in time, whoever must begin first goes first. Beyond that the same order
     /// lets each wait until it must begin, and then a little longer: one backlog makes all late. Then
     /// those go first that take the least from the others.
-    fn rank_of(&self, service: &str) -> Rank {
+    fn rank_of(&self, service: &str) -> QueueOrder {
         let asked = self.ready.get(service).map_or(0, |w| w.room().0.cpu_millis);
         let room = self.workers.cpu_of(service).max(self.fleet_cpu);
-        if asked as f64 > room as f64 * self.policy.order.overload { Rank::LeastWork } else { Rank::Due }
+        if asked as f64 > room as f64 * self.policy.order.overload {
+            QueueOrder::LeastWork
+        } else {
+            QueueOrder::EarliestDeadline
+        }
     }
 
     /// Lets the step of an owner have a turn that comes after a place.
-    fn give_turn(&self, turns: &mut Turns, service: &str, owner: Owner, after: Option<&Place>) {
+    fn give_turn(&self, turns: &mut Turns, service: &str, owner: Owner, after: Option<&QueuePosition>) {
         let Some(place) = self.ready.get(service).and_then(|w| w.next_of(owner, after, turns.rank)) else {
             return;
         };
         let used = match (self.policy.order.shares, turns.rank) {
-            (ShareOrder::Plain | ShareOrder::Excess, _) | (_, Rank::Due) => 0,
-            (ShareOrder::Dominant, Rank::LeastWork) => {
+            (ShareOrder::Plain | ShareOrder::Excess, _) | (_, QueueOrder::EarliestDeadline) => 0,
+            (ShareOrder::Dominant, QueueOrder::LeastWork) => {
                 let at_work = self.workers.accounts().in_use(owner);
                 weighted_usage(owner, &at_work, self.config.workspaces.jobs_per_s(owner))
             }
@@ -312,7 +316,7 @@
 
 /// The next step of each owner, in the order in which they are placed.
 struct Turns {
-    rank: Rank,
+    rank: QueueOrder,
     heap: BinaryHeap<Reverse<Turn>>,
 }
 
@@ -320,25 +324,25 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Turn {
     priority: u32,
-    standing: Standing,
+    standing: Timeliness,
     excess: bool,
     used: u64,
     rank: u64,
-    place: Place,
+    place: QueuePosition,
 }
 
 impl Turns {
-    fn new(rank: Rank) -> Turns {
+    fn new(rank: QueueOrder) -> Turns {
         Turns { rank, heap: BinaryHeap::new() }
     }
 
-    fn push(&mut self, place: Place, used: u64) {
-        let Place { priority, standing, excess, .. } = place;
-        let rank = place.rank_by(self.rank);
+    fn push(&mut self, place: QueuePosition, used: u64) {
+        let QueuePosition { priority, timeliness: standing, over_rate: excess, .. } = place;
+        let rank = place.sort_key(self.rank);
         self.heap.push(Reverse(Turn { priority, standing, excess, used, rank, place }));
     }
 
-    fn next(&mut self) -> Option<Place> {
+    fn next(&mut self) -> Option<QueuePosition> {
         self.heap.pop().map(|Reverse(turn)| turn.place)
     }
 }
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -15,9 +15,9 @@
 use super::known::{Jobs, OverJob};
 use super::map::Map;
 use super::notes::Notes;
-use super::order::{Durations, place_of};
 use super::policy::Policy;
 use super::pools::PoolState;
+use super::queue_order::{TaskDurations, queue_position};
 use super::relays::Relays;
 use super::spec::{JobKey, JobSpec, QueueId, StepId, TaskId};
 use super::types::{Action, Batch, Event, Limits, Record, ShownJob, lease_span};
@@ -75,7 +75,7 @@
     /// How often workers crash by themselves.
     pub(super) crash_rate: CrashRate,
     /// How long tasks take.
-    pub(super) durations: Durations,
+    pub(super) durations: TaskDurations,
     /// Hosts, as last listed.
     pub hosts: Map<HostId, Host>,
     /// When that list was asked for.
@@ -158,7 +158,7 @@
             fleet_cpu: 0,
             shares: SubmissionRates::default(),
             crash_rate: CrashRate::default(),
-            durations: Durations::default(),
+            durations: TaskDurations::default(),
             hosts: Map::default(),
             hosts_asked: Duration::ZERO,
             marks: OrderMarks::default(),
@@ -415,7 +415,7 @@
             return;
         };
         let queue = self.config.queues.get(&job.spec.queue);
-        let (place, dues) = place_of(job, &id, queue, &self.durations, &self.policy.order, self.wall);
+        let (place, dues) = queue_position(job, &id, queue, &self.durations, &self.policy.order, self.wall);
         let spec = job.spec.clone();
         let room = step.reserved_resources();
         match self.ready.get_mut(&spec.service) {
--- a/crates/workswood-core/src/jobs/waiting.rs
+++ b/crates/workswood-core/src/jobs/waiting.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-use super::order::{Dues, Place, Rank, Standing};
+use super::queue_order::{QueueOrder, QueuePosition, StartDeadlines, Timeliness};
 use super::spec::{Resources, StepId, TaskId};
 use super::workspace::Owner;
 use crate::ids::UnixMs;
@@ -16,8 +16,8 @@
 /// Waiting tasks of one step.
 #[derive(Debug)]
 struct WaitingStep {
-    place: Place,
-    dues: Dues,
+    place: QueuePosition,
+    dues: StartDeadlines,
     /// Room that each task asks for.
     room: Resources,
     /// Numbers of the tasks.
@@ -33,11 +33,12 @@
 
 /// A place, in the order of the work that is left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct ByWork(Place);
+struct ByWork(QueuePosition);
 
 impl ByWork {
     fn key(&self) -> impl Ord {
-        let Place { priority, standing, excess, work, step, .. } = self.0;
+        let QueuePosition { priority, timeliness: standing, over_rate: excess, work_key: work, step, .. } =
+            self.0;
         (priority, standing, excess, work, step)
     }
 }
@@ -57,7 +58,7 @@
 /// Waiting steps of one owner.
 #[derive(Debug, Default)]
 struct OwnerQueue {
-    order: BTreeSet<Place>,
+    order: BTreeSet<QueuePosition>,
     by_work: BTreeSet<ByWork>,
     in_time: Sum,
     late: Sum,
@@ -66,7 +67,7 @@
 /// Tasks of one service that wait for a worker.
 #[derive(Debug, Default)]
 pub struct Waiting {
-    order: BTreeSet<Place>,
+    order: BTreeSet<QueuePosition>,
     by_owner: BTreeMap<Owner, OwnerQueue>,
     steps: BTreeMap<StepId, WaitingStep>,
     /// When steps stand worse.
@@ -77,8 +78,8 @@
     /// Adds tasks of a step, which all take this place; each asks for so much room.
     pub fn insert(
         &mut self,
-        place: Place,
-        dues: Dues,
+        place: QueuePosition,
+        dues: StartDeadlines,
         room: Resources,
         tasks: impl IntoIterator<Item = u32>,
     ) {
@@ -97,7 +98,7 @@
         }
         let (place, room, empty) = (s.place, s.room, s.tasks.is_empty());
         if let Some(queue) = self.by_owner.get_mut(&place.owner) {
-            queue.sum_mut(place.standing).remove(1, &room);
+            queue.sum_mut(place.timeliness).remove(1, &room);
         }
         if empty {
             self.take(&step);
@@ -142,25 +143,30 @@
     }
 
     /// Places of steps in their order.
-    pub fn places(&self) -> impl Iterator<Item = &Place> {
+    pub fn places(&self) -> impl Iterator<Item = &QueuePosition> {
         self.order.iter()
     }
 
     /// The step that comes after a place, or the first one.
-    pub fn next_after(&self, place: Option<&Place>) -> Option<Place> {
+    pub fn next_after(&self, place: Option<&QueuePosition>) -> Option<QueuePosition> {
         let from = place.map_or(Bound::Unbounded, Bound::Excluded);
         self.order.range((from, Bound::Unbounded)).next().copied()
     }
 
     /// The step of an owner that comes after a place in an order, or its first one.
-    pub fn next_of(&self, owner: Owner, place: Option<&Place>, rank: Rank) -> Option<Place> {
+    pub fn next_of(
+        &self,
+        owner: Owner,
+        place: Option<&QueuePosition>,
+        rank: QueueOrder,
+    ) -> Option<QueuePosition> {
         let queue = self.by_owner.get(&owner)?;
         match rank {
-            Rank::Due => {
+            QueueOrder::EarliestDeadline => {
                 let from = place.map_or(Bound::Unbounded, Bound::Excluded);
                 queue.order.range((from, Bound::Unbounded)).next().copied()
             }
-            Rank::LeastWork => {
+            QueueOrder::LeastWork => {
                 let from = place.map_or(Bound::Unbounded, |p| Bound::Excluded(ByWork(*p)));
                 queue.by_work.range((from, Bound::Unbounded)).next().map(|p| p.0)
             }
@@ -182,8 +188,8 @@
     pub fn age(&mut self, now: UnixMs) {
         while let Some((_, step)) = self.worse_at.first().copied().filter(|(at, _)| *at < now) {
             let Some(mut s) = self.take(&step) else { return };
-            let (standing, begin) = (s.dues.standing(now), s.dues.begin);
-            s.place = Place { standing, rank: begin, work: begin, ..s.place };
+            let (standing, begin) = (s.dues.timeliness_at(now), s.dues.available_at);
+            s.place = QueuePosition { timeliness: standing, order_key: begin, work_key: begin, ..s.place };
             self.put(s);
         }
     }
@@ -197,7 +203,7 @@
         let queue = self.by_owner.entry(s.place.owner).or_default();
         queue.order.insert(s.place);
         queue.by_work.insert(ByWork(s.place));
-        queue.sum_mut(s.place.standing).add(s.tasks.len(), &s.room);
+        queue.sum_mut(s.place.timeliness).add(s.tasks.len(), &s.room);
         self.steps.insert(s.place.step, s);
     }
 
@@ -210,7 +216,7 @@
         if let Some(queue) = self.by_owner.get_mut(&s.place.owner) {
             queue.order.remove(&s.place);
             queue.by_work.remove(&ByWork(s.place));
-            queue.sum_mut(s.place.standing).remove(s.tasks.len(), &s.room);
+            queue.sum_mut(s.place.timeliness).remove(s.tasks.len(), &s.room);
             if queue.order.is_empty() {
                 self.by_owner.remove(&s.place.owner);
             }
@@ -220,10 +226,10 @@
 }
 
 impl OwnerQueue {
-    fn sum_mut(&mut self, standing: Standing) -> &mut Sum {
+    fn sum_mut(&mut self, standing: Timeliness) -> &mut Sum {
         match standing {
-            Standing::InTime => &mut self.in_time,
-            Standing::Late | Standing::Void => &mut self.late,
+            Timeliness::InTime => &mut self.in_time,
+            Timeliness::Late | Timeliness::Worthless => &mut self.late,
         }
     }
 }
@@ -231,10 +237,10 @@
 impl WaitingStep {
     /// The last moment at which it stands as it does.
     fn worse_at(&self) -> Option<UnixMs> {
-        match self.place.standing {
-            Standing::InTime => Some(self.dues.in_time),
-            Standing::Late => Some(self.dues.late),
-            Standing::Void => None,
+        match self.place.timeliness {
+            Timeliness::InTime => Some(self.dues.in_time_until),
+            Timeliness::Late => Some(self.dues.worthwhile_until),
+            Timeliness::Worthless => None,
         }
     }
 }
--- a/tests/testsuite/queue_order.rs
+++ b/tests/testsuite/queue_order.rs
@@ -3,8 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood_core::jobs::order::{Durations, Place, Rank, Standing, place_of};
 use workswood_core::jobs::policy::OrderPolicy;
+use workswood_core::jobs::queue_order::{
+    QueueOrder, QueuePosition, TaskDurations, Timeliness, queue_position,
+};
 use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::waiting::Waiting;
 use workswood_core::jobs::{Job, JobSpec, Owner, StepId};
@@ -20,10 +22,10 @@
     StepId { job: j.key, round: 0, step: 0 }
 }
 
-fn first_place(j: &Job, now: u64) -> Place {
+fn first_place(j: &Job, now: u64) -> QueuePosition {
     let cfg = config();
     let id = first_step(j);
-    place_of(j, &id, cfg.queues.get(QUEUE), &Durations::default(), &OrderPolicy::default(), now).0
+    queue_position(j, &id, cfg.queues.get(QUEUE), &TaskDurations::default(), &OrderPolicy::default(), now).0
 }
 
 /// Steps are estimated at 500 ms: one is owed within 1.6 x 500 + 600 ms.
@@ -35,10 +37,10 @@
 fn late_behind_in_time() {
     let (old, new) = (opened(1, job(vec![step(1, vec![])], 0)), opened(2, job(vec![step(1, vec![])], 1000)));
     let now = OWED - 500 + 1;
-    assert_eq!(first_place(&old, now - 1).standing, Standing::InTime);
-    assert_eq!(first_place(&old, now).standing, Standing::Late);
+    assert_eq!(first_place(&old, now - 1).timeliness, Timeliness::InTime);
+    assert_eq!(first_place(&old, now).timeliness, Timeliness::Late);
     assert!(first_place(&new, now) < first_place(&old, now), "what can be in time goes first");
-    assert_eq!(first_place(&old, 3 * OWED).standing, Standing::Void);
+    assert_eq!(first_place(&old, 3 * OWED).timeliness, Timeliness::Worthless);
 }
 
 #[test]
@@ -46,7 +48,7 @@
     let (small, large) =
         (opened(1, job(vec![step(1, vec![])], 10)), opened(2, job(vec![step(9, vec![])], 9)));
     let now = 2000;
-    assert_eq!(first_place(&large, now).standing, Standing::Late);
+    assert_eq!(first_place(&large, now).timeliness, Timeliness::Late);
     assert!(first_place(&large, now) < first_place(&small, now), "the older one goes first");
 }
 
@@ -57,7 +59,7 @@
     assert!(first_place(&large, 200) < first_place(&small, 200), "it must begin 0.1 s earlier");
     let long = opened(3, job(vec![step(1, vec![]), step(1, vec![0])], 0));
     assert!(first_place(&small, 200) < first_place(&long, 200), "two steps are owed 0.8 s later");
-    assert_eq!(first_place(&long, 200).rank, 2 * 800 + 600 - 2 * 500);
+    assert_eq!(first_place(&long, 200).order_key, 2 * 800 + 600 - 2 * 500);
 }
 
 #[test]
@@ -67,11 +69,11 @@
     let id = first_step(&j);
     let mut waiting = Waiting::default();
     let (place, dues) =
-        place_of(&j, &id, cfg.queues.get(QUEUE), &Durations::default(), &OrderPolicy::default(), 0);
+        queue_position(&j, &id, cfg.queues.get(QUEUE), &TaskDurations::default(), &OrderPolicy::default(), 0);
     waiting.insert(place, dues, ROOM, [0]);
     waiting.age(OWED);
-    let standings: Vec<Standing> = waiting.places().map(|p| p.standing).collect();
-    assert_eq!(standings, [Standing::Late]);
+    let standings: Vec<Timeliness> = waiting.places().map(|p| p.timeliness).collect();
+    assert_eq!(standings, [Timeliness::Late]);
     waiting.remove(&id.task(0));
     assert!(waiting.is_empty());
 }
@@ -84,7 +86,7 @@
     let id = first_step(&j);
     let mut waiting = Waiting::default();
     let (place, dues) =
-        place_of(&j, &id, cfg.queues.get(QUEUE), &Durations::default(), &OrderPolicy::default(), 0);
+        queue_position(&j, &id, cfg.queues.get(QUEUE), &TaskDurations::default(), &OrderPolicy::default(), 0);
     waiting.insert(place, dues, ROOM, [0, 1]);
     waiting.insert(place, dues, ROOM, [1, 2]);
     assert_eq!((waiting.count(), waiting.room()), (3, (ROOM.times(3), Resources::default())));
@@ -92,7 +94,7 @@
     assert_eq!(waiting.tasks_of(&id).collect::<Vec<_>>(), [id.task(0), id.task(2)]);
     waiting.age(OWED);
     assert_eq!((waiting.count(), waiting.room()), (2, (Resources::default(), ROOM.times(2))));
-    assert_eq!(waiting.next_after(None).map(|p| p.standing), Some(Standing::Late));
+    assert_eq!(waiting.next_after(None).map(|p| p.timeliness), Some(Timeliness::Late));
     waiting.remove_step(&id);
     assert_eq!((waiting.count(), waiting.room()), (0, (Resources::default(), Resources::default())));
     assert_eq!(waiting.next_after(None), None);
@@ -100,7 +102,7 @@
 
 #[test]
 fn durations_learned() {
-    let mut known = Durations::default();
+    let mut known = TaskDurations::default();
     let policy = OrderPolicy::default();
     let guess = Duration::from_millis(400);
     assert_eq!(known.expect(QUEUE, guess, &policy), guess);
@@ -117,12 +119,12 @@
     let large = opened(2, job(vec![step(9, vec![])], 0));
     let long = opened(3, job(vec![step(1, vec![]), step(1, vec![0])], 0));
     for j in [&small, &large, &long] {
-        let (queue, known) = (cfg.queues.get(QUEUE), Durations::default());
-        let (place, dues) = place_of(j, &first_step(j), queue, &known, &OrderPolicy::default(), 300);
+        let (queue, known) = (cfg.queues.get(QUEUE), TaskDurations::default());
+        let (place, dues) = queue_position(j, &first_step(j), queue, &known, &OrderPolicy::default(), 300);
         waiting.insert(place, dues, ROOM, [0]);
     }
     let order = |rank| {
-        let mut at: Option<Place> = None;
+        let mut at: Option<QueuePosition> = None;
         let mut jobs = Vec::new();
         while let Some(next) = waiting.next_of(Owner::PUBLIC, at.as_ref(), rank) {
             jobs.push(next.step.job);
@@ -130,6 +132,6 @@
         }
         jobs
     };
-    assert_eq!(order(Rank::Due), [2, 1, 3]);
-    assert_eq!(order(Rank::LeastWork), [1, 3, 2]);
+    assert_eq!(order(QueueOrder::EarliestDeadline), [2, 1, 3]);
+    assert_eq!(order(QueueOrder::LeastWork), [1, 3, 2]);
 }
--- a/tests/testsuite/workspace_limits.rs
+++ b/tests/testsuite/workspace_limits.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use workswood_core::jobs::fair_share::{SubmissionRates, weighted_usage};
-use workswood_core::jobs::order::{Durations, place_of};
 use workswood_core::jobs::policy::OrderPolicy;
+use workswood_core::jobs::queue_order::{TaskDurations, queue_position};
 use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::workspace_usage::{Reservation, UsageChange, WorkspaceUsage, within_limit};
 use workswood_core::jobs::{
@@ -250,11 +250,19 @@
         j.most_cpu = most_cpu;
         j.open_round();
         let id = StepId { job: 1, round: 0, step: 0 };
-        place_of(&j, &id, cfg.queues.get(QUEUE), &Durations::default(), &OrderPolicy::default(), 100).1
+        queue_position(
+            &j,
+            &id,
+            cfg.queues.get(QUEUE),
+            &TaskDurations::default(),
+            &OrderPolicy::default(),
+            100,
+        )
+        .1
     };
     // A task is estimated at 500 ms; a job is owed within 1.6 chains and 600 ms.
-    assert_eq!(dues(0).in_time, 100 + 800 + 600 - 500);
-    assert_eq!(dues(2000).in_time, 100 + 4 * 800 + 600 - 4 * 500);
+    assert_eq!(dues(0).in_time_until, 100 + 800 + 600 - 500);
+    assert_eq!(dues(2000).in_time_until, 100 + 4 * 800 + 600 - 4 * 500);
 }
 
 #[test]
