--- a/crates/workswood-core/src/jobs/advice_need.rs
+++ b/crates/workswood-core/src/jobs/advice_need.rs
@@ -58,7 +58,7 @@
         for (service, workers) in pools {
             let Some(waiting) = self.ready.get(service) else { continue };
             let mut room = self.room_soon(workers);
-            for place in waiting.places() {
+            for place in waiting.positions() {
                 let spec = self.jobs.get(&place.step.job).map(|j| &j.spec);
                 let Some(step) = spec.and_then(|s| s.steps.get(usize::from(place.step.step))) else {
                     continue;
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -22,7 +22,7 @@
 //!   [`worker_id`] is its name, and [`workers`] holds all of them.
 //! * [`host`] holds what is known of one host.
 //! * [`map`] is a map whose order is the same in every run.
-//! * [`queue_order`] decides which waiting task is next, and [`waiting`] keeps them.
+//! * [`queue_order`] decides which waiting task is next, and [`task_queue`] keeps them.
 //! * [`relays`] decides which entry speaks with which workers, and [`follow`] what is new
 //!   in what a worker lists.
 //! * [`types`] holds the events that go in and the batches that come out.
@@ -71,10 +71,10 @@
 pub mod sched;
 pub mod settle;
 pub mod spec;
+pub mod task_queue;
 pub mod trials;
 pub mod types;
 pub mod upkeep;
-pub mod waiting;
 pub mod wave;
 pub mod worker;
 pub mod worker_id;
--- a/crates/workswood-core/src/jobs/place.rs
+++ b/crates/workswood-core/src/jobs/place.rs
@@ -48,7 +48,7 @@
     /// lets each wait until it must begin, and then a little longer: one backlog makes all late. Then
     /// those go first that take the least from the others.
     fn rank_of(&self, service: &str) -> QueueOrder {
-        let asked = self.ready.get(service).map_or(0, |w| w.room().0.cpu_millis);
+        let asked = self.ready.get(service).map_or(0, |w| w.requested().0.cpu_millis);
         let room = self.workers.cpu_of(service).max(self.fleet_cpu);
         if asked as f64 > room as f64 * self.policy.order.overload {
             QueueOrder::LeastWork
@@ -59,7 +59,8 @@
 
     /// Lets the step of an owner have a turn that comes after a place.
     fn give_turn(&self, turns: &mut Turns, service: &str, owner: Owner, after: Option<&QueuePosition>) {
-        let Some(place) = self.ready.get(service).and_then(|w| w.next_of(owner, after, turns.rank)) else {
+        let Some(place) = self.ready.get(service).and_then(|w| w.next_of_owner(owner, after, turns.rank))
+        else {
             return;
         };
         let used = match (self.policy.order.shares, turns.rank) {
--- a/crates/workswood-core/src/jobs/pools.rs
+++ b/crates/workswood-core/src/jobs/pools.rs
@@ -16,7 +16,7 @@
 use super::need::Need;
 use super::pool_count::PoolCount;
 use super::sched::Scheduler;
-use super::waiting::Waiting;
+use super::task_queue::TaskQueue;
 use crate::ids::{HostId, ServiceId};
 
 /// Time between two lines of the log on each pool.
@@ -124,7 +124,7 @@
         let Pool { need, have } = self.pool(count, service);
         let (used, size) = (self.workers.room_in_use(service), self.workers.largest(service));
         let busy = used.cpu_millis as f64 / size.cpu_millis.max(1) as f64;
-        let waiting = self.ready.get(service).map_or(0, Waiting::count);
+        let waiting = self.ready.get(service).map_or(0, TaskQueue::count);
         let Need { now, soon, lend, keep } = need;
         let moving = self.pools.moving.len();
         format!(
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -20,8 +20,8 @@
 use super::queue_order::{TaskDurations, queue_position};
 use super::relays::Relays;
 use super::spec::{JobKey, JobSpec, QueueId, StepId, TaskId};
+use super::task_queue::TaskQueue;
 use super::types::{Action, Batch, Event, Limits, Record, ShownJob, lease_span};
-use super::waiting::Waiting;
 use super::wave::WaveState;
 use super::worker::{Worker, WorkerInfo, WorkerRecord};
 use super::workers::Workers;
@@ -62,7 +62,7 @@
     /// Who speaks with them.
     pub(super) relays: Relays,
     /// Tasks that wait for a worker, by service.
-    pub(super) ready: Map<ServiceId, Waiting>,
+    pub(super) ready: Map<ServiceId, TaskQueue>,
     /// Those of them that wait for a trial, by since when they are suspected.
     pub(super) trials: Map<ServiceId, BTreeSet<(Duration, TaskId)>>,
     /// Data centres in which nothing begins.
@@ -505,7 +505,7 @@
             }
         }
         let wall = self.wall;
-        self.ready.values_mut().for_each(|w| w.age(wall));
+        self.ready.values_mut().for_each(|w| w.downgrade_overdue(wall));
         self.settle_lapsed();
         if self.now >= self.slow_checked + SLOW_EVERY {
             self.slow_checked = self.now;
--- a/crates/workswood-core/src/jobs/waiting.rs
+++ b/crates/workswood-core/src/jobs/task_queue.rs
@@ -16,8 +16,8 @@
 /// Waiting tasks of one step.
 #[derive(Debug)]
 struct WaitingStep {
-    place: QueuePosition,
-    dues: StartDeadlines,
+    position: QueuePosition,
+    deadlines: StartDeadlines,
     /// Room that each task asks for.
     room: Resources,
     /// Numbers of the tasks.
@@ -26,16 +26,16 @@
 
 /// What waiting tasks ask for.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sum {
+struct TaskTotals {
     tasks: usize,
     room: Resources,
 }
 
 /// A place, in the order of the work that is left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct ByWork(QueuePosition);
+struct ByRemainingWork(QueuePosition);
 
-impl ByWork {
+impl ByRemainingWork {
     fn key(&self) -> impl Ord {
         let QueuePosition { priority, timeliness: standing, over_rate: excess, work_key: work, step, .. } =
             self.0;
@@ -43,14 +43,14 @@
     }
 }
 
-impl Ord for ByWork {
-    fn cmp(&self, other: &ByWork) -> Ordering {
+impl Ord for ByRemainingWork {
+    fn cmp(&self, other: &ByRemainingWork) -> Ordering {
         self.key().cmp(&other.key())
     }
 }
 
-impl PartialOrd for ByWork {
-    fn partial_cmp(&self, other: &ByWork) -> Option<Ordering> {
+impl PartialOrd for ByRemainingWork {
+    fn partial_cmp(&self, other: &ByRemainingWork) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
@@ -58,23 +58,23 @@
 /// Waiting steps of one owner.
 #[derive(Debug, Default)]
 struct OwnerQueue {
-    order: BTreeSet<QueuePosition>,
-    by_work: BTreeSet<ByWork>,
-    in_time: Sum,
-    late: Sum,
+    by_position: BTreeSet<QueuePosition>,
+    by_work: BTreeSet<ByRemainingWork>,
+    in_time: TaskTotals,
+    late: TaskTotals,
 }
 
 /// Tasks of one service that wait for a worker.
 #[derive(Debug, Default)]
-pub struct Waiting {
-    order: BTreeSet<QueuePosition>,
+pub struct TaskQueue {
+    by_position: BTreeSet<QueuePosition>,
     by_owner: BTreeMap<Owner, OwnerQueue>,
     steps: BTreeMap<StepId, WaitingStep>,
     /// When steps stand worse.
-    worse_at: BTreeSet<(UnixMs, StepId)>,
+    downgrade_at: BTreeSet<(UnixMs, StepId)>,
 }
 
-impl Waiting {
+impl TaskQueue {
     /// Adds tasks of a step, which all take this place; each asks for so much room.
     pub fn insert(
         &mut self,
@@ -83,10 +83,10 @@
         room: Resources,
         tasks: impl IntoIterator<Item = u32>,
     ) {
-        let before = self.take(&place.step);
+        let before = self.take_step(&place.step);
         let mut all = before.map(|s| s.tasks).unwrap_or_default();
         all.extend(tasks);
-        self.put(WaitingStep { place, dues, room, tasks: all });
+        self.put_step(WaitingStep { position: place, deadlines: dues, room, tasks: all });
     }
 
     /// Takes a task out.
@@ -96,23 +96,23 @@
         if !s.tasks.remove(&task.index) {
             return;
         }
-        let (place, room, empty) = (s.place, s.room, s.tasks.is_empty());
+        let (place, room, empty) = (s.position, s.room, s.tasks.is_empty());
         if let Some(queue) = self.by_owner.get_mut(&place.owner) {
-            queue.sum_mut(place.timeliness).remove(1, &room);
+            queue.totals_mut(place.timeliness).remove(1, &room);
         }
         if empty {
-            self.take(&step);
+            self.take_step(&step);
         }
     }
 
     /// Takes all tasks of a step out.
     pub fn remove_step(&mut self, step: &StepId) {
-        self.take(step);
+        self.take_step(step);
     }
 
     /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
-        self.order.is_empty()
+        self.by_position.is_empty()
     }
 
     /// How many tasks wait.
@@ -121,12 +121,12 @@
     }
 
     /// Room that is waited for: by tasks whose job can be in time, and by others.
-    pub fn room(&self) -> (Resources, Resources) {
-        self.room_within(|_| None)
+    pub fn requested(&self) -> (Resources, Resources) {
+        self.requested_within(|_| None)
     }
 
     /// Likewise, of each owner no more than what it may still use, if that is limited.
-    pub fn room_within(&self, left: impl Fn(Owner) -> Option<Resources>) -> (Resources, Resources) {
+    pub fn requested_within(&self, left: impl Fn(Owner) -> Option<Resources>) -> (Resources, Resources) {
         let (mut in_time, mut late) = (Resources::default(), Resources::default());
         for (owner, queue) in &self.by_owner {
             let (first, second) = (queue.in_time.room, queue.late.room);
@@ -143,18 +143,18 @@
     }
 
     /// Places of steps in their order.
-    pub fn places(&self) -> impl Iterator<Item = &QueuePosition> {
-        self.order.iter()
+    pub fn positions(&self) -> impl Iterator<Item = &QueuePosition> {
+        self.by_position.iter()
     }
 
     /// The step that comes after a place, or the first one.
     pub fn next_after(&self, place: Option<&QueuePosition>) -> Option<QueuePosition> {
         let from = place.map_or(Bound::Unbounded, Bound::Excluded);
-        self.order.range((from, Bound::Unbounded)).next().copied()
+        self.by_position.range((from, Bound::Unbounded)).next().copied()
     }
 
     /// The step of an owner that comes after a place in an order, or its first one.
-    pub fn next_of(
+    pub fn next_of_owner(
         &self,
         owner: Owner,
         place: Option<&QueuePosition>,
@@ -164,10 +164,10 @@
         match rank {
             QueueOrder::EarliestDeadline => {
                 let from = place.map_or(Bound::Unbounded, Bound::Excluded);
-                queue.order.range((from, Bound::Unbounded)).next().copied()
+                queue.by_position.range((from, Bound::Unbounded)).next().copied()
             }
             QueueOrder::LeastWork => {
-                let from = place.map_or(Bound::Unbounded, |p| Bound::Excluded(ByWork(*p)));
+                let from = place.map_or(Bound::Unbounded, |p| Bound::Excluded(ByRemainingWork(*p)));
                 queue.by_work.range((from, Bound::Unbounded)).next().map(|p| p.0)
             }
         }
@@ -185,40 +185,41 @@
     }
 
     /// Moves steps back that stand worse by now.
-    pub fn age(&mut self, now: UnixMs) {
-        while let Some((_, step)) = self.worse_at.first().copied().filter(|(at, _)| *at < now) {
-            let Some(mut s) = self.take(&step) else { return };
-            let (standing, begin) = (s.dues.timeliness_at(now), s.dues.available_at);
-            s.place = QueuePosition { timeliness: standing, order_key: begin, work_key: begin, ..s.place };
-            self.put(s);
+    pub fn downgrade_overdue(&mut self, now: UnixMs) {
+        while let Some((_, step)) = self.downgrade_at.first().copied().filter(|(at, _)| *at < now) {
+            let Some(mut s) = self.take_step(&step) else { return };
+            let (standing, begin) = (s.deadlines.timeliness_at(now), s.deadlines.available_at);
+            s.position =
+                QueuePosition { timeliness: standing, order_key: begin, work_key: begin, ..s.position };
+            self.put_step(s);
         }
     }
 
-    fn put(&mut self, s: WaitingStep) {
+    fn put_step(&mut self, s: WaitingStep) {
         if s.tasks.is_empty() {
             return;
         }
-        self.order.insert(s.place);
-        self.worse_at.extend(s.worse_at().map(|at| (at, s.place.step)));
-        let queue = self.by_owner.entry(s.place.owner).or_default();
-        queue.order.insert(s.place);
-        queue.by_work.insert(ByWork(s.place));
-        queue.sum_mut(s.place.timeliness).add(s.tasks.len(), &s.room);
-        self.steps.insert(s.place.step, s);
+        self.by_position.insert(s.position);
+        self.downgrade_at.extend(s.downgrade_at().map(|at| (at, s.position.step)));
+        let queue = self.by_owner.entry(s.position.owner).or_default();
+        queue.by_position.insert(s.position);
+        queue.by_work.insert(ByRemainingWork(s.position));
+        queue.totals_mut(s.position.timeliness).add(s.tasks.len(), &s.room);
+        self.steps.insert(s.position.step, s);
     }
 
-    fn take(&mut self, step: &StepId) -> Option<WaitingStep> {
+    fn take_step(&mut self, step: &StepId) -> Option<WaitingStep> {
         let s = self.steps.remove(step)?;
-        self.order.remove(&s.place);
-        if let Some(at) = s.worse_at() {
-            self.worse_at.remove(&(at, *step));
+        self.by_position.remove(&s.position);
+        if let Some(at) = s.downgrade_at() {
+            self.downgrade_at.remove(&(at, *step));
         }
-        if let Some(queue) = self.by_owner.get_mut(&s.place.owner) {
-            queue.order.remove(&s.place);
-            queue.by_work.remove(&ByWork(s.place));
-            queue.sum_mut(s.place.timeliness).remove(s.tasks.len(), &s.room);
-            if queue.order.is_empty() {
-                self.by_owner.remove(&s.place.owner);
+        if let Some(queue) = self.by_owner.get_mut(&s.position.owner) {
+            queue.by_position.remove(&s.position);
+            queue.by_work.remove(&ByRemainingWork(s.position));
+            queue.totals_mut(s.position.timeliness).remove(s.tasks.len(), &s.room);
+            if queue.by_position.is_empty() {
+                self.by_owner.remove(&s.position.owner);
             }
         }
         Some(s)
@@ -226,7 +227,7 @@
 }
 
 impl OwnerQueue {
-    fn sum_mut(&mut self, standing: Timeliness) -> &mut Sum {
+    fn totals_mut(&mut self, standing: Timeliness) -> &mut TaskTotals {
         match standing {
             Timeliness::InTime => &mut self.in_time,
             Timeliness::Late | Timeliness::Worthless => &mut self.late,
@@ -236,16 +237,16 @@
 
 impl WaitingStep {
     /// The last moment at which it stands as it does.
-    fn worse_at(&self) -> Option<UnixMs> {
-        match self.place.timeliness {
-            Timeliness::InTime => Some(self.dues.in_time_until),
-            Timeliness::Late => Some(self.dues.worthwhile_until),
+    fn downgrade_at(&self) -> Option<UnixMs> {
+        match self.position.timeliness {
+            Timeliness::InTime => Some(self.deadlines.in_time_until),
+            Timeliness::Late => Some(self.deadlines.worthwhile_until),
             Timeliness::Worthless => None,
         }
     }
 }
 
-impl Sum {
+impl TaskTotals {
     fn add(&mut self, tasks: usize, room: &Resources) {
         self.tasks += tasks;
         self.room.add(&room.times(tasks as u64));
--- a/tests/testsuite/queue_order.rs
+++ b/tests/testsuite/queue_order.rs
@@ -8,7 +8,7 @@
     QueueOrder, QueuePosition, TaskDurations, Timeliness, queue_position,
 };
 use workswood_core::jobs::spec::Resources;
-use workswood_core::jobs::waiting::Waiting;
+use workswood_core::jobs::task_queue::TaskQueue;
 use workswood_core::jobs::{Job, JobSpec, Owner, StepId};
 use workswood_test_support::job_world::{QUEUE, config, job, step};
 
@@ -67,12 +67,12 @@
     let cfg = config();
     let j = opened(1, job(vec![step(1, vec![])], 0));
     let id = first_step(&j);
-    let mut waiting = Waiting::default();
+    let mut waiting = TaskQueue::default();
     let (place, dues) =
         queue_position(&j, &id, cfg.queues.get(QUEUE), &TaskDurations::default(), &OrderPolicy::default(), 0);
     waiting.insert(place, dues, ROOM, [0]);
-    waiting.age(OWED);
-    let standings: Vec<Timeliness> = waiting.places().map(|p| p.timeliness).collect();
+    waiting.downgrade_overdue(OWED);
+    let standings: Vec<Timeliness> = waiting.positions().map(|p| p.timeliness).collect();
     assert_eq!(standings, [Timeliness::Late]);
     waiting.remove(&id.task(0));
     assert!(waiting.is_empty());
@@ -84,19 +84,19 @@
     let cfg = config();
     let j = opened(1, job(vec![step(3, vec![])], 0));
     let id = first_step(&j);
-    let mut waiting = Waiting::default();
+    let mut waiting = TaskQueue::default();
     let (place, dues) =
         queue_position(&j, &id, cfg.queues.get(QUEUE), &TaskDurations::default(), &OrderPolicy::default(), 0);
     waiting.insert(place, dues, ROOM, [0, 1]);
     waiting.insert(place, dues, ROOM, [1, 2]);
-    assert_eq!((waiting.count(), waiting.room()), (3, (ROOM.times(3), Resources::default())));
+    assert_eq!((waiting.count(), waiting.requested()), (3, (ROOM.times(3), Resources::default())));
     waiting.remove(&id.task(1));
     assert_eq!(waiting.tasks_of(&id).collect::<Vec<_>>(), [id.task(0), id.task(2)]);
-    waiting.age(OWED);
-    assert_eq!((waiting.count(), waiting.room()), (2, (Resources::default(), ROOM.times(2))));
+    waiting.downgrade_overdue(OWED);
+    assert_eq!((waiting.count(), waiting.requested()), (2, (Resources::default(), ROOM.times(2))));
     assert_eq!(waiting.next_after(None).map(|p| p.timeliness), Some(Timeliness::Late));
     waiting.remove_step(&id);
-    assert_eq!((waiting.count(), waiting.room()), (0, (Resources::default(), Resources::default())));
+    assert_eq!((waiting.count(), waiting.requested()), (0, (Resources::default(), Resources::default())));
     assert_eq!(waiting.next_after(None), None);
 }
 
@@ -114,7 +114,7 @@
 #[test]
 fn least_work_first() {
     let cfg = config();
-    let mut waiting = Waiting::default();
+    let mut waiting = TaskQueue::default();
     let small = opened(1, job(vec![step(1, vec![])], 200));
     let large = opened(2, job(vec![step(9, vec![])], 0));
     let long = opened(3, job(vec![step(1, vec![]), step(1, vec![0])], 0));
@@ -126,7 +126,7 @@
     let order = |rank| {
         let mut at: Option<QueuePosition> = None;
         let mut jobs = Vec::new();
-        while let Some(next) = waiting.next_of(Owner::PUBLIC, at.as_ref(), rank) {
+        while let Some(next) = waiting.next_of_owner(Owner::PUBLIC, at.as_ref(), rank) {
             jobs.push(next.step.job);
             at = Some(next);
         }
