--- a/crates/workswood-core/src/jobs/advice_need.rs
+++ b/crates/workswood-core/src/jobs/advice_need.rs
@@ -134,12 +134,12 @@
     fn ends_in(&self, task: &Task, expected: Duration) -> Option<Duration> {
         let at_work = |p: Phase| matches!(p, Phase::Starting | Phase::Running);
         let run = task.runs.iter().find(|r| at_work(r.phase))?;
-        let passed = self.now.saturating_sub(run.phase_at);
-        if run.percent < TELLING_PERCENT {
+        let passed = self.now.saturating_sub(run.phase_since);
+        if run.progress_percent < TELLING_PERCENT {
             return Some(expected.saturating_sub(passed));
         }
-        let told = run.progressed.saturating_sub(run.phase_at);
-        let whole = told.mul_f64(100.0 / f64::from(run.percent));
+        let told = run.progressed_at.saturating_sub(run.phase_since);
+        let whole = told.mul_f64(100.0 / f64::from(run.progress_percent));
         Some(whole.saturating_sub(passed))
     }
 
@@ -193,7 +193,8 @@
     /// How many tasks of the step have room on a worker now, and if it were empty.
     fn places_on(&self, wish: &Wish<'_>, id: &WorkerId, w: &Worker) -> (u32, u32) {
         let task = |t: &TaskId| wish.job.task(t);
-        let avoids = |t: &&TaskId| wish.others > 1 && task(t).is_some_and(|t| t.avoid.as_ref() == Some(id));
+        let avoids =
+            |t: &&TaskId| wish.others > 1 && task(t).is_some_and(|t| t.avoid_worker.as_ref() == Some(id));
         let mut most = wish.wanted.tasks.iter().filter(|t| !avoids(t)).count() as u32;
         if wish.spec.max_per_worker > 0 {
             let here = wish.wanted.tasks.first().map_or(0, |t| same_step(w, t)) as u32;
--- a/crates/workswood-core/src/jobs/crash.rs
+++ b/crates/workswood-core/src/jobs/crash.rs
@@ -290,7 +290,7 @@
     fn lost(&self, id: &WorkerId, task: &TaskId, attempt: u32) -> Option<Lost> {
         let w = self.workers.get(id)?;
         let run = self.run(id, task, attempt)?;
-        let lasted = run.ran(w.heard);
+        let lasted = run.known_runtime(w.heard);
         // It crashed between its last answer and when it was found to be silent.
         let found = w.heard + w.silent_for;
         let within = run.placed_at.map(|at| found.saturating_sub(at));
@@ -299,7 +299,7 @@
 
     fn part(&self, run: &Run, lasted: Option<Duration>, within: Option<Duration>) -> Part {
         let unheard = lasted.is_none() && run.phase != Phase::Inherited;
-        if !unheard && run.trial.is_some_and(|trial| lasted.is_none_or(|ran| ran < trial)) {
+        if !unheard && run.trial_quarantine.is_some_and(|trial| lasted.is_none_or(|ran| ran < trial)) {
             return Part::OnTrial;
         }
         match lasted {
@@ -426,7 +426,8 @@
 
     fn is_proven(&self, id: &TaskId) -> bool {
         let Some(task) = self.jobs.get(&id.job).and_then(|j| j.task(id)) else { return false };
-        let proven = |r: &Run| r.warm() && r.known_at.is_some_and(|at| at + PROVEN_AFTER <= self.now);
+        let proven =
+            |r: &Run| r.is_warmed_up() && r.confirmed_at.is_some_and(|at| at + PROVEN_AFTER <= self.now);
         !task.crashes.is_empty() && task.runs.iter().any(proven)
     }
 }
--- a/crates/workswood-core/src/jobs/ends.rs
+++ b/crates/workswood-core/src/jobs/ends.rs
@@ -68,7 +68,7 @@
         let stays = wanted && !done || self.outlives_job(&listed.task);
         if runs && !stays {
             if let Some(run) = self.run_mut(id, &listed.task, listed.attempt) {
-                run.enter(Phase::Stopping, now);
+                run.set_phase(Phase::Stopping, now);
             }
             self.actions.push(Action::Stop(id.clone(), listed.task, listed.attempt));
         } else if runs && evicted {
@@ -103,12 +103,12 @@
         let spec = job.spec.clone();
         let Some(step) = spec.steps.get(usize::from(listed.task.step)) else { return false };
         let Some(task) = job.task_mut(&listed.task) else { return false };
-        if task.done || step.gang || !task.runs.is_empty() || listed.attempt < task.attempt {
+        if task.done || step.gang || !task.runs.is_empty() || listed.attempt < task.latest_attempt {
             return false;
         }
-        task.attempt = listed.attempt;
+        task.latest_attempt = listed.attempt;
         let run = Run::new(id.clone(), listed.attempt, Phase::Running, now);
-        task.runs.push(Run { known_at: Some(now), ..run });
+        task.runs.push(Run { confirmed_at: Some(now), ..run });
         if let Some(mut w) = self.workers.get_mut(id) {
             w.take(listed.task, listed.attempt, spec.reservation(step));
             w.mark(&listed.task, step);
@@ -163,11 +163,11 @@
         let run = run.map(|n| task.runs.remove(n));
         let known = run.is_some();
         let survived = matches!(end.kind, EndKind::Done | EndKind::Failed);
-        if survived && run.as_ref().is_some_and(|r| r.trial.is_some()) {
+        if survived && run.as_ref().is_some_and(|r| r.trial_quarantine.is_some()) {
             task.passed_trial(&self.policy.crashes);
         }
         if let Some(run) = run.filter(|r| end.kind == EndKind::Done && r.phase == Phase::Running) {
-            self.durations.observe(&spec.queue, now.saturating_sub(run.phase_at), &self.policy.order);
+            self.durations.observe(&spec.queue, now.saturating_sub(run.phase_since), &self.policy.order);
         }
         // An end that is listed again may be older than the checkpoint we have.
         if known && step.checkpointing && !end.checkpoint.is_empty() {
@@ -218,14 +218,14 @@
         let most = job.spec.max_attempts.max(1);
         let gang = job.step(task_id).is_some_and(|s| s.gang);
         let Some(task) = job.task_mut(task_id) else { return };
-        if !task.failed.insert(attempt) {
+        if !task.failed_attempts.insert(attempt) {
             return;
         }
-        task.avoid = Some(id.clone());
-        let mut failed = task.failed.len() as u32;
+        task.avoid_worker = Some(id.clone());
+        let mut failed = task.failed_attempts.len() as u32;
         if gang {
             let step = job.rounds.get(task_id.round as usize).and_then(|r| r.get(usize::from(task_id.step)));
-            failed = step.map_or(failed, |tasks| tasks.iter().map(|t| t.failed.len() as u32).sum());
+            failed = step.map_or(failed, |tasks| tasks.iter().map(|t| t.failed_attempts.len() as u32).sum());
         }
         self.blame(id, task_id);
         if !lasting && failed >= most {
@@ -285,13 +285,13 @@
     if !listed.checkpoint.is_empty() {
         task.checkpoint.clone_from(&listed.checkpoint);
     }
-    run.figure = listed.figure;
-    run.percent = listed.percent;
-    run.progressed = now.saturating_sub(listed.still);
-    run.still_since = (!listed.still.is_zero()).then_some(run.progressed);
-    run.known_at.get_or_insert(now);
+    run.load_metric = listed.figure;
+    run.progress_percent = listed.percent;
+    run.progressed_at = now.saturating_sub(listed.still);
+    run.stalled_since = (!listed.still.is_zero()).then_some(run.progressed_at);
+    run.confirmed_at.get_or_insert(now);
     if matches!(run.phase, Phase::Starting | Phase::Inherited) {
-        run.enter(Phase::Running, now);
+        run.set_phase(Phase::Running, now);
     }
     Some((run, task.done))
 }
--- a/crates/workswood-core/src/jobs/evict.rs
+++ b/crates/workswood-core/src/jobs/evict.rs
@@ -57,7 +57,7 @@
             return false;
         }
         let lasting = job.step(id).is_some_and(|s| s.long_running);
-        let at_work = || job.task(id).is_some_and(|t| t.runs.iter().any(Run::warm));
+        let at_work = || job.task(id).is_some_and(|t| t.runs.iter().any(Run::is_warmed_up));
         lasting && at_work() && !self.may_evict(id)
     }
 
@@ -67,7 +67,7 @@
         let Some(w) = self.workers.get(&run.worker) else { return false };
         let heard = w.relay.as_ref().map_or(Duration::ZERO, |r| self.relays.heard(r));
         let believed = self.now <= heard + self.policy.health.believed_for;
-        run.warm() && !run.evicted && w.reachable && !w.doubted && believed
+        run.is_warmed_up() && !run.evicted && w.reachable && !w.doubted && believed
     }
 
     /// Evicts lasting tasks of a worker as far as their budgets allow;
@@ -107,7 +107,7 @@
             return;
         }
         let recorded = std::mem::replace(&mut run.evicted, true);
-        run.enter(Phase::Stopping, now);
+        run.set_phase(Phase::Stopping, now);
         if !recorded {
             self.dirty.insert(task.job);
         }
--- a/crates/workswood-core/src/jobs/job.rs
+++ b/crates/workswood-core/src/jobs/job.rs
@@ -15,11 +15,11 @@
 use crate::ids::{ServiceId, UnixMs};
 
 /// Pace of a task that nothing holds back, in percent.
-pub const FULL_PACE: u32 = 100;
+pub const FULL_PACE_PERCENT: u32 = 100;
 
 /// What callers are told of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Shown {
+pub enum JobStatus {
     /// No task has begun.
     Queued,
     /// Some task has begun.
@@ -64,26 +64,26 @@
     /// How far it has come.
     pub phase: Phase,
     /// When `phase` last changed.
-    pub phase_at: Duration,
+    pub phase_since: Duration,
     /// When this lease holder decided to start it; `None` if an earlier one did.
     pub placed_at: Option<Duration>,
     /// When it was first known to be there: its worker took the start, or listed it.
-    pub known_at: Option<Duration>,
+    pub confirmed_at: Option<Duration>,
     /// Latest share of the work done, in percent.
-    pub percent: u32,
+    pub progress_percent: u32,
     /// When `percent` last rose, as far as it was told.
-    pub progressed: Duration,
+    pub progressed_at: Duration,
     /// Since when it stands still, if it does.
-    pub still_since: Option<Duration>,
+    pub stalled_since: Option<Duration>,
     /// Rough figure of the worker: slow answers in ms, or processor use.
-    pub figure: u64,
+    pub load_metric: u64,
     /// Pace that we asked for, in percent.
-    pub pace: u32,
+    pub pace_percent: u32,
     /// Whether our own order ends it, or one of a predecessor, for the
     /// availability budget.
     pub evicted: bool,
     /// How long nothing else begins beside it, if it is a trial of a suspected task.
-    pub trial: Option<Duration>,
+    pub trial_quarantine: Option<Duration>,
 }
 
 impl Run {
@@ -93,34 +93,34 @@
             worker,
             attempt,
             phase,
-            phase_at: now,
+            phase_since: now,
             placed_at: None,
-            known_at: None,
-            percent: 0,
-            progressed: now,
-            still_since: None,
-            figure: 0,
-            pace: FULL_PACE,
+            confirmed_at: None,
+            progress_percent: 0,
+            progressed_at: now,
+            stalled_since: None,
+            load_metric: 0,
+            pace_percent: FULL_PACE_PERCENT,
             evicted: false,
-            trial: None,
+            trial_quarantine: None,
         }
     }
 
     /// How long it was known to be there when its worker was last heard; `None` if that
     /// was never known.
-    pub fn ran(&self, heard: Duration) -> Option<Duration> {
-        self.known_at.map(|at| heard.saturating_sub(at))
+    pub fn known_runtime(&self, heard: Duration) -> Option<Duration> {
+        self.confirmed_at.map(|at| heard.saturating_sub(at))
     }
 
     /// Changes the phase.
-    pub fn enter(&mut self, phase: Phase, now: Duration) {
+    pub fn set_phase(&mut self, phase: Phase, now: Duration) {
         self.phase = phase;
-        self.phase_at = now;
+        self.phase_since = now;
     }
 
     /// Whether a lasting task was past its warm-up when its worker was last heard.
-    pub fn warm(&self) -> bool {
-        self.phase == Phase::Running && self.percent >= 100
+    pub fn is_warmed_up(&self) -> bool {
+        self.phase == Phase::Running && self.progress_percent >= 100
     }
 }
 
@@ -131,7 +131,7 @@
     pub done: bool,
     /// Numbers of its runs that failed. An end may be listed again after a
     /// change of the lease holder, and must count once.
-    pub failed: BTreeSet<u32>,
+    pub failed_attempts: BTreeSet<u32>,
     /// Workers that have crashed under it.
     pub crashes: Crashes,
     /// Whether it is never started again, since it crashes its workers; its job goes on.
@@ -139,13 +139,13 @@
     /// Why it is started as a trial only, if it is.
     pub suspicion: Option<Suspicion>,
     /// Number of its latest run.
-    pub attempt: u32,
+    pub latest_attempt: u32,
     /// Latest checkpoint; empty for none.
     pub checkpoint: String,
     /// Runs that may exist.
     pub runs: Vec<Run>,
     /// Worker of the latest failed or stuck run, to be avoided.
-    pub avoid: Option<WorkerId>,
+    pub avoid_worker: Option<WorkerId>,
 }
 
 impl Task {
@@ -182,7 +182,7 @@
     /// Rounds that are due, by number.
     pub rounds: Vec<Round>,
     /// What was last told of it.
-    pub(super) told: Option<Shown>,
+    pub(super) published_status: Option<JobStatus>,
 }
 
 impl Job {
@@ -199,7 +199,7 @@
             most_cpu: 0,
             blamed: None,
             rounds: Vec::new(),
-            told: None,
+            published_status: None,
         }
     }
 
@@ -308,11 +308,11 @@
     }
 
     /// What callers are told once the present state is on record.
-    pub fn shown(&self) -> Shown {
+    pub fn status(&self) -> JobStatus {
         match self.outcome {
-            Some(o) => Shown::Ended(o),
-            None if self.begun => Shown::Running,
-            None => Shown::Queued,
+            Some(o) => JobStatus::Ended(o),
+            None if self.begun => JobStatus::Running,
+            None => JobStatus::Queued,
         }
     }
 
@@ -320,13 +320,13 @@
     pub fn record(&self) -> JobRecord {
         let task = |t: &Task| TaskRecord {
             done: t.done,
-            failed: t.failed.clone(),
+            failed_attempts: t.failed_attempts.clone(),
             crashes: if t.done { Crashes::default() } else { t.crashes.clone() },
             given_up: t.given_up,
-            attempt: t.attempt,
+            latest_attempt: t.latest_attempt,
             checkpoint: t.checkpoint.clone(),
             runs: t.runs.iter().map(|r| (r.worker.clone(), r.attempt)).collect(),
-            evicted: t.runs.iter().filter(|r| r.evicted).map(|r| r.attempt).collect(),
+            evicted_attempts: t.runs.iter().filter(|r| r.evicted).map(|r| r.attempt).collect(),
         };
         let step = |tasks: &Vec<Task>| tasks.iter().map(task).collect();
         JobRecord {
@@ -407,7 +407,7 @@
     pub done: bool,
     /// Numbers of its runs that failed.
     #[serde(default, rename = "f", skip_serializing_if = "BTreeSet::is_empty")]
-    pub failed: BTreeSet<u32>,
+    pub failed_attempts: BTreeSet<u32>,
     /// Workers that have crashed under it.
     #[serde(default, rename = "k", skip_serializing_if = "Crashes::is_empty")]
     pub crashes: Crashes,
@@ -416,7 +416,7 @@
     pub given_up: bool,
     /// Number of its latest run.
     #[serde(default, rename = "a", skip_serializing_if = "is_zero")]
-    pub attempt: u32,
+    pub latest_attempt: u32,
     /// Latest checkpoint.
     #[serde(default, rename = "c", skip_serializing_if = "String::is_empty")]
     pub checkpoint: String,
@@ -426,7 +426,7 @@
     /// Attempts of those runs that are ended by our own order. Their workers
     /// list them until they have stopped.
     #[serde(default, rename = "e", skip_serializing_if = "BTreeSet::is_empty")]
-    pub evicted: BTreeSet<u32>,
+    pub evicted_attempts: BTreeSet<u32>,
 }
 
 fn is_false(b: &bool) -> bool {
@@ -439,21 +439,21 @@
 
 impl TaskRecord {
     fn restore(self, now: Duration) -> Task {
-        let evicted = self.evicted;
+        let evicted = self.evicted_attempts;
         let run = |(worker, attempt): (WorkerId, u32)| {
             let run = Run::new(worker, attempt, Phase::Inherited, now);
             Run { evicted: evicted.contains(&attempt), ..run }
         };
         Task {
             done: self.done,
-            failed: self.failed,
+            failed_attempts: self.failed_attempts,
             crashes: self.crashes,
             given_up: self.given_up,
             suspicion: None,
-            attempt: self.attempt,
+            latest_attempt: self.latest_attempt,
             checkpoint: self.checkpoint,
             runs: self.runs.into_iter().map(run).collect(),
-            avoid: None,
+            avoid_worker: None,
         }
     }
 }
--- a/crates/workswood-core/src/jobs/known.rs
+++ b/crates/workswood-core/src/jobs/known.rs
@@ -8,7 +8,7 @@
 use std::ops::Index;
 use std::time::Duration;
 
-use super::job::{Job, Outcome, OverRecord, Shown};
+use super::job::{Job, JobStatus, Outcome, OverRecord};
 use super::map::Map;
 use super::spec::{JobKey, TaskId};
 use super::workspace::Owner;
@@ -82,9 +82,9 @@
     }
 
     /// What callers are told of a job.
-    pub fn shown(&self, key: &JobKey) -> Option<Shown> {
-        let over = || self.over.get(key).map(|over| Shown::Ended(over.outcome));
-        self.by_key.get(key).map(Job::shown).or_else(over)
+    pub fn shown(&self, key: &JobKey) -> Option<JobStatus> {
+        let over = || self.over.get(key).map(|over| JobStatus::Ended(over.outcome));
+        self.by_key.get(key).map(Job::status).or_else(over)
     }
 
     /// What a task takes; at most that, if its job is over.
--- a/crates/workswood-core/src/jobs/pacing.rs
+++ b/crates/workswood-core/src/jobs/pacing.rs
@@ -5,7 +5,7 @@
 //! when a figure comes near its target, and sped up step by step when all
 //! figures are far below.
 
-use super::job::{FULL_PACE, Phase, Run, WorkerId};
+use super::job::{FULL_PACE_PERCENT, Phase, Run, WorkerId};
 use super::policy::PacePolicy;
 use super::sched::Scheduler;
 use super::spec::TaskId;
@@ -24,9 +24,9 @@
             let Some(t) = self.jobs.get_mut(&task.job).and_then(|j| j.task_mut(&task)) else { continue };
             let running = |r: &&mut Run| r.worker == *id && r.phase == Phase::Running;
             let Some(run) = t.runs.iter_mut().find(running) else { continue };
-            let pace = next_pace(run.pace, load, &self.policy.pace);
-            if pace != run.pace {
-                run.pace = pace;
+            let pace = next_pace(run.pace_percent, load, &self.policy.pace);
+            if pace != run.pace_percent {
+                run.pace_percent = pace;
                 let attempt = run.attempt;
                 self.notes.push(format_args!(
                     "event=pace worker={id} task={task} attempt={attempt} pace={pace} load={load:.2}"
@@ -40,8 +40,8 @@
     fn latency_load(&self, id: &WorkerId, task: &TaskId) -> Option<f64> {
         let job = self.jobs.get(&task.job)?;
         let target = job.step(task)?.latency_target?.as_millis().max(1) as f64;
-        let run = job.task(task)?.runs.iter().find(|r| r.worker == *id && r.warm())?;
-        Some(run.figure as f64 / target)
+        let run = job.task(task)?.runs.iter().find(|r| r.worker == *id && r.is_warmed_up())?;
+        Some(run.load_metric as f64 / target)
     }
 }
 
@@ -55,5 +55,5 @@
         let less = pace * 2 / 3;
         return if less < policy.least { 0 } else { less };
     }
-    if load < policy.ease { (pace + policy.step).min(FULL_PACE) } else { pace }
+    if load < policy.ease { (pace + policy.step).min(FULL_PACE_PERCENT) } else { pace }
 }
--- a/crates/workswood-core/src/jobs/place.rs
+++ b/crates/workswood-core/src/jobs/place.rs
@@ -155,7 +155,8 @@
         if !idle {
             return false;
         }
-        let attempt = members.iter().filter_map(|m| job.task(m)).map(|t| t.attempt).max().unwrap_or(0) + 1;
+        let attempt =
+            members.iter().filter_map(|m| job.task(m)).map(|t| t.latest_attempt).max().unwrap_or(0) + 1;
         let mut places = Vec::new();
         for m in &members {
             let Some(job) = self.jobs.get(&id.job) else { break };
@@ -187,7 +188,7 @@
     /// have their data in some rack it is the first one of the index that fits.
     fn choose(&self, job: &Job, step: &StepSpec, id: &TaskId, service: &str) -> Option<WorkerId> {
         let room = step.reserved_resources();
-        let avoid = job.task(id).and_then(|t| t.avoid.as_ref());
+        let avoid = job.task(id).and_then(|t| t.avoid_worker.as_ref());
         let advised = self.is_advised(&id.step_id());
         let fits = |w: &Worker| {
             let ticket = !advised || w.ticket(&id.step_id(), self.now).is_some();
@@ -270,11 +271,11 @@
         if !invariant::check(safe && alone && !task.done, || format!("start of {id} is not due")) {
             return;
         }
-        task.attempt = attempt.unwrap_or(task.attempt + 1);
-        let attempt = task.attempt;
+        task.latest_attempt = attempt.unwrap_or(task.latest_attempt + 1);
+        let attempt = task.latest_attempt;
         let trial = task.trial(step, &self.policy.crashes, now);
         let run = Run::new(worker.clone(), attempt, Phase::Starting, now);
-        task.runs.push(Run { trial, placed_at: Some(now), ..run });
+        task.runs.push(Run { trial_quarantine: trial, placed_at: Some(now), ..run });
         let checkpoint = task.checkpoint.clone();
         job.begun = true;
         self.dirty.insert(id.job);
--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -196,9 +196,9 @@
             let Some(run) = self.run_mut(id, &task, attempt) else { continue };
             match run.phase {
                 // The new token keeps the start out, or the first report lists the run.
-                Phase::Starting => run.enter(Phase::Inherited, now),
+                Phase::Starting => run.set_phase(Phase::Inherited, now),
                 // Sent again as soon as the worker is reached.
-                Phase::Stopping | Phase::Stopped => run.enter(Phase::Stopping, Duration::ZERO),
+                Phase::Stopping | Phase::Stopped => run.set_phase(Phase::Stopping, Duration::ZERO),
                 Phase::Inherited | Phase::Running => {}
             }
         }
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -11,7 +11,7 @@
 use super::fair_share::SubmissionRates;
 use super::handover::OrderMarks;
 use super::host::Host;
-use super::job::{Job, JobRecord, Outcome, OverRecord, Phase, Shown, Task, WorkerId};
+use super::job::{Job, JobRecord, JobStatus, Outcome, OverRecord, Phase, Task, WorkerId};
 use super::known::{Jobs, OverJob};
 use super::map::Map;
 use super::notes::Notes;
@@ -248,7 +248,7 @@
     }
 
     fn restore_over(&mut self, key: JobKey, outcome: Outcome, record: OverRecord, in_inbox: bool) {
-        let (queue, owner, state) = (record.queue.clone(), record.owner, Some(Shown::Ended(outcome)));
+        let (queue, owner, state) = (record.queue.clone(), record.owner, Some(JobStatus::Ended(outcome)));
         self.jobs.set_over(key, OverJob { outcome, record }, self.now);
         self.shown.push(ShownJob { key, queue, owner, state, timed: false });
         if in_inbox {
@@ -490,7 +490,7 @@
             if matches!(run.phase, Phase::Starting | Phase::Stopping | Phase::Stopped) {
                 continue;
             }
-            run.enter(Phase::Stopping, now);
+            run.set_phase(Phase::Stopping, now);
             self.actions.push(Action::Stop(run.worker.clone(), *id, run.attempt));
         }
     }
@@ -534,8 +534,8 @@
     /// come to rest is over with that.
     fn record_job(&mut self, key: JobKey, batch: &mut Batch) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        let state = Some(job.shown());
-        if std::mem::replace(&mut job.told, state) != state {
+        let state = Some(job.status());
+        if std::mem::replace(&mut job.published_status, state) != state {
             let (queue, timed) = (job.spec.queue.clone(), job.spec.repeat.is_some());
             batch.shown.push(ShownJob { key, queue, owner: job.spec.owner(), state, timed });
         }
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/settle.rs
@@ -11,7 +11,7 @@
 
 use super::crash::LifeEnd;
 use super::host::HostState;
-use super::job::{FULL_PACE, Phase, Run, WorkerId};
+use super::job::{FULL_PACE_PERCENT, Phase, Run, WorkerId};
 use super::sched::Scheduler;
 use super::spec::{StepSpec, TaskId};
 use super::types::{Action, StartReply, StopReply};
@@ -212,7 +212,7 @@
         let Some(run) = run.map(|n| task.runs.remove(n)) else { return };
         self.notes.push(format_args!(
             "event=run_settled worker={id} task={task_id} attempt={attempt} ran_ms={} reason={why}",
-            Ran(run.ran(heard))
+            Ran(run.known_runtime(heard))
         ));
         self.dirty.insert(task_id.job);
         self.queue_task(task_id);
@@ -245,15 +245,15 @@
         let Some(run) = self.run_mut(id, &task, attempt) else { return };
         match reply {
             StartReply::Taken if wanted => {
-                run.known_at.get_or_insert(now);
+                run.confirmed_at.get_or_insert(now);
                 if run.phase == Phase::Starting {
-                    run.enter(Phase::Running, now);
-                    run.progressed = now;
+                    run.set_phase(Phase::Running, now);
+                    run.progressed_at = now;
                 }
             }
             StartReply::Taken | StartReply::Unsure | StartReply::NoAnswer => {
                 if !matches!(run.phase, Phase::Stopping | Phase::Stopped) {
-                    run.enter(Phase::Stopping, now);
+                    run.set_phase(Phase::Stopping, now);
                     self.actions.push(Action::Stop(id.clone(), task, attempt));
                 }
             }
@@ -291,7 +291,7 @@
                 if let Some(run) = self.run_mut(id, &task, attempt)
                     && run.phase == Phase::Stopping
                 {
-                    run.enter(Phase::Stopped, now);
+                    run.set_phase(Phase::Stopped, now);
                 }
             }
             // Sent again by `settle_slow`, unless nothing is known of the run.
@@ -329,14 +329,14 @@
             self.notes.push(format_args!("event=run_stuck worker={id} task={task} attempt={attempt}"));
             self.blame(&id, &task);
             if let Some(t) = self.jobs.get_mut(&task.job).and_then(|j| j.task_mut(&task)) {
-                t.avoid = Some(id.clone());
+                t.avoid_worker = Some(id.clone());
             }
             stops.push((id, task, attempt));
         }
         let now = self.now;
         for (id, task, attempt) in stops {
             if let Some(run) = self.run_mut(&id, &task, attempt) {
-                run.enter(Phase::Stopping, now);
+                run.set_phase(Phase::Stopping, now);
             }
             self.actions.push(Action::Stop(id, task, attempt));
         }
@@ -351,11 +351,11 @@
                 let Some(step) = self.jobs.get(&task.job).and_then(|j| j.step(task)) else { continue };
                 let Some(run) = self.run(id, task, *attempt) else { continue };
                 match run.phase {
-                    Phase::Stopping if run.phase_at + STOP_AGAIN < self.now => {
+                    Phase::Stopping if run.phase_since + STOP_AGAIN < self.now => {
                         stops.push((id.clone(), *task, *attempt));
                     }
                     // Taken; a look that is sent later settles it.
-                    Phase::Stopped if run.phase_at + STOP_AGAIN * LOOKS_AFTER_STOP < self.now => {
+                    Phase::Stopped if run.phase_since + STOP_AGAIN * LOOKS_AFTER_STOP < self.now => {
                         stops.push((id.clone(), *task, *attempt));
                     }
                     Phase::Running if self.stands_still(step, run) => {
@@ -372,12 +372,12 @@
     /// gang wait for each other, and a lasting task past its warm-up has no more
     /// progress to make.
     fn stands_still(&self, step: &StepSpec, run: &Run) -> bool {
-        let Some(since) = run.still_since else { return false };
+        let Some(since) = run.stalled_since else { return false };
         let policy = &self.policy.health;
         // Progress is told in whole percent: a long task shows none for a while.
         let limit = since + policy.stuck_after + step.estimate.mul_f64(policy.stuck_share);
-        let slowed = run.pace < FULL_PACE;
-        let working = slowed || step.long_running && run.percent >= 100;
+        let slowed = run.pace_percent < FULL_PACE_PERCENT;
+        let working = slowed || step.long_running && run.progress_percent >= 100;
         limit < self.now && !working && !step.gang
     }
 }
--- a/crates/workswood-core/src/jobs/types.rs
+++ b/crates/workswood-core/src/jobs/types.rs
@@ -9,7 +9,7 @@
 
 use super::config::SchedConfig;
 use super::host::{Host, HostReply};
-use super::job::{JobRecord, Shown, WorkerId};
+use super::job::{JobRecord, JobStatus, WorkerId};
 use super::spec::{JobKey, JobSpec, QueueId, StepId, TaskId};
 use super::wave::{Wave, WaveRecord};
 use super::worker::{Report, WorkerInfo, WorkerRecord};
@@ -286,7 +286,7 @@
     /// Whose it is.
     pub owner: Owner,
     /// Its state; `None` when it is forgotten.
-    pub state: Option<Shown>,
+    pub state: Option<JobStatus>,
     /// Whether its rounds have times of their own.
     pub timed: bool,
 }
--- a/crates/workswood-test-support/src/job_world/holder.rs
+++ b/crates/workswood-test-support/src/job_world/holder.rs
@@ -8,7 +8,7 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::types::{Record, ShownJob, lease_span};
 use workswood_core::jobs::{
-    Action, Advice, AdviceReply, Advised, Batch, Event, JobKey, News, Outcome, Scheduler, Shown, StepId,
+    Action, Advice, AdviceReply, Advised, Batch, Event, JobKey, JobStatus, News, Outcome, Scheduler, StepId,
 };
 
 use super::adviser::{self, ADVICE, may_run};
@@ -246,8 +246,8 @@
         self.trimmed.extend(batch.over);
         for s in batch.shown {
             match s.state {
-                Some(Shown::Ended(Outcome::Completed)) => self.check_completed(s.key),
-                Some(Shown::Ended(Outcome::Failed)) => self.check_failed(s.key),
+                Some(JobStatus::Ended(Outcome::Completed)) => self.check_completed(s.key),
+                Some(JobStatus::Ended(Outcome::Failed)) => self.check_failed(s.key),
                 _ => {}
             }
             self.holders[n].shown.insert(s.key, s);
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -24,8 +24,8 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
-    EndKind, Event, JobKey, JobRecord, JobSpec, Limits, Owner, QueueConfig, RelayEntry, SchedConfig,
-    Scheduler, ServiceConfig, Shown, StepSpec, TaskId, WorkerInfo, WorkerRecord, Workspace, Workspaces,
+    EndKind, Event, JobKey, JobRecord, JobSpec, JobStatus, Limits, Owner, QueueConfig, RelayEntry,
+    SchedConfig, Scheduler, ServiceConfig, StepSpec, TaskId, WorkerInfo, WorkerRecord, Workspace, Workspaces,
 };
 
 pub use self::luck::{Fate, Luck};
@@ -458,13 +458,13 @@
     }
 
     /// State that the present holder shows of a job.
-    pub fn shown(&self, key: JobKey) -> Option<Shown> {
+    pub fn shown(&self, key: JobKey) -> Option<JobStatus> {
         self.holders.last().and_then(|h| h.shown.get(&key)).and_then(|s| s.state)
     }
 
     /// Whether a job is over for its caller.
     pub fn over(&self, key: JobKey) -> bool {
-        matches!(self.shown(key), Some(Shown::Ended(_)))
+        matches!(self.shown(key), Some(JobStatus::Ended(_)))
     }
 
     /// Starts of one task that workers took so far.
--- a/src/workswood/ops/jobs/ask.rs
+++ b/src/workswood/ops/jobs/ask.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use workswood_core::jobs::{JobKey, Outcome, Owner, Shown};
+use workswood_core::jobs::{JobKey, JobStatus, Outcome, Owner};
 use workswood_peers::{JobAsk, JobReply, JobState, Msg, PendingAsk, PendingReply};
 
 use super::node::{Holder, Leading, Node};
@@ -45,7 +45,7 @@
     read > 0 && node.now_ms() < read + INBOX_AGE.as_millis() as u64
 }
 
-fn own_job(node: &Node, l: &Leading, job: JobKey, asks: Option<Owner>) -> Told<Shown> {
+fn own_job(node: &Node, l: &Leading, job: JobKey, asks: Option<Owner>) -> Told<JobStatus> {
     match l.shown.read().state(job, asks) {
         Some(state) => Told::Known(state),
         None if current(node, l) => Told::Unknown,
@@ -61,7 +61,7 @@
 }
 
 /// Asks for the state of a job; to another owner than its own it is not known.
-pub async fn job(node: &Arc<Node>, job: JobKey, owner: Owner) -> Told<Shown> {
+pub async fn job(node: &Arc<Node>, job: JobKey, owner: Owner) -> Told<JobStatus> {
     if let Some(l) = node.leading.load_full() {
         return own_job(node, &l, job, Some(owner));
     }
@@ -154,22 +154,22 @@
     PendingReply { current, pending }
 }
 
-fn state(s: Shown) -> JobState {
+fn state(s: JobStatus) -> JobState {
     match s {
-        Shown::Queued => JobState::Queued,
-        Shown::Running => JobState::Running,
-        Shown::Ended(Outcome::Completed) => JobState::Completed,
-        Shown::Ended(Outcome::Failed) => JobState::Failed,
-        Shown::Ended(Outcome::Canceled) => JobState::Canceled,
+        JobStatus::Queued => JobState::Queued,
+        JobStatus::Running => JobState::Running,
+        JobStatus::Ended(Outcome::Completed) => JobState::Completed,
+        JobStatus::Ended(Outcome::Failed) => JobState::Failed,
+        JobStatus::Ended(Outcome::Canceled) => JobState::Canceled,
     }
 }
 
-fn shown(s: JobState) -> Shown {
+fn shown(s: JobState) -> JobStatus {
     match s {
-        JobState::Queued => Shown::Queued,
-        JobState::Running => Shown::Running,
-        JobState::Completed => Shown::Ended(Outcome::Completed),
-        JobState::Failed => Shown::Ended(Outcome::Failed),
-        JobState::Canceled => Shown::Ended(Outcome::Canceled),
+        JobState::Queued => JobStatus::Queued,
+        JobState::Running => JobStatus::Running,
+        JobState::Completed => JobStatus::Ended(Outcome::Completed),
+        JobState::Failed => JobStatus::Ended(Outcome::Failed),
+        JobState::Canceled => JobStatus::Ended(Outcome::Canceled),
     }
 }
--- a/src/workswood/ops/jobs/job_state.rs
+++ b/src/workswood/ops/jobs/job_state.rs
@@ -171,10 +171,10 @@
         if is_special(t) {
             s.special.push(TaskState {
                 index,
-                attempt: t.attempt,
-                failed: t.failed.iter().copied().collect(),
+                attempt: t.latest_attempt,
+                failed: t.failed_attempts.iter().copied().collect(),
                 checkpoint: t.checkpoint.clone(),
-                evicted: t.evicted.iter().copied().collect(),
+                evicted: t.evicted_attempts.iter().copied().collect(),
                 crashes: t.crashes.0.iter().flat_map(|(n, c)| [*n, evidence(c.evidence) as u32]).collect(),
                 crashed_within: t.crashes.0.values().map(|c| write_within(c.within)).collect(),
                 given_up: t.given_up,
@@ -188,9 +188,9 @@
 /// is not tried again.
 fn is_special(t: &TaskRecord) -> bool {
     let latest = t.runs.iter().map(|(_, attempt)| *attempt).max().unwrap_or(0);
-    let tried = !t.done && t.attempt != latest;
-    let tried = tried || !t.failed.is_empty() || !t.crashes.is_empty() || t.given_up;
-    tried || !t.checkpoint.is_empty() || !t.evicted.is_empty()
+    let tried = !t.done && t.latest_attempt != latest;
+    let tried = tried || !t.failed_attempts.is_empty() || !t.crashes.is_empty() || t.given_up;
+    tried || !t.checkpoint.is_empty() || !t.evicted_attempts.is_empty()
 }
 
 /// Decodes the state of a job.
@@ -226,15 +226,15 @@
         let [index, attempt, worker] = *run else { return Err("a run is cut short".to_string()) };
         let worker = workers.get(worker as usize).ok_or("a worker has no name")?;
         let task = tasks.get_mut(index as usize).ok_or("a run is of no task")?;
-        task.attempt = task.attempt.max(attempt);
+        task.latest_attempt = task.latest_attempt.max(attempt);
         task.runs.push((worker.clone(), attempt));
     }
     for t in s.special {
         let task = tasks.get_mut(t.index as usize).ok_or("there is no such task")?;
-        task.attempt = t.attempt;
-        task.failed = t.failed.into_iter().collect();
+        task.latest_attempt = t.attempt;
+        task.failed_attempts = t.failed.into_iter().collect();
         task.checkpoint = t.checkpoint;
-        task.evicted = t.evicted.into_iter().collect();
+        task.evicted_attempts = t.evicted.into_iter().collect();
         task.given_up = t.given_up;
         for (n, crash) in t.crashes.chunks(2).enumerate() {
             let [attempt, known] = *crash else { return Err("a crash is cut short".to_string()) };
--- a/src/workswood/ops/jobs/shown.rs
+++ b/src/workswood/ops/jobs/shown.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use workswood_core::jobs::spec::QueueId;
-use workswood_core::jobs::{JobKey, Owner, Shown, ShownJob};
+use workswood_core::jobs::{JobKey, JobStatus, Owner, ShownJob};
 
 /// What callers may be told of jobs, with what is asked of a whole queue.
 #[derive(Debug, Default)]
@@ -14,13 +14,13 @@
 }
 
 fn counts(s: &ShownJob) -> bool {
-    s.state == Some(Shown::Queued) && !s.timed
+    s.state == Some(JobStatus::Queued) && !s.timed
 }
 
 impl ShownJobs {
     /// The state of a job, if it is known and belongs to who asks; a process of a version
     /// before this one doesn't say who does.
-    pub fn state(&self, job: JobKey, asks: Option<Owner>) -> Option<Shown> {
+    pub fn state(&self, job: JobKey, asks: Option<Owner>) -> Option<JobStatus> {
         let shown = self.by_key.get(&job)?;
         shown.state.filter(|_| asks.is_none_or(|owner| owner == shown.owner))
     }
--- a/src/workswood/ops/model/carry.rs
+++ b/src/workswood/ops/model/carry.rs
@@ -5,7 +5,7 @@
 use workswood_core::ids::HostId;
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{
-    Action, Batch, Follow, JobKey, JobRecord, Outcome, Record, Scheduler, Shown, ShownJob, WaveRecord,
+    Action, Batch, Follow, JobKey, JobRecord, JobStatus, Outcome, Record, Scheduler, ShownJob, WaveRecord,
     WorkerRecord,
 };
 
@@ -77,7 +77,7 @@
     }
 
     fn show(&mut self, shown: &ShownJob) {
-        if shown.state == Some(Shown::Ended(Outcome::Completed)) {
+        if shown.state == Some(JobStatus::Ended(Outcome::Completed)) {
             self.done.entry(shown.key).or_insert(self.now);
         }
     }
--- a/tests/testsuite/crash_evidence.rs
+++ b/tests/testsuite/crash_evidence.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use workswood_core::jobs::crash::{Crash, Evidence};
-use workswood_core::jobs::{Action, Event, JobSpec, News, Outcome, Shown, TaskId};
+use workswood_core::jobs::{Action, Event, JobSpec, JobStatus, News, Outcome, TaskId};
 use workswood_test_support::host_world::{HostWorld, host, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
 
@@ -126,7 +126,7 @@
         actions = lose(&mut world, at, &mut lives, heard);
         if world.sched.tally.given_up > 0 {
             assert_eq!(starts(&actions), Vec::new());
-            assert_eq!(world.sched.jobs.shown(&1), Some(Shown::Ended(Outcome::Failed)));
+            assert_eq!(world.sched.jobs.shown(&1), Some(JobStatus::Ended(Outcome::Failed)));
             assert_eq!(world.sched.tally.lives_lost, crashes as u64);
             return crashes;
         }
--- a/tests/testsuite/crashing_tasks.rs
+++ b/tests/testsuite/crashing_tasks.rs
@@ -14,7 +14,7 @@
 
 use std::time::Duration;
 
-use workswood_core::jobs::{Outcome, Shown, TaskId};
+use workswood_core::jobs::{JobStatus, Outcome, TaskId};
 use workswood_test_support::job_world::{Luck, World, job, step};
 
 /// Time from the start of a task to the crash of its worker.
@@ -36,7 +36,7 @@
 
 fn ended(w: &World, key: u64) -> Option<Outcome> {
     match w.shown(key) {
-        Some(Shown::Ended(outcome)) => Some(outcome),
+        Some(JobStatus::Ended(outcome)) => Some(outcome),
         _ => None,
     }
 }
--- a/tests/testsuite/eviction_handover.rs
+++ b/tests/testsuite/eviction_handover.rs
@@ -202,7 +202,7 @@
     let task = tasks[gone].expect("a task");
     let end = ReportedEnd { number: 1, task, attempt: 1, kind: EndKind::Stopped, checkpoint: String::new() };
     answer(&mut next, gone, Vec::new(), vec![end]);
-    assert!(next.sched.jobs[&1].record().rounds[0][0].iter().all(|t| t.evicted.is_empty()));
+    assert!(next.sched.jobs[&1].record().rounds[0][0].iter().all(|t| t.evicted_attempts.is_empty()));
     next.tick();
     let (at, run) = begun(&mut next, task);
     let other = others(&tasks, gone)[0];
@@ -223,7 +223,7 @@
 fn older_record_is_read() {
     let text = r#"{"b":true,"r":[[[{"a":1,"w":[["w-0-0",1]]},{"a":1,"w":[["w-1-0",1]]},{}]]]}"#;
     let record: JobRecord = serde_json::from_str(text).expect("a record without evictions");
-    assert!(record.rounds[0][0].iter().all(|t| t.evicted.is_empty()));
+    assert!(record.rounds[0][0].iter().all(|t| t.evicted_attempts.is_empty()));
     assert_eq!(record.rounds[0][0][0].runs, [("w-0-0".into(), 1)].into());
     let again = serde_json::to_string(&record).expect("a record is JSON");
     assert!(!again.contains("\"e\""), "nothing is written where nothing is evicted: {again}");
--- a/tests/testsuite/job_limits.rs
+++ b/tests/testsuite/job_limits.rs
@@ -6,7 +6,7 @@
 use workswood_adapter::callers::read_job;
 use workswood_adapter_standin::caller::one_task;
 use workswood_core::jobs::{
-    Action, Event, Job, JobSpec, News, Outcome, Owner, Repeat, Scheduler, Shown, WorkerInfo,
+    Action, Event, Job, JobSpec, JobStatus, News, Outcome, Owner, Repeat, Scheduler, WorkerInfo,
 };
 use workswood_test_support::host_world::limits;
 use workswood_test_support::job_world::{SERVICE, config, job, step};
@@ -82,7 +82,7 @@
     let mut s = scheduler();
     s.restore(5, Some(other), Some(rec));
     let shown = s.take_batch().shown;
-    assert_eq!(shown[0].state, Some(Shown::Ended(Outcome::Failed)));
+    assert_eq!(shown[0].state, Some(JobStatus::Ended(Outcome::Failed)));
 }
 
 #[test]
@@ -92,7 +92,7 @@
     s.handle(Event::Submitted(9, Arc::new(job(vec![step(1, vec![])], 0))));
     let batch = s.take_batch();
     assert!(!batch.actions.iter().any(|a| matches!(a, Action::Start { .. })), "{:?}", batch.actions);
-    assert_eq!(batch.shown[0].state, Some(Shown::Ended(Outcome::Canceled)));
+    assert_eq!(batch.shown[0].state, Some(JobStatus::Ended(Outcome::Canceled)));
 }
 
 #[test]
--- a/tests/testsuite/job_records.rs
+++ b/tests/testsuite/job_records.rs
@@ -11,7 +11,7 @@
 use workswood_core::jobs::job::{TaskRecord, WorkerId};
 use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
-    JobRecord, JobSpec, Outcome, OverRecord, Owner, Repeat, Shown, ShownJob, StepSpec,
+    JobRecord, JobSpec, JobStatus, Outcome, OverRecord, Owner, Repeat, ShownJob, StepSpec,
 };
 use workswood_test_support::job_world::{job, step};
 
@@ -29,13 +29,13 @@
     let mut t = TaskRecord { done: u.arbitrary()?, ..TaskRecord::default() };
     for attempt in 1..=u.int_in_range(0..=3u32)? {
         match u.int_in_range(0..=4)? {
-            0 => drop(t.failed.insert(attempt)),
+            0 => drop(t.failed_attempts.insert(attempt)),
             1 => t.runs.push((worker(u)?, attempt)),
-            2 => drop(t.evicted.insert(attempt)),
+            2 => drop(t.evicted_attempts.insert(attempt)),
             3 => drop(t.crashes.0.insert(attempt, crash(u)?)),
             _ => {}
         }
-        t.attempt = attempt;
+        t.latest_attempt = attempt;
     }
     if u.ratio(1, 5)? {
         t.checkpoint = "00000bb87a21d94b".to_string();
@@ -43,7 +43,7 @@
     t.given_up = !t.done && u.ratio(1, 5)?;
     // Of a task that is done, the number of its last try says nothing.
     if t.done {
-        t.attempt = t.runs.iter().map(|(_, attempt)| *attempt).max().unwrap_or(0);
+        t.latest_attempt = t.runs.iter().map(|(_, attempt)| *attempt).max().unwrap_or(0);
     }
     Ok(t)
 }
@@ -90,7 +90,7 @@
     let rec = decode(text.as_bytes()).expect("JSON of the version before");
     assert!(rec.begun && rec.rounds[0][0][0].done);
     assert_eq!(rec.rounds[0][0][1].runs, [("i-1".into(), 2)].into());
-    assert_eq!(rec.rounds[0][0][1].failed.iter().copied().collect::<Vec<_>>(), [1]);
+    assert_eq!(rec.rounds[0][0][1].failed_attempts.iter().copied().collect::<Vec<_>>(), [1]);
 }
 
 #[test]
@@ -105,7 +105,7 @@
 #[test]
 fn running_job_takes_little() {
     let id = |n: u32| WorkerId::from(format!("i-29451fa6c{}", n % 3));
-    let run = |n: u32| TaskRecord { attempt: 1, runs: [(id(n), 1)].into(), ..TaskRecord::default() };
+    let run = |n: u32| TaskRecord { latest_attempt: 1, runs: [(id(n), 1)].into(), ..TaskRecord::default() };
     let tasks: Vec<TaskRecord> = (0..13).map(run).collect();
     let rec = JobRecord { begun: true, rounds: vec![vec![tasks]], ..JobRecord::default() };
     let (now, before) = (encode(&rec).len(), serde_json::to_vec(&rec).expect("JSON").len());
@@ -173,22 +173,22 @@
     assert!(job_spec::decode(&bytes[..bytes.len() - 1]).is_err());
 }
 
-fn shown(key: u64, queue: &str, state: Option<Shown>) -> ShownJob {
+fn shown(key: u64, queue: &str, state: Option<JobStatus>) -> ShownJob {
     ShownJob { key, queue: queue.to_string(), owner: Owner::PUBLIC, state, timed: false }
 }
 
 #[test]
 fn queued_jobs_counted() {
     let mut all = ShownJobs::default();
-    all.show(shown(1, "a", Some(Shown::Queued)));
-    all.show(shown(1, "a", Some(Shown::Queued)));
-    all.show(shown(2, "a", Some(Shown::Queued)));
-    all.show(shown(3, "b", Some(Shown::Queued)));
-    all.show(ShownJob { timed: true, ..shown(4, "b", Some(Shown::Queued)) });
+    all.show(shown(1, "a", Some(JobStatus::Queued)));
+    all.show(shown(1, "a", Some(JobStatus::Queued)));
+    all.show(shown(2, "a", Some(JobStatus::Queued)));
+    all.show(shown(3, "b", Some(JobStatus::Queued)));
+    all.show(ShownJob { timed: true, ..shown(4, "b", Some(JobStatus::Queued)) });
     assert_eq!((all.queued("a"), all.queued("b"), all.queued("c")), (2, 1, 0));
-    all.show(shown(1, "a", Some(Shown::Running)));
+    all.show(shown(1, "a", Some(JobStatus::Running)));
     all.show(shown(2, "a", None));
     assert_eq!(all.queued("a"), 0);
     let asks = Some(Owner::PUBLIC);
-    assert_eq!((all.state(1, asks), all.state(2, asks)), (Some(Shown::Running), None));
+    assert_eq!((all.state(1, asks), all.state(2, asks)), (Some(JobStatus::Running), None));
 }
--- a/tests/testsuite/over_jobs.rs
+++ b/tests/testsuite/over_jobs.rs
@@ -17,7 +17,7 @@
 use workswood_core::jobs::known::{Jobs, OverJob};
 use workswood_core::jobs::types::Record;
 use workswood_core::jobs::{
-    Batch, Event, Job, JobRecord, JobSpec, Outcome, OverRecord, Owner, Scheduler, Shown,
+    Batch, Event, Job, JobRecord, JobSpec, JobStatus, Outcome, OverRecord, Owner, Scheduler,
 };
 use workswood_test_support::host_world::limits;
 use workswood_test_support::job_world::{QUEUE, SERVICE, config, job, step};
@@ -72,7 +72,7 @@
     let mut next = scheduler();
     next.restore(1, None, Some(over_record()));
     let batch = next.take_batch();
-    assert_eq!(batch.shown[0].state, Some(Shown::Ended(Outcome::Canceled)));
+    assert_eq!(batch.shown[0].state, Some(JobStatus::Ended(Outcome::Canceled)));
     assert_eq!((batch.records.len(), batch.over.len()), (0, 0), "nothing is new");
 }
 
@@ -81,7 +81,7 @@
     let mut next = scheduler();
     next.restore(1, Some(spec()), Some(over_record()));
     let batch = next.take_batch();
-    assert_eq!(batch.shown[0].state, Some(Shown::Ended(Outcome::Canceled)));
+    assert_eq!(batch.shown[0].state, Some(JobStatus::Ended(Outcome::Canceled)));
     assert_eq!(batch.over, [1], "its predecessor did not come to take it out");
 }
 
--- a/tests/testsuite/random_jobs.rs
+++ b/tests/testsuite/random_jobs.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use workswood_core::invariant;
-use workswood_core::jobs::{Shown, TaskId};
+use workswood_core::jobs::{JobStatus, TaskId};
 use workswood_test_support::job_world::{Luck, Seen, World, job, step};
 
 /// Histories in one run of the suite.
@@ -287,5 +287,5 @@
     w.play(Duration::from_secs(12));
     assert!(w.over(1), "{:?}", w.shown(1));
     assert_eq!(w.seen.broken, Vec::<String>::new());
-    assert!(matches!(w.shown(1), Some(Shown::Ended(_))));
+    assert!(matches!(w.shown(1), Some(JobStatus::Ended(_))));
 }
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -23,7 +23,7 @@
 use workswood::ops::jobs::{Node, help, peers};
 use workswood_adapter::{Addresses, PlatformClient};
 use workswood_adapter_standin::{StoreStandin, WorkerStandin};
-use workswood_core::jobs::{Shown, ShownJob, WorkerAddress};
+use workswood_core::jobs::{JobStatus, ShownJob, WorkerAddress};
 use workswood_liveness::HalfOpen;
 use workswood_peers::{Done, Handler, JobAsk, Link, Msg, StateAsk, StateReply};
 use workswood_platform::jobs::{Guard, JobPlatform, KeyedRecord, StoreError, Topic, WorkerClock};
@@ -206,7 +206,7 @@
         key: 1,
         queue: "q".into(),
         owner: workswood_core::jobs::Owner::PUBLIC,
-        state: Some(Shown::Running),
+        state: Some(JobStatus::Running),
         timed: false,
     };
     l.shown.write().show(shown);
@@ -217,7 +217,7 @@
     for _ in 0..3 {
         assert_eq!(
             ask::job(&node, 1, workswood_core::jobs::Owner::PUBLIC).await,
-            Told::Known(Shown::Running),
+            Told::Known(JobStatus::Running),
             "each question is answered"
         );
         cut.set(Fault::HalfOpen);
