--- a/crates/workswood-core/src/jobs/advice_need.rs
+++ b/crates/workswood-core/src/jobs/advice_need.rs
@@ -6,10 +6,10 @@
 use super::advice_batch::Candidate;
 use super::config::AdviceConfig;
 use super::job::{Job, Phase, Task, WorkerId};
-use super::order::Place;
 use super::place::same_step;
+use super::queue_order::QueuePosition;
 use super::sched::Scheduler;
-use super::spec::{Room, StepId, StepSpec, TaskId};
+use super::spec::{Resources, StepId, StepSpec, TaskId};
 use super::worker::{Verdict, Worker};
 use crate::ids::ServiceId;
 
@@ -54,11 +54,11 @@
 
     /// Steps whose tasks wait, most urgent first, as far as there will be room.
     pub(super) fn waiting_for_advice(&self, pools: &Pools) -> Vec<Wanted> {
-        let mut found: Vec<(Place, Wanted)> = Vec::new();
+        let mut found: Vec<(QueuePosition, Wanted)> = Vec::new();
         for (service, workers) in pools {
             let Some(waiting) = self.ready.get(service) else { continue };
             let mut room = self.room_soon(workers);
-            for place in waiting.places() {
+            for place in waiting.positions() {
                 let spec = self.jobs.get(&place.step.job).map(|j| &j.spec);
                 let Some(step) = spec.and_then(|s| s.steps.get(usize::from(place.step.step))) else {
                     continue;
@@ -66,7 +66,7 @@
                 if room <= 0.0 {
                     break;
                 }
-                let each = step.reserved().cpu_millis as f64;
+                let each = step.reserved_resources().cpu_millis as f64;
                 let mut tasks: Vec<TaskId> = Vec::new();
                 for task in waiting.tasks_of(&place.step) {
                     if room <= 0.0 {
@@ -134,12 +134,12 @@
     fn ends_in(&self, task: &Task, expected: Duration) -> Option<Duration> {
         let at_work = |p: Phase| matches!(p, Phase::Starting | Phase::Running);
         let run = task.runs.iter().find(|r| at_work(r.phase))?;
-        let passed = self.now.saturating_sub(run.phase_at);
-        if run.percent < TELLING_PERCENT {
+        let passed = self.now.saturating_sub(run.phase_since);
+        if run.progress_percent < TELLING_PERCENT {
             return Some(expected.saturating_sub(passed));
         }
-        let told = run.progressed.saturating_sub(run.phase_at);
-        let whole = told.mul_f64(100.0 / f64::from(run.percent));
+        let told = run.progressed_at.saturating_sub(run.phase_since);
+        let whole = told.mul_f64(100.0 / f64::from(run.progress_percent));
         Some(whole.saturating_sub(passed))
     }
 
@@ -193,26 +193,27 @@
     /// How many tasks of the step have room on a worker now, and if it were empty.
     fn places_on(&self, wish: &Wish<'_>, id: &WorkerId, w: &Worker) -> (u32, u32) {
         let task = |t: &TaskId| wish.job.task(t);
-        let avoids = |t: &&TaskId| wish.others > 1 && task(t).is_some_and(|t| t.avoid.as_ref() == Some(id));
+        let avoids =
+            |t: &&TaskId| wish.others > 1 && task(t).is_some_and(|t| t.avoid_worker.as_ref() == Some(id));
         let mut most = wish.wanted.tasks.iter().filter(|t| !avoids(t)).count() as u32;
-        if wish.spec.most_per_worker > 0 {
+        if wish.spec.max_per_worker > 0 {
             let here = wish.wanted.tasks.first().map_or(0, |t| same_step(w, t)) as u32;
-            most = most.min(wish.spec.most_per_worker.saturating_sub(here));
+            most = most.min(wish.spec.max_per_worker.saturating_sub(here));
         }
         let mut free = w.free();
         if wish.wanted.opens > self.now {
             // What the job runs here has ended when the step opens.
             let own = w.runs.iter().filter(|((t, _), _)| t.job == wish.job.key);
-            own.for_each(|(_, held)| free.add(&held.room));
+            own.for_each(|(_, held)| free.add(&held.resources));
         }
         let whole = w.info.as_ref().map(|i| i.capacity).unwrap_or_default();
-        let room = wish.spec.reserved();
+        let room = wish.spec.reserved_resources();
         (times(&free, &room).min(most), times(&whole, &room).min(most))
     }
 }
 
 /// How many times a room holds another.
-fn times(whole: &Room, part: &Room) -> u32 {
+fn times(whole: &Resources, part: &Resources) -> u32 {
     let fit = |whole: u64, part: u64| whole.checked_div(part).unwrap_or(u64::MAX);
     let least = fit(whole.cpu_millis, part.cpu_millis)
         .min(fit(whole.mem_mb, part.mem_mb))
--- a/crates/workswood-core/src/jobs/evict.rs
+++ b/crates/workswood-core/src/jobs/evict.rs
@@ -30,7 +30,7 @@
         let Some(w) = self.workers.get(id) else { return Vec::new() };
         let lasting = |task: &TaskId| {
             let step = self.jobs.get(&task.job).and_then(|j| j.step(task));
-            step.is_some_and(|s| s.lasting)
+            step.is_some_and(|s| s.long_running)
         };
         let mut runs: Vec<(TaskId, u32)> = w.runs.keys().filter(|(t, _)| lasting(t)).copied().collect();
         runs.sort();
@@ -44,7 +44,7 @@
             return true;
         }
         let Some(step) = job.step(id) else { return true };
-        job.others_away(id, |run| self.is_at_work(run)) < step.may_miss
+        job.others_away(id, |run| self.is_at_work(run)) < step.max_unavailable
     }
 
     /// Whether a task goes on although its job has ended: one that we have ended ourselves still
@@ -56,8 +56,8 @@
         if job.cancelled || job.outcome != Some(Outcome::Failed) {
             return false;
         }
-        let lasting = job.step(id).is_some_and(|s| s.lasting);
-        let at_work = || job.task(id).is_some_and(|t| t.runs.iter().any(Run::warm));
+        let lasting = job.step(id).is_some_and(|s| s.long_running);
+        let at_work = || job.task(id).is_some_and(|t| t.runs.iter().any(Run::is_warmed_up));
         lasting && at_work() && !self.may_evict(id)
     }
 
@@ -67,7 +67,7 @@
         let Some(w) = self.workers.get(&run.worker) else { return false };
         let heard = w.relay.as_ref().map_or(Duration::ZERO, |r| self.relays.heard(r));
         let believed = self.now <= heard + self.policy.health.believed_for;
-        run.warm() && !run.evicted && w.reachable && !w.doubted && believed
+        run.is_warmed_up() && !run.evicted && w.reachable && !w.doubted && believed
     }
 
     /// Evicts lasting tasks of a worker as far as their budgets allow;
@@ -107,7 +107,7 @@
             return;
         }
         let recorded = std::mem::replace(&mut run.evicted, true);
-        run.enter(Phase::Stopping, now);
+        run.set_phase(Phase::Stopping, now);
         if !recorded {
             self.dirty.insert(task.job);
         }
--- a/crates/workswood-core/src/jobs/known.rs
+++ b/crates/workswood-core/src/jobs/known.rs
@@ -8,11 +8,11 @@
 use std::ops::Index;
 use std::time::Duration;
 
-use super::accounts::Held;
-use super::job::{Job, Outcome, OverRecord, Shown};
+use super::job::{Job, JobStatus, Outcome, OverRecord};
 use super::map::Map;
 use super::spec::{JobKey, TaskId};
 use super::workspace::Owner;
+use super::workspace_usage::Reservation;
 use crate::ids::ServiceId;
 
 /// All jobs that are known. Callers name them, so they are kept in a tree.
@@ -82,19 +82,19 @@
     }
 
     /// What callers are told of a job.
-    pub fn shown(&self, key: &JobKey) -> Option<Shown> {
-        let over = || self.over.get(key).map(|over| Shown::Ended(over.outcome));
-        self.by_key.get(key).map(Job::shown).or_else(over)
+    pub fn shown(&self, key: &JobKey) -> Option<JobStatus> {
+        let over = || self.over.get(key).map(|over| JobStatus::Ended(over.outcome));
+        self.by_key.get(key).map(Job::status).or_else(over)
     }
 
     /// What a task takes; at most that, if its job is over.
-    pub fn held_by(&self, task: &TaskId) -> Option<Held> {
+    pub fn held_by(&self, task: &TaskId) -> Option<Reservation> {
         let over = |over: &OverJob| {
             let (room, owner) = (over.record.room, over.record.owner);
-            Held { room, charged: room, owner }
+            Reservation { resources: room, charged: room, owner }
         };
         match self.by_key.get(&task.job) {
-            Some(job) => job.step(task).map(|step| job.spec.held(step)),
+            Some(job) => job.step(task).map(|step| job.spec.reservation(step)),
             None => self.over.get(&task.job).map(over),
         }
     }
@@ -117,7 +117,7 @@
             if job.spec.repeat.is_some() {
                 self.timed.insert(key);
             }
-            if job.spec.lasts() {
+            if job.spec.is_long_running() {
                 self.lasting.entry(job.spec.service.clone()).or_default().insert(key);
             }
         }
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -16,17 +16,17 @@
 //!
 //! * [`spec`] holds what callers ask for, and its checks.
 //! * [`config`] holds queues and services in force, [`workspace`] whose calls are taken.
-//! * [`accounts`] holds what each workspace has at work, and [`shares`] who sends more than its share.
+//! * [`workspace_usage`] holds what each workspace has at work, and [`fair_share`] who sends more than its share.
 //! * [`job`] holds the state of one job and its stored form, [`known`] all of them.
 //! * [`worker`] holds what is known of one worker, its room and its lease;
 //!   [`worker_id`] is its name, and [`workers`] holds all of them.
 //! * [`host`] holds what is known of one host.
 //! * [`map`] is a map whose order is the same in every run.
-//! * [`order`] decides which waiting task is next, and [`waiting`] keeps them.
+//! * [`queue_order`] decides which waiting task is next, and [`task_queue`] keeps them.
 //! * [`relays`] decides which entry speaks with which workers, and [`follow`] what is new
 //!   in what a worker lists.
 //! * [`types`] holds the events that go in and the batches that come out.
-//! * [`sched`] takes events in; [`ends`], [`settle`], [`place`], [`share`] and
+//! * [`sched`] takes events in; [`ends`], [`settle`], [`place`], [`pacing`] and
 //!   [`evict`] are its decisions.
 //! * [`crash`] tells which task crashes its workers, against [`crash_rate`], and [`trials`]
 //!   tries those that are suspected.
@@ -39,7 +39,6 @@
 //! * [`need`] works out how many hosts each pool needs, and [`pools`]
 //!   decides which host changes its pool; [`moves`] brings it there.
 
-pub mod accounts;
 pub mod advice;
 pub mod advice_batch;
 mod advice_need;
@@ -51,6 +50,7 @@
 pub mod ends;
 mod evacuation;
 pub mod evict;
+pub mod fair_share;
 pub mod follow;
 pub mod handover;
 pub mod host;
@@ -61,32 +61,32 @@
 pub mod moves;
 pub mod need;
 mod notes;
-pub mod order;
+pub mod pacing;
 pub mod place;
 pub mod policy;
 mod pool_count;
 pub mod pools;
+pub mod queue_order;
 pub mod relays;
 pub mod sched;
 pub mod settle;
-pub mod share;
-pub mod shares;
 pub mod spec;
+pub mod task_queue;
 pub mod trials;
 pub mod types;
 pub mod upkeep;
-pub mod waiting;
 pub mod wave;
 pub mod worker;
 pub mod worker_id;
 pub mod workers;
 pub mod workspace;
+pub mod workspace_usage;
 
 pub use advice::AdvicePolicy;
 pub use config::{AdviceConfig, QueueConfig, SchedConfig, ServiceConfig};
 pub use follow::Follow;
 pub use host::{Host, HostReply, HostState};
-pub use job::{Job, JobRecord, Outcome, OverRecord, Phase, Run, Shown, Task};
+pub use job::{Job, JobRecord, JobStatus, Outcome, OverRecord, Phase, Run, Task};
 pub use policy::Policy;
 pub use relays::{RelayEntry, RelayPolicy};
 pub use sched::Scheduler;
--- a/crates/workswood-core/src/jobs/need.rs
+++ b/crates/workswood-core/src/jobs/need.rs
@@ -7,10 +7,10 @@
 
 use super::demand::Demand;
 use super::job::Job;
-use super::order::whole_work;
 use super::pool_count::PoolCount;
+use super::queue_order::round_work;
 use super::sched::Scheduler;
-use super::spec::{JobKey, Room};
+use super::spec::{JobKey, Resources};
 use crate::ids::ServiceId;
 
 /// Need of a service in hosts, falling from its peaks at two speeds.
@@ -94,7 +94,7 @@
         let cpu = (room.cpu_millis as f64 + late.cpu_millis as f64 * policy.late) / size.cpu_millis as f64;
         let mem = (room.mem_mb as f64 + late.mem_mb as f64 * policy.late) / size.mem_mb.max(1) as f64;
         Wanted {
-            any: room != Room::default(),
+            any: room != Resources::default(),
             load: cpu.max(mem),
             cores: size.cpu_millis as f64 / 1000.0,
             apart: f64::from(self.hosts_apart(service)),
@@ -103,7 +103,7 @@
 
     /// Room that runs take in a service, and that is waited for by tasks which may begin and can
     /// be in time.
-    pub fn room_wanted(&self, service: &ServiceId) -> Room {
+    pub fn room_wanted(&self, service: &ServiceId) -> Resources {
         let mut room = self.workers.room_in_use(service);
         room.add(&self.waiting_room(service).0);
         room
@@ -111,16 +111,16 @@
 
     /// Room that is waited for by tasks whose job can be in time, and by others. What a limit
     /// keeps from beginning asks for no hosts.
-    fn waiting_room(&self, service: &ServiceId) -> (Room, Room) {
+    fn waiting_room(&self, service: &ServiceId) -> (Resources, Resources) {
         let waiting = self.ready.get(service);
-        waiting.map(|w| w.room_within(|owner| self.left_of_limit(owner))).unwrap_or_default()
+        waiting.map(|w| w.requested_within(|owner| self.left_of_limit(owner))).unwrap_or_default()
     }
 
     /// Hosts that lasting tasks need because only so many may share one.
     fn hosts_apart(&self, service: &ServiceId) -> u32 {
         let jobs = self.jobs.lasting(service).filter(|j| j.open());
-        let steps = jobs.flat_map(|j| &j.spec.steps).filter(|s| s.lasting && s.most_per_worker > 0);
-        steps.map(|s| s.count.div_ceil(s.most_per_worker)).max().unwrap_or(0)
+        let steps = jobs.flat_map(|j| &j.spec.steps).filter(|s| s.long_running && s.max_per_worker > 0);
+        steps.map(|s| s.count.div_ceil(s.max_per_worker)).max().unwrap_or(0)
     }
 
     /// Takes in the work of a job that was handed in.
@@ -138,7 +138,7 @@
             .jobs
             .values()
             .filter_map(|j| {
-                let ago = Duration::from_millis(self.wall.saturating_sub(j.spec.accepted));
+                let ago = Duration::from_millis(self.wall.saturating_sub(j.spec.accepted_at));
                 Some((j.spec.service.clone(), ago, self.work_of(j)?))
             })
             .chain(self.jobs.over().filter_map(|over| {
@@ -155,12 +155,12 @@
 
     /// Work of a job that ends by itself, in core-milliseconds.
     pub(super) fn work_of(&self, job: &Job) -> Option<u64> {
-        if job.spec.lasts() || job.rounds.is_empty() {
+        if job.spec.is_long_running() || job.rounds.is_empty() {
             return None;
         }
         let took =
             |n: usize| self.durations.expect(&job.spec.queue, job.spec.steps[n].estimate, &self.policy.order);
-        Some(whole_work(&job.spec, &took))
+        Some(round_work(&job.spec, &took))
     }
 
     /// Cores that are busy if work goes on coming in as it did lately.
--- a/crates/workswood-core/src/jobs/place.rs
+++ b/crates/workswood-core/src/jobs/place.rs
@@ -4,16 +4,16 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
-use super::accounts::{admits, used_share};
+use super::fair_share::weighted_usage;
 use super::job::{Job, Phase, Run, Task, WorkerId};
-use super::order::{Place, Rank, Standing};
 use super::policy::ShareOrder;
+use super::queue_order::{QueueOrder, QueuePosition, Timeliness};
 use super::sched::Scheduler;
-use super::shares::use_by_share;
-use super::spec::{Room, StepId, StepSpec, TaskId};
+use super::spec::{Resources, StepId, StepSpec, TaskId};
 use super::types::Action;
 use super::worker::Worker;
 use super::workspace::Owner;
+use super::workspace_usage::{limit_utilization, within_limit};
 use crate::ids::ServiceId;
 use crate::invariant;
 
@@ -47,55 +47,65 @@
     /// While all can be in time, whoever must begin first goes first. Beyond that the same order
     /// lets each wait until it must begin, and then a little longer: one backlog makes all late. Then
     /// those go first that take the least from the others.
-    fn rank_of(&self, service: &str) -> Rank {
-        let asked = self.ready.get(service).map_or(0, |w| w.room().0.cpu_millis);
+    fn rank_of(&self, service: &str) -> QueueOrder {
+        let asked = self.ready.get(service).map_or(0, |w| w.requested().0.cpu_millis);
         let room = self.workers.cpu_of(service).max(self.fleet_cpu);
-        if asked as f64 > room as f64 * self.policy.order.overload { Rank::LeastWork } else { Rank::Due }
+        if asked as f64 > room as f64 * self.policy.order.overload {
+            QueueOrder::LeastWork
+        } else {
+            QueueOrder::EarliestDeadline
+        }
     }
 
     /// Lets the step of an owner have a turn that comes after a place.
-    fn give_turn(&self, turns: &mut Turns, service: &str, owner: Owner, after: Option<&Place>) {
-        let Some(place) = self.ready.get(service).and_then(|w| w.next_of(owner, after, turns.rank)) else {
+    fn give_turn(&self, turns: &mut Turns, service: &str, owner: Owner, after: Option<&QueuePosition>) {
+        let Some(place) = self.ready.get(service).and_then(|w| w.next_of_owner(owner, after, turns.rank))
+        else {
             return;
         };
         let used = match (self.policy.order.shares, turns.rank) {
-            (ShareOrder::Plain | ShareOrder::Excess, _) | (_, Rank::Due) => 0,
-            (ShareOrder::Dominant, Rank::LeastWork) => {
-                let at_work = self.workers.accounts().at_work(owner);
-                use_by_share(owner, &at_work, self.config.workspaces.weight(owner))
+            (ShareOrder::Plain | ShareOrder::Excess, _) | (_, QueueOrder::EarliestDeadline) => 0,
+            (ShareOrder::Dominant, QueueOrder::LeastWork) => {
+                let at_work = self.workers.accounts().in_use(owner);
+                weighted_usage(owner, &at_work, self.config.workspaces.jobs_per_s(owner))
             }
         };
         turns.push(place, used);
     }
 
     /// Whether so much more of an owner may begin.
-    pub(super) fn may_begin(&self, owner: Owner, room: &Room) -> bool {
+    pub(super) fn may_begin(&self, owner: Owner, room: &Resources) -> bool {
         let limit = self.config.workspaces.limit(owner);
-        limit == Room::default() || admits(&self.workers.accounts().at_work(owner), &limit, room)
+        limit == Resources::default() || within_limit(&self.workers.accounts().in_use(owner), &limit, room)
     }
 
     /// The largest share of its limit that a workspace has at work, and how many have
     /// something at work.
     pub fn use_of_limits(&self) -> (f64, usize) {
-        let at_work = || self.workers.accounts().iter().filter(|(_, room)| *room != Room::default());
-        let share = |(owner, room): (Owner, Room)| used_share(&room, &self.config.workspaces.limit(owner));
+        let at_work = || self.workers.accounts().iter().filter(|(_, room)| *room != Resources::default());
+        let share = |(owner, room): (Owner, Resources)| {
+            limit_utilization(&room, &self.config.workspaces.limit(owner))
+        };
         (at_work().map(share).fold(0.0, f64::max), at_work().count())
     }
 
     /// What an owner may still use; `None` without a limit.
-    pub(super) fn left_of_limit(&self, owner: Owner) -> Option<Room> {
+    pub(super) fn left_of_limit(&self, owner: Owner) -> Option<Resources> {
         let limit = self.config.workspaces.limit(owner);
         let open = |most: u64| if most == 0 { u64::MAX } else { most };
-        let most =
-            Room { cpu_millis: open(limit.cpu_millis), mem_mb: open(limit.mem_mb), gpus: open(limit.gpus) };
-        (limit != Room::default()).then(|| most.minus(&self.workers.accounts().at_work(owner)))
+        let most = Resources {
+            cpu_millis: open(limit.cpu_millis),
+            mem_mb: open(limit.mem_mb),
+            gpus: open(limit.gpus),
+        };
+        (limit != Resources::default()).then(|| most.minus(&self.workers.accounts().in_use(owner)))
     }
 
     /// Whether tasks of a step run until their job is cancelled; one that has no place
     /// may have none for hours.
     fn lasts(&self, id: &StepId) -> bool {
         let steps = self.jobs.get(&id.job).map(|j| &j.spec.steps);
-        steps.and_then(|s| s.get(usize::from(id.step))).is_some_and(|s| s.lasting)
+        steps.and_then(|s| s.get(usize::from(id.step))).is_some_and(|s| s.long_running)
     }
 
     /// Workers of a service that take work, by name.
@@ -111,7 +121,7 @@
         let Some(job) = self.jobs.get(&id.job) else { return Placing::Done };
         let spec = job.spec.clone();
         let Some(step) = spec.steps.get(usize::from(id.step)) else { return Placing::Done };
-        let held = spec.held(step);
+        let held = spec.reservation(step);
         let at_once = if step.gang { held.charged.times(step.count.into()) } else { held.charged };
         // Members of a gang start together, each on trial where it is suspected.
         let open = |s: &Scheduler, task: &TaskId| step.gang || !s.waits_for_trial(task, service);
@@ -145,13 +155,14 @@
         if !idle {
             return false;
         }
-        let attempt = members.iter().filter_map(|m| job.task(m)).map(|t| t.attempt).max().unwrap_or(0) + 1;
+        let attempt =
+            members.iter().filter_map(|m| job.task(m)).map(|t| t.latest_attempt).max().unwrap_or(0) + 1;
         let mut places = Vec::new();
         for m in &members {
             let Some(job) = self.jobs.get(&id.job) else { break };
             let Some(worker) = self.choose(job, step, m, service) else { break };
             if let Some(mut w) = self.workers.get_mut(&worker) {
-                w.take(*m, attempt, step.reserved());
+                w.take(*m, attempt, step.reserved_resources());
             }
             places.push((*m, worker));
         }
@@ -176,18 +187,18 @@
     /// The best worker with room, if there is one. For tasks that neither last nor
     /// have their data in some rack it is the first one of the index that fits.
     fn choose(&self, job: &Job, step: &StepSpec, id: &TaskId, service: &str) -> Option<WorkerId> {
-        let room = step.reserved();
-        let avoid = job.task(id).and_then(|t| t.avoid.as_ref());
+        let room = step.reserved_resources();
+        let avoid = job.task(id).and_then(|t| t.avoid_worker.as_ref());
         let advised = self.is_advised(&id.step_id());
         let fits = |w: &Worker| {
             let ticket = !advised || w.ticket(&id.step_id(), self.now).is_some();
             let closed = w.is_shunned(self.now) || w.in_quarantine(self.now);
-            ticket && !closed && w.free().holds(&room) && self.allowed(w, step, id)
+            ticket && !closed && w.free().contains(&room) && self.allowed(w, step, id)
         };
         let takers = || self.workers.takers(service, room.cpu_millis).filter(|(_, w)| fits(w));
         let best = |skip: Option<&WorkerId>| {
             let mut open = takers().filter(|(wid, _)| skip != Some(*wid));
-            let found = match step.lasting || step.near.is_some() {
+            let found = match step.long_running || step.data_rack.is_some() {
                 true => open.min_by_key(|(_, w)| self.cost(w, step, id)),
                 false => open.next(),
             };
@@ -214,7 +225,7 @@
         {
             return false;
         }
-        step.most_per_worker == 0 || same_step(w, id) < step.most_per_worker as usize
+        step.max_per_worker == 0 || same_step(w, id) < step.max_per_worker as usize
     }
 
     /// What speaks against a worker; smaller is better. Among equals the one
@@ -222,7 +233,7 @@
     /// would leave none empty, and only an empty host can go to a pool that is
     /// short of them, be turned off or be maintained without a loss.
     pub(super) fn cost(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> (bool, usize, u32, u64) {
-        let far = step.near.as_ref().is_some_and(|rack| {
+        let far = step.data_rack.as_ref().is_some_and(|rack| {
             let labels = w.info.as_ref().map(|i| i.labels.as_slice()).unwrap_or_default();
             !labels.contains(rack)
         });
@@ -232,17 +243,17 @@
     /// What speaks against a worker for what runs there already.
     fn crowd(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> usize {
         let policy = &self.policy.placement;
-        if !step.lasting {
+        if !step.long_running {
             return 0;
         }
-        let beside = match (step.fills, step.target) {
+        let beside = match (step.best_effort, step.latency_target) {
             // Beside others that fill: a host with one of them is never empty.
             (true, _) if !policy.fills_beside => 2 * w.serves.len() + usize::from(w.fills.is_empty()),
             (false, Some(_)) => w.fills.len(),
             _ => 0,
         };
         // Apart from tasks that are alike, on hosts where some task lasts already.
-        let alike = if step.fills { 0 } else { same_step(w, id) };
+        let alike = if step.best_effort { 0 } else { same_step(w, id) };
         let together = 2 * alike + usize::from(w.lasting.is_empty());
         beside * MOST_ALIKE + together
     }
@@ -260,17 +271,17 @@
         if !invariant::check(safe && alone && !task.done, || format!("start of {id} is not due")) {
             return;
         }
-        task.attempt = attempt.unwrap_or(task.attempt + 1);
-        let attempt = task.attempt;
+        task.latest_attempt = attempt.unwrap_or(task.latest_attempt + 1);
+        let attempt = task.latest_attempt;
         let trial = task.trial(step, &self.policy.crashes, now);
         let run = Run::new(worker.clone(), attempt, Phase::Starting, now);
-        task.runs.push(Run { trial, placed_at: Some(now), ..run });
+        task.runs.push(Run { trial_quarantine: trial, placed_at: Some(now), ..run });
         let checkpoint = task.checkpoint.clone();
         job.begun = true;
         self.dirty.insert(id.job);
         if let Some(mut w) = self.workers.get_mut(worker) {
-            let held = spec.held(step);
-            let fits = w.free().holds(&held.room);
+            let held = spec.reservation(step);
+            let fits = w.free().contains(&held.resources);
             invariant::check(fits, || format!("start of {id} on {worker} does not fit"));
             w.take(*id, attempt, held);
             w.mark(id, step);
@@ -307,7 +318,7 @@
 
 /// The next step of each owner, in the order in which they are placed.
 struct Turns {
-    rank: Rank,
+    rank: QueueOrder,
     heap: BinaryHeap<Reverse<Turn>>,
 }
 
@@ -315,25 +326,25 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Turn {
     priority: u32,
-    standing: Standing,
+    standing: Timeliness,
     excess: bool,
     used: u64,
     rank: u64,
-    place: Place,
+    place: QueuePosition,
 }
 
 impl Turns {
-    fn new(rank: Rank) -> Turns {
+    fn new(rank: QueueOrder) -> Turns {
         Turns { rank, heap: BinaryHeap::new() }
     }
 
-    fn push(&mut self, place: Place, used: u64) {
-        let Place { priority, standing, excess, .. } = place;
-        let rank = place.rank_by(self.rank);
+    fn push(&mut self, place: QueuePosition, used: u64) {
+        let QueuePosition { priority, timeliness: standing, over_rate: excess, .. } = place;
+        let rank = place.sort_key(self.rank);
         self.heap.push(Reverse(Turn { priority, standing, excess, used, rank, place }));
     }
 
-    fn next(&mut self) -> Option<Place> {
+    fn next(&mut self) -> Option<QueuePosition> {
         self.heap.pop().map(|Reverse(turn)| turn.place)
     }
 }
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -8,20 +8,20 @@
 use super::claim::Strength;
 use super::config::SchedConfig;
 use super::crash_rate::CrashRate;
+use super::fair_share::SubmissionRates;
 use super::handover::OrderMarks;
 use super::host::Host;
-use super::job::{Job, JobRecord, Outcome, OverRecord, Phase, Shown, Task, WorkerId};
+use super::job::{Job, JobRecord, JobStatus, Outcome, OverRecord, Phase, Task, WorkerId};
 use super::known::{Jobs, OverJob};
 use super::map::Map;
 use super::notes::Notes;
-use super::order::{Durations, place_of};
 use super::policy::Policy;
 use super::pools::PoolState;
+use super::queue_order::{TaskDurations, queue_position};
 use super::relays::Relays;
-use super::shares::Shares;
 use super::spec::{JobKey, JobSpec, QueueId, StepId, TaskId};
+use super::task_queue::TaskQueue;
 use super::types::{Action, Batch, Event, Limits, Record, ShownJob, lease_span};
-use super::waiting::Waiting;
 use super::wave::WaveState;
 use super::worker::{Worker, WorkerInfo, WorkerRecord};
 use super::workers::Workers;
@@ -62,7 +62,7 @@
     /// Who speaks with them.
     pub(super) relays: Relays,
     /// Tasks that wait for a worker, by service.
-    pub(super) ready: Map<ServiceId, Waiting>,
+    pub(super) ready: Map<ServiceId, TaskQueue>,
     /// Those of them that wait for a trial, by since when they are suspected.
     pub(super) trials: Map<ServiceId, BTreeSet<(Duration, TaskId)>>,
     /// Data centres in which nothing begins.
@@ -71,11 +71,11 @@
     /// last listed.
     pub(super) fleet_cpu: u64,
     /// What workspaces have sent lately, against their shares.
-    shares: Shares,
+    shares: SubmissionRates,
     /// How often workers crash by themselves.
     pub(super) crash_rate: CrashRate,
     /// How long tasks take.
-    pub(super) durations: Durations,
+    pub(super) durations: TaskDurations,
     /// Hosts, as last listed.
     pub hosts: Map<HostId, Host>,
     /// When that list was asked for.
@@ -156,9 +156,9 @@
             trials: Map::default(),
             evacuated: BTreeSet::new(),
             fleet_cpu: 0,
-            shares: Shares::default(),
+            shares: SubmissionRates::default(),
             crash_rate: CrashRate::default(),
-            durations: Durations::default(),
+            durations: TaskDurations::default(),
             hosts: Map::default(),
             hosts_asked: Duration::ZERO,
             marks: OrderMarks::default(),
@@ -233,7 +233,7 @@
                 let since = self.since;
                 let mut w = self.workers.get_or_insert_with(&run.worker, || Worker::unknown(bound, since));
                 if let Some(step) = job.step(&id) {
-                    w.take(id, run.attempt, job.spec.held(step));
+                    w.take(id, run.attempt, job.spec.reservation(step));
                     w.mark(&id, step);
                 }
                 places.insert(run.worker.clone());
@@ -248,7 +248,7 @@
     }
 
     fn restore_over(&mut self, key: JobKey, outcome: Outcome, record: OverRecord, in_inbox: bool) {
-        let (queue, owner, state) = (record.queue.clone(), record.owner, Some(Shown::Ended(outcome)));
+        let (queue, owner, state) = (record.queue.clone(), record.owner, Some(JobStatus::Ended(outcome)));
         self.jobs.set_over(key, OverJob { outcome, record }, self.now);
         self.shown.push(ShownJob { key, queue, owner, state, timed: false });
         if in_inbox {
@@ -308,7 +308,8 @@
             "event=job_known job={key:016x} queue={} stretch={stretch} target_ms={target}",
             spec.queue
         ));
-        let excess = self.shares.is_excess(owner, self.config.workspaces.weight(owner), spec.accepted);
+        let excess =
+            self.shares.exceeds_rate(owner, self.config.workspaces.jobs_per_s(owner), spec.accepted_at);
         let most_cpu = self.config.workspaces.limit(owner).cpu_millis;
         self.jobs.insert(Job { excess, most_cpu, ..Job::new(key, spec) });
         self.watch_advised(key);
@@ -367,8 +368,8 @@
     pub(super) fn open_due_rounds(&mut self, key: JobKey) {
         let ahead = self.wall + self.limits.early.as_millis() as u64;
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        while job.open() && (job.rounds.len() as u32) < job.spec.rounds() {
-            if job.spec.due(job.rounds.len() as u32) > ahead {
+        while job.open() && (job.rounds.len() as u32) < job.spec.round_count() {
+            if job.spec.round_due_at(job.rounds.len() as u32) > ahead {
                 break;
             }
             job.open_round();
@@ -414,9 +415,9 @@
             return;
         };
         let queue = self.config.queues.get(&job.spec.queue);
-        let (place, dues) = place_of(job, &id, queue, &self.durations, &self.policy.order, self.wall);
+        let (place, dues) = queue_position(job, &id, queue, &self.durations, &self.policy.order, self.wall);
         let spec = job.spec.clone();
-        let room = step.reserved();
+        let room = step.reserved_resources();
         match self.ready.get_mut(&spec.service) {
             Some(waiting) => waiting.insert(place, dues, room, tasks.iter().copied()),
             None => {
@@ -458,7 +459,7 @@
         job.ended = self.now;
         self.notes.push(format_args!(
             "event=job_ended job={key:016x} outcome={outcome:?} age_ms={}",
-            self.wall.saturating_sub(job.spec.accepted)
+            self.wall.saturating_sub(job.spec.accepted_at)
         ));
         self.jobs.note_ended(key);
         self.dirty.insert(key);
@@ -489,7 +490,7 @@
             if matches!(run.phase, Phase::Starting | Phase::Stopping | Phase::Stopped) {
                 continue;
             }
-            run.enter(Phase::Stopping, now);
+            run.set_phase(Phase::Stopping, now);
             self.actions.push(Action::Stop(run.worker.clone(), *id, run.attempt));
         }
     }
@@ -504,7 +505,7 @@
             }
         }
         let wall = self.wall;
-        self.ready.values_mut().for_each(|w| w.age(wall));
+        self.ready.values_mut().for_each(|w| w.downgrade_overdue(wall));
         self.settle_lapsed();
         if self.now >= self.slow_checked + SLOW_EVERY {
             self.slow_checked = self.now;
@@ -533,8 +534,8 @@
     /// come to rest is over with that.
     fn record_job(&mut self, key: JobKey, batch: &mut Batch) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        let state = Some(job.shown());
-        if std::mem::replace(&mut job.told, state) != state {
+        let state = Some(job.status());
+        if std::mem::replace(&mut job.published_status, state) != state {
             let (queue, timed) = (job.spec.queue.clone(), job.spec.repeat.is_some());
             batch.shown.push(ShownJob { key, queue, owner: job.spec.owner(), state, timed });
         }
@@ -547,9 +548,9 @@
         let record = OverRecord {
             queue: spec.queue.clone(),
             service: spec.service.clone(),
-            accepted: spec.accepted,
+            accepted: spec.accepted_at,
             work,
-            room: spec.largest_room(),
+            room: spec.max_task_resources(),
             owner: spec.owner(),
         };
         let over = Some(record.clone());
--- a/crates/workswood-core/src/jobs/spec.rs
+++ b/crates/workswood-core/src/jobs/spec.rs
@@ -7,8 +7,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::accounts::Held;
 use super::workspace::Owner;
+use super::workspace_usage::Reservation;
 use crate::ids::{Rack, ServiceId, UnixMs, WorkspaceId};
 
 /// Number of a job, chosen by its caller; shown as 16 hex digits.
@@ -17,19 +17,19 @@
 pub type QueueId = String;
 
 /// Most tasks of one round of a job. Bounds the memory a single job can take.
-pub const MOST_TASKS: u64 = 10_000;
+pub const MAX_TASKS_PER_ROUND: u64 = 10_000;
 /// Most tasks of all rounds of a job: its state is one record of the store,
 /// which takes 256 KB, and a task takes about ten bytes of it.
-pub const MOST_TASKS_OF_ALL_ROUNDS: u64 = 20_000;
+pub const MAX_TASKS: u64 = 20_000;
 /// Longest estimate of a task. Times are reckoned in milliseconds with factors
 /// of up to some thousands, and must not overflow.
-pub const MOST_ESTIMATE: Duration = Duration::from_secs(30 * 24 * 3600);
+pub const MAX_ESTIMATE: Duration = Duration::from_secs(30 * 24 * 3600);
 /// Most steps of a job; step numbers are stored in 16 bits.
-pub const MOST_STEPS: usize = 1_000;
+pub const MAX_STEPS: usize = 1_000;
 
-/// Room that a task takes, or that a worker has.
+/// Amounts of each kind of resource: what a task asks for, or what a worker has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     /// Thousandths of a core.
     #[serde(default, rename = "c")]
     pub cpu_millis: u64,
@@ -41,22 +41,22 @@
     pub gpus: u64,
 }
 
-impl Room {
+impl Resources {
     /// Whether `other` fits in here.
-    pub fn holds(&self, other: &Room) -> bool {
+    pub fn contains(&self, other: &Resources) -> bool {
         other.cpu_millis <= self.cpu_millis && other.mem_mb <= self.mem_mb && other.gpus <= self.gpus
     }
 
     /// Adds another amount.
-    pub fn add(&mut self, other: &Room) {
+    pub fn add(&mut self, other: &Resources) {
         self.cpu_millis += other.cpu_millis;
         self.mem_mb += other.mem_mb;
         self.gpus += other.gpus;
     }
 
     /// The least room that holds both.
-    pub fn max(&self, other: &Room) -> Room {
-        Room {
+    pub fn max(&self, other: &Resources) -> Resources {
+        Resources {
             cpu_millis: self.cpu_millis.max(other.cpu_millis),
             mem_mb: self.mem_mb.max(other.mem_mb),
             gpus: self.gpus.max(other.gpus),
@@ -64,8 +64,8 @@
     }
 
     /// What both hold.
-    pub fn min(&self, other: &Room) -> Room {
-        Room {
+    pub fn min(&self, other: &Resources) -> Resources {
+        Resources {
             cpu_millis: self.cpu_millis.min(other.cpu_millis),
             mem_mb: self.mem_mb.min(other.mem_mb),
             gpus: self.gpus.min(other.gpus),
@@ -73,14 +73,14 @@
     }
 
     /// This room so many times.
-    pub fn times(&self, count: u64) -> Room {
+    pub fn times(&self, count: u64) -> Resources {
         let times = |n: u64| n.saturating_mul(count);
-        Room { cpu_millis: times(self.cpu_millis), mem_mb: times(self.mem_mb), gpus: times(self.gpus) }
+        Resources { cpu_millis: times(self.cpu_millis), mem_mb: times(self.mem_mb), gpus: times(self.gpus) }
     }
 
     /// What is left after taking `other` out; nothing goes below zero.
-    pub fn minus(&self, other: &Room) -> Room {
-        Room {
+    pub fn minus(&self, other: &Resources) -> Resources {
+        Resources {
             cpu_millis: self.cpu_millis.saturating_sub(other.cpu_millis),
             mem_mb: self.mem_mb.saturating_sub(other.mem_mb),
             gpus: self.gpus.saturating_sub(other.gpus),
@@ -94,7 +94,8 @@
     /// How many tasks.
     pub count: u32,
     /// Room that each task asks for.
-    pub room: Room,
+    #[serde(rename = "room")]
+    pub resources: Resources,
     /// Rough guess of how long a task takes.
     #[serde(default)]
     pub estimate: Duration,
@@ -115,37 +116,37 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub label: Option<String>,
     /// Rack that holds the data.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub near: Option<Rack>,
+    #[serde(default, rename = "near", skip_serializing_if = "Option::is_none")]
+    pub data_rack: Option<Rack>,
     /// Most tasks of the step on one worker; 0 for no limit.
-    #[serde(default)]
-    pub most_per_worker: u32,
+    #[serde(default, rename = "most_per_worker")]
+    pub max_per_worker: u32,
     /// Whether copies of a task may run at the same time. The scheduler begins
     /// none by itself yet.
     #[serde(default)]
     pub speculative: bool,
     /// Whether the tasks run until the job is cancelled.
-    #[serde(default)]
-    pub lasting: bool,
+    #[serde(default, rename = "lasting")]
+    pub long_running: bool,
     /// What the tasks run; tasks of one image behave alike. The scheduler does
     /// not read it yet.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub image: Option<String>,
     /// Bound on the slow answers of a lasting task that serves users.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub target: Option<Duration>,
+    #[serde(default, rename = "target", skip_serializing_if = "Option::is_none")]
+    pub latency_target: Option<Duration>,
     /// Whether the tasks live on processor time that others leave unused.
-    #[serde(default)]
-    pub fills: bool,
+    #[serde(default, rename = "fills")]
+    pub best_effort: bool,
     /// How many tasks of a lasting step may be away at once by our doing.
-    #[serde(default)]
-    pub may_miss: u32,
+    #[serde(default, rename = "may_miss")]
+    pub max_unavailable: u32,
 }
 
 impl StepSpec {
     /// The room that a task takes from a worker's capacity.
-    pub fn reserved(&self) -> Room {
-        if self.fills { Room { cpu_millis: 0, ..self.room } } else { self.room }
+    pub fn reserved_resources(&self) -> Resources {
+        if self.best_effort { Resources { cpu_millis: 0, ..self.resources } } else { self.resources }
     }
 }
 
@@ -155,9 +156,11 @@
     /// How many rounds.
     pub count: u32,
     /// When the first round is due.
-    pub start: UnixMs,
+    #[serde(rename = "start")]
+    pub first_due_at: UnixMs,
     /// Time between the starts of two rounds.
-    pub every: Duration,
+    #[serde(rename = "every")]
+    pub interval: Duration,
 }
 
 /// A job as handed in.
@@ -183,45 +186,49 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeat: Option<Repeat>,
     /// When an entry accepted it.
-    pub accepted: UnixMs,
+    #[serde(rename = "accepted")]
+    pub accepted_at: UnixMs,
 }
 
 impl JobSpec {
     /// Whose it is.
     pub fn owner(&self) -> Owner {
-        Owner::of(self.workspace.as_deref())
+        Owner::of_workspace(self.workspace.as_deref())
     }
 
     /// What a task of one of its steps takes of a worker, and of its workspace's limit.
-    pub fn held(&self, step: &StepSpec) -> Held {
-        Held { room: step.reserved(), charged: step.room, owner: self.owner() }
+    pub fn reservation(&self, step: &StepSpec) -> Reservation {
+        Reservation { resources: step.reserved_resources(), charged: step.resources, owner: self.owner() }
     }
 
     /// Room that holds any of its tasks.
-    pub fn largest_room(&self) -> Room {
-        self.steps.iter().map(StepSpec::reserved).fold(Room::default(), |most, room| most.max(&room))
+    pub fn max_task_resources(&self) -> Resources {
+        self.steps
+            .iter()
+            .map(StepSpec::reserved_resources)
+            .fold(Resources::default(), |most, room| most.max(&room))
     }
 
     /// Checks what the scheduler relies on.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn validate(&self) -> Result<(), String> {
         if self.steps.is_empty() {
             return Err("a job needs at least one step".to_string());
         }
-        if self.steps.len() > MOST_STEPS {
-            return Err(format!("a job may have {MOST_STEPS} steps at most"));
+        if self.steps.len() > MAX_STEPS {
+            return Err(format!("a job may have {MAX_STEPS} steps at most"));
         }
         let tasks: u64 = self.steps.iter().map(|s| u64::from(s.count)).sum();
         if self.steps.iter().any(|s| s.count == 0) {
             return Err("each step needs at least one task".to_string());
         }
-        if self.steps.iter().any(|s| s.estimate > MOST_ESTIMATE) {
-            return Err(format!("a task may be estimated at {} s at most", MOST_ESTIMATE.as_secs()));
+        if self.steps.iter().any(|s| s.estimate > MAX_ESTIMATE) {
+            return Err(format!("a task may be estimated at {} s at most", MAX_ESTIMATE.as_secs()));
         }
-        if tasks.saturating_mul(u64::from(self.rounds())) > MOST_TASKS_OF_ALL_ROUNDS {
-            return Err(format!("all rounds together may have {MOST_TASKS_OF_ALL_ROUNDS} tasks at most"));
+        if tasks.saturating_mul(u64::from(self.round_count())) > MAX_TASKS {
+            return Err(format!("all rounds together may have {MAX_TASKS} tasks at most"));
         }
-        if tasks > MOST_TASKS {
-            return Err(format!("a job may have {MOST_TASKS} tasks at most"));
+        if tasks > MAX_TASKS_PER_ROUND {
+            return Err(format!("a job may have {MAX_TASKS_PER_ROUND} tasks at most"));
         }
         for (n, s) in self.steps.iter().enumerate() {
             if s.after.iter().any(|a| usize::from(*a) >= n) {
@@ -232,18 +239,18 @@
     }
 
     /// How many rounds the job has.
-    pub fn rounds(&self) -> u32 {
+    pub fn round_count(&self) -> u32 {
         self.repeat.map_or(1, |r| r.count.max(1))
     }
 
     /// When a round is due.
-    pub fn due(&self, round: u32) -> UnixMs {
-        self.repeat.map_or(0, |r| r.start + u64::from(round) * r.every.as_millis() as u64)
+    pub fn round_due_at(&self, round: u32) -> UnixMs {
+        self.repeat.map_or(0, |r| r.first_due_at + u64::from(round) * r.interval.as_millis() as u64)
     }
 
     /// Whether any step runs until the job is cancelled.
-    pub fn lasts(&self) -> bool {
-        self.steps.iter().any(|s| s.lasting)
+    pub fn is_long_running(&self) -> bool {
+        self.steps.iter().any(|s| s.long_running)
     }
 }
 
@@ -304,7 +311,7 @@
         let bad = || format!("`{s}` is not the name of a task");
         let mut parts = s.split('.');
         let mut next = || parts.next().ok_or_else(bad);
-        let job = parse_job(next()?).ok_or_else(bad)?;
+        let job = parse_job_key(next()?).ok_or_else(bad)?;
         let round = next()?.parse().map_err(|_| bad())?;
         let step = next()?.parse().map_err(|_| bad())?;
         let index = next()?.parse().map_err(|_| bad())?;
@@ -313,11 +320,11 @@
 }
 
 /// Reads the 16 hex digits of a job.
-pub fn parse_job(s: &str) -> Option<JobKey> {
+pub fn parse_job_key(s: &str) -> Option<JobKey> {
     if s.len() != 16 { None } else { u64::from_str_radix(s, 16).ok() }
 }
 
 /// The 16 hex digits of a job.
-pub fn show_job(job: JobKey) -> String {
+pub fn format_job_key(job: JobKey) -> String {
     format!("{job:016x}")
 }
--- a/crates/workswood-core/src/jobs/worker.rs
+++ b/crates/workswood-core/src/jobs/worker.rs
@@ -7,12 +7,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::accounts::{Change, Held};
 use super::crash::Lost;
 use super::job::WorkerId;
 use super::map::Map;
-use super::spec::{Room, StepId, StepSpec, TaskId};
+use super::spec::{Resources, StepId, StepSpec, TaskId};
 use super::trials::Quarantine;
+use super::workspace_usage::{Reservation, UsageChange};
 use crate::ids::{DataCentre, HostId, ServiceId};
 
 /// What a worker says of itself.
@@ -29,7 +29,7 @@
     /// Host that it is a life of; empty if it does not say.
     pub host: HostId,
     /// Its whole room.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Its kind and its rack.
     pub labels: Vec<String>,
     /// Whether it is leaving.
@@ -91,7 +91,7 @@
             address: rec.address,
             data_centre: rec.data_centre,
             host: rec.host,
-            capacity: Room::default(),
+            capacity: Resources::default(),
             labels: Vec::new(),
             draining: false,
         }
@@ -206,9 +206,9 @@
     /// When everything on it must have ended if we stop extending its lease.
     pub lease_end: Duration,
     /// Runs that may exist there, with what each takes.
-    pub runs: Map<(TaskId, u32), Held>,
+    pub runs: Map<(TaskId, u32), Reservation>,
     /// What began or ended since the accounts of workspaces were told.
-    pub(super) changes: Vec<Change>,
+    pub(super) changes: Vec<UsageChange>,
     /// Tasks of these runs that last.
     pub lasting: BTreeSet<TaskId>,
     /// Tasks of these runs that fill.
@@ -216,7 +216,7 @@
     /// Tasks of these runs that serve users.
     pub serves: BTreeSet<TaskId>,
     /// Room taken by `runs`.
-    pub used: Room,
+    pub used: Resources,
     /// When it was found to be listed no longer.
     pub unlisted_at: Option<Duration>,
     /// Runs that are over since its lease has ended; whether it has crashed is not known.
@@ -274,7 +274,7 @@
             lasting: BTreeSet::new(),
             fills: BTreeSet::new(),
             serves: BTreeSet::new(),
-            used: Room::default(),
+            used: Resources::default(),
             unlisted_at: None,
             lapsed: Vec::new(),
             quarantine: None,
@@ -321,28 +321,28 @@
     }
 
     /// Room that is free.
-    pub fn free(&self) -> Room {
+    pub fn free(&self) -> Resources {
         self.info.as_ref().map(|i| i.capacity.minus(&self.used)).unwrap_or_default()
     }
 
     /// Takes room for a run.
-    pub fn take(&mut self, task: TaskId, attempt: u32, held: impl Into<Held>) {
+    pub fn take(&mut self, task: TaskId, attempt: u32, held: impl Into<Reservation>) {
         let held = held.into();
         if let Entry::Vacant(entry) = self.runs.entry((task, attempt)) {
             entry.insert(held);
-            self.used.add(&held.room);
-            self.changes.push(Change::Taken(held));
+            self.used.add(&held.resources);
+            self.changes.push(UsageChange::Reserved(held));
         }
     }
 
     /// Notes whether a task that runs here lasts, and whether it serves or fills.
     pub fn mark(&mut self, task: &TaskId, step: &StepSpec) {
-        if step.lasting {
+        if step.long_running {
             self.lasting.insert(*task);
         }
-        if step.fills {
+        if step.best_effort {
             self.fills.insert(*task);
-        } else if step.target.is_some() {
+        } else if step.latency_target.is_some() {
             self.serves.insert(*task);
         }
     }
@@ -350,8 +350,8 @@
     /// Gives the room of a run back.
     pub fn release(&mut self, task: TaskId, attempt: u32) {
         if let Some(held) = self.runs.remove(&(task, attempt)) {
-            self.used = self.used.minus(&held.room);
-            self.changes.push(Change::GivenBack(held));
+            self.used = self.used.minus(&held.resources);
+            self.changes.push(UsageChange::Released(held));
         }
         if self.quarantine.is_some_and(|q| q.trial == Some((task, attempt))) {
             self.quarantine = None;
--- a/crates/workswood-core/src/jobs/workspace.rs
+++ b/crates/workswood-core/src/jobs/workspace.rs
@@ -9,7 +9,7 @@
 use sha2::{Digest, Sha256};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::spec::Room;
+use super::spec::Resources;
 use crate::ids::WorkspaceId;
 
 /// Whose a job is: a number made from the name of its workspace, so that every entry and
@@ -22,7 +22,7 @@
     pub const PUBLIC: Owner = Owner(0);
 
     /// The owner of a workspace's jobs.
-    pub fn of(workspace: Option<&str>) -> Owner {
+    pub fn of_workspace(workspace: Option<&str>) -> Owner {
         workspace.map_or(Owner::PUBLIC, |name| Owner(xxh3_64(name.as_bytes()).max(1)))
     }
 
@@ -48,9 +48,9 @@
     /// Its name.
     pub name: WorkspaceId,
     /// Jobs a second that it may count on; its share when all is full.
-    pub weight: f64,
+    pub jobs_per_s: f64,
     /// What it may have at work over all services; what is 0 has no limit.
-    pub limit: Room,
+    pub limit: Resources,
 }
 
 /// Keys that are in force, and whose each is.
@@ -70,7 +70,7 @@
     }
 
     /// The workspace whose key this is.
-    pub fn owner(&self, key: &str) -> Option<&WorkspaceId> {
+    pub fn workspace(&self, key: &str) -> Option<&WorkspaceId> {
         let digest: [u8; 32] = Sha256::digest(key).into();
         self.0.get(&digest)
     }
@@ -89,16 +89,16 @@
     /// Adds a workspace with its keys.
     pub fn add<'a>(&mut self, workspace: Workspace, keys: impl IntoIterator<Item = &'a str>) {
         keys.into_iter().for_each(|key| self.keys.add(key, &workspace.name));
-        self.by_owner.insert(Owner::of(Some(&workspace.name)), workspace);
+        self.by_owner.insert(Owner::of_workspace(Some(&workspace.name)), workspace);
     }
 
     /// What an owner's jobs may have at work; what is 0 has no limit.
-    pub fn limit(&self, owner: Owner) -> Room {
+    pub fn limit(&self, owner: Owner) -> Resources {
         self.by_owner.get(&owner).map(|w| w.limit).unwrap_or_default()
     }
 
     /// Jobs a second that an owner may count on; `None` if nothing is declared.
-    pub fn weight(&self, owner: Owner) -> Option<f64> {
-        self.by_owner.get(&owner).map(|w| w.weight)
+    pub fn jobs_per_s(&self, owner: Owner) -> Option<f64> {
+        self.by_owner.get(&owner).map(|w| w.jobs_per_s)
     }
 }
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -22,10 +22,10 @@
 
 use workswood_core::ids::{HostId, Term};
 use workswood_core::jobs::job::WorkerId;
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
-    EndKind, Event, JobKey, JobRecord, JobSpec, Limits, Owner, QueueConfig, RelayEntry, SchedConfig,
-    Scheduler, ServiceConfig, Shown, StepSpec, TaskId, WorkerInfo, WorkerRecord, Workspace, Workspaces,
+    EndKind, Event, JobKey, JobRecord, JobSpec, JobStatus, Limits, Owner, QueueConfig, RelayEntry,
+    SchedConfig, Scheduler, ServiceConfig, StepSpec, TaskId, WorkerInfo, WorkerRecord, Workspace, Workspaces,
 };
 
 pub use self::luck::{Fate, Luck};
@@ -179,7 +179,7 @@
         text: "text".into(),
         steps,
         repeat: None,
-        accepted,
+        accepted_at: accepted,
     }
 }
 
@@ -188,7 +188,7 @@
     StepSpec {
         count,
         after,
-        room: Room { cpu_millis: 1000, mem_mb: 100, gpus: 0 },
+        resources: Resources { cpu_millis: 1000, mem_mb: 100, gpus: 0 },
         estimate: Duration::from_millis(500),
         ..StepSpec::default()
     }
@@ -286,7 +286,7 @@
             address: format!("10.0.0.{n}:80"),
             data_centre: self.data_centre(n),
             host: format!("m-{n}"),
-            capacity: Room { cpu_millis: 4000, mem_mb: 8000, gpus: 0 },
+            capacity: Resources { cpu_millis: 4000, mem_mb: 8000, gpus: 0 },
             labels: Vec::new(),
             draining: false,
         }
@@ -305,8 +305,8 @@
             cfg.queues.values_mut().for_each(|q| q.advice = Some(ADVICE));
         }
         if self.limited {
-            let room = Room { cpu_millis: 1000 * LIMIT as u64, ..Room::default() };
-            let workspace = Workspace { name: WORKSPACE.to_string(), weight: 1.0, limit: room };
+            let room = Resources { cpu_millis: 1000 * LIMIT as u64, ..Resources::default() };
+            let workspace = Workspace { name: WORKSPACE.to_string(), jobs_per_s: 1.0, limit: room };
             cfg.workspaces.add(workspace, []);
         }
         sched.handle(Event::Config(Arc::new(cfg)));
@@ -408,7 +408,7 @@
 
     /// Whose all jobs are.
     fn owner(&self) -> Owner {
-        Owner::of(self.limited.then_some(WORKSPACE))
+        Owner::of_workspace(self.limited.then_some(WORKSPACE))
     }
 
     /// Cancels a job.
@@ -458,13 +458,13 @@
     }
 
     /// State that the present holder shows of a job.
-    pub fn shown(&self, key: JobKey) -> Option<Shown> {
+    pub fn shown(&self, key: JobKey) -> Option<JobStatus> {
         self.holders.last().and_then(|h| h.shown.get(&key)).and_then(|s| s.state)
     }
 
     /// Whether a job is over for its caller.
     pub fn over(&self, key: JobKey) -> bool {
-        matches!(self.shown(key), Some(Shown::Ended(_)))
+        matches!(self.shown(key), Some(JobStatus::Ended(_)))
     }
 
     /// Starts of one task that workers took so far.
--- a/src/workswood/ops/jobs/front.rs
+++ b/src/workswood/ops/jobs/front.rs
@@ -11,7 +11,7 @@
 use workswood_callers::{Handler, ReplyBody, bearer_token, full_body, read_body, refusal};
 use workswood_core::code::{Code, ExecutionStatus};
 use workswood_core::ids::WorkspaceId;
-use workswood_core::jobs::spec::parse_job;
+use workswood_core::jobs::spec::parse_job_key;
 use workswood_core::jobs::{JobKey, JobSpec, Owner, QueueConfig, SchedConfig};
 
 use super::ask::{self, Told};
@@ -62,12 +62,12 @@
             return refusal(Code::ApiKey, ExecutionStatus::NotRun, None);
         }
     };
-    let owner = Owner::of(workspace.as_deref());
+    let owner = Owner::of_workspace(workspace.as_deref());
     let rest = path[queue.path_prefix.len()..].trim_matches('/');
     if rest.is_empty() {
         return pending(node, &req, queue).await;
     }
-    let Some(job) = parse_job(rest) else {
+    let Some(job) = parse_job_key(rest) else {
         return refusal(Code::JobMalformed, ExecutionStatus::NotRun, None);
     };
     match *req.method() {
@@ -107,7 +107,7 @@
         return Ok(None);
     }
     let key = bearer_token(req.headers()).ok_or(KeyRefusal::Missing)?;
-    cfg.workspaces.keys.owner(key).cloned().map(Some).ok_or(KeyRefusal::Unknown)
+    cfg.workspaces.keys.workspace(key).cloned().map(Some).ok_or(KeyRefusal::Unknown)
 }
 
 fn host_of(req: &Request<Incoming>) -> String {
@@ -212,9 +212,9 @@
         text: handed.text.into(),
         steps: handed.steps,
         repeat: handed.repeat,
-        accepted: node.wall(),
+        accepted_at: node.wall(),
     };
-    spec.check()?;
+    spec.validate()?;
     Ok(spec)
 }
 
--- a/tests/testsuite/crash_evidence.rs
+++ b/tests/testsuite/crash_evidence.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use workswood_core::jobs::crash::{Crash, Evidence};
-use workswood_core::jobs::{Action, Event, JobSpec, News, Outcome, Shown, TaskId};
+use workswood_core::jobs::{Action, Event, JobSpec, JobStatus, News, Outcome, TaskId};
 use workswood_test_support::host_world::{HostWorld, host, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
 
@@ -73,7 +73,7 @@
 /// A lasting task that a worker took, and one that it takes half a second later.
 fn old_and_young(world: &mut HostWorld) -> (TaskId, TaskId, usize) {
     let mut lasting = step(1, vec![]);
-    lasting.lasting = true;
+    lasting.long_running = true;
     let first = submit(world, 1, job(vec![lasting], 200));
     take(world, &first);
     let at = starts(&first)[0].1;
@@ -126,7 +126,7 @@
         actions = lose(&mut world, at, &mut lives, heard);
         if world.sched.tally.given_up > 0 {
             assert_eq!(starts(&actions), Vec::new());
-            assert_eq!(world.sched.jobs.shown(&1), Some(Shown::Ended(Outcome::Failed)));
+            assert_eq!(world.sched.jobs.shown(&1), Some(JobStatus::Ended(Outcome::Failed)));
             assert_eq!(world.sched.tally.lives_lost, crashes as u64);
             return crashes;
         }
@@ -203,7 +203,7 @@
 fn lasting_task_is_cleared() {
     let (mut world, mut lives) = world();
     let mut lasting = step(1, vec![]);
-    lasting.lasting = true;
+    lasting.long_running = true;
     let mut actions = submit(&mut world, 1, job(vec![lasting], 200));
     take(&mut world, &actions);
     let at = starts(&actions)[0].1;
--- a/tests/testsuite/job_limits.rs
+++ b/tests/testsuite/job_limits.rs
@@ -6,7 +6,7 @@
 use workswood_adapter::callers::read_job;
 use workswood_adapter_standin::caller::one_task;
 use workswood_core::jobs::{
-    Action, Event, Job, JobSpec, News, Outcome, Owner, Repeat, Scheduler, Shown, WorkerInfo,
+    Action, Event, Job, JobSpec, JobStatus, News, Outcome, Owner, Repeat, Scheduler, WorkerInfo,
 };
 use workswood_test_support::host_world::limits;
 use workswood_test_support::job_world::{SERVICE, config, job, step};
@@ -25,7 +25,7 @@
         address: "10.0.0.1:80".to_string(),
         data_centre: "north".to_string(),
         host: "m".to_string(),
-        capacity: workswood_core::jobs::spec::Room { cpu_millis: cores * 1000, mem_mb: 8000, gpus: 0 },
+        capacity: workswood_core::jobs::spec::Resources { cpu_millis: cores * 1000, mem_mb: 8000, gpus: 0 },
         labels: Vec::new(),
         draining: false,
     };
@@ -48,17 +48,17 @@
 #[test]
 fn out_of_bounds_refused() {
     let mut empty = job(vec![step(1, vec![]), step(0, vec![0])], 0);
-    assert!(empty.check().is_err(), "a step without tasks would be done at once");
+    assert!(empty.validate().is_err(), "a step without tasks would be done at once");
     empty.steps[1].count = 1;
-    assert!(empty.check().is_ok());
+    assert!(empty.validate().is_ok());
     let mut long = empty.clone();
     long.steps[0].estimate = Duration::from_millis(u64::MAX);
-    assert!(long.check().is_err());
+    assert!(long.validate().is_err());
     let mut often = empty.clone();
-    often.repeat = Some(Repeat { count: u32::MAX, start: 0, every: Duration::ZERO });
-    assert!(often.check().is_err());
+    often.repeat = Some(Repeat { count: u32::MAX, first_due_at: 0, interval: Duration::ZERO });
+    assert!(often.validate().is_err());
     let forward = job(vec![step(1, vec![0])], 0);
-    assert!(forward.check().is_err(), "a step may not wait for itself");
+    assert!(forward.validate().is_err(), "a step may not wait for itself");
 }
 
 #[test]
@@ -82,7 +82,7 @@
     let mut s = scheduler();
     s.restore(5, Some(other), Some(rec));
     let shown = s.take_batch().shown;
-    assert_eq!(shown[0].state, Some(Shown::Ended(Outcome::Failed)));
+    assert_eq!(shown[0].state, Some(JobStatus::Ended(Outcome::Failed)));
 }
 
 #[test]
@@ -92,18 +92,18 @@
     s.handle(Event::Submitted(9, Arc::new(job(vec![step(1, vec![])], 0))));
     let batch = s.take_batch();
     assert!(!batch.actions.iter().any(|a| matches!(a, Action::Start { .. })), "{:?}", batch.actions);
-    assert_eq!(batch.shown[0].state, Some(Shown::Ended(Outcome::Canceled)));
+    assert_eq!(batch.shown[0].state, Some(JobStatus::Ended(Outcome::Canceled)));
 }
 
 #[test]
 fn many_misfits_ahead() {
     let mut s = with_worker(2);
     let mut lasting = step(60, vec![]);
-    lasting.lasting = true;
-    lasting.most_per_worker = 1;
+    lasting.long_running = true;
+    lasting.max_per_worker = 1;
     s.handle(Event::Submitted(1, Arc::new(job(vec![lasting], 0))));
     let mut large = step(50, vec![]);
-    large.room.cpu_millis = 64_000;
+    large.resources.cpu_millis = 64_000;
     s.handle(Event::Submitted(2, Arc::new(job(vec![large], 0))));
     s.handle(Event::Submitted(3, Arc::new(job(vec![step(1, vec![])], 0))));
     assert!(starts(&mut s).contains(&3), "tasks that fit nowhere keep nobody from starting");
@@ -112,8 +112,8 @@
 #[test]
 fn filling_runs_known_after_takeover() {
     let mut filling = step(1, vec![]);
-    filling.fills = true;
-    filling.lasting = true;
+    filling.best_effort = true;
+    filling.long_running = true;
     let spec = Arc::new(job(vec![filling], 0));
     let mut s = with_worker(2);
     s.handle(Event::Submitted(1, spec.clone()));
--- a/tests/testsuite/job_records.rs
+++ b/tests/testsuite/job_records.rs
@@ -9,9 +9,9 @@
 use workswood::ops::jobs::shown::ShownJobs;
 use workswood_core::jobs::crash::{Crash, Evidence};
 use workswood_core::jobs::job::{TaskRecord, WorkerId};
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
-    JobRecord, JobSpec, Outcome, OverRecord, Owner, Repeat, Shown, ShownJob, StepSpec,
+    JobRecord, JobSpec, JobStatus, Outcome, OverRecord, Owner, Repeat, ShownJob, StepSpec,
 };
 use workswood_test_support::job_world::{job, step};
 
@@ -29,13 +29,13 @@
     let mut t = TaskRecord { done: u.arbitrary()?, ..TaskRecord::default() };
     for attempt in 1..=u.int_in_range(0..=3u32)? {
         match u.int_in_range(0..=4)? {
-            0 => drop(t.failed.insert(attempt)),
+            0 => drop(t.failed_attempts.insert(attempt)),
             1 => t.runs.push((worker(u)?, attempt)),
-            2 => drop(t.evicted.insert(attempt)),
+            2 => drop(t.evicted_attempts.insert(attempt)),
             3 => drop(t.crashes.0.insert(attempt, crash(u)?)),
             _ => {}
         }
-        t.attempt = attempt;
+        t.latest_attempt = attempt;
     }
     if u.ratio(1, 5)? {
         t.checkpoint = "00000bb87a21d94b".to_string();
@@ -43,7 +43,7 @@
     t.given_up = !t.done && u.ratio(1, 5)?;
     // Of a task that is done, the number of its last try says nothing.
     if t.done {
-        t.attempt = t.runs.iter().map(|(_, attempt)| *attempt).max().unwrap_or(0);
+        t.latest_attempt = t.runs.iter().map(|(_, attempt)| *attempt).max().unwrap_or(0);
     }
     Ok(t)
 }
@@ -65,7 +65,7 @@
         service: "till".to_string(),
         accepted: u.arbitrary()?,
         work: u.arbitrary()?,
-        room: Room { cpu_millis: u.arbitrary()?, mem_mb: u.arbitrary()?, gpus: u.arbitrary()? },
+        room: Resources { cpu_millis: u.arbitrary()?, mem_mb: u.arbitrary()?, gpus: u.arbitrary()? },
         owner: Owner::from_number(u.arbitrary()?),
     };
     let over = outcome.is_some().then_some(over);
@@ -90,7 +90,7 @@
     let rec = decode(text.as_bytes()).expect("JSON of the version before");
     assert!(rec.begun && rec.rounds[0][0][0].done);
     assert_eq!(rec.rounds[0][0][1].runs, [("i-1".into(), 2)].into());
-    assert_eq!(rec.rounds[0][0][1].failed.iter().copied().collect::<Vec<_>>(), [1]);
+    assert_eq!(rec.rounds[0][0][1].failed_attempts.iter().copied().collect::<Vec<_>>(), [1]);
 }
 
 #[test]
@@ -105,7 +105,7 @@
 #[test]
 fn running_job_takes_little() {
     let id = |n: u32| WorkerId::from(format!("i-29451fa6c{}", n % 3));
-    let run = |n: u32| TaskRecord { attempt: 1, runs: [(id(n), 1)].into(), ..TaskRecord::default() };
+    let run = |n: u32| TaskRecord { latest_attempt: 1, runs: [(id(n), 1)].into(), ..TaskRecord::default() };
     let tasks: Vec<TaskRecord> = (0..13).map(run).collect();
     let rec = JobRecord { begun: true, rounds: vec![vec![tasks]], ..JobRecord::default() };
     let (now, before) = (encode(&rec).len(), serde_json::to_vec(&rec).expect("JSON").len());
@@ -116,27 +116,27 @@
     let span = |u: &mut Unstructured<'_>| Ok(Duration::from_millis(u.arbitrary::<u32>()?.into()));
     Ok(StepSpec {
         count: u.arbitrary()?,
-        room: Room { cpu_millis: u.arbitrary()?, mem_mb: u.arbitrary()?, gpus: u.arbitrary()? },
+        resources: Resources { cpu_millis: u.arbitrary()?, mem_mb: u.arbitrary()?, gpus: u.arbitrary()? },
         estimate: span(u)?,
         after: u.arbitrary()?,
         checkpointing: u.arbitrary()?,
         gang: u.arbitrary()?,
         same_rack: u.arbitrary()?,
         label: u.arbitrary()?,
-        near: u.arbitrary()?,
-        most_per_worker: u.arbitrary()?,
+        data_rack: u.arbitrary()?,
+        max_per_worker: u.arbitrary()?,
         speculative: u.arbitrary()?,
-        lasting: u.arbitrary()?,
+        long_running: u.arbitrary()?,
         image: u.arbitrary()?,
-        target: if u.arbitrary()? { Some(span(u)?) } else { None },
-        fills: u.arbitrary()?,
-        may_miss: u.arbitrary()?,
+        latency_target: if u.arbitrary()? { Some(span(u)?) } else { None },
+        best_effort: u.arbitrary()?,
+        max_unavailable: u.arbitrary()?,
     })
 }
 
 fn any_spec(u: &mut Unstructured<'_>) -> Result<JobSpec> {
     let every = Duration::from_millis(u.arbitrary::<u32>()?.into());
-    let repeat = Repeat { count: u.arbitrary()?, start: u.arbitrary()?, every };
+    let repeat = Repeat { count: u.arbitrary()?, first_due_at: u.arbitrary()?, interval: every };
     let steps = (0..u.int_in_range(0..=3)?).map(|_| any_step(u)).collect::<Result<_>>()?;
     Ok(JobSpec {
         queue: u.arbitrary()?,
@@ -147,7 +147,7 @@
         text: u.arbitrary::<String>()?.into(),
         steps,
         repeat: if u.arbitrary()? { Some(repeat) } else { None },
-        accepted: u.arbitrary()?,
+        accepted_at: u.arbitrary()?,
     })
 }
 
@@ -173,22 +173,22 @@
     assert!(job_spec::decode(&bytes[..bytes.len() - 1]).is_err());
 }
 
-fn shown(key: u64, queue: &str, state: Option<Shown>) -> ShownJob {
+fn shown(key: u64, queue: &str, state: Option<JobStatus>) -> ShownJob {
     ShownJob { key, queue: queue.to_string(), owner: Owner::PUBLIC, state, timed: false }
 }
 
 #[test]
 fn queued_jobs_counted() {
     let mut all = ShownJobs::default();
-    all.show(shown(1, "a", Some(Shown::Queued)));
-    all.show(shown(1, "a", Some(Shown::Queued)));
-    all.show(shown(2, "a", Some(Shown::Queued)));
-    all.show(shown(3, "b", Some(Shown::Queued)));
-    all.show(ShownJob { timed: true, ..shown(4, "b", Some(Shown::Queued)) });
+    all.show(shown(1, "a", Some(JobStatus::Queued)));
+    all.show(shown(1, "a", Some(JobStatus::Queued)));
+    all.show(shown(2, "a", Some(JobStatus::Queued)));
+    all.show(shown(3, "b", Some(JobStatus::Queued)));
+    all.show(ShownJob { timed: true, ..shown(4, "b", Some(JobStatus::Queued)) });
     assert_eq!((all.queued("a"), all.queued("b"), all.queued("c")), (2, 1, 0));
-    all.show(shown(1, "a", Some(Shown::Running)));
+    all.show(shown(1, "a", Some(JobStatus::Running)));
     all.show(shown(2, "a", None));
     assert_eq!(all.queued("a"), 0);
     let asks = Some(Owner::PUBLIC);
-    assert_eq!((all.state(1, asks), all.state(2, asks)), (Some(Shown::Running), None));
+    assert_eq!((all.state(1, asks), all.state(2, asks)), (Some(JobStatus::Running), None));
 }
--- a/tests/testsuite/workspace_limits.rs
+++ b/tests/testsuite/workspace_limits.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood_core::jobs::accounts::{Accounts, Change, Held, admits};
-use workswood_core::jobs::order::{Durations, place_of};
+use workswood_core::jobs::fair_share::{SubmissionRates, weighted_usage};
 use workswood_core::jobs::policy::OrderPolicy;
-use workswood_core::jobs::shares::{Shares, use_by_share};
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::queue_order::{TaskDurations, queue_position};
+use workswood_core::jobs::spec::Resources;
+use workswood_core::jobs::workspace_usage::{Reservation, UsageChange, WorkspaceUsage, within_limit};
 use workswood_core::jobs::{
     Action, EndKind, Event, Job, JobSpec, Listing, News, Owner, Report, ReportedEnd, SchedConfig, StartReply,
     StepId, TaskId, Workspace, Workspaces,
@@ -16,14 +16,14 @@
 use workswood_test_support::job_world::{QUEUE, config, job, step};
 
 /// Thousandths of a core.
-fn cpu(millis: u64) -> Room {
-    Room { cpu_millis: millis, mem_mb: 0, gpus: 0 }
+fn cpu(millis: u64) -> Resources {
+    Resources { cpu_millis: millis, mem_mb: 0, gpus: 0 }
 }
 
 fn workspaces(limits: &[(&str, u64)]) -> Workspaces {
     let mut all = Workspaces::default();
     for (name, millis) in limits {
-        all.add(Workspace { name: name.to_string(), weight: 2.0, limit: cpu(*millis) }, []);
+        all.add(Workspace { name: name.to_string(), jobs_per_s: 2.0, limit: cpu(*millis) }, []);
     }
     all
 }
@@ -88,7 +88,7 @@
     let [Action::Start { worker: w, task, attempt, .. }, ..] = first.as_slice() else { panic!("a start") };
     world.tells(w, News::Started(*task, *attempt, StartReply::NoAnswer));
     assert_eq!(submit(&mut world, 2, of("north", 3)).len(), 0);
-    world.sched.handle(Event::Cancelled(1, Owner::of(Some("north"))));
+    world.sched.handle(Event::Cancelled(1, Owner::of_workspace(Some("north"))));
     assert_eq!(submit(&mut world, 3, of("north", 3)).len(), 0, "what is stopped may still run");
     // Its worker lists nothing of it any more.
     world.tells(w, News::Reported(Report { whole: true, ..Report::default() }));
@@ -152,43 +152,43 @@
 #[test]
 fn large_task_begins() {
     let mut wide = of("north", 3);
-    wide.steps[0].room = cpu(3000);
+    wide.steps[0].resources = cpu(3000);
     let mut world = world(&[("north", 2000)]);
     assert_eq!(submit(&mut world, 1, wide).len(), 1);
 }
 
 #[test]
 fn half_of_the_limit_is_free() {
-    assert!(admits(&cpu(3999), &cpu(8000), &cpu(9000)), "under half, any task may begin");
-    assert!(!admits(&cpu(4000), &cpu(8000), &cpu(4001)));
-    assert!(admits(&cpu(4000), &cpu(8000), &cpu(4000)));
-    assert!(admits(&cpu(4000), &Room::default(), &cpu(4000)), "no limit");
-    let gpus = |gpus| Room { gpus, ..Room::default() };
-    assert!(!admits(&gpus(2), &gpus(2), &gpus(1)));
-    assert!(admits(&gpus(2), &cpu(100), &gpus(1)), "only what is declared is limited");
+    assert!(within_limit(&cpu(3999), &cpu(8000), &cpu(9000)), "under half, any task may begin");
+    assert!(!within_limit(&cpu(4000), &cpu(8000), &cpu(4001)));
+    assert!(within_limit(&cpu(4000), &cpu(8000), &cpu(4000)));
+    assert!(within_limit(&cpu(4000), &Resources::default(), &cpu(4000)), "no limit");
+    let gpus = |gpus| Resources { gpus, ..Resources::default() };
+    assert!(!within_limit(&gpus(2), &gpus(2), &gpus(1)));
+    assert!(within_limit(&gpus(2), &cpu(100), &gpus(1)), "only what is declared is limited");
 }
 
 #[test]
 fn account_is_even() {
-    let (north, mut all) = (Owner::of(Some("north")), Accounts::default());
-    let held = Held { room: cpu(0), charged: cpu(500), owner: north };
-    all.take(Change::Taken(held));
-    all.take(Change::Taken(held));
-    assert_eq!(all.at_work(north), cpu(1000), "what lives on what others leave counts in full");
-    all.take(Change::Taken(Held::from(cpu(700))));
-    assert_eq!(all.at_work(Owner::PUBLIC), Room::default());
-    all.take(Change::GivenBack(held));
+    let (north, mut all) = (Owner::of_workspace(Some("north")), WorkspaceUsage::default());
+    let held = Reservation { resources: cpu(0), charged: cpu(500), owner: north };
+    all.apply(UsageChange::Reserved(held));
+    all.apply(UsageChange::Reserved(held));
+    assert_eq!(all.in_use(north), cpu(1000), "what lives on what others leave counts in full");
+    all.apply(UsageChange::Reserved(Reservation::from(cpu(700))));
+    assert_eq!(all.in_use(Owner::PUBLIC), Resources::default());
+    all.apply(UsageChange::Released(held));
     assert_eq!(all.iter().collect::<Vec<_>>(), [(north, cpu(500))]);
 }
 
 #[test]
 fn excess_by_rate() {
-    let (north, mut shares) = (Owner::of(Some("north")), Shares::default());
-    let excess = |shares: &mut Shares, at| shares.is_excess(north, Some(2.0), at);
+    let (north, mut shares) = (Owner::of_workspace(Some("north")), SubmissionRates::default());
+    let excess = |shares: &mut SubmissionRates, at| shares.exceeds_rate(north, Some(2.0), at);
     assert_eq!([0, 0, 0, 0].map(|at| excess(&mut shares, at)), [false, false, true, true]);
     assert!(!excess(&mut shares, 500), "half a second brings one more");
     assert!(excess(&mut shares, 500));
-    assert!(!shares.is_excess(north, None, 500), "nothing is declared");
+    assert!(!shares.exceeds_rate(north, None, 500), "nothing is declared");
 }
 
 /// One workspace has sent many jobs for one of the other's. Where all can be in time, what it sent
@@ -226,9 +226,9 @@
 
 #[test]
 fn least_used_share_first() {
-    let (north, south) = (Owner::of(Some("north")), Owner::of(Some("south")));
-    assert!(use_by_share(north, &cpu(4000), Some(4.0)) < use_by_share(south, &cpu(3000), Some(2.0)));
-    assert_eq!(use_by_share(Owner::PUBLIC, &cpu(4000), None), 0);
+    let (north, south) = (Owner::of_workspace(Some("north")), Owner::of_workspace(Some("south")));
+    assert!(weighted_usage(north, &cpu(4000), Some(4.0)) < weighted_usage(south, &cpu(3000), Some(2.0)));
+    assert_eq!(weighted_usage(Owner::PUBLIC, &cpu(4000), None), 0);
 }
 
 /// Hosts are not asked for by what a limit keeps from beginning.
@@ -250,11 +250,19 @@
         j.most_cpu = most_cpu;
         j.open_round();
         let id = StepId { job: 1, round: 0, step: 0 };
-        place_of(&j, &id, cfg.queues.get(QUEUE), &Durations::default(), &OrderPolicy::default(), 100).1
+        queue_position(
+            &j,
+            &id,
+            cfg.queues.get(QUEUE),
+            &TaskDurations::default(),
+            &OrderPolicy::default(),
+            100,
+        )
+        .1
     };
     // A task is estimated at 500 ms; a job is owed within 1.6 chains and 600 ms.
-    assert_eq!(dues(0).in_time, 100 + 800 + 600 - 500);
-    assert_eq!(dues(2000).in_time, 100 + 4 * 800 + 600 - 4 * 500);
+    assert_eq!(dues(0).in_time_until, 100 + 800 + 600 - 500);
+    assert_eq!(dues(2000).in_time_until, 100 + 4 * 800 + 600 - 4 * 500);
 }
 
 #[test]
@@ -262,10 +270,10 @@
     let mut world = world(&[("north", 0), ("south", 0)]);
     submit(&mut world, 1, of("north", 1));
     assert_eq!(submit(&mut world, 1, of("south", 5)).len(), 0, "the number is taken");
-    world.sched.handle(Event::Cancelled(1, Owner::of(Some("south"))));
+    world.sched.handle(Event::Cancelled(1, Owner::of_workspace(Some("south"))));
     assert!(world.sched.jobs[&1].open());
-    world.sched.handle(Event::Cancelled(2, Owner::of(Some("south"))));
+    world.sched.handle(Event::Cancelled(2, Owner::of_workspace(Some("south"))));
     assert_eq!(submit(&mut world, 2, of("north", 1)).len(), 1, "a cancel that came early was not its own");
-    world.sched.handle(Event::Cancelled(1, Owner::of(Some("north"))));
+    world.sched.handle(Event::Cancelled(1, Owner::of_workspace(Some("north"))));
     assert!(!world.sched.jobs[&1].open());
 }
