--- a/crates/workswood-core/src/jobs/advice_need.rs
+++ b/crates/workswood-core/src/jobs/advice_need.rs
@@ -7,7 +7,7 @@
 use super::config::AdviceConfig;
 use super::job::{Job, Phase, Task, WorkerId};
 use super::order::Place;
-use super::place::same_step;
+use super::placement::same_step;
 use super::sched::Scheduler;
 use super::spec::{Room, StepId, StepSpec, TaskId};
 use super::worker::{Verdict, Worker};
--- a/crates/workswood-core/src/jobs/crash.rs
+++ b/crates/workswood-core/src/jobs/crash_attribution.rs
@@ -11,7 +11,7 @@
 //! * Suspected are the runs that had begun just before the worker was last heard; if there is none,
 //!   those that may never have begun. Others fall under suspicion when they are lost several
 //!   times.
-//! * A suspected task is started as a *trial* ([`trials`](super::trials)): nothing else begins beside
+//! * A suspected task is started as a *trial* ([`crash_trials`](super::crash_trials)): nothing else begins beside
 //!   it. Where the worker crashes under it nevertheless, and chance does not explain it, the task is
 //!   given up. Its job fails; but a job that lasts goes on without it.
 
--- a/crates/workswood-core/src/jobs/trials.rs
+++ b/crates/workswood-core/src/jobs/crash_trials.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use super::crash::{CrashPolicy, PROVEN_AFTER};
+use super::crash_attribution::{CrashPolicy, PROVEN_AFTER};
 use super::job::{Task, WorkerId};
 use super::sched::Scheduler;
 use super::spec::{StepSpec, TaskId};
--- a/crates/workswood-core/src/jobs/job.rs
+++ b/crates/workswood-core/src/jobs/job.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-use super::crash::{Crashes, Suspicion};
+use super::crash_attribution::{Crashes, Suspicion};
 use super::spec::{JobKey, JobSpec, QueueId, Room, StepId, StepSpec, TaskId};
 use super::workspace::Owner;
 
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -17,18 +17,18 @@
 //! * [`spec`] holds what callers ask for, and its checks.
 //! * [`config`] holds queues and services in force, [`workspace`] whose calls are taken.
 //! * [`accounts`] holds what each workspace has at work, and [`shares`] who sends more than its share.
-//! * [`job`] holds the state of one job and its stored form, [`known`] all of them.
+//! * [`job`] holds the state of one job and its stored form, [`job_table`] all of them.
 //! * [`worker`] holds what is known of one worker, its room and its lease;
-//!   [`worker_id`] is its name, and [`workers`] holds all of them.
+//!   [`worker_id`] is its name, and [`worker_index`] holds all of them.
 //! * [`host`] holds what is known of one host.
 //! * [`map`] is a map whose order is the same in every run.
 //! * [`order`] decides which waiting task is next, and [`waiting`] keeps them.
-//! * [`relays`] decides which entry speaks with which workers, and [`follow`] what is new
+//! * [`relays`] decides which entry speaks with which workers, and [`run_tracker`] what is new
 //!   in what a worker lists.
 //! * [`types`] holds the events that go in and the batches that come out.
-//! * [`sched`] takes events in; [`ends`], [`settle`], [`place`], [`share`] and
-//!   [`evict`] are its decisions.
-//! * [`crash`] tells which task crashes its workers, against [`crash_rate`], and [`trials`]
+//! * [`sched`] takes events in; [`ends`], [`settle`], [`placement`], [`share`] and
+//!   [`eviction`] are its decisions.
+//! * [`crash_attribution`] tells which task crashes its workers, against [`crash_rate`], and [`crash_trials`]
 //!   tries those that are suspected.
 //! * [`advice`] asks ahead which workers may run a step, where only some may:
 //!   `advice_need` says which steps want it, [`advice_batch`] whom to ask about.
@@ -45,50 +45,50 @@
 mod advice_need;
 pub mod claim;
 pub mod config;
-pub mod crash;
+pub mod crash_attribution;
 pub mod crash_rate;
+pub mod crash_trials;
 pub mod demand;
 pub mod ends;
 mod evacuation;
-pub mod evict;
-pub mod follow;
+pub mod eviction;
 pub mod handover;
 pub mod host;
 pub mod job;
-pub mod known;
-mod lives;
+pub mod job_table;
 pub mod map;
 pub mod moves;
 pub mod need;
 mod notes;
 pub mod order;
-pub mod place;
+pub mod placement;
 pub mod policy;
 mod pool_count;
 pub mod pools;
 pub mod relays;
+pub mod run_tracker;
 pub mod sched;
 pub mod settle;
 pub mod share;
 pub mod shares;
 pub mod spec;
-pub mod trials;
 pub mod types;
 pub mod upkeep;
 pub mod waiting;
 pub mod wave;
 pub mod worker;
 pub mod worker_id;
-pub mod workers;
+pub mod worker_index;
+mod worker_restart;
 pub mod workspace;
 
 pub use advice::AdvicePolicy;
 pub use config::{AdviceConfig, QueueConfig, SchedConfig, ServiceConfig};
-pub use follow::Follow;
 pub use host::{Host, HostReply, HostState};
 pub use job::{Job, JobRecord, Outcome, OverRecord, Phase, Run, Shown, Task};
 pub use policy::Policy;
 pub use relays::{RelayEntry, RelayPolicy};
+pub use run_tracker::Follow;
 pub use sched::Scheduler;
 pub use spec::{JobKey, JobSpec, Repeat, StepId, StepSpec, TaskId};
 pub use types::{
--- a/crates/workswood-core/src/jobs/moves.rs
+++ b/crates/workswood-core/src/jobs/moves.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use super::crash::LifeEnd;
+use super::crash_attribution::LifeEnd;
 use super::host::{Host, HostReply, HostState, ORDER_AGAIN};
 use super::job::WorkerId;
 use super::sched::Scheduler;
--- a/crates/workswood-core/src/jobs/policy.rs
+++ b/crates/workswood-core/src/jobs/policy.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::advice::AdvicePolicy;
-use super::crash::CrashPolicy;
+use super::crash_attribution::CrashPolicy;
 use super::relays::RelayPolicy;
 
 /// All that the scheduler's decisions are tuned by.
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/settle.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::crash::LifeEnd;
+use super::crash_attribution::LifeEnd;
 use super::host::HostState;
 use super::job::{FULL_PACE, Phase, Run, WorkerId};
 use super::sched::Scheduler;
--- a/crates/workswood-core/src/jobs/worker.rs
+++ b/crates/workswood-core/src/jobs/worker.rs
@@ -8,11 +8,11 @@
 use serde::{Deserialize, Serialize};
 
 use super::accounts::{Change, Held};
-use super::crash::Lost;
+use super::crash_attribution::Lost;
+use super::crash_trials::Quarantine;
 use super::job::WorkerId;
 use super::map::Map;
 use super::spec::{Room, StepId, StepSpec, TaskId};
-use super::trials::Quarantine;
 use crate::ids::{DataCentre, HostId, ServiceId};
 
 /// What a worker says of itself.
--- a/crates/workswood-core/src/jobs/lives.rs
+++ b/crates/workswood-core/src/jobs/worker_restart.rs
@@ -12,7 +12,7 @@
 
 use std::time::Duration;
 
-use super::crash::LifeEnd;
+use super::crash_attribution::LifeEnd;
 use super::job::{Run, WorkerId};
 use super::sched::Scheduler;
 use super::spec::TaskId;
--- a/src/workswood/ops/jobs/job_state.rs
+++ b/src/workswood/ops/jobs/job_state.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use prost::Message;
-use workswood_core::jobs::crash::{Crash, Evidence};
+use workswood_core::jobs::crash_attribution::{Crash, Evidence};
 use workswood_core::jobs::job::{TaskRecord, WorkerId};
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{JobRecord, Outcome, OverRecord, Owner};
--- a/tests/testsuite/crash_evidence.rs
+++ b/tests/testsuite/crash_evidence.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood_core::jobs::crash::{Crash, Evidence};
+use workswood_core::jobs::crash_attribution::{Crash, Evidence};
 use workswood_core::jobs::{Action, Event, JobSpec, News, Outcome, Shown, TaskId};
 use workswood_test_support::host_world::{HostWorld, host, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
--- a/tests/testsuite/job_records.rs
+++ b/tests/testsuite/job_records.rs
@@ -7,7 +7,7 @@
 use workswood::ops::jobs::job_spec;
 use workswood::ops::jobs::job_state::{decode, encode};
 use workswood::ops::jobs::shown::ShownJobs;
-use workswood_core::jobs::crash::{Crash, Evidence};
+use workswood_core::jobs::crash_attribution::{Crash, Evidence};
 use workswood_core::jobs::job::{TaskRecord, WorkerId};
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{
--- a/tests/testsuite/over_jobs.rs
+++ b/tests/testsuite/over_jobs.rs
@@ -14,7 +14,7 @@
 
 use workswood::ops::jobs::inbox::Kept;
 use workswood::ops::jobs::record::{InboxItem, InboxKey};
-use workswood_core::jobs::known::{Jobs, OverJob};
+use workswood_core::jobs::job_table::{Jobs, OverJob};
 use workswood_core::jobs::types::Record;
 use workswood_core::jobs::{
     Batch, Event, Job, JobRecord, JobSpec, Outcome, OverRecord, Owner, Scheduler, Shown,
--- a/tests/testsuite/worker_index.rs
+++ b/tests/testsuite/worker_index.rs
@@ -8,7 +8,7 @@
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::worker::{Worker, WorkerInfo};
 use workswood_core::jobs::worker_id::WorkerId;
-use workswood_core::jobs::workers::Workers;
+use workswood_core::jobs::worker_index::Workers;
 
 const SERVICES: [&str; 2] = ["desk", "till"];
 const HOSTS: [&str; 3] = ["m-0", "m-1", "m-2"];
