--- a/crates/workswood-core/src/jobs/advice.rs
+++ b/crates/workswood-core/src/jobs/advice.rs
@@ -20,7 +20,7 @@
 use super::sched::Scheduler;
 use super::spec::{JobKey, QueueId, StepId, TaskId};
 use super::types::{Action, Advice, AdviceReply, Advised};
-use super::worker::Verdict;
+use super::worker::AdviceVerdict;
 
 /// An answer is waited for this much longer than the adviser should need: the
 /// way there and back on a busy entry takes a hundred milliseconds.
@@ -193,8 +193,9 @@
 
     /// Workers of a list that may run a step, as far as is known.
     pub(super) fn may_be_good(&self, workers: &[WorkerId], step: &StepId) -> usize {
-        let bad =
-            |id: &&WorkerId| self.workers.get(id).is_some_and(|w| w.advice.get(step) == Some(&Verdict::Bad));
+        let bad = |id: &&WorkerId| {
+            self.workers.get(id).is_some_and(|w| w.advice.get(step) == Some(&AdviceVerdict::Ineligible))
+        };
         workers.len() - workers.iter().filter(bad).count()
     }
 
@@ -205,7 +206,7 @@
             return;
         }
         if let Some(mut w) = self.workers.get_mut(id) {
-            w.advice.insert(task.step_id(), Verdict::TurnedDown(until));
+            w.advice.insert(task.step_id(), AdviceVerdict::TicketRejected(until));
         }
     }
 
@@ -264,8 +265,8 @@
         for id in asked {
             let Some(mut w) = self.workers.get_mut(id) else { continue };
             let verdict = match good.get(id) {
-                Some(ticket) => Verdict::Good(ticket.clone(), until),
-                None => Verdict::Bad,
+                Some(ticket) => AdviceVerdict::Eligible(ticket.clone(), until),
+                None => AdviceVerdict::Ineligible,
             };
             w.advice.insert(step, verdict);
         }
--- a/crates/workswood-core/src/jobs/advice_need.rs
+++ b/crates/workswood-core/src/jobs/advice_need.rs
@@ -10,7 +10,7 @@
 use super::placement::same_step;
 use super::sched::Scheduler;
 use super::spec::{Room, StepId, StepSpec, TaskId};
-use super::worker::{Verdict, Worker};
+use super::worker::{AdviceVerdict, Worker};
 use crate::ids::ServiceId;
 
 /// Share of the room in use that is taken to be free again while tickets hold.
@@ -86,7 +86,7 @@
 
     /// Room of workers that is free or will be soon, in thousandths of a core.
     fn room_soon(&self, workers: &[WorkerId]) -> f64 {
-        let of = |w: &Worker| w.free().cpu_millis as f64 + w.used.cpu_millis as f64 * FREE_AGAIN;
+        let of = |w: &Worker| w.free_room().cpu_millis as f64 + w.used_room.cpu_millis as f64 * FREE_AGAIN;
         workers.iter().filter_map(|id| self.workers.get(id)).map(of).sum()
     }
 
@@ -172,14 +172,14 @@
                 continue;
             }
             let good = match w.advice.get(&wanted.step) {
-                Some(Verdict::Good(_, until)) if *until > holds_until => {
+                Some(AdviceVerdict::Eligible(_, until)) if *until > holds_until => {
                     covered += fits;
                     continue;
                 }
-                Some(Verdict::Bad) => continue,
-                Some(Verdict::TurnedDown(until)) if *until > self.now => continue,
-                Some(Verdict::Good(..)) => true,
-                Some(Verdict::TurnedDown(_)) | None => false,
+                Some(AdviceVerdict::Ineligible) => continue,
+                Some(AdviceVerdict::TicketRejected(until)) if *until > self.now => continue,
+                Some(AdviceVerdict::Eligible(..)) => true,
+                Some(AdviceVerdict::TicketRejected(_)) | None => false,
             };
             let (far, crowd, faults, left) = self.cost(w, spec, first);
             let rank = (free == 0, far, !good, crowd, faults, left);
@@ -199,7 +199,7 @@
             let here = wish.wanted.tasks.first().map_or(0, |t| same_step(w, t)) as u32;
             most = most.min(wish.spec.most_per_worker.saturating_sub(here));
         }
-        let mut free = w.free();
+        let mut free = w.free_room();
         if wish.wanted.opens > self.now {
             // What the job runs here has ended when the step opens.
             let own = w.runs.iter().filter(|((t, _), _)| t.job == wish.job.key);
--- a/crates/workswood-core/src/jobs/crash_attribution.rs
+++ b/crates/workswood-core/src/jobs/crash_attribution.rs
@@ -259,7 +259,7 @@
             return;
         }
         let here = w.runs.keys().filter_map(|(task, n)| self.lost(id, task, *n));
-        let mut lost: Vec<Lost> = w.lapsed.iter().cloned().chain(here).collect();
+        let mut lost: Vec<Lost> = w.lapsed_runs.iter().cloned().chain(here).collect();
         lost.sort_by_key(|l| (l.task, l.attempt));
         // The first of these parts explains the crash; other runs are lost by chance.
         let part = lost.iter().map(|l| l.part).min();
@@ -279,7 +279,7 @@
     /// Whether a life that is over has crashed: it was not about to leave, and no order of
     /// ours ended it. One that leaves without a word is taken from the list, and answers on.
     fn is_crash(&self, w: &Worker) -> bool {
-        if w.unlisted_at.is_some_and(|at| at + ANSWERS_ON < w.heard) {
+        if w.unlisted_at.is_some_and(|at| at + ANSWERS_ON < w.last_heard) {
             return false;
         }
         // Of one that only records of runs speak of, nothing says otherwise.
@@ -290,9 +290,9 @@
     fn lost(&self, id: &WorkerId, task: &TaskId, attempt: u32) -> Option<Lost> {
         let w = self.workers.get(id)?;
         let run = self.run(id, task, attempt)?;
-        let lasted = run.ran(w.heard);
+        let lasted = run.ran(w.last_heard);
         // It crashed between its last answer and when it was found to be silent.
-        let found = w.heard + w.silent_for;
+        let found = w.last_heard + w.silent_for;
         let within = run.placed_at.map(|at| found.saturating_sub(at));
         Some(Lost { task: *task, attempt, lasted, within, part: self.part(run, lasted, within) })
     }
@@ -313,7 +313,7 @@
 
     /// Share of the workers that have a run now to which a crash would be put down.
     fn share_with_suspects(&self) -> f64 {
-        let young = |w: &Worker| w.last_start.is_some_and(|at| at + self.policy.crashes.young > self.now);
+        let young = |w: &Worker| w.last_start_at.is_some_and(|at| at + self.policy.crashes.young > self.now);
         let trial = |w: &Worker| w.quarantine.is_some_and(|q| q.trial.is_some() && q.until > self.now);
         let all = self.workers.len().max(1);
         self.workers.values().filter(|w| young(w) || trial(w)).count() as f64 / all as f64
@@ -394,7 +394,7 @@
             }
         }
         if let Some(mut w) = self.workers.get_mut(id) {
-            w.lapsed.push(l);
+            w.lapsed_runs.push(l);
         }
     }
 
@@ -413,7 +413,7 @@
 
     /// Forgets crashes under lasting tasks that have been at work for long since.
     pub(super) fn clear_proven(&mut self) {
-        let lasting = self.workers.values().filter(|w| w.reachable).flat_map(|w| &w.lasting);
+        let lasting = self.workers.values().filter(|w| w.reachable).flat_map(|w| &w.long_running);
         let proven: Vec<TaskId> = lasting.filter(|id| self.is_proven(id)).copied().collect();
         for id in proven {
             if let Some(task) = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(&id)) {
--- a/crates/workswood-core/src/jobs/crash_trials.rs
+++ b/crates/workswood-core/src/jobs/crash_trials.rs
@@ -128,9 +128,10 @@
     fn worker_for_trial(&self, service: &str, id: &TaskId, step: &StepSpec) -> Option<WorkerId> {
         let room = step.reserved();
         let young = self.policy.crashes.young;
-        let quiet = |w: &Worker| w.last_start.is_none_or(|at| at + young <= self.now);
+        let quiet = |w: &Worker| w.last_start_at.is_none_or(|at| at + young <= self.now);
         let free = |w: &Worker| !w.in_quarantine(self.now) || w.quarantine.is_some_and(|q| q.trial.is_none());
-        let fits = |w: &Worker| quiet(w) && free(w) && w.free().holds(&room) && self.may_try(w, step, id);
+        let fits =
+            |w: &Worker| quiet(w) && free(w) && w.free_room().holds(&room) && self.may_try(w, step, id);
         let open = self.workers.takers(service, room.cpu_millis).filter(|(_, w)| fits(w));
         open.min_by_key(|(_, w)| (self.cost(w, step, id).0, w.runs.len())).map(|(id, _)| id.clone())
     }
@@ -156,7 +157,7 @@
     /// Whether a task may be tried on a worker, but for its room.
     fn may_try(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> bool {
         let ticket = !self.is_advised(&id.step_id()) || w.ticket(&id.step_id(), self.now).is_some();
-        ticket && !w.is_shunned(self.now) && self.allowed(w, step, id)
+        ticket && !w.in_backoff(self.now) && self.allowed(w, step, id)
     }
 }
 
--- a/crates/workswood-core/src/jobs/ends.rs
+++ b/crates/workswood-core/src/jobs/ends.rs
@@ -12,7 +12,7 @@
 impl Scheduler {
     /// Takes the answer of a worker in.
     pub(super) fn reported(&mut self, id: &WorkerId, report: &Report) {
-        if report.whole {
+        if report.full {
             self.settle_earlier_lives(id, report);
         }
         self.answered(id);
@@ -28,11 +28,11 @@
     /// Notes that a worker answered, and so knows our token.
     fn answered(&mut self, id: &WorkerId) {
         let Some(mut w) = self.workers.get_mut(id) else { return };
-        let back = !w.reachable || !w.fenced;
-        w.doubted = false;
-        w.lapsed.clear();
+        let back = !w.reachable || !w.token_accepted;
+        w.poll_overdue = false;
+        w.lapsed_runs.clear();
         w.reachable = true;
-        w.fenced = true;
+        w.token_accepted = true;
         if back {
             self.place_again.extend(w.info.as_ref().map(|i| i.service.clone()));
             self.notes.push(format_args!("event=worker_reached worker={id} token={}", self.token));
@@ -41,14 +41,14 @@
 
     /// Takes in the ends that are not on record yet.
     fn take_ends(&mut self, id: &WorkerId, ended: &[ReportedEnd]) {
-        let known = self.workers.get(id).map_or(0, |w| w.recorded_ends);
+        let known = self.workers.get(id).map_or(0, |w| w.last_recorded_end);
         let mut last = known;
-        for end in ended.iter().filter(|e| e.number > known) {
-            last = last.max(end.number);
+        for end in ended.iter().filter(|e| e.sequence_number > known) {
+            last = last.max(end.sequence_number);
             self.run_ended(id, end);
         }
         if let Some(mut w) = self.workers.get_mut(id) {
-            w.recorded_ends = last;
+            w.last_recorded_end = last;
         }
         if !ended.is_empty() {
             self.forget.insert(id.clone(), last);
@@ -90,7 +90,7 @@
         if let Some(held) = self.jobs.held_by(&listed.task)
             && let Some(mut w) = self.workers.get_mut(id)
         {
-            w.take(listed.task, listed.attempt, held);
+            w.add_run(listed.task, listed.attempt, held);
         }
         self.actions.push(Action::Stop(id.clone(), listed.task, listed.attempt));
     }
@@ -110,8 +110,8 @@
         let run = Run::new(id.clone(), listed.attempt, Phase::Running, now);
         task.runs.push(Run { known_at: Some(now), ..run });
         if let Some(mut w) = self.workers.get_mut(id) {
-            w.take(listed.task, listed.attempt, spec.held(step));
-            w.mark(&listed.task, step);
+            w.add_run(listed.task, listed.attempt, spec.held(step));
+            w.note_task_kind(&listed.task, step);
         }
         self.unqueue(&listed.task);
         self.dirty.insert(listed.task.job);
@@ -125,10 +125,10 @@
     /// Settles runs that are over without an end. A whole report lists all there is: the
     /// token that its look carried keeps earlier starts out, and none was sent since.
     fn settle_missing(&mut self, id: &WorkerId, report: &Report) {
-        for (task, attempt) in &report.gone {
+        for (task, attempt) in &report.missing {
             self.settle(id, task, *attempt, "not_listed");
         }
-        if !report.whole {
+        if !report.full {
             return;
         }
         let listed: HashSet<(TaskId, u32)> = report.running.iter().map(|r| (r.task, r.attempt)).collect();
@@ -145,7 +145,7 @@
     fn run_ended(&mut self, id: &WorkerId, end: &ReportedEnd) {
         let (now, task_id) = (self.now, end.task);
         let info = self.workers.get_mut(id).and_then(|mut w| {
-            w.release(task_id, end.attempt);
+            w.remove_run(task_id, end.attempt);
             w.info.clone()
         });
         if let Some(info) = info {
@@ -153,7 +153,7 @@
         }
         self.notes.push(format_args!(
             "event=run_ended worker={id} task={task_id} attempt={} how={:?} number={}",
-            end.attempt, end.kind, end.number
+            end.attempt, end.kind, end.sequence_number
         ));
         let Some(job) = self.jobs.get_mut(&task_id.job) else { return };
         let spec = job.spec.clone();
@@ -257,7 +257,7 @@
         }
         let until = now + (self.policy.health.shun_for * faults).min(self.policy.health.shun_at_most);
         if let Some(mut w) = self.workers.get_mut(id) {
-            w.shunned_until = until;
+            w.backoff_until = until;
         }
         self.notes.push(format_args!("event=worker_shunned worker={id} faults={faults}"));
     }
@@ -267,7 +267,7 @@
         let service = self.workers.get(id).and_then(|w| w.info.as_ref()).map(|i| &i.service);
         let same = |w: &&Worker| w.listed && w.info.as_ref().map(|i| &i.service) == service;
         let all = self.workers.values().filter(same).count();
-        let shunned = self.workers.values().filter(same).filter(|w| w.is_shunned(self.now)).count();
+        let shunned = self.workers.values().filter(same).filter(|w| w.in_backoff(self.now)).count();
         (shunned + 1) * self.policy.health.shun_one_of <= all
     }
 }
@@ -285,10 +285,10 @@
     if !listed.checkpoint.is_empty() {
         task.checkpoint.clone_from(&listed.checkpoint);
     }
-    run.figure = listed.figure;
+    run.figure = listed.load;
     run.percent = listed.percent;
-    run.progressed = now.saturating_sub(listed.still);
-    run.still_since = (!listed.still.is_zero()).then_some(run.progressed);
+    run.progressed = now.saturating_sub(listed.stalled_for);
+    run.still_since = (!listed.stalled_for.is_zero()).then_some(run.progressed);
     run.known_at.get_or_insert(now);
     if matches!(run.phase, Phase::Starting | Phase::Inherited) {
         run.enter(Phase::Running, now);
--- a/crates/workswood-core/src/jobs/eviction.rs
+++ b/crates/workswood-core/src/jobs/eviction.rs
@@ -67,7 +67,7 @@
         let Some(w) = self.workers.get(&run.worker) else { return false };
         let heard = w.relay.as_ref().map_or(Duration::ZERO, |r| self.relays.heard(r));
         let believed = self.now <= heard + self.policy.health.believed_for;
-        run.warm() && !run.evicted && w.reachable && !w.doubted && believed
+        run.warm() && !run.evicted && w.reachable && !w.poll_overdue && believed
     }
 
     /// Evicts lasting tasks of a worker as far as their budgets allow;
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -96,7 +96,7 @@
 };
 pub use wave::{Wave, WaveRecord};
 pub use worker::{
-    EndKind, Listing, Report, ReportedEnd, ReportedRun, Verdict, Worker, WorkerAddress, WorkerInfo,
+    AdviceVerdict, EndKind, Listing, Report, ReportedEnd, ReportedRun, Worker, WorkerAddress, WorkerInfo,
     WorkerRecord,
 };
 pub use workspace::{Owner, Workspace, Workspaces};
--- a/crates/workswood-core/src/jobs/placement.rs
+++ b/crates/workswood-core/src/jobs/placement.rs
@@ -100,7 +100,7 @@
 
     /// Workers of a service that take work, by name.
     pub(super) fn takers(&self, service: &str) -> Vec<WorkerId> {
-        let takers = self.workers.takers(service, 0).filter(|(_, w)| !w.is_shunned(self.now));
+        let takers = self.workers.takers(service, 0).filter(|(_, w)| !w.in_backoff(self.now));
         let mut ids: Vec<WorkerId> = takers.map(|(id, _)| id.clone()).collect();
         ids.sort();
         ids
@@ -151,13 +151,13 @@
             let Some(job) = self.jobs.get(&id.job) else { break };
             let Some(worker) = self.choose(job, step, m, service) else { break };
             if let Some(mut w) = self.workers.get_mut(&worker) {
-                w.take(*m, attempt, step.reserved());
+                w.add_run(*m, attempt, step.reserved());
             }
             places.push((*m, worker));
         }
         for (m, worker) in &places {
             if let Some(mut w) = self.workers.get_mut(worker) {
-                w.release(*m, attempt);
+                w.remove_run(*m, attempt);
             }
         }
         if places.len() < members.len() {
@@ -181,8 +181,8 @@
         let advised = self.is_advised(&id.step_id());
         let fits = |w: &Worker| {
             let ticket = !advised || w.ticket(&id.step_id(), self.now).is_some();
-            let closed = w.is_shunned(self.now) || w.in_quarantine(self.now);
-            ticket && !closed && w.free().holds(&room) && self.allowed(w, step, id)
+            let closed = w.in_backoff(self.now) || w.in_quarantine(self.now);
+            ticket && !closed && w.free_room().holds(&room) && self.allowed(w, step, id)
         };
         let takers = || self.workers.takers(service, room.cpu_millis).filter(|(_, w)| fits(w));
         let best = |skip: Option<&WorkerId>| {
@@ -201,7 +201,7 @@
         let others = if advised {
             self.may_be_good(&self.takers(service), &id.step_id())
         } else {
-            self.workers.takers(service, 0).filter(|(_, w)| !w.is_shunned(self.now)).take(2).count()
+            self.workers.takers(service, 0).filter(|(_, w)| !w.in_backoff(self.now)).take(2).count()
         };
         if others > 1 { None } else { best(None) }
     }
@@ -226,7 +226,7 @@
             let labels = w.info.as_ref().map(|i| i.labels.as_slice()).unwrap_or_default();
             !labels.contains(rack)
         });
-        (far, self.crowd(w, step, id), w.faults, w.free().cpu_millis)
+        (far, self.crowd(w, step, id), w.faults, w.free_room().cpu_millis)
     }
 
     /// What speaks against a worker for what runs there already.
@@ -237,13 +237,13 @@
         }
         let beside = match (step.fills, step.target) {
             // Beside others that fill: a host with one of them is never empty.
-            (true, _) if !policy.fills_beside => 2 * w.serves.len() + usize::from(w.fills.is_empty()),
-            (false, Some(_)) => w.fills.len(),
+            (true, _) if !policy.fills_beside => 2 * w.serving.len() + usize::from(w.best_effort.is_empty()),
+            (false, Some(_)) => w.best_effort.len(),
             _ => 0,
         };
         // Apart from tasks that are alike, on hosts where some task lasts already.
         let alike = if step.fills { 0 } else { same_step(w, id) };
-        let together = 2 * alike + usize::from(w.lasting.is_empty());
+        let together = 2 * alike + usize::from(w.long_running.is_empty());
         beside * MOST_ALIKE + together
     }
 
@@ -270,11 +270,11 @@
         self.dirty.insert(id.job);
         if let Some(mut w) = self.workers.get_mut(worker) {
             let held = spec.held(step);
-            let fits = w.free().holds(&held.room);
+            let fits = w.free_room().holds(&held.room);
             invariant::check(fits, || format!("start of {id} on {worker} does not fit"));
-            w.take(*id, attempt, held);
-            w.mark(id, step);
-            w.last_start = Some(now);
+            w.add_run(*id, attempt, held);
+            w.note_task_kind(id, step);
+            w.last_start_at = Some(now);
             if let Some(lasts) = trial {
                 w.begin_trial(*id, attempt, now, lasts);
             }
@@ -285,7 +285,7 @@
         let ticket = w.and_then(|w| w.ticket(&id.step_id(), now));
         self.actions.push(Action::Start {
             worker: worker.clone(),
-            token: self.worker_token(w.map_or(0, |w| w.relays)),
+            token: self.worker_token(w.map_or(0, |w| w.relay_count)),
             task: *id,
             attempt,
             text: Arc::clone(&spec.text),
--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -126,7 +126,7 @@
 impl Scheduler {
     /// The token with which a worker is attended now; `None` if it is not known.
     pub fn token_of(&self, id: &WorkerId) -> Option<Term> {
-        self.workers.get(id).map(|w| self.worker_token(w.relays))
+        self.workers.get(id).map(|w| self.worker_token(w.relay_count))
     }
 
     /// The token of a worker's relay, the first of a term being 1.
@@ -177,9 +177,9 @@
             w.lease_end = w.lease_end.max(lease_end);
         }
         w.reachable = false;
-        w.fenced = false;
-        w.doubted = false;
-        w.figures = false;
+        w.token_accepted = false;
+        w.poll_overdue = false;
+        w.reports_load = false;
         drop(w);
         if let Some(relay) = relay {
             self.leave_relay(id, &relay);
@@ -222,9 +222,9 @@
     /// Has the figures of a worker told as long as tasks fill it up.
     pub(super) fn want_figures(&mut self, id: &WorkerId) {
         let Some(mut w) = self.workers.get_mut(id) else { return };
-        let wanted = !w.fills.is_empty();
-        if w.figures != wanted && w.reachable {
-            w.figures = wanted;
+        let wanted = !w.best_effort.is_empty();
+        if w.reports_load != wanted && w.reachable {
+            w.reports_load = wanted;
             self.relays.orders.push(Action::Figures(id.clone(), wanted));
         }
     }
@@ -244,8 +244,8 @@
         let before = self.relays.given.get(id.name()).copied().unwrap_or(0);
         let Some(mut w) = self.workers.get_mut(id) else { return };
         w.relay = Some(entry.clone());
-        w.relays = 1 + w.relays.max(before);
-        let relays = w.relays;
+        w.relay_count = 1 + w.relay_count.max(before);
+        let relays = w.relay_count;
         drop(w);
         if id.started().is_some() {
             self.note_relays(id, relays);
@@ -343,13 +343,13 @@
     /// at the worker.
     pub(super) fn relayed(&mut self, id: &WorkerId, token: Term, news: News) {
         let present = self.workers.get(id).filter(|w| w.relay.is_some());
-        if present.is_none_or(|w| self.worker_token(w.relays) != token) {
+        if present.is_none_or(|w| self.worker_token(w.relay_count) != token) {
             return;
         }
         if let Some(heard) = self.heard_with(&news)
             && let Some(mut w) = self.workers.get_mut(id)
         {
-            w.heard = w.heard.max(heard);
+            w.last_heard = w.last_heard.max(heard);
         }
         match news {
             News::Reported(report) => self.reported(id, &report),
@@ -389,7 +389,7 @@
         for id in workers {
             let Some(w) = self.workers.get(&id) else { continue };
             let Some(info) = &w.info else { continue };
-            let (info, token) = ((**info).clone(), self.worker_token(w.relays));
+            let (info, token) = ((**info).clone(), self.worker_token(w.relay_count));
             self.relays.orders.push(Action::Watch { relay: entry.clone(), info, token });
         }
     }
--- a/crates/workswood-core/src/jobs/run_tracker.rs
+++ b/crates/workswood-core/src/jobs/run_tracker.rs
@@ -103,9 +103,9 @@
         let all = whole || self.figures;
         let running = listing.running.into_iter().filter_map(|row| self.row(row, all, now)).collect();
         let known = if whole { 0 } else { self.last_end };
-        let ended: Vec<_> = listing.ended.into_iter().filter(|e| e.number > known).collect();
-        self.last_end = ended.iter().map(|e| e.number).fold(known, u64::max);
-        Report { whole, running, gone, ended }
+        let ended: Vec<_> = listing.ended.into_iter().filter(|e| e.sequence_number > known).collect();
+        self.last_end = ended.iter().map(|e| e.sequence_number).fold(known, u64::max);
+        Report { full: whole, running, missing: gone, ended }
     }
 
     /// Runs that should be listed and are not.
@@ -148,6 +148,6 @@
             run.checkpoint.clone_from(&row.checkpoint);
             run.checkpoint_told = now;
         }
-        Some(ReportedRun { still, ..row })
+        Some(ReportedRun { stalled_for: still, ..row })
     }
 }
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -187,9 +187,9 @@
 
     /// Takes over a worker that a predecessor recorded.
     pub fn restore_worker(&mut self, id: WorkerId, rec: WorkerRecord) {
-        let info = WorkerInfo::restore(id.clone(), rec);
+        let info = WorkerInfo::from_record(id.clone(), rec);
         let (lease_end, since) = (self.inherited_lease_end(), self.since);
-        let mut w = self.workers.get_or_insert_with(&id, || Worker::unknown(lease_end, since));
+        let mut w = self.workers.get_or_insert_with(&id, || Worker::new(lease_end, since));
         w.info = Some(Arc::new(info));
         drop(w);
         // Its address tells whether that life is over.
@@ -231,10 +231,10 @@
             let Some(task) = job.task(&id) else { continue };
             for run in &task.runs {
                 let since = self.since;
-                let mut w = self.workers.get_or_insert_with(&run.worker, || Worker::unknown(bound, since));
+                let mut w = self.workers.get_or_insert_with(&run.worker, || Worker::new(bound, since));
                 if let Some(step) = job.step(&id) {
-                    w.take(id, run.attempt, job.spec.held(step));
-                    w.mark(&id, step);
+                    w.add_run(id, run.attempt, job.spec.held(step));
+                    w.note_task_kind(&id, step);
                 }
                 places.insert(run.worker.clone());
             }
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/settle.rs
@@ -56,7 +56,7 @@
         let now = self.now;
         let cordoned = self.is_cordoned(&info.host);
         let evacuated = self.evacuated.contains(&info.data_centre);
-        let mut w = self.workers.get_or_insert_with(&id, || Worker::unknown(now, now));
+        let mut w = self.workers.get_or_insert_with(&id, || Worker::new(now, now));
         w.cordoned = cordoned;
         w.evacuated = evacuated;
         let fresh = w.info.is_none() || !w.listed;
@@ -143,7 +143,7 @@
     pub(super) fn unanswered(&mut self, id: &WorkerId, lease_end: Duration) {
         let Some(mut w) = self.workers.get_mut(id) else { return };
         if w.reachable {
-            w.silent_for = self.now.saturating_sub(w.heard);
+            w.silent_for = self.now.saturating_sub(w.last_heard);
             let silent = w.silent_for.as_millis();
             self.notes.push(format_args!(
                 "event=worker_unreachable worker={id} runs={} silent_ms={silent}",
@@ -157,7 +157,7 @@
     /// The answer of a worker is late.
     pub(super) fn doubt(&mut self, id: &WorkerId) {
         if let Some(mut w) = self.workers.get_mut(id) {
-            w.doubted = true;
+            w.poll_overdue = true;
         }
     }
 
@@ -170,9 +170,9 @@
     /// Notes when a life last answered that is over.
     pub(super) fn note_last_heard(&mut self, id: &WorkerId, heard: Duration) {
         if let Some(mut w) = self.workers.get_mut(id) {
-            w.heard = w.heard.max(heard);
+            w.last_heard = w.last_heard.max(heard);
             if w.reachable {
-                w.silent_for = self.now.saturating_sub(w.heard);
+                w.silent_for = self.now.saturating_sub(w.last_heard);
             }
         }
     }
@@ -204,8 +204,8 @@
     /// A run is over without an end of its own.
     pub(super) fn settle(&mut self, id: &WorkerId, task_id: &TaskId, attempt: u32, why: &str) {
         let heard = self.workers.get_mut(id).map_or(Duration::ZERO, |mut w| {
-            w.release(*task_id, attempt);
-            w.heard
+            w.remove_run(*task_id, attempt);
+            w.last_heard
         });
         let Some(task) = self.jobs.get_mut(&task_id.job).and_then(|j| j.task_mut(task_id)) else { return };
         let run = task.runs.iter().position(|r| r.worker == *id && r.attempt == attempt);
@@ -279,7 +279,7 @@
         };
         let until = self.now + shun_for;
         if let Some(mut w) = self.workers.get_mut(id) {
-            w.shunned_until = w.shunned_until.max(until);
+            w.backoff_until = w.backoff_until.max(until);
         }
     }
 
--- a/crates/workswood-core/src/jobs/share.rs
+++ b/crates/workswood-core/src/jobs/share.rs
@@ -15,11 +15,11 @@
     /// Sets the pace of the filling tasks of a worker after a look.
     pub(super) fn share_worker(&mut self, id: &WorkerId) {
         let Some(w) = self.workers.get(id) else { return };
-        if w.fills.is_empty() {
+        if w.best_effort.is_empty() {
             return;
         }
-        let load = w.serves.iter().filter_map(|t| self.load_of(id, t)).fold(0.0, f64::max);
-        let fills: Vec<TaskId> = w.fills.iter().copied().collect();
+        let load = w.serving.iter().filter_map(|t| self.load_of(id, t)).fold(0.0, f64::max);
+        let fills: Vec<TaskId> = w.best_effort.iter().copied().collect();
         for task in fills {
             let Some(t) = self.jobs.get_mut(&task.job).and_then(|j| j.task_mut(&task)) else { continue };
             let running = |r: &&mut Run| r.worker == *id && r.phase == Phase::Running;
--- a/crates/workswood-core/src/jobs/worker.rs
+++ b/crates/workswood-core/src/jobs/worker.rs
@@ -64,7 +64,7 @@
 
 impl WorkerInfo {
     /// Where it is reached.
-    pub fn reached_at(&self) -> WorkerAddress {
+    pub fn worker_address(&self) -> WorkerAddress {
         WorkerAddress {
             id: self.id.clone(),
             address: self.address.clone(),
@@ -84,7 +84,7 @@
 
     /// What a record tells; room and labels are those of no worker, so that
     /// nothing is placed before the worker is listed.
-    pub fn restore(id: WorkerId, rec: WorkerRecord) -> WorkerInfo {
+    pub fn from_record(id: WorkerId, rec: WorkerRecord) -> WorkerInfo {
         WorkerInfo {
             id,
             service: rec.service,
@@ -110,9 +110,9 @@
     /// Share of the work done, or of the warm-up of a lasting task.
     pub percent: u32,
     /// Slow answers in ms of a task that serves; else processor use.
-    pub figure: u64,
+    pub load: u64,
     /// How long its progress has stood still; zero for a lasting task past its warm-up.
-    pub still: Duration,
+    pub stalled_for: Duration,
 }
 
 /// How a run ended.
@@ -136,7 +136,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportedEnd {
     /// Number of the end within the worker's life; rises from 1.
-    pub number: u64,
+    pub sequence_number: u64,
     /// The task.
     pub task: TaskId,
     /// Number of the try.
@@ -161,11 +161,11 @@
 pub struct Report {
     /// Whether all that runs is listed: the first answer to whoever attends the worker.
     /// Nothing was sent to it before.
-    pub whole: bool,
+    pub full: bool,
     /// Runs that are new, or of which something is.
     pub running: Vec<ReportedRun>,
     /// Runs that are over although no end is listed.
-    pub gone: Vec<(TaskId, u32)>,
+    pub missing: Vec<(TaskId, u32)>,
     /// Ends that are new.
     pub ended: Vec<ReportedEnd>,
 }
@@ -173,7 +173,7 @@
 impl Report {
     /// Whether it tells nothing but that the worker answered.
     pub fn is_empty(&self) -> bool {
-        !self.whole && self.running.is_empty() && self.gone.is_empty() && self.ended.is_empty()
+        !self.full && self.running.is_empty() && self.missing.is_empty() && self.ended.is_empty()
     }
 }
 
@@ -185,22 +185,22 @@
     /// Whether it was listed when we last heard of the list.
     pub listed: bool,
     /// Whether our token is known to it.
-    pub fenced: bool,
+    pub token_accepted: bool,
     /// Whether its last look was answered.
     pub reachable: bool,
     /// Whether the answer to the present look is late.
-    pub doubted: bool,
+    pub poll_overdue: bool,
     /// The entry that attends it, once one does.
     pub relay: Option<HostId>,
     /// How many it has had in this term.
-    pub relays: u32,
+    pub relay_count: u32,
     /// Whether its relay tells the figures of all that runs with each look.
-    pub figures: bool,
+    pub reports_load: bool,
     /// When we, or a predecessor, knew of it at the latest.
     pub known_since: Duration,
     /// When it last answered, as far as that was told. Answers that hold nothing new are
     /// told only with the first one that does not come.
-    pub heard: Duration,
+    pub last_heard: Duration,
     /// How long it had been silent when it was found to answer no more.
     pub silent_for: Duration,
     /// When everything on it must have ended if we stop extending its lease.
@@ -208,97 +208,97 @@
     /// Runs that may exist there, with what each takes.
     pub runs: Map<(TaskId, u32), Held>,
     /// What began or ended since the accounts of workspaces were told.
-    pub(super) changes: Vec<Change>,
+    pub(super) account_changes: Vec<Change>,
     /// Tasks of these runs that last.
-    pub lasting: BTreeSet<TaskId>,
+    pub long_running: BTreeSet<TaskId>,
     /// Tasks of these runs that fill.
-    pub fills: BTreeSet<TaskId>,
+    pub best_effort: BTreeSet<TaskId>,
     /// Tasks of these runs that serve users.
-    pub serves: BTreeSet<TaskId>,
+    pub serving: BTreeSet<TaskId>,
     /// Room taken by `runs`.
-    pub used: Room,
+    pub used_room: Room,
     /// When it was found to be listed no longer.
     pub unlisted_at: Option<Duration>,
     /// Runs that are over since its lease has ended; whether it has crashed is not known.
-    pub lapsed: Vec<Lost>,
+    pub lapsed_runs: Vec<Lost>,
     /// Whether it takes no work but a trial of a suspected task.
     pub quarantine: Option<Quarantine>,
     /// When a task was last started here.
-    pub last_start: Option<Duration>,
+    pub last_start_at: Option<Duration>,
     /// Highest number of an end that is on record.
-    pub recorded_ends: u64,
+    pub last_recorded_end: u64,
     /// Tasks that failed or stood still here lately, without one done since.
     pub faults: u32,
     /// No new work before this moment.
-    pub shunned_until: Duration,
+    pub backoff_until: Duration,
     /// Whether maintenance or a move keeps new work away.
     pub cordoned: bool,
     /// Whether its worker is known to have started again; what ran here is settled with the first
     /// answer of its later life.
-    pub replaced: bool,
+    pub superseded: bool,
     /// Whether its data centre is being evacuated, which keeps new work away, too.
     pub evacuated: bool,
     /// What the adviser has said of this life, by step.
-    pub advice: HashMap<StepId, Verdict>,
+    pub advice: HashMap<StepId, AdviceVerdict>,
 }
 
 /// What the adviser has said of a worker and a step.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum AdviceVerdict {
     /// It may run the step: with this ticket, for starts sent before this time.
-    Good(Arc<str>, Duration),
+    Eligible(Arc<str>, Duration),
     /// It may not; that does not change.
-    Bad,
+    Ineligible,
     /// Its ticket was turned down; it is not asked about before this time.
-    TurnedDown(Duration),
+    TicketRejected(Duration),
 }
 
 impl Worker {
     /// A worker that nothing is known of.
-    pub fn unknown(lease_end: Duration, known_since: Duration) -> Worker {
+    pub fn new(lease_end: Duration, known_since: Duration) -> Worker {
         Worker {
             info: None,
             listed: false,
-            fenced: false,
+            token_accepted: false,
             reachable: false,
-            doubted: false,
+            poll_overdue: false,
             relay: None,
-            relays: 0,
-            figures: false,
+            relay_count: 0,
+            reports_load: false,
             known_since,
-            heard: Duration::ZERO,
+            last_heard: Duration::ZERO,
             silent_for: Duration::ZERO,
             lease_end,
             runs: Map::default(),
-            changes: Vec::new(),
-            lasting: BTreeSet::new(),
-            fills: BTreeSet::new(),
-            serves: BTreeSet::new(),
-            used: Room::default(),
+            account_changes: Vec::new(),
+            long_running: BTreeSet::new(),
+            best_effort: BTreeSet::new(),
+            serving: BTreeSet::new(),
+            used_room: Room::default(),
             unlisted_at: None,
-            lapsed: Vec::new(),
+            lapsed_runs: Vec::new(),
             quarantine: None,
-            last_start: None,
-            recorded_ends: 0,
+            last_start_at: None,
+            last_recorded_end: 0,
             faults: 0,
-            shunned_until: Duration::ZERO,
+            backoff_until: Duration::ZERO,
             cordoned: false,
-            replaced: false,
+            superseded: false,
             evacuated: false,
             advice: HashMap::new(),
         }
     }
 
     /// Whether it may be given new work, unless it is shunned.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         let Some(info) = &self.info else { return false };
         let open = !self.cordoned && !self.evacuated && !info.draining;
-        self.listed && self.fenced && self.reachable && open
+        self.listed && self.token_accepted && self.reachable && open
     }
 
     /// Whether it is kept from new work for a while.
-    pub fn is_shunned(&self, now: Duration) -> bool {
-        self.shunned_until > now
+    pub fn in_backoff(&self, now: Duration) -> bool {
+        self.backoff_until > now
     }
 
     /// A trial begins here, that nothing else may begin beside for so long.
@@ -315,51 +315,51 @@
     /// The ticket with which a task of the step may be started now.
     pub fn ticket(&self, step: &StepId, now: Duration) -> Option<Arc<str>> {
         match self.advice.get(step) {
-            Some(Verdict::Good(ticket, until)) if now < *until => Some(ticket.clone()),
+            Some(AdviceVerdict::Eligible(ticket, until)) if now < *until => Some(ticket.clone()),
             _ => None,
         }
     }
 
     /// Room that is free.
-    pub fn free(&self) -> Room {
-        self.info.as_ref().map(|i| i.capacity.minus(&self.used)).unwrap_or_default()
+    pub fn free_room(&self) -> Room {
+        self.info.as_ref().map(|i| i.capacity.minus(&self.used_room)).unwrap_or_default()
     }
 
     /// Takes room for a run.
-    pub fn take(&mut self, task: TaskId, attempt: u32, held: impl Into<Held>) {
+    pub fn add_run(&mut self, task: TaskId, attempt: u32, held: impl Into<Held>) {
         let held = held.into();
         if let Entry::Vacant(entry) = self.runs.entry((task, attempt)) {
             entry.insert(held);
-            self.used.add(&held.room);
-            self.changes.push(Change::Taken(held));
+            self.used_room.add(&held.room);
+            self.account_changes.push(Change::Taken(held));
         }
     }
 
     /// Notes whether a task that runs here lasts, and whether it serves or fills.
-    pub fn mark(&mut self, task: &TaskId, step: &StepSpec) {
+    pub fn note_task_kind(&mut self, task: &TaskId, step: &StepSpec) {
         if step.lasting {
-            self.lasting.insert(*task);
+            self.long_running.insert(*task);
         }
         if step.fills {
-            self.fills.insert(*task);
+            self.best_effort.insert(*task);
         } else if step.target.is_some() {
-            self.serves.insert(*task);
+            self.serving.insert(*task);
         }
     }
 
     /// Gives the room of a run back.
-    pub fn release(&mut self, task: TaskId, attempt: u32) {
+    pub fn remove_run(&mut self, task: TaskId, attempt: u32) {
         if let Some(held) = self.runs.remove(&(task, attempt)) {
-            self.used = self.used.minus(&held.room);
-            self.changes.push(Change::GivenBack(held));
+            self.used_room = self.used_room.minus(&held.room);
+            self.account_changes.push(Change::GivenBack(held));
         }
         if self.quarantine.is_some_and(|q| q.trial == Some((task, attempt))) {
             self.quarantine = None;
         }
         if !self.runs.keys().any(|(t, _)| *t == task) {
-            self.lasting.remove(&task);
-            self.fills.remove(&task);
-            self.serves.remove(&task);
+            self.long_running.remove(&task);
+            self.best_effort.remove(&task);
+            self.serving.remove(&task);
         }
     }
 }
--- a/crates/workswood-core/src/jobs/worker_index.rs
+++ b/crates/workswood-core/src/jobs/worker_index.rs
@@ -225,7 +225,7 @@
 impl Index {
     /// Takes in what changed of a worker.
     fn update(&mut self, e: &mut Entry) {
-        e.worker.changes.drain(..).for_each(|change| self.accounts.take(change));
+        e.worker.account_changes.drain(..).for_each(|change| self.accounts.take(change));
         let w = &e.worker;
         let same_info = match (&e.kept.info, &w.info) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
@@ -246,13 +246,13 @@
     /// Takes in what changes with each run.
     fn update_room(&mut self, id: &WorkerId, w: &Worker, kept: &mut Kept) {
         let Some(pool) = kept.info.as_ref().and_then(|i| self.pools.get_mut(&i.service)) else { return };
-        let used = if w.evacuated { Room::default() } else { w.used };
+        let used = if w.evacuated { Room::default() } else { w.used_room };
         if kept.used != used {
             pool.used = pool.used.minus(&kept.used);
             pool.used.add(&used);
             kept.used = used;
         }
-        let taker = w.takes_work().then(|| (w.faults, w.free().cpu_millis));
+        let taker = w.accepts_work().then(|| (w.faults, w.free_room().cpu_millis));
         if kept.taker != taker {
             pool.remove_taker(id, kept.taker);
             kept.taker = taker;
--- a/crates/workswood-core/src/jobs/worker_restart.rs
+++ b/crates/workswood-core/src/jobs/worker_restart.rs
@@ -32,9 +32,9 @@
         }
         if let Some(info) = info.filter(|_| !self.workers.contains_key(&later)) {
             // It may be of another kind: its room and labels are known once it is listed.
-            let info = WorkerInfo::restore(later.clone(), info.record());
+            let info = WorkerInfo::from_record(later.clone(), info.record());
             let now = self.now;
-            self.workers.get_or_insert_with(&later, || Worker::unknown(now, now)).info = Some(info.into());
+            self.workers.get_or_insert_with(&later, || Worker::new(now, now)).info = Some(info.into());
             self.dirty_workers.insert(later.clone());
             self.attend(&later);
         }
@@ -66,11 +66,11 @@
     fn replace_earlier_lives(&mut self, later: &WorkerId) {
         for id in self.earlier_lives(later) {
             let bound = self.stray_lease_end();
-            let Some(mut w) = self.workers.get_mut(&id).filter(|w| !w.replaced) else { continue };
-            w.replaced = true;
+            let Some(mut w) = self.workers.get_mut(&id).filter(|w| !w.superseded) else { continue };
+            w.superseded = true;
             w.listed = false;
             w.lease_end = w.lease_end.max(bound);
-            let (runs, relays) = (w.runs.len(), w.relays);
+            let (runs, relays) = (w.runs.len(), w.relay_count);
             drop(w);
             self.note_relays(&id, relays);
             self.notes.push(format_args!("event=worker_restarted worker={later} before={id} runs={runs}"));
@@ -117,11 +117,11 @@
         let Some(run) = t.runs.iter_mut().find(meant) else { return };
         run.worker = later.clone();
         if let Some(mut w) = self.workers.get_mut(earlier) {
-            w.release(*task, attempt);
+            w.remove_run(*task, attempt);
         }
         if let Some(mut w) = self.workers.get_mut(later) {
-            w.take(*task, attempt, spec.held(step));
-            w.mark(task, step);
+            w.add_run(*task, attempt, spec.held(step));
+            w.note_task_kind(task, step);
         }
         self.dirty.insert(task.job);
         self.notes.push(format_args!(
--- a/crates/workswood-test-support/src/host_world.rs
+++ b/crates/workswood-test-support/src/host_world.rs
@@ -90,8 +90,8 @@
         attempt: *attempt,
         checkpoint: String::new(),
         percent: 100,
-        figure: 0,
-        still: Duration::ZERO,
+        load: 0,
+        stalled_for: Duration::ZERO,
     })
 }
 
--- a/crates/workswood-test-support/src/job_world/oracle.rs
+++ b/crates/workswood-test-support/src/job_world/oracle.rs
@@ -18,12 +18,12 @@
     /// A worker forgets its ends up to a number: they count as noted.
     pub(super) fn note_forgotten(&mut self, at: usize, forget: u64) {
         let w = &mut self.workers[at];
-        let noted = w.ended.iter().filter(|e| e.number <= forget && e.kind == EndKind::Done);
+        let noted = w.ended.iter().filter(|e| e.sequence_number <= forget && e.kind == EndKind::Done);
         self.noted.extend(noted.map(|e| e.task));
-        for e in w.ended.iter().filter(|e| e.number <= forget && e.kind == EndKind::Failed) {
+        for e in w.ended.iter().filter(|e| e.sequence_number <= forget && e.kind == EndKind::Failed) {
             *self.failed.entry(e.task).or_default() += 1;
         }
-        w.ended.retain(|e| e.number > forget);
+        w.ended.retain(|e| e.sequence_number > forget);
     }
 
     /// Runs have ended.
--- a/crates/workswood-test-support/src/job_world/worker.rs
+++ b/crates/workswood-test-support/src/job_world/worker.rs
@@ -91,7 +91,13 @@
             self.numbers += 1;
             self.over.insert(task, r.attempt);
             let checkpoint = String::new();
-            self.ended.push(ReportedEnd { number: self.numbers, task, attempt: r.attempt, kind, checkpoint });
+            self.ended.push(ReportedEnd {
+                sequence_number: self.numbers,
+                task,
+                attempt: r.attempt,
+                kind,
+                checkpoint,
+            });
         }
         self.ended[first..].iter().map(|e| (e.task, e.kind)).collect()
     }
@@ -152,8 +158,8 @@
                 attempt: r.attempt,
                 checkpoint: String::new(),
                 percent: (passed / whole).min(100) as u32,
-                figure: 0,
-                still: Duration::ZERO,
+                load: 0,
+                stalled_for: Duration::ZERO,
             }
         });
         Listing { running: running.collect(), ended: self.ended.clone() }
--- a/crates/workswood-test-support/src/turn_store.rs
+++ b/crates/workswood-test-support/src/turn_store.rs
@@ -302,8 +302,8 @@
         attempt: n as u32,
         checkpoint: String::new(),
         percent: 0,
-        figure: 0,
-        still: Duration::ZERO,
+        load: 0,
+        stalled_for: Duration::ZERO,
     };
     Listing { running: vec![run], ended: Vec::new() }
 }
--- a/src/workswood/ops/jobs/relay/look.rs
+++ b/src/workswood/ops/jobs/relay/look.rs
@@ -169,7 +169,7 @@
         self.forgotten = self.forgotten.max(forget);
         self.patience.note(now - begun);
         self.link.answered(clock, now);
-        let last = listing.ended.iter().map(|e| e.number).max().unwrap_or(0);
+        let last = listing.ended.iter().map(|e| e.sequence_number).max().unwrap_or(0);
         let report = self.link.follow.lock().listed(listing, sent, now);
         if !self.told || !report.is_empty() {
             self.told = true;
--- a/src/workswood/ops/jobs/relay/wire.rs
+++ b/src/workswood/ops/jobs/relay/wire.rs
@@ -166,19 +166,19 @@
         run: Some(run(r.task, r.attempt)),
         checkpoint: r.checkpoint,
         percent: r.percent,
-        figure: r.figure,
-        still_ms: r.still.as_millis() as u32,
+        figure: r.load,
+        still_ms: r.stalled_for.as_millis() as u32,
     });
     let ended = report.ended.into_iter().map(|e| wire::EndedTask {
         run: Some(run(e.task, e.attempt)),
-        number: e.number,
+        number: e.sequence_number,
         how: how(e.kind) as i32,
         checkpoint: e.checkpoint,
     });
     wire::Reported {
-        whole: report.whole,
+        whole: report.full,
         running: running.collect(),
-        gone: report.gone.into_iter().map(|(task, attempt)| run(task, attempt)).collect(),
+        gone: report.missing.into_iter().map(|(task, attempt)| run(task, attempt)).collect(),
         ended: ended.collect(),
     }
 }
@@ -221,19 +221,19 @@
             attempt,
             checkpoint: r.checkpoint,
             percent: r.percent,
-            figure: r.figure,
-            still,
+            load: r.figure,
+            stalled_for: still,
         })
     });
     let ended = report.ended.into_iter().map(|e| {
         let (task, attempt) = task(&e.run?)?;
         let kind = kind(wire::EndedHow::try_from(e.how).ok()?);
-        Some(ReportedEnd { number: e.number, task, attempt, kind, checkpoint: e.checkpoint })
+        Some(ReportedEnd { sequence_number: e.number, task, attempt, kind, checkpoint: e.checkpoint })
     });
     Some(Report {
-        whole: report.whole,
+        full: report.whole,
         running: running.collect::<Option<_>>()?,
-        gone: report.gone.iter().map(task).collect::<Option<_>>()?,
+        missing: report.gone.iter().map(task).collect::<Option<_>>()?,
         ended: ended.collect::<Option<_>>()?,
     })
 }
--- a/src/workswood/ops/jobs/sessions.rs
+++ b/src/workswood/ops/jobs/sessions.rs
@@ -115,7 +115,7 @@
         if let Some(s) = self.sessions.get(&relay) {
             s.names.lock().insert(number, (info.id.clone(), token));
         }
-        let worker = info.reached_at();
+        let worker = info.worker_address();
         if let Some(before) = self.attended.insert(info.id.clone(), Attended { relay, number, token }) {
             self.leave(&before);
         }
--- a/src/workswood/ops/model/fleet.rs
+++ b/src/workswood/ops/model/fleet.rs
@@ -161,7 +161,13 @@
         self.used -= run.cpu_millis;
         self.running.remove(&task);
         self.ends += 1;
-        self.ended.push(ReportedEnd { number: self.ends, task, attempt, kind, checkpoint: String::new() });
+        self.ended.push(ReportedEnd {
+            sequence_number: self.ends,
+            task,
+            attempt,
+            kind,
+            checkpoint: String::new(),
+        });
         true
     }
 
@@ -178,15 +184,15 @@
             attempt: run.attempt,
             checkpoint: String::new(),
             percent: run.percent(asked),
-            figure: 0,
-            still: Duration::ZERO,
+            load: 0,
+            stalled_for: Duration::ZERO,
         });
         Listing { running: running.collect(), ended: self.ended.clone() }
     }
 
     /// The scheduler has on record all ends up to a number.
     pub fn forget(&mut self, number: u64) {
-        self.ended.retain(|e| e.number > number);
+        self.ended.retain(|e| e.sequence_number > number);
     }
 }
 
--- a/tests/testsuite/advice_tickets.rs
+++ b/tests/testsuite/advice_tickets.rs
@@ -40,7 +40,7 @@
 fn fails(world: &mut HostWorld, worker: &WorkerId, attempt: u32) {
     let task = TaskId { job: 1, round: 0, step: 0, index: 0 };
     let end = ReportedEnd {
-        number: u64::from(attempt),
+        sequence_number: u64::from(attempt),
         task,
         attempt,
         kind: EndKind::Failed,
--- a/tests/testsuite/chance_crashes.rs
+++ b/tests/testsuite/chance_crashes.rs
@@ -191,8 +191,13 @@
         site.go_on(3000);
         let (n, start) = site.runs.remove(&failing).expect("it is started again");
         let Action::Start { attempt, .. } = start else { panic!("a start") };
-        let end =
-            ReportedEnd { number, task: failing, attempt, kind: EndKind::Failed, checkpoint: String::new() };
+        let end = ReportedEnd {
+            sequence_number: number,
+            task: failing,
+            attempt,
+            kind: EndKind::Failed,
+            checkpoint: String::new(),
+        };
         let id = worker(n, site.lives[n]).id;
         let running = site.listed_on(n);
         site.world.answers(&id, Listing { running, ended: vec![end] });
--- a/tests/testsuite/changing_room.rs
+++ b/tests/testsuite/changing_room.rs
@@ -31,11 +31,18 @@
 }
 
 fn running((task, attempt): (TaskId, u32)) -> ReportedRun {
-    ReportedRun { task, attempt, checkpoint: String::new(), percent: 50, figure: 0, still: Duration::ZERO }
+    ReportedRun {
+        task,
+        attempt,
+        checkpoint: String::new(),
+        percent: 50,
+        load: 0,
+        stalled_for: Duration::ZERO,
+    }
 }
 
 fn done(number: u64, (task, attempt): (TaskId, u32)) -> ReportedEnd {
-    ReportedEnd { number, task, attempt, kind: EndKind::Done, checkpoint: String::new() }
+    ReportedEnd { sequence_number: number, task, attempt, kind: EndKind::Done, checkpoint: String::new() }
 }
 
 fn list(world: &mut HostWorld, running: Vec<ReportedRun>, ended: Vec<ReportedEnd>) {
--- a/tests/testsuite/evacuated_centres.rs
+++ b/tests/testsuite/evacuated_centres.rs
@@ -158,7 +158,7 @@
     let (tx, mut rx) = mpsc::unbounded_channel();
     let grant = Grant::until(node.now() + Duration::from_secs(60));
     let mut relay = Relay::new(node.clone(), grant, Sink::Here(tx));
-    relay.take(1, Order::Attend { worker: southern(1).reached_at(), token: 7 });
+    relay.take(1, Order::Attend { worker: southern(1).worker_address(), token: 7 });
     tokio::time::sleep(Duration::from_secs(1)).await;
     let mut start = |attempt| {
         let task = TaskId { job: 1, round: 0, step: 0, index: 0 };
--- a/tests/testsuite/eviction_handover.rs
+++ b/tests/testsuite/eviction_handover.rs
@@ -33,8 +33,8 @@
         attempt: 1,
         checkpoint: String::new(),
         percent: 100,
-        figure: 0,
-        still: Duration::ZERO,
+        load: 0,
+        stalled_for: Duration::ZERO,
     }
 }
 
@@ -200,7 +200,13 @@
     let mut next = next_holder(&record);
     run_next(&mut next, &tasks, TAKEN_OVER, 2);
     let task = tasks[gone].expect("a task");
-    let end = ReportedEnd { number: 1, task, attempt: 1, kind: EndKind::Stopped, checkpoint: String::new() };
+    let end = ReportedEnd {
+        sequence_number: 1,
+        task,
+        attempt: 1,
+        kind: EndKind::Stopped,
+        checkpoint: String::new(),
+    };
     answer(&mut next, gone, Vec::new(), vec![end]);
     assert!(next.sched.jobs[&1].record().rounds[0][0].iter().all(|t| t.evicted.is_empty()));
     next.tick();
--- a/tests/testsuite/foreign_entries.rs
+++ b/tests/testsuite/foreign_entries.rs
@@ -163,7 +163,7 @@
     changed.service = "unheard-of".to_string();
     world.sched.handle(Event::WorkerListed(changed));
     let w = world.sched.workers.get(&worker(0, 0).id);
-    assert!(w.is_none_or(|w| !w.takes_work()), "its entry names no worker to use");
+    assert!(w.is_none_or(|w| !w.accepts_work()), "its entry names no worker to use");
 }
 
 #[test]
--- a/tests/testsuite/job_limits.rs
+++ b/tests/testsuite/job_limits.rs
@@ -30,7 +30,7 @@
         draining: false,
     };
     s.handle(Event::WorkerListed(info));
-    let report = workswood_core::jobs::Report { whole: true, ..Default::default() };
+    let report = workswood_core::jobs::Report { full: true, ..Default::default() };
     s.take_attendance();
     let token = s.token_of(&"w".into()).expect("it is known");
     s.handle(Event::Relayed("w".into(), token, News::Reported(report)));
@@ -121,5 +121,5 @@
     let rec = s.jobs[&1].record();
     let mut next = scheduler();
     next.restore(1, Some(spec), Some(rec));
-    assert_eq!(next.workers.values().map(|w| w.fills.len()).sum::<usize>(), 1);
+    assert_eq!(next.workers.values().map(|w| w.best_effort.len()).sum::<usize>(), 1);
 }
--- a/tests/testsuite/lost_looks.rs
+++ b/tests/testsuite/lost_looks.rs
@@ -27,7 +27,7 @@
         times: LeaseTimes::of(&node.settings),
         sink: Sink::Here(tx),
     };
-    let link = Arc::new(WorkerLink::new(1, worker(0, 0).reached_at(), 1));
+    let link = Arc::new(WorkerLink::new(1, worker(0, 0).worker_address(), 1));
     tokio::spawn(look::run(Arc::new(shared), link.clone()));
     let (mut last, mut longest) = (node.now(), Duration::ZERO);
     while node.now() < Duration::from_secs(10) {
--- a/tests/testsuite/overtaking_looks.rs
+++ b/tests/testsuite/overtaking_looks.rs
@@ -16,8 +16,8 @@
         attempt: 1,
         checkpoint: String::new(),
         percent: 10,
-        figure: 0,
-        still: Duration::ZERO,
+        load: 0,
+        stalled_for: Duration::ZERO,
     };
     Listing { running: runs.iter().map(run).collect(), ended: Vec::new() }
 }
@@ -33,5 +33,5 @@
     let report = follow.listed(listing(&[]), ms(200), ms(360));
     assert!(report.is_empty(), "{report:?}");
     let report = follow.listed(listing(&[]), ms(380), ms(400));
-    assert_eq!(report.gone, [(TASK, 1)], "a later look tells that it is over");
+    assert_eq!(report.missing, [(TASK, 1)], "a later look tells that it is over");
 }
--- a/tests/testsuite/restarted_workers.rs
+++ b/tests/testsuite/restarted_workers.rs
@@ -84,7 +84,8 @@
     let told = world.tick();
     assert!(!told.iter().any(|a| matches!(a, Action::Start { .. } | Action::Stop(..))), "{told:?}");
     let task = TaskId { job: 1, round: 0, step: 0, index: 0 };
-    let done = ReportedEnd { number: 1, task, attempt: 1, kind: EndKind::Done, checkpoint: String::new() };
+    let done =
+        ReportedEnd { sequence_number: 1, task, attempt: 1, kind: EndKind::Done, checkpoint: String::new() };
     world.answers(&life(20).id, Listing { running: vec![], ended: vec![done] });
     world.tick();
     assert!(world.sched.jobs.is_over(&1) || world.sched.jobs.get(&1).is_some_and(|j| !j.open()));
@@ -97,7 +98,8 @@
     world.at(100);
     world.sched.handle(Event::WorkerListed(life(20)));
     let task = TaskId { job: 1, round: 0, step: 0, index: 0 };
-    let done = ReportedEnd { number: 1, task, attempt: 1, kind: EndKind::Done, checkpoint: String::new() };
+    let done =
+        ReportedEnd { sequence_number: 1, task, attempt: 1, kind: EndKind::Done, checkpoint: String::new() };
     world.answers(&life(20).id, Listing { running: vec![], ended: vec![done] });
     assert_eq!(starts(&world.tick()), [], "it is done");
 }
@@ -111,9 +113,10 @@
     world.answers(&life(20).id, nothing());
     world.tick();
     let Action::Start { task, attempt, .. } = begun[0] else { panic!("a start") };
-    let end = ReportedEnd { number: 1, task, attempt, kind: EndKind::Done, checkpoint: String::new() };
+    let end =
+        ReportedEnd { sequence_number: 1, task, attempt, kind: EndKind::Done, checkpoint: String::new() };
     for news in [
-        News::Reported(Report { whole: true, ended: vec![end], ..Report::default() }),
+        News::Reported(Report { full: true, ended: vec![end], ..Report::default() }),
         News::Started(task, attempt, workswood_core::jobs::StartReply::Taken),
         News::Unanswered { lease_end: Duration::from_secs(9), heard: Duration::ZERO },
         News::Fenced,
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -153,7 +153,7 @@
         let cut = Cut::start(&w.address.to_string()).await;
         let value = Some(w.entry("desk", "m-1").into());
         let info = c.worker_info(&KeyedRecord { key: id, value }).expect("the entry is read");
-        let mut info = info.reached_at();
+        let mut info = info.worker_address();
         info.address = cut.address.clone();
         look(&c, &info, Duration::ZERO).await;
         workers.push(w);
--- a/tests/testsuite/suspended_host.rs
+++ b/tests/testsuite/suspended_host.rs
@@ -43,7 +43,7 @@
     let (tx, mut rx) = mpsc::unbounded_channel();
     let times = LeaseTimes::of(&node.settings);
     let shared = Shared { node: node.clone(), grant: grant.clone(), times, sink: Sink::Here(tx) };
-    let link = Arc::new(WorkerLink::new(1, worker(0, 0).reached_at(), 1));
+    let link = Arc::new(WorkerLink::new(1, worker(0, 0).worker_address(), 1));
     tokio::spawn(look::run(Arc::new(shared), link.clone()));
     tokio::time::sleep(Duration::from_secs(1)).await;
     let before = store.leases();
--- a/tests/testsuite/worker_index.rs
+++ b/tests/testsuite/worker_index.rs
@@ -41,16 +41,16 @@
         all.remove(&id);
         return Ok(());
     }
-    let mut w = all.get_or_insert_with(&id, || Worker::unknown(Duration::ZERO, Duration::ZERO));
+    let mut w = all.get_or_insert_with(&id, || Worker::new(Duration::ZERO, Duration::ZERO));
     match what {
         1 | 2 => w.info = Some(info.into()),
         3 => w.listed = u.arbitrary()?,
         4 => w.reachable = u.arbitrary()?,
-        5 => w.fenced = u.arbitrary()?,
+        5 => w.token_accepted = u.arbitrary()?,
         6 => w.cordoned = u.arbitrary()?,
         7 => w.faults = u.int_in_range(0..=2)?,
-        8 => w.take(run.0, run.1, room),
-        _ => w.release(run.0, run.1),
+        8 => w.add_run(run.0, run.1, room),
+        _ => w.remove_run(run.0, run.1),
     }
     Ok(())
 }
@@ -58,16 +58,16 @@
 fn walk<'a>(all: &'a Workers, service: &str) -> impl Iterator<Item = (&'a WorkerId, &'a Worker)> {
     let of = |w: &Worker| w.info.as_ref().is_some_and(|i| i.service == service);
     let mut found: Vec<_> = all.iter().filter(|(_, w)| of(w)).collect();
-    found.sort_by_key(|(id, w)| (w.faults, w.free().cpu_millis, *id));
+    found.sort_by_key(|(id, w)| (w.faults, w.free_room().cpu_millis, *id));
     found.into_iter()
 }
 
 fn check(all: &Workers) {
     for service in SERVICES {
-        let takers = walk(all, service).filter(|(_, w)| w.takes_work() && w.free().cpu_millis >= 1500);
+        let takers = walk(all, service).filter(|(_, w)| w.accepts_work() && w.free_room().cpu_millis >= 1500);
         let takers: Vec<&WorkerId> = takers.map(|(id, _)| id).collect();
         assert_eq!(all.takers(service, 1500).map(|(id, _)| id).collect::<Vec<_>>(), takers);
-        let used: u64 = walk(all, service).map(|(_, w)| w.used.cpu_millis).sum();
+        let used: u64 = walk(all, service).map(|(_, w)| w.used_room.cpu_millis).sum();
         assert_eq!(all.room_in_use(service).cpu_millis, used);
         let listed = walk(all, service).filter(|(_, w)| w.listed);
         let largest = listed.filter_map(|(_, w)| w.info.as_ref()).map(|i| i.capacity.cpu_millis).max();
--- a/tests/testsuite/workspace_limits.rs
+++ b/tests/testsuite/workspace_limits.rs
@@ -91,7 +91,7 @@
     world.sched.handle(Event::Cancelled(1, Owner::of(Some("north"))));
     assert_eq!(submit(&mut world, 3, of("north", 3)).len(), 0, "what is stopped may still run");
     // Its worker lists nothing of it any more.
-    world.tells(w, News::Reported(Report { whole: true, ..Report::default() }));
+    world.tells(w, News::Reported(Report { full: true, ..Report::default() }));
     assert_eq!(starts(world.tick()).len(), 3);
 }
 
@@ -137,7 +137,7 @@
     world.sched.handle(configured(4, &[("north", 3000)]));
     let [Action::Start { worker: w, task, attempt, .. }, ..] = first.as_slice() else { panic!("a start") };
     let end = ReportedEnd {
-        number: 1,
+        sequence_number: 1,
         task: *task,
         attempt: *attempt,
         kind: EndKind::Done,
@@ -213,7 +213,7 @@
     let ended: Vec<TaskId> = (0..4).map(|index| TaskId { job: 1, round: 0, step: 0, index }).collect();
     let Some(Action::Start { worker: w, .. }) = full.first() else { panic!("a start") };
     let ends = ended.iter().zip(1..).map(|(task, number)| ReportedEnd {
-        number,
+        sequence_number: number,
         task: *task,
         attempt: 1,
         kind: EndKind::Done,
