--- a/crates/workswood-core/src/jobs/crash_trials.rs
+++ b/crates/workswood-core/src/jobs/crash_trials.rs
@@ -94,7 +94,7 @@
 
     /// How many workers of a service may be in quarantine: any while it has little to do.
     fn most_quarantined(&self, service: &str) -> usize {
-        let takers = || self.workers.takers(service, 0).map(|(_, w)| w);
+        let takers = || self.workers.available(service, 0).map(|(_, w)| w);
         let room: u64 = takers().filter_map(|w| w.info.as_ref()).map(|i| i.capacity.cpu_millis).sum();
         let light = self.workers.room_in_use(service).cpu_millis * 2 < room;
         let share = if light { 1.0 } else { self.policy.crashes.most_quarantined };
@@ -103,7 +103,7 @@
 
     /// How many workers of a service have a trial in quarantine, and how many wait for one.
     fn quarantined(&self, service: &str) -> (usize, usize) {
-        let all = self.workers.takers(service, 0).filter_map(|(_, w)| w.quarantine);
+        let all = self.workers.available(service, 0).filter_map(|(_, w)| w.quarantine);
         let (on_trial, kept): (Vec<Quarantine>, Vec<Quarantine>) =
             all.filter(|q| q.until > self.now).partition(|q| q.trial.is_some());
         (on_trial.len(), kept.len())
@@ -132,7 +132,7 @@
         let free = |w: &Worker| !w.in_quarantine(self.now) || w.quarantine.is_some_and(|q| q.trial.is_none());
         let fits =
             |w: &Worker| quiet(w) && free(w) && w.free_room().holds(&room) && self.may_try(w, step, id);
-        let open = self.workers.takers(service, room.cpu_millis).filter(|(_, w)| fits(w));
+        let open = self.workers.available(service, room.cpu_millis).filter(|(_, w)| fits(w));
         open.min_by_key(|(_, w)| (self.cost(w, step, id).0, w.runs.len())).map(|(id, _)| id.clone())
     }
 
@@ -143,7 +143,7 @@
         let room = step.reserved();
         let large = |w: &Worker| w.info.as_ref().is_some_and(|i| i.capacity.holds(&room));
         let open = |w: &Worker| !w.in_quarantine(self.now) && large(w) && self.may_try(w, step, id);
-        let open = self.workers.takers(service, 0).filter(|(_, w)| open(w));
+        let open = self.workers.available(service, 0).filter(|(_, w)| open(w));
         let Some(worker) = open.min_by_key(|(_, w)| w.runs.len()).map(|(id, _)| id.clone()) else {
             return false;
         };
--- a/crates/workswood-core/src/jobs/eviction.rs
+++ b/crates/workswood-core/src/jobs/eviction.rs
@@ -15,7 +15,7 @@
     /// Moves lasting tasks off workers that are leaving. Such a worker ends
     /// in any case, so the budget does not bind here.
     pub(super) fn evict_leaving(&mut self) {
-        let leaving = self.workers.leaving();
+        let leaving = self.workers.draining();
         let leaving = leaving.filter(|(_, w)| w.reachable && w.listed && !w.runs.is_empty());
         let leaving: Vec<WorkerId> = leaving.map(|(id, _)| id.clone()).collect();
         for id in leaving {
--- a/crates/workswood-core/src/jobs/need.rs
+++ b/crates/workswood-core/src/jobs/need.rs
@@ -88,7 +88,7 @@
 
     /// What runs and waits in a service.
     fn wanted(&self, service: &ServiceId) -> Wanted {
-        let size = self.workers.largest(service);
+        let size = self.workers.largest_capacity(service);
         let (room, late) = (self.room_wanted(service), self.waiting_room(service).1);
         let policy = &self.policy.need;
         let cpu = (room.cpu_millis as f64 + late.cpu_millis as f64 * policy.late) / size.cpu_millis as f64;
--- a/crates/workswood-core/src/jobs/placement.rs
+++ b/crates/workswood-core/src/jobs/placement.rs
@@ -49,7 +49,7 @@
     /// those go first that take the least from the others.
     fn rank_of(&self, service: &str) -> Rank {
         let asked = self.ready.get(service).map_or(0, |w| w.room().0.cpu_millis);
-        let room = self.workers.cpu_of(service).max(self.fleet_cpu);
+        let room = self.workers.listed_cpu(service).max(self.fleet_cpu);
         if asked as f64 > room as f64 * self.policy.order.overload { Rank::LeastWork } else { Rank::Due }
     }
 
@@ -100,7 +100,7 @@
 
     /// Workers of a service that take work, by name.
     pub(super) fn takers(&self, service: &str) -> Vec<WorkerId> {
-        let takers = self.workers.takers(service, 0).filter(|(_, w)| !w.in_backoff(self.now));
+        let takers = self.workers.available(service, 0).filter(|(_, w)| !w.in_backoff(self.now));
         let mut ids: Vec<WorkerId> = takers.map(|(id, _)| id.clone()).collect();
         ids.sort();
         ids
@@ -184,7 +184,7 @@
             let closed = w.in_backoff(self.now) || w.in_quarantine(self.now);
             ticket && !closed && w.free_room().holds(&room) && self.allowed(w, step, id)
         };
-        let takers = || self.workers.takers(service, room.cpu_millis).filter(|(_, w)| fits(w));
+        let takers = || self.workers.available(service, room.cpu_millis).filter(|(_, w)| fits(w));
         let best = |skip: Option<&WorkerId>| {
             let mut open = takers().filter(|(wid, _)| skip != Some(*wid));
             let found = match step.lasting || step.near.is_some() {
@@ -201,7 +201,7 @@
         let others = if advised {
             self.may_be_good(&self.takers(service), &id.step_id())
         } else {
-            self.workers.takers(service, 0).filter(|(_, w)| !w.in_backoff(self.now)).take(2).count()
+            self.workers.available(service, 0).filter(|(_, w)| !w.in_backoff(self.now)).take(2).count()
         };
         if others > 1 { None } else { best(None) }
     }
--- a/crates/workswood-core/src/jobs/pools.rs
+++ b/crates/workswood-core/src/jobs/pools.rs
@@ -122,7 +122,7 @@
     /// The line of the log on a service's pool; counts are of hosts.
     fn pool_note(&self, count: &PoolCount, service: &ServiceId) -> String {
         let Pool { need, have } = self.pool(count, service);
-        let (used, size) = (self.workers.room_in_use(service), self.workers.largest(service));
+        let (used, size) = (self.workers.room_in_use(service), self.workers.largest_capacity(service));
         let busy = used.cpu_millis as f64 / size.cpu_millis.max(1) as f64;
         let waiting = self.ready.get(service).map_or(0, Waiting::count);
         let Need { now, soon, lend, keep } = need;
--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -292,7 +292,7 @@
         if !self.wants_relays() {
             return self.holder.clone();
         }
-        let here = self.workers.count_in(dc);
+        let here = self.workers.count_in_data_centre(dc);
         self.open_enough(Some(dc), here);
         let found = self.best_relay(Some(dc), host);
         let found = found.or_else(|| {
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -24,7 +24,7 @@
 use super::waiting::Waiting;
 use super::wave::WaveState;
 use super::worker::{Worker, WorkerInfo, WorkerRecord};
-use super::worker_index::Workers;
+use super::worker_index::WorkerIndex;
 use super::workspace::Owner;
 use crate::ids::{DataCentre, HostId, ServiceId, Term, UnixMs};
 use crate::invariant;
@@ -56,7 +56,7 @@
     /// Jobs that are known.
     pub jobs: Jobs,
     /// Lives of workers that are known.
-    pub workers: Workers,
+    pub workers: WorkerIndex,
     /// Entries of workers whose service is not in force.
     pub(super) unnamed: BTreeMap<WorkerId, WorkerInfo>,
     /// Who speaks with them.
@@ -149,7 +149,7 @@
             policy: Policy::default(),
             config: Arc::default(),
             jobs: Jobs::default(),
-            workers: Workers::default(),
+            workers: WorkerIndex::default(),
             unnamed: BTreeMap::new(),
             relays: Relays::default(),
             ready: Map::default(),
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/settle.rs
@@ -307,7 +307,7 @@
     /// Settles what ran on workers whose lease has ended.
     pub(super) fn settle_lapsed(&mut self) {
         let now = self.now;
-        let lapsed = self.workers.silent().filter(|(_, w)| w.lease_end < now);
+        let lapsed = self.workers.unreachable().filter(|(_, w)| w.lease_end < now);
         let lapsed: Vec<WorkerId> = lapsed.map(|(id, _)| id.clone()).collect();
         for id in lapsed {
             for (task, attempt) in self.runs_on(&id) {
--- a/crates/workswood-core/src/jobs/worker_index.rs
+++ b/crates/workswood-core/src/jobs/worker_index.rs
@@ -17,13 +17,13 @@
 use crate::ids::{DataCentre, HostId, ServiceId};
 
 /// Free processor room in thousandths of a core, and the worker that has it.
-type Free = (u64, WorkerId);
+type FreeCpu = (u64, WorkerId);
 
 /// Workers of one service.
 #[derive(Debug, Default)]
 struct Pool {
     /// Workers that take work, by the faults held against them and by free room.
-    takers: BTreeMap<u32, BTreeSet<Free>>,
+    available: BTreeMap<u32, BTreeSet<FreeCpu>>,
     /// Room that runs take where new work may begin.
     used: Room,
     /// Capacities of listed workers, by processor first, with how many have each.
@@ -32,68 +32,68 @@
 
 /// What the answers hold of one worker.
 #[derive(Debug, Default)]
-struct Kept {
+struct IndexedState {
     info: Option<Arc<WorkerInfo>>,
     /// Faults and free processor room, if it takes work.
-    taker: Option<(u32, u64)>,
+    available: Option<(u32, u64)>,
     used: Room,
     listed: bool,
-    silent: bool,
+    unreachable: bool,
 }
 
 #[derive(Debug)]
-struct Entry {
+struct WorkerSlot {
     id: WorkerId,
     worker: Worker,
-    kept: Kept,
+    indexed: IndexedState,
 }
 
 #[derive(Debug, Default)]
-struct Index {
+struct SecondaryIndexes {
     pools: Map<ServiceId, Pool>,
     by_host: Map<HostId, Vec<WorkerId>>,
     by_data_centre: Map<DataCentre, usize>,
     /// Lives by the name of their worker.
     by_name: Map<String, Vec<WorkerId>>,
-    silent: BTreeSet<WorkerId>,
-    leaving: BTreeSet<WorkerId>,
+    unreachable: BTreeSet<WorkerId>,
+    draining: BTreeSet<WorkerId>,
     accounts: Accounts,
 }
 
 /// All lives of workers that are known.
 #[derive(Debug, Default)]
-pub struct Workers {
-    by_id: Map<WorkerId, Entry>,
-    index: Index,
+pub struct WorkerIndex {
+    by_id: Map<WorkerId, WorkerSlot>,
+    index: SecondaryIndexes,
 }
 
 /// A worker that is being changed.
 pub struct WorkerMut<'a> {
-    entry: &'a mut Entry,
-    index: &'a mut Index,
+    slot: &'a mut WorkerSlot,
+    index: &'a mut SecondaryIndexes,
 }
 
 impl Deref for WorkerMut<'_> {
     type Target = Worker;
 
     fn deref(&self) -> &Worker {
-        &self.entry.worker
+        &self.slot.worker
     }
 }
 
 impl DerefMut for WorkerMut<'_> {
     fn deref_mut(&mut self) -> &mut Worker {
-        &mut self.entry.worker
+        &mut self.slot.worker
     }
 }
 
 impl Drop for WorkerMut<'_> {
     fn drop(&mut self) {
-        self.index.update(self.entry);
+        self.index.update(self.slot);
     }
 }
 
-impl Workers {
+impl WorkerIndex {
     /// A worker.
     pub fn get(&self, id: &WorkerId) -> Option<&Worker> {
         self.by_id.get(id).map(|e| &e.worker)
@@ -106,29 +106,29 @@
 
     /// A worker, to change.
     pub fn get_mut(&mut self, id: &WorkerId) -> Option<WorkerMut<'_>> {
-        let entry = self.by_id.get_mut(id)?;
-        Some(WorkerMut { entry, index: &mut self.index })
+        let slot = self.by_id.get_mut(id)?;
+        Some(WorkerMut { slot, index: &mut self.index })
     }
 
     /// A worker to change; one that is not known yet is made.
     pub fn get_or_insert_with(&mut self, id: &WorkerId, new: impl FnOnce() -> Worker) -> WorkerMut<'_> {
         let lives = &mut self.index.by_name;
-        let make = || {
+        let insert = || {
             lives.entry(id.name().to_string()).or_default().push(id.clone());
-            Entry { id: id.clone(), worker: new(), kept: Kept::default() }
+            WorkerSlot { id: id.clone(), worker: new(), indexed: IndexedState::default() }
         };
-        let entry = self.by_id.entry(id.clone()).or_insert_with(make);
-        WorkerMut { entry, index: &mut self.index }
+        let slot = self.by_id.entry(id.clone()).or_insert_with(insert);
+        WorkerMut { slot, index: &mut self.index }
     }
 
     /// Forgets a worker.
     pub fn remove(&mut self, id: &WorkerId) -> Option<Worker> {
-        let mut entry = self.by_id.remove(id)?;
-        self.index.forget(&mut entry);
-        let runs = std::mem::take(&mut entry.worker.runs);
+        let mut slot = self.by_id.remove(id)?;
+        self.index.forget(&mut slot);
+        let runs = std::mem::take(&mut slot.worker.runs);
         runs.values().for_each(|held| self.index.accounts.take(Change::GivenBack(*held)));
-        entry.worker.runs = runs;
-        Some(entry.worker)
+        slot.worker.runs = runs;
+        Some(slot.worker)
     }
 
     /// All workers.
@@ -143,16 +143,16 @@
 
     /// Does something with each worker.
     pub fn for_each_mut(&mut self, mut f: impl FnMut(&mut Worker)) {
-        for entry in self.by_id.values_mut() {
-            f(&mut WorkerMut { entry, index: &mut self.index });
+        for slot in self.by_id.values_mut() {
+            f(&mut WorkerMut { slot, index: &mut self.index });
         }
     }
 
     /// Workers of a service that may be given work and have so much free processor
     /// room: those with the fewest faults first, among them the fullest. A worker may
     /// be shunned for a while nevertheless.
-    pub fn takers(&self, service: &str, cpu_millis: u64) -> impl Iterator<Item = (&WorkerId, &Worker)> {
-        let levels = self.index.pools.get(service).into_iter().flat_map(|p| p.takers.values());
+    pub fn available(&self, service: &str, cpu_millis: u64) -> impl Iterator<Item = (&WorkerId, &Worker)> {
+        let levels = self.index.pools.get(service).into_iter().flat_map(|p| p.available.values());
         let least = (cpu_millis, WorkerId::default());
         let free = levels.flat_map(move |level| level.range(least.clone()..));
         free.filter_map(|(_, id)| Some((id, self.get(id)?)))
@@ -169,14 +169,14 @@
     }
 
     /// Processor room of all workers that are listed for a service, in thousandths of a core.
-    pub fn cpu_of(&self, service: &str) -> u64 {
+    pub fn listed_cpu(&self, service: &str) -> u64 {
         let pool = self.index.pools.get(service);
         let capacities = pool.into_iter().flat_map(|p| &p.capacities);
         capacities.map(|((cpu, _, _), count)| cpu * *count as u64).sum()
     }
 
     /// Room of the largest worker that is listed for a service.
-    pub fn largest(&self, service: &str) -> Room {
+    pub fn largest_capacity(&self, service: &str) -> Room {
         let pool = self.index.pools.get(service);
         let largest = pool.and_then(|p| p.capacities.keys().next_back());
         largest.map_or(Room::default(), |(cpu, mem, gpus)| Room {
@@ -192,7 +192,7 @@
     }
 
     /// Lives of the worker of a name.
-    pub fn lives_of(&self, name: &str) -> &[WorkerId] {
+    pub fn incarnations_of(&self, name: &str) -> &[WorkerId] {
         self.index.by_name.get(name).map(Vec::as_slice).unwrap_or_default()
     }
 
@@ -207,76 +207,76 @@
     }
 
     /// How many stand in a data centre.
-    pub fn count_in(&self, dc: &str) -> usize {
+    pub fn count_in_data_centre(&self, dc: &str) -> usize {
         self.index.by_data_centre.get(dc).copied().unwrap_or(0)
     }
 
     /// Workers that have not answered their last look.
-    pub fn silent(&self) -> impl Iterator<Item = (&WorkerId, &Worker)> {
-        self.index.silent.iter().filter_map(|id| Some((id, self.get(id)?)))
+    pub fn unreachable(&self) -> impl Iterator<Item = (&WorkerId, &Worker)> {
+        self.index.unreachable.iter().filter_map(|id| Some((id, self.get(id)?)))
     }
 
     /// Workers that say they are leaving.
-    pub fn leaving(&self) -> impl Iterator<Item = (&WorkerId, &Worker)> {
-        self.index.leaving.iter().filter_map(|id| Some((id, self.get(id)?)))
+    pub fn draining(&self) -> impl Iterator<Item = (&WorkerId, &Worker)> {
+        self.index.draining.iter().filter_map(|id| Some((id, self.get(id)?)))
     }
 }
 
-impl Index {
+impl SecondaryIndexes {
     /// Takes in what changed of a worker.
-    fn update(&mut self, e: &mut Entry) {
+    fn update(&mut self, e: &mut WorkerSlot) {
         e.worker.account_changes.drain(..).for_each(|change| self.accounts.take(change));
         let w = &e.worker;
-        let same_info = match (&e.kept.info, &w.info) {
+        let same_info = match (&e.indexed.info, &w.info) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
             (None, None) => true,
             _ => false,
         };
-        if !same_info || e.kept.listed != w.listed {
-            self.leave_pool(&e.id, &mut e.kept);
-            self.enter_pool(&e.id, w, &mut e.kept);
+        if !same_info || e.indexed.listed != w.listed {
+            self.leave_pool(&e.id, &mut e.indexed);
+            self.enter_pool(&e.id, w, &mut e.indexed);
         }
-        self.update_room(&e.id, w, &mut e.kept);
-        if e.kept.silent == w.reachable {
-            e.kept.silent = !w.reachable;
-            set(&mut self.silent, &e.id, !w.reachable);
+        self.update_room(&e.id, w, &mut e.indexed);
+        if e.indexed.unreachable == w.reachable {
+            e.indexed.unreachable = !w.reachable;
+            set_membership(&mut self.unreachable, &e.id, !w.reachable);
         }
     }
 
     /// Takes in what changes with each run.
-    fn update_room(&mut self, id: &WorkerId, w: &Worker, kept: &mut Kept) {
-        let Some(pool) = kept.info.as_ref().and_then(|i| self.pools.get_mut(&i.service)) else { return };
+    fn update_room(&mut self, id: &WorkerId, w: &Worker, indexed: &mut IndexedState) {
+        let Some(pool) = indexed.info.as_ref().and_then(|i| self.pools.get_mut(&i.service)) else { return };
         let used = if w.evacuated { Room::default() } else { w.used_room };
-        if kept.used != used {
-            pool.used = pool.used.minus(&kept.used);
+        if indexed.used != used {
+            pool.used = pool.used.minus(&indexed.used);
             pool.used.add(&used);
-            kept.used = used;
+            indexed.used = used;
         }
-        let taker = w.accepts_work().then(|| (w.faults, w.free_room().cpu_millis));
-        if kept.taker != taker {
-            pool.remove_taker(id, kept.taker);
-            kept.taker = taker;
-            if let Some((faults, free)) = taker {
-                pool.takers.entry(faults).or_default().insert((free, id.clone()));
+        let available = w.accepts_work().then(|| (w.faults, w.free_room().cpu_millis));
+        if indexed.available != available {
+            pool.remove_available(id, indexed.available);
+            indexed.available = available;
+            if let Some((faults, free)) = available {
+                pool.available.entry(faults).or_default().insert((free, id.clone()));
             }
         }
     }
 
-    fn enter_pool(&mut self, id: &WorkerId, w: &Worker, kept: &mut Kept) {
-        kept.info = w.info.clone();
-        kept.listed = w.listed;
+    fn enter_pool(&mut self, id: &WorkerId, w: &Worker, indexed: &mut IndexedState) {
+        indexed.info = w.info.clone();
+        indexed.listed = w.listed;
         let Some(info) = &w.info else { return };
         let pool = self.pools.entry(info.service.clone()).or_default();
         if w.listed {
-            *pool.capacities.entry(in_order(&info.capacity)).or_default() += 1;
+            *pool.capacities.entry(cpu_first_key(&info.capacity)).or_default() += 1;
         }
         self.by_host.entry(info.host.clone()).or_default().push(id.clone());
         *self.by_data_centre.entry(info.data_centre.clone()).or_default() += 1;
-        set(&mut self.leaving, id, info.draining);
+        set_membership(&mut self.draining, id, info.draining);
     }
 
-    fn leave_pool(&mut self, id: &WorkerId, kept: &mut Kept) {
-        let Some(info) = kept.info.take() else { return };
+    fn leave_pool(&mut self, id: &WorkerId, indexed: &mut IndexedState) {
+        let Some(info) = indexed.info.take() else { return };
         if let Some(lives) = self.by_host.get_mut(&info.host) {
             lives.retain(|other| other != id);
             if lives.is_empty() {
@@ -286,18 +286,18 @@
         if let Some(n) = self.by_data_centre.get_mut(&info.data_centre) {
             *n -= 1;
         }
-        self.leaving.remove(id);
+        self.draining.remove(id);
         let Some(pool) = self.pools.get_mut(&info.service) else { return };
-        pool.used = pool.used.minus(&std::mem::take(&mut kept.used));
-        pool.remove_taker(id, kept.taker.take());
-        if kept.listed {
+        pool.used = pool.used.minus(&std::mem::take(&mut indexed.used));
+        pool.remove_available(id, indexed.available.take());
+        if indexed.listed {
             pool.remove_capacity(&info.capacity);
         }
     }
 
-    fn forget(&mut self, e: &mut Entry) {
-        self.leave_pool(&e.id, &mut e.kept);
-        self.silent.remove(&e.id);
+    fn forget(&mut self, e: &mut WorkerSlot) {
+        self.leave_pool(&e.id, &mut e.indexed);
+        self.unreachable.remove(&e.id);
         if let Some(lives) = self.by_name.get_mut(e.id.name()) {
             lives.retain(|life| *life != e.id);
             if lives.is_empty() {
@@ -308,17 +308,17 @@
 }
 
 impl Pool {
-    fn remove_taker(&mut self, id: &WorkerId, taker: Option<(u32, u64)>) {
-        let Some((faults, free)) = taker else { return };
-        let Some(level) = self.takers.get_mut(&faults) else { return };
+    fn remove_available(&mut self, id: &WorkerId, available: Option<(u32, u64)>) {
+        let Some((faults, free)) = available else { return };
+        let Some(level) = self.available.get_mut(&faults) else { return };
         level.remove(&(free, id.clone()));
         if level.is_empty() {
-            self.takers.remove(&faults);
+            self.available.remove(&faults);
         }
     }
 
     fn remove_capacity(&mut self, capacity: &Room) {
-        let key = in_order(capacity);
+        let key = cpu_first_key(capacity);
         let Some(n) = self.capacities.get_mut(&key) else { return };
         *n -= 1;
         if *n == 0 {
@@ -328,11 +328,11 @@
 }
 
 /// A room in an order that looks at the processor first.
-fn in_order(room: &Room) -> (u64, u64, u64) {
+fn cpu_first_key(room: &Room) -> (u64, u64, u64) {
     (room.cpu_millis, room.mem_mb, room.gpus)
 }
 
-fn set(all: &mut BTreeSet<WorkerId>, id: &WorkerId, member: bool) {
+fn set_membership(all: &mut BTreeSet<WorkerId>, id: &WorkerId, member: bool) {
     if member {
         all.insert(id.clone());
     } else {
--- a/crates/workswood-core/src/jobs/worker_restart.rs
+++ b/crates/workswood-core/src/jobs/worker_restart.rs
@@ -43,17 +43,17 @@
 
     /// Whether a later life of the same worker is known.
     pub(super) fn has_later_life(&self, id: &WorkerId) -> bool {
-        self.workers.lives_of(id.name()).iter().any(|other| other.follows(id))
+        self.workers.incarnations_of(id.name()).iter().any(|other| other.follows(id))
     }
 
     /// Lives of the same worker that were before this one.
     fn earlier_lives(&self, id: &WorkerId) -> Vec<WorkerId> {
-        self.workers.lives_of(id.name()).iter().filter(|other| id.follows(other)).cloned().collect()
+        self.workers.incarnations_of(id.name()).iter().filter(|other| id.follows(other)).cloned().collect()
     }
 
     /// Takes in that a life is known: of the lives of its worker only the latest goes on.
     pub(super) fn note_life(&mut self, id: &WorkerId) {
-        let lives = self.workers.lives_of(id.name());
+        let lives = self.workers.incarnations_of(id.name());
         if lives.len() > 1
             && let Some(latest) = lives.iter().max_by_key(|life| life.started()).cloned()
         {
--- a/tests/testsuite/worker_index.rs
+++ b/tests/testsuite/worker_index.rs
@@ -8,7 +8,7 @@
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::worker::{Worker, WorkerInfo};
 use workswood_core::jobs::worker_id::WorkerId;
-use workswood_core::jobs::worker_index::Workers;
+use workswood_core::jobs::worker_index::WorkerIndex;
 
 const SERVICES: [&str; 2] = ["desk", "till"];
 const HOSTS: [&str; 3] = ["m-0", "m-1", "m-2"];
@@ -31,7 +31,7 @@
 }
 
 /// Changes one worker, or forgets it.
-fn change(u: &mut Unstructured<'_>, all: &mut Workers) -> Result<()> {
+fn change(u: &mut Unstructured<'_>, all: &mut WorkerIndex) -> Result<()> {
     let id = WorkerId::from(format!("w-{}", u.int_in_range(0..=4)?));
     let info = info(u, &id)?;
     let run = (task(u)?, 1);
@@ -55,23 +55,23 @@
     Ok(())
 }
 
-fn walk<'a>(all: &'a Workers, service: &str) -> impl Iterator<Item = (&'a WorkerId, &'a Worker)> {
+fn walk<'a>(all: &'a WorkerIndex, service: &str) -> impl Iterator<Item = (&'a WorkerId, &'a Worker)> {
     let of = |w: &Worker| w.info.as_ref().is_some_and(|i| i.service == service);
     let mut found: Vec<_> = all.iter().filter(|(_, w)| of(w)).collect();
     found.sort_by_key(|(id, w)| (w.faults, w.free_room().cpu_millis, *id));
     found.into_iter()
 }
 
-fn check(all: &Workers) {
+fn check(all: &WorkerIndex) {
     for service in SERVICES {
         let takers = walk(all, service).filter(|(_, w)| w.accepts_work() && w.free_room().cpu_millis >= 1500);
         let takers: Vec<&WorkerId> = takers.map(|(id, _)| id).collect();
-        assert_eq!(all.takers(service, 1500).map(|(id, _)| id).collect::<Vec<_>>(), takers);
+        assert_eq!(all.available(service, 1500).map(|(id, _)| id).collect::<Vec<_>>(), takers);
         let used: u64 = walk(all, service).map(|(_, w)| w.used_room.cpu_millis).sum();
         assert_eq!(all.room_in_use(service).cpu_millis, used);
         let listed = walk(all, service).filter(|(_, w)| w.listed);
         let largest = listed.filter_map(|(_, w)| w.info.as_ref()).map(|i| i.capacity.cpu_millis).max();
-        assert_eq!(all.largest(service).cpu_millis, largest.unwrap_or(0));
+        assert_eq!(all.largest_capacity(service).cpu_millis, largest.unwrap_or(0));
     }
     for host in HOSTS {
         let here = all.iter().filter(|(_, w)| w.info.as_ref().is_some_and(|i| i.host == host));
@@ -82,16 +82,16 @@
         assert_eq!(kept, here);
     }
     let silent = all.iter().filter(|(_, w)| !w.reachable).count();
-    assert_eq!(all.silent().count(), silent);
+    assert_eq!(all.unreachable().count(), silent);
     let leaving = all.iter().filter(|(_, w)| w.info.as_ref().is_some_and(|i| i.draining)).count();
-    assert_eq!(all.leaving().count(), leaving);
+    assert_eq!(all.draining().count(), leaving);
 }
 
 #[test]
 fn random_changes() {
     for i in 0..60 {
         arbtest(|u| {
-            let mut all = Workers::default();
+            let mut all = WorkerIndex::default();
             while !u.is_empty() {
                 change(u, &mut all)?;
                 check(&all);
