--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -247,7 +247,7 @@
         w.relay_count = 1 + w.relay_count.max(before);
         let relays = w.relay_count;
         drop(w);
-        if id.started().is_some() {
+        if id.started_at().is_some() {
             self.note_relays(id, relays);
         }
         let token = self.worker_token(relays);
--- a/crates/workswood-core/src/jobs/wave.rs
+++ b/crates/workswood-core/src/jobs/wave.rs
@@ -94,7 +94,7 @@
         // The list names workers; one that started again may go by its name of before.
         (Some(id), HostState::Up) => match before.as_deref().map(WorkerId::from) {
             Some(life) if life.name() == id.name() => {
-                life.started().is_some() && *confirmed + OFF_SETTLES < asked
+                life.started_at().is_some() && *confirmed + OFF_SETTLES < asked
             }
             Some(_) | None => true,
         },
--- a/crates/workswood-core/src/jobs/worker_id.rs
+++ b/crates/workswood-core/src/jobs/worker_id.rs
@@ -12,7 +12,7 @@
 use crate::ids::UnixMs;
 
 /// What stands between a worker's name and when it started.
-const STARTED: char = '@';
+const START_TIME_SEPARATOR: char = '@';
 
 /// One life of a worker process; a restarted one has another.
 ///
@@ -26,10 +26,12 @@
 
 impl WorkerId {
     /// The life of a worker that has started at a time, if it tells.
-    pub fn life(name: &str, started: Option<UnixMs>) -> WorkerId {
+    pub fn new(name: &str, started: Option<UnixMs>) -> WorkerId {
         match started {
-            Some(at) => WorkerId(format!("{name}{STARTED}{at}").into()),
-            None if name.contains(STARTED) => WorkerId(format!("{name}{STARTED}").into()),
+            Some(at) => WorkerId(format!("{name}{START_TIME_SEPARATOR}{at}").into()),
+            None if name.contains(START_TIME_SEPARATOR) => {
+                WorkerId(format!("{name}{START_TIME_SEPARATOR}").into())
+            }
             None => WorkerId(name.into()),
         }
     }
@@ -45,18 +47,18 @@
     }
 
     /// When it started, in milliseconds since 1970, if it tells.
-    pub fn started(&self) -> Option<UnixMs> {
+    pub fn started_at(&self) -> Option<UnixMs> {
         self.parts().1
     }
 
     /// Whether the same worker had another life before this one.
-    pub fn follows(&self, other: &WorkerId) -> bool {
+    pub fn supersedes(&self, other: &WorkerId) -> bool {
         let ((name, started), (before, ended)) = (self.parts(), other.parts());
         name == before && started > ended
     }
 
     fn parts(&self) -> (&str, Option<UnixMs>) {
-        match self.0.rsplit_once(STARTED) {
+        match self.0.rsplit_once(START_TIME_SEPARATOR) {
             Some((name, "")) => (name, None),
             Some((name, at)) => at.parse().map_or((&self.0, None), |at| (name, Some(at))),
             None => (&self.0, None),
--- a/crates/workswood-core/src/jobs/worker_restart.rs
+++ b/crates/workswood-core/src/jobs/worker_restart.rs
@@ -25,9 +25,9 @@
     pub(super) fn restarted(&mut self, id: &WorkerId, started: UnixMs, heard: Duration) {
         self.note_last_heard(id, heard);
         let Some(info) = self.workers.get(id).map(|w| w.info.clone()) else { return };
-        let later = WorkerId::life(id.name(), Some(started));
+        let later = WorkerId::new(id.name(), Some(started));
         // The answer may be older than what is known by now.
-        if !later.follows(id) || self.has_later_life(&later) {
+        if !later.supersedes(id) || self.has_later_life(&later) {
             return;
         }
         if let Some(info) = info.filter(|_| !self.workers.contains_key(&later)) {
@@ -43,19 +43,19 @@
 
     /// Whether a later life of the same worker is known.
     pub(super) fn has_later_life(&self, id: &WorkerId) -> bool {
-        self.workers.incarnations_of(id.name()).iter().any(|other| other.follows(id))
+        self.workers.incarnations_of(id.name()).iter().any(|other| other.supersedes(id))
     }
 
     /// Lives of the same worker that were before this one.
     fn earlier_lives(&self, id: &WorkerId) -> Vec<WorkerId> {
-        self.workers.incarnations_of(id.name()).iter().filter(|other| id.follows(other)).cloned().collect()
+        self.workers.incarnations_of(id.name()).iter().filter(|other| id.supersedes(other)).cloned().collect()
     }
 
     /// Takes in that a life is known: of the lives of its worker only the latest goes on.
     pub(super) fn note_life(&mut self, id: &WorkerId) {
         let lives = self.workers.incarnations_of(id.name());
         if lives.len() > 1
-            && let Some(latest) = lives.iter().max_by_key(|life| life.started()).cloned()
+            && let Some(latest) = lives.iter().max_by_key(|life| life.started_at()).cloned()
         {
             self.replace_earlier_lives(&latest);
         }
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -276,7 +276,7 @@
             return self.new_life();
         }
         let started = self.now.as_millis() as u64;
-        SimWorker::new(WorkerId::life(self.workers[n].id.name(), Some(started)))
+        SimWorker::new(WorkerId::new(self.workers[n].id.name(), Some(started)))
     }
 
     fn info(&self, n: usize, id: &WorkerId) -> WorkerInfo {
--- a/crates/workswood-test-support/src/job_world/relay.rs
+++ b/crates/workswood-test-support/src/job_world/relay.rs
@@ -343,7 +343,7 @@
         let forget = if there && w.forget > w.forgotten { w.forget } else { 0 };
         let token = w.token;
         let gone = !self.workers.iter().any(|s| s.id.name() == id.name());
-        let later = self.workers.iter().map(|s| &s.id).find(|life| life.follows(&id)).cloned();
+        let later = self.workers.iter().map(|s| &s.id).find(|life| life.supersedes(&id)).cloned();
         let (what, wait) = match self.deliver(&id, Order::Look { token, forget, lease_end }) {
             Some(Answer::Listing(listing)) => match later {
                 Some(later) => (Coming::Restarted(later), self.look_takes()),
@@ -378,7 +378,7 @@
             }
             Coming::Restarted(later) => {
                 let silent = now.saturating_sub(w.heard);
-                let started = later.started().unwrap_or_default();
+                let started = later.started_at().unwrap_or_default();
                 self.tell_holder(served.session, ToHolder::Restarted(id.clone(), started, silent));
                 served.watched.remove(&id);
                 return;
--- a/src/workswood/ops/jobs/relay/wire.rs
+++ b/src/workswood/ops/jobs/relay/wire.rs
@@ -48,7 +48,7 @@
 fn write_order(order: Order) -> wire::Order {
     match order {
         Order::Attend { worker, token } => {
-            let started = worker.id.started();
+            let started = worker.id.started_at();
             let (name, address, data_centre) =
                 (worker.id.name().to_string(), worker.address, worker.data_centre);
             wire::Order::Attend(wire::Attend { name, address, token, data_centre, started })
@@ -76,7 +76,7 @@
         let order = match o.order? {
             wire::Order::Attend(a) => Order::Attend {
                 worker: WorkerAddress {
-                    id: WorkerId::life(&a.name, a.started),
+                    id: WorkerId::new(&a.name, a.started),
                     address: a.address,
                     data_centre: a.data_centre,
                 },
--- a/src/workswood/ops/jobs/worker_list.rs
+++ b/src/workswood/ops/jobs/worker_list.rs
@@ -58,7 +58,7 @@
 
     /// Takes an entry in, unless a later life of the same worker is listed: then it comes late.
     fn list(&mut self, key: &str, info: WorkerInfo) -> Option<Event> {
-        if self.listed.get(key).is_some_and(|listed| listed.follows(&info.id)) {
+        if self.listed.get(key).is_some_and(|listed| listed.supersedes(&info.id)) {
             log::info!("event=worker_entry_late worker={}", info.id);
             return None;
         }
--- a/tests/testsuite/restarted_workers.rs
+++ b/tests/testsuite/restarted_workers.rs
@@ -17,7 +17,7 @@
 
 /// A life of the only worker, by when it started.
 fn life(started: u64) -> WorkerInfo {
-    WorkerInfo { id: WorkerId::life("w", Some(started)), ..worker(0, 0) }
+    WorkerInfo { id: WorkerId::new("w", Some(started)), ..worker(0, 0) }
 }
 
 fn nothing() -> Listing {
@@ -47,13 +47,15 @@
 
 #[test]
 fn names_and_lives() {
-    let of = |name, started| WorkerId::life(name, started);
+    let of = |name, started| WorkerId::new(name, started);
     for (name, started) in [("w", None), ("w", Some(7)), ("a@b", None), ("a@5", None), ("a@5", Some(6))] {
         let read = WorkerId::from(of(name, started).as_str());
-        assert_eq!((read.name(), read.started()), (name, started));
+        assert_eq!((read.name(), read.started_at()), (name, started));
     }
-    assert!(of("w", Some(2)).follows(&of("w", Some(1))) && of("w", Some(1)).follows(&of("w", None)));
-    assert!(!of("w", Some(1)).follows(&of("w", Some(1))) && !of("w", Some(2)).follows(&of("v", Some(1))));
+    assert!(of("w", Some(2)).supersedes(&of("w", Some(1))) && of("w", Some(1)).supersedes(&of("w", None)));
+    assert!(
+        !of("w", Some(1)).supersedes(&of("w", Some(1))) && !of("w", Some(2)).supersedes(&of("v", Some(1)))
+    );
 }
 
 /// What the earlier life ran is started again, but not before the later one has answered: until then
@@ -188,7 +190,7 @@
 /// shows the later one.
 #[test]
 fn next_holder() {
-    for before in [life(10).id, WorkerId::life("w", None)] {
+    for before in [life(10).id, WorkerId::new("w", None)] {
         let (mut first, _) = one_task();
         let mut rec = first.sched.jobs.get(&1).expect("it is open").record();
         let tasks = rec.rounds.iter_mut().flatten().flatten();
@@ -211,7 +213,7 @@
     let mut world = HostWorld::new(0);
     let listed = || {
         let mut m = host(0, SERVICE, None);
-        m.worker = Some(WorkerId::life("w", None));
+        m.worker = Some(WorkerId::new("w", None));
         m
     };
     world.sched.handle(Event::WorkerListed(life(10)));
@@ -267,7 +269,7 @@
 #[test]
 fn orders_and_news_between_processes() {
     let worker = WorkerAddress {
-        id: WorkerId::life("w", Some(20)),
+        id: WorkerId::new("w", Some(20)),
         address: "10.0.0.1:80".to_string(),
         data_centre: "north".to_string(),
     };
--- a/tests/testsuite/worker_protocol.rs
+++ b/tests/testsuite/worker_protocol.rs
@@ -104,13 +104,13 @@
     let c = client();
     w.restart(1000);
     let first = info(&c, &w, "i-1").worker_address();
-    assert_eq!((first.id.name(), first.id.started()), ("i-1", Some(1000)));
+    assert_eq!((first.id.name(), first.id.started_at()), ("i-1", Some(1000)));
     let look = async |worker: WorkerAddress| c.look(&worker, 7, 0, None, Duration::ZERO).await.map(|_| ());
     assert_eq!(look(first.clone()).await, Ok(()));
     w.restart(2000);
     assert_eq!(look(first.clone()).await, Err(WorkerError::Restarted(2000)));
     assert_eq!(look(info(&c, &w, "i-1").worker_address()).await, Ok(()));
-    let later = WorkerAddress { id: WorkerId::life("i-1", Some(3000)), ..first.clone() };
+    let later = WorkerAddress { id: WorkerId::new("i-1", Some(3000)), ..first.clone() };
     assert_eq!(look(later).await, Err(WorkerError::NoAnswer), "that comes from an earlier life");
     let plain = WorkerAddress { id: "i-1".into(), ..first };
     assert_eq!(look(plain).await, Ok(()), "whose start is not known");
