--- a/crates/workswood-core/src/jobs/job_table.rs
+++ b/crates/workswood-core/src/jobs/job_table.rs
@@ -17,27 +17,27 @@
 
 /// All jobs that are known. Callers name them, so they are kept in a tree.
 #[derive(Debug, Default)]
-pub struct Jobs {
+pub struct JobTable {
     by_key: BTreeMap<JobKey, Job>,
     /// Jobs whose rounds have times of their own; some of them may have ended.
-    timed: BTreeSet<JobKey>,
+    repeating: BTreeSet<JobKey>,
     /// Jobs with tasks that last, by service; likewise.
-    lasting: Map<ServiceId, BTreeSet<JobKey>>,
-    over: BTreeMap<JobKey, OverJob>,
+    long_running: Map<ServiceId, BTreeSet<JobKey>>,
+    archived: BTreeMap<JobKey, ArchivedJob>,
     /// When jobs became over, in that order.
-    over_since: VecDeque<(Duration, JobKey)>,
+    archived_at: VecDeque<(Duration, JobKey)>,
 }
 
 /// A job that has ended and runs nowhere.
 #[derive(Clone, Debug, PartialEq)]
-pub struct OverJob {
+pub struct ArchivedJob {
     /// How it ended.
     pub outcome: Outcome,
     /// What is on record of it.
     pub record: OverRecord,
 }
 
-impl Index<&JobKey> for Jobs {
+impl Index<&JobKey> for JobTable {
     type Output = Job;
 
     fn index(&self, key: &JobKey) -> &Job {
@@ -45,7 +45,7 @@
     }
 }
 
-impl Jobs {
+impl JobTable {
     /// A job.
     pub fn get(&self, key: &JobKey) -> Option<&Job> {
         self.by_key.get(key)
@@ -58,7 +58,7 @@
 
     /// Whether a job is known.
     pub fn contains_key(&self, key: &JobKey) -> bool {
-        self.by_key.contains_key(key) || self.over.contains_key(key)
+        self.by_key.contains_key(key) || self.archived.contains_key(key)
     }
 
     /// How many there are, those that are over apart.
@@ -72,36 +72,36 @@
     }
 
     /// Whether a job is over.
-    pub fn is_over(&self, key: &JobKey) -> bool {
-        self.over.contains_key(key)
+    pub fn is_archived(&self, key: &JobKey) -> bool {
+        self.archived.contains_key(key)
     }
 
     /// Jobs that are over.
-    pub fn over(&self) -> impl Iterator<Item = &OverJob> {
-        self.over.values()
+    pub fn archived(&self) -> impl Iterator<Item = &ArchivedJob> {
+        self.archived.values()
     }
 
     /// What callers are told of a job.
     pub fn shown(&self, key: &JobKey) -> Option<Shown> {
-        let over = || self.over.get(key).map(|over| Shown::Ended(over.outcome));
+        let over = || self.archived.get(key).map(|over| Shown::Ended(over.outcome));
         self.by_key.get(key).map(Job::shown).or_else(over)
     }
 
     /// What a task takes; at most that, if its job is over.
     pub fn held_by(&self, task: &TaskId) -> Option<Held> {
-        let over = |over: &OverJob| {
+        let over = |over: &ArchivedJob| {
             let (room, owner) = (over.record.room, over.record.owner);
             Held { room, charged: room, owner }
         };
         match self.by_key.get(&task.job) {
             Some(job) => job.step(task).map(|step| job.spec.held(step)),
-            None => self.over.get(&task.job).map(over),
+            None => self.archived.get(&task.job).map(over),
         }
     }
 
     /// Whose a job is.
     pub fn owner(&self, key: &JobKey) -> Option<Owner> {
-        let over = || self.over.get(key).map(|over| over.record.owner);
+        let over = || self.archived.get(key).map(|over| over.record.owner);
         self.by_key.get(key).map(|j| j.spec.owner()).or_else(over)
     }
 
@@ -115,10 +115,10 @@
         let key = job.key;
         if job.outcome.is_none() {
             if job.spec.repeat.is_some() {
-                self.timed.insert(key);
+                self.repeating.insert(key);
             }
             if job.spec.lasts() {
-                self.lasting.entry(job.spec.service.clone()).or_default().insert(key);
+                self.long_running.entry(job.spec.service.clone()).or_default().insert(key);
             }
         }
         self.by_key.insert(key, job);
@@ -127,37 +127,37 @@
     /// Notes that a job has ended.
     pub fn note_ended(&mut self, key: JobKey) {
         let Some(job) = self.by_key.get(&key) else { return };
-        self.timed.remove(&key);
-        if let Some(jobs) = self.lasting.get_mut(&job.spec.service) {
+        self.repeating.remove(&key);
+        if let Some(jobs) = self.long_running.get_mut(&job.spec.service) {
             jobs.remove(&key);
         }
     }
 
     /// Adds a job that is over, or takes its tasks and its text from one that is known.
-    pub fn set_over(&mut self, key: JobKey, over: OverJob, since: Duration) {
+    pub fn archive(&mut self, key: JobKey, over: ArchivedJob, since: Duration) {
         self.by_key.remove(&key);
-        if self.over.insert(key, over).is_none() {
-            self.over_since.push_back((since, key));
+        if self.archived.insert(key, over).is_none() {
+            self.archived_at.push_back((since, key));
         }
     }
 
     /// Open jobs whose rounds have times of their own.
-    pub fn timed(&self) -> Vec<JobKey> {
-        self.timed.iter().copied().collect()
+    pub fn repeating(&self) -> Vec<JobKey> {
+        self.repeating.iter().copied().collect()
     }
 
     /// Open jobs of a service with tasks that last.
-    pub fn lasting(&self, service: &str) -> impl Iterator<Item = &Job> {
-        let keys = self.lasting.get(service).into_iter().flatten();
+    pub fn long_running(&self, service: &str) -> impl Iterator<Item = &Job> {
+        let keys = self.long_running.get(service).into_iter().flatten();
         keys.filter_map(|key| self.by_key.get(key))
     }
 
     /// Takes out jobs that were over before a time.
-    pub fn forget_over(&mut self, before: Duration) -> Vec<(JobKey, OverJob)> {
+    pub fn forget_archived(&mut self, before: Duration) -> Vec<(JobKey, ArchivedJob)> {
         let mut forgotten = Vec::new();
-        while let Some((_, key)) = self.over_since.front().copied().filter(|(at, _)| *at < before) {
-            self.over_since.pop_front();
-            forgotten.extend(self.over.remove(&key).map(|over| (key, over)));
+        while let Some((_, key)) = self.archived_at.front().copied().filter(|(at, _)| *at < before) {
+            self.archived_at.pop_front();
+            forgotten.extend(self.archived.remove(&key).map(|over| (key, over)));
         }
         forgotten
     }
--- a/crates/workswood-core/src/jobs/need.rs
+++ b/crates/workswood-core/src/jobs/need.rs
@@ -118,7 +118,7 @@
 
     /// Hosts that lasting tasks need because only so many may share one.
     fn hosts_apart(&self, service: &ServiceId) -> u32 {
-        let jobs = self.jobs.lasting(service).filter(|j| j.open());
+        let jobs = self.jobs.long_running(service).filter(|j| j.open());
         let steps = jobs.flat_map(|j| &j.spec.steps).filter(|s| s.lasting && s.most_per_worker > 0);
         steps.map(|s| s.count.div_ceil(s.most_per_worker)).max().unwrap_or(0)
     }
@@ -141,7 +141,7 @@
                 let ago = Duration::from_millis(self.wall.saturating_sub(j.spec.accepted));
                 Some((j.spec.service.clone(), ago, self.work_of(j)?))
             })
-            .chain(self.jobs.over().filter_map(|over| {
+            .chain(self.jobs.archived().filter_map(|over| {
                 let ago = Duration::from_millis(self.wall.saturating_sub(over.record.accepted));
                 Some((over.record.service.clone(), ago, over.record.work?))
             }))
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -11,7 +11,7 @@
 use super::handover::OrderMarks;
 use super::host::Host;
 use super::job::{Job, JobRecord, Outcome, OverRecord, Phase, Shown, Task, WorkerId};
-use super::job_table::{Jobs, OverJob};
+use super::job_table::{ArchivedJob, JobTable};
 use super::map::Map;
 use super::notes::Notes;
 use super::order::{Durations, place_of};
@@ -54,7 +54,7 @@
     /// What is in force.
     pub config: Arc<SchedConfig>,
     /// Jobs that are known.
-    pub jobs: Jobs,
+    pub jobs: JobTable,
     /// Lives of workers that are known.
     pub workers: WorkerIndex,
     /// Entries of workers whose service is not in force.
@@ -148,7 +148,7 @@
             limits,
             policy: Policy::default(),
             config: Arc::default(),
-            jobs: Jobs::default(),
+            jobs: JobTable::default(),
             workers: WorkerIndex::default(),
             unnamed: BTreeMap::new(),
             relays: Relays::default(),
@@ -249,7 +249,7 @@
 
     fn restore_over(&mut self, key: JobKey, outcome: Outcome, record: OverRecord, in_inbox: bool) {
         let (queue, owner, state) = (record.queue.clone(), record.owner, Some(Shown::Ended(outcome)));
-        self.jobs.set_over(key, OverJob { outcome, record }, self.now);
+        self.jobs.archive(key, ArchivedJob { outcome, record }, self.now);
         self.shown.push(ShownJob { key, queue, owner, state, timed: false });
         if in_inbox {
             self.over.push(key);
@@ -329,7 +329,7 @@
                 .push(format_args!("event=cancel_not_taken job={key:016x} reason=job_of_other_workspace"));
             return;
         }
-        if self.jobs.is_over(&key) {
+        if self.jobs.is_archived(&key) {
             return;
         }
         let Some(job) = self.jobs.get_mut(&key) else {
@@ -496,7 +496,7 @@
 
     /// Does what only the passing of time asks for.
     fn tick(&mut self) {
-        for key in self.jobs.timed() {
+        for key in self.jobs.repeating() {
             let before = self.jobs.get(&key).map_or(0, |j| j.rounds.len());
             self.open_due_rounds(key);
             if self.jobs.get(&key).map_or(0, |j| j.rounds.len()) > before {
@@ -524,7 +524,7 @@
     /// Forgets jobs that ended long enough ago and run nowhere.
     fn forget_jobs(&mut self) {
         let Some(before) = self.now.checked_sub(self.limits.keep_ended) else { return };
-        for (key, over) in self.jobs.forget_over(before) {
+        for (key, over) in self.jobs.forget_archived(before) {
             self.dropped.push((key, over.record.queue, over.record.owner));
         }
     }
@@ -555,7 +555,7 @@
         let over = Some(record.clone());
         let stored = JobRecord { cancelled, begun, outcome: Some(outcome), over, ..JobRecord::default() };
         batch.records.push(Record::Job(key, stored));
-        self.jobs.set_over(key, OverJob { outcome, record }, self.now);
+        self.jobs.archive(key, ArchivedJob { outcome, record }, self.now);
         self.over.push(key);
     }
 
--- a/tests/testsuite/over_jobs.rs
+++ b/tests/testsuite/over_jobs.rs
@@ -14,7 +14,7 @@
 
 use workswood::ops::jobs::inbox::Kept;
 use workswood::ops::jobs::record::{InboxItem, InboxKey};
-use workswood_core::jobs::job_table::{Jobs, OverJob};
+use workswood_core::jobs::job_table::{ArchivedJob, JobTable};
 use workswood_core::jobs::types::Record;
 use workswood_core::jobs::{
     Batch, Event, Job, JobRecord, JobSpec, Outcome, OverRecord, Owner, Scheduler, Shown,
@@ -58,7 +58,7 @@
     s.handle(Event::Cancelled(1, Owner::PUBLIC));
     let batch = s.take_batch();
     assert_eq!(batch.over, [1], "the inbox need not hold it");
-    assert!(s.jobs.is_over(&1) && !s.jobs.is_over(&2));
+    assert!(s.jobs.is_archived(&1) && !s.jobs.is_archived(&2));
     let rec = recorded(&batch, 1).expect("it changed");
     assert!(rec.rounds.is_empty());
     let over = rec.over.expect("it is over");
@@ -108,14 +108,15 @@
 
 #[test]
 fn forgotten_in_order() {
-    let over = || OverJob { outcome: Outcome::Completed, record: OverRecord::default() };
-    let mut jobs = Jobs::default();
+    let over = || ArchivedJob { outcome: Outcome::Completed, record: OverRecord::default() };
+    let mut jobs = JobTable::default();
     jobs.insert(Job::new(3, spec()));
-    (1..=3).for_each(|n| jobs.set_over(n, over(), Duration::from_secs(n)));
+    (1..=3).for_each(|n| jobs.archive(n, over(), Duration::from_secs(n)));
     assert!(jobs.is_empty(), "a job that is over is no other any more");
-    jobs.set_over(1, over(), Duration::from_secs(9));
-    let gone =
-        |jobs: &mut Jobs, s| jobs.forget_over(Duration::from_secs(s)).into_iter().map(|(k, _)| k).collect();
+    jobs.archive(1, over(), Duration::from_secs(9));
+    let gone = |jobs: &mut JobTable, s| {
+        jobs.forget_archived(Duration::from_secs(s)).into_iter().map(|(k, _)| k).collect()
+    };
     let first: Vec<u64> = gone(&mut jobs, 3);
     assert_eq!(first, [1, 2]);
     assert!(!jobs.contains_key(&1) && jobs.contains_key(&3));
--- a/tests/testsuite/restarted_workers.rs
+++ b/tests/testsuite/restarted_workers.rs
@@ -90,7 +90,7 @@
         ReportedEnd { sequence_number: 1, task, attempt: 1, kind: EndKind::Done, checkpoint: String::new() };
     world.answers(&life(20).id, Listing { running: vec![], ended: vec![done] });
     world.tick();
-    assert!(world.sched.jobs.is_over(&1) || world.sched.jobs.get(&1).is_some_and(|j| !j.open()));
+    assert!(world.sched.jobs.is_archived(&1) || world.sched.jobs.get(&1).is_some_and(|j| !j.open()));
 }
 
 /// Likewise, and its end is in the first answer already.
