--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -88,7 +88,7 @@
 pub use job::{Job, JobRecord, Outcome, OverRecord, Phase, Run, Shown, Task};
 pub use policy::Policy;
 pub use relays::{RelayEntry, RelayPolicy};
-pub use run_tracker::Follow;
+pub use run_tracker::RunTracker;
 pub use sched::Scheduler;
 pub use spec::{JobKey, JobSpec, Repeat, StepId, StepSpec, TaskId};
 pub use types::{
--- a/crates/workswood-test-support/src/host_world.rs
+++ b/crates/workswood-test-support/src/host_world.rs
@@ -10,7 +10,7 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{
-    Action, Event, Follow, Host, HostState, Limits, Listing, News, Record, ReportedRun, Scheduler,
+    Action, Event, Host, HostState, Limits, Listing, News, Record, ReportedRun, RunTracker, Scheduler,
     ServiceConfig, StartReply, TaskId, Wave, WorkerInfo,
 };
 
@@ -30,7 +30,7 @@
     /// Hosts on record as ordered about lately.
     pub ordered: Vec<String>,
     /// What whoever attends a worker has told of it, and when it last answered.
-    attended: BTreeMap<WorkerId, (Follow, Duration)>,
+    attended: BTreeMap<WorkerId, (RunTracker, Duration)>,
 }
 
 /// An answer to a look is late after this time; that is told.
@@ -132,7 +132,7 @@
 
     /// The workers are attended from now on: their next answers list all.
     pub fn attend_anew(&mut self) {
-        self.attended.values_mut().for_each(|(follow, _)| *follow = Follow::default());
+        self.attended.values_mut().for_each(|(follow, _)| *follow = RunTracker::default());
     }
 
     /// Whoever attends a worker tells something of it.
@@ -145,7 +145,7 @@
     pub fn taken(&mut self, id: &WorkerId, task: TaskId, attempt: u32) {
         let now = self.sched.now;
         let (follow, _) = self.attended.entry(id.clone()).or_default();
-        follow.started(task, attempt, StartReply::Taken, now);
+        follow.start_answered(task, attempt, StartReply::Taken, now);
         self.tells(id, News::Started(task, attempt, StartReply::Taken));
     }
 
@@ -153,13 +153,13 @@
     pub fn answers(&mut self, id: &WorkerId, listing: Listing) {
         for action in self.sched.take_attendance() {
             if let Action::Watch { info, .. } = action {
-                self.attended.insert(info.id, (Follow::default(), self.sched.now));
+                self.attended.insert(info.id, (RunTracker::default(), self.sched.now));
             }
         }
         let now = self.sched.now;
         let (follow, heard) = self.attended.entry(id.clone()).or_default();
         *heard = now;
-        let report = follow.listed(listing, now, now);
+        let report = follow.diff_listing(listing, now, now);
         self.tells(id, News::Reported(report));
     }
 
--- a/crates/workswood-test-support/src/job_world/relay.rs
+++ b/crates/workswood-test-support/src/job_world/relay.rs
@@ -11,7 +11,7 @@
 use workswood_core::ids::{HostId, Term, UnixMs};
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::types::lease_span;
-use workswood_core::jobs::{Follow, Listing, News, StartReply, StopReply, TaskId};
+use workswood_core::jobs::{Listing, News, RunTracker, StartReply, StopReply, TaskId};
 
 use super::worker::{Answer, Order};
 use super::{LEASE, STEP, World, limits};
@@ -92,7 +92,7 @@
     doubted: bool,
     leased_until: Duration,
     heard: Duration,
-    follow: Follow,
+    follow: RunTracker,
 }
 
 /// An answer of a worker that is on its way to a relay.
@@ -254,7 +254,7 @@
                     doubted: false,
                     leased_until: Duration::ZERO,
                     heard: Duration::ZERO,
-                    follow: Follow::default(),
+                    follow: RunTracker::default(),
                 };
                 served.watched.insert(id, fresh);
             }
@@ -369,7 +369,7 @@
                 w.forgotten = w.forgotten.max(forget);
                 w.silent = false;
                 w.heard = now;
-                let report = w.follow.listed(listing, asked, now);
+                let report = w.follow.diff_listing(listing, asked, now);
                 let quiet = report.is_empty() && !std::mem::take(&mut w.doubted);
                 if quiet {
                     return;
@@ -398,7 +398,7 @@
             }
             Coming::Fenced => News::Fenced,
             Coming::Started { task, attempt, reply } => {
-                w.follow.started(task, attempt, reply, now);
+                w.follow.start_answered(task, attempt, reply, now);
                 if reply.is_answer() {
                     w.heard = now;
                 }
@@ -406,7 +406,7 @@
             }
             Coming::Stopped { task, attempt, reply } => {
                 if reply == StopReply::Taken {
-                    w.follow.stop_taken(task, attempt, now);
+                    w.follow.stop_accepted(task, attempt, now);
                 }
                 News::Stopped(task, attempt, reply)
             }
--- a/src/workswood/ops/jobs/relay/link.rs
+++ b/src/workswood/ops/jobs/relay/link.rs
@@ -6,7 +6,7 @@
 use parking_lot::Mutex;
 use tokio::sync::{Semaphore, watch};
 use workswood_core::ids::Term;
-use workswood_core::jobs::{Follow, WorkerAddress};
+use workswood_core::jobs::{RunTracker, WorkerAddress};
 use workswood_platform::jobs::WorkerClock;
 
 use super::order::Number;
@@ -28,7 +28,7 @@
     /// Bounds the orders on their way.
     pub lanes: Semaphore,
     /// What the scheduler knows of its runs.
-    pub follow: Mutex<Follow>,
+    pub follow: Mutex<RunTracker>,
     /// Its clock and ours, when it last answered.
     clock: Mutex<Option<(WorkerClock, Duration)>>,
     /// When the lease ends that was last sent, in ms since the process started.
--- a/src/workswood/ops/jobs/relay/look.rs
+++ b/src/workswood/ops/jobs/relay/look.rs
@@ -170,7 +170,7 @@
         self.patience.note(now - begun);
         self.link.answered(clock, now);
         let last = listing.ended.iter().map(|e| e.sequence_number).max().unwrap_or(0);
-        let report = self.link.follow.lock().listed(listing, sent, now);
+        let report = self.link.follow.lock().diff_listing(listing, sent, now);
         if !self.told || !report.is_empty() {
             self.told = true;
             self.tell(What::Reported(report));
--- a/src/workswood/ops/jobs/relay/mod.rs
+++ b/src/workswood/ops/jobs/relay/mod.rs
@@ -107,7 +107,7 @@
             }
             Order::Figures(wanted) => {
                 if let Some(link) = self.workers.get(&number) {
-                    link.follow.lock().want_figures(wanted);
+                    link.follow.lock().set_report_load(wanted);
                 }
             }
             Order::Start(s) => match self.workers.get(&number) {
--- a/src/workswood/ops/jobs/relay/send.rs
+++ b/src/workswood/ops/jobs/relay/send.rs
@@ -27,7 +27,7 @@
     if reply.is_answer() {
         link.heard(shared.node.now());
     }
-    link.follow.lock().started(task, attempt, reply, shared.node.now());
+    link.follow.lock().start_answered(task, attempt, reply, shared.node.now());
     shared.sink.tell(&shared.node, &link, What::Started { task, attempt, reply });
 }
 
@@ -126,7 +126,7 @@
     }
     if reply == StopReply::Taken {
         link.heard(shared.node.now());
-        link.follow.lock().stop_taken(task, attempt, shared.node.now());
+        link.follow.lock().stop_accepted(task, attempt, shared.node.now());
     }
     shared.sink.tell(&shared.node, &link, What::Stopped { task, attempt, reply });
 }
--- a/src/workswood/ops/model/carry.rs
+++ b/src/workswood/ops/model/carry.rs
@@ -5,7 +5,7 @@
 use workswood_core::ids::HostId;
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{
-    Action, Batch, Follow, JobKey, JobRecord, Outcome, Record, Scheduler, Shown, ShownJob, WaveRecord,
+    Action, Batch, JobKey, JobRecord, Outcome, Record, RunTracker, Scheduler, Shown, ShownJob, WaveRecord,
     WorkerRecord,
 };
 
@@ -92,7 +92,7 @@
             }
             Action::Watch { info, .. } => {
                 if let Some(n) = self.host_of(&info.id) {
-                    self.hosts[n].follow = Follow::default();
+                    self.hosts[n].follow = RunTracker::default();
                     self.after(WAY, Happening::Look(n, info.id, true));
                 }
             }
--- a/src/workswood/ops/model/fleet.rs
+++ b/src/workswood/ops/model/fleet.rs
@@ -7,7 +7,7 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{
-    EndKind, Follow, Host, HostState, Listing, Report, ReportedEnd, ReportedRun, TaskId, WorkerInfo,
+    EndKind, Host, HostState, Listing, Report, ReportedEnd, ReportedRun, RunTracker, TaskId, WorkerInfo,
 };
 
 use super::deployment::{DATA_CENTRES, SPARE};
@@ -52,7 +52,7 @@
     ended: Vec<ReportedEnd>,
     ends: u64,
     /// What the scheduler knows of its runs.
-    pub follow: Follow,
+    pub follow: RunTracker,
 }
 
 /// The data centre of a number.
@@ -74,7 +74,7 @@
             used: 0,
             ended: Vec::new(),
             ends: 0,
-            follow: Follow::default(),
+            follow: RunTracker::default(),
         }
     }
 
@@ -139,7 +139,7 @@
         self.used = 0;
         self.ended.clear();
         self.ends = 0;
-        self.follow = Follow::default();
+        self.follow = RunTracker::default();
     }
 
     /// How many tasks run.
@@ -174,7 +174,7 @@
     /// What is new in what its worker answers when it is looked at.
     pub fn report(&mut self, now: Duration) -> Report {
         let listing = self.listing(now);
-        self.follow.listed(listing, now, now)
+        self.follow.diff_listing(listing, now, now)
     }
 
     /// What its worker answers: all ends that it has not been told to forget, too.
--- a/src/workswood/ops/model/hosts.rs
+++ b/src/workswood/ops/model/hosts.rs
@@ -75,7 +75,7 @@
         };
         let now = self.now;
         if let Some(n) = self.host_of(&worker) {
-            self.hosts[n].follow.started(task, attempt, reply, now);
+            self.hosts[n].follow.start_answered(task, attempt, reply, now);
         }
         self.tell_of(worker, News::Started(task, attempt, reply));
     }
@@ -118,7 +118,7 @@
         self.ends(worker.clone(), task, attempt, EndKind::Stopped);
         let now = self.now;
         if let Some(n) = self.host_of(&worker) {
-            self.hosts[n].follow.stop_taken(task, attempt, now);
+            self.hosts[n].follow.stop_accepted(task, attempt, now);
         }
         self.tell_of(worker, News::Stopped(task, attempt, StopReply::Taken));
     }
--- a/tests/testsuite/overtaking_looks.rs
+++ b/tests/testsuite/overtaking_looks.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use workswood_core::jobs::{Follow, Listing, ReportedRun, StartReply, TaskId};
+use workswood_core::jobs::{Listing, ReportedRun, RunTracker, StartReply, TaskId};
 
 const TASK: TaskId = TaskId { job: 1, round: 0, step: 0, index: 0 };
 
@@ -25,13 +25,13 @@
 /// The run began between two looks, and the answer to the second came first.
 #[test]
 fn earlier_look_tells_nothing() {
-    let mut follow = Follow::default();
-    follow.listed(listing(&[]), ms(100), ms(110));
-    follow.started(TASK, 1, StartReply::NoAnswer, ms(300));
-    let report = follow.listed(listing(&[TASK]), ms(320), ms(340));
+    let mut follow = RunTracker::default();
+    follow.diff_listing(listing(&[]), ms(100), ms(110));
+    follow.start_answered(TASK, 1, StartReply::NoAnswer, ms(300));
+    let report = follow.diff_listing(listing(&[TASK]), ms(320), ms(340));
     assert_eq!(report.running.len(), 1);
-    let report = follow.listed(listing(&[]), ms(200), ms(360));
+    let report = follow.diff_listing(listing(&[]), ms(200), ms(360));
     assert!(report.is_empty(), "{report:?}");
-    let report = follow.listed(listing(&[]), ms(380), ms(400));
+    let report = follow.diff_listing(listing(&[]), ms(380), ms(400));
     assert_eq!(report.missing, [(TASK, 1)], "a later look tells that it is over");
 }
