--- a/crates/workswood-core/src/jobs/ends.rs
+++ b/crates/workswood-core/src/jobs/ends.rs
@@ -21,7 +21,7 @@
             self.run_listed(id, run);
         }
         self.settle_missing(id, report);
-        self.want_figures(id);
+        self.update_load_reporting(id);
         self.share_worker(id);
     }
 
--- a/crates/workswood-core/src/jobs/eviction.rs
+++ b/crates/workswood-core/src/jobs/eviction.rs
@@ -65,7 +65,7 @@
     /// said so lately, and it is not about to end by our order.
     fn is_at_work(&self, run: &Run) -> bool {
         let Some(w) = self.workers.get(&run.worker) else { return false };
-        let heard = w.relay.as_ref().map_or(Duration::ZERO, |r| self.relays.heard(r));
+        let heard = w.relay.as_ref().map_or(Duration::ZERO, |r| self.relays.last_heard(r));
         let believed = self.now <= heard + self.policy.health.believed_for;
         run.warm() && !run.evicted && w.reachable && !w.poll_overdue && believed
     }
--- a/crates/workswood-core/src/jobs/placement.rs
+++ b/crates/workswood-core/src/jobs/placement.rs
@@ -279,7 +279,7 @@
                 w.begin_trial(*id, attempt, now, lasts);
             }
         }
-        self.want_figures(worker);
+        self.update_load_reporting(worker);
         self.notes.push(format_args!("event=task_placed worker={worker} task={id} attempt={attempt}"));
         let w = self.workers.get(worker);
         let ticket = w.and_then(|w| w.ticket(&id.step_id(), now));
--- a/crates/workswood-core/src/jobs/policy.rs
+++ b/crates/workswood-core/src/jobs/policy.rs
@@ -346,7 +346,7 @@
             ("waves.use_when_short", self.waves.use_when_short),
             ("pace.danger", self.pace.danger),
             ("pace.ease", self.pace.ease),
-            ("relays.share", self.relays.share),
+            ("relays.share", self.relays.capacity_share),
             ("crashes.most_quarantined", self.crashes.most_quarantined),
         ];
         let bad = shares.into_iter().find(|(_, v)| !(*v > 0.0 && *v <= 1.0));
@@ -373,7 +373,7 @@
             ("health.stuck_share", self.health.stuck_share),
             ("crashes.suspicious", self.crashes.suspicious),
             ("crashes.sure", self.crashes.sure),
-            ("relays.spare", self.relays.spare),
+            ("relays.spare", self.relays.spare_share),
         ];
         let bad = factors.into_iter().find(|(_, v)| !(*v >= 0.0 && v.is_finite()));
         bad.map_or(Ok(()), |(name, v)| Err(format!("`policy.{name}` must not be negative, as {v} is")))
@@ -387,7 +387,7 @@
             ("need.turn_jobs", self.need.turn_jobs),
             ("health.faults_to_shun", self.health.faults_to_shun as usize),
             ("health.shun_one_of", self.health.shun_one_of),
-            ("relays.most_workers", self.relays.most_workers),
+            ("relays.most_workers", self.relays.max_workers),
             ("crashes.suspect_after", self.crashes.suspect_after),
         ];
         let bad = counts.into_iter().find(|(_, v)| *v == 0);
@@ -410,7 +410,7 @@
             ("health.shun_for", self.health.shun_for),
             ("health.shun_at_most", self.health.shun_at_most),
             ("advice.margin", self.advice.margin),
-            ("relays.shun_for", self.relays.shun_for),
+            ("relays.shun_for", self.relays.backoff),
             ("crashes.young", self.crashes.young),
             ("crashes.first_wait", self.crashes.first_wait),
         ];
--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -29,30 +29,38 @@
 use crate::ids::{DataCentre, HostId, Term};
 
 /// Bits of a worker's token that count its relays within a term.
-const RELAY_BITS: u32 = 20;
+const RELAY_COUNTER_BITS: u32 = 20;
 /// Workers that change their relay in one tick for want of balance alone: each costs a
 /// look that lists all.
-const MOVES_A_TICK: usize = 64;
+const MAX_REBALANCED_PER_TICK: usize = 64;
 
 /// How workers are shared out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelayPolicy {
     /// Most workers of one relay: an entry that hangs holds up no more than these.
-    pub most_workers: usize,
+    #[serde(rename = "most_workers")]
+    pub max_workers: usize,
     /// Share of the workers that an entry could look after as lease holder that it attends
     /// as a relay; it has callers of its own, and turns of demand ask for double.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub capacity_share: f64,
     /// Room that relays have beyond the workers they attend, as a share.
-    pub spare: f64,
+    #[serde(rename = "spare")]
+    pub spare_share: f64,
     /// A relay that was lost is not chosen again before this time.
-    #[serde(with = "humantime_serde")]
-    pub shun_for: Duration,
+    #[serde(rename = "shun_for", with = "humantime_serde")]
+    pub backoff: Duration,
 }
 
 impl Default for RelayPolicy {
     fn default() -> RelayPolicy {
-        RelayPolicy { most_workers: 100, share: 0.4, spare: 0.1, shun_for: Duration::from_secs(4) }
+        RelayPolicy {
+            max_workers: 100,
+            capacity_share: 0.4,
+            spare_share: 0.1,
+            backoff: Duration::from_secs(4),
+        }
     }
 }
 
@@ -71,11 +79,11 @@
 #[derive(Debug)]
 struct Relay {
     data_centre: DataCentre,
-    most_workers: usize,
+    max_workers: usize,
     /// Whether it takes orders; before that its workers wait.
-    up: bool,
+    ready: bool,
     /// When it was last heard of.
-    heard: Duration,
+    last_heard: Duration,
     workers: BTreeSet<WorkerId>,
 }
 
@@ -85,41 +93,41 @@
     entries: BTreeMap<HostId, RelayEntry>,
     active: BTreeMap<HostId, Relay>,
     /// Entries that are not chosen before a time.
-    shunned: BTreeMap<HostId, Duration>,
+    backoff_until: BTreeMap<HostId, Duration>,
     /// Workers without a relay.
-    waiting: BTreeSet<WorkerId>,
+    unassigned: BTreeSet<WorkerId>,
     /// Orders that need no record.
     orders: Vec<Action>,
     /// How many relays workers have had in this term, by name, of those that start again under
     /// theirs: tokens rise from life to life.
-    given: BTreeMap<String, u32>,
+    relay_counts: BTreeMap<String, u32>,
 }
 
 impl Relay {
     fn is_full(&self) -> bool {
-        self.workers.len() >= self.most_workers
+        self.workers.len() >= self.max_workers
     }
 }
 
 impl Relays {
     /// When a relay was last heard of.
-    pub(super) fn heard(&self, relay: &str) -> Duration {
-        self.active.get(relay).map_or(Duration::ZERO, |r| r.heard)
+    pub(super) fn last_heard(&self, relay: &str) -> Duration {
+        self.active.get(relay).map_or(Duration::ZERO, |r| r.last_heard)
     }
 
     /// Whether an entry may be chosen.
-    fn may_serve(&self, entry: &RelayEntry, now: Duration) -> bool {
-        self.shunned.get(&entry.name).is_none_or(|until| *until <= now)
+    fn is_eligible(&self, entry: &RelayEntry, now: Duration) -> bool {
+        self.backoff_until.get(&entry.name).is_none_or(|until| *until <= now)
     }
 
     /// Relays of a data centre; with `None` of all.
-    fn of<'a>(&'a self, dc: Option<&'a str>) -> impl Iterator<Item = (&'a HostId, &'a Relay)> {
+    fn in_data_centre<'a>(&'a self, dc: Option<&'a str>) -> impl Iterator<Item = (&'a HostId, &'a Relay)> {
         self.active.iter().filter(move |(_, r)| dc.is_none_or(|dc| r.data_centre == dc))
     }
 }
 
 /// A number that is the same wherever it is worked out, and different for each pair.
-fn rank(entry: &str, other: &str) -> u64 {
+fn rendezvous_rank(entry: &str, other: &str) -> u64 {
     xxh3_64(format!("{entry}/{other}").as_bytes())
 }
 
@@ -131,7 +139,7 @@
 
     /// The token of a worker's relay, the first of a term being 1.
     pub(super) fn worker_token(&self, relay: u32) -> Term {
-        (self.token << RELAY_BITS) | u64::from(relay)
+        (self.token << RELAY_COUNTER_BITS) | u64::from(relay)
     }
 
     /// Entries that may be relays; the holder is not one of them.
@@ -141,36 +149,36 @@
     }
 
     /// Workers that the holder attends by itself if there are no more.
-    fn own_room(&self) -> usize {
-        self.relay_room(self.strength)
+    fn own_capacity(&self) -> usize {
+        self.relay_capacity(self.strength)
     }
 
-    fn relay_room(&self, strength: Strength) -> usize {
+    fn relay_capacity(&self, strength: Strength) -> usize {
         let policy = &self.policy.relays;
-        ((f64::from(strength) * policy.share) as usize).clamp(1, policy.most_workers)
+        ((f64::from(strength) * policy.capacity_share) as usize).clamp(1, policy.max_workers)
     }
 
     /// Whether the workers are shared out.
     fn wants_relays(&self) -> bool {
-        self.workers.len() > self.own_room() && !self.relays.entries.is_empty()
+        self.workers.len() > self.own_capacity() && !self.relays.entries.is_empty()
     }
 
     /// Has a worker attended anew: nothing is sent to it before it has answered.
-    pub(super) fn attend(&mut self, id: &WorkerId) {
+    pub(super) fn request_relay(&mut self, id: &WorkerId) {
         let bound = self.now + self.lease_span();
-        self.unattended(id, bound);
-        self.relays.waiting.insert(id.clone());
+        self.detach_relay(id, bound);
+        self.relays.unassigned.insert(id.clone());
     }
 
     /// Has a worker attended no longer; what it runs is not settled by that.
-    pub(super) fn stop_attending(&mut self, id: &WorkerId) {
+    pub(super) fn withdraw_relay(&mut self, id: &WorkerId) {
         let bound = self.now + self.lease_span();
-        self.unattended(id, bound);
-        self.relays.waiting.remove(id);
+        self.detach_relay(id, bound);
+        self.relays.unassigned.remove(id);
     }
 
     /// Takes a worker from its relay, which may have extended its lease until a time.
-    fn unattended(&mut self, id: &WorkerId, lease_end: Duration) {
+    fn detach_relay(&mut self, id: &WorkerId, lease_end: Duration) {
         let Some(mut w) = self.workers.get_mut(id) else { return };
         let relay = w.relay.take();
         if relay.is_some() {
@@ -182,13 +190,13 @@
         w.reports_load = false;
         drop(w);
         if let Some(relay) = relay {
-            self.leave_relay(id, &relay);
+            self.remove_from_relay(id, &relay);
         }
-        self.forget_orders(id);
+        self.reset_run_phases(id);
     }
 
     /// What was sent over an earlier relay may have had no effect.
-    fn forget_orders(&mut self, id: &WorkerId) {
+    fn reset_run_phases(&mut self, id: &WorkerId) {
         let Some(w) = self.workers.get(id) else { return };
         let runs: Vec<_> = w.runs.keys().copied().collect();
         let now = self.now;
@@ -204,23 +212,23 @@
         }
     }
 
-    fn leave_relay(&mut self, id: &WorkerId, relay: &HostId) {
+    fn remove_from_relay(&mut self, id: &WorkerId, relay: &HostId) {
         let Some(r) = self.relays.active.get_mut(relay) else { return };
-        if r.workers.remove(id) && r.up {
+        if r.workers.remove(id) && r.ready {
             self.relays.orders.push(Action::Unwatch(id.clone()));
         }
     }
 
     /// Forgets a worker whose life is over.
-    pub(super) fn unattend(&mut self, id: &WorkerId, relay: Option<HostId>) {
-        self.relays.waiting.remove(id);
+    pub(super) fn forget_relay_assignment(&mut self, id: &WorkerId, relay: Option<HostId>) {
+        self.relays.unassigned.remove(id);
         if let Some(relay) = relay {
-            self.leave_relay(id, &relay);
+            self.remove_from_relay(id, &relay);
         }
     }
 
     /// Has the figures of a worker told as long as tasks fill it up.
-    pub(super) fn want_figures(&mut self, id: &WorkerId) {
+    pub(super) fn update_load_reporting(&mut self, id: &WorkerId) {
         let Some(mut w) = self.workers.get_mut(id) else { return };
         let wanted = !w.best_effort.is_empty();
         if w.reports_load != wanted && w.reachable {
@@ -231,37 +239,37 @@
 
     /// Gives all workers a relay that wait for one; returns the orders for it, which
     /// need no record.
-    pub fn take_attendance(&mut self) -> Vec<Action> {
-        for id in std::mem::take(&mut self.relays.waiting) {
-            self.give_relay(&id);
+    pub fn assign_relays(&mut self) -> Vec<Action> {
+        for id in std::mem::take(&mut self.relays.unassigned) {
+            self.assign_relay(&id);
         }
         std::mem::take(&mut self.relays.orders)
     }
 
-    fn give_relay(&mut self, id: &WorkerId) {
+    fn assign_relay(&mut self, id: &WorkerId) {
         let Some(info) = self.workers.get(id).and_then(|w| w.info.clone()) else { return };
         let entry = self.choose_relay(&info.data_centre, &info.host);
-        let before = self.relays.given.get(id.name()).copied().unwrap_or(0);
+        let before = self.relays.relay_counts.get(id.name()).copied().unwrap_or(0);
         let Some(mut w) = self.workers.get_mut(id) else { return };
         w.relay = Some(entry.clone());
         w.relay_count = 1 + w.relay_count.max(before);
         let relays = w.relay_count;
         drop(w);
         if id.started_at().is_some() {
-            self.note_relays(id, relays);
+            self.record_relay_count(id, relays);
         }
         let token = self.worker_token(relays);
         self.open_relay(&entry);
         let Some(r) = self.relays.active.get_mut(&entry) else { return };
         r.workers.insert(id.clone());
-        if r.up {
+        if r.ready {
             self.relays.orders.push(Action::Watch { relay: entry, info: (*info).clone(), token });
         }
     }
 
     /// Notes how many relays a worker has had; its later lives get tokens above those.
-    pub(super) fn note_relays(&mut self, id: &WorkerId, relays: u32) {
-        let given = self.relays.given.entry(id.name().to_string()).or_default();
+    pub(super) fn record_relay_count(&mut self, id: &WorkerId, relays: u32) {
+        let given = self.relays.relay_counts.entry(id.name().to_string()).or_default();
         *given = relays.max(*given);
     }
 
@@ -274,9 +282,9 @@
         let known = self.relays.entries.get(entry);
         let relay = Relay {
             data_centre: known.map(|h| h.data_centre.clone()).unwrap_or_default(),
-            most_workers: self.relay_room(known.map_or(self.strength, |h| h.strength)),
-            up: own,
-            heard: self.now,
+            max_workers: self.relay_capacity(known.map_or(self.strength, |h| h.strength)),
+            ready: own,
+            last_heard: self.now,
             workers: BTreeSet::new(),
         };
         self.relays.active.insert(entry.clone(), relay);
@@ -293,46 +301,46 @@
             return self.holder.clone();
         }
         let here = self.workers.count_in_data_centre(dc);
-        self.open_enough(Some(dc), here);
-        let found = self.best_relay(Some(dc), host);
+        self.open_relays_for(Some(dc), here);
+        let found = self.best_open_relay(Some(dc), host);
         let found = found.or_else(|| {
-            self.open_enough(None, self.workers.len());
-            self.best_relay(None, host)
+            self.open_relays_for(None, self.workers.len());
+            self.best_open_relay(None, host)
         });
-        found.unwrap_or_else(|| self.least_loaded())
+        found.unwrap_or_else(|| self.least_loaded_relay())
     }
 
     /// Opens relays until those of a data centre can attend so many workers.
-    fn open_enough(&mut self, dc: Option<&DataCentre>, workers: usize) {
-        let wanted = (workers as f64 * (1.0 + self.policy.relays.spare)).ceil() as usize;
+    fn open_relays_for(&mut self, dc: Option<&DataCentre>, workers: usize) {
+        let wanted = (workers as f64 * (1.0 + self.policy.relays.spare_share)).ceil() as usize;
         let dc_name = dc.map(String::as_str);
         let others = |name: &HostId| *name != self.holder;
         let mut room: usize =
-            self.relays.of(dc_name).filter(|(n, _)| others(n)).map(|(_, r)| r.most_workers).sum();
+            self.relays.in_data_centre(dc_name).filter(|(n, _)| others(n)).map(|(_, r)| r.max_workers).sum();
         while room < wanted {
-            let Some(next) = self.next_entry(dc_name) else { return };
+            let Some(next) = self.next_relay_entry(dc_name) else { return };
             self.open_relay(&next);
-            room += self.relays.active.get(&next).map_or(1, |r| r.most_workers);
+            room += self.relays.active.get(&next).map_or(1, |r| r.max_workers);
         }
     }
 
     /// The next entry to become a relay: the strongest, then by a hash of its name.
-    fn next_entry(&self, dc: Option<&str>) -> Option<HostId> {
+    fn next_relay_entry(&self, dc: Option<&str>) -> Option<HostId> {
         let idle = self.relays.entries.values().filter(|h| !self.relays.active.contains_key(&h.name));
         let here = idle.filter(|h| dc.is_none_or(|dc| h.data_centre == dc));
-        let may = here.filter(|h| self.relays.may_serve(h, self.now));
-        let best = may.max_by_key(|h| (self.relay_room(h.strength), rank(&h.name, "")));
+        let may = here.filter(|h| self.relays.is_eligible(h, self.now));
+        let best = may.max_by_key(|h| (self.relay_capacity(h.strength), rendezvous_rank(&h.name, "")));
         best.map(|h| h.name.clone())
     }
 
-    fn best_relay(&self, dc: Option<&DataCentre>, host: &str) -> Option<HostId> {
-        let open = self.relays.of(dc.map(String::as_str));
+    fn best_open_relay(&self, dc: Option<&DataCentre>, host: &str) -> Option<HostId> {
+        let open = self.relays.in_data_centre(dc.map(String::as_str));
         let open = open.filter(|(name, r)| **name != self.holder && !r.is_full());
-        open.max_by_key(|(name, _)| rank(name, host)).map(|(name, _)| name.clone())
+        open.max_by_key(|(name, _)| rendezvous_rank(name, host)).map(|(name, _)| name.clone())
     }
 
     /// The relay that attends the fewest workers; the holder if there is none.
-    fn least_loaded(&self) -> HostId {
+    fn least_loaded_relay(&self) -> HostId {
         let others = self.relays.active.iter().filter(|(name, _)| **name != self.holder);
         let least = others.min_by_key(|(_, r)| r.workers.len());
         least.map_or_else(|| self.holder.clone(), |(name, _)| name.clone())
@@ -341,12 +349,12 @@
     /// Takes in what the relay of a worker tells. What an earlier one still tells is told
     /// anew by the present one; taken in, it would let work be sent before that has looked
     /// at the worker.
-    pub(super) fn relayed(&mut self, id: &WorkerId, token: Term, news: News) {
+    pub(super) fn worker_news(&mut self, id: &WorkerId, token: Term, news: News) {
         let present = self.workers.get(id).filter(|w| w.relay.is_some());
         if present.is_none_or(|w| self.worker_token(w.relay_count) != token) {
             return;
         }
-        if let Some(heard) = self.heard_with(&news)
+        if let Some(heard) = self.answer_time(&news)
             && let Some(mut w) = self.workers.get_mut(id)
         {
             w.last_heard = w.last_heard.max(heard);
@@ -355,21 +363,21 @@
             News::Reported(report) => self.reported(id, &report),
             News::Doubted => self.doubt(id),
             News::Unanswered { lease_end, .. } => self.unanswered(id, lease_end),
-            News::Fenced => self.depose(id),
+            News::Fenced => self.note_higher_token(id),
             News::Started(task, attempt, reply) => self.started(id, task, attempt, reply),
             News::Stopped(task, attempt, reply) => self.stopped(id, task, attempt, reply),
         }
     }
 
     /// A worker knows a higher token than the one it is attended with: another process leads.
-    pub(super) fn depose(&mut self, id: &WorkerId) {
+    pub(super) fn note_higher_token(&mut self, id: &WorkerId) {
         let token = self.token_of(id).unwrap_or_default();
         self.notes.push(format_args!("event=higher_token_seen worker={id} token={token}"));
         self.deposed = true;
     }
 
     /// When a worker answered at the latest, as news of it tell.
-    fn heard_with(&self, news: &News) -> Option<Duration> {
+    fn answer_time(&self, news: &News) -> Option<Duration> {
         match news {
             News::Reported(_) | News::Fenced => Some(self.now),
             News::Unanswered { heard, .. } => Some(*heard),
@@ -382,8 +390,8 @@
     /// A relay takes orders from now on.
     pub(super) fn relay_up(&mut self, entry: &HostId) {
         let Some(r) = self.relays.active.get_mut(entry) else { return };
-        r.up = true;
-        r.heard = self.now;
+        r.ready = true;
+        r.last_heard = self.now;
         let workers: Vec<WorkerId> = r.workers.iter().cloned().collect();
         self.notes.push(format_args!("event=relay_up relay={entry} workers={}", workers.len()));
         for id in workers {
@@ -397,7 +405,7 @@
     /// A relay was heard of.
     pub(super) fn relay_heard(&mut self, entry: &HostId) {
         if let Some(r) = self.relays.active.get_mut(entry) {
-            r.heard = self.now;
+            r.last_heard = self.now;
         }
     }
 
@@ -407,16 +415,16 @@
         self.notes.push(format_args!(
             "event=relay_lost relay={entry} workers={} was_up={} may_return={may_return}",
             r.workers.len(),
-            r.up
+            r.ready
         ));
-        if !(may_return && r.up) {
-            let until = self.now + self.policy.relays.shun_for;
-            self.relays.shunned.insert(entry.clone(), until);
+        if !(may_return && r.ready) {
+            let until = self.now + self.policy.relays.backoff;
+            self.relays.backoff_until.insert(entry.clone(), until);
         }
         for id in r.workers {
-            let bound = if r.up { lease_end } else { Duration::ZERO };
-            self.unattended(&id, bound);
-            self.relays.waiting.insert(id);
+            let bound = if r.ready { lease_end } else { Duration::ZERO };
+            self.detach_relay(&id, bound);
+            self.relays.unassigned.insert(id);
         }
     }
 
@@ -425,21 +433,21 @@
         let Some(r) = self.relays.active.get(entry) else { return };
         let workers: Vec<WorkerId> = r.workers.iter().cloned().collect();
         self.notes.push(format_args!("event=relay_leaving relay={entry} workers={}", workers.len()));
-        let until = self.now + self.policy.relays.shun_for;
-        self.relays.shunned.insert(entry.clone(), until);
-        workers.iter().for_each(|id| self.attend(id));
+        let until = self.now + self.policy.relays.backoff;
+        self.relays.backoff_until.insert(entry.clone(), until);
+        workers.iter().for_each(|id| self.request_relay(id));
         self.relays.active.remove(entry);
         self.relays.orders.push(Action::CloseRelay(entry.clone()));
     }
 
     /// Shares workers out that the holder still attends although there are relays.
     pub(super) fn balance_relays(&mut self) {
-        self.relays.shunned.retain(|_, until| *until > self.now);
+        self.relays.backoff_until.retain(|_, until| *until > self.now);
         if !self.wants_relays() {
             return;
         }
         let Some(own) = self.relays.active.get(&self.holder) else { return };
-        let some: Vec<WorkerId> = own.workers.iter().take(MOVES_A_TICK).cloned().collect();
-        some.iter().for_each(|id| self.attend(id));
+        let some: Vec<WorkerId> = own.workers.iter().take(MAX_REBALANCED_PER_TICK).cloned().collect();
+        some.iter().for_each(|id| self.request_relay(id));
     }
 }
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/settle.rs
@@ -78,7 +78,7 @@
                 self.dirty_workers.insert(id.clone());
             }
             if !attended {
-                self.attend(&id);
+                self.request_relay(&id);
             }
         } else if draining {
             self.notes.push(format_args!("event=worker_draining worker={id} service={}", info.service));
@@ -135,7 +135,7 @@
     fn drop_worker(&mut self, id: &WorkerId) -> bool {
         let Some(w) = self.workers.remove(id) else { return false };
         self.dirty_workers.insert(id.clone());
-        self.unattend(id, w.relay);
+        self.forget_relay_assignment(id, w.relay);
         true
     }
 
@@ -260,7 +260,7 @@
             StartReply::Refused | StartReply::Ticket | StartReply::Unwell | StartReply::NotSent => {
                 self.settle(id, &task, attempt, "start_refused");
             }
-            StartReply::Deposed => self.depose(id),
+            StartReply::Deposed => self.note_higher_token(id),
         }
     }
 
@@ -300,7 +300,7 @@
                     self.actions.push(Action::Stop(id.clone(), task, attempt));
                 }
             }
-            StopReply::Deposed => self.depose(id),
+            StopReply::Deposed => self.note_higher_token(id),
         }
     }
 
--- a/crates/workswood-core/src/jobs/worker_restart.rs
+++ b/crates/workswood-core/src/jobs/worker_restart.rs
@@ -36,7 +36,7 @@
             let now = self.now;
             self.workers.get_or_insert_with(&later, || Worker::new(now, now)).info = Some(info.into());
             self.dirty_workers.insert(later.clone());
-            self.attend(&later);
+            self.request_relay(&later);
         }
         self.replace_earlier_lives(&later);
     }
@@ -72,9 +72,9 @@
             w.lease_end = w.lease_end.max(bound);
             let (runs, relays) = (w.runs.len(), w.relay_count);
             drop(w);
-            self.note_relays(&id, relays);
+            self.record_relay_count(&id, relays);
             self.notes.push(format_args!("event=worker_restarted worker={later} before={id} runs={runs}"));
-            self.stop_attending(&id);
+            self.withdraw_relay(&id);
             if runs == 0 {
                 self.life_over(&id, LifeEnd::OtherLife);
             }
--- a/crates/workswood-test-support/src/job_world/holder.rs
+++ b/crates/workswood-test-support/src/job_world/holder.rs
@@ -125,7 +125,7 @@
 
     /// Has workers attended.
     fn attend(&mut self, n: usize) {
-        for action in self.holders[n].sched.take_attendance() {
+        for action in self.holders[n].sched.assign_relays() {
             self.send(n, action);
         }
     }
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -337,7 +337,7 @@
             data_centre: "north".to_string(),
             strength: 100,
         };
-        sched.policy.relays.most_workers = if self.relays.is_empty() { usize::MAX } else { RELAY_ROOM };
+        sched.policy.relays.max_workers = if self.relays.is_empty() { usize::MAX } else { RELAY_ROOM };
         sched.set_relay_entries(others.map(entry).collect());
     }
 
--- a/src/workswood/ops/bench/pools.rs
+++ b/src/workswood/ops/bench/pools.rs
@@ -77,7 +77,7 @@
             }
             self.sched.handle(Event::WorkerListed(info));
             // Who attends it is told at once, and answers below.
-            self.sched.take_attendance();
+            self.sched.assign_relays();
             let report = Report { full: true, ..Report::default() };
             let token = self.sched.token_of(&id).unwrap_or(0);
             self.sched.handle(Event::Relayed(id, token, News::Reported(report)));
--- a/src/workswood/ops/jobs/lead.rs
+++ b/src/workswood/ops/jobs/lead.rs
@@ -269,7 +269,7 @@
 
     /// Has workers attended; that needs no record.
     fn attend(&mut self, tasks: &mut JoinSet<()>) {
-        for action in self.sched.take_attendance() {
+        for action in self.sched.assign_relays() {
             self.sessions.send(action, tasks);
         }
         self.sessions.flush();
--- a/src/workswood/ops/model/carry.rs
+++ b/src/workswood/ops/model/carry.rs
@@ -60,7 +60,7 @@
 
     /// Has workers attended: the model has no relays.
     fn attend(&mut self) {
-        let orders = self.sched.as_mut().map(Scheduler::take_attendance).unwrap_or_default();
+        let orders = self.sched.as_mut().map(Scheduler::assign_relays).unwrap_or_default();
         orders.into_iter().for_each(|action| self.act(action));
     }
 
--- a/tests/testsuite/foreign_entries.rs
+++ b/tests/testsuite/foreign_entries.rs
@@ -144,7 +144,7 @@
     let watched = |actions: &[Action]| {
         actions.iter().any(|a| matches!(a, Action::Watch { info, .. } if info.id == other.id))
     };
-    assert!(!watched(&world.sched.take_attendance()), "nobody speaks with it");
+    assert!(!watched(&world.sched.assign_relays()), "nobody speaks with it");
     assert!(!world.sched.workers.contains_key(&other.id));
     // A configuration that names the service makes it one to use.
     let mut cfg = config();
@@ -153,7 +153,7 @@
     service.name.clone_from(&other.service);
     cfg.services.insert(other.service.clone(), service);
     world.sched.handle(Event::Config(Arc::new(cfg)));
-    assert!(watched(&world.sched.take_attendance()));
+    assert!(watched(&world.sched.assign_relays()));
 }
 
 #[test]
--- a/tests/testsuite/job_limits.rs
+++ b/tests/testsuite/job_limits.rs
@@ -31,7 +31,7 @@
     };
     s.handle(Event::WorkerListed(info));
     let report = workswood_core::jobs::Report { full: true, ..Default::default() };
-    s.take_attendance();
+    s.assign_relays();
     let token = s.token_of(&"w".into()).expect("it is known");
     s.handle(Event::Relayed("w".into(), token, News::Reported(report)));
     s
