--- a/crates/workswood-core/src/jobs/crash_trials.rs
+++ b/crates/workswood-core/src/jobs/crash_trials.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use super::crash_attribution::{CrashPolicy, PROVEN_AFTER};
+use super::crash_attribution::{CrashPolicy, PROVEN_SAFE_AFTER};
 use super::job::{Task, WorkerId};
 use super::sched::Scheduler;
 use super::spec::{StepSpec, TaskId};
@@ -55,7 +55,7 @@
     pub(super) fn queue_trial(&mut self, id: &TaskId, service: &ServiceId) {
         let Some(task) = self.jobs.get(&id.job).and_then(|j| j.task(id)) else { return };
         let Some(s) = task.suspicion else { return };
-        self.trials.entry(service.clone()).or_default().insert((s.since, *id));
+        self.trials.entry(service.clone()).or_default().insert((s.suspected_at, *id));
     }
 
     /// Whether a waiting task waits for a trial.
@@ -97,7 +97,7 @@
         let takers = || self.workers.available(service, 0).map(|(_, w)| w);
         let room: u64 = takers().filter_map(|w| w.info.as_ref()).map(|i| i.capacity.cpu_millis).sum();
         let light = self.workers.room_in_use(service).cpu_millis * 2 < room;
-        let share = if light { 1.0 } else { self.policy.crashes.most_quarantined };
+        let share = if light { 1.0 } else { self.policy.crashes.max_quarantined_share };
         (takers().count() as f64 * share).ceil() as usize
     }
 
@@ -127,7 +127,7 @@
     /// The worker with the least to lose where a trial can begin now.
     fn worker_for_trial(&self, service: &str, id: &TaskId, step: &StepSpec) -> Option<WorkerId> {
         let room = step.reserved();
-        let young = self.policy.crashes.young;
+        let young = self.policy.crashes.suspect_age;
         let quiet = |w: &Worker| w.last_start_at.is_none_or(|at| at + young <= self.now);
         let free = |w: &Worker| !w.in_quarantine(self.now) || w.quarantine.is_some_and(|q| q.trial.is_none());
         let fits =
@@ -147,7 +147,7 @@
         let Some(worker) = open.min_by_key(|(_, w)| w.runs.len()).map(|(id, _)| id.clone()) else {
             return false;
         };
-        let until = self.now + self.policy.crashes.young + KEPT_FOR;
+        let until = self.now + self.policy.crashes.suspect_age + KEPT_FOR;
         if let Some(mut w) = self.workers.get_mut(&worker) {
             w.quarantine = Some(Quarantine { trial: None, until });
         }
@@ -166,12 +166,12 @@
     /// for long: it is more often lost by chance.
     fn wants_trial(&self, policy: &CrashPolicy, now: Duration) -> bool {
         let Some(s) = self.suspicion else { return false };
-        self.crashes.count() > 1 || now < s.since + policy.first_wait
+        self.crashes.count() > 1 || now < s.suspected_at + policy.max_first_trial_wait
     }
 
     /// A trial of it has ended, and its worker is still there.
     pub(super) fn passed_trial(&mut self, policy: &CrashPolicy) {
-        if self.crashes.count() < policy.suspect_after {
+        if self.crashes.count() < policy.suspect_after_crashes {
             self.suspicion = None;
         }
     }
@@ -179,11 +179,11 @@
     /// How long a trial of it lasts; `None` if it needs none.
     pub(super) fn trial(&self, step: &StepSpec, policy: &CrashPolicy, now: Duration) -> Option<Duration> {
         let s = self.suspicion.filter(|_| self.wants_trial(policy, now))?;
-        if self.crashes.count() >= policy.suspect_after {
+        if self.crashes.count() >= policy.suspect_after_crashes {
             // Until it ends: no length of a run is known to be harmless.
-            return Some(if step.lasting { PROVEN_AFTER } else { Duration::MAX });
+            return Some(if step.lasting { PROVEN_SAFE_AFTER } else { Duration::MAX });
         }
-        let lasted = s.lasted.map_or(UNKNOWN_TRIAL, |d| d * TRIAL_TIMES);
-        Some(lasted.clamp(policy.young * TRIAL_TIMES, LONGEST_TRIAL))
+        let lasted = s.run_time.map_or(UNKNOWN_TRIAL, |d| d * TRIAL_TIMES);
+        Some(lasted.clamp(policy.suspect_age * TRIAL_TIMES, LONGEST_TRIAL))
     }
 }
--- a/crates/workswood-core/src/jobs/job.rs
+++ b/crates/workswood-core/src/jobs/job.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-use super::crash_attribution::{Crashes, Suspicion};
+use super::crash_attribution::{CrashHistory, Suspicion};
 use super::spec::{JobKey, JobSpec, QueueId, Room, StepId, StepSpec, TaskId};
 use super::workspace::Owner;
 
@@ -133,7 +133,7 @@
     /// change of the lease holder, and must count once.
     pub failed: BTreeSet<u32>,
     /// Workers that have crashed under it.
-    pub crashes: Crashes,
+    pub crashes: CrashHistory,
     /// Whether it is never started again, since it crashes its workers; its job goes on.
     pub given_up: bool,
     /// Why it is started as a trial only, if it is.
@@ -321,7 +321,7 @@
         let task = |t: &Task| TaskRecord {
             done: t.done,
             failed: t.failed.clone(),
-            crashes: if t.done { Crashes::default() } else { t.crashes.clone() },
+            crashes: if t.done { CrashHistory::default() } else { t.crashes.clone() },
             given_up: t.given_up,
             attempt: t.attempt,
             checkpoint: t.checkpoint.clone(),
@@ -409,8 +409,8 @@
     #[serde(default, rename = "f", skip_serializing_if = "BTreeSet::is_empty")]
     pub failed: BTreeSet<u32>,
     /// Workers that have crashed under it.
-    #[serde(default, rename = "k", skip_serializing_if = "Crashes::is_empty")]
-    pub crashes: Crashes,
+    #[serde(default, rename = "k", skip_serializing_if = "CrashHistory::is_empty")]
+    pub crashes: CrashHistory,
     /// Whether it is never started again.
     #[serde(default, rename = "g", skip_serializing_if = "is_false")]
     pub given_up: bool,
--- a/crates/workswood-core/src/jobs/moves.rs
+++ b/crates/workswood-core/src/jobs/moves.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use super::crash_attribution::LifeEnd;
+use super::crash_attribution::IncarnationEnd;
 use super::host::{Host, HostReply, HostState, ORDER_AGAIN};
 use super::job::WorkerId;
 use super::sched::Scheduler;
@@ -161,7 +161,7 @@
             enter_pool(m, to);
         }
         if let Some(id) = worker {
-            self.life_over(&id, LifeEnd::Moved);
+            self.life_over(&id, IncarnationEnd::Moved);
         }
     }
 }
--- a/crates/workswood-core/src/jobs/policy.rs
+++ b/crates/workswood-core/src/jobs/policy.rs
@@ -347,7 +347,7 @@
             ("pace.danger", self.pace.danger),
             ("pace.ease", self.pace.ease),
             ("relays.share", self.relays.capacity_share),
-            ("crashes.most_quarantined", self.crashes.most_quarantined),
+            ("crashes.most_quarantined", self.crashes.max_quarantined_share),
         ];
         let bad = shares.into_iter().find(|(_, v)| !(*v > 0.0 && *v <= 1.0));
         bad.map_or(Ok(()), |(name, v)| Err(format!("`policy.{name}` must be above 0 and at most 1, not {v}")))
@@ -371,8 +371,8 @@
             ("pools.margin", self.pools.margin),
             ("pools.surplus", self.pools.surplus),
             ("health.stuck_share", self.health.stuck_share),
-            ("crashes.suspicious", self.crashes.suspicious),
-            ("crashes.sure", self.crashes.sure),
+            ("crashes.suspicious", self.crashes.suspicion_threshold),
+            ("crashes.sure", self.crashes.give_up_threshold),
             ("relays.spare", self.relays.spare_share),
         ];
         let bad = factors.into_iter().find(|(_, v)| !(*v >= 0.0 && v.is_finite()));
@@ -388,7 +388,7 @@
             ("health.faults_to_shun", self.health.faults_to_shun as usize),
             ("health.shun_one_of", self.health.shun_one_of),
             ("relays.most_workers", self.relays.max_workers),
-            ("crashes.suspect_after", self.crashes.suspect_after),
+            ("crashes.suspect_after", self.crashes.suspect_after_crashes),
         ];
         let bad = counts.into_iter().find(|(_, v)| *v == 0);
         bad.map_or(Ok(()), |(name, _)| Err(format!("`policy.{name}` must be at least 1")))
@@ -411,8 +411,8 @@
             ("health.shun_at_most", self.health.shun_at_most),
             ("advice.margin", self.advice.margin),
             ("relays.shun_for", self.relays.backoff),
-            ("crashes.young", self.crashes.young),
-            ("crashes.first_wait", self.crashes.first_wait),
+            ("crashes.young", self.crashes.suspect_age),
+            ("crashes.first_wait", self.crashes.max_first_trial_wait),
         ];
         if self.need.arrivals.is_zero() {
             return Err("`policy.need.arrivals` must be above 0".to_string());
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -509,7 +509,7 @@
         if self.now >= self.slow_checked + SLOW_EVERY {
             self.slow_checked = self.now;
             self.settle_slow();
-            self.clear_proven();
+            self.clear_proven_tasks();
         }
         self.evict_leaving();
         self.evict_inherited();
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/settle.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::crash_attribution::LifeEnd;
+use super::crash_attribution::IncarnationEnd;
 use super::host::HostState;
 use super::job::{FULL_PACE, Phase, Run, WorkerId};
 use super::sched::Scheduler;
@@ -107,7 +107,7 @@
         let over: Vec<WorkerId> =
             self.workers.iter().filter(|(id, w)| over(id, w)).map(|(id, _)| id.clone()).collect();
         for id in over {
-            self.life_over(&id, LifeEnd::NotOnHost);
+            self.life_over(&id, IncarnationEnd::NotOnHost);
         }
     }
 
@@ -126,7 +126,7 @@
     fn drop_if_idle(&mut self, id: &WorkerId) {
         let idle = self.workers.get(id).is_some_and(|w| !w.listed && w.runs.is_empty());
         if idle {
-            self.take_crash(id, LifeEnd::Gone);
+            self.attribute_crash(id, IncarnationEnd::Gone);
             self.drop_worker(id);
         }
     }
@@ -164,7 +164,7 @@
     /// A worker's address is answered by another life.
     pub(super) fn other_life_answered(&mut self, id: &WorkerId, heard: Duration) {
         self.note_last_heard(id, heard);
-        self.life_over(id, LifeEnd::OtherLife);
+        self.life_over(id, IncarnationEnd::OtherIncarnation);
     }
 
     /// Notes when a life last answered that is over.
@@ -178,9 +178,9 @@
     }
 
     /// A life of a worker is over: nothing runs there.
-    pub(super) fn life_over(&mut self, id: &WorkerId, end: LifeEnd) {
+    pub(super) fn life_over(&mut self, id: &WorkerId, end: IncarnationEnd) {
         let why = end.label();
-        self.take_crash(id, end);
+        self.attribute_crash(id, end);
         let lost = self.workers.get(id).map_or(0, |w| w.runs.len());
         self.tally.lives_lost += u64::from(lost > 0);
         self.tally.runs_lost += lost as u64;
@@ -314,7 +314,7 @@
                 // The outcome of a start on its way brings a later end of the lease.
                 let starting = self.run_mut(&id, &task, attempt).is_some_and(|r| r.phase == Phase::Starting);
                 if !starting {
-                    self.take_lapsed(&id, &task, attempt);
+                    self.record_lapsed_run(&id, &task, attempt);
                     self.settle(&id, &task, attempt, "lease_ended");
                 }
             }
--- a/crates/workswood-core/src/jobs/upkeep.rs
+++ b/crates/workswood-core/src/jobs/upkeep.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use super::crash_attribution::LifeEnd;
+use super::crash_attribution::IncarnationEnd;
 use super::host::{HostReply, HostState, ORDER_AGAIN};
 use super::job::WorkerId;
 use super::sched::Scheduler;
@@ -132,7 +132,7 @@
         let life = w.record.ordered.get(host).cloned().flatten();
         self.dirty_waves.insert(n);
         if let Some(life) = life {
-            self.life_over(&life.as_str().into(), LifeEnd::Upkeep);
+            self.life_over(&life.as_str().into(), IncarnationEnd::Upkeep);
         }
     }
 }
--- a/crates/workswood-core/src/jobs/worker.rs
+++ b/crates/workswood-core/src/jobs/worker.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::accounts::{Change, Held};
-use super::crash_attribution::Lost;
+use super::crash_attribution::LostRun;
 use super::crash_trials::Quarantine;
 use super::job::WorkerId;
 use super::map::Map;
@@ -220,7 +220,7 @@
     /// When it was found to be listed no longer.
     pub unlisted_at: Option<Duration>,
     /// Runs that are over since its lease has ended; whether it has crashed is not known.
-    pub lapsed_runs: Vec<Lost>,
+    pub lapsed_runs: Vec<LostRun>,
     /// Whether it takes no work but a trial of a suspected task.
     pub quarantine: Option<Quarantine>,
     /// When a task was last started here.
--- a/crates/workswood-core/src/jobs/worker_restart.rs
+++ b/crates/workswood-core/src/jobs/worker_restart.rs
@@ -12,7 +12,7 @@
 
 use std::time::Duration;
 
-use super::crash_attribution::LifeEnd;
+use super::crash_attribution::IncarnationEnd;
 use super::job::{Run, WorkerId};
 use super::sched::Scheduler;
 use super::spec::TaskId;
@@ -76,7 +76,7 @@
             self.notes.push(format_args!("event=worker_restarted worker={later} before={id} runs={runs}"));
             self.withdraw_relay(&id);
             if runs == 0 {
-                self.life_over(&id, LifeEnd::OtherLife);
+                self.life_over(&id, IncarnationEnd::OtherIncarnation);
             }
         }
     }
@@ -103,7 +103,7 @@
             for (task, attempt) in &listed {
                 self.carry_over(&id, later, task, *attempt);
             }
-            self.life_over(&id, LifeEnd::OtherLife);
+            self.life_over(&id, IncarnationEnd::OtherIncarnation);
         }
     }
 
--- a/src/workswood/ops/jobs/job_state.rs
+++ b/src/workswood/ops/jobs/job_state.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use prost::Message;
-use workswood_core::jobs::crash_attribution::{Crash, Evidence};
+use workswood_core::jobs::crash_attribution::{CrashRecord, Evidence};
 use workswood_core::jobs::job::{TaskRecord, WorkerId};
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{JobRecord, Outcome, OverRecord, Owner};
@@ -176,7 +176,7 @@
                 checkpoint: t.checkpoint.clone(),
                 evicted: t.evicted.iter().copied().collect(),
                 crashes: t.crashes.0.iter().flat_map(|(n, c)| [*n, evidence(c.evidence) as u32]).collect(),
-                crashed_within: t.crashes.0.values().map(|c| write_within(c.within)).collect(),
+                crashed_within: t.crashes.0.values().map(|c| write_within(c.max_run_time)).collect(),
                 given_up: t.given_up,
             });
         }
@@ -239,7 +239,9 @@
         for (n, crash) in t.crashes.chunks(2).enumerate() {
             let [attempt, known] = *crash else { return Err("a crash is cut short".to_string()) };
             let within = t.crashed_within.get(n).and_then(|ms| read_within(*ms));
-            task.crashes.0.insert(attempt, Crash { evidence: read_evidence(known)?, within });
+            task.crashes
+                .0
+                .insert(attempt, CrashRecord { evidence: read_evidence(known)?, max_run_time: within });
         }
     }
     Ok(tasks)
@@ -269,17 +271,17 @@
 
 fn evidence(e: Evidence) -> Known {
     match e {
-        Evidence::Explains => Known::Explains,
-        Evidence::Beside => Known::Beside,
-        Evidence::Supposed => Known::Supposed,
+        Evidence::LikelyCause => Known::Explains,
+        Evidence::Bystander => Known::Beside,
+        Evidence::Unconfirmed => Known::Supposed,
     }
 }
 
 fn read_evidence(known: u32) -> Result<Evidence, String> {
     match Known::try_from(known as i32).map_err(|e| e.to_string())? {
-        Known::Explains | Known::ExplainsLate => Ok(Evidence::Explains),
-        Known::Beside => Ok(Evidence::Beside),
-        Known::Supposed => Ok(Evidence::Supposed),
+        Known::Explains | Known::ExplainsLate => Ok(Evidence::LikelyCause),
+        Known::Beside => Ok(Evidence::Bystander),
+        Known::Supposed => Ok(Evidence::Unconfirmed),
     }
 }
 
--- a/tests/testsuite/crash_evidence.rs
+++ b/tests/testsuite/crash_evidence.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood_core::jobs::crash_attribution::{Crash, Evidence};
+use workswood_core::jobs::crash_attribution::{CrashRecord, Evidence};
 use workswood_core::jobs::{Action, Event, JobSpec, News, Outcome, Shown, TaskId};
 use workswood_test_support::host_world::{HostWorld, host, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
@@ -93,8 +93,11 @@
     let place = |id| again.iter().find(|(t, _)| *t == id).map(|(_, n)| *n).expect("it is started again");
     assert_ne!(place(old), place(young), "nothing begins beside a trial");
     let task = world.sched.jobs[&2].task(&young).expect("it is known").clone();
-    let crashes: Vec<Crash> = task.crashes.0.values().copied().collect();
-    assert_eq!(crashes, [Crash { evidence: Evidence::Explains, within: Some(Duration::ZERO) }]);
+    let crashes: Vec<CrashRecord> = task.crashes.0.values().copied().collect();
+    assert_eq!(
+        crashes,
+        [CrashRecord { evidence: Evidence::LikelyCause, max_run_time: Some(Duration::ZERO) }]
+    );
     assert!(world.sched.jobs[&1].task(&old).expect("it is known").suspicion.is_none());
 }
 
@@ -234,6 +237,6 @@
     let record = world.sched.jobs[&1].record();
     let stored = workswood::ops::jobs::job_state::encode(&record);
     let read = workswood::ops::jobs::job_state::decode(&stored).expect("it is read back");
-    let kept = Crash { evidence: Evidence::Explains, within: Some(Duration::ZERO) };
+    let kept = CrashRecord { evidence: Evidence::LikelyCause, max_run_time: Some(Duration::ZERO) };
     assert_eq!(read.rounds[0][0][0].crashes.0.get(&1), Some(&kept));
 }
--- a/tests/testsuite/job_records.rs
+++ b/tests/testsuite/job_records.rs
@@ -7,7 +7,7 @@
 use workswood::ops::jobs::job_spec;
 use workswood::ops::jobs::job_state::{decode, encode};
 use workswood::ops::jobs::shown::ShownJobs;
-use workswood_core::jobs::crash_attribution::{Crash, Evidence};
+use workswood_core::jobs::crash_attribution::{CrashRecord, Evidence};
 use workswood_core::jobs::job::{TaskRecord, WorkerId};
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{
@@ -19,10 +19,10 @@
     Ok(format!("i-{}", u.int_in_range(0..=3)?).into())
 }
 
-fn crash(u: &mut Unstructured<'_>) -> Result<Crash> {
-    let all = [Evidence::Explains, Evidence::Beside, Evidence::Supposed];
+fn crash(u: &mut Unstructured<'_>) -> Result<CrashRecord> {
+    let all = [Evidence::LikelyCause, Evidence::Bystander, Evidence::Unconfirmed];
     let within = if u.arbitrary()? { Some(Duration::from_millis(u.int_in_range(0..=90_000)?)) } else { None };
-    Ok(Crash { evidence: *u.choose(&all)?, within })
+    Ok(CrashRecord { evidence: *u.choose(&all)?, max_run_time: within })
 }
 
 fn task(u: &mut Unstructured<'_>) -> Result<TaskRecord> {
