--- a/crates/workswood-core/src/jobs/advice_need.rs
+++ b/crates/workswood-core/src/jobs/advice_need.rs
@@ -7,7 +7,7 @@
 use super::config::AdviceConfig;
 use super::job::{Job, Phase, Task, WorkerId};
 use super::order::Place;
-use super::placement::same_step;
+use super::placement::count_same_step;
 use super::sched::Scheduler;
 use super::spec::{Room, StepId, StepSpec, TaskId};
 use super::worker::{AdviceVerdict, Worker};
@@ -49,7 +49,7 @@
     pub(super) fn advised_pools(&self) -> Pools {
         let jobs = self.advice.jobs.iter().filter_map(|key| self.jobs.get(key));
         let services: BTreeSet<&ServiceId> = jobs.map(|j| &j.spec.service).collect();
-        services.into_iter().map(|s| (s.clone(), self.takers(s))).collect()
+        services.into_iter().map(|s| (s.clone(), self.available_workers(s))).collect()
     }
 
     /// Steps whose tasks wait, most urgent first, as far as there will be room.
@@ -168,7 +168,7 @@
             let (free, whole) = self.places_on(&wish, id, w);
             // A full worker has a place when one of its tasks has ended.
             let fits = if free == 0 { whole.min(1) } else { free };
-            if fits == 0 || !self.allowed(w, spec, first) {
+            if fits == 0 || !self.meets_constraints(w, spec, first) {
                 continue;
             }
             let good = match w.advice.get(&wanted.step) {
@@ -181,7 +181,7 @@
                 Some(AdviceVerdict::Eligible(..)) => true,
                 Some(AdviceVerdict::TicketRejected(_)) | None => false,
             };
-            let (far, crowd, faults, left) = self.cost(w, spec, first);
+            let (far, crowd, faults, left) = self.placement_cost(w, spec, first);
             let rank = (free == 0, far, !good, crowd, faults, left);
             candidates.push((rank, Candidate { worker: id.clone(), fits, good }));
         }
@@ -196,7 +196,7 @@
         let avoids = |t: &&TaskId| wish.others > 1 && task(t).is_some_and(|t| t.avoid.as_ref() == Some(id));
         let mut most = wish.wanted.tasks.iter().filter(|t| !avoids(t)).count() as u32;
         if wish.spec.most_per_worker > 0 {
-            let here = wish.wanted.tasks.first().map_or(0, |t| same_step(w, t)) as u32;
+            let here = wish.wanted.tasks.first().map_or(0, |t| count_same_step(w, t)) as u32;
             most = most.min(wish.spec.most_per_worker.saturating_sub(here));
         }
         let mut free = w.free_room();
--- a/crates/workswood-core/src/jobs/crash_attribution.rs
+++ b/crates/workswood-core/src/jobs/crash_attribution.rs
@@ -20,7 +20,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::crash_rate::blame;
+use super::crash_rate::task_fault_score;
 use super::job::{Job, Outcome, Phase, Run, Task, WorkerId};
 use super::sched::Scheduler;
 use super::spec::TaskId;
@@ -157,7 +157,7 @@
     /// How much better the task explains them than chance does, those counted too of which it
     /// is only supposed that it ran.
     fn score(&self, rate: f64) -> f64 {
-        blame(self.known_run_times().count(), self.known_run_times().sum(), rate)
+        task_fault_score(self.known_run_times().count(), self.known_run_times().sum(), rate)
     }
 
     /// Whether they prove that the task crashes its workers, the last one being explained
@@ -209,13 +209,13 @@
     /// Its address is answered by another life.
     OtherIncarnation,
     /// The list of hosts shows its host without it.
-    NotOnHost,
+    HostWithoutIt,
     /// Its host was ordered down for maintenance.
-    Upkeep,
+    Maintenance,
     /// Its host was ordered to another pool.
-    Moved,
+    HostMoved,
     /// It answers no more, and is not listed any more.
-    Gone,
+    UnreachableAndUnlisted,
 }
 
 impl IncarnationEnd {
@@ -223,16 +223,21 @@
     pub(super) fn label(self) -> &'static str {
         match self {
             IncarnationEnd::OtherIncarnation => "other_life",
-            IncarnationEnd::NotOnHost => "machine_listed_without_it",
-            IncarnationEnd::Upkeep => "upkeep",
-            IncarnationEnd::Moved => "moved",
-            IncarnationEnd::Gone => "gone",
+            IncarnationEnd::HostWithoutIt => "machine_listed_without_it",
+            IncarnationEnd::Maintenance => "upkeep",
+            IncarnationEnd::HostMoved => "moved",
+            IncarnationEnd::UnreachableAndUnlisted => "gone",
         }
     }
 
     /// Whether nobody ordered it.
     fn is_sudden(self) -> bool {
-        matches!(self, IncarnationEnd::OtherIncarnation | IncarnationEnd::NotOnHost | IncarnationEnd::Gone)
+        matches!(
+            self,
+            IncarnationEnd::OtherIncarnation
+                | IncarnationEnd::HostWithoutIt
+                | IncarnationEnd::UnreachableAndUnlisted
+        )
     }
 }
 
@@ -275,7 +280,7 @@
         let part = lost.iter().map(|l| l.role).min();
         let chance =
             if part.is_some_and(|p| p != RunRole::Old) { self.share_of_workers_with_suspects() } else { 1.0 };
-        self.crash_rate.note(self.now, lost.iter().map(|l| l.task).collect(), chance);
+        self.crash_rate.record_crash(self.now, lost.iter().map(|l| l.task).collect(), chance);
         let Some(part) = part else { return };
         let alike = lost.iter().filter(|l| l.role == part).count();
         self.notes.push(format_args!(
@@ -339,7 +344,7 @@
 
     /// Crashes a second of one worker, those under a task left out.
     fn background_crash_rate(&self, task: &TaskId) -> f64 {
-        self.crash_rate.without(task, self.now, self.workers.len(), self.now.saturating_sub(self.since))
+        self.crash_rate.rate_without(task, self.now, self.workers.len(), self.now.saturating_sub(self.since))
     }
 
     /// A run was lost with a worker that crashed; `part` explains that, for so many runs.
@@ -348,7 +353,7 @@
         let Some(job) = self.jobs.get_mut(&l.task.job).filter(|j| j.open()) else { return };
         let Some(task) = job.task_mut(&l.task).filter(|t| !t.done) else { return };
         let policy = &self.policy.crashes;
-        let sure = policy.give_up_threshold_after(self.crash_rate.found_lately(self.now));
+        let sure = policy.give_up_threshold_after(self.crash_rate.recent_culprits(self.now));
         let explains = l.role == part && l.role != RunRole::Old;
         let evidence = match l.run_time {
             Some(_) if explains => Evidence::LikelyCause,
@@ -382,7 +387,7 @@
             "event=task_given_up worker={id} task={task} crashes={crashes} suspicion={suspicion:.1}"
         ));
         self.tally.given_up += 1;
-        self.crash_rate.explain(task, self.now);
+        self.crash_rate.record_culprit(task, self.now);
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         if !job.step(task).is_some_and(|s| s.lasting) {
             self.end_job(task.job, Outcome::Failed);
@@ -407,7 +412,7 @@
             && let Some(task) = self.jobs.get_mut(&task_id.job).and_then(|j| j.task_mut(task_id))
         {
             let timed: Vec<Duration> = task.crashes.known_run_times().chain(l.max_run_time).collect();
-            if blame(timed.len(), timed.iter().sum(), rate) >= threshold {
+            if task_fault_score(timed.len(), timed.iter().sum(), rate) >= threshold {
                 suspect(task, l.run_time, self.now);
             }
         }
--- a/crates/workswood-core/src/jobs/crash_trials.rs
+++ b/crates/workswood-core/src/jobs/crash_trials.rs
@@ -14,15 +14,15 @@
 use crate::ids::ServiceId;
 
 /// A trial lasts this many times as long as the run that was lost last.
-const TRIAL_TIMES: u32 = 2;
+const TRIAL_LENGTH_FACTOR: u32 = 2;
 /// Longest trial of a task that was lost fewer times than make it suspect by themselves.
-const LONGEST_TRIAL: Duration = Duration::from_secs(3);
+const MAX_TRIAL_LENGTH: Duration = Duration::from_secs(3);
 /// Length of a trial where it isn't known how long earlier runs lasted: they were lost
 /// under an earlier lease holder.
-const UNKNOWN_TRIAL: Duration = Duration::from_secs(1);
+const DEFAULT_TRIAL_LENGTH: Duration = Duration::from_secs(1);
 /// Time that a worker is kept from new work, beyond that after which its youngest run is no
 /// longer suspected, so that a trial finds it: a few passes of the scheduler.
-const KEPT_FOR: Duration = Duration::from_millis(500);
+const TRIAL_RESERVATION_MARGIN: Duration = Duration::from_millis(500);
 
 /// A worker that takes no work but a trial.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -34,21 +34,21 @@
 }
 
 /// What came of placing a trial.
-enum Placed {
+enum TrialPlacement {
     Started,
     /// No worker may run it now.
-    Nowhere,
+    NoWorker,
     /// Its workspace has as much at work as it may.
-    Limited,
+    OverLimit,
     /// It doesn't wait any more.
-    Gone,
+    NotWaiting,
 }
 
 impl Scheduler {
     /// Whether a task is started as a trial only.
-    fn wants_trial(&self, id: &TaskId) -> bool {
+    fn needs_trial(&self, id: &TaskId) -> bool {
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
-        task.is_some_and(|t| t.wants_trial(&self.policy.crashes, self.now))
+        task.is_some_and(|t| t.needs_trial(&self.policy.crashes, self.now))
     }
 
     /// A task waits; a suspected one waits for a trial.
@@ -60,31 +60,31 @@
 
     /// Whether a waiting task waits for a trial.
     pub(super) fn waits_for_trial(&self, id: &TaskId, service: &str) -> bool {
-        self.trials.get(service).is_some_and(|t| !t.is_empty()) && self.wants_trial(id)
+        self.trials.get(service).is_some_and(|t| !t.is_empty()) && self.needs_trial(id)
     }
 
     /// Starts suspected tasks of a service that wait, each on a worker of its own.
     pub(super) fn place_trials(&mut self, service: &ServiceId) {
         let Some(waiting) = self.trials.get(service).filter(|t| !t.is_empty()) else { return };
         let waiting: Vec<(Duration, TaskId)> = waiting.iter().copied().collect();
-        let (on_trial, mut kept) = self.quarantined(service);
-        let mut room = self.most_quarantined(service).saturating_sub(on_trial);
+        let (on_trial, mut kept) = self.quarantine_counts(service);
+        let mut room = self.max_quarantined_workers(service).saturating_sub(on_trial);
         let mut unplaced = 0;
         for (since, id) in waiting {
             if unplaced >= room {
                 return;
             }
             match self.place_trial(service, &id) {
-                Placed::Started => room -= 1,
-                Placed::Nowhere => {
+                TrialPlacement::Started => room -= 1,
+                TrialPlacement::NoWorker => {
                     unplaced += 1;
-                    if kept < unplaced && self.keep_for_trial(service, &id) {
+                    if kept < unplaced && self.reserve_for_trial(service, &id) {
                         kept += 1;
                     }
                     continue;
                 }
-                Placed::Limited => continue,
-                Placed::Gone => {}
+                TrialPlacement::OverLimit => continue,
+                TrialPlacement::NotWaiting => {}
             }
             if let Some(t) = self.trials.get_mut(service) {
                 t.remove(&(since, id));
@@ -93,7 +93,7 @@
     }
 
     /// How many workers of a service may be in quarantine: any while it has little to do.
-    fn most_quarantined(&self, service: &str) -> usize {
+    fn max_quarantined_workers(&self, service: &str) -> usize {
         let takers = || self.workers.available(service, 0).map(|(_, w)| w);
         let room: u64 = takers().filter_map(|w| w.info.as_ref()).map(|i| i.capacity.cpu_millis).sum();
         let light = self.workers.room_in_use(service).cpu_millis * 2 < room;
@@ -102,26 +102,26 @@
     }
 
     /// How many workers of a service have a trial in quarantine, and how many wait for one.
-    fn quarantined(&self, service: &str) -> (usize, usize) {
+    fn quarantine_counts(&self, service: &str) -> (usize, usize) {
         let all = self.workers.available(service, 0).filter_map(|(_, w)| w.quarantine);
         let (on_trial, kept): (Vec<Quarantine>, Vec<Quarantine>) =
             all.filter(|q| q.until > self.now).partition(|q| q.trial.is_some());
         (on_trial.len(), kept.len())
     }
 
-    fn place_trial(&mut self, service: &ServiceId, id: &TaskId) -> Placed {
+    fn place_trial(&mut self, service: &ServiceId, id: &TaskId) -> TrialPlacement {
         let idle = self.jobs.get(&id.job).filter(|j| j.open());
         let idle = idle.and_then(|j| j.task(id)).is_some_and(Task::is_idle);
-        let idle = idle && self.wants_trial(id);
+        let idle = idle && self.needs_trial(id);
         let Some(step) = self.jobs.get(&id.job).and_then(|j| j.step(id)).filter(|_| idle) else {
-            return Placed::Gone;
+            return TrialPlacement::NotWaiting;
         };
-        if self.jobs.held_by(id).is_some_and(|h| !self.may_begin(h.owner, &h.charged)) {
-            return Placed::Limited;
+        if self.jobs.held_by(id).is_some_and(|h| !self.is_within_limit(h.owner, &h.charged)) {
+            return TrialPlacement::OverLimit;
         }
-        let Some(worker) = self.worker_for_trial(service, id, step) else { return Placed::Nowhere };
-        self.start(id, &worker, None);
-        Placed::Started
+        let Some(worker) = self.worker_for_trial(service, id, step) else { return TrialPlacement::NoWorker };
+        self.start_task(id, &worker, None);
+        TrialPlacement::Started
     }
 
     /// The worker with the least to lose where a trial can begin now.
@@ -131,23 +131,23 @@
         let quiet = |w: &Worker| w.last_start_at.is_none_or(|at| at + young <= self.now);
         let free = |w: &Worker| !w.in_quarantine(self.now) || w.quarantine.is_some_and(|q| q.trial.is_none());
         let fits =
-            |w: &Worker| quiet(w) && free(w) && w.free_room().holds(&room) && self.may_try(w, step, id);
+            |w: &Worker| quiet(w) && free(w) && w.free_room().holds(&room) && self.trial_allowed(w, step, id);
         let open = self.workers.available(service, room.cpu_millis).filter(|(_, w)| fits(w));
-        open.min_by_key(|(_, w)| (self.cost(w, step, id).0, w.runs.len())).map(|(id, _)| id.clone())
+        open.min_by_key(|(_, w)| (self.placement_cost(w, step, id).0, w.runs.len())).map(|(id, _)| id.clone())
     }
 
     /// Keeps new work from a worker until a trial can begin there; returns whether one
     /// could be found.
-    fn keep_for_trial(&mut self, service: &str, id: &TaskId) -> bool {
+    fn reserve_for_trial(&mut self, service: &str, id: &TaskId) -> bool {
         let Some(step) = self.jobs.get(&id.job).and_then(|j| j.step(id)) else { return false };
         let room = step.reserved();
         let large = |w: &Worker| w.info.as_ref().is_some_and(|i| i.capacity.holds(&room));
-        let open = |w: &Worker| !w.in_quarantine(self.now) && large(w) && self.may_try(w, step, id);
+        let open = |w: &Worker| !w.in_quarantine(self.now) && large(w) && self.trial_allowed(w, step, id);
         let open = self.workers.available(service, 0).filter(|(_, w)| open(w));
         let Some(worker) = open.min_by_key(|(_, w)| w.runs.len()).map(|(id, _)| id.clone()) else {
             return false;
         };
-        let until = self.now + self.policy.crashes.suspect_age + KEPT_FOR;
+        let until = self.now + self.policy.crashes.suspect_age + TRIAL_RESERVATION_MARGIN;
         if let Some(mut w) = self.workers.get_mut(&worker) {
             w.quarantine = Some(Quarantine { trial: None, until });
         }
@@ -155,16 +155,16 @@
     }
 
     /// Whether a task may be tried on a worker, but for its room.
-    fn may_try(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> bool {
+    fn trial_allowed(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> bool {
         let ticket = !self.is_advised(&id.step_id()) || w.ticket(&id.step_id(), self.now).is_some();
-        ticket && !w.in_backoff(self.now) && self.allowed(w, step, id)
+        ticket && !w.in_backoff(self.now) && self.meets_constraints(w, step, id)
     }
 }
 
 impl Task {
     /// Whether it is started as a trial only. One that was lost once does not wait for that
     /// for long: it is more often lost by chance.
-    fn wants_trial(&self, policy: &CrashPolicy, now: Duration) -> bool {
+    fn needs_trial(&self, policy: &CrashPolicy, now: Duration) -> bool {
         let Some(s) = self.suspicion else { return false };
         self.crashes.count() > 1 || now < s.suspected_at + policy.max_first_trial_wait
     }
@@ -177,13 +177,18 @@
     }
 
     /// How long a trial of it lasts; `None` if it needs none.
-    pub(super) fn trial(&self, step: &StepSpec, policy: &CrashPolicy, now: Duration) -> Option<Duration> {
-        let s = self.suspicion.filter(|_| self.wants_trial(policy, now))?;
+    pub(super) fn trial_length(
+        &self,
+        step: &StepSpec,
+        policy: &CrashPolicy,
+        now: Duration,
+    ) -> Option<Duration> {
+        let s = self.suspicion.filter(|_| self.needs_trial(policy, now))?;
         if self.crashes.count() >= policy.suspect_after_crashes {
             // Until it ends: no length of a run is known to be harmless.
             return Some(if step.lasting { PROVEN_SAFE_AFTER } else { Duration::MAX });
         }
-        let lasted = s.run_time.map_or(UNKNOWN_TRIAL, |d| d * TRIAL_TIMES);
-        Some(lasted.clamp(policy.suspect_age * TRIAL_TIMES, LONGEST_TRIAL))
+        let lasted = s.run_time.map_or(DEFAULT_TRIAL_LENGTH, |d| d * TRIAL_LENGTH_FACTOR);
+        Some(lasted.clamp(policy.suspect_age * TRIAL_LENGTH_FACTOR, MAX_TRIAL_LENGTH))
     }
 }
--- a/crates/workswood-core/src/jobs/ends.rs
+++ b/crates/workswood-core/src/jobs/ends.rs
@@ -13,7 +13,7 @@
     /// Takes the answer of a worker in.
     pub(super) fn reported(&mut self, id: &WorkerId, report: &Report) {
         if report.full {
-            self.settle_earlier_lives(id, report);
+            self.settle_earlier_incarnations(id, report);
         }
         self.answered(id);
         self.take_ends(id, &report.ended);
--- a/crates/workswood-core/src/jobs/evacuation.rs
+++ b/crates/workswood-core/src/jobs/evacuation.rs
@@ -22,18 +22,18 @@
             w.evacuated = w.info.as_ref().is_some_and(|i| evacuated.contains(&i.data_centre));
         });
         self.evacuated = evacuated;
-        self.measure_fleet();
+        self.update_fleet_cpu();
         self.place_again.extend(self.ready.keys().cloned());
     }
 
     /// Whether work may begin on a host, as far as its data centre is concerned.
-    pub(super) fn stands_open(&self, m: &Host) -> bool {
+    pub(super) fn is_outside_evacuation(&self, m: &Host) -> bool {
         !self.evacuated.contains(&m.data_centre)
     }
 
     /// Adds up the room of all hosts on which work may begin.
-    pub(super) fn measure_fleet(&mut self) {
-        let open = self.hosts.values().filter(|m| self.stands_open(m));
+    pub(super) fn update_fleet_cpu(&mut self) {
+        let open = self.hosts.values().filter(|m| self.is_outside_evacuation(m));
         self.fleet_cpu = open.map(|m| m.capacity.cpu_millis).sum();
     }
 
--- a/crates/workswood-core/src/jobs/eviction.rs
+++ b/crates/workswood-core/src/jobs/eviction.rs
@@ -14,19 +14,19 @@
 impl Scheduler {
     /// Moves lasting tasks off workers that are leaving. Such a worker ends
     /// in any case, so the budget does not bind here.
-    pub(super) fn evict_leaving(&mut self) {
+    pub(super) fn evict_from_draining(&mut self) {
         let leaving = self.workers.draining();
         let leaving = leaving.filter(|(_, w)| w.reachable && w.listed && !w.runs.is_empty());
         let leaving: Vec<WorkerId> = leaving.map(|(id, _)| id.clone()).collect();
         for id in leaving {
-            for (task, attempt) in self.lasting_runs(&id) {
+            for (task, attempt) in self.long_running_runs(&id) {
                 self.evict(&id, &task, attempt, "worker_leaving");
             }
         }
     }
 
     /// Lasting tasks that run on a worker.
-    pub(super) fn lasting_runs(&self, id: &WorkerId) -> Vec<(TaskId, u32)> {
+    pub(super) fn long_running_runs(&self, id: &WorkerId) -> Vec<(TaskId, u32)> {
         let Some(w) = self.workers.get(id) else { return Vec::new() };
         let lasting = |task: &TaskId| {
             let step = self.jobs.get(&task.job).and_then(|j| j.step(task));
@@ -38,13 +38,13 @@
     }
 
     /// Whether ending this task keeps the availability budget of its step.
-    pub(super) fn may_evict(&self, id: &TaskId) -> bool {
+    pub(super) fn eviction_keeps_budget(&self, id: &TaskId) -> bool {
         let Some(job) = self.jobs.get(&id.job) else { return true };
         if job.cancelled || job.outcome.is_some_and(|o| o != Outcome::Failed) {
             return true;
         }
         let Some(step) = job.step(id) else { return true };
-        job.others_away(id, |run| self.is_at_work(run)) < step.may_miss
+        job.others_away(id, |run| self.counts_as_available(run)) < step.may_miss
     }
 
     /// Whether a task goes on although its job has ended: one that we have ended ourselves still
@@ -58,12 +58,12 @@
         }
         let lasting = job.step(id).is_some_and(|s| s.lasting);
         let at_work = || job.task(id).is_some_and(|t| t.runs.iter().any(Run::warm));
-        lasting && at_work() && !self.may_evict(id)
+        lasting && at_work() && !self.eviction_keeps_budget(id)
     }
 
     /// Whether a run counts as at work for the availability budget: its worker
     /// said so lately, and it is not about to end by our order.
-    fn is_at_work(&self, run: &Run) -> bool {
+    fn counts_as_available(&self, run: &Run) -> bool {
         let Some(w) = self.workers.get(&run.worker) else { return false };
         let heard = w.relay.as_ref().map_or(Duration::ZERO, |r| self.relays.last_heard(r));
         let believed = self.now <= heard + self.policy.health.believed_for;
@@ -73,9 +73,9 @@
     /// Evicts lasting tasks of a worker as far as their budgets allow;
     /// returns how many still stand there.
     pub(super) fn evict_within_budget(&mut self, id: &WorkerId) -> usize {
-        let runs = self.lasting_runs(id);
+        let runs = self.long_running_runs(id);
         for (task, attempt) in &runs {
-            if self.may_evict(task) {
+            if self.eviction_keeps_budget(task) {
                 self.evict(id, task, *attempt, "maintenance");
             }
         }
@@ -91,7 +91,7 @@
             if !runs {
                 continue;
             }
-            if self.may_evict(&task) {
+            if self.eviction_keeps_budget(&task) {
                 self.evict(&id, &task, attempt, "by_predecessor");
             } else {
                 self.inherited_evictions.insert((id, task, attempt));
--- a/crates/workswood-core/src/jobs/need.rs
+++ b/crates/workswood-core/src/jobs/need.rs
@@ -113,7 +113,7 @@
     /// keeps from beginning asks for no hosts.
     fn waiting_room(&self, service: &ServiceId) -> (Room, Room) {
         let waiting = self.ready.get(service);
-        waiting.map(|w| w.room_within(|owner| self.left_of_limit(owner))).unwrap_or_default()
+        waiting.map(|w| w.room_within(|owner| self.remaining_limit(owner))).unwrap_or_default()
     }
 
     /// Hosts that lasting tasks need because only so many may share one.
--- a/crates/workswood-core/src/jobs/placement.rs
+++ b/crates/workswood-core/src/jobs/placement.rs
@@ -18,27 +18,27 @@
 use crate::invariant;
 
 /// Weight of a neighbour that disturbs, against tasks that are alike.
-const MOST_ALIKE: usize = 1000;
+const INTERFERENCE_WEIGHT: usize = 1000;
 
 impl Scheduler {
     /// Places waiting tasks of a service, most urgent first.
-    pub(super) fn place(&mut self, service: &ServiceId) {
+    pub(super) fn place_service(&mut self, service: &ServiceId) {
         self.place_trials(service);
         let mut misses = 0;
-        let mut turns = Turns::new(self.rank_of(service));
+        let mut turns = StepQueue::new(self.placement_rank(service));
         let owners: Vec<Owner> = self.ready.get(service).map(|w| w.owners().collect()).unwrap_or_default();
-        owners.into_iter().for_each(|owner| self.give_turn(&mut turns, service, owner, None));
+        owners.into_iter().for_each(|owner| self.queue_next_step(&mut turns, service, owner, None));
         while misses < self.policy.placement.most_misses {
             let Some(next) = turns.next() else { return };
             match self.place_step(service, &next.step) {
-                Placing::Done => {}
-                Placing::NoRoom => {
-                    misses += usize::from(!self.lasts(&next.step) && !self.is_advised(&next.step));
+                StepPlacement::Done => {}
+                StepPlacement::NoWorker => {
+                    misses += usize::from(!self.is_long_running(&next.step) && !self.is_advised(&next.step));
                 }
                 // Nothing else of its workspace may begin either.
-                Placing::OverLimit => continue,
+                StepPlacement::OverLimit => continue,
             }
-            self.give_turn(&mut turns, service, next.owner, Some(&next));
+            self.queue_next_step(&mut turns, service, next.owner, Some(&next));
         }
     }
 
@@ -47,14 +47,14 @@
     /// While all can be in time, whoever must begin first goes first. Beyond that the same order
     /// lets each wait until it must begin, and then a little longer: one backlog makes all late. Then
     /// those go first that take the least from the others.
-    fn rank_of(&self, service: &str) -> Rank {
+    fn placement_rank(&self, service: &str) -> Rank {
         let asked = self.ready.get(service).map_or(0, |w| w.room().0.cpu_millis);
         let room = self.workers.listed_cpu(service).max(self.fleet_cpu);
         if asked as f64 > room as f64 * self.policy.order.overload { Rank::LeastWork } else { Rank::Due }
     }
 
     /// Lets the step of an owner have a turn that comes after a place.
-    fn give_turn(&self, turns: &mut Turns, service: &str, owner: Owner, after: Option<&Place>) {
+    fn queue_next_step(&self, turns: &mut StepQueue, service: &str, owner: Owner, after: Option<&Place>) {
         let Some(place) = self.ready.get(service).and_then(|w| w.next_of(owner, after, turns.rank)) else {
             return;
         };
@@ -69,21 +69,21 @@
     }
 
     /// Whether so much more of an owner may begin.
-    pub(super) fn may_begin(&self, owner: Owner, room: &Room) -> bool {
+    pub(super) fn is_within_limit(&self, owner: Owner, room: &Room) -> bool {
         let limit = self.config.workspaces.limit(owner);
         limit == Room::default() || admits(&self.workers.accounts().at_work(owner), &limit, room)
     }
 
     /// The largest share of its limit that a workspace has at work, and how many have
     /// something at work.
-    pub fn use_of_limits(&self) -> (f64, usize) {
+    pub fn workspace_limit_usage(&self) -> (f64, usize) {
         let at_work = || self.workers.accounts().iter().filter(|(_, room)| *room != Room::default());
         let share = |(owner, room): (Owner, Room)| used_share(&room, &self.config.workspaces.limit(owner));
         (at_work().map(share).fold(0.0, f64::max), at_work().count())
     }
 
     /// What an owner may still use; `None` without a limit.
-    pub(super) fn left_of_limit(&self, owner: Owner) -> Option<Room> {
+    pub(super) fn remaining_limit(&self, owner: Owner) -> Option<Room> {
         let limit = self.config.workspaces.limit(owner);
         let open = |most: u64| if most == 0 { u64::MAX } else { most };
         let most =
@@ -93,13 +93,13 @@
 
     /// Whether tasks of a step run until their job is cancelled; one that has no place
     /// may have none for hours.
-    fn lasts(&self, id: &StepId) -> bool {
+    fn is_long_running(&self, id: &StepId) -> bool {
         let steps = self.jobs.get(&id.job).map(|j| &j.spec.steps);
         steps.and_then(|s| s.get(usize::from(id.step))).is_some_and(|s| s.lasting)
     }
 
     /// Workers of a service that take work, by name.
-    pub(super) fn takers(&self, service: &str) -> Vec<WorkerId> {
+    pub(super) fn available_workers(&self, service: &str) -> Vec<WorkerId> {
         let takers = self.workers.available(service, 0).filter(|(_, w)| !w.in_backoff(self.now));
         let mut ids: Vec<WorkerId> = takers.map(|(id, _)| id.clone()).collect();
         ids.sort();
@@ -107,33 +107,33 @@
     }
 
     /// Places the waiting tasks of a step. They are alike: where one finds no room, none does.
-    fn place_step(&mut self, service: &str, id: &StepId) -> Placing {
-        let Some(job) = self.jobs.get(&id.job) else { return Placing::Done };
+    fn place_step(&mut self, service: &str, id: &StepId) -> StepPlacement {
+        let Some(job) = self.jobs.get(&id.job) else { return StepPlacement::Done };
         let spec = job.spec.clone();
-        let Some(step) = spec.steps.get(usize::from(id.step)) else { return Placing::Done };
+        let Some(step) = spec.steps.get(usize::from(id.step)) else { return StepPlacement::Done };
         let held = spec.held(step);
         let at_once = if step.gang { held.charged.times(step.count.into()) } else { held.charged };
         // Members of a gang start together, each on trial where it is suspected.
         let open = |s: &Scheduler, task: &TaskId| step.gang || !s.waits_for_trial(task, service);
         while let Some(task) = self.ready.get(service).and_then(|w| w.tasks_of(id).find(|t| open(self, t))) {
-            if !self.may_begin(held.owner, &at_once) {
-                return Placing::OverLimit;
+            if !self.is_within_limit(held.owner, &at_once) {
+                return StepPlacement::OverLimit;
             }
             let placed = match step.gang {
                 true => self.place_gang(&task, step, service),
                 false => self.place_task(&task, step, service),
             };
             if !placed {
-                return Placing::NoRoom;
+                return StepPlacement::NoWorker;
             }
         }
-        Placing::Done
+        StepPlacement::Done
     }
 
     fn place_task(&mut self, id: &TaskId, step: &StepSpec, service: &str) -> bool {
         let Some(job) = self.jobs.get(&id.job) else { return true };
-        let Some(worker) = self.choose(job, step, id, service) else { return false };
-        self.start(id, &worker, None);
+        let Some(worker) = self.choose_worker(job, step, id, service) else { return false };
+        self.start_task(id, &worker, None);
         true
     }
 
@@ -149,7 +149,7 @@
         let mut places = Vec::new();
         for m in &members {
             let Some(job) = self.jobs.get(&id.job) else { break };
-            let Some(worker) = self.choose(job, step, m, service) else { break };
+            let Some(worker) = self.choose_worker(job, step, m, service) else { break };
             if let Some(mut w) = self.workers.get_mut(&worker) {
                 w.add_run(*m, attempt, step.reserved());
             }
@@ -168,27 +168,27 @@
             if let Some(t) = self.jobs.get_mut(&m.job).and_then(|j| j.task_mut(&m)) {
                 t.checkpoint = checkpoint.clone().unwrap_or_default();
             }
-            self.start(&m, &worker, Some(attempt));
+            self.start_task(&m, &worker, Some(attempt));
         }
         true
     }
 
     /// The best worker with room, if there is one. For tasks that neither last nor
     /// have their data in some rack it is the first one of the index that fits.
-    fn choose(&self, job: &Job, step: &StepSpec, id: &TaskId, service: &str) -> Option<WorkerId> {
+    fn choose_worker(&self, job: &Job, step: &StepSpec, id: &TaskId, service: &str) -> Option<WorkerId> {
         let room = step.reserved();
         let avoid = job.task(id).and_then(|t| t.avoid.as_ref());
         let advised = self.is_advised(&id.step_id());
         let fits = |w: &Worker| {
             let ticket = !advised || w.ticket(&id.step_id(), self.now).is_some();
             let closed = w.in_backoff(self.now) || w.in_quarantine(self.now);
-            ticket && !closed && w.free_room().holds(&room) && self.allowed(w, step, id)
+            ticket && !closed && w.free_room().holds(&room) && self.meets_constraints(w, step, id)
         };
         let takers = || self.workers.available(service, room.cpu_millis).filter(|(_, w)| fits(w));
         let best = |skip: Option<&WorkerId>| {
             let mut open = takers().filter(|(wid, _)| skip != Some(*wid));
             let found = match step.lasting || step.near.is_some() {
-                true => open.min_by_key(|(_, w)| self.cost(w, step, id)),
+                true => open.min_by_key(|(_, w)| self.placement_cost(w, step, id)),
                 false => open.next(),
             };
             found.map(|(wid, _)| wid.clone())
@@ -199,7 +199,7 @@
         }
         // The one to be avoided is taken only where no other may ever be.
         let others = if advised {
-            self.may_be_good(&self.takers(service), &id.step_id())
+            self.may_be_good(&self.available_workers(service), &id.step_id())
         } else {
             self.workers.available(service, 0).filter(|(_, w)| !w.in_backoff(self.now)).take(2).count()
         };
@@ -207,30 +207,30 @@
     }
 
     /// Whether label and spread let a task of the step run there.
-    pub(super) fn allowed(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> bool {
+    pub(super) fn meets_constraints(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> bool {
         let Some(info) = &w.info else { return false };
         if let Some(label) = &step.label
             && !info.labels.contains(label)
         {
             return false;
         }
-        step.most_per_worker == 0 || same_step(w, id) < step.most_per_worker as usize
+        step.most_per_worker == 0 || count_same_step(w, id) < step.most_per_worker as usize
     }
 
     /// What speaks against a worker; smaller is better. Among equals the one
     /// with the least room left is filled up: tasks spread over all hosts
     /// would leave none empty, and only an empty host can go to a pool that is
     /// short of them, be turned off or be maintained without a loss.
-    pub(super) fn cost(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> (bool, usize, u32, u64) {
+    pub(super) fn placement_cost(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> (bool, usize, u32, u64) {
         let far = step.near.as_ref().is_some_and(|rack| {
             let labels = w.info.as_ref().map(|i| i.labels.as_slice()).unwrap_or_default();
             !labels.contains(rack)
         });
-        (far, self.crowd(w, step, id), w.faults, w.free_room().cpu_millis)
+        (far, self.crowding(w, step, id), w.faults, w.free_room().cpu_millis)
     }
 
     /// What speaks against a worker for what runs there already.
-    fn crowd(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> usize {
+    fn crowding(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> usize {
         let policy = &self.policy.placement;
         if !step.lasting {
             return 0;
@@ -242,13 +242,13 @@
             _ => 0,
         };
         // Apart from tasks that are alike, on hosts where some task lasts already.
-        let alike = if step.fills { 0 } else { same_step(w, id) };
+        let alike = if step.fills { 0 } else { count_same_step(w, id) };
         let together = 2 * alike + usize::from(w.long_running.is_empty());
-        beside * MOST_ALIKE + together
+        beside * INTERFERENCE_WEIGHT + together
     }
 
     /// Starts a task on a worker, once that is on record.
-    pub(super) fn start(&mut self, id: &TaskId, worker: &WorkerId, attempt: Option<u32>) {
+    pub(super) fn start_task(&mut self, id: &TaskId, worker: &WorkerId, attempt: Option<u32>) {
         self.unqueue(id);
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
@@ -262,7 +262,7 @@
         }
         task.attempt = attempt.unwrap_or(task.attempt + 1);
         let attempt = task.attempt;
-        let trial = task.trial(step, &self.policy.crashes, now);
+        let trial = task.trial_length(step, &self.policy.crashes, now);
         let run = Run::new(worker.clone(), attempt, Phase::Starting, now);
         task.runs.push(Run { trial, placed_at: Some(now), ..run });
         let checkpoint = task.checkpoint.clone();
@@ -296,24 +296,24 @@
 }
 
 /// What came of placing a step.
-enum Placing {
+enum StepPlacement {
     /// Each of its tasks found room, or is gone.
     Done,
     /// One of them found none.
-    NoRoom,
+    NoWorker,
     /// Its workspace has as much at work as it may.
     OverLimit,
 }
 
 /// The next step of each owner, in the order in which they are placed.
-struct Turns {
+struct StepQueue {
     rank: Rank,
-    heap: BinaryHeap<Reverse<Turn>>,
+    heap: BinaryHeap<Reverse<QueuedStep>>,
 }
 
 /// A step, before it what compares owners that stand alike.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Turn {
+struct QueuedStep {
     priority: u32,
     standing: Standing,
     excess: bool,
@@ -322,15 +322,15 @@
     place: Place,
 }
 
-impl Turns {
-    fn new(rank: Rank) -> Turns {
-        Turns { rank, heap: BinaryHeap::new() }
+impl StepQueue {
+    fn new(rank: Rank) -> StepQueue {
+        StepQueue { rank, heap: BinaryHeap::new() }
     }
 
     fn push(&mut self, place: Place, used: u64) {
         let Place { priority, standing, excess, .. } = place;
         let rank = place.rank_by(self.rank);
-        self.heap.push(Reverse(Turn { priority, standing, excess, used, rank, place }));
+        self.heap.push(Reverse(QueuedStep { priority, standing, excess, used, rank, place }));
     }
 
     fn next(&mut self) -> Option<Place> {
@@ -339,7 +339,7 @@
 }
 
 /// How many tasks of the same step and round run on a worker.
-pub(super) fn same_step(w: &Worker, id: &TaskId) -> usize {
+pub(super) fn count_same_step(w: &Worker, id: &TaskId) -> usize {
     let same = |t: &TaskId| t.job == id.job && t.round == id.round && t.step == id.step;
     w.runs.keys().filter(|(t, _)| same(t)).count()
 }
--- a/crates/workswood-core/src/jobs/pool_count.rs
+++ b/crates/workswood-core/src/jobs/pool_count.rs
@@ -66,10 +66,10 @@
             let moving = || self.pools.moving.get(&m.name).is_some_and(|v| v.to != m.pool);
             taken.contains(&m.name) && (moving() || self.wave_takes(&m.name))
         };
-        let stay = self.hosts.values().filter(|m| works(m) && self.stands_open(m) && !leaves(m));
+        let stay = self.hosts.values().filter(|m| works(m) && self.is_outside_evacuation(m) && !leaves(m));
         stay.for_each(|m| add(&m.pool));
         let moving = self.pools.moving.iter();
-        let comes = |m: &Host, to: &ServiceId| m.pool != *to && self.stands_open(m);
+        let comes = |m: &Host, to: &ServiceId| m.pool != *to && self.is_outside_evacuation(m);
         let come = moving.filter(|(name, v)| self.hosts.get(*name).is_none_or(|m| comes(m, &v.to)));
         come.for_each(|(_, v)| add(&v.to));
         PoolCount { have, free: None }
@@ -82,7 +82,7 @@
         let spare = self.spare_pool();
         let taken = self.taken_hosts();
         let may_move = |m: &&Host| {
-            let up = m.state == HostState::Up && self.stands_open(m);
+            let up = m.state == HostState::Up && self.is_outside_evacuation(m);
             up && !taken.contains(&m.name) && self.may_order(&m.name)
         };
         let mut free: BTreeMap<ServiceId, Free> = BTreeMap::new();
--- a/crates/workswood-core/src/jobs/pools.rs
+++ b/crates/workswood-core/src/jobs/pools.rs
@@ -142,7 +142,7 @@
     /// Whether a host's pool does without it. One on which nothing begins is not counted.
     pub(super) fn can_spare(&self, count: &PoolCount, host: &HostId) -> bool {
         let Some(m) = self.hosts.get(host) else { return false };
-        if !self.stands_open(m) || self.config.services.get(&m.pool).is_some_and(|s| s.spare) {
+        if !self.is_outside_evacuation(m) || self.config.services.get(&m.pool).is_some_and(|s| s.spare) {
             return true;
         }
         self.has_surplus(count, &m.pool)
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -194,7 +194,7 @@
         drop(w);
         // Its address tells whether that life is over.
         self.request_relay(&id);
-        self.note_life(&id);
+        self.keep_latest_incarnation(&id);
     }
 
     /// Takes over a job as the inbox holds it, with the state that a predecessor recorded.
@@ -240,7 +240,7 @@
             }
         }
         self.jobs.insert(job);
-        places.iter().for_each(|id| self.note_life(id));
+        places.iter().for_each(|id| self.keep_latest_incarnation(id));
         self.watch_advised(key);
         self.open_due_rounds(key);
         self.queue_job(key);
@@ -276,7 +276,7 @@
             Event::WorkerListed(info) => self.worker_listed(info),
             Event::WorkerUnlisted(id) => self.worker_unlisted(&id),
             Event::LifeOver(id, heard) => self.other_life_answered(&id, heard),
-            Event::Restarted(id, started, heard) => self.restarted(&id, started, heard),
+            Event::Restarted(id, started, heard) => self.worker_restarted(&id, started, heard),
             Event::Relayed(id, token, news) => self.worker_news(&id, token, news),
             Event::Advised(a) => self.advised(a),
             Event::Hosts(list, asked) => self.hosts_listed(list, asked),
@@ -511,7 +511,7 @@
             self.settle_slow();
             self.clear_proven_tasks();
         }
-        self.evict_leaving();
+        self.evict_from_draining();
         self.evict_inherited();
         self.run_waves();
         self.run_pools();
@@ -563,7 +563,7 @@
     pub fn take_batch(&mut self) -> Batch {
         let services = std::mem::take(&mut self.place_again);
         for service in services {
-            self.place(&service);
+            self.place_service(&service);
         }
         self.ask_adviser();
         let mut batch = Batch { shown: std::mem::take(&mut self.shown), ..Batch::default() };
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/settle.rs
@@ -43,7 +43,7 @@
     /// Takes a worker in that is listed, new or changed.
     pub(super) fn worker_listed(&mut self, info: WorkerInfo) {
         let id = info.id.clone();
-        if self.has_later_life(&id) {
+        if self.has_later_incarnation(&id) {
             self.notes.push(format_args!("event=worker_ignored worker={id} reason=has_started_again"));
             return;
         }
@@ -83,7 +83,7 @@
         } else if draining {
             self.notes.push(format_args!("event=worker_draining worker={id} service={}", info.service));
         }
-        self.note_life(&id);
+        self.keep_latest_incarnation(&id);
     }
 
     /// Ends lives that a list of hosts shows to be over: their host is
@@ -107,7 +107,7 @@
         let over: Vec<WorkerId> =
             self.workers.iter().filter(|(id, w)| over(id, w)).map(|(id, _)| id.clone()).collect();
         for id in over {
-            self.life_over(&id, IncarnationEnd::NotOnHost);
+            self.life_over(&id, IncarnationEnd::HostWithoutIt);
         }
     }
 
@@ -126,7 +126,7 @@
     fn drop_if_idle(&mut self, id: &WorkerId) {
         let idle = self.workers.get(id).is_some_and(|w| !w.listed && w.runs.is_empty());
         if idle {
-            self.attribute_crash(id, IncarnationEnd::Gone);
+            self.attribute_crash(id, IncarnationEnd::UnreachableAndUnlisted);
             self.drop_worker(id);
         }
     }
--- a/crates/workswood-core/src/jobs/wave.rs
+++ b/crates/workswood-core/src/jobs/wave.rs
@@ -196,7 +196,7 @@
         }
         self.hosts_asked = asked;
         self.hosts = list.into_iter().map(|m| (m.name.clone(), m)).collect();
-        self.measure_fleet();
+        self.update_fleet_cpu();
         self.correct_list();
         self.note_declared();
         self.end_listed_over(asked);
@@ -317,7 +317,7 @@
             room -= 1;
             behind = behind.saturating_sub(1);
             self.notes.push(format_args!("event=machine_emptying wave={n} machine={m} spared={spared}"));
-            if let Some(m) = self.hosts.get(&m).filter(|m| works(m) && self.stands_open(m)) {
+            if let Some(m) = self.hosts.get(&m).filter(|m| works(m) && self.is_outside_evacuation(m)) {
                 count.leaves(&m.pool);
             }
             let now = self.now;
@@ -348,7 +348,7 @@
     /// the list of hosts.
     fn load_on(&self, m: &HostId, says: Option<&WorkerId>) -> (usize, u64, HostId) {
         let id = says.or_else(|| self.hosts.get(m).and_then(|m| m.worker.as_ref()));
-        let lasting = id.map_or(0, |id| self.lasting_runs(id).len());
+        let lasting = id.map_or(0, |id| self.long_running_runs(id).len());
         let used = id.and_then(|id| self.workers.get(id)).map_or(0, |w| w.used_room.cpu_millis);
         (lasting, used, m.clone())
     }
--- a/crates/workswood-core/src/jobs/worker_restart.rs
+++ b/crates/workswood-core/src/jobs/worker_restart.rs
@@ -22,12 +22,12 @@
 
 impl Scheduler {
     /// An answer shows that a worker has started again at a time; when its life before last answered.
-    pub(super) fn restarted(&mut self, id: &WorkerId, started: UnixMs, heard: Duration) {
+    pub(super) fn worker_restarted(&mut self, id: &WorkerId, started: UnixMs, heard: Duration) {
         self.note_last_heard(id, heard);
         let Some(info) = self.workers.get(id).map(|w| w.info.clone()) else { return };
         let later = WorkerId::new(id.name(), Some(started));
         // The answer may be older than what is known by now.
-        if !later.supersedes(id) || self.has_later_life(&later) {
+        if !later.supersedes(id) || self.has_later_incarnation(&later) {
             return;
         }
         if let Some(info) = info.filter(|_| !self.workers.contains_key(&later)) {
@@ -38,34 +38,34 @@
             self.dirty_workers.insert(later.clone());
             self.request_relay(&later);
         }
-        self.replace_earlier_lives(&later);
+        self.supersede_earlier_incarnations(&later);
     }
 
     /// Whether a later life of the same worker is known.
-    pub(super) fn has_later_life(&self, id: &WorkerId) -> bool {
+    pub(super) fn has_later_incarnation(&self, id: &WorkerId) -> bool {
         self.workers.incarnations_of(id.name()).iter().any(|other| other.supersedes(id))
     }
 
     /// Lives of the same worker that were before this one.
-    fn earlier_lives(&self, id: &WorkerId) -> Vec<WorkerId> {
+    fn earlier_incarnations(&self, id: &WorkerId) -> Vec<WorkerId> {
         self.workers.incarnations_of(id.name()).iter().filter(|other| id.supersedes(other)).cloned().collect()
     }
 
     /// Takes in that a life is known: of the lives of its worker only the latest goes on.
-    pub(super) fn note_life(&mut self, id: &WorkerId) {
+    pub(super) fn keep_latest_incarnation(&mut self, id: &WorkerId) {
         let lives = self.workers.incarnations_of(id.name());
         if lives.len() > 1
             && let Some(latest) = lives.iter().max_by_key(|life| life.started_at()).cloned()
         {
-            self.replace_earlier_lives(&latest);
+            self.supersede_earlier_incarnations(&latest);
         }
     }
 
     /// Lives before this one are attended no longer; what they ran is settled with the first
     /// answer of this one.
-    fn replace_earlier_lives(&mut self, later: &WorkerId) {
-        for id in self.earlier_lives(later) {
-            let bound = self.stray_lease_end();
+    fn supersede_earlier_incarnations(&mut self, later: &WorkerId) {
+        for id in self.earlier_incarnations(later) {
+            let bound = self.misdelivered_lease_end();
             let Some(mut w) = self.workers.get_mut(&id).filter(|w| !w.superseded) else { continue };
             w.superseded = true;
             w.listed = false;
@@ -82,17 +82,17 @@
     }
 
     /// When a lease has ended that is sent now and is read on the clock of a later life.
-    fn stray_lease_end(&self) -> Duration {
+    fn misdelivered_lease_end(&self) -> Duration {
         self.now + lease_span(self.limits.longest_lease, self.limits.drift)
     }
 
     /// Settles what earlier lives ran with the first answer of a later one.
-    pub(super) fn settle_earlier_lives(&mut self, later: &WorkerId, report: &Report) {
-        let lives = self.earlier_lives(later);
+    pub(super) fn settle_earlier_incarnations(&mut self, later: &WorkerId, report: &Report) {
+        let lives = self.earlier_incarnations(later);
         if lives.is_empty() {
             return;
         }
-        let bound = self.stray_lease_end();
+        let bound = self.misdelivered_lease_end();
         if let Some(mut w) = self.workers.get_mut(later) {
             w.lease_end = w.lease_end.max(bound);
         }
@@ -101,14 +101,14 @@
         let listed: Vec<(TaskId, u32)> = running.chain(ended).collect();
         for id in lives {
             for (task, attempt) in &listed {
-                self.carry_over(&id, later, task, *attempt);
+                self.carry_over_run(&id, later, task, *attempt);
             }
             self.life_over(&id, IncarnationEnd::OtherIncarnation);
         }
     }
 
     /// A run that was meant for an earlier life goes on in a later one, or has ended there.
-    fn carry_over(&mut self, earlier: &WorkerId, later: &WorkerId, task: &TaskId, attempt: u32) {
+    fn carry_over_run(&mut self, earlier: &WorkerId, later: &WorkerId, task: &TaskId, attempt: u32) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let spec = job.spec.clone();
         let Some(step) = spec.steps.get(usize::from(task.step)) else { return };
--- a/src/workswood/ops/jobs/lead.rs
+++ b/src/workswood/ops/jobs/lead.rs
@@ -204,7 +204,7 @@
         m.lives_lost.set(tally.lives_lost as i64);
         m.runs_lost.set(tally.runs_lost as i64);
         m.given_up.set(tally.given_up as i64);
-        let (fullest, at_work) = self.sched.use_of_limits();
+        let (fullest, at_work) = self.sched.workspace_limit_usage();
         m.fullest_workspace.set((fullest * 100.0) as i64);
         m.workspaces_at_work.set(at_work as i64);
         if self.sched.wants_hosts() && self.node.now() > self.hosts_read + HOSTS_EVERY {
