--- a/crates/workswood-core/src/jobs/crash_attribution.rs
+++ b/crates/workswood-core/src/jobs/crash_attribution.rs
@@ -209,7 +209,7 @@
     /// Its address is answered by another life.
     OtherIncarnation,
     /// The list of hosts shows its host without it.
-    HostWithoutIt,
+    HostWithoutWorker,
     /// Its host was ordered down for maintenance.
     Maintenance,
     /// Its host was ordered to another pool.
@@ -223,7 +223,7 @@
     pub(super) fn label(self) -> &'static str {
         match self {
             IncarnationEnd::OtherIncarnation => "other_life",
-            IncarnationEnd::HostWithoutIt => "machine_listed_without_it",
+            IncarnationEnd::HostWithoutWorker => "machine_listed_without_it",
             IncarnationEnd::Maintenance => "upkeep",
             IncarnationEnd::HostMoved => "moved",
             IncarnationEnd::UnreachableAndUnlisted => "gone",
@@ -235,7 +235,7 @@
         matches!(
             self,
             IncarnationEnd::OtherIncarnation
-                | IncarnationEnd::HostWithoutIt
+                | IncarnationEnd::HostWithoutWorker
                 | IncarnationEnd::UnreachableAndUnlisted
         )
     }
--- a/crates/workswood-core/src/jobs/eviction.rs
+++ b/crates/workswood-core/src/jobs/eviction.rs
@@ -19,14 +19,14 @@
         let leaving = leaving.filter(|(_, w)| w.reachable && w.listed && !w.runs.is_empty());
         let leaving: Vec<WorkerId> = leaving.map(|(id, _)| id.clone()).collect();
         for id in leaving {
-            for (task, attempt) in self.long_running_runs(&id) {
+            for (task, attempt) in self.runs_of_long_running_tasks(&id) {
                 self.evict(&id, &task, attempt, "worker_leaving");
             }
         }
     }
 
     /// Lasting tasks that run on a worker.
-    pub(super) fn long_running_runs(&self, id: &WorkerId) -> Vec<(TaskId, u32)> {
+    pub(super) fn runs_of_long_running_tasks(&self, id: &WorkerId) -> Vec<(TaskId, u32)> {
         let Some(w) = self.workers.get(id) else { return Vec::new() };
         let lasting = |task: &TaskId| {
             let step = self.jobs.get(&task.job).and_then(|j| j.step(task));
@@ -73,7 +73,7 @@
     /// Evicts lasting tasks of a worker as far as their budgets allow;
     /// returns how many still stand there.
     pub(super) fn evict_within_budget(&mut self, id: &WorkerId) -> usize {
-        let runs = self.long_running_runs(id);
+        let runs = self.runs_of_long_running_tasks(id);
         for (task, attempt) in &runs {
             if self.eviction_keeps_budget(task) {
                 self.evict(id, task, *attempt, "maintenance");
--- a/crates/workswood-core/src/jobs/placement.rs
+++ b/crates/workswood-core/src/jobs/placement.rs
@@ -22,7 +22,7 @@
 
 impl Scheduler {
     /// Places waiting tasks of a service, most urgent first.
-    pub(super) fn place_service(&mut self, service: &ServiceId) {
+    pub(super) fn place_waiting_tasks(&mut self, service: &ServiceId) {
         self.place_trials(service);
         let mut misses = 0;
         let mut turns = StepQueue::new(self.placement_rank(service));
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -563,7 +563,7 @@
     pub fn take_batch(&mut self) -> Batch {
         let services = std::mem::take(&mut self.place_again);
         for service in services {
-            self.place_service(&service);
+            self.place_waiting_tasks(&service);
         }
         self.ask_adviser();
         let mut batch = Batch { shown: std::mem::take(&mut self.shown), ..Batch::default() };
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/settle.rs
@@ -107,7 +107,7 @@
         let over: Vec<WorkerId> =
             self.workers.iter().filter(|(id, w)| over(id, w)).map(|(id, _)| id.clone()).collect();
         for id in over {
-            self.life_over(&id, IncarnationEnd::HostWithoutIt);
+            self.life_over(&id, IncarnationEnd::HostWithoutWorker);
         }
     }
 
--- a/crates/workswood-core/src/jobs/wave.rs
+++ b/crates/workswood-core/src/jobs/wave.rs
@@ -348,7 +348,7 @@
     /// the list of hosts.
     fn load_on(&self, m: &HostId, says: Option<&WorkerId>) -> (usize, u64, HostId) {
         let id = says.or_else(|| self.hosts.get(m).and_then(|m| m.worker.as_ref()));
-        let lasting = id.map_or(0, |id| self.long_running_runs(id).len());
+        let lasting = id.map_or(0, |id| self.runs_of_long_running_tasks(id).len());
         let used = id.and_then(|id| self.workers.get(id)).map_or(0, |w| w.used_room.cpu_millis);
         (lasting, used, m.clone())
     }
