--- a/crates/workswood-core/src/jobs/worker.rs
+++ b/crates/workswood-core/src/jobs/worker.rs
@@ -1,4 +1,4 @@
-//! What is known of one worker: its room, its lease and its health.
+//! The scheduler's view of one worker: its resources, its lease and its health.
 
 use std::collections::hash_map::Entry;
 use std::collections::{BTreeSet, HashMap};
@@ -15,55 +15,55 @@
 use super::spec::{Room, StepId, StepSpec, TaskId};
 use crate::ids::{DataCentre, HostId, ServiceId};
 
-/// What a worker says of itself.
+/// What a worker reports about itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerInfo {
-    /// This life of it.
+    /// Identifies this incarnation of the worker.
     pub id: WorkerId,
-    /// The service whose pool it stands in.
+    /// Service whose pool the worker belongs to.
     pub service: ServiceId,
-    /// IP address and port of its listener.
+    /// IP address and port that the worker listens on.
     pub address: String,
-    /// Where it stands.
+    /// Data centre of the worker's host.
     pub data_centre: DataCentre,
-    /// Host that it is a life of; empty if it does not say.
+    /// Host that the worker runs on; empty if the worker does not say.
     pub host: HostId,
-    /// Its whole room.
+    /// Total resources of the worker.
     pub capacity: Room,
-    /// Its kind and its rack.
+    /// Labels that steps can require, such as the worker's kind and its rack.
     pub labels: Vec<String>,
-    /// Whether it is leaving.
+    /// Whether the worker is draining and about to leave.
     pub draining: bool,
 }
 
-/// Where a life of a worker is reached.
+/// Address of one incarnation of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerAddress {
-    /// This life of it.
+    /// Identifies the incarnation.
     pub id: WorkerId,
-    /// IP address and port of its listener.
+    /// IP address and port that the worker listens on.
     pub address: String,
-    /// Where it stands.
+    /// Data centre of the worker's host.
     pub data_centre: DataCentre,
 }
 
-/// The stored form of a worker: how its life can be asked after.
+/// The stored form of a worker: enough for a new lease holder to contact it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerRecord {
-    /// IP address and port of its listener.
+    /// IP address and port that the worker listened on.
     pub address: String,
-    /// The service whose pool it stood in.
+    /// Service whose pool the worker belonged to.
     pub service: ServiceId,
-    /// Host that it is a life of.
+    /// Host that the worker ran on.
     #[serde(rename = "machine")]
     pub host: HostId,
-    /// Where it stands; empty in records of versions before this one.
+    /// Data centre of the worker's host; empty in records of versions that did not store it.
     #[serde(default)]
     pub data_centre: DataCentre,
 }
 
 impl WorkerInfo {
-    /// Where it is reached.
+    /// Returns the address of the worker.
     pub fn worker_address(&self) -> WorkerAddress {
         WorkerAddress {
             id: self.id.clone(),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The stored form.
+    /// Returns the stored form of the worker.
     pub fn record(&self) -> WorkerRecord {
         WorkerRecord {
             address: self.address.clone(),
@@ -82,8 +82,8 @@
         }
     }
 
-    /// What a record tells; room and labels are those of no worker, so that
-    /// nothing is placed before the worker is listed.
+    /// Restores a worker from its record. Capacity and labels are left empty, so nothing is placed
+    /// on the worker before it is listed.
     pub fn from_record(id: WorkerId, rec: WorkerRecord) -> WorkerInfo {
         WorkerInfo {
             id,
@@ -101,17 +101,18 @@
 /// A run that a worker lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportedRun {
-    /// The task.
+    /// Task of the run.
     pub task: TaskId,
-    /// Number of the try.
+    /// Attempt number of the run.
     pub attempt: u32,
-    /// Latest checkpoint.
+    /// Latest checkpoint; empty for none.
     pub checkpoint: String,
-    /// Share of the work done, or of the warm-up of a lasting task.
+    /// Progress in percent: of the work, or of the warm-up of a long-running task.
     pub percent: u32,
-    /// Slow answers in ms of a task that serves; else processor use.
+    /// Load figure: the latency of slow responses in milliseconds for a task that serves users, the
+    /// processor use for others.
     pub load: u64,
-    /// How long its progress has stood still; zero for a lasting task past its warm-up.
+    /// Time since the last progress; zero for a long-running task past its warm-up.
     pub stalled_for: Duration,
 }
 
@@ -120,141 +121,142 @@
 pub enum EndKind {
     /// The task is done.
     Done,
-    /// It failed, through its own fault or the worker's.
+    /// The run failed, through a fault of the task or of the worker.
     Failed,
-    /// We stopped it.
+    /// The scheduler stopped it.
     Stopped,
-    /// The lease lapsed.
+    /// The worker's lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// It waited in vain for the other members of its gang.
+    /// The other members of its gang did not start in time.
     Alone,
 }
 
-/// An end that a worker lists.
+/// The end of a run, as listed by a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportedEnd {
-    /// Number of the end within the worker's life; rises from 1.
+    /// Sequence number of the end within the worker's incarnation, starting at 1.
     pub sequence_number: u64,
-    /// The task.
+    /// Task of the run.
     pub task: TaskId,
-    /// Number of the try.
+    /// Attempt number of the run.
     pub attempt: u32,
-    /// How it ended.
+    /// How the run ended.
     pub kind: EndKind,
-    /// Latest checkpoint.
+    /// Latest checkpoint; empty for none.
     pub checkpoint: String,
 }
 
-/// What a worker answers when it is looked at.
+/// A worker's full answer to a poll.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Listing {
-    /// All that runs.
+    /// All current runs.
     pub running: Vec<ReportedRun>,
-    /// Ends that it has not been told to forget.
+    /// Ends of runs that the worker has not been told to forget.
     pub ended: Vec<ReportedEnd>,
 }
 
-/// What is new in a worker's answer.
+/// Changes since the previous answer of a worker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Whether all that runs is listed: the first answer to whoever attends the worker.
-    /// Nothing was sent to it before.
+    /// Whether all current runs are listed. That is so in the first answer to a new relay, before
+    /// which the relay sends nothing to the worker.
     pub full: bool,
-    /// Runs that are new, or of which something is.
+    /// New runs, and runs with reportable changes.
     pub running: Vec<ReportedRun>,
-    /// Runs that are over although no end is listed.
+    /// Runs that are over although the worker lists no end for them.
     pub missing: Vec<(TaskId, u32)>,
-    /// Ends that are new.
+    /// Ends that were not reported before.
     pub ended: Vec<ReportedEnd>,
 }
 
 impl Report {
-    /// Whether it tells nothing but that the worker answered.
+    /// Whether the report holds nothing except that the worker answered.
     pub fn is_empty(&self) -> bool {
         !self.full && self.running.is_empty() && self.missing.is_empty() && self.ended.is_empty()
     }
 }
 
-/// What the scheduler knows of one life of a worker.
+/// The scheduler's state of one incarnation of a worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// What it says of itself; `None` when only records speak of it.
+    /// What the worker reports about itself; `None` if it is known from the records of runs only.
     pub info: Option<Arc<WorkerInfo>>,
-    /// Whether it was listed when we last heard of the list.
+    /// Whether the latest worker list shows it.
     pub listed: bool,
-    /// Whether our token is known to it.
+    /// Whether the worker has seen the current fencing token.
     pub token_accepted: bool,
-    /// Whether its last look was answered.
+    /// Whether the worker answered the last poll.
     pub reachable: bool,
-    /// Whether the answer to the present look is late.
+    /// Whether the answer to the current poll is late.
     pub poll_overdue: bool,
-    /// The entry that attends it, once one does.
+    /// Entry that relays for the worker, if one is assigned.
     pub relay: Option<HostId>,
-    /// How many it has had in this term.
+    /// Number of relays that the worker has had in this term.
     pub relay_count: u32,
-    /// Whether its relay tells the figures of all that runs with each look.
+    /// Whether the relay reports the load of all runs with each poll.
     pub reports_load: bool,
-    /// When we, or a predecessor, knew of it at the latest.
+    /// When this scheduler learned of the worker; the start of the term if it was inherited.
     pub known_since: Duration,
-    /// When it last answered, as far as that was told. Answers that hold nothing new are
-    /// told only with the first one that does not come.
+    /// When the worker last answered, as far as that was reported. A relay does not report an
+    /// answer without news; it reports the time of the last one when a poll goes unanswered.
     pub last_heard: Duration,
-    /// How long it had been silent when it was found to answer no more.
+    /// Time since the last answer when the worker was found unreachable.
     pub silent_for: Duration,
-    /// When everything on it must have ended if we stop extending its lease.
+    /// When everything on the worker must have ended if its lease is no longer extended.
     pub lease_end: Duration,
-    /// Runs that may exist there, with what each takes.
+    /// Runs that may exist on the worker, with the resources of each.
     pub runs: Map<(TaskId, u32), Held>,
-    /// What began or ended since the accounts of workspaces were told.
+    /// Starts and ends of runs that the workspace accounts have not been told of.
     pub(super) account_changes: Vec<Change>,
-    /// Tasks of these runs that last.
+    /// Long-running tasks among `runs`.
     pub long_running: BTreeSet<TaskId>,
-    /// Tasks of these runs that fill.
+    /// Tasks among `runs` that use processor time left over by others.
     pub best_effort: BTreeSet<TaskId>,
-    /// Tasks of these runs that serve users.
+    /// Tasks among `runs` that serve users.
     pub serving: BTreeSet<TaskId>,
-    /// Room taken by `runs`.
+    /// Total resources of `runs`.
     pub used_room: Room,
-    /// When it was found to be listed no longer.
+    /// When the worker disappeared from the worker list.
     pub unlisted_at: Option<Duration>,
-    /// Runs that are over since its lease has ended; whether it has crashed is not known.
+    /// Runs that were settled because the lease ended, kept until it is known whether the worker
+    /// crashed.
     pub lapsed_runs: Vec<LostRun>,
-    /// Whether it takes no work but a trial of a suspected task.
+    /// Set while the worker takes no work except a trial of a suspected task.
     pub quarantine: Option<Quarantine>,
-    /// When a task was last started here.
+    /// When a task was last started on the worker.
     pub last_start_at: Option<Duration>,
-    /// Highest number of an end that is on record.
+    /// Highest sequence number of an end that is on record.
     pub last_recorded_end: u64,
-    /// Tasks that failed or stood still here lately, without one done since.
+    /// Tasks that failed or stalled here since the last one was done.
     pub faults: u32,
-    /// No new work before this moment.
+    /// The worker gets no new work before this time.
     pub backoff_until: Duration,
-    /// Whether maintenance or a move keeps new work away.
+    /// Whether maintenance or a move to another pool keeps new work away.
     pub cordoned: bool,
-    /// Whether its worker is known to have started again; what ran here is settled with the first
-    /// answer of its later life.
+    /// Whether a later incarnation of the worker is known. The runs of this one are settled with
+    /// the first answer of the later one.
     pub superseded: bool,
-    /// Whether its data centre is being evacuated, which keeps new work away, too.
+    /// Whether the data centre is being evacuated, which keeps new work away too.
     pub evacuated: bool,
-    /// What the adviser has said of this life, by step.
+    /// The adviser's verdicts on this incarnation, by step.
     pub advice: HashMap<StepId, AdviceVerdict>,
 }
 
-/// What the adviser has said of a worker and a step.
+/// The adviser's verdict on a worker and a step.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdviceVerdict {
-    /// It may run the step: with this ticket, for starts sent before this time.
+    /// The worker may run the step, with this ticket, for starts that are sent before this time.
     Eligible(Arc<str>, Duration),
-    /// It may not; that does not change.
+    /// The worker may never run the step.
     Ineligible,
-    /// Its ticket was turned down; it is not asked about before this time.
+    /// The worker rejected the ticket; the adviser is not asked again before this time.
     TicketRejected(Duration),
 }
 
 impl Worker {
-    /// A worker that nothing is known of.
+    /// Creates a worker of which nothing else is known.
     pub fn new(lease_end: Duration, known_since: Duration) -> Worker {
         Worker {
             info: None,
@@ -289,25 +291,25 @@
         }
     }
 
-    /// Whether it may be given new work, unless it is shunned.
+    /// Whether the worker may be given new work, backoff and quarantine aside.
     pub fn accepts_work(&self) -> bool {
         let Some(info) = &self.info else { return false };
         let open = !self.cordoned && !self.evacuated && !info.draining;
         self.listed && self.token_accepted && self.reachable && open
     }
 
-    /// Whether it is kept from new work for a while.
+    /// Whether the worker is kept from new work for a while, after faults or a refused start.
     pub fn in_backoff(&self, now: Duration) -> bool {
         self.backoff_until > now
     }
 
-    /// A trial begins here, that nothing else may begin beside for so long.
-    pub fn begin_trial(&mut self, task: TaskId, attempt: u32, now: Duration, lasts: Duration) {
-        let until = now.saturating_add(lasts);
+    /// Puts the worker in quarantine for a trial of the given length.
+    pub fn begin_trial(&mut self, task: TaskId, attempt: u32, now: Duration, length: Duration) {
+        let until = now.saturating_add(length);
         self.quarantine = Some(Quarantine { trial: Some((task, attempt)), until });
     }
 
-    /// Whether no work but a trial begins here.
+    /// Whether only a trial may start here.
     pub fn in_quarantine(&self, now: Duration) -> bool {
         self.quarantine.is_some_and(|q| q.until > now)
     }
@@ -320,12 +322,12 @@
         }
     }
 
-    /// Room that is free.
+    /// Resources that are free.
     pub fn free_room(&self) -> Room {
         self.info.as_ref().map(|i| i.capacity.minus(&self.used_room)).unwrap_or_default()
     }
 
-    /// Takes room for a run.
+    /// Reserves the resources of a run.
     pub fn add_run(&mut self, task: TaskId, attempt: u32, held: impl Into<Held>) {
         let held = held.into();
         if let Entry::Vacant(entry) = self.runs.entry((task, attempt)) {
@@ -335,7 +337,7 @@
         }
     }
 
-    /// Notes whether a task that runs here lasts, and whether it serves or fills.
+    /// Records whether a task that runs here is long-running, serves users, or is best-effort.
     pub fn note_task_kind(&mut self, task: &TaskId, step: &StepSpec) {
         if step.lasting {
             self.long_running.insert(*task);
@@ -347,7 +349,7 @@
         }
     }
 
-    /// Gives the room of a run back.
+    /// Releases the resources of a run, and ends the quarantine if the run was its trial.
     pub fn remove_run(&mut self, task: TaskId, attempt: u32) {
         if let Some(held) = self.runs.remove(&(task, attempt)) {
             self.used_room = self.used_room.minus(&held.room);
