--- a/crates/workswood-core/src/jobs/worker_id.rs
+++ b/crates/workswood-core/src/jobs/worker_id.rs
@@ -1,4 +1,4 @@
-//! Names of lives of workers.
+//! Identifiers of worker incarnations.
 
 use std::borrow::Borrow;
 use std::cmp::Ordering;
@@ -11,23 +11,24 @@
 
 use crate::ids::UnixMs;
 
-/// What stands between a worker's name and when it started.
+/// Separates the worker's name from its start time.
 const START_TIME_SEPARATOR: char = '@';
 
-/// One life of a worker process; a restarted one has another.
+/// Identifies one incarnation of a worker; a restarted worker has a new one.
 ///
-/// A worker either takes a new name at each start, or keeps its name and tells when it started. Then
-/// that is part of its life's text: `NAME@MILLISECONDS`. A name that holds such a sign itself ends with one.
+/// A worker either takes a new name at each start, or keeps its name and reports when it started.
+/// In the second case the text of the id is `NAME@MILLISECONDS`. If a name without a start time
+/// holds an `@`, another one is appended to it.
 ///
-/// The scheduler looks workers up several times for each task. A clone shares the text, and two
-/// clones are equal by their place in memory, which is cheaper than comparing the text each time.
+/// Ids are cloned and compared several times for each task. Clones share the text, and clones of
+/// one id compare equal by address without a comparison of the text.
 #[derive(Clone, Default)]
 pub struct WorkerId(Arc<str>);
 
 impl WorkerId {
-    /// The life of a worker that has started at a time, if it tells.
-    pub fn new(name: &str, started: Option<UnixMs>) -> WorkerId {
-        match started {
+    /// The incarnation of a worker that started at the given time, if it reports one.
+    pub fn new(name: &str, started_at: Option<UnixMs>) -> WorkerId {
+        match started_at {
             Some(at) => WorkerId(format!("{name}{START_TIME_SEPARATOR}{at}").into()),
             None if name.contains(START_TIME_SEPARATOR) => {
                 WorkerId(format!("{name}{START_TIME_SEPARATOR}").into())
@@ -36,25 +37,25 @@
         }
     }
 
-    /// The life as text.
+    /// The id as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The name that the worker goes by, in this life and in others.
+    /// Name of the worker, the same in all incarnations that keep it.
     pub fn name(&self) -> &str {
         self.parts().0
     }
 
-    /// When it started, in milliseconds since 1970, if it tells.
+    /// When this incarnation started, in milliseconds since 1970, if the worker reports it.
     pub fn started_at(&self) -> Option<UnixMs> {
         self.parts().1
     }
 
-    /// Whether the same worker had another life before this one.
+    /// Whether this is a later incarnation of the same worker than `other`.
     pub fn supersedes(&self, other: &WorkerId) -> bool {
-        let ((name, started), (before, ended)) = (self.parts(), other.parts());
-        name == before && started > ended
+        let ((name, started_at), (other_name, other_started_at)) = (self.parts(), other.parts());
+        name == other_name && started_at > other_started_at
     }
 
     fn parts(&self) -> (&str, Option<UnixMs>) {
@@ -84,7 +85,7 @@
 
 impl Hash for WorkerId {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        // As `str` does it: maps are asked by text, too.
+        // Must match the hash of `str`, since maps are also searched by text.
         self.as_str().hash(state);
     }
 }
