--- a/crates/workswood-core/src/jobs/worker_index.rs
+++ b/crates/workswood-core/src/jobs/worker_index.rs
@@ -1,9 +1,9 @@
-//! All lives of workers, with what is asked of many of them at once.
+//! All known incarnations of workers, with indexes over them.
 //!
-//! Which worker has room for a task, what a service's pool carries, who is silent
-//! and what lives stand on a host is asked for each task or each tick. So these
-//! answers are kept as workers change. A worker is changed through a [`WorkerMut`],
-//! which brings them up to date when it is dropped.
+//! Placement, demand and liveness checks ask for each task or tick which workers have room, what a
+//! pool uses, which workers are unreachable and which run on a host. The indexes answer that
+//! without a scan. A worker is changed through a [`WorkerMut`], which updates the indexes when it
+//! is dropped.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Deref, DerefMut};
@@ -16,25 +16,26 @@
 use super::worker_id::WorkerId;
 use crate::ids::{DataCentre, HostId, ServiceId};
 
-/// Free processor room in thousandths of a core, and the worker that has it.
+/// Free processor capacity in thousandths of a core, and the worker that has it.
 type FreeCpu = (u64, WorkerId);
 
 /// Workers of one service.
 #[derive(Debug, Default)]
 struct Pool {
-    /// Workers that take work, by the faults held against them and by free room.
+    /// Workers that accept work, by number of faults, then by free processor capacity.
     available: BTreeMap<u32, BTreeSet<FreeCpu>>,
-    /// Room that runs take where new work may begin.
+    /// Resources in use outside of data centres that are being evacuated.
     used: Room,
-    /// Capacities of listed workers, by processor first, with how many have each.
+    /// Capacities of listed workers, ordered by processor first, with the number of workers of
+    /// each.
     capacities: BTreeMap<(u64, u64, u64), usize>,
 }
 
-/// What the answers hold of one worker.
+/// State of one worker as the indexes hold it.
 #[derive(Debug, Default)]
 struct IndexedState {
     info: Option<Arc<WorkerInfo>>,
-    /// Faults and free processor room, if it takes work.
+    /// Faults and free processor capacity, if the worker accepts work.
     available: Option<(u32, u64)>,
     used: Room,
     listed: bool,
@@ -52,25 +53,25 @@
 struct SecondaryIndexes {
     pools: Map<ServiceId, Pool>,
     by_host: Map<HostId, Vec<WorkerId>>,
-    by_data_centre: Map<DataCentre, usize>,
-    /// Lives by the name of their worker.
+    count_by_data_centre: Map<DataCentre, usize>,
+    /// Incarnations by worker name.
     by_name: Map<String, Vec<WorkerId>>,
     unreachable: BTreeSet<WorkerId>,
     draining: BTreeSet<WorkerId>,
     accounts: Accounts,
 }
 
-/// All lives of workers that are known.
+/// All known incarnations of workers.
 #[derive(Debug, Default)]
 pub struct WorkerIndex {
     by_id: Map<WorkerId, WorkerSlot>,
-    index: SecondaryIndexes,
+    indexes: SecondaryIndexes,
 }
 
-/// A worker that is being changed.
+/// Mutable access to a worker; updates the indexes on drop.
 pub struct WorkerMut<'a> {
     slot: &'a mut WorkerSlot,
-    index: &'a mut SecondaryIndexes,
+    indexes: &'a mut SecondaryIndexes,
 }
 
 impl Deref for WorkerMut<'_> {
@@ -89,14 +90,14 @@
 
 impl Drop for WorkerMut<'_> {
     fn drop(&mut self) {
-        self.index.update(self.slot);
+        self.indexes.update(self.slot);
     }
 }
 
 impl WorkerIndex {
-    /// A worker.
+    /// Returns a worker.
     pub fn get(&self, id: &WorkerId) -> Option<&Worker> {
-        self.by_id.get(id).map(|e| &e.worker)
+        self.by_id.get(id).map(|slot| &slot.worker)
     }
 
     /// Whether a worker is known.
@@ -104,80 +105,80 @@
         self.by_id.contains_key(id)
     }
 
-    /// A worker, to change.
+    /// Returns a worker for modification.
     pub fn get_mut(&mut self, id: &WorkerId) -> Option<WorkerMut<'_>> {
         let slot = self.by_id.get_mut(id)?;
-        Some(WorkerMut { slot, index: &mut self.index })
+        Some(WorkerMut { slot, indexes: &mut self.indexes })
     }
 
-    /// A worker to change; one that is not known yet is made.
+    /// Returns a worker for modification, after adding it if it is not known.
     pub fn get_or_insert_with(&mut self, id: &WorkerId, new: impl FnOnce() -> Worker) -> WorkerMut<'_> {
-        let lives = &mut self.index.by_name;
+        let incarnations = &mut self.indexes.by_name;
         let insert = || {
-            lives.entry(id.name().to_string()).or_default().push(id.clone());
+            incarnations.entry(id.name().to_string()).or_default().push(id.clone());
             WorkerSlot { id: id.clone(), worker: new(), indexed: IndexedState::default() }
         };
         let slot = self.by_id.entry(id.clone()).or_insert_with(insert);
-        WorkerMut { slot, index: &mut self.index }
+        WorkerMut { slot, indexes: &mut self.indexes }
     }
 
-    /// Forgets a worker.
+    /// Removes a worker from the map and all indexes.
     pub fn remove(&mut self, id: &WorkerId) -> Option<Worker> {
         let mut slot = self.by_id.remove(id)?;
-        self.index.forget(&mut slot);
+        self.indexes.forget(&mut slot);
         let runs = std::mem::take(&mut slot.worker.runs);
-        runs.values().for_each(|held| self.index.accounts.take(Change::GivenBack(*held)));
+        runs.values().for_each(|held| self.indexes.accounts.take(Change::GivenBack(*held)));
         slot.worker.runs = runs;
         Some(slot.worker)
     }
 
-    /// All workers.
+    /// Iterates over all workers with their ids.
     pub fn iter(&self) -> impl Iterator<Item = (&WorkerId, &Worker)> {
-        self.by_id.values().map(|e| (&e.id, &e.worker))
+        self.by_id.values().map(|slot| (&slot.id, &slot.worker))
     }
 
-    /// All workers, without their names.
+    /// Iterates over all workers.
     pub fn values(&self) -> impl Iterator<Item = &Worker> {
-        self.by_id.values().map(|e| &e.worker)
+        self.by_id.values().map(|slot| &slot.worker)
     }
 
-    /// Does something with each worker.
+    /// Calls a function on each worker.
     pub fn for_each_mut(&mut self, mut f: impl FnMut(&mut Worker)) {
         for slot in self.by_id.values_mut() {
-            f(&mut WorkerMut { slot, index: &mut self.index });
+            f(&mut WorkerMut { slot, indexes: &mut self.indexes });
         }
     }
 
-    /// Workers of a service that may be given work and have so much free processor
-    /// room: those with the fewest faults first, among them the fullest. A worker may
-    /// be shunned for a while nevertheless.
+    /// Workers of a service that accept work and have at least this much free processor capacity,
+    /// in thousandths of a core: those with the fewest faults first, among them the fullest. They
+    /// may be in backoff or quarantine.
     pub fn available(&self, service: &str, cpu_millis: u64) -> impl Iterator<Item = (&WorkerId, &Worker)> {
-        let levels = self.index.pools.get(service).into_iter().flat_map(|p| p.available.values());
+        let by_faults = self.indexes.pools.get(service).into_iter().flat_map(|p| p.available.values());
         let least = (cpu_millis, WorkerId::default());
-        let free = levels.flat_map(move |level| level.range(least.clone()..));
+        let free = by_faults.flat_map(move |same_faults| same_faults.range(least.clone()..));
         free.filter_map(|(_, id)| Some((id, self.get(id)?)))
     }
 
-    /// Room that runs take in a service, outside of data centres that are being evacuated.
+    /// Resources in use by runs of a service, outside of data centres that are being evacuated.
     pub fn room_in_use(&self, service: &str) -> Room {
-        self.index.pools.get(service).map(|p| p.used).unwrap_or_default()
+        self.indexes.pools.get(service).map(|p| p.used).unwrap_or_default()
     }
 
-    /// What each workspace has at work.
+    /// Resources in use by each workspace.
     pub fn accounts(&self) -> &Accounts {
-        &self.index.accounts
+        &self.indexes.accounts
     }
 
-    /// Processor room of all workers that are listed for a service, in thousandths of a core.
+    /// Processor capacity of all listed workers of a service, in thousandths of a core.
     pub fn listed_cpu(&self, service: &str) -> u64 {
-        let pool = self.index.pools.get(service);
+        let pool = self.indexes.pools.get(service);
         let capacities = pool.into_iter().flat_map(|p| &p.capacities);
         capacities.map(|((cpu, _, _), count)| cpu * *count as u64).sum()
     }
 
-    /// Room of the largest worker that is listed for a service.
+    /// Capacity of the largest listed worker of a service.
     pub fn largest_capacity(&self, service: &str) -> Room {
-        let pool = self.index.pools.get(service);
+        let pool = self.indexes.pools.get(service);
         let largest = pool.and_then(|p| p.capacities.keys().next_back());
         largest.map_or(Room::default(), |(cpu, mem, gpus)| Room {
             cpu_millis: *cpu,
@@ -186,64 +187,64 @@
         })
     }
 
-    /// Lives that say they stand on a host.
+    /// Incarnations that report this host as theirs.
     pub fn on_host(&self, host: &str) -> &[WorkerId] {
-        self.index.by_host.get(host).map(Vec::as_slice).unwrap_or_default()
+        self.indexes.by_host.get(host).map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// Lives of the worker of a name.
+    /// Known incarnations of the worker with this name.
     pub fn incarnations_of(&self, name: &str) -> &[WorkerId] {
-        self.index.by_name.get(name).map(Vec::as_slice).unwrap_or_default()
+        self.indexes.by_name.get(name).map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// How many there are.
+    /// Number of known incarnations.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether none is known.
+    /// Whether no worker is known.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// How many stand in a data centre.
+    /// Number of workers in a data centre.
     pub fn count_in_data_centre(&self, dc: &str) -> usize {
-        self.index.by_data_centre.get(dc).copied().unwrap_or(0)
+        self.indexes.count_by_data_centre.get(dc).copied().unwrap_or(0)
     }
 
-    /// Workers that have not answered their last look.
+    /// Workers that did not answer their last poll.
     pub fn unreachable(&self) -> impl Iterator<Item = (&WorkerId, &Worker)> {
-        self.index.unreachable.iter().filter_map(|id| Some((id, self.get(id)?)))
+        self.indexes.unreachable.iter().filter_map(|id| Some((id, self.get(id)?)))
     }
 
-    /// Workers that say they are leaving.
+    /// Workers that report that they are draining.
     pub fn draining(&self) -> impl Iterator<Item = (&WorkerId, &Worker)> {
-        self.index.draining.iter().filter_map(|id| Some((id, self.get(id)?)))
+        self.indexes.draining.iter().filter_map(|id| Some((id, self.get(id)?)))
     }
 }
 
 impl SecondaryIndexes {
-    /// Takes in what changed of a worker.
-    fn update(&mut self, e: &mut WorkerSlot) {
-        e.worker.account_changes.drain(..).for_each(|change| self.accounts.take(change));
-        let w = &e.worker;
-        let same_info = match (&e.indexed.info, &w.info) {
+    /// Brings all indexes up to date with a changed worker.
+    fn update(&mut self, slot: &mut WorkerSlot) {
+        slot.worker.account_changes.drain(..).for_each(|change| self.accounts.take(change));
+        let w = &slot.worker;
+        let same_info = match (&slot.indexed.info, &w.info) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
             (None, None) => true,
             _ => false,
         };
-        if !same_info || e.indexed.listed != w.listed {
-            self.leave_pool(&e.id, &mut e.indexed);
-            self.enter_pool(&e.id, w, &mut e.indexed);
+        if !same_info || slot.indexed.listed != w.listed {
+            self.remove_from_indexes(&slot.id, &mut slot.indexed);
+            self.add_to_indexes(&slot.id, w, &mut slot.indexed);
         }
-        self.update_room(&e.id, w, &mut e.indexed);
-        if e.indexed.unreachable == w.reachable {
-            e.indexed.unreachable = !w.reachable;
-            set_membership(&mut self.unreachable, &e.id, !w.reachable);
+        self.update_room(&slot.id, w, &mut slot.indexed);
+        if slot.indexed.unreachable == w.reachable {
+            slot.indexed.unreachable = !w.reachable;
+            set_membership(&mut self.unreachable, &slot.id, !w.reachable);
         }
     }
 
-    /// Takes in what changes with each run.
+    /// Updates what changes with each run: the resources in use and the availability.
     fn update_room(&mut self, id: &WorkerId, w: &Worker, indexed: &mut IndexedState) {
         let Some(pool) = indexed.info.as_ref().and_then(|i| self.pools.get_mut(&i.service)) else { return };
         let used = if w.evacuated { Room::default() } else { w.used_room };
@@ -262,7 +263,7 @@
         }
     }
 
-    fn enter_pool(&mut self, id: &WorkerId, w: &Worker, indexed: &mut IndexedState) {
+    fn add_to_indexes(&mut self, id: &WorkerId, w: &Worker, indexed: &mut IndexedState) {
         indexed.info = w.info.clone();
         indexed.listed = w.listed;
         let Some(info) = &w.info else { return };
@@ -271,19 +272,19 @@
             *pool.capacities.entry(cpu_first_key(&info.capacity)).or_default() += 1;
         }
         self.by_host.entry(info.host.clone()).or_default().push(id.clone());
-        *self.by_data_centre.entry(info.data_centre.clone()).or_default() += 1;
+        *self.count_by_data_centre.entry(info.data_centre.clone()).or_default() += 1;
         set_membership(&mut self.draining, id, info.draining);
     }
 
-    fn leave_pool(&mut self, id: &WorkerId, indexed: &mut IndexedState) {
+    fn remove_from_indexes(&mut self, id: &WorkerId, indexed: &mut IndexedState) {
         let Some(info) = indexed.info.take() else { return };
-        if let Some(lives) = self.by_host.get_mut(&info.host) {
-            lives.retain(|other| other != id);
-            if lives.is_empty() {
+        if let Some(incarnations) = self.by_host.get_mut(&info.host) {
+            incarnations.retain(|other| other != id);
+            if incarnations.is_empty() {
                 self.by_host.remove(&info.host);
             }
         }
-        if let Some(n) = self.by_data_centre.get_mut(&info.data_centre) {
+        if let Some(n) = self.count_by_data_centre.get_mut(&info.data_centre) {
             *n -= 1;
         }
         self.draining.remove(id);
@@ -295,13 +296,13 @@
         }
     }
 
-    fn forget(&mut self, e: &mut WorkerSlot) {
-        self.leave_pool(&e.id, &mut e.indexed);
-        self.unreachable.remove(&e.id);
-        if let Some(lives) = self.by_name.get_mut(e.id.name()) {
-            lives.retain(|life| *life != e.id);
-            if lives.is_empty() {
-                self.by_name.remove(e.id.name());
+    fn forget(&mut self, slot: &mut WorkerSlot) {
+        self.remove_from_indexes(&slot.id, &mut slot.indexed);
+        self.unreachable.remove(&slot.id);
+        if let Some(incarnations) = self.by_name.get_mut(slot.id.name()) {
+            incarnations.retain(|incarnation| *incarnation != slot.id);
+            if incarnations.is_empty() {
+                self.by_name.remove(slot.id.name());
             }
         }
     }
@@ -310,9 +311,9 @@
 impl Pool {
     fn remove_available(&mut self, id: &WorkerId, available: Option<(u32, u64)>) {
         let Some((faults, free)) = available else { return };
-        let Some(level) = self.available.get_mut(&faults) else { return };
-        level.remove(&(free, id.clone()));
-        if level.is_empty() {
+        let Some(same_faults) = self.available.get_mut(&faults) else { return };
+        same_faults.remove(&(free, id.clone()));
+        if same_faults.is_empty() {
             self.available.remove(&faults);
         }
     }
@@ -327,7 +328,7 @@
     }
 }
 
-/// A room in an order that looks at the processor first.
+/// Sort key of a capacity that compares the processor first.
 fn cpu_first_key(room: &Room) -> (u64, u64, u64) {
     (room.cpu_millis, room.mem_mb, room.gpus)
 }
