--- a/crates/workswood-core/src/jobs/worker_restart.rs
+++ b/crates/workswood-core/src/jobs/worker_restart.rs
@@ -1,14 +1,16 @@
-//! Workers that start again under their name.
+//! Workers that restart under the same name.
 //!
-//! Such a worker holds and knows nothing of its life before; its clock and the numbers of its ends start
-//! anew. Calls name only the worker, so what was sent to the earlier life may still reach the later one.
+//! A restarted worker has lost all state of its earlier incarnation; its clock and the sequence
+//! numbers of its ends start anew. Calls address a worker by name only, so a call meant for the
+//! earlier incarnation may still reach the later one.
 //!
-//! * The later life is attended with a token that is higher than those of the earlier one. Once it has
-//!   answered, it refuses what was meant for the earlier life, and its answer lists what it took of that.
-//! * Until then, what the earlier life ran may run in the later one. So it is settled with that answer:
-//!   what is listed goes on in the later life, the rest is over.
-//! * A lease that was meant for the earlier life is read on the clock of the later one, on which it may
-//!   last as long as the platform lets any lease last.
+//! * The later incarnation is polled with a higher token than the earlier one. Once it has
+//!   answered, it refuses calls meant for the earlier one, and its answer lists those that it has
+//!   accepted.
+//! * Until then, runs of the earlier incarnation may exist in the later one. They are settled with
+//!   that first answer: listed runs go on in the later incarnation, the others are over.
+//! * A lease that was meant for the earlier incarnation is read on the clock of the later one.
+//!   There it may last as long as the longest lease that the platform accepts.
 
 use std::time::Duration;
 
@@ -21,7 +23,8 @@
 use crate::ids::UnixMs;
 
 impl Scheduler {
-    /// An answer shows that a worker has started again at a time; when its life before last answered.
+    /// Handles an answer that shows that the worker `id` has restarted at `started`; the earlier
+    /// incarnation last answered at `heard`.
     pub(super) fn worker_restarted(&mut self, id: &WorkerId, started: UnixMs, heard: Duration) {
         self.note_last_heard(id, heard);
         let Some(info) = self.workers.get(id).map(|w| w.info.clone()) else { return };
@@ -31,7 +34,8 @@
             return;
         }
         if let Some(info) = info.filter(|_| !self.workers.contains_key(&later)) {
-            // It may be of another kind: its room and labels are known once it is listed.
+            // The restarted worker may differ in capacity and labels, which become known once it is
+            // listed.
             let info = WorkerInfo::from_record(later.clone(), info.record());
             let now = self.now;
             self.workers.get_or_insert_with(&later, || Worker::new(now, now)).info = Some(info.into());
@@ -41,35 +45,36 @@
         self.supersede_earlier_incarnations(&later);
     }
 
-    /// Whether a later life of the same worker is known.
+    /// Whether a later incarnation of the same worker is known.
     pub(super) fn has_later_incarnation(&self, id: &WorkerId) -> bool {
         self.workers.incarnations_of(id.name()).iter().any(|other| other.supersedes(id))
     }
 
-    /// Lives of the same worker that were before this one.
+    /// Known incarnations of the same worker before this one.
     fn earlier_incarnations(&self, id: &WorkerId) -> Vec<WorkerId> {
         self.workers.incarnations_of(id.name()).iter().filter(|other| id.supersedes(other)).cloned().collect()
     }
 
-    /// Takes in that a life is known: of the lives of its worker only the latest goes on.
+    /// Supersedes all known incarnations of the worker of `id` except the latest.
     pub(super) fn keep_latest_incarnation(&mut self, id: &WorkerId) {
-        let lives = self.workers.incarnations_of(id.name());
-        if lives.len() > 1
-            && let Some(latest) = lives.iter().max_by_key(|life| life.started_at()).cloned()
+        let incarnations = self.workers.incarnations_of(id.name());
+        if incarnations.len() > 1
+            && let Some(latest) =
+                incarnations.iter().max_by_key(|incarnation| incarnation.started_at()).cloned()
         {
             self.supersede_earlier_incarnations(&latest);
         }
     }
 
-    /// Lives before this one are attended no longer; what they ran is settled with the first
-    /// answer of this one.
+    /// Stops polling earlier incarnations. Their runs are settled with the first answer of this
+    /// one.
     fn supersede_earlier_incarnations(&mut self, later: &WorkerId) {
         for id in self.earlier_incarnations(later) {
-            let bound = self.misdelivered_lease_end();
+            let lease_end = self.misdelivered_lease_end();
             let Some(mut w) = self.workers.get_mut(&id).filter(|w| !w.superseded) else { continue };
             w.superseded = true;
             w.listed = false;
-            w.lease_end = w.lease_end.max(bound);
+            w.lease_end = w.lease_end.max(lease_end);
             let (runs, relays) = (w.runs.len(), w.relay_count);
             drop(w);
             self.record_relay_count(&id, relays);
@@ -81,25 +86,25 @@
         }
     }
 
-    /// When a lease has ended that is sent now and is read on the clock of a later life.
+    /// When a lease must have ended that is sent now and read on the clock of a later incarnation.
     fn misdelivered_lease_end(&self) -> Duration {
         self.now + lease_span(self.limits.longest_lease, self.limits.drift)
     }
 
-    /// Settles what earlier lives ran with the first answer of a later one.
+    /// Settles the runs of earlier incarnations with the first answer of a later one.
     pub(super) fn settle_earlier_incarnations(&mut self, later: &WorkerId, report: &Report) {
-        let lives = self.earlier_incarnations(later);
-        if lives.is_empty() {
+        let incarnations = self.earlier_incarnations(later);
+        if incarnations.is_empty() {
             return;
         }
-        let bound = self.misdelivered_lease_end();
+        let lease_end = self.misdelivered_lease_end();
         if let Some(mut w) = self.workers.get_mut(later) {
-            w.lease_end = w.lease_end.max(bound);
+            w.lease_end = w.lease_end.max(lease_end);
         }
         let running = report.running.iter().map(|r| (r.task, r.attempt));
         let ended = report.ended.iter().map(|e| (e.task, e.attempt));
         let listed: Vec<(TaskId, u32)> = running.chain(ended).collect();
-        for id in lives {
+        for id in incarnations {
             for (task, attempt) in &listed {
                 self.carry_over_run(&id, later, task, *attempt);
             }
@@ -107,14 +112,14 @@
         }
     }
 
-    /// A run that was meant for an earlier life goes on in a later one, or has ended there.
+    /// Moves a run of an earlier incarnation to a later one that lists the run or its end.
     fn carry_over_run(&mut self, earlier: &WorkerId, later: &WorkerId, task: &TaskId, attempt: u32) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let spec = job.spec.clone();
         let Some(step) = spec.steps.get(usize::from(task.step)) else { return };
         let Some(t) = job.task_mut(task) else { return };
-        let meant = |r: &&mut Run| r.worker == *earlier && r.attempt == attempt;
-        let Some(run) = t.runs.iter_mut().find(meant) else { return };
+        let same_run = |r: &&mut Run| r.worker == *earlier && r.attempt == attempt;
+        let Some(run) = t.runs.iter_mut().find(same_run) else { return };
         run.worker = later.clone();
         if let Some(mut w) = self.workers.get_mut(earlier) {
             w.remove_run(*task, attempt);
