--- a/crates/workswood-core/src/jobs/placement.rs
+++ b/crates/workswood-core/src/jobs/placement.rs
@@ -1,4 +1,4 @@
-//! Which worker a task is started on.
+//! Placement: chooses the worker that a task is started on.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -17,106 +17,116 @@
 use crate::ids::ServiceId;
 use crate::invariant;
 
-/// Weight of a neighbour that disturbs, against tasks that are alike.
+/// Weight of one interfering neighbour, relative to a task of the same step.
 const INTERFERENCE_WEIGHT: usize = 1000;
 
 impl Scheduler {
-    /// Places waiting tasks of a service, most urgent first.
+    /// Places the waiting tasks of a service, most urgent first.
     pub(super) fn place_waiting_tasks(&mut self, service: &ServiceId) {
         self.place_trials(service);
         let mut misses = 0;
-        let mut turns = StepQueue::new(self.placement_rank(service));
+        let mut steps = StepQueue::new(self.placement_rank(service));
         let owners: Vec<Owner> = self.ready.get(service).map(|w| w.owners().collect()).unwrap_or_default();
-        owners.into_iter().for_each(|owner| self.queue_next_step(&mut turns, service, owner, None));
+        owners.into_iter().for_each(|owner| self.queue_next_step(&mut steps, service, owner, None));
         while misses < self.policy.placement.most_misses {
-            let Some(next) = turns.next() else { return };
+            let Some(next) = steps.next() else { return };
             match self.place_step(service, &next.step) {
                 StepPlacement::Done => {}
                 StepPlacement::NoWorker => {
                     misses += usize::from(!self.is_long_running(&next.step) && !self.is_advised(&next.step));
                 }
-                // Nothing else of its workspace may begin either.
+                // Nothing else of this workspace can start either, so its next step is not queued.
                 StepPlacement::OverLimit => continue,
             }
-            self.queue_next_step(&mut turns, service, next.owner, Some(&next));
+            self.queue_next_step(&mut steps, service, next.owner, Some(&next));
         }
     }
 
-    /// In which order steps that stand alike are placed.
+    /// Order of placement among steps with the same priority and standing.
     ///
-    /// While all can be in time, whoever must begin first goes first. Beyond that the same order
-    /// lets each wait until it must begin, and then a little longer: one backlog makes all late. Then
-    /// those go first that take the least from the others.
+    /// While all jobs can be in time, the step that must start first goes first. In an overload
+    /// that order would make every job late, since each waits until it must start and then a little
+    /// longer. So under overload the steps that take the least from the others go first.
     fn placement_rank(&self, service: &str) -> Rank {
-        let asked = self.ready.get(service).map_or(0, |w| w.room().0.cpu_millis);
-        let room = self.workers.listed_cpu(service).max(self.fleet_cpu);
-        if asked as f64 > room as f64 * self.policy.order.overload { Rank::LeastWork } else { Rank::Due }
+        let waiting_cpu = self.ready.get(service).map_or(0, |w| w.room().0.cpu_millis);
+        let total_cpu = self.workers.listed_cpu(service).max(self.fleet_cpu);
+        if waiting_cpu as f64 > total_cpu as f64 * self.policy.order.overload {
+            Rank::LeastWork
+        } else {
+            Rank::Due
+        }
     }
 
-    /// Lets the step of an owner have a turn that comes after a place.
-    fn queue_next_step(&self, turns: &mut StepQueue, service: &str, owner: Owner, after: Option<&Place>) {
-        let Some(place) = self.ready.get(service).and_then(|w| w.next_of(owner, after, turns.rank)) else {
+    /// Queues the owner's first step, or the first one that comes after the given place.
+    fn queue_next_step(&self, steps: &mut StepQueue, service: &str, owner: Owner, after: Option<&Place>) {
+        let Some(place) = self.ready.get(service).and_then(|w| w.next_of(owner, after, steps.rank)) else {
             return;
         };
-        let used = match (self.policy.order.shares, turns.rank) {
+        let owner_usage = match (self.policy.order.shares, steps.rank) {
             (ShareOrder::Plain | ShareOrder::Excess, _) | (_, Rank::Due) => 0,
             (ShareOrder::Dominant, Rank::LeastWork) => {
                 let at_work = self.workers.accounts().at_work(owner);
                 use_by_share(owner, &at_work, self.config.workspaces.weight(owner))
             }
         };
-        turns.push(place, used);
+        steps.push(place, owner_usage);
     }
 
-    /// Whether so much more of an owner may begin.
+    /// Whether an owner may use this much more under its limit.
     pub(super) fn is_within_limit(&self, owner: Owner, room: &Room) -> bool {
         let limit = self.config.workspaces.limit(owner);
         limit == Room::default() || admits(&self.workers.accounts().at_work(owner), &limit, room)
     }
 
-    /// The largest share of its limit that a workspace has at work, and how many have
-    /// something at work.
+    /// The largest share of its limit that a workspace uses, and the number of workspaces that use
+    /// any resources.
     pub fn workspace_limit_usage(&self) -> (f64, usize) {
         let at_work = || self.workers.accounts().iter().filter(|(_, room)| *room != Room::default());
         let share = |(owner, room): (Owner, Room)| used_share(&room, &self.config.workspaces.limit(owner));
         (at_work().map(share).fold(0.0, f64::max), at_work().count())
     }
 
-    /// What an owner may still use; `None` without a limit.
+    /// Resources that an owner may still use; `None` without a limit.
     pub(super) fn remaining_limit(&self, owner: Owner) -> Option<Room> {
         let limit = self.config.workspaces.limit(owner);
-        let open = |most: u64| if most == 0 { u64::MAX } else { most };
-        let most =
-            Room { cpu_millis: open(limit.cpu_millis), mem_mb: open(limit.mem_mb), gpus: open(limit.gpus) };
+        let or_unlimited = |most: u64| if most == 0 { u64::MAX } else { most };
+        let most = Room {
+            cpu_millis: or_unlimited(limit.cpu_millis),
+            mem_mb: or_unlimited(limit.mem_mb),
+            gpus: or_unlimited(limit.gpus),
+        };
         (limit != Room::default()).then(|| most.minus(&self.workers.accounts().at_work(owner)))
     }
 
-    /// Whether tasks of a step run until their job is cancelled; one that has no place
-    /// may have none for hours.
+    /// Whether the tasks of a step run until their job is cancelled. They may find no worker for
+    /// hours, so they do not count as misses.
     fn is_long_running(&self, id: &StepId) -> bool {
         let steps = self.jobs.get(&id.job).map(|j| &j.spec.steps);
         steps.and_then(|s| s.get(usize::from(id.step))).is_some_and(|s| s.lasting)
     }
 
-    /// Workers of a service that take work, by name.
+    /// Ids of a service's available workers outside of backoff, sorted.
     pub(super) fn available_workers(&self, service: &str) -> Vec<WorkerId> {
-        let takers = self.workers.available(service, 0).filter(|(_, w)| !w.in_backoff(self.now));
-        let mut ids: Vec<WorkerId> = takers.map(|(id, _)| id.clone()).collect();
+        let available = self.workers.available(service, 0).filter(|(_, w)| !w.in_backoff(self.now));
+        let mut ids: Vec<WorkerId> = available.map(|(id, _)| id.clone()).collect();
         ids.sort();
         ids
     }
 
-    /// Places the waiting tasks of a step. They are alike: where one finds no room, none does.
+    /// Places the waiting tasks of a step. All need the same resources: if one does not fit, none
+    /// does.
     fn place_step(&mut self, service: &str, id: &StepId) -> StepPlacement {
         let Some(job) = self.jobs.get(&id.job) else { return StepPlacement::Done };
         let spec = job.spec.clone();
         let Some(step) = spec.steps.get(usize::from(id.step)) else { return StepPlacement::Done };
         let held = spec.held(step);
-        let at_once = if step.gang { held.charged.times(step.count.into()) } else { held.charged };
-        // Members of a gang start together, each on trial where it is suspected.
-        let open = |s: &Scheduler, task: &TaskId| step.gang || !s.waits_for_trial(task, service);
-        while let Some(task) = self.ready.get(service).and_then(|w| w.tasks_of(id).find(|t| open(self, t))) {
-            if !self.is_within_limit(held.owner, &at_once) {
+        let needed_at_once = if step.gang { held.charged.times(step.count.into()) } else { held.charged };
+        // Members of a gang start together, each as a trial if it is suspected.
+        let startable = |s: &Scheduler, task: &TaskId| step.gang || !s.waits_for_trial(task, service);
+        while let Some(task) =
+            self.ready.get(service).and_then(|w| w.tasks_of(id).find(|t| startable(self, t)))
+        {
+            if !self.is_within_limit(held.owner, &needed_at_once) {
                 return StepPlacement::OverLimit;
             }
             let placed = match step.gang {
@@ -173,20 +183,20 @@
         true
     }
 
-    /// The best worker with room, if there is one. For tasks that neither last nor
-    /// have their data in some rack it is the first one of the index that fits.
+    /// The best worker with enough room. For tasks that are neither long-running nor tied to the
+    /// rack of their data, it is the first fit in the order of the index.
     fn choose_worker(&self, job: &Job, step: &StepSpec, id: &TaskId, service: &str) -> Option<WorkerId> {
         let room = step.reserved();
         let avoid = job.task(id).and_then(|t| t.avoid.as_ref());
         let advised = self.is_advised(&id.step_id());
         let fits = |w: &Worker| {
             let ticket = !advised || w.ticket(&id.step_id(), self.now).is_some();
-            let closed = w.in_backoff(self.now) || w.in_quarantine(self.now);
-            ticket && !closed && w.free_room().holds(&room) && self.meets_constraints(w, step, id)
+            let excluded = w.in_backoff(self.now) || w.in_quarantine(self.now);
+            ticket && !excluded && w.free_room().holds(&room) && self.meets_constraints(w, step, id)
         };
-        let takers = || self.workers.available(service, room.cpu_millis).filter(|(_, w)| fits(w));
+        let available = || self.workers.available(service, room.cpu_millis).filter(|(_, w)| fits(w));
         let best = |skip: Option<&WorkerId>| {
-            let mut open = takers().filter(|(wid, _)| skip != Some(*wid));
+            let mut open = available().filter(|(wid, _)| skip != Some(*wid));
             let found = match step.lasting || step.near.is_some() {
                 true => open.min_by_key(|(_, w)| self.placement_cost(w, step, id)),
                 false => open.next(),
@@ -197,7 +207,7 @@
         if found.is_some() || avoid.is_none() {
             return found;
         }
-        // The one to be avoided is taken only where no other may ever be.
+        // The worker to avoid is used only if no other worker could ever run the task.
         let others = if advised {
             self.may_be_good(&self.available_workers(service), &id.step_id())
         } else {
@@ -206,7 +216,8 @@
         if others > 1 { None } else { best(None) }
     }
 
-    /// Whether label and spread let a task of the step run there.
+    /// Whether the worker has the label that the step requires, and room under the step's limit of
+    /// tasks per worker.
     pub(super) fn meets_constraints(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> bool {
         let Some(info) = &w.info else { return false };
         if let Some(label) = &step.label
@@ -217,47 +228,48 @@
         step.most_per_worker == 0 || count_same_step(w, id) < step.most_per_worker as usize
     }
 
-    /// What speaks against a worker; smaller is better. Among equals the one
-    /// with the least room left is filled up: tasks spread over all hosts
-    /// would leave none empty, and only an empty host can go to a pool that is
-    /// short of them, be turned off or be maintained without a loss.
+    /// Cost of a placement; the lowest is best. Among equals, the worker with the least room left
+    /// is filled up. Tasks spread over all hosts would leave none empty, and only an empty host can
+    /// be moved to another pool, turned off or maintained without stopping tasks.
     pub(super) fn placement_cost(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> (bool, usize, u32, u64) {
-        let far = step.near.as_ref().is_some_and(|rack| {
+        let away_from_data = step.near.as_ref().is_some_and(|rack| {
             let labels = w.info.as_ref().map(|i| i.labels.as_slice()).unwrap_or_default();
             !labels.contains(rack)
         });
-        (far, self.crowding(w, step, id), w.faults, w.free_room().cpu_millis)
+        (away_from_data, self.crowding_cost(w, step, id), w.faults, w.free_room().cpu_millis)
     }
 
-    /// What speaks against a worker for what runs there already.
-    fn crowding(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> usize {
+    /// Cost of the tasks that run on the worker already.
+    fn crowding_cost(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> usize {
         let policy = &self.policy.placement;
         if !step.lasting {
             return 0;
         }
-        let beside = match (step.fills, step.target) {
-            // Beside others that fill: a host with one of them is never empty.
+        let interfering = match (step.fills, step.target) {
+            // Keep best-effort tasks together, since a host with one of them is never empty.
             (true, _) if !policy.fills_beside => 2 * w.serving.len() + usize::from(w.best_effort.is_empty()),
             (false, Some(_)) => w.best_effort.len(),
             _ => 0,
         };
-        // Apart from tasks that are alike, on hosts where some task lasts already.
-        let alike = if step.fills { 0 } else { count_same_step(w, id) };
-        let together = 2 * alike + usize::from(w.long_running.is_empty());
-        beside * INTERFERENCE_WEIGHT + together
+        // Keep tasks of the same step apart, but on hosts that have a long-running task already.
+        let same_step = if step.fills { 0 } else { count_same_step(w, id) };
+        let spread = 2 * same_step + usize::from(w.long_running.is_empty());
+        interfering * INTERFERENCE_WEIGHT + spread
     }
 
-    /// Starts a task on a worker, once that is on record.
+    /// Starts a task on a worker. The start is sent once it is on record.
     pub(super) fn start_task(&mut self, id: &TaskId, worker: &WorkerId, attempt: Option<u32>) {
         self.unqueue(id);
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
         let spec = job.spec.clone();
         let step = &spec.steps[usize::from(id.step)];
-        let safe = job.open() && job.step_open(id.round, id.step);
+        let step_is_open = job.open() && job.step_open(id.round, id.step);
         let Some(task) = job.task_mut(id) else { return };
-        let alone = step.speculative || task.runs.is_empty();
-        if !invariant::check(safe && alone && !task.done, || format!("start of {id} is not due")) {
+        let no_other_run = step.speculative || task.runs.is_empty();
+        if !invariant::check(step_is_open && no_other_run && !task.done, || {
+            format!("task {id} must not be started now")
+        }) {
             return;
         }
         task.attempt = attempt.unwrap_or(task.attempt + 1);
@@ -271,12 +283,12 @@
         if let Some(mut w) = self.workers.get_mut(worker) {
             let held = spec.held(step);
             let fits = w.free_room().holds(&held.room);
-            invariant::check(fits, || format!("start of {id} on {worker} does not fit"));
+            invariant::check(fits, || format!("task {id} does not fit on {worker}"));
             w.add_run(*id, attempt, held);
             w.note_task_kind(id, step);
             w.last_start_at = Some(now);
-            if let Some(lasts) = trial {
-                w.begin_trial(*id, attempt, now, lasts);
+            if let Some(length) = trial {
+                w.begin_trial(*id, attempt, now, length);
             }
         }
         self.update_load_reporting(worker);
@@ -295,29 +307,29 @@
     }
 }
 
-/// What came of placing a step.
+/// Outcome of placing the tasks of a step.
 enum StepPlacement {
-    /// Each of its tasks found room, or is gone.
+    /// All tasks were placed, or need no placement any more.
     Done,
-    /// One of them found none.
+    /// A task found no worker.
     NoWorker,
-    /// Its workspace has as much at work as it may.
+    /// The workspace has reached its limit.
     OverLimit,
 }
 
-/// The next step of each owner, in the order in which they are placed.
+/// The next step of each owner, in the order of placement.
 struct StepQueue {
     rank: Rank,
     heap: BinaryHeap<Reverse<QueuedStep>>,
 }
 
-/// A step, before it what compares owners that stand alike.
+/// A step to place. The fields before `place` order steps of different owners.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct QueuedStep {
     priority: u32,
     standing: Standing,
     excess: bool,
-    used: u64,
+    owner_usage: u64,
     rank: u64,
     place: Place,
 }
@@ -327,18 +339,18 @@
         StepQueue { rank, heap: BinaryHeap::new() }
     }
 
-    fn push(&mut self, place: Place, used: u64) {
+    fn push(&mut self, place: Place, owner_usage: u64) {
         let Place { priority, standing, excess, .. } = place;
         let rank = place.rank_by(self.rank);
-        self.heap.push(Reverse(QueuedStep { priority, standing, excess, used, rank, place }));
+        self.heap.push(Reverse(QueuedStep { priority, standing, excess, owner_usage, rank, place }));
     }
 
     fn next(&mut self) -> Option<Place> {
-        self.heap.pop().map(|Reverse(turn)| turn.place)
+        self.heap.pop().map(|Reverse(step)| step.place)
     }
 }
 
-/// How many tasks of the same step and round run on a worker.
+/// Number of tasks of the same step and round on a worker.
 pub(super) fn count_same_step(w: &Worker, id: &TaskId) -> usize {
     let same = |t: &TaskId| t.job == id.job && t.round == id.round && t.step == id.step;
     w.runs.keys().filter(|(t, _)| same(t)).count()
