--- a/crates/workswood-core/src/jobs/run_tracker.rs
+++ b/crates/workswood-core/src/jobs/run_tracker.rs
@@ -1,9 +1,9 @@
-//! What is new in the listings of one worker.
+//! Reduces the run listings of one worker to what has changed.
 //!
-//! Each look lists all that runs on a worker, though mostly nothing of it is news.
-//! Whoever looks keeps a [`RunTracker`] and tells the scheduler only what changed. It
-//! knows the order of what it did itself: a run that it started, and that a look
-//! sent later neither lists nor ends, is over.
+//! Each poll lists all runs of a worker, mostly unchanged. Whoever polls a worker keeps a
+//! [`RunTracker`] and reports only the changes to the scheduler. The tracker knows the order of its
+//! own calls: a run that it has started is over if a poll sent later lists neither the run nor its
+//! end.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -13,26 +13,25 @@
 use super::types::StartReply;
 use super::worker::{Listing, Report, ReportedRun};
 
-/// A run without progress for this long is told of: twice what a percent of the
-/// longest usual task takes, and half of the time after which it is taken to be stuck.
+/// A run without progress for this long is reported as stalled. Longer than a run normally needs
+/// for one percent, and shorter than the time after which the scheduler takes it to be stuck.
 const STALL_REPORT_AFTER: Duration = Duration::from_millis(1000);
-/// Time between two checkpoints of a run that are told. They are renewed twice as
-/// often; what is lost with a worker is half a second of work more.
+/// Shortest time between two reports of a run's checkpoint.
 const CHECKPOINT_REPORT_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// A run and the number of its try.
+/// A task and its attempt number.
 pub type RunKey = (TaskId, u32);
 
 /// What is known of one run.
 #[derive(Debug, Default)]
 struct TrackedRun {
-    /// A look sent later lists it, or it is over.
+    /// Polls that are sent after this time list the run, unless it is over.
     expected_since: Option<Duration>,
-    /// Whether the scheduler knows that it runs.
+    /// Whether the run was reported to the scheduler.
     reported: bool,
-    /// Whether it was told that it stands still.
+    /// Whether the run was last reported as stalled.
     reported_stalled: bool,
-    /// Share of its work when it was last told.
+    /// Progress in percent that was last reported.
     reported_percent: u32,
     percent: u32,
     progressed_at: Duration,
@@ -40,27 +39,27 @@
     checkpoint_reported_at: Duration,
 }
 
-/// Follows one worker from when one began to look at it.
+/// Tracks the runs of one worker from the first poll on.
 #[derive(Debug, Default)]
 pub struct RunTracker {
     runs: Map<RunKey, TrackedRun>,
-    /// Whether a whole report was made.
+    /// Whether a full report was made.
     full_report_made: bool,
-    /// Highest number of an end that was told.
+    /// Highest sequence number of an end that was reported.
     last_end: u64,
-    /// Whether rows with figures are wanted each time.
+    /// Whether every run is reported each time, for its load.
     report_load: bool,
-    /// When the newest look was sent whose answer was taken in.
+    /// When the latest poll was sent whose answer was processed.
     last_poll_sent: Duration,
 }
 
 impl RunTracker {
-    /// Has figures of all runs told with each listing, or no longer.
+    /// Sets whether all runs are reported with each listing, for their load.
     pub fn set_report_load(&mut self, wanted: bool) {
         self.report_load = wanted;
     }
 
-    /// Takes in what came of a start.
+    /// Handles the outcome of a start.
     pub fn start_answered(&mut self, task: TaskId, attempt: u32, reply: StartReply, now: Duration) {
         match reply {
             StartReply::Taken => {
@@ -80,74 +79,75 @@
         }
     }
 
-    /// Takes in that the worker has taken a stop: no start of this try or an earlier
-    /// one can be taken any more.
+    /// Records that the worker has accepted a stop. After that, it accepts no start of this attempt
+    /// or an earlier one.
     pub fn stop_accepted(&mut self, task: TaskId, attempt: u32, now: Duration) {
         let run = self.runs.entry((task, attempt)).or_default();
         run.expected_since.get_or_insert(now);
     }
 
-    /// Takes in what a look that was sent at `asked` lists; returns what is new of it.
-    /// Answers may overtake each other: there is nothing new in one to an earlier look.
-    pub fn diff_listing(&mut self, listing: Listing, asked: Duration, now: Duration) -> Report {
-        if asked < self.last_poll_sent {
+    /// Handles the listing of a poll that was sent at `sent_at`; returns what has changed. Answers
+    /// may overtake each other, so one to an earlier poll is ignored.
+    pub fn diff_listing(&mut self, listing: Listing, sent_at: Duration, now: Duration) -> Report {
+        if sent_at < self.last_poll_sent {
             return Report::default();
         }
-        self.last_poll_sent = asked;
-        let whole = !std::mem::replace(&mut self.full_report_made, true);
-        let here: HashSet<RunKey> = listing.running.iter().map(|r| (r.task, r.attempt)).collect();
+        self.last_poll_sent = sent_at;
+        let full = !std::mem::replace(&mut self.full_report_made, true);
+        let listed: HashSet<RunKey> = listing.running.iter().map(|r| (r.task, r.attempt)).collect();
         for end in &listing.ended {
             self.runs.remove(&(end.task, end.attempt));
         }
-        let gone = self.remove_missing(&here, asked);
-        let all = whole || self.report_load;
-        let running = listing.running.into_iter().filter_map(|row| self.changed_row(row, all, now)).collect();
-        let known = if whole { 0 } else { self.last_end };
-        let ended: Vec<_> = listing.ended.into_iter().filter(|e| e.sequence_number > known).collect();
-        self.last_end = ended.iter().map(|e| e.sequence_number).fold(known, u64::max);
-        Report { full: whole, running, missing: gone, ended }
+        let missing = self.remove_missing(&listed, sent_at);
+        let all = full || self.report_load;
+        let running =
+            listing.running.into_iter().filter_map(|listed| self.changed_run(listed, all, now)).collect();
+        let known_end = if full { 0 } else { self.last_end };
+        let ended: Vec<_> = listing.ended.into_iter().filter(|e| e.sequence_number > known_end).collect();
+        self.last_end = ended.iter().map(|e| e.sequence_number).fold(known_end, u64::max);
+        Report { full, running, missing, ended }
     }
 
-    /// Runs that should be listed and are not.
-    fn remove_missing(&mut self, here: &HashSet<RunKey>, asked: Duration) -> Vec<RunKey> {
-        let over = |key: &RunKey, run: &TrackedRun| {
-            run.expected_since.is_some_and(|since| since < asked) && !here.contains(key)
+    /// Removes and returns runs that should be listed and are not.
+    fn remove_missing(&mut self, listed: &HashSet<RunKey>, sent_at: Duration) -> Vec<RunKey> {
+        let is_missing = |key: &RunKey, run: &TrackedRun| {
+            run.expected_since.is_some_and(|since| since < sent_at) && !listed.contains(key)
         };
-        let mut gone: Vec<RunKey> =
-            self.runs.iter().filter(|(key, run)| over(key, run)).map(|(key, _)| *key).collect();
-        gone.sort_unstable();
-        for key in &gone {
+        let mut missing: Vec<RunKey> =
+            self.runs.iter().filter(|(key, run)| is_missing(key, run)).map(|(key, _)| *key).collect();
+        missing.sort_unstable();
+        for key in &missing {
             self.runs.remove(key);
         }
-        gone
+        missing
     }
 
-    /// The row of a run, if there is something new about it.
-    fn changed_row(&mut self, row: ReportedRun, all: bool, now: Duration) -> Option<ReportedRun> {
-        let fresh = || TrackedRun { progressed_at: now, ..TrackedRun::default() };
-        let run = self.runs.entry((row.task, row.attempt)).or_insert_with(fresh);
+    /// Returns the run if it has changed in a way that is reported.
+    fn changed_run(&mut self, listed: ReportedRun, all: bool, now: Duration) -> Option<ReportedRun> {
+        let new_run = || TrackedRun { progressed_at: now, ..TrackedRun::default() };
+        let run = self.runs.entry((listed.task, listed.attempt)).or_insert_with(new_run);
         run.expected_since.get_or_insert(Duration::ZERO);
-        if row.percent != run.percent {
+        if listed.percent != run.percent {
             run.progressed_at = now;
-            run.percent = row.percent;
+            run.percent = listed.percent;
         }
-        let done = row.percent >= 100;
-        let still = if done { Duration::ZERO } else { now.saturating_sub(run.progressed_at) };
-        let stands = still >= STALL_REPORT_AFTER;
-        let saved = !row.checkpoint.is_empty()
-            && row.checkpoint != run.checkpoint
+        let done = listed.percent >= 100;
+        let stalled_for = if done { Duration::ZERO } else { now.saturating_sub(run.progressed_at) };
+        let stalled = stalled_for >= STALL_REPORT_AFTER;
+        let new_checkpoint = !listed.checkpoint.is_empty()
+            && listed.checkpoint != run.checkpoint
             && now >= run.checkpoint_reported_at + CHECKPOINT_REPORT_INTERVAL;
-        let warmed = (run.reported_percent >= 100) != done;
-        if !all && run.reported && stands == run.reported_stalled && !saved && !warmed {
+        let completion_changed = (run.reported_percent >= 100) != done;
+        if !all && run.reported && stalled == run.reported_stalled && !new_checkpoint && !completion_changed {
             return None;
         }
         run.reported = true;
-        run.reported_stalled = stands;
-        run.reported_percent = row.percent;
-        if saved {
-            run.checkpoint.clone_from(&row.checkpoint);
+        run.reported_stalled = stalled;
+        run.reported_percent = listed.percent;
+        if new_checkpoint {
+            run.checkpoint.clone_from(&listed.checkpoint);
             run.checkpoint_reported_at = now;
         }
-        Some(ReportedRun { stalled_for: still, ..row })
+        Some(ReportedRun { stalled_for, ..listed })
     }
 }
