--- a/crates/workswood-core/src/jobs/job_table.rs
+++ b/crates/workswood-core/src/jobs/job_table.rs
@@ -1,8 +1,8 @@
-//! All jobs that are known, with those that time alone concerns.
+//! The table of all known jobs, with indexes of those that the passing of time affects.
 //!
-//! A job that has ended and runs nowhere is *over*: callers may still ask for its state,
-//! and what it asked for tells how much work comes in, but its tasks and its text are
-//! forgotten. Most jobs that are known are over, since they are kept for some minutes.
+//! A job that has ended and runs nowhere is *archived*: its tasks and its text are dropped. What
+//! stays for some minutes is its state, which callers may ask for, and its resource needs, which
+//! enter the estimate of demand. Most known jobs are archived.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Index;
@@ -15,25 +15,26 @@
 use super::workspace::Owner;
 use crate::ids::ServiceId;
 
-/// All jobs that are known. Callers name them, so they are kept in a tree.
+/// All known jobs. Callers choose the keys, so the jobs are kept in a tree, in which no choice of
+/// keys can collide.
 #[derive(Debug, Default)]
 pub struct JobTable {
     by_key: BTreeMap<JobKey, Job>,
-    /// Jobs whose rounds have times of their own; some of them may have ended.
+    /// Repeating jobs that have not been reported as ended.
     repeating: BTreeSet<JobKey>,
-    /// Jobs with tasks that last, by service; likewise.
+    /// Jobs with long-running tasks that have not been reported as ended, by service.
     long_running: Map<ServiceId, BTreeSet<JobKey>>,
     archived: BTreeMap<JobKey, ArchivedJob>,
-    /// When jobs became over, in that order.
-    archived_at: VecDeque<(Duration, JobKey)>,
+    /// When jobs were archived, in that order.
+    archive_order: VecDeque<(Duration, JobKey)>,
 }
 
 /// A job that has ended and runs nowhere.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ArchivedJob {
-    /// How it ended.
+    /// How the job ended.
     pub outcome: Outcome,
-    /// What is on record of it.
+    /// What is on record of the job.
     pub record: OverRecord,
 }
 
@@ -46,66 +47,67 @@
 }
 
 impl JobTable {
-    /// A job.
+    /// Returns a job that is not archived.
     pub fn get(&self, key: &JobKey) -> Option<&Job> {
         self.by_key.get(key)
     }
 
-    /// A job, to change. Its end is noted by [`Jobs::note_ended`].
+    /// Returns a job that is not archived, for modification. Its end is reported by
+    /// [`JobTable::note_ended`].
     pub fn get_mut(&mut self, key: &JobKey) -> Option<&mut Job> {
         self.by_key.get_mut(key)
     }
 
-    /// Whether a job is known.
+    /// Whether a job is known, archived or not.
     pub fn contains_key(&self, key: &JobKey) -> bool {
         self.by_key.contains_key(key) || self.archived.contains_key(key)
     }
 
-    /// How many there are, those that are over apart.
+    /// Number of jobs that are not archived.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Whether none is known but those that are over.
+    /// Whether all known jobs are archived.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
 
-    /// Whether a job is over.
+    /// Whether a job is archived.
     pub fn is_archived(&self, key: &JobKey) -> bool {
         self.archived.contains_key(key)
     }
 
-    /// Jobs that are over.
+    /// Archived jobs.
     pub fn archived(&self) -> impl Iterator<Item = &ArchivedJob> {
         self.archived.values()
     }
 
-    /// What callers are told of a job.
+    /// The state of a job as shown to callers.
     pub fn shown(&self, key: &JobKey) -> Option<Shown> {
-        let over = || self.archived.get(key).map(|over| Shown::Ended(over.outcome));
-        self.by_key.get(key).map(Job::shown).or_else(over)
+        let archived = || self.archived.get(key).map(|archived| Shown::Ended(archived.outcome));
+        self.by_key.get(key).map(Job::shown).or_else(archived)
     }
 
-    /// What a task takes; at most that, if its job is over.
+    /// Resources of a task; for an archived job, an upper bound of them.
     pub fn held_by(&self, task: &TaskId) -> Option<Held> {
-        let over = |over: &ArchivedJob| {
-            let (room, owner) = (over.record.room, over.record.owner);
+        let archived = |archived: &ArchivedJob| {
+            let (room, owner) = (archived.record.room, archived.record.owner);
             Held { room, charged: room, owner }
         };
         match self.by_key.get(&task.job) {
             Some(job) => job.step(task).map(|step| job.spec.held(step)),
-            None => self.archived.get(&task.job).map(over),
+            None => self.archived.get(&task.job).map(archived),
         }
     }
 
-    /// Whose a job is.
+    /// Owner of a job.
     pub fn owner(&self, key: &JobKey) -> Option<Owner> {
-        let over = || self.archived.get(key).map(|over| over.record.owner);
-        self.by_key.get(key).map(|j| j.spec.owner()).or_else(over)
+        let archived = || self.archived.get(key).map(|archived| archived.record.owner);
+        self.by_key.get(key).map(|j| j.spec.owner()).or_else(archived)
     }
 
-    /// All jobs but those that are over.
+    /// Jobs that are not archived.
     pub fn values(&self) -> impl Iterator<Item = &Job> {
         self.by_key.values()
     }
@@ -124,7 +126,7 @@
         self.by_key.insert(key, job);
     }
 
-    /// Notes that a job has ended.
+    /// Removes a job that has ended from the indexes of open jobs.
     pub fn note_ended(&mut self, key: JobKey) {
         let Some(job) = self.by_key.get(&key) else { return };
         self.repeating.remove(&key);
@@ -133,31 +135,31 @@
         }
     }
 
-    /// Adds a job that is over, or takes its tasks and its text from one that is known.
-    pub fn archive(&mut self, key: JobKey, over: ArchivedJob, since: Duration) {
+    /// Archives a job, or adds one that is archived already.
+    pub fn archive(&mut self, key: JobKey, archived: ArchivedJob, archived_at: Duration) {
         self.by_key.remove(&key);
-        if self.archived.insert(key, over).is_none() {
-            self.archived_at.push_back((since, key));
+        if self.archived.insert(key, archived).is_none() {
+            self.archive_order.push_back((archived_at, key));
         }
     }
 
-    /// Open jobs whose rounds have times of their own.
+    /// Keys of open repeating jobs.
     pub fn repeating(&self) -> Vec<JobKey> {
         self.repeating.iter().copied().collect()
     }
 
-    /// Open jobs of a service with tasks that last.
+    /// Open jobs of a service with long-running tasks.
     pub fn long_running(&self, service: &str) -> impl Iterator<Item = &Job> {
         let keys = self.long_running.get(service).into_iter().flatten();
         keys.filter_map(|key| self.by_key.get(key))
     }
 
-    /// Takes out jobs that were over before a time.
+    /// Removes and returns jobs that were archived before the given time.
     pub fn forget_archived(&mut self, before: Duration) -> Vec<(JobKey, ArchivedJob)> {
         let mut forgotten = Vec::new();
-        while let Some((_, key)) = self.archived_at.front().copied().filter(|(at, _)| *at < before) {
-            self.archived_at.pop_front();
-            forgotten.extend(self.archived.remove(&key).map(|over| (key, over)));
+        while let Some((_, key)) = self.archive_order.front().copied().filter(|(at, _)| *at < before) {
+            self.archive_order.pop_front();
+            forgotten.extend(self.archived.remove(&key).map(|archived| (key, archived)));
         }
         forgotten
     }
