--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -1,19 +1,19 @@
-//! Which entry speaks with which workers for the lease holder.
+//! Assignment of workers to relays.
 //!
-//! One process decides, but it would need a strong entry to look at each of a thousand
-//! workers three times a second and to send them all their starts. So beyond what it
-//! can attend itself, the holder shares its workers out among other entries, the
-//! *relays*: each looks at its workers, extends their leases, sends orders and tells
+//! The lease holder decides alone, but polling every worker and sending all starts can exceed what
+//! one entry can carry. So beyond its own capacity the holder assigns its workers to other entries,
+//! the *relays*. A relay polls its workers, extends their leases, sends them orders and reports
 //! what is new.
 //!
-//! * A worker belongs to a host, and so does its relay: a change of pool changes
-//!   nothing. It is chosen among relays of its data centre by a hash of both names, so
-//!   that the next holder chooses the same one.
-//! * There are as many relays as the workers of a data centre ask for.
-//! * Each time a worker gets a relay, its token rises. What an earlier relay still sends
-//!   is refused once the new one has looked at it; its first report lists all.
-//! * A relay that is not heard of any more loses its workers to others. Leases that it
-//!   may have extended end by a time that is told with the loss.
+//! * The relay of a worker is chosen by its host, so a change of pool does not change the relay. It
+//!   is chosen among the relays of the host's data centre by rendezvous hashing, so that the next
+//!   holder makes the same choice.
+//! * Each data centre has as many relays as its workers need.
+//! * The token of a worker rises with each relay it is assigned to. Orders that an earlier relay
+//!   still sends are refused once the new one has polled the worker, and the first report of the
+//!   new relay lists all runs.
+//! * If a relay is lost, its workers are assigned to others. The loss is reported with the time at
+//!   which the last lease that it may have extended ends.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -28,27 +28,27 @@
 use super::worker_id::WorkerId;
 use crate::ids::{DataCentre, HostId, Term};
 
-/// Bits of a worker's token that count its relays within a term.
+/// Low bits of a worker's token that count its relays within a term.
 const RELAY_COUNTER_BITS: u32 = 20;
-/// Workers that change their relay in one tick for want of balance alone: each costs a
-/// look that lists all.
+/// Most workers that are moved in one tick only to relieve the holder; each move costs a poll that
+/// lists all runs.
 const MAX_REBALANCED_PER_TICK: usize = 64;
 
-/// How workers are shared out.
+/// Settings for the assignment of workers to relays.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelayPolicy {
-    /// Most workers of one relay: an entry that hangs holds up no more than these.
+    /// Most workers of one relay; bounds how many workers one stalled entry can hold up.
     #[serde(rename = "most_workers")]
     pub max_workers: usize,
-    /// Share of the workers that an entry could look after as lease holder that it attends
-    /// as a relay; it has callers of its own, and turns of demand ask for double.
+    /// Share of the workers that an entry could poll as lease holder that it takes as a relay. The
+    /// rest of its capacity is for its own callers and peaks of demand.
     #[serde(rename = "share")]
     pub capacity_share: f64,
-    /// Room that relays have beyond the workers they attend, as a share.
+    /// Capacity that the relays of a data centre have beyond its workers, as a share of these.
     #[serde(rename = "spare")]
     pub spare_share: f64,
-    /// A relay that was lost is not chosen again before this time.
+    /// Time for which a lost relay is not chosen again.
     #[serde(rename = "shun_for", with = "humantime_serde")]
     pub backoff: Duration,
 }
@@ -67,39 +67,39 @@
 /// An entry that may be a relay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RelayEntry {
-    /// Its name.
+    /// Name of the entry.
     pub name: HostId,
-    /// Where it stands.
+    /// Data centre of the entry.
     pub data_centre: DataCentre,
-    /// Workers that it could look after as lease holder.
+    /// Number of workers that the entry could poll as lease holder.
     pub strength: Strength,
 }
 
-/// An entry that is one.
+/// An entry that is a relay.
 #[derive(Debug)]
 struct Relay {
     data_centre: DataCentre,
     max_workers: usize,
-    /// Whether it takes orders; before that its workers wait.
+    /// Whether the relay accepts orders; until then its workers wait.
     ready: bool,
-    /// When it was last heard of.
+    /// When the relay was last heard from.
     last_heard: Duration,
     workers: BTreeSet<WorkerId>,
 }
 
-/// Entries that may be relays, those that are, and who waits for one.
+/// Entries that may be relays, active relays, and workers that wait for one.
 #[derive(Debug, Default)]
 pub struct Relays {
     entries: BTreeMap<HostId, RelayEntry>,
     active: BTreeMap<HostId, Relay>,
-    /// Entries that are not chosen before a time.
+    /// Entries that are not chosen before the given time.
     backoff_until: BTreeMap<HostId, Duration>,
     /// Workers without a relay.
     unassigned: BTreeSet<WorkerId>,
-    /// Orders that need no record.
+    /// Orders that can be sent without a record.
     orders: Vec<Action>,
-    /// How many relays workers have had in this term, by name, of those that start again under
-    /// theirs: tokens rise from life to life.
+    /// Highest number of relays in this term, by name, for workers that keep their name when they
+    /// restart. Keeps tokens rising from one incarnation to the next.
     relay_counts: BTreeMap<String, u32>,
 }
 
@@ -110,45 +110,45 @@
 }
 
 impl Relays {
-    /// When a relay was last heard of.
+    /// When a relay was last heard from; zero if it is not active.
     pub(super) fn last_heard(&self, relay: &str) -> Duration {
         self.active.get(relay).map_or(Duration::ZERO, |r| r.last_heard)
     }
 
-    /// Whether an entry may be chosen.
+    /// Whether an entry may be chosen as a relay, with regard to its backoff.
     fn is_eligible(&self, entry: &RelayEntry, now: Duration) -> bool {
         self.backoff_until.get(&entry.name).is_none_or(|until| *until <= now)
     }
 
-    /// Relays of a data centre; with `None` of all.
+    /// Active relays of a data centre, or of all data centres with `None`.
     fn in_data_centre<'a>(&'a self, dc: Option<&'a str>) -> impl Iterator<Item = (&'a HostId, &'a Relay)> {
         self.active.iter().filter(move |(_, r)| dc.is_none_or(|dc| r.data_centre == dc))
     }
 }
 
-/// A number that is the same wherever it is worked out, and different for each pair.
+/// Rank for rendezvous hashing: the same in every process, and different for each pair.
 fn rendezvous_rank(entry: &str, other: &str) -> u64 {
     xxh3_64(format!("{entry}/{other}").as_bytes())
 }
 
 impl Scheduler {
-    /// The token with which a worker is attended now; `None` if it is not known.
+    /// The token with which a worker is polled now; `None` if the worker is not known.
     pub fn token_of(&self, id: &WorkerId) -> Option<Term> {
         self.workers.get(id).map(|w| self.worker_token(w.relay_count))
     }
 
-    /// The token of a worker's relay, the first of a term being 1.
+    /// The token of a worker's nth relay in this term, starting at 1.
     pub(super) fn worker_token(&self, relay: u32) -> Term {
         (self.token << RELAY_COUNTER_BITS) | u64::from(relay)
     }
 
-    /// Entries that may be relays; the holder is not one of them.
+    /// Sets the entries that may be relays; the holder is left out.
     pub fn set_relay_entries(&mut self, entries: Vec<RelayEntry>) {
-        let others = entries.into_iter().filter(|h| h.name != self.holder);
-        self.relays.entries = others.map(|h| (h.name.clone(), h)).collect();
+        let others = entries.into_iter().filter(|e| e.name != self.holder);
+        self.relays.entries = others.map(|e| (e.name.clone(), e)).collect();
     }
 
-    /// Workers that the holder attends by itself if there are no more.
+    /// Number of workers that the holder polls without relays.
     fn own_capacity(&self) -> usize {
         self.relay_capacity(self.strength)
     }
@@ -158,26 +158,27 @@
         ((f64::from(strength) * policy.capacity_share) as usize).clamp(1, policy.max_workers)
     }
 
-    /// Whether the workers are shared out.
-    fn wants_relays(&self) -> bool {
+    /// Whether workers are assigned to relays.
+    fn needs_relays(&self) -> bool {
         self.workers.len() > self.own_capacity() && !self.relays.entries.is_empty()
     }
 
-    /// Has a worker attended anew: nothing is sent to it before it has answered.
+    /// Queues a worker for a new relay. No orders are sent to it until it has answered that relay.
     pub(super) fn request_relay(&mut self, id: &WorkerId) {
-        let bound = self.now + self.lease_span();
-        self.detach_relay(id, bound);
+        let lease_end = self.now + self.lease_span();
+        self.detach_relay(id, lease_end);
         self.relays.unassigned.insert(id.clone());
     }
 
-    /// Has a worker attended no longer; what it runs is not settled by that.
+    /// Takes a worker from its relay without assigning another; its runs are not settled by that.
     pub(super) fn withdraw_relay(&mut self, id: &WorkerId) {
-        let bound = self.now + self.lease_span();
-        self.detach_relay(id, bound);
+        let lease_end = self.now + self.lease_span();
+        self.detach_relay(id, lease_end);
         self.relays.unassigned.remove(id);
     }
 
-    /// Takes a worker from its relay, which may have extended its lease until a time.
+    /// Detaches a worker from its relay, which may have extended the worker's lease until
+    /// `lease_end`.
     fn detach_relay(&mut self, id: &WorkerId, lease_end: Duration) {
         let Some(mut w) = self.workers.get_mut(id) else { return };
         let relay = w.relay.take();
@@ -195,7 +196,7 @@
         self.reset_run_phases(id);
     }
 
-    /// What was sent over an earlier relay may have had no effect.
+    /// Resets the phases of runs whose orders an earlier relay may have sent without effect.
     fn reset_run_phases(&mut self, id: &WorkerId) {
         let Some(w) = self.workers.get(id) else { return };
         let runs: Vec<_> = w.runs.keys().copied().collect();
@@ -203,9 +204,9 @@
         for (task, attempt) in runs {
             let Some(run) = self.run_mut(id, &task, attempt) else { continue };
             match run.phase {
-                // The new token keeps the start out, or the first report lists the run.
+                // The new token blocks the start, or the first report lists the run.
                 Phase::Starting => run.enter(Phase::Inherited, now),
-                // Sent again as soon as the worker is reached.
+                // Sent again as soon as the worker is reachable.
                 Phase::Stopping | Phase::Stopped => run.enter(Phase::Stopping, Duration::ZERO),
                 Phase::Inherited | Phase::Running => {}
             }
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Forgets a worker whose life is over.
+    /// Forgets the relay assignment of a worker that is removed.
     pub(super) fn forget_relay_assignment(&mut self, id: &WorkerId, relay: Option<HostId>) {
         self.relays.unassigned.remove(id);
         if let Some(relay) = relay {
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Has the figures of a worker told as long as tasks fill it up.
+    /// Has the load of a worker's runs reported while it has best-effort tasks.
     pub(super) fn update_load_reporting(&mut self, id: &WorkerId) {
         let Some(mut w) = self.workers.get_mut(id) else { return };
         let wanted = !w.best_effort.is_empty();
@@ -237,8 +238,8 @@
         }
     }
 
-    /// Gives all workers a relay that wait for one; returns the orders for it, which
-    /// need no record.
+    /// Assigns relays to all workers without one; returns the orders for them, which need no
+    /// record.
     pub fn assign_relays(&mut self) -> Vec<Action> {
         for id in std::mem::take(&mut self.relays.unassigned) {
             self.assign_relay(&id);
@@ -249,10 +250,10 @@
     fn assign_relay(&mut self, id: &WorkerId) {
         let Some(info) = self.workers.get(id).and_then(|w| w.info.clone()) else { return };
         let entry = self.choose_relay(&info.data_centre, &info.host);
-        let before = self.relays.relay_counts.get(id.name()).copied().unwrap_or(0);
+        let earlier_count = self.relays.relay_counts.get(id.name()).copied().unwrap_or(0);
         let Some(mut w) = self.workers.get_mut(id) else { return };
         w.relay = Some(entry.clone());
-        w.relay_count = 1 + w.relay_count.max(before);
+        w.relay_count = 1 + w.relay_count.max(earlier_count);
         let relays = w.relay_count;
         drop(w);
         if id.started_at().is_some() {
@@ -267,41 +268,41 @@
         }
     }
 
-    /// Notes how many relays a worker has had; its later lives get tokens above those.
+    /// Records how many relays a worker has had; its later incarnations get higher tokens.
     pub(super) fn record_relay_count(&mut self, id: &WorkerId, relays: u32) {
-        let given = self.relays.relay_counts.entry(id.name().to_string()).or_default();
-        *given = relays.max(*given);
+        let highest = self.relays.relay_counts.entry(id.name().to_string()).or_default();
+        *highest = relays.max(*highest);
     }
 
-    /// Makes an entry a relay unless it is one.
+    /// Makes an entry a relay if it is not one.
     fn open_relay(&mut self, entry: &HostId) {
         if self.relays.active.contains_key(entry) {
             return;
         }
-        let own = *entry == self.holder;
+        let is_holder = *entry == self.holder;
         let known = self.relays.entries.get(entry);
         let relay = Relay {
-            data_centre: known.map(|h| h.data_centre.clone()).unwrap_or_default(),
-            max_workers: self.relay_capacity(known.map_or(self.strength, |h| h.strength)),
-            ready: own,
+            data_centre: known.map(|e| e.data_centre.clone()).unwrap_or_default(),
+            max_workers: self.relay_capacity(known.map_or(self.strength, |e| e.strength)),
+            ready: is_holder,
             last_heard: self.now,
             workers: BTreeSet::new(),
         };
         self.relays.active.insert(entry.clone(), relay);
-        if !own {
+        if !is_holder {
             self.notes.push(format_args!("event=relay_opened relay={entry}"));
             self.relays.orders.push(Action::OpenRelay(entry.clone()));
         }
     }
 
-    /// The entry that attends a host's worker: one of its data centre, if there is
-    /// one, else any; the holder itself where there are few workers or no relays.
+    /// Chooses the entry that polls a host's worker: a relay of its data centre if there is one,
+    /// else any relay, or the holder itself if there are few workers or no relays.
     fn choose_relay(&mut self, dc: &DataCentre, host: &HostId) -> HostId {
-        if !self.wants_relays() {
+        if !self.needs_relays() {
             return self.holder.clone();
         }
-        let here = self.workers.count_in_data_centre(dc);
-        self.open_relays_for(Some(dc), here);
+        let workers_here = self.workers.count_in_data_centre(dc);
+        self.open_relays_for(Some(dc), workers_here);
         let found = self.best_open_relay(Some(dc), host);
         let found = found.or_else(|| {
             self.open_relays_for(None, self.workers.len());
@@ -310,27 +311,27 @@
         found.unwrap_or_else(|| self.least_loaded_relay())
     }
 
-    /// Opens relays until those of a data centre can attend so many workers.
+    /// Opens relays until those of a data centre have capacity for this many workers.
     fn open_relays_for(&mut self, dc: Option<&DataCentre>, workers: usize) {
-        let wanted = (workers as f64 * (1.0 + self.policy.relays.spare_share)).ceil() as usize;
+        let needed = (workers as f64 * (1.0 + self.policy.relays.spare_share)).ceil() as usize;
         let dc_name = dc.map(String::as_str);
         let others = |name: &HostId| *name != self.holder;
-        let mut room: usize =
+        let mut capacity: usize =
             self.relays.in_data_centre(dc_name).filter(|(n, _)| others(n)).map(|(_, r)| r.max_workers).sum();
-        while room < wanted {
+        while capacity < needed {
             let Some(next) = self.next_relay_entry(dc_name) else { return };
             self.open_relay(&next);
-            room += self.relays.active.get(&next).map_or(1, |r| r.max_workers);
+            capacity += self.relays.active.get(&next).map_or(1, |r| r.max_workers);
         }
     }
 
-    /// The next entry to become a relay: the strongest, then by a hash of its name.
+    /// The next entry to become a relay: the strongest, with ties broken by a hash of its name.
     fn next_relay_entry(&self, dc: Option<&str>) -> Option<HostId> {
-        let idle = self.relays.entries.values().filter(|h| !self.relays.active.contains_key(&h.name));
-        let here = idle.filter(|h| dc.is_none_or(|dc| h.data_centre == dc));
-        let may = here.filter(|h| self.relays.is_eligible(h, self.now));
-        let best = may.max_by_key(|h| (self.relay_capacity(h.strength), rendezvous_rank(&h.name, "")));
-        best.map(|h| h.name.clone())
+        let idle = self.relays.entries.values().filter(|e| !self.relays.active.contains_key(&e.name));
+        let here = idle.filter(|e| dc.is_none_or(|dc| e.data_centre == dc));
+        let eligible = here.filter(|e| self.relays.is_eligible(e, self.now));
+        let best = eligible.max_by_key(|e| (self.relay_capacity(e.strength), rendezvous_rank(&e.name, "")));
+        best.map(|e| e.name.clone())
     }
 
     fn best_open_relay(&self, dc: Option<&DataCentre>, host: &str) -> Option<HostId> {
@@ -339,16 +340,16 @@
         open.max_by_key(|(name, _)| rendezvous_rank(name, host)).map(|(name, _)| name.clone())
     }
 
-    /// The relay that attends the fewest workers; the holder if there is none.
+    /// The relay with the fewest workers, or the holder if there is none.
     fn least_loaded_relay(&self) -> HostId {
         let others = self.relays.active.iter().filter(|(name, _)| **name != self.holder);
         let least = others.min_by_key(|(_, r)| r.workers.len());
         least.map_or_else(|| self.holder.clone(), |(name, _)| name.clone())
     }
 
-    /// Takes in what the relay of a worker tells. What an earlier one still tells is told
-    /// anew by the present one; taken in, it would let work be sent before that has looked
-    /// at the worker.
+    /// Handles news of a worker from its relay. News from an earlier relay is dropped, since the
+    /// present one reports it again; accepting it would let orders be sent before the present relay
+    /// has polled the worker.
     pub(super) fn worker_news(&mut self, id: &WorkerId, token: Term, news: News) {
         let present = self.workers.get(id).filter(|w| w.relay.is_some());
         if present.is_none_or(|w| self.worker_token(w.relay_count) != token) {
@@ -369,14 +370,14 @@
         }
     }
 
-    /// A worker knows a higher token than the one it is attended with: another process leads.
+    /// Handles the news that a worker knows a higher token: another process has taken over.
     pub(super) fn note_higher_token(&mut self, id: &WorkerId) {
         let token = self.token_of(id).unwrap_or_default();
         self.notes.push(format_args!("event=higher_token_seen worker={id} token={token}"));
         self.deposed = true;
     }
 
-    /// When a worker answered at the latest, as news of it tell.
+    /// The latest time at which the worker answered, according to the news.
     fn answer_time(&self, news: &News) -> Option<Duration> {
         match news {
             News::Reported(_) | News::Fenced => Some(self.now),
@@ -387,7 +388,7 @@
         }
     }
 
-    /// A relay takes orders from now on.
+    /// Notes that a relay accepts orders from now on, and orders it to poll its workers.
     pub(super) fn relay_up(&mut self, entry: &HostId) {
         let Some(r) = self.relays.active.get_mut(entry) else { return };
         r.ready = true;
@@ -402,14 +403,15 @@
         }
     }
 
-    /// A relay was heard of.
+    /// Notes that a relay was heard from.
     pub(super) fn relay_heard(&mut self, entry: &HostId) {
         if let Some(r) = self.relays.active.get_mut(entry) {
             r.last_heard = self.now;
         }
     }
 
-    /// A relay is lost, or could not be reached. Leases that it extended end by a time.
+    /// Handles the loss of a relay, or the failure to reach it. Leases that it extended end by
+    /// `lease_end`.
     pub(super) fn relay_down(&mut self, entry: &HostId, lease_end: Duration, may_return: bool) {
         let Some(r) = self.relays.active.remove(entry) else { return };
         self.notes.push(format_args!(
@@ -422,13 +424,13 @@
             self.relays.backoff_until.insert(entry.clone(), until);
         }
         for id in r.workers {
-            let bound = if r.ready { lease_end } else { Duration::ZERO };
-            self.detach_relay(&id, bound);
+            let lease_end = if r.ready { lease_end } else { Duration::ZERO };
+            self.detach_relay(&id, lease_end);
             self.relays.unassigned.insert(id);
         }
     }
 
-    /// A relay is about to stop: its workers go to others while it still answers.
+    /// Reassigns the workers of a relay that is about to stop, while it still answers.
     pub(super) fn relay_leaving(&mut self, entry: &HostId) {
         let Some(r) = self.relays.active.get(entry) else { return };
         let workers: Vec<WorkerId> = r.workers.iter().cloned().collect();
@@ -440,14 +442,14 @@
         self.relays.orders.push(Action::CloseRelay(entry.clone()));
     }
 
-    /// Shares workers out that the holder still attends although there are relays.
+    /// Moves workers that the holder still polls to relays, if there are any.
     pub(super) fn balance_relays(&mut self) {
         self.relays.backoff_until.retain(|_, until| *until > self.now);
-        if !self.wants_relays() {
+        if !self.needs_relays() {
             return;
         }
         let Some(own) = self.relays.active.get(&self.holder) else { return };
-        let some: Vec<WorkerId> = own.workers.iter().take(MAX_REBALANCED_PER_TICK).cloned().collect();
-        some.iter().for_each(|id| self.request_relay(id));
+        let moved: Vec<WorkerId> = own.workers.iter().take(MAX_REBALANCED_PER_TICK).cloned().collect();
+        moved.iter().for_each(|id| self.request_relay(id));
     }
 }
