--- a/crates/workswood-core/src/jobs/eviction.rs
+++ b/crates/workswood-core/src/jobs/eviction.rs
@@ -1,8 +1,8 @@
-//! Ending lasting tasks by our own order, within their availability budget.
+//! Evictions: stops of long-running tasks by the scheduler, within their availability budget.
 //!
-//! A worker lists a task until it has stopped. So an eviction is on record
-//! before its stop is sent: a new holder would otherwise count a task that its
-//! predecessor has just stopped as at work, and evict others beyond the budget.
+//! A worker lists a task until it has stopped. So an eviction is recorded before the stop is sent:
+//! otherwise a new lease holder would count a task that its predecessor has just stopped as
+//! available, and would evict others beyond the budget.
 
 use std::time::Duration;
 
@@ -12,32 +12,32 @@
 use super::types::Action;
 
 impl Scheduler {
-    /// Moves lasting tasks off workers that are leaving. Such a worker ends
-    /// in any case, so the budget does not bind here.
+    /// Evicts long-running tasks from draining workers. The budget does not apply, since such a
+    /// worker ends in any case.
     pub(super) fn evict_from_draining(&mut self) {
-        let leaving = self.workers.draining();
-        let leaving = leaving.filter(|(_, w)| w.reachable && w.listed && !w.runs.is_empty());
-        let leaving: Vec<WorkerId> = leaving.map(|(id, _)| id.clone()).collect();
-        for id in leaving {
+        let draining = self.workers.draining();
+        let draining = draining.filter(|(_, w)| w.reachable && w.listed && !w.runs.is_empty());
+        let draining: Vec<WorkerId> = draining.map(|(id, _)| id.clone()).collect();
+        for id in draining {
             for (task, attempt) in self.runs_of_long_running_tasks(&id) {
                 self.evict(&id, &task, attempt, "worker_leaving");
             }
         }
     }
 
-    /// Lasting tasks that run on a worker.
+    /// Runs of long-running tasks on a worker, sorted.
     pub(super) fn runs_of_long_running_tasks(&self, id: &WorkerId) -> Vec<(TaskId, u32)> {
         let Some(w) = self.workers.get(id) else { return Vec::new() };
-        let lasting = |task: &TaskId| {
+        let long_running = |task: &TaskId| {
             let step = self.jobs.get(&task.job).and_then(|j| j.step(task));
             step.is_some_and(|s| s.lasting)
         };
-        let mut runs: Vec<(TaskId, u32)> = w.runs.keys().filter(|(t, _)| lasting(t)).copied().collect();
+        let mut runs: Vec<(TaskId, u32)> = w.runs.keys().filter(|(t, _)| long_running(t)).copied().collect();
         runs.sort();
         runs
     }
 
-    /// Whether ending this task keeps the availability budget of its step.
+    /// Whether evicting this task keeps the availability budget of its step.
     pub(super) fn eviction_keeps_budget(&self, id: &TaskId) -> bool {
         let Some(job) = self.jobs.get(&id.job) else { return true };
         if job.cancelled || job.outcome.is_some_and(|o| o != Outcome::Failed) {
@@ -47,31 +47,30 @@
         job.others_away(id, |run| self.counts_as_available(run)) < step.may_miss
     }
 
-    /// Whether a task goes on although its job has ended: one that we have ended ourselves still
-    /// serves its users, so what is at work of it is ended within the budget only, and the rest
-    /// once the caller cancels it. A job of four lasting tasks that was ended while one was away, and
-    /// one more might be, had the three others stopped at once.
+    /// Whether a task goes on although its job has ended. Running tasks of a long-running step
+    /// still serve users after the scheduler has failed their job. They are stopped within the
+    /// budget, and the rest once the caller cancels the job.
     pub(super) fn outlives_job(&self, id: &TaskId) -> bool {
         let Some(job) = self.jobs.get(&id.job) else { return false };
         if job.cancelled || job.outcome != Some(Outcome::Failed) {
             return false;
         }
-        let lasting = job.step(id).is_some_and(|s| s.lasting);
-        let at_work = || job.task(id).is_some_and(|t| t.runs.iter().any(Run::warm));
-        lasting && at_work() && !self.eviction_keeps_budget(id)
+        let long_running = job.step(id).is_some_and(|s| s.lasting);
+        let is_warm = || job.task(id).is_some_and(|t| t.runs.iter().any(Run::warm));
+        long_running && is_warm() && !self.eviction_keeps_budget(id)
     }
 
-    /// Whether a run counts as at work for the availability budget: its worker
-    /// said so lately, and it is not about to end by our order.
+    /// Whether a run counts as available for the budget: its worker reported it recently as warm,
+    /// and it is not being evicted.
     fn counts_as_available(&self, run: &Run) -> bool {
         let Some(w) = self.workers.get(&run.worker) else { return false };
         let heard = w.relay.as_ref().map_or(Duration::ZERO, |r| self.relays.last_heard(r));
-        let believed = self.now <= heard + self.policy.health.believed_for;
-        run.warm() && !run.evicted && w.reachable && !w.poll_overdue && believed
+        let recently_confirmed = self.now <= heard + self.policy.health.believed_for;
+        run.warm() && !run.evicted && w.reachable && !w.poll_overdue && recently_confirmed
     }
 
-    /// Evicts lasting tasks of a worker as far as their budgets allow;
-    /// returns how many still stand there.
+    /// Evicts long-running tasks of a worker as far as their budgets allow; returns how many were
+    /// running there.
     pub(super) fn evict_within_budget(&mut self, id: &WorkerId) -> usize {
         let runs = self.runs_of_long_running_tasks(id);
         for (task, attempt) in &runs {
@@ -82,9 +81,8 @@
         runs.len()
     }
 
-    /// Stops runs again that a predecessor evicted and their workers still list: the
-    /// first stop may not have been sent. Until the budget allows that, they count as
-    /// away.
+    /// Stops runs again that a predecessor evicted and that their workers still list, since the
+    /// first stop may not have been sent. Until the budget allows the stop, they count as away.
     pub(super) fn evict_inherited(&mut self) {
         for (id, task, attempt) in std::mem::take(&mut self.inherited_evictions) {
             let runs = self.run_mut(&id, &task, attempt).is_some_and(|r| r.phase == Phase::Running);
@@ -99,20 +97,21 @@
         }
     }
 
-    fn evict(&mut self, id: &WorkerId, task: &TaskId, attempt: u32, why: &str) {
+    fn evict(&mut self, id: &WorkerId, task: &TaskId, attempt: u32, reason: &str) {
         let now = self.now;
         let Some(t) = self.jobs.get_mut(&task.job).and_then(|j| j.task_mut(task)) else { return };
         let Some(run) = t.runs.iter_mut().find(|r| r.worker == *id && r.attempt == attempt) else { return };
         if run.phase != Phase::Running {
             return;
         }
-        let recorded = std::mem::replace(&mut run.evicted, true);
+        let already_recorded = std::mem::replace(&mut run.evicted, true);
         run.enter(Phase::Stopping, now);
-        if !recorded {
+        if !already_recorded {
             self.dirty.insert(task.job);
         }
-        self.notes
-            .push(format_args!("event=task_evicted worker={id} task={task} attempt={attempt} reason={why}"));
+        self.notes.push(format_args!(
+            "event=task_evicted worker={id} task={task} attempt={attempt} reason={reason}"
+        ));
         self.actions.push(Action::Stop(id.clone(), *task, attempt));
     }
 }
