--- a/crates/workswood-core/src/jobs/evacuation.rs
+++ b/crates/workswood-core/src/jobs/evacuation.rs
@@ -1,8 +1,8 @@
-//! Data centres that are being evacuated: nothing begins there until operators take them back.
+//! Data centres that are being evacuated. No work starts there until operators end the evacuation.
 //!
-//! What runs there goes on: its workers answer, and moving it would take it away from its callers for
-//! the time of a start. The hosts of such a data centre count neither as room nor as part of their
-//! pools, so that the others get what is missing.
+//! Tasks that run there go on: their workers answer, and moving them would interrupt their service.
+//! The hosts of such a data centre count neither as capacity nor towards the size of their pools,
+//! so that other data centres make up for them.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 use crate::ids::DataCentre;
 
 impl Scheduler {
-    /// Takes in which data centres are being evacuated.
+    /// Replaces the set of data centres that are being evacuated.
     pub(super) fn set_evacuated(&mut self, evacuated: BTreeSet<DataCentre>) {
         if evacuated == self.evacuated {
             return;
@@ -26,18 +26,18 @@
         self.place_again.extend(self.ready.keys().cloned());
     }
 
-    /// Whether work may begin on a host, as far as its data centre is concerned.
+    /// Whether the data centre of a host is not being evacuated.
     pub(super) fn is_outside_evacuation(&self, m: &Host) -> bool {
         !self.evacuated.contains(&m.data_centre)
     }
 
-    /// Adds up the room of all hosts on which work may begin.
+    /// Recomputes the total processor capacity of the hosts on which work may start.
     pub(super) fn update_fleet_cpu(&mut self) {
         let open = self.hosts.values().filter(|m| self.is_outside_evacuation(m));
         self.fleet_cpu = open.map(|m| m.capacity.cpu_millis).sum();
     }
 
-    /// Data centres that are being evacuated, as far as this lease holder knows.
+    /// Data centres that are being evacuated, as known to this lease holder.
     pub fn evacuated(&self) -> &BTreeSet<DataCentre> {
         &self.evacuated
     }
