--- a/crates/workswood-core/src/jobs/crash_attribution.rs
+++ b/crates/workswood-core/src/jobs/crash_attribution.rs
@@ -1,19 +1,20 @@
-//! Tasks that crash their workers.
+//! Attributes worker crashes to the tasks that cause them.
 //!
-//! A worker that crashes tells nothing of the runs that were there. Most of them are lost by
-//! chance, and are started again; but where one of them has brought the worker down, it would bring
-//! the next one down, and all that runs there, without end.
+//! A crashed worker does not report what ran on it. Most of those runs did not cause the crash and
+//! are started again. A task that did cause it would crash the next worker as well, and so on
+//! without end.
 //!
-//! * Each run that is lost with a crashed worker is on record, with how long it may have lasted.
-//! * How well a task explains the crashes under it is weighed against the rate at which workers
-//!   crash that did not run it ([`crash_rate`](super::crash_rate)). So on a day on which workers
-//!   crash by themselves, sound work neither waits nor fails for that.
-//! * Suspected are the runs that had begun just before the worker was last heard; if there is none,
-//!   those that may never have begun. Others fall under suspicion when they are lost several
-//!   times.
-//! * A suspected task is started as a *trial* ([`crash_trials`](super::crash_trials)): nothing else begins beside
-//!   it. Where the worker crashes under it nevertheless, and chance does not explain it, the task is
-//!   given up. Its job fails; but a job that lasts goes on without it.
+//! * Each run that is lost with a crashed worker is recorded, with the longest time that it may
+//!   have run.
+//! * A task is scored by how much better it explains its crashes than the rate at which workers
+//!   crash without it ([`crash_rate`](super::crash_rate)). So where workers crash for other
+//!   reasons, sound tasks are neither delayed nor failed.
+//! * Runs that had just started when the worker last answered are suspected; if there are none,
+//!   those that may never have started. Other runs are suspected after several losses.
+//! * A suspected task is started as a *trial* ([`crash_trials`](super::crash_trials)), with nothing
+//!   else started beside it. If the worker crashes during the trial, and chance does not explain
+//!   the crashes, the task is given up. Its job fails, except that a long-running job goes on
+//!   without the task.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,34 +27,29 @@
 use super::spec::TaskId;
 use super::worker::Worker;
 
-/// How crashes of workers are put down to tasks.
+/// Thresholds for the attribution of crashes to tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CrashPolicy {
-    /// A run that had lasted for less than this when its worker was last heard is suspected of
-    /// having crashed it. Tasks that crash their worker do so within some ten milliseconds; the
-    /// answer to their start comes a few times that later on a busy entry.
+    /// A run that was younger than this when its worker last answered is suspected of having
+    /// crashed it. Covers the delay until a busy entry sees the answer to the start.
     #[serde(rename = "young", with = "humantime_serde")]
     pub suspect_age: Duration,
-    /// A task that was lost with so many workers is suspected however long it had run.
+    /// A task that was lost in this many crashes is suspected, however long its runs had lasted.
     #[serde(rename = "suspect_after")]
     pub suspect_after_crashes: usize,
-    /// A task is tried alone when its crashes are explained better by itself than by chance by
-    /// this much, as a logarithm: after one crash within 100 ms of the start where workers crash
-    /// less than once in 25 s each, after two where they crash less than once in 3 s.
+    /// Score from which a task may only be started as a trial. Scores are logarithms of likelihood
+    /// ratios; see [`task_fault_score`].
     #[serde(rename = "suspicious")]
     pub suspicion_threshold: f64,
-    /// It is given up when they are by so much, and its trial alone explains the last one. Of a
-    /// million sound tasks about five are lost so often within so short a time, whatever the rate
-    /// is. Two crashes within 50 ms of the start are enough where workers crash less than once in
-    /// 33 s each, three where they crash less than once in 6 s.
+    /// Score from which a task is given up, provided that its trial alone explains the last crash.
     #[serde(rename = "sure")]
     pub give_up_threshold: f64,
-    /// Longest time that a task waits for a trial that was lost once. While it waits, those that
-    /// crash their workers show themselves elsewhere.
+    /// Longest time that a task with a single crash waits for a trial; after that it starts without
+    /// one.
     #[serde(rename = "first_wait", with = "humantime_serde")]
     pub max_first_trial_wait: Duration,
-    /// Share of a service's workers that are in quarantine at most.
+    /// Largest share of a service's workers that may be in quarantine.
     #[serde(rename = "most_quarantined")]
     pub max_quarantined_share: f64,
 }
@@ -72,103 +68,101 @@
 }
 
 impl CrashPolicy {
-    /// How sure one must be after so many tasks were given up lately: where there are some,
-    /// another one is likelier.
+    /// Score needed to give a task up after this many tasks were given up recently: tasks that
+    /// crash their workers tend to come in groups.
     fn give_up_threshold_after(&self, given_up: usize) -> f64 {
         self.give_up_threshold - THRESHOLD_DROP_PER_CULPRIT * given_up.min(MAX_CULPRITS_COUNTED) as f64
     }
 }
 
-/// By how much each task that was given up makes the next one likelier, as a logarithm,
+/// Reduction of [`CrashPolicy::give_up_threshold`] for each task that was given up recently.
 const THRESHOLD_DROP_PER_CULPRIT: f64 = 1.5;
-/// and how many do.
+/// Most recently given up tasks that reduce the threshold.
 const MAX_CULPRITS_COUNTED: usize = 2;
-/// A start without an answer explains a crash that was noticed within this time: a task that
-/// crashes its worker does so within some ten milliseconds, a refused connection is
-/// noticed within some more, and a busy entry takes a few times that to see it.
+/// A start without an answer counts as a young run if the crash was noticed within this time after
+/// it. Covers the delay until a busy entry notices the refused connection.
 const PROMPT_SILENCE: Duration = Duration::from_millis(300);
-/// A worker that leaves without a word answers for longer than this after it was taken from the list
-/// (2 s at least on the prepared platform); an answer of one that crashed may be on its way for as long.
+/// A worker that still answers this long after it was removed from the worker list has left without
+/// notice, and has not crashed. An answer sent before a crash may arrive within this time.
 const ANSWERS_AFTER_UNLISTED: Duration = Duration::from_secs(1);
-/// A task is suspected after so many crashes of which it isn't known how long its runs had lasted.
+/// A task is suspected after this many crashes if the run times are unknown.
 const SUSPECT_AFTER_UNTIMED_CRASHES: usize = 2;
-/// A task that was lost so often is held to less, whether it was seen to run or not: the platform
-/// allows two starts after the third crash.
+/// After this many crashes a lower score suffices to give a task up, whether its runs were
+/// confirmed or not.
 const EXHAUSTED_AFTER_CRASHES: usize = 5;
-/// Share of [`CrashPolicy::sure`] that is asked for then.
+/// Share of [`CrashPolicy::give_up_threshold`] that suffices then.
 const EXHAUSTED_THRESHOLD_SHARE: f64 = 0.7;
-/// What a crash adds to that of which it isn't known how long the run had lasted.
+/// Added to the score for each crash with an unknown run time.
 const SCORE_PER_UNTIMED_CRASH: f64 = 1.0;
-/// Share of it from which a task is suspected that was lost several times.
+/// Share of [`CrashPolicy::give_up_threshold`] from which a task with several crashes is suspected.
 const MANY_CRASHES_THRESHOLD_SHARE: f64 = 0.15;
-/// A lasting task that has been at work for this long does not crash its worker.
+/// A long-running task that has been warm for this long is taken not to crash its worker.
 pub(super) const PROVEN_SAFE_AFTER: Duration = Duration::from_secs(10);
 
-/// What is known of a run under which a worker crashed.
+/// What is known of a run during which its worker crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Evidence {
-    /// It explains the crash.
+    /// The run is the likely cause of the crash.
     #[serde(rename = "Explains")]
     LikelyCause,
-    /// It was there, by chance as far as is known.
+    /// The run was there, but is not the likely cause.
     #[serde(rename = "Beside")]
     Bystander,
-    /// It may never have begun: its start had no answer, or an earlier holder sent it.
+    /// The run may never have started: its start was not answered, or was sent by an earlier lease
+    /// holder.
     #[serde(rename = "Supposed")]
     Unconfirmed,
 }
 
-/// A crash of a worker under a task.
+/// A crash of a worker during a run of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRecord {
-    /// What the run has to do with it.
+    /// What the run has to do with the crash.
     pub evidence: Evidence,
-    /// The longest time after its start at which the worker may have crashed; `None` if it isn't
-    /// known when the run began.
+    /// Longest time that the run may have lasted; `None` if its start time is unknown.
     #[serde(rename = "within")]
     pub max_run_time: Option<Duration>,
 }
 
-/// Crashes of workers under one task, by the numbers of its runs.
+/// Crashes of workers during runs of one task, by attempt number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashHistory(pub BTreeMap<u32, CrashRecord>);
 
 impl CrashHistory {
-    /// Whether there is none.
+    /// Whether there are no crashes.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// How many there may have been.
+    /// Number of crashes, including those during unconfirmed runs.
     pub fn count(&self) -> usize {
         self.0.len()
     }
 
-    /// How long runs had lasted, at most, of which it is known when they began.
+    /// Longest possible run times, of the runs whose start time is known.
     fn known_run_times(&self) -> impl Iterator<Item = Duration> {
         self.0.values().filter_map(|c| c.max_run_time)
     }
 
-    /// How many there were while the task was known to run.
+    /// Number of crashes during runs that are known to have started.
     fn confirmed_count(&self) -> usize {
         self.0.values().filter(|c| c.evidence != Evidence::Unconfirmed).count()
     }
 
-    /// How much better the task explains them than chance does, those counted too of which it
-    /// is only supposed that it ran.
+    /// How much better the task explains the crashes than chance does. Includes unconfirmed runs.
     fn score(&self, rate: f64) -> f64 {
         task_fault_score(self.known_run_times().count(), self.known_run_times().sum(), rate)
     }
 
-    /// Whether they prove that the task crashes its workers, the last one being explained
-    /// by its trial.
-    fn are_proof(&self, sure: f64, rate: f64) -> bool {
-        self.confirmed_count() >= 2 && self.score(rate) >= sure
+    /// Whether the crashes prove that the task crashes its workers, given that the last one
+    /// happened during its trial.
+    fn is_proof(&self, threshold: f64, rate: f64) -> bool {
+        self.confirmed_count() >= 2 && self.score(rate) >= threshold
     }
 
-    /// Whether they are too many to go on, although the proof is weaker. Where it isn't known of
-    /// any run when it began, with a new lease holder after each crash, their number is all there is.
-    fn exhaust_retries(&self, policy: &CrashPolicy, rate: f64) -> bool {
+    /// Whether there are too many crashes to go on, on weaker evidence. If no start time is known,
+    /// because the lease holder changed after each crash, only their number counts.
+    fn exhausts_retries(&self, policy: &CrashPolicy, rate: f64) -> bool {
         let (count, timed) = (self.count(), self.known_run_times().count());
         if count < EXHAUSTED_AFTER_CRASHES || timed == 0 {
             return count >= EXHAUSTED_AFTER_CRASHES;
@@ -177,8 +171,8 @@
         self.score(rate) + untimed >= policy.give_up_threshold * EXHAUSTED_THRESHOLD_SHARE
     }
 
-    /// Whether the task is suspected for their number.
-    fn are_many(&self, policy: &CrashPolicy, rate: f64) -> bool {
+    /// Whether the number of crashes alone makes the task suspect.
+    fn are_suspiciously_many(&self, policy: &CrashPolicy, rate: f64) -> bool {
         let (count, timed) = (self.count(), self.known_run_times().count());
         let doubtful =
             timed < 2 || self.score(rate) >= policy.give_up_threshold * MANY_CRASHES_THRESHOLD_SHARE;
@@ -186,7 +180,7 @@
             && (count >= policy.suspect_after_crashes || count >= SUSPECT_AFTER_UNTIMED_CRASHES && timed < 2)
     }
 
-    /// Notes a crash under a run; returns whether it is new.
+    /// Records a crash during an attempt; returns whether it is new.
     fn record(&mut self, attempt: u32, crash: CrashRecord) -> bool {
         let new = !self.0.contains_key(&attempt);
         self.0.entry(attempt).or_insert(crash);
@@ -194,32 +188,32 @@
     }
 }
 
-/// Why a task is tried alone.
+/// Why a task may only be started as a trial.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Suspicion {
-    /// Since when.
+    /// When the task was last suspected.
     pub suspected_at: Duration,
-    /// The longest time that a run of it had lasted when its worker crashed.
+    /// Longest known run time of the task when its worker crashed.
     pub run_time: Option<Duration>,
 }
 
-/// How a life of a worker was found to be over.
+/// How an incarnation of a worker was found to be over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum IncarnationEnd {
-    /// Its address is answered by another life.
+    /// Another incarnation answers at its address.
     OtherIncarnation,
-    /// The list of hosts shows its host without it.
+    /// The list of hosts shows its host without this worker.
     HostWithoutWorker,
     /// Its host was ordered down for maintenance.
     Maintenance,
     /// Its host was ordered to another pool.
     HostMoved,
-    /// It answers no more, and is not listed any more.
+    /// It is unreachable and no longer listed.
     UnreachableAndUnlisted,
 }
 
 impl IncarnationEnd {
-    /// Its name in the log.
+    /// Reason in log lines.
     pub(super) fn label(self) -> &'static str {
         match self {
             IncarnationEnd::OtherIncarnation => "other_life",
@@ -230,7 +224,7 @@
         }
     }
 
-    /// Whether nobody ordered it.
+    /// Whether no order of the scheduler caused the end.
     fn is_sudden(self) -> bool {
         matches!(
             self,
@@ -241,64 +235,65 @@
     }
 }
 
-/// What a run that is lost with its worker may have to do with the crash.
+/// How likely a lost run is to have caused the crash, most likely first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum RunRole {
-    /// It was on trial.
+    /// The run was on trial.
     OnTrial,
-    /// It had just begun.
+    /// The run had just started.
     Young,
-    /// It may have begun, and was not heard of.
+    /// The start was not answered, so the run may have started.
     Unheard,
-    /// It had been there for a while.
+    /// The run had been there for a while.
     Old,
 }
 
-/// A run that is lost with its worker.
+/// A run that was lost with its worker.
 #[derive(Clone, Debug)]
 pub struct LostRun {
     task: TaskId,
     attempt: u32,
-    /// How long it was known to be there; `None` if it may never have begun.
+    /// How long the run was known to be there; `None` if it may never have started.
     run_time: Option<Duration>,
-    /// How long it had lasted at most; `None` if it isn't known when it began.
+    /// Longest time that the run may have lasted; `None` if its start time is unknown.
     max_run_time: Option<Duration>,
     role: RunRole,
 }
 
 impl Scheduler {
-    /// Puts the crash of a worker down to one of its runs, if that is what ended its life.
+    /// Attributes the end of a worker to one of its runs, if it was a crash.
     pub(super) fn attribute_crash(&mut self, id: &WorkerId, end: IncarnationEnd) {
         let Some(w) = self.workers.get(id) else { return };
         if !end.is_sudden() || !self.is_crash(w) {
             return;
         }
-        let here = w.runs.keys().filter_map(|(task, n)| self.lost_run(id, task, *n));
-        let mut lost: Vec<LostRun> = w.lapsed_runs.iter().cloned().chain(here).collect();
+        let current = w.runs.keys().filter_map(|(task, n)| self.lost_run(id, task, *n));
+        let mut lost: Vec<LostRun> = w.lapsed_runs.iter().cloned().chain(current).collect();
         lost.sort_by_key(|l| (l.task, l.attempt));
-        // The first of these parts explains the crash; other runs are lost by chance.
-        let part = lost.iter().map(|l| l.role).min();
-        let chance =
-            if part.is_some_and(|p| p != RunRole::Old) { self.share_of_workers_with_suspects() } else { 1.0 };
-        self.crash_rate.record_crash(self.now, lost.iter().map(|l| l.task).collect(), chance);
-        let Some(part) = part else { return };
-        let alike = lost.iter().filter(|l| l.role == part).count();
+        // Only runs with the most suspicious role explain the crash.
+        let role = lost.iter().map(|l| l.role).min();
+        let chance_probability =
+            if role.is_some_and(|p| p != RunRole::Old) { self.share_of_workers_with_suspects() } else { 1.0 };
+        self.crash_rate.record_crash(self.now, lost.iter().map(|l| l.task).collect(), chance_probability);
+        let Some(role) = role else { return };
+        let same_role = lost.iter().filter(|l| l.role == role).count();
         self.notes.push(format_args!(
-            "event=worker_crashed worker={id} runs={} part={part:?} alike={alike}",
+            "event=worker_crashed worker={id} runs={} part={role:?} alike={same_role}",
             lost.len()
         ));
         for l in lost {
-            self.attribute_lost_run(id, &l, part, alike);
+            self.attribute_lost_run(id, &l, role, same_role);
         }
     }
 
-    /// Whether a life that is over has crashed: it was not about to leave, and no order of
-    /// ours ended it. One that leaves without a word is taken from the list, and answers on.
+    /// Whether a worker that is gone has crashed: it was not draining, and no order of the
+    /// scheduler ended it. A worker that leaves without notice is removed from the list but goes on
+    /// answering.
     fn is_crash(&self, w: &Worker) -> bool {
         if w.unlisted_at.is_some_and(|at| at + ANSWERS_AFTER_UNLISTED < w.last_heard) {
             return false;
         }
-        // Of one that only records of runs speak of, nothing says otherwise.
+        // The worker is known from the records of runs only, which do not tell how it ended.
         let Some(info) = &w.info else { return true };
         !info.draining && !self.is_ordered_since(&info.host, w.known_since)
     }
@@ -306,34 +301,34 @@
     fn lost_run(&self, id: &WorkerId, task: &TaskId, attempt: u32) -> Option<LostRun> {
         let w = self.workers.get(id)?;
         let run = self.run(id, task, attempt)?;
-        let lasted = run.ran(w.last_heard);
-        // It crashed between its last answer and when it was found to be silent.
-        let found = w.last_heard + w.silent_for;
-        let within = run.placed_at.map(|at| found.saturating_sub(at));
+        let run_time = run.ran(w.last_heard);
+        // The crash happened after the last answer and before the worker was found unreachable.
+        let found_silent_at = w.last_heard + w.silent_for;
+        let max_run_time = run.placed_at.map(|at| found_silent_at.saturating_sub(at));
         Some(LostRun {
             task: *task,
             attempt,
-            run_time: lasted,
-            max_run_time: within,
-            role: self.run_role(run, lasted, within),
+            run_time,
+            max_run_time,
+            role: self.run_role(run, run_time, max_run_time),
         })
     }
 
-    fn run_role(&self, run: &Run, lasted: Option<Duration>, within: Option<Duration>) -> RunRole {
-        let unheard = lasted.is_none() && run.phase != Phase::Inherited;
-        if !unheard && run.trial.is_some_and(|trial| lasted.is_none_or(|ran| ran < trial)) {
+    fn run_role(&self, run: &Run, run_time: Option<Duration>, max_run_time: Option<Duration>) -> RunRole {
+        let unheard = run_time.is_none() && run.phase != Phase::Inherited;
+        if !unheard && run.trial.is_some_and(|trial| run_time.is_none_or(|ran| ran < trial)) {
             return RunRole::OnTrial;
         }
-        match lasted {
+        match run_time {
             Some(ran) if ran < self.policy.crashes.suspect_age && run.placed_at.is_some() => RunRole::Young,
-            // The answer to its start, too, was lost with the worker.
-            None if unheard && within.is_some_and(|w| w < PROMPT_SILENCE) => RunRole::Young,
+            // The answer to the start was lost with the worker.
+            None if unheard && max_run_time.is_some_and(|w| w < PROMPT_SILENCE) => RunRole::Young,
             None if unheard => RunRole::Unheard,
             _ => RunRole::Old,
         }
     }
 
-    /// Share of the workers that have a run now to which a crash would be put down.
+    /// Share of all workers that now have a run that a crash would be attributed to.
     fn share_of_workers_with_suspects(&self) -> f64 {
         let young =
             |w: &Worker| w.last_start_at.is_some_and(|at| at + self.policy.crashes.suspect_age > self.now);
@@ -342,19 +337,20 @@
         self.workers.values().filter(|w| young(w) || trial(w)).count() as f64 / all as f64
     }
 
-    /// Crashes a second of one worker, those under a task left out.
+    /// Crashes per second and worker, without those during runs of the task.
     fn background_crash_rate(&self, task: &TaskId) -> f64 {
         self.crash_rate.rate_without(task, self.now, self.workers.len(), self.now.saturating_sub(self.since))
     }
 
-    /// A run was lost with a worker that crashed; `part` explains that, for so many runs.
-    fn attribute_lost_run(&mut self, id: &WorkerId, l: &LostRun, part: RunRole, alike: usize) {
+    /// Records the loss of a run in a crash that runs of the given role explain. `same_role` is the
+    /// number of lost runs with that role.
+    fn attribute_lost_run(&mut self, id: &WorkerId, l: &LostRun, role: RunRole, same_role: usize) {
         let rate = self.background_crash_rate(&l.task);
         let Some(job) = self.jobs.get_mut(&l.task.job).filter(|j| j.open()) else { return };
         let Some(task) = job.task_mut(&l.task).filter(|t| !t.done) else { return };
         let policy = &self.policy.crashes;
-        let sure = policy.give_up_threshold_after(self.crash_rate.recent_culprits(self.now));
-        let explains = l.role == part && l.role != RunRole::Old;
+        let threshold = policy.give_up_threshold_after(self.crash_rate.recent_culprits(self.now));
+        let explains = l.role == role && l.role != RunRole::Old;
         let evidence = match l.run_time {
             Some(_) if explains => Evidence::LikelyCause,
             Some(_) => Evidence::Bystander,
@@ -365,12 +361,15 @@
         }
         let count = task.crashes.count();
         let suspicion = task.crashes.score(rate);
-        let proved = l.role == RunRole::OnTrial && l.run_time.is_some() && task.crashes.are_proof(sure, rate);
-        if l.role == part && alike == 1 && (proved || task.crashes.exhaust_retries(policy, rate)) {
+        let proved =
+            l.role == RunRole::OnTrial && l.run_time.is_some() && task.crashes.is_proof(threshold, rate);
+        if l.role == role && same_role == 1 && (proved || task.crashes.exhausts_retries(policy, rate)) {
             self.give_up_task(id, &l.task, count, suspicion);
             return;
         }
-        if explains && suspicion >= policy.suspicion_threshold || task.crashes.are_many(policy, rate) {
+        if explains && suspicion >= policy.suspicion_threshold
+            || task.crashes.are_suspiciously_many(policy, rate)
+        {
             suspect(task, l.run_time, self.now);
             self.notes.push(format_args!(
                 "event=task_suspected worker={id} task={} attempt={} part={:?} crashes={count} \
@@ -380,8 +379,8 @@
         }
     }
 
-    /// Gives a task up. A job that lasts goes on without it: what is at work of it serves its
-    /// users, and to stop all of that at once would break its availability budget.
+    /// Gives a task up. A long-running job goes on without it: its other tasks serve users, and
+    /// stopping all of them at once would break its availability budget.
     fn give_up_task(&mut self, id: &WorkerId, task: &TaskId, crashes: usize, suspicion: f64) {
         self.notes.push(format_args!(
             "event=task_given_up worker={id} task={task} crashes={crashes} suspicion={suspicion:.1}"
@@ -402,8 +401,8 @@
         }
     }
 
-    /// A run is over since the lease of its worker has ended. Whether that has crashed or is
-    /// cut off shows later; until then young runs are suspected.
+    /// Keeps a run that is settled because its worker's lease ended. Whether the worker has crashed
+    /// or is only cut off is not known yet; young runs are suspected meanwhile.
     pub(super) fn record_lapsed_run(&mut self, id: &WorkerId, task_id: &TaskId, attempt: u32) {
         let Some(l) = self.lost_run(id, task_id, attempt) else { return };
         let rate = self.background_crash_rate(task_id);
@@ -421,23 +420,24 @@
         }
     }
 
-    /// Suspects tasks that were lost with several workers under earlier lease holders.
+    /// Suspects tasks that were lost in several crashes under earlier lease holders.
     pub(super) fn suspect_inherited(&self, job: &mut Job) {
         let rate = self.background_crash_rate(&TaskId { job: job.key, round: 0, step: 0, index: 0 });
         for task in job.rounds.iter_mut().flatten().flatten() {
             let many = task.crashes.count() >= SUSPECT_AFTER_UNTIMED_CRASHES;
             let timed = task.crashes.known_run_times().count();
-            let chance = timed >= 2 && task.crashes.score(rate) < self.policy.crashes.suspicion_threshold;
-            if many && !chance {
+            let chance_suffices =
+                timed >= 2 && task.crashes.score(rate) < self.policy.crashes.suspicion_threshold;
+            if many && !chance_suffices {
                 suspect(task, None, self.now);
             }
         }
     }
 
-    /// Forgets crashes under lasting tasks that have been at work for long since.
+    /// Clears the crashes of long-running tasks that have been warm for long enough.
     pub(super) fn clear_proven_tasks(&mut self) {
-        let lasting = self.workers.values().filter(|w| w.reachable).flat_map(|w| &w.long_running);
-        let proven: Vec<TaskId> = lasting.filter(|id| self.is_proven_safe(id)).copied().collect();
+        let long_running = self.workers.values().filter(|w| w.reachable).flat_map(|w| &w.long_running);
+        let proven: Vec<TaskId> = long_running.filter(|id| self.is_proven_safe(id)).copied().collect();
         for id in proven {
             if let Some(task) = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(&id)) {
                 task.crashes = CrashHistory::default();
@@ -454,8 +454,8 @@
     }
 }
 
-/// Puts a task under suspicion, whose run had lasted for so long.
-fn suspect(task: &mut Task, lasted: Option<Duration>, now: Duration) {
-    let longest = task.suspicion.and_then(|s| s.run_time).max(lasted);
+/// Marks a task as suspected; `run_time` is how long the lost run had lasted.
+fn suspect(task: &mut Task, run_time: Option<Duration>, now: Duration) {
+    let longest = task.suspicion.and_then(|s| s.run_time).max(run_time);
     task.suspicion = Some(Suspicion { suspected_at: now, run_time: longest });
 }
