--- a/crates/workswood-core/src/jobs/crash_rate.rs
+++ b/crates/workswood-core/src/jobs/crash_rate.rs
@@ -1,41 +1,38 @@
-//! How often workers crash by themselves, and how well a task explains crashes under it.
+//! The rate of worker crashes without a known cause, and how well a task explains its crashes.
 //!
-//! Workers may crash one by one, by racks or all the time, whatever runs there. What is
-//! lost with them has mostly done nothing. So the time for which the lost runs of a task had
-//! lasted is held against the rate at which workers crash that did not run it: a task that
-//! crashes its workers does so again and again soon after its starts, far sooner than
-//! chance would.
+//! Workers may crash one by one, by racks or continually, whatever runs on them, and most runs that
+//! are lost did not cause the crash. So the run times of a task's lost runs are compared with the
+//! rate at which workers crash without it: a task that crashes its workers does so soon after each
+//! start, far sooner than chance would.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use super::spec::TaskId;
 
-/// Crashes of this long tell the rate: a few of the rounds, 1.5 to 2.5 s apart, in which
-/// racks and shares of a service were seen to crash again and again.
+/// The rate is taken over this time. It spans several rounds of recurring crashes of racks.
 const RATE_WINDOW: Duration = Duration::from_secs(10);
-/// Before anything is seen, workers are taken to crash this often,
+/// Crashes that the rate assumes before any are seen, in [`PRIOR_WORKER_SECONDS`].
 const PRIOR_CRASHES: f64 = 0.5;
-/// in so many seconds of one worker: a little more than once in two hours a host would
-/// let a single crash in the first seconds of a term look like many.
+/// Worker-seconds that the rate assumes before any are observed. Keeps a single crash in the first
+/// seconds of a term from looking like a high rate.
 const PRIOR_WORKER_SECONDS: f64 = 60.0;
-/// Tasks that crash their workers come in rows: of one job class, or from one caller.
+/// How long a task that was found to crash its workers counts as recent.
 const RECENT_CULPRIT_AGE: Duration = Duration::from_secs(30);
-/// Shortest time that a run counts for: times are told by answers, which come a few
-/// milliseconds after what they tell of.
+/// Shortest run time that enters a score, since the reported times are late by a few milliseconds.
 const MIN_RUN_TIME: Duration = Duration::from_millis(5);
 
-/// A crash that no task is known for certain to have caused.
+/// A crash without a known cause.
 #[derive(Clone, Debug)]
 struct UnexplainedCrash {
     at: Duration,
-    /// What ran there.
+    /// Tasks that ran on the worker.
     running_tasks: Vec<TaskId>,
-    /// How likely it came by chance.
+    /// Probability that the crash was not caused by one of the tasks.
     chance_probability: f64,
 }
 
-/// Crashes of workers that no task is known for certain to have caused.
+/// Recent crashes of workers that no task is known to have caused.
 #[derive(Clone, Debug, Default)]
 pub struct CrashRate {
     crashes: VecDeque<UnexplainedCrash>,
@@ -44,29 +41,29 @@
 }
 
 impl CrashRate {
-    /// Notes that a worker has crashed on which these tasks ran, how likely by chance. That is
-    /// 1 if none of them explains it; else the share of workers that would have had such a task
-    /// as well: where most have one it says nothing, where few do it is hardly chance.
-    pub fn record_crash(&mut self, at: Duration, beside: Vec<TaskId>, chance: f64) {
+    /// Records the crash of a worker with the tasks that ran on it. `chance_probability` is 1 if
+    /// none of them explains the crash, else the share of workers that had such a task: where most
+    /// workers have one, its presence says little.
+    pub fn record_crash(&mut self, at: Duration, running_tasks: Vec<TaskId>, chance_probability: f64) {
         while self.crashes.front().is_some_and(|c| c.at + RATE_WINDOW < at) {
             self.crashes.pop_front();
         }
-        self.crashes.push_back(UnexplainedCrash { at, running_tasks: beside, chance_probability: chance });
+        self.crashes.push_back(UnexplainedCrash { at, running_tasks, chance_probability });
     }
 
-    /// A task is known to have caused the crashes under it.
+    /// Records that a task has caused its crashes, which then no longer count towards the rate.
     pub fn record_culprit(&mut self, task: &TaskId, at: Duration) {
         self.crashes.retain(|c| !c.running_tasks.contains(task));
         self.culprit_times.push_back(at);
     }
 
-    /// How many tasks were found lately to crash their workers.
+    /// Number of tasks that were recently found to crash their workers.
     pub fn recent_culprits(&self, now: Duration) -> usize {
         self.culprit_times.iter().filter(|at| **at + RECENT_CULPRIT_AGE >= now).count()
     }
 
-    /// Crashes a second of one worker, those under a task left out, while so many workers
-    /// were watched for so long.
+    /// Crashes per second and worker, without those during runs of the task, when `workers` were
+    /// observed for the time `watched`.
     pub fn rate_without(&self, task: &TaskId, now: Duration, workers: usize, watched: Duration) -> f64 {
         let others =
             self.crashes.iter().filter(|c| c.at + RATE_WINDOW >= now && !c.running_tasks.contains(task));
@@ -75,15 +72,14 @@
     }
 }
 
-/// How much better some crashes under a task are explained if it crashes its workers than by
-/// chance: the logarithm of the ratio of likelihoods, where runs of the task crash at a
-/// rate of their own, and where they do at the rate of all workers. The runs lasted for
-/// `lasted` in all. Zero where chance explains them as well.
-pub fn task_fault_score(crashes: usize, lasted: Duration, rate: f64) -> f64 {
+/// Logarithm of the likelihood ratio that the task causes its crashes: runs crash at a rate of
+/// their own, against the background `rate` in crashes per second. `run_time` is the total run time
+/// of the crashed runs. Zero if the background rate explains the crashes as well.
+pub fn task_fault_score(crashes: usize, run_time: Duration, rate: f64) -> f64 {
     let count = crashes as f64;
-    let by_chance = lasted.max(MIN_RUN_TIME * crashes as u32).as_secs_f64() * rate;
-    if crashes == 0 || by_chance >= count {
+    let expected = run_time.max(MIN_RUN_TIME * crashes as u32).as_secs_f64() * rate;
+    if crashes == 0 || expected >= count {
         return 0.0;
     }
-    count * (count / by_chance).ln() - count + by_chance
+    count * (count / expected).ln() - count + expected
 }
