--- a/crates/workswood-core/src/jobs/crash_trials.rs
+++ b/crates/workswood-core/src/jobs/crash_trials.rs
@@ -1,8 +1,9 @@
 //! Trials of tasks that are suspected of crashing their workers.
 //!
-//! A suspected task is started on a worker in *quarantine*: nothing else begins there until the
-//! trial has lasted longer than the task's earlier runs. So when that worker crashes, it is known
-//! what it crashed under. Workers in quarantine are few, so that the rest of a service goes on.
+//! A suspected task is started on a worker in *quarantine*: nothing else starts there until the
+//! trial has lasted longer than the task's earlier runs. A crash of that worker can then be
+//! attributed to the task. Few workers are in quarantine at a time, so that the rest of the service
+//! goes on.
 
 use std::time::Duration;
 
@@ -13,73 +14,73 @@
 use super::worker::Worker;
 use crate::ids::ServiceId;
 
-/// A trial lasts this many times as long as the run that was lost last.
+/// Length of a trial, as a multiple of the longest lost run.
 const TRIAL_LENGTH_FACTOR: u32 = 2;
-/// Longest trial of a task that was lost fewer times than make it suspect by themselves.
+/// Longest trial of a task that has fewer crashes than [`CrashPolicy::suspect_after_crashes`].
 const MAX_TRIAL_LENGTH: Duration = Duration::from_secs(3);
-/// Length of a trial where it isn't known how long earlier runs lasted: they were lost
-/// under an earlier lease holder.
+/// Length of a trial if the run times are unknown because runs were lost under an earlier lease
+/// holder.
 const DEFAULT_TRIAL_LENGTH: Duration = Duration::from_secs(1);
-/// Time that a worker is kept from new work, beyond that after which its youngest run is no
-/// longer suspected, so that a trial finds it: a few passes of the scheduler.
+/// How long a worker is reserved for a trial after its youngest run is no longer suspect. Leaves
+/// time for a few placement passes.
 const TRIAL_RESERVATION_MARGIN: Duration = Duration::from_millis(500);
 
-/// A worker that takes no work but a trial.
+/// State of a worker that takes no work except a trial.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Quarantine {
-    /// The trial; before one has begun, the worker waits for one.
+    /// The run on trial; `None` while the worker is reserved for one.
     pub trial: Option<(TaskId, u32)>,
-    /// When it ends.
+    /// When the quarantine ends.
     pub until: Duration,
 }
 
-/// What came of placing a trial.
+/// Outcome of an attempt to place a trial.
 enum TrialPlacement {
     Started,
-    /// No worker may run it now.
+    /// No worker can run it now.
     NoWorker,
-    /// Its workspace has as much at work as it may.
+    /// Its workspace has reached its limit.
     OverLimit,
-    /// It doesn't wait any more.
+    /// The task does not wait for a trial any more.
     NotWaiting,
 }
 
 impl Scheduler {
-    /// Whether a task is started as a trial only.
+    /// Whether a task may only be started as a trial.
     fn needs_trial(&self, id: &TaskId) -> bool {
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
         task.is_some_and(|t| t.needs_trial(&self.policy.crashes, self.now))
     }
 
-    /// A task waits; a suspected one waits for a trial.
+    /// Queues a waiting task for a trial if it is suspected.
     pub(super) fn queue_trial(&mut self, id: &TaskId, service: &ServiceId) {
         let Some(task) = self.jobs.get(&id.job).and_then(|j| j.task(id)) else { return };
         let Some(s) = task.suspicion else { return };
         self.trials.entry(service.clone()).or_default().insert((s.suspected_at, *id));
     }
 
-    /// Whether a waiting task waits for a trial.
+    /// Whether a waiting task is reserved for a trial.
     pub(super) fn waits_for_trial(&self, id: &TaskId, service: &str) -> bool {
         self.trials.get(service).is_some_and(|t| !t.is_empty()) && self.needs_trial(id)
     }
 
-    /// Starts suspected tasks of a service that wait, each on a worker of its own.
+    /// Starts the waiting suspected tasks of a service, each on a worker of its own.
     pub(super) fn place_trials(&mut self, service: &ServiceId) {
         let Some(waiting) = self.trials.get(service).filter(|t| !t.is_empty()) else { return };
         let waiting: Vec<(Duration, TaskId)> = waiting.iter().copied().collect();
-        let (on_trial, mut kept) = self.quarantine_counts(service);
-        let mut room = self.max_quarantined_workers(service).saturating_sub(on_trial);
+        let (on_trial, mut reserved) = self.quarantine_counts(service);
+        let mut quarantine_room = self.max_quarantined_workers(service).saturating_sub(on_trial);
         let mut unplaced = 0;
         for (since, id) in waiting {
-            if unplaced >= room {
+            if unplaced >= quarantine_room {
                 return;
             }
             match self.place_trial(service, &id) {
-                TrialPlacement::Started => room -= 1,
+                TrialPlacement::Started => quarantine_room -= 1,
                 TrialPlacement::NoWorker => {
                     unplaced += 1;
-                    if kept < unplaced && self.reserve_for_trial(service, &id) {
-                        kept += 1;
+                    if reserved < unplaced && self.reserve_for_trial(service, &id) {
+                        reserved += 1;
                     }
                     continue;
                 }
@@ -92,21 +93,23 @@
         }
     }
 
-    /// How many workers of a service may be in quarantine: any while it has little to do.
+    /// Most workers of a service that may be in quarantine: all of them while the service has
+    /// little load.
     fn max_quarantined_workers(&self, service: &str) -> usize {
-        let takers = || self.workers.available(service, 0).map(|(_, w)| w);
-        let room: u64 = takers().filter_map(|w| w.info.as_ref()).map(|i| i.capacity.cpu_millis).sum();
-        let light = self.workers.room_in_use(service).cpu_millis * 2 < room;
-        let share = if light { 1.0 } else { self.policy.crashes.max_quarantined_share };
-        (takers().count() as f64 * share).ceil() as usize
+        let available = || self.workers.available(service, 0).map(|(_, w)| w);
+        let room: u64 = available().filter_map(|w| w.info.as_ref()).map(|i| i.capacity.cpu_millis).sum();
+        let lightly_loaded = self.workers.room_in_use(service).cpu_millis * 2 < room;
+        let share = if lightly_loaded { 1.0 } else { self.policy.crashes.max_quarantined_share };
+        (available().count() as f64 * share).ceil() as usize
     }
 
-    /// How many workers of a service have a trial in quarantine, and how many wait for one.
+    /// Number of quarantined workers of a service with a trial, and of those that are reserved for
+    /// one.
     fn quarantine_counts(&self, service: &str) -> (usize, usize) {
         let all = self.workers.available(service, 0).filter_map(|(_, w)| w.quarantine);
-        let (on_trial, kept): (Vec<Quarantine>, Vec<Quarantine>) =
+        let (on_trial, reserved): (Vec<Quarantine>, Vec<Quarantine>) =
             all.filter(|q| q.until > self.now).partition(|q| q.trial.is_some());
-        (on_trial.len(), kept.len())
+        (on_trial.len(), reserved.len())
     }
 
     fn place_trial(&mut self, service: &ServiceId, id: &TaskId) -> TrialPlacement {
@@ -124,25 +127,30 @@
         TrialPlacement::Started
     }
 
-    /// The worker with the least to lose where a trial can begin now.
+    /// The worker with the fewest runs on which a trial can start now.
     fn worker_for_trial(&self, service: &str, id: &TaskId, step: &StepSpec) -> Option<WorkerId> {
         let room = step.reserved();
         let young = self.policy.crashes.suspect_age;
-        let quiet = |w: &Worker| w.last_start_at.is_none_or(|at| at + young <= self.now);
-        let free = |w: &Worker| !w.in_quarantine(self.now) || w.quarantine.is_some_and(|q| q.trial.is_none());
-        let fits =
-            |w: &Worker| quiet(w) && free(w) && w.free_room().holds(&room) && self.trial_allowed(w, step, id);
+        let no_young_run = |w: &Worker| w.last_start_at.is_none_or(|at| at + young <= self.now);
+        let not_quarantined =
+            |w: &Worker| !w.in_quarantine(self.now) || w.quarantine.is_some_and(|q| q.trial.is_none());
+        let fits = |w: &Worker| {
+            no_young_run(w)
+                && not_quarantined(w)
+                && w.free_room().holds(&room)
+                && self.trial_allowed(w, step, id)
+        };
         let open = self.workers.available(service, room.cpu_millis).filter(|(_, w)| fits(w));
         open.min_by_key(|(_, w)| (self.placement_cost(w, step, id).0, w.runs.len())).map(|(id, _)| id.clone())
     }
 
-    /// Keeps new work from a worker until a trial can begin there; returns whether one
-    /// could be found.
+    /// Reserves a worker, so that a trial can start there soon; returns whether one was found.
     fn reserve_for_trial(&mut self, service: &str, id: &TaskId) -> bool {
         let Some(step) = self.jobs.get(&id.job).and_then(|j| j.step(id)) else { return false };
         let room = step.reserved();
-        let large = |w: &Worker| w.info.as_ref().is_some_and(|i| i.capacity.holds(&room));
-        let open = |w: &Worker| !w.in_quarantine(self.now) && large(w) && self.trial_allowed(w, step, id);
+        let large_enough = |w: &Worker| w.info.as_ref().is_some_and(|i| i.capacity.holds(&room));
+        let open =
+            |w: &Worker| !w.in_quarantine(self.now) && large_enough(w) && self.trial_allowed(w, step, id);
         let open = self.workers.available(service, 0).filter(|(_, w)| open(w));
         let Some(worker) = open.min_by_key(|(_, w)| w.runs.len()).map(|(id, _)| id.clone()) else {
             return false;
@@ -154,7 +162,7 @@
         true
     }
 
-    /// Whether a task may be tried on a worker, but for its room.
+    /// Whether a task may be tried on a worker, free resources aside.
     fn trial_allowed(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> bool {
         let ticket = !self.is_advised(&id.step_id()) || w.ticket(&id.step_id(), self.now).is_some();
         ticket && !w.in_backoff(self.now) && self.meets_constraints(w, step, id)
@@ -162,21 +170,21 @@
 }
 
 impl Task {
-    /// Whether it is started as a trial only. One that was lost once does not wait for that
-    /// for long: it is more often lost by chance.
+    /// Whether the task may only be started as a trial. A task with a single crash waits for a
+    /// limited time only, since such a crash is usually not its fault.
     fn needs_trial(&self, policy: &CrashPolicy, now: Duration) -> bool {
         let Some(s) = self.suspicion else { return false };
         self.crashes.count() > 1 || now < s.suspected_at + policy.max_first_trial_wait
     }
 
-    /// A trial of it has ended, and its worker is still there.
+    /// Handles the end of a trial that its worker survived.
     pub(super) fn passed_trial(&mut self, policy: &CrashPolicy) {
         if self.crashes.count() < policy.suspect_after_crashes {
             self.suspicion = None;
         }
     }
 
-    /// How long a trial of it lasts; `None` if it needs none.
+    /// How long a trial of the task lasts; `None` if it needs none.
     pub(super) fn trial_length(
         &self,
         step: &StepSpec,
@@ -185,10 +193,10 @@
     ) -> Option<Duration> {
         let s = self.suspicion.filter(|_| self.needs_trial(policy, now))?;
         if self.crashes.count() >= policy.suspect_after_crashes {
-            // Until it ends: no length of a run is known to be harmless.
+            // Lasts until the run ends, since no run time is known to be harmless.
             return Some(if step.lasting { PROVEN_SAFE_AFTER } else { Duration::MAX });
         }
-        let lasted = s.run_time.map_or(DEFAULT_TRIAL_LENGTH, |d| d * TRIAL_LENGTH_FACTOR);
-        Some(lasted.clamp(policy.suspect_age * TRIAL_LENGTH_FACTOR, MAX_TRIAL_LENGTH))
+        let length = s.run_time.map_or(DEFAULT_TRIAL_LENGTH, |d| d * TRIAL_LENGTH_FACTOR);
+        Some(length.clamp(policy.suspect_age * TRIAL_LENGTH_FACTOR, MAX_TRIAL_LENGTH))
     }
 }
