--- a/crates/workswood-core/src/jobs/crash_attribution.rs
+++ b/crates/workswood-core/src/jobs/crash_attribution.rs
@@ -269,20 +269,20 @@
         }
         let current = w.runs.keys().filter_map(|(task, n)| self.lost_run(id, task, *n));
         let mut lost: Vec<LostRun> = w.lapsed_runs.iter().cloned().chain(current).collect();
-        lost.sort_by_key(|l| (l.task, l.attempt));
+        lost.sort_by_key(|run| (run.task, run.attempt));
         // Only runs with the most suspicious role explain the crash.
-        let role = lost.iter().map(|l| l.role).min();
+        let role = lost.iter().map(|run| run.role).min();
         let chance_probability =
             if role.is_some_and(|p| p != RunRole::Old) { self.share_of_workers_with_suspects() } else { 1.0 };
-        self.crash_rate.record_crash(self.now, lost.iter().map(|l| l.task).collect(), chance_probability);
+        self.crash_rate.record_crash(self.now, lost.iter().map(|run| run.task).collect(), chance_probability);
         let Some(role) = role else { return };
-        let same_role = lost.iter().filter(|l| l.role == role).count();
+        let same_role = lost.iter().filter(|run| run.role == role).count();
         self.notes.push(format_args!(
             "event=worker_crashed worker={id} runs={} part={role:?} alike={same_role}",
             lost.len()
         ));
-        for l in lost {
-            self.attribute_lost_run(id, &l, role, same_role);
+        for run in lost {
+            self.attribute_lost_run(id, &run, role, same_role);
         }
     }
 
@@ -344,37 +344,37 @@
 
     /// Records the loss of a run in a crash that runs of the given role explain. `same_role` is the
     /// number of lost runs with that role.
-    fn attribute_lost_run(&mut self, id: &WorkerId, l: &LostRun, role: RunRole, same_role: usize) {
-        let rate = self.background_crash_rate(&l.task);
-        let Some(job) = self.jobs.get_mut(&l.task.job).filter(|j| j.open()) else { return };
-        let Some(task) = job.task_mut(&l.task).filter(|t| !t.done) else { return };
+    fn attribute_lost_run(&mut self, id: &WorkerId, run: &LostRun, role: RunRole, same_role: usize) {
+        let rate = self.background_crash_rate(&run.task);
+        let Some(job) = self.jobs.get_mut(&run.task.job).filter(|j| j.open()) else { return };
+        let Some(task) = job.task_mut(&run.task).filter(|t| !t.done) else { return };
         let policy = &self.policy.crashes;
         let threshold = policy.give_up_threshold_after(self.crash_rate.recent_culprits(self.now));
-        let explains = l.role == role && l.role != RunRole::Old;
-        let evidence = match l.run_time {
+        let explains = run.role == role && run.role != RunRole::Old;
+        let evidence = match run.run_time {
             Some(_) if explains => Evidence::LikelyCause,
             Some(_) => Evidence::Bystander,
             None => Evidence::Unconfirmed,
         };
-        if task.crashes.record(l.attempt, CrashRecord { evidence, max_run_time: l.max_run_time }) {
-            self.dirty.insert(l.task.job);
+        if task.crashes.record(run.attempt, CrashRecord { evidence, max_run_time: run.max_run_time }) {
+            self.dirty.insert(run.task.job);
         }
         let count = task.crashes.count();
         let suspicion = task.crashes.score(rate);
         let proved =
-            l.role == RunRole::OnTrial && l.run_time.is_some() && task.crashes.is_proof(threshold, rate);
-        if l.role == role && same_role == 1 && (proved || task.crashes.exhausts_retries(policy, rate)) {
-            self.give_up_task(id, &l.task, count, suspicion);
+            run.role == RunRole::OnTrial && run.run_time.is_some() && task.crashes.is_proof(threshold, rate);
+        if run.role == role && same_role == 1 && (proved || task.crashes.exhausts_retries(policy, rate)) {
+            self.give_up_task(id, &run.task, count, suspicion);
             return;
         }
         if explains && suspicion >= policy.suspicion_threshold
             || task.crashes.are_suspiciously_many(policy, rate)
         {
-            suspect(task, l.run_time, self.now);
+            suspect(task, run.run_time, self.now);
             self.notes.push(format_args!(
                 "event=task_suspected worker={id} task={} attempt={} part={:?} crashes={count} \
                  suspicion={suspicion:.1} crashes_per_s={rate:.4}",
-                l.task, l.attempt, l.role
+                run.task, run.attempt, run.role
             ));
         }
     }
@@ -404,19 +404,19 @@
     /// Keeps a run that is settled because its worker's lease ended. Whether the worker has crashed
     /// or is only cut off is not known yet; young runs are suspected meanwhile.
     pub(super) fn record_lapsed_run(&mut self, id: &WorkerId, task_id: &TaskId, attempt: u32) {
-        let Some(l) = self.lost_run(id, task_id, attempt) else { return };
+        let Some(run) = self.lost_run(id, task_id, attempt) else { return };
         let rate = self.background_crash_rate(task_id);
         let threshold = self.policy.crashes.suspicion_threshold;
-        if l.role < RunRole::Unheard
+        if run.role < RunRole::Unheard
             && let Some(task) = self.jobs.get_mut(&task_id.job).and_then(|j| j.task_mut(task_id))
         {
-            let timed: Vec<Duration> = task.crashes.known_run_times().chain(l.max_run_time).collect();
+            let timed: Vec<Duration> = task.crashes.known_run_times().chain(run.max_run_time).collect();
             if task_fault_score(timed.len(), timed.iter().sum(), rate) >= threshold {
-                suspect(task, l.run_time, self.now);
+                suspect(task, run.run_time, self.now);
             }
         }
         if let Some(mut w) = self.workers.get_mut(id) {
-            w.lapsed_runs.push(l);
+            w.lapsed_runs.push(run);
         }
     }
 
