--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -350,7 +350,7 @@
     /// Handles news of a worker from its relay. News from an earlier relay is dropped, since the
     /// present one reports it again; accepting it would let orders be sent before the present relay
     /// has polled the worker.
-    pub(super) fn worker_news(&mut self, id: &WorkerId, token: Term, news: News) {
+    pub(super) fn handle_worker_news(&mut self, id: &WorkerId, token: Term, news: News) {
         let present = self.workers.get(id).filter(|w| w.relay.is_some());
         if present.is_none_or(|w| self.worker_token(w.relay_count) != token) {
             return;
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -277,7 +277,7 @@
             Event::WorkerUnlisted(id) => self.worker_unlisted(&id),
             Event::LifeOver(id, heard) => self.other_life_answered(&id, heard),
             Event::Restarted(id, started, heard) => self.worker_restarted(&id, started, heard),
-            Event::Relayed(id, token, news) => self.worker_news(&id, token, news),
+            Event::Relayed(id, token, news) => self.handle_worker_news(&id, token, news),
             Event::Advised(a) => self.advised(a),
             Event::Hosts(list, asked) => self.hosts_listed(list, asked),
             Event::Wave(wave, rec) => self.wave_asked(wave, rec),
