--- a/crates/workswood-core/src/jobs/advice_need.rs
+++ b/crates/workswood-core/src/jobs/advice_need.rs
@@ -6,11 +6,11 @@
 use super::advice_batch::Candidate;
 use super::config::AdviceConfig;
 use super::job::{Job, Phase, Task, WorkerId};
-use super::place::same_step;
+use super::placement::count_same_step;
 use super::queue_order::QueuePosition;
 use super::sched::Scheduler;
 use super::spec::{Resources, StepId, StepSpec, TaskId};
-use super::worker::{Verdict, Worker};
+use super::worker::{AdviceVerdict, Worker};
 use crate::ids::ServiceId;
 
 /// Share of the room in use that is taken to be free again while tickets hold.
@@ -49,7 +49,7 @@
     pub(super) fn advised_pools(&self) -> Pools {
         let jobs = self.advice.jobs.iter().filter_map(|key| self.jobs.get(key));
         let services: BTreeSet<&ServiceId> = jobs.map(|j| &j.spec.service).collect();
-        services.into_iter().map(|s| (s.clone(), self.takers(s))).collect()
+        services.into_iter().map(|s| (s.clone(), self.available_workers(s))).collect()
     }
 
     /// Steps whose tasks wait, most urgent first, as far as there will be room.
@@ -86,7 +86,7 @@
 
     /// Room of workers that is free or will be soon, in thousandths of a core.
     fn room_soon(&self, workers: &[WorkerId]) -> f64 {
-        let of = |w: &Worker| w.free().cpu_millis as f64 + w.used.cpu_millis as f64 * FREE_AGAIN;
+        let of = |w: &Worker| w.free_room().cpu_millis as f64 + w.used_room.cpu_millis as f64 * FREE_AGAIN;
         workers.iter().filter_map(|id| self.workers.get(id)).map(of).sum()
     }
 
@@ -168,20 +168,20 @@
             let (free, whole) = self.places_on(&wish, id, w);
             // A full worker has a place when one of its tasks has ended.
             let fits = if free == 0 { whole.min(1) } else { free };
-            if fits == 0 || !self.allowed(w, spec, first) {
+            if fits == 0 || !self.meets_constraints(w, spec, first) {
                 continue;
             }
             let good = match w.advice.get(&wanted.step) {
-                Some(Verdict::Good(_, until)) if *until > holds_until => {
+                Some(AdviceVerdict::Eligible(_, until)) if *until > holds_until => {
                     covered += fits;
                     continue;
                 }
-                Some(Verdict::Bad) => continue,
-                Some(Verdict::TurnedDown(until)) if *until > self.now => continue,
-                Some(Verdict::Good(..)) => true,
-                Some(Verdict::TurnedDown(_)) | None => false,
+                Some(AdviceVerdict::Ineligible) => continue,
+                Some(AdviceVerdict::TicketRejected(until)) if *until > self.now => continue,
+                Some(AdviceVerdict::Eligible(..)) => true,
+                Some(AdviceVerdict::TicketRejected(_)) | None => false,
             };
-            let (far, crowd, faults, left) = self.cost(w, spec, first);
+            let (far, crowd, faults, left) = self.placement_cost(w, spec, first);
             let rank = (free == 0, far, !good, crowd, faults, left);
             candidates.push((rank, Candidate { worker: id.clone(), fits, good }));
         }
@@ -197,10 +197,10 @@
             |t: &&TaskId| wish.others > 1 && task(t).is_some_and(|t| t.avoid_worker.as_ref() == Some(id));
         let mut most = wish.wanted.tasks.iter().filter(|t| !avoids(t)).count() as u32;
         if wish.spec.max_per_worker > 0 {
-            let here = wish.wanted.tasks.first().map_or(0, |t| same_step(w, t)) as u32;
+            let here = wish.wanted.tasks.first().map_or(0, |t| count_same_step(w, t)) as u32;
             most = most.min(wish.spec.max_per_worker.saturating_sub(here));
         }
-        let mut free = w.free();
+        let mut free = w.free_room();
         if wish.wanted.opens > self.now {
             // What the job runs here has ended when the step opens.
             let own = w.runs.iter().filter(|((t, _), _)| t.job == wish.job.key);
--- /dev/null
+++ b/crates/workswood-core/src/jobs/crash_attribution.rs
@@ -0,0 +1,462 @@
+//! Attributes worker crashes to the tasks that cause them.
+//!
+//! A crashed worker does not report what ran on it. Most of those runs did not cause the crash and
+//! are started again. A task that did cause it would crash the next worker as well, and so on
+//! without end.
+//!
+//! * Each run that is lost with a crashed worker is recorded, with the longest time that it may
+//!   have run.
+//! * A task is scored by how much better it explains its crashes than the rate at which workers
+//!   crash without it ([`crash_rate`](super::crash_rate)). So where workers crash for other
+//!   reasons, sound tasks are neither delayed nor failed.
+//! * Runs that had just started when the worker last answered are suspected; if there are none,
+//!   those that may never have started. Other runs are suspected after several losses.
+//! * A suspected task is started as a *trial* ([`crash_trials`](super::crash_trials)), with nothing
+//!   else started beside it. If the worker crashes during the trial, and chance does not explain
+//!   the crashes, the task is given up. Its job fails, except that a long-running job goes on
+//!   without the task.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use serde::{Deserialize, Serialize};
+
+use super::crash_rate::task_fault_score;
+use super::job::{Job, Outcome, Phase, Run, Task, WorkerId};
+use super::sched::Scheduler;
+use super::spec::TaskId;
+use super::worker::Worker;
+
+/// Thresholds for the attribution of crashes to tasks.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(default, deny_unknown_fields)]
+pub struct CrashPolicy {
+    /// A run that was younger than this when its worker last answered is suspected of having
+    /// crashed it. Covers the delay until a busy entry sees the answer to the start.
+    #[serde(rename = "young", with = "humantime_serde")]
+    pub suspect_age: Duration,
+    /// A task that was lost in this many crashes is suspected, however long its runs had lasted.
+    #[serde(rename = "suspect_after")]
+    pub suspect_after_crashes: usize,
+    /// Score from which a task may only be started as a trial. Scores are logarithms of likelihood
+    /// ratios; see [`task_fault_score`].
+    #[serde(rename = "suspicious")]
+    pub suspicion_threshold: f64,
+    /// Score from which a task is given up, provided that its trial alone explains the last crash.
+    #[serde(rename = "sure")]
+    pub give_up_threshold: f64,
+    /// Longest time that a task with a single crash waits for a trial; after that it starts without
+    /// one.
+    #[serde(rename = "first_wait", with = "humantime_serde")]
+    pub max_first_trial_wait: Duration,
+    /// Largest share of a service's workers that may be in quarantine.
+    #[serde(rename = "most_quarantined")]
+    pub max_quarantined_share: f64,
+}
+
+impl Default for CrashPolicy {
+    fn default() -> CrashPolicy {
+        CrashPolicy {
+            suspect_age: Duration::from_millis(150),
+            suspect_after_crashes: 3,
+            suspicion_threshold: 4.5,
+            give_up_threshold: 11.0,
+            max_first_trial_wait: Duration::from_secs(4),
+            max_quarantined_share: 0.25,
+        }
+    }
+}
+
+impl CrashPolicy {
+    /// Score needed to give a task up after this many tasks were given up recently: tasks that
+    /// crash their workers tend to come in groups.
+    fn give_up_threshold_after(&self, given_up: usize) -> f64 {
+        self.give_up_threshold - THRESHOLD_DROP_PER_CULPRIT * given_up.min(MAX_CULPRITS_COUNTED) as f64
+    }
+}
+
+/// Reduction of [`CrashPolicy::give_up_threshold`] for each task that was given up recently.
+const THRESHOLD_DROP_PER_CULPRIT: f64 = 1.5;
+/// Most recently given up tasks that reduce the threshold.
+const MAX_CULPRITS_COUNTED: usize = 2;
+/// A start without an answer counts as a young run if the crash was noticed within this time after
+/// it. Covers the delay until a busy entry notices the refused connection.
+const PROMPT_SILENCE: Duration = Duration::from_millis(300);
+/// A worker that still answers this long after it was removed from the worker list has left without
+/// notice, and has not crashed. An answer sent before a crash may arrive within this time.
+const ANSWERS_AFTER_UNLISTED: Duration = Duration::from_secs(1);
+/// A task is suspected after this many crashes if the run times are unknown.
+const SUSPECT_AFTER_UNTIMED_CRASHES: usize = 2;
+/// After this many crashes a lower score suffices to give a task up, whether its runs were
+/// confirmed or not.
+const EXHAUSTED_AFTER_CRASHES: usize = 5;
+/// Share of [`CrashPolicy::give_up_threshold`] that suffices then.
+const EXHAUSTED_THRESHOLD_SHARE: f64 = 0.7;
+/// Added to the score for each crash with an unknown run time.
+const SCORE_PER_UNTIMED_CRASH: f64 = 1.0;
+/// Share of [`CrashPolicy::give_up_threshold`] from which a task with several crashes is suspected.
+const MANY_CRASHES_THRESHOLD_SHARE: f64 = 0.15;
+/// A long-running task that has been warm for this long is taken not to crash its worker.
+pub(super) const PROVEN_SAFE_AFTER: Duration = Duration::from_secs(10);
+
+/// What is known of a run during which its worker crashed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Evidence {
+    /// The run is the likely cause of the crash.
+    #[serde(rename = "Explains")]
+    LikelyCause,
+    /// The run was there, but is not the likely cause.
+    #[serde(rename = "Beside")]
+    Bystander,
+    /// The run may never have started: its start was not answered, or was sent by an earlier lease
+    /// holder.
+    #[serde(rename = "Supposed")]
+    Unconfirmed,
+}
+
+/// A crash of a worker during a run of a task.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct CrashRecord {
+    /// What the run has to do with the crash.
+    pub evidence: Evidence,
+    /// Longest time that the run may have lasted; `None` if its start time is unknown.
+    #[serde(rename = "within")]
+    pub max_run_time: Option<Duration>,
+}
+
+/// Crashes of workers during runs of one task, by attempt number.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct CrashHistory(pub BTreeMap<u32, CrashRecord>);
+
+impl CrashHistory {
+    /// Whether there are no crashes.
+    pub fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    /// Number of crashes, including those during unconfirmed runs.
+    pub fn count(&self) -> usize {
+        self.0.len()
+    }
+
+    /// Longest possible run times, of the runs whose start time is known.
+    fn known_run_times(&self) -> impl Iterator<Item = Duration> {
+        self.0.values().filter_map(|c| c.max_run_time)
+    }
+
+    /// Number of crashes during runs that are known to have started.
+    fn confirmed_count(&self) -> usize {
+        self.0.values().filter(|c| c.evidence != Evidence::Unconfirmed).count()
+    }
+
+    /// How much better the task explains the crashes than chance does. Includes unconfirmed runs.
+    fn score(&self, rate: f64) -> f64 {
+        task_fault_score(self.known_run_times().count(), self.known_run_times().sum(), rate)
+    }
+
+    /// Whether the crashes prove that the task crashes its workers, given that the last one
+    /// happened during its trial.
+    fn is_proof(&self, threshold: f64, rate: f64) -> bool {
+        self.confirmed_count() >= 2 && self.score(rate) >= threshold
+    }
+
+    /// Whether there are too many crashes to go on, on weaker evidence. If no start time is known,
+    /// because the lease holder changed after each crash, only their number counts.
+    fn exhausts_retries(&self, policy: &CrashPolicy, rate: f64) -> bool {
+        let (count, timed) = (self.count(), self.known_run_times().count());
+        if count < EXHAUSTED_AFTER_CRASHES || timed == 0 {
+            return count >= EXHAUSTED_AFTER_CRASHES;
+        }
+        let untimed = (count - timed) as f64 * SCORE_PER_UNTIMED_CRASH;
+        self.score(rate) + untimed >= policy.give_up_threshold * EXHAUSTED_THRESHOLD_SHARE
+    }
+
+    /// Whether the number of crashes alone makes the task suspect.
+    fn are_suspiciously_many(&self, policy: &CrashPolicy, rate: f64) -> bool {
+        let (count, timed) = (self.count(), self.known_run_times().count());
+        let doubtful =
+            timed < 2 || self.score(rate) >= policy.give_up_threshold * MANY_CRASHES_THRESHOLD_SHARE;
+        doubtful
+            && (count >= policy.suspect_after_crashes || count >= SUSPECT_AFTER_UNTIMED_CRASHES && timed < 2)
+    }
+
+    /// Records a crash during an attempt; returns whether it is new.
+    fn record(&mut self, attempt: u32, crash: CrashRecord) -> bool {
+        let new = !self.0.contains_key(&attempt);
+        self.0.entry(attempt).or_insert(crash);
+        new
+    }
+}
+
+/// Why a task may only be started as a trial.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Suspicion {
+    /// When the task was last suspected.
+    pub suspected_at: Duration,
+    /// Longest known run time of the task when its worker crashed.
+    pub run_time: Option<Duration>,
+}
+
+/// How an incarnation of a worker was found to be over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum IncarnationEnd {
+    /// Another incarnation answers at its address.
+    OtherIncarnation,
+    /// The list of hosts shows its host without this worker.
+    HostWithoutWorker,
+    /// Its host was ordered down for maintenance.
+    Maintenance,
+    /// Its host was ordered to another pool.
+    HostMoved,
+    /// It is unreachable and no longer listed.
+    UnreachableAndUnlisted,
+}
+
+impl IncarnationEnd {
+    /// Reason in log lines.
+    pub(super) fn label(self) -> &'static str {
+        match self {
+            IncarnationEnd::OtherIncarnation => "other_life",
+            IncarnationEnd::HostWithoutWorker => "machine_listed_without_it",
+            IncarnationEnd::Maintenance => "upkeep",
+            IncarnationEnd::HostMoved => "moved",
+            IncarnationEnd::UnreachableAndUnlisted => "gone",
+        }
+    }
+
+    /// Whether no order of the scheduler caused the end.
+    fn is_sudden(self) -> bool {
+        matches!(
+            self,
+            IncarnationEnd::OtherIncarnation
+                | IncarnationEnd::HostWithoutWorker
+                | IncarnationEnd::UnreachableAndUnlisted
+        )
+    }
+}
+
+/// How likely a lost run is to have caused the crash, most likely first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum RunRole {
+    /// The run was on trial.
+    OnTrial,
+    /// The run had just started.
+    Young,
+    /// The start was not answered, so the run may have started.
+    Unheard,
+    /// The run had been there for a while.
+    Old,
+}
+
+/// A run that was lost with its worker.
+#[derive(Clone, Debug)]
+pub struct LostRun {
+    task: TaskId,
+    attempt: u32,
+    /// How long the run was known to be there; `None` if it may never have started.
+    run_time: Option<Duration>,
+    /// Longest time that the run may have lasted; `None` if its start time is unknown.
+    max_run_time: Option<Duration>,
+    role: RunRole,
+}
+
+impl Scheduler {
+    /// Attributes the end of a worker to one of its runs, if it was a crash.
+    pub(super) fn attribute_crash(&mut self, id: &WorkerId, end: IncarnationEnd) {
+        let Some(w) = self.workers.get(id) else { return };
+        if !end.is_sudden() || !self.is_crash(w) {
+            return;
+        }
+        let current = w.runs.keys().filter_map(|(task, n)| self.lost_run(id, task, *n));
+        let mut lost: Vec<LostRun> = w.lapsed_runs.iter().cloned().chain(current).collect();
+        lost.sort_by_key(|run| (run.task, run.attempt));
+        // Only runs with the most suspicious role explain the crash.
+        let role = lost.iter().map(|run| run.role).min();
+        let chance_probability =
+            if role.is_some_and(|p| p != RunRole::Old) { self.share_of_workers_with_suspects() } else { 1.0 };
+        self.crash_rate.record_crash(self.now, lost.iter().map(|run| run.task).collect(), chance_probability);
+        let Some(role) = role else { return };
+        let same_role = lost.iter().filter(|run| run.role == role).count();
+        self.notes.push(format_args!(
+            "event=worker_crashed worker={id} runs={} part={role:?} alike={same_role}",
+            lost.len()
+        ));
+        for run in lost {
+            self.attribute_lost_run(id, &run, role, same_role);
+        }
+    }
+
+    /// Whether a worker that is gone has crashed: it was not draining, and no order of the
+    /// scheduler ended it. A worker that leaves without notice is removed from the list but goes on
+    /// answering.
+    fn is_crash(&self, w: &Worker) -> bool {
+        if w.unlisted_at.is_some_and(|at| at + ANSWERS_AFTER_UNLISTED < w.last_heard) {
+            return false;
+        }
+        // The worker is known from the records of runs only, which do not tell how it ended.
+        let Some(info) = &w.info else { return true };
+        !info.draining && !self.is_ordered_since(&info.host, w.known_since)
+    }
+
+    fn lost_run(&self, id: &WorkerId, task: &TaskId, attempt: u32) -> Option<LostRun> {
+        let w = self.workers.get(id)?;
+        let run = self.run(id, task, attempt)?;
+        let run_time = run.known_runtime(w.last_heard);
+        // The crash happened after the last answer and before the worker was found unreachable.
+        let found_silent_at = w.last_heard + w.silent_for;
+        let max_run_time = run.placed_at.map(|at| found_silent_at.saturating_sub(at));
+        Some(LostRun {
+            task: *task,
+            attempt,
+            run_time,
+            max_run_time,
+            role: self.run_role(run, run_time, max_run_time),
+        })
+    }
+
+    fn run_role(&self, run: &Run, run_time: Option<Duration>, max_run_time: Option<Duration>) -> RunRole {
+        let unheard = run_time.is_none() && run.phase != Phase::Inherited;
+        if !unheard && run.trial_quarantine.is_some_and(|trial| run_time.is_none_or(|ran| ran < trial)) {
+            return RunRole::OnTrial;
+        }
+        match run_time {
+            Some(ran) if ran < self.policy.crashes.suspect_age && run.placed_at.is_some() => RunRole::Young,
+            // The answer to the start was lost with the worker.
+            None if unheard && max_run_time.is_some_and(|w| w < PROMPT_SILENCE) => RunRole::Young,
+            None if unheard => RunRole::Unheard,
+            _ => RunRole::Old,
+        }
+    }
+
+    /// Share of all workers that now have a run that a crash would be attributed to.
+    fn share_of_workers_with_suspects(&self) -> f64 {
+        let young =
+            |w: &Worker| w.last_start_at.is_some_and(|at| at + self.policy.crashes.suspect_age > self.now);
+        let trial = |w: &Worker| w.quarantine.is_some_and(|q| q.trial.is_some() && q.until > self.now);
+        let all = self.workers.len().max(1);
+        self.workers.values().filter(|w| young(w) || trial(w)).count() as f64 / all as f64
+    }
+
+    /// Crashes per second and worker, without those during runs of the task.
+    fn background_crash_rate(&self, task: &TaskId) -> f64 {
+        self.crash_rate.rate_without(task, self.now, self.workers.len(), self.now.saturating_sub(self.since))
+    }
+
+    /// Records the loss of a run in a crash that runs of the given role explain. `same_role` is the
+    /// number of lost runs with that role.
+    fn attribute_lost_run(&mut self, id: &WorkerId, run: &LostRun, role: RunRole, same_role: usize) {
+        let rate = self.background_crash_rate(&run.task);
+        let Some(job) = self.jobs.get_mut(&run.task.job).filter(|j| j.open()) else { return };
+        let Some(task) = job.task_mut(&run.task).filter(|t| !t.done) else { return };
+        let policy = &self.policy.crashes;
+        let threshold = policy.give_up_threshold_after(self.crash_rate.recent_culprits(self.now));
+        let explains = run.role == role && run.role != RunRole::Old;
+        let evidence = match run.run_time {
+            Some(_) if explains => Evidence::LikelyCause,
+            Some(_) => Evidence::Bystander,
+            None => Evidence::Unconfirmed,
+        };
+        if task.crashes.record(run.attempt, CrashRecord { evidence, max_run_time: run.max_run_time }) {
+            self.dirty.insert(run.task.job);
+        }
+        let count = task.crashes.count();
+        let suspicion = task.crashes.score(rate);
+        let proved =
+            run.role == RunRole::OnTrial && run.run_time.is_some() && task.crashes.is_proof(threshold, rate);
+        if run.role == role && same_role == 1 && (proved || task.crashes.exhausts_retries(policy, rate)) {
+            self.give_up_task(id, &run.task, count, suspicion);
+            return;
+        }
+        if explains && suspicion >= policy.suspicion_threshold
+            || task.crashes.are_suspiciously_many(policy, rate)
+        {
+            suspect(task, run.run_time, self.now);
+            self.notes.push(format_args!(
+                "event=task_suspected worker={id} task={} attempt={} part={:?} crashes={count} \
+                 suspicion={suspicion:.1} crashes_per_s={rate:.4}",
+                run.task, run.attempt, run.role
+            ));
+        }
+    }
+
+    /// Gives a task up. A long-running job goes on without it: its other tasks serve users, and
+    /// stopping all of them at once would break its availability budget.
+    fn give_up_task(&mut self, id: &WorkerId, task: &TaskId, crashes: usize, suspicion: f64) {
+        self.notes.push(format_args!(
+            "event=task_given_up worker={id} task={task} crashes={crashes} suspicion={suspicion:.1}"
+        ));
+        self.tally.given_up += 1;
+        self.crash_rate.record_culprit(task, self.now);
+        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        if !job.step(task).is_some_and(|s| s.long_running) {
+            self.end_job(task.job, Outcome::Failed);
+            return;
+        }
+        if let Some(t) = job.task_mut(task) {
+            t.given_up = true;
+        }
+        self.dirty.insert(task.job);
+        if job.nothing_left() {
+            self.end_job(task.job, Outcome::Failed);
+        }
+    }
+
+    /// Keeps a run that is settled because its worker's lease ended. Whether the worker has crashed
+    /// or is only cut off is not known yet; young runs are suspected meanwhile.
+    pub(super) fn record_lapsed_run(&mut self, id: &WorkerId, task_id: &TaskId, attempt: u32) {
+        let Some(run) = self.lost_run(id, task_id, attempt) else { return };
+        let rate = self.background_crash_rate(task_id);
+        let threshold = self.policy.crashes.suspicion_threshold;
+        if run.role < RunRole::Unheard
+            && let Some(task) = self.jobs.get_mut(&task_id.job).and_then(|j| j.task_mut(task_id))
+        {
+            let timed: Vec<Duration> = task.crashes.known_run_times().chain(run.max_run_time).collect();
+            if task_fault_score(timed.len(), timed.iter().sum(), rate) >= threshold {
+                suspect(task, run.run_time, self.now);
+            }
+        }
+        if let Some(mut w) = self.workers.get_mut(id) {
+            w.lapsed_runs.push(run);
+        }
+    }
+
+    /// Suspects tasks that were lost in several crashes under earlier lease holders.
+    pub(super) fn suspect_inherited(&self, job: &mut Job) {
+        let rate = self.background_crash_rate(&TaskId { job: job.key, round: 0, step: 0, index: 0 });
+        for task in job.rounds.iter_mut().flatten().flatten() {
+            let many = task.crashes.count() >= SUSPECT_AFTER_UNTIMED_CRASHES;
+            let timed = task.crashes.known_run_times().count();
+            let chance_suffices =
+                timed >= 2 && task.crashes.score(rate) < self.policy.crashes.suspicion_threshold;
+            if many && !chance_suffices {
+                suspect(task, None, self.now);
+            }
+        }
+    }
+
+    /// Clears the crashes of long-running tasks that have been warm for long enough.
+    pub(super) fn clear_proven_tasks(&mut self) {
+        let long_running = self.workers.values().filter(|w| w.reachable).flat_map(|w| &w.long_running);
+        let proven: Vec<TaskId> = long_running.filter(|id| self.is_proven_safe(id)).copied().collect();
+        for id in proven {
+            if let Some(task) = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(&id)) {
+                task.crashes = CrashHistory::default();
+                task.suspicion = None;
+                self.dirty.insert(id.job);
+            }
+        }
+    }
+
+    fn is_proven_safe(&self, id: &TaskId) -> bool {
+        let Some(task) = self.jobs.get(&id.job).and_then(|j| j.task(id)) else { return false };
+        let proven =
+            |r: &Run| r.is_warmed_up() && r.confirmed_at.is_some_and(|at| at + PROVEN_SAFE_AFTER <= self.now);
+        !task.crashes.is_empty() && task.runs.iter().any(proven)
+    }
+}
+
+/// Marks a task as suspected; `run_time` is how long the lost run had lasted.
+fn suspect(task: &mut Task, run_time: Option<Duration>, now: Duration) {
+    let longest = task.suspicion.and_then(|s| s.run_time).max(run_time);
+    task.suspicion = Some(Suspicion { suspected_at: now, run_time: longest });
+}
--- /dev/null
+++ b/crates/workswood-core/src/jobs/job_table.rs
@@ -0,0 +1,166 @@
+//! The table of all known jobs, with indexes of those that the passing of time affects.
+//!
+//! A job that has ended and runs nowhere is *archived*: its tasks and its text are dropped. What
+//! stays for some minutes is its state, which callers may ask for, and its resource needs, which
+//! enter the estimate of demand. Most known jobs are archived.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::ops::Index;
+use std::time::Duration;
+
+use super::job::{Job, JobStatus, Outcome, OverRecord};
+use super::map::Map;
+use super::spec::{JobKey, TaskId};
+use super::workspace::Owner;
+use super::workspace_usage::Reservation;
+use crate::ids::ServiceId;
+
+/// All known jobs. Callers choose the keys, so the jobs are kept in a tree, in which no choice of
+/// keys can collide.
+#[derive(Debug, Default)]
+pub struct JobTable {
+    by_key: BTreeMap<JobKey, Job>,
+    /// Repeating jobs that have not been reported as ended.
+    repeating: BTreeSet<JobKey>,
+    /// Jobs with long-running tasks that have not been reported as ended, by service.
+    long_running: Map<ServiceId, BTreeSet<JobKey>>,
+    archived: BTreeMap<JobKey, ArchivedJob>,
+    /// When jobs were archived, in that order.
+    archive_order: VecDeque<(Duration, JobKey)>,
+}
+
+/// A job that has ended and runs nowhere.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ArchivedJob {
+    /// How the job ended.
+    pub outcome: Outcome,
+    /// What is on record of the job.
+    pub record: OverRecord,
+}
+
+impl Index<&JobKey> for JobTable {
+    type Output = Job;
+
+    fn index(&self, key: &JobKey) -> &Job {
+        &self.by_key[key]
+    }
+}
+
+impl JobTable {
+    /// Returns a job that is not archived.
+    pub fn get(&self, key: &JobKey) -> Option<&Job> {
+        self.by_key.get(key)
+    }
+
+    /// Returns a job that is not archived, for modification. Its end is reported by
+    /// [`JobTable::note_ended`].
+    pub fn get_mut(&mut self, key: &JobKey) -> Option<&mut Job> {
+        self.by_key.get_mut(key)
+    }
+
+    /// Whether a job is known, archived or not.
+    pub fn contains_key(&self, key: &JobKey) -> bool {
+        self.by_key.contains_key(key) || self.archived.contains_key(key)
+    }
+
+    /// Number of jobs that are not archived.
+    pub fn len(&self) -> usize {
+        self.by_key.len()
+    }
+
+    /// Whether all known jobs are archived.
+    pub fn is_empty(&self) -> bool {
+        self.by_key.is_empty()
+    }
+
+    /// Whether a job is archived.
+    pub fn is_archived(&self, key: &JobKey) -> bool {
+        self.archived.contains_key(key)
+    }
+
+    /// Archived jobs.
+    pub fn archived(&self) -> impl Iterator<Item = &ArchivedJob> {
+        self.archived.values()
+    }
+
+    /// The state of a job as shown to callers.
+    pub fn shown(&self, key: &JobKey) -> Option<JobStatus> {
+        let archived = || self.archived.get(key).map(|archived| JobStatus::Ended(archived.outcome));
+        self.by_key.get(key).map(Job::status).or_else(archived)
+    }
+
+    /// Resources of a task; for an archived job, an upper bound of them.
+    pub fn held_by(&self, task: &TaskId) -> Option<Reservation> {
+        let archived = |archived: &ArchivedJob| {
+            let (room, owner) = (archived.record.room, archived.record.owner);
+            Reservation { resources: room, charged: room, owner }
+        };
+        match self.by_key.get(&task.job) {
+            Some(job) => job.step(task).map(|step| job.spec.reservation(step)),
+            None => self.archived.get(&task.job).map(archived),
+        }
+    }
+
+    /// Owner of a job.
+    pub fn owner(&self, key: &JobKey) -> Option<Owner> {
+        let archived = || self.archived.get(key).map(|archived| archived.record.owner);
+        self.by_key.get(key).map(|j| j.spec.owner()).or_else(archived)
+    }
+
+    /// Jobs that are not archived.
+    pub fn values(&self) -> impl Iterator<Item = &Job> {
+        self.by_key.values()
+    }
+
+    /// Adds a job.
+    pub fn insert(&mut self, job: Job) {
+        let key = job.key;
+        if job.outcome.is_none() {
+            if job.spec.repeat.is_some() {
+                self.repeating.insert(key);
+            }
+            if job.spec.is_long_running() {
+                self.long_running.entry(job.spec.service.clone()).or_default().insert(key);
+            }
+        }
+        self.by_key.insert(key, job);
+    }
+
+    /// Removes a job that has ended from the indexes of open jobs.
+    pub fn note_ended(&mut self, key: JobKey) {
+        let Some(job) = self.by_key.get(&key) else { return };
+        self.repeating.remove(&key);
+        if let Some(jobs) = self.long_running.get_mut(&job.spec.service) {
+            jobs.remove(&key);
+        }
+    }
+
+    /// Archives a job, or adds one that is archived already.
+    pub fn archive(&mut self, key: JobKey, archived: ArchivedJob, archived_at: Duration) {
+        self.by_key.remove(&key);
+        if self.archived.insert(key, archived).is_none() {
+            self.archive_order.push_back((archived_at, key));
+        }
+    }
+
+    /// Keys of open repeating jobs.
+    pub fn repeating(&self) -> Vec<JobKey> {
+        self.repeating.iter().copied().collect()
+    }
+
+    /// Open jobs of a service with long-running tasks.
+    pub fn long_running(&self, service: &str) -> impl Iterator<Item = &Job> {
+        let keys = self.long_running.get(service).into_iter().flatten();
+        keys.filter_map(|key| self.by_key.get(key))
+    }
+
+    /// Removes and returns jobs that were archived before the given time.
+    pub fn forget_archived(&mut self, before: Duration) -> Vec<(JobKey, ArchivedJob)> {
+        let mut forgotten = Vec::new();
+        while let Some((_, key)) = self.archive_order.front().copied().filter(|(at, _)| *at < before) {
+            self.archive_order.pop_front();
+            forgotten.extend(self.archived.remove(&key).map(|archived| (key, archived)));
+        }
+        forgotten
+    }
+}
--- a/crates/workswood-core/src/jobs/need.rs
+++ b/crates/workswood-core/src/jobs/need.rs
@@ -88,7 +88,7 @@
 
     /// What runs and waits in a service.
     fn wanted(&self, service: &ServiceId) -> Wanted {
-        let size = self.workers.largest(service);
+        let size = self.workers.largest_capacity(service);
         let (room, late) = (self.room_wanted(service), self.waiting_room(service).1);
         let policy = &self.policy.need;
         let cpu = (room.cpu_millis as f64 + late.cpu_millis as f64 * policy.late) / size.cpu_millis as f64;
@@ -113,12 +113,12 @@
     /// keeps from beginning asks for no hosts.
     fn waiting_room(&self, service: &ServiceId) -> (Resources, Resources) {
         let waiting = self.ready.get(service);
-        waiting.map(|w| w.requested_within(|owner| self.left_of_limit(owner))).unwrap_or_default()
+        waiting.map(|w| w.requested_within(|owner| self.remaining_limit(owner))).unwrap_or_default()
     }
 
     /// Hosts that lasting tasks need because only so many may share one.
     fn hosts_apart(&self, service: &ServiceId) -> u32 {
-        let jobs = self.jobs.lasting(service).filter(|j| j.open());
+        let jobs = self.jobs.long_running(service).filter(|j| j.open());
         let steps = jobs.flat_map(|j| &j.spec.steps).filter(|s| s.long_running && s.max_per_worker > 0);
         steps.map(|s| s.count.div_ceil(s.max_per_worker)).max().unwrap_or(0)
     }
@@ -141,7 +141,7 @@
                 let ago = Duration::from_millis(self.wall.saturating_sub(j.spec.accepted_at));
                 Some((j.spec.service.clone(), ago, self.work_of(j)?))
             })
-            .chain(self.jobs.over().filter_map(|over| {
+            .chain(self.jobs.archived().filter_map(|over| {
                 let ago = Duration::from_millis(self.wall.saturating_sub(over.record.accepted));
                 Some((over.record.service.clone(), ago, over.record.work?))
             }))
--- /dev/null
+++ b/crates/workswood-core/src/jobs/placement.rs
@@ -0,0 +1,373 @@
+//! Placement: chooses the worker that a task is started on.
+
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use std::sync::Arc;
+
+use super::fair_share::weighted_usage;
+use super::job::{Job, Phase, Run, Task, WorkerId};
+use super::policy::ShareOrder;
+use super::queue_order::{QueueOrder, QueuePosition, Timeliness};
+use super::sched::Scheduler;
+use super::spec::{Resources, StepId, StepSpec, TaskId};
+use super::types::Action;
+use super::worker::Worker;
+use super::workspace::Owner;
+use super::workspace_usage::{limit_utilization, within_limit};
+use crate::ids::ServiceId;
+use crate::invariant;
+
+/// Weight of one interfering neighbour, relative to a task of the same step.
+const INTERFERENCE_WEIGHT: usize = 1000;
+
+impl Scheduler {
+    /// Places the waiting tasks of a service, most urgent first.
+    pub(super) fn place_waiting_tasks(&mut self, service: &ServiceId) {
+        self.place_trials(service);
+        let mut misses = 0;
+        let mut steps = StepQueue::new(self.placement_rank(service));
+        let owners: Vec<Owner> = self.ready.get(service).map(|w| w.owners().collect()).unwrap_or_default();
+        owners.into_iter().for_each(|owner| self.queue_next_step(&mut steps, service, owner, None));
+        while misses < self.policy.placement.most_misses {
+            let Some(next) = steps.next() else { return };
+            match self.place_step(service, &next.step) {
+                StepPlacement::Done => {}
+                StepPlacement::NoWorker => {
+                    misses += usize::from(!self.is_long_running(&next.step) && !self.is_advised(&next.step));
+                }
+                // Nothing else of this workspace can start either, so its next step is not queued.
+                StepPlacement::OverLimit => continue,
+            }
+            self.queue_next_step(&mut steps, service, next.owner, Some(&next));
+        }
+    }
+
+    /// Order of placement among steps with the same priority and standing.
+    ///
+    /// While all jobs can be in time, the step that must start first goes first. In an overload
+    /// that order would make every job late, since each waits until it must start and then a little
+    /// longer. So under overload the steps that take the least from the others go first.
+    fn placement_rank(&self, service: &str) -> QueueOrder {
+        let waiting_cpu = self.ready.get(service).map_or(0, |w| w.requested().0.cpu_millis);
+        let total_cpu = self.workers.listed_cpu(service).max(self.fleet_cpu);
+        if waiting_cpu as f64 > total_cpu as f64 * self.policy.order.overload {
+            QueueOrder::LeastWork
+        } else {
+            QueueOrder::EarliestDeadline
+        }
+    }
+
+    /// Queues the owner's first step, or the first one that comes after the given place.
+    fn queue_next_step(
+        &self,
+        steps: &mut StepQueue,
+        service: &str,
+        owner: Owner,
+        after: Option<&QueuePosition>,
+    ) {
+        let Some(place) = self.ready.get(service).and_then(|w| w.next_of_owner(owner, after, steps.rank))
+        else {
+            return;
+        };
+        let owner_usage = match (self.policy.order.shares, steps.rank) {
+            (ShareOrder::Plain | ShareOrder::Excess, _) | (_, QueueOrder::EarliestDeadline) => 0,
+            (ShareOrder::Dominant, QueueOrder::LeastWork) => {
+                let at_work = self.workers.accounts().in_use(owner);
+                weighted_usage(owner, &at_work, self.config.workspaces.jobs_per_s(owner))
+            }
+        };
+        steps.push(place, owner_usage);
+    }
+
+    /// Whether an owner may use this much more under its limit.
+    pub(super) fn is_within_limit(&self, owner: Owner, room: &Resources) -> bool {
+        let limit = self.config.workspaces.limit(owner);
+        limit == Resources::default() || within_limit(&self.workers.accounts().in_use(owner), &limit, room)
+    }
+
+    /// The largest share of its limit that a workspace uses, and the number of workspaces that use
+    /// any resources.
+    pub fn workspace_limit_usage(&self) -> (f64, usize) {
+        let at_work = || self.workers.accounts().iter().filter(|(_, room)| *room != Resources::default());
+        let share = |(owner, room): (Owner, Resources)| {
+            limit_utilization(&room, &self.config.workspaces.limit(owner))
+        };
+        (at_work().map(share).fold(0.0, f64::max), at_work().count())
+    }
+
+    /// Resources that an owner may still use; `None` without a limit.
+    pub(super) fn remaining_limit(&self, owner: Owner) -> Option<Resources> {
+        let limit = self.config.workspaces.limit(owner);
+        let or_unlimited = |most: u64| if most == 0 { u64::MAX } else { most };
+        let most = Resources {
+            cpu_millis: or_unlimited(limit.cpu_millis),
+            mem_mb: or_unlimited(limit.mem_mb),
+            gpus: or_unlimited(limit.gpus),
+        };
+        (limit != Resources::default()).then(|| most.minus(&self.workers.accounts().in_use(owner)))
+    }
+
+    /// Whether the tasks of a step run until their job is cancelled. They may find no worker for
+    /// hours, so they do not count as misses.
+    fn is_long_running(&self, id: &StepId) -> bool {
+        let steps = self.jobs.get(&id.job).map(|j| &j.spec.steps);
+        steps.and_then(|s| s.get(usize::from(id.step))).is_some_and(|s| s.long_running)
+    }
+
+    /// Ids of a service's available workers outside of backoff, sorted.
+    pub(super) fn available_workers(&self, service: &str) -> Vec<WorkerId> {
+        let available = self.workers.available(service, 0).filter(|(_, w)| !w.in_backoff(self.now));
+        let mut ids: Vec<WorkerId> = available.map(|(id, _)| id.clone()).collect();
+        ids.sort();
+        ids
+    }
+
+    /// Places the waiting tasks of a step. All need the same resources: if one does not fit, none
+    /// does.
+    fn place_step(&mut self, service: &str, id: &StepId) -> StepPlacement {
+        let Some(job) = self.jobs.get(&id.job) else { return StepPlacement::Done };
+        let spec = job.spec.clone();
+        let Some(step) = spec.steps.get(usize::from(id.step)) else { return StepPlacement::Done };
+        let held = spec.reservation(step);
+        let needed_at_once = if step.gang { held.charged.times(step.count.into()) } else { held.charged };
+        // Members of a gang start together, each as a trial if it is suspected.
+        let startable = |s: &Scheduler, task: &TaskId| step.gang || !s.waits_for_trial(task, service);
+        while let Some(task) =
+            self.ready.get(service).and_then(|w| w.tasks_of(id).find(|t| startable(self, t)))
+        {
+            if !self.is_within_limit(held.owner, &needed_at_once) {
+                return StepPlacement::OverLimit;
+            }
+            let placed = match step.gang {
+                true => self.place_gang(&task, step, service),
+                false => self.place_task(&task, step, service),
+            };
+            if !placed {
+                return StepPlacement::NoWorker;
+            }
+        }
+        StepPlacement::Done
+    }
+
+    fn place_task(&mut self, id: &TaskId, step: &StepSpec, service: &str) -> bool {
+        let Some(job) = self.jobs.get(&id.job) else { return true };
+        let Some(worker) = self.choose_worker(job, step, id, service) else { return false };
+        self.start_task(id, &worker, None);
+        true
+    }
+
+    /// Places all members of a gang, or none.
+    fn place_gang(&mut self, id: &TaskId, step: &StepSpec, service: &str) -> bool {
+        let members: Vec<TaskId> = (0..step.count).map(|index| TaskId { index, ..*id }).collect();
+        let Some(job) = self.jobs.get(&id.job) else { return true };
+        let idle = members.iter().all(|m| job.task(m).is_some_and(Task::is_idle));
+        if !idle {
+            return false;
+        }
+        let attempt =
+            members.iter().filter_map(|m| job.task(m)).map(|t| t.latest_attempt).max().unwrap_or(0) + 1;
+        let mut places = Vec::new();
+        for m in &members {
+            let Some(job) = self.jobs.get(&id.job) else { break };
+            let Some(worker) = self.choose_worker(job, step, m, service) else { break };
+            if let Some(mut w) = self.workers.get_mut(&worker) {
+                w.add_run(*m, attempt, step.reserved_resources());
+            }
+            places.push((*m, worker));
+        }
+        for (m, worker) in &places {
+            if let Some(mut w) = self.workers.get_mut(worker) {
+                w.remove_run(*m, attempt);
+            }
+        }
+        if places.len() < members.len() {
+            return false;
+        }
+        let checkpoint = members.iter().filter_map(|m| checkpoint_of(self.jobs.get(&m.job), m)).next();
+        for (m, worker) in places {
+            if let Some(t) = self.jobs.get_mut(&m.job).and_then(|j| j.task_mut(&m)) {
+                t.checkpoint = checkpoint.clone().unwrap_or_default();
+            }
+            self.start_task(&m, &worker, Some(attempt));
+        }
+        true
+    }
+
+    /// The best worker with enough room. For tasks that are neither long-running nor tied to the
+    /// rack of their data, it is the first fit in the order of the index.
+    fn choose_worker(&self, job: &Job, step: &StepSpec, id: &TaskId, service: &str) -> Option<WorkerId> {
+        let room = step.reserved_resources();
+        let avoid = job.task(id).and_then(|t| t.avoid_worker.as_ref());
+        let advised = self.is_advised(&id.step_id());
+        let fits = |w: &Worker| {
+            let ticket = !advised || w.ticket(&id.step_id(), self.now).is_some();
+            let excluded = w.in_backoff(self.now) || w.in_quarantine(self.now);
+            ticket && !excluded && w.free_room().contains(&room) && self.meets_constraints(w, step, id)
+        };
+        let available = || self.workers.available(service, room.cpu_millis).filter(|(_, w)| fits(w));
+        let best = |skip: Option<&WorkerId>| {
+            let mut open = available().filter(|(wid, _)| skip != Some(*wid));
+            let found = match step.long_running || step.data_rack.is_some() {
+                true => open.min_by_key(|(_, w)| self.placement_cost(w, step, id)),
+                false => open.next(),
+            };
+            found.map(|(wid, _)| wid.clone())
+        };
+        let found = best(avoid);
+        if found.is_some() || avoid.is_none() {
+            return found;
+        }
+        // The worker to avoid is used only if no other worker could ever run the task.
+        let others = if advised {
+            self.may_be_good(&self.available_workers(service), &id.step_id())
+        } else {
+            self.workers.available(service, 0).filter(|(_, w)| !w.in_backoff(self.now)).take(2).count()
+        };
+        if others > 1 { None } else { best(None) }
+    }
+
+    /// Whether the worker has the label that the step requires, and room under the step's limit of
+    /// tasks per worker.
+    pub(super) fn meets_constraints(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> bool {
+        let Some(info) = &w.info else { return false };
+        if let Some(label) = &step.label
+            && !info.labels.contains(label)
+        {
+            return false;
+        }
+        step.max_per_worker == 0 || count_same_step(w, id) < step.max_per_worker as usize
+    }
+
+    /// Cost of a placement; the lowest is best. Among equals, the worker with the least room left
+    /// is filled up. Tasks spread over all hosts would leave none empty, and only an empty host can
+    /// be moved to another pool, turned off or maintained without stopping tasks.
+    pub(super) fn placement_cost(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> (bool, usize, u32, u64) {
+        let away_from_data = step.data_rack.as_ref().is_some_and(|rack| {
+            let labels = w.info.as_ref().map(|i| i.labels.as_slice()).unwrap_or_default();
+            !labels.contains(rack)
+        });
+        (away_from_data, self.crowding_cost(w, step, id), w.faults, w.free_room().cpu_millis)
+    }
+
+    /// Cost of the tasks that run on the worker already.
+    fn crowding_cost(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> usize {
+        let policy = &self.policy.placement;
+        if !step.long_running {
+            return 0;
+        }
+        let interfering = match (step.best_effort, step.latency_target) {
+            // Keep best-effort tasks together, since a host with one of them is never empty.
+            (true, _) if !policy.fills_beside => 2 * w.serving.len() + usize::from(w.best_effort.is_empty()),
+            (false, Some(_)) => w.best_effort.len(),
+            _ => 0,
+        };
+        // Keep tasks of the same step apart, but on hosts that have a long-running task already.
+        let same_step = if step.best_effort { 0 } else { count_same_step(w, id) };
+        let spread = 2 * same_step + usize::from(w.long_running.is_empty());
+        interfering * INTERFERENCE_WEIGHT + spread
+    }
+
+    /// Starts a task on a worker. The start is sent once it is on record.
+    pub(super) fn start_task(&mut self, id: &TaskId, worker: &WorkerId, attempt: Option<u32>) {
+        self.unqueue(id);
+        let now = self.now;
+        let Some(job) = self.jobs.get_mut(&id.job) else { return };
+        let spec = job.spec.clone();
+        let step = &spec.steps[usize::from(id.step)];
+        let step_is_open = job.open() && job.step_open(id.round, id.step);
+        let Some(task) = job.task_mut(id) else { return };
+        let no_other_run = step.speculative || task.runs.is_empty();
+        if !invariant::check(step_is_open && no_other_run && !task.done, || {
+            format!("task {id} must not be started now")
+        }) {
+            return;
+        }
+        task.latest_attempt = attempt.unwrap_or(task.latest_attempt + 1);
+        let attempt = task.latest_attempt;
+        let trial = task.trial_length(step, &self.policy.crashes, now);
+        let run = Run::new(worker.clone(), attempt, Phase::Starting, now);
+        task.runs.push(Run { trial_quarantine: trial, placed_at: Some(now), ..run });
+        let checkpoint = task.checkpoint.clone();
+        job.begun = true;
+        self.dirty.insert(id.job);
+        if let Some(mut w) = self.workers.get_mut(worker) {
+            let held = spec.reservation(step);
+            let fits = w.free_room().contains(&held.resources);
+            invariant::check(fits, || format!("task {id} does not fit on {worker}"));
+            w.add_run(*id, attempt, held);
+            w.note_task_kind(id, step);
+            w.last_start_at = Some(now);
+            if let Some(length) = trial {
+                w.begin_trial(*id, attempt, now, length);
+            }
+        }
+        self.update_load_reporting(worker);
+        self.notes.push(format_args!("event=task_placed worker={worker} task={id} attempt={attempt}"));
+        let w = self.workers.get(worker);
+        let ticket = w.and_then(|w| w.ticket(&id.step_id(), now));
+        self.actions.push(Action::Start {
+            worker: worker.clone(),
+            token: self.worker_token(w.map_or(0, |w| w.relay_count)),
+            task: *id,
+            attempt,
+            text: Arc::clone(&spec.text),
+            checkpoint,
+            ticket,
+        });
+    }
+}
+
+/// Outcome of placing the tasks of a step.
+enum StepPlacement {
+    /// All tasks were placed, or need no placement any more.
+    Done,
+    /// A task found no worker.
+    NoWorker,
+    /// The workspace has reached its limit.
+    OverLimit,
+}
+
+/// The next step of each owner, in the order of placement.
+struct StepQueue {
+    rank: QueueOrder,
+    heap: BinaryHeap<Reverse<QueuedStep>>,
+}
+
+/// A step to place. The fields before `place` order steps of different owners.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct QueuedStep {
+    priority: u32,
+    standing: Timeliness,
+    excess: bool,
+    owner_usage: u64,
+    rank: u64,
+    place: QueuePosition,
+}
+
+impl StepQueue {
+    fn new(rank: QueueOrder) -> StepQueue {
+        StepQueue { rank, heap: BinaryHeap::new() }
+    }
+
+    fn push(&mut self, place: QueuePosition, owner_usage: u64) {
+        let QueuePosition { priority, timeliness: standing, over_rate: excess, .. } = place;
+        let rank = place.sort_key(self.rank);
+        self.heap.push(Reverse(QueuedStep { priority, standing, excess, owner_usage, rank, place }));
+    }
+
+    fn next(&mut self) -> Option<QueuePosition> {
+        self.heap.pop().map(|Reverse(step)| step.place)
+    }
+}
+
+/// Number of tasks of the same step and round on a worker.
+pub(super) fn count_same_step(w: &Worker, id: &TaskId) -> usize {
+    let same = |t: &TaskId| t.job == id.job && t.round == id.round && t.step == id.step;
+    w.runs.keys().filter(|(t, _)| same(t)).count()
+}
+
+/// Latest checkpoint of a task, if it has one.
+fn checkpoint_of(job: Option<&Job>, id: &TaskId) -> Option<String> {
+    let t = job?.task(id)?;
+    if t.checkpoint.is_empty() { None } else { Some(t.checkpoint.clone()) }
+}
--- a/crates/workswood-core/src/jobs/policy.rs
+++ b/crates/workswood-core/src/jobs/policy.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::advice::AdvicePolicy;
-use super::crash::CrashPolicy;
+use super::crash_attribution::CrashPolicy;
 use super::relays::RelayPolicy;
 
 /// All that the scheduler's decisions are tuned by.
@@ -346,8 +346,8 @@
             ("waves.use_when_short", self.waves.use_when_short),
             ("pace.danger", self.pace.danger),
             ("pace.ease", self.pace.ease),
-            ("relays.share", self.relays.share),
-            ("crashes.most_quarantined", self.crashes.most_quarantined),
+            ("relays.share", self.relays.capacity_share),
+            ("crashes.most_quarantined", self.crashes.max_quarantined_share),
         ];
         let bad = shares.into_iter().find(|(_, v)| !(*v > 0.0 && *v <= 1.0));
         bad.map_or(Ok(()), |(name, v)| Err(format!("`policy.{name}` must be above 0 and at most 1, not {v}")))
@@ -371,9 +371,9 @@
             ("pools.margin", self.pools.margin),
             ("pools.surplus", self.pools.surplus),
             ("health.stuck_share", self.health.stuck_share),
-            ("crashes.suspicious", self.crashes.suspicious),
-            ("crashes.sure", self.crashes.sure),
-            ("relays.spare", self.relays.spare),
+            ("crashes.suspicious", self.crashes.suspicion_threshold),
+            ("crashes.sure", self.crashes.give_up_threshold),
+            ("relays.spare", self.relays.spare_share),
         ];
         let bad = factors.into_iter().find(|(_, v)| !(*v >= 0.0 && v.is_finite()));
         bad.map_or(Ok(()), |(name, v)| Err(format!("`policy.{name}` must not be negative, as {v} is")))
@@ -387,8 +387,8 @@
             ("need.turn_jobs", self.need.turn_jobs),
             ("health.faults_to_shun", self.health.faults_to_shun as usize),
             ("health.shun_one_of", self.health.shun_one_of),
-            ("relays.most_workers", self.relays.most_workers),
-            ("crashes.suspect_after", self.crashes.suspect_after),
+            ("relays.most_workers", self.relays.max_workers),
+            ("crashes.suspect_after", self.crashes.suspect_after_crashes),
         ];
         let bad = counts.into_iter().find(|(_, v)| *v == 0);
         bad.map_or(Ok(()), |(name, _)| Err(format!("`policy.{name}` must be at least 1")))
@@ -410,9 +410,9 @@
             ("health.shun_for", self.health.shun_for),
             ("health.shun_at_most", self.health.shun_at_most),
             ("advice.margin", self.advice.margin),
-            ("relays.shun_for", self.relays.shun_for),
-            ("crashes.young", self.crashes.young),
-            ("crashes.first_wait", self.crashes.first_wait),
+            ("relays.shun_for", self.relays.backoff),
+            ("crashes.young", self.crashes.suspect_age),
+            ("crashes.first_wait", self.crashes.max_first_trial_wait),
         ];
         if self.need.arrivals.is_zero() {
             return Err("`policy.need.arrivals` must be above 0".to_string());
--- a/crates/workswood-core/src/jobs/pools.rs
+++ b/crates/workswood-core/src/jobs/pools.rs
@@ -122,7 +122,7 @@
     /// The line of the log on a service's pool; counts are of hosts.
     fn pool_note(&self, count: &PoolCount, service: &ServiceId) -> String {
         let Pool { need, have } = self.pool(count, service);
-        let (used, size) = (self.workers.room_in_use(service), self.workers.largest(service));
+        let (used, size) = (self.workers.room_in_use(service), self.workers.largest_capacity(service));
         let busy = used.cpu_millis as f64 / size.cpu_millis.max(1) as f64;
         let waiting = self.ready.get(service).map_or(0, TaskQueue::count);
         let Need { now, soon, lend, keep } = need;
@@ -142,7 +142,7 @@
     /// Whether a host's pool does without it. One on which nothing begins is not counted.
     pub(super) fn can_spare(&self, count: &PoolCount, host: &HostId) -> bool {
         let Some(m) = self.hosts.get(host) else { return false };
-        if !self.stands_open(m) || self.config.services.get(&m.pool).is_some_and(|s| s.spare) {
+        if !self.is_outside_evacuation(m) || self.config.services.get(&m.pool).is_some_and(|s| s.spare) {
             return true;
         }
         self.has_surplus(count, &m.pool)
--- /dev/null
+++ b/crates/workswood-core/src/jobs/run_tracker.rs
@@ -0,0 +1,153 @@
+//! Reduces the run listings of one worker to what has changed.
+//!
+//! Each poll lists all runs of a worker, mostly unchanged. Whoever polls a worker keeps a
+//! [`RunTracker`] and reports only the changes to the scheduler. The tracker knows the order of its
+//! own calls: a run that it has started is over if a poll sent later lists neither the run nor its
+//! end.
+
+use std::collections::HashSet;
+use std::time::Duration;
+
+use super::map::Map;
+use super::spec::TaskId;
+use super::types::StartReply;
+use super::worker::{Listing, Report, ReportedRun};
+
+/// A run without progress for this long is reported as stalled. Longer than a run normally needs
+/// for one percent, and shorter than the time after which the scheduler takes it to be stuck.
+const STALL_REPORT_AFTER: Duration = Duration::from_millis(1000);
+/// Shortest time between two reports of a run's checkpoint.
+const CHECKPOINT_REPORT_INTERVAL: Duration = Duration::from_millis(1000);
+
+/// A task and its attempt number.
+pub type RunKey = (TaskId, u32);
+
+/// What is known of one run.
+#[derive(Debug, Default)]
+struct TrackedRun {
+    /// Polls that are sent after this time list the run, unless it is over.
+    expected_since: Option<Duration>,
+    /// Whether the run was reported to the scheduler.
+    reported: bool,
+    /// Whether the run was last reported as stalled.
+    reported_stalled: bool,
+    /// Progress in percent that was last reported.
+    reported_percent: u32,
+    percent: u32,
+    progressed_at: Duration,
+    checkpoint: String,
+    checkpoint_reported_at: Duration,
+}
+
+/// Tracks the runs of one worker from the first poll on.
+#[derive(Debug, Default)]
+pub struct RunTracker {
+    runs: Map<RunKey, TrackedRun>,
+    /// Whether a full report was made.
+    full_report_made: bool,
+    /// Highest sequence number of an end that was reported.
+    last_end: u64,
+    /// Whether every run is reported each time, for its load.
+    report_load: bool,
+    /// When the latest poll was sent whose answer was processed.
+    last_poll_sent: Duration,
+}
+
+impl RunTracker {
+    /// Sets whether all runs are reported with each listing, for their load.
+    pub fn set_report_load(&mut self, wanted: bool) {
+        self.report_load = wanted;
+    }
+
+    /// Handles the outcome of a start.
+    pub fn start_answered(&mut self, task: TaskId, attempt: u32, reply: StartReply, now: Duration) {
+        match reply {
+            StartReply::Taken => {
+                let run = self.runs.entry((task, attempt)).or_default();
+                run.expected_since.get_or_insert(now);
+                run.reported = true;
+                run.progressed_at = run.progressed_at.max(now);
+            }
+            StartReply::Unsure | StartReply::NoAnswer => {
+                self.runs.entry((task, attempt)).or_default();
+            }
+            StartReply::Refused
+            | StartReply::Ticket
+            | StartReply::Unwell
+            | StartReply::NotSent
+            | StartReply::Deposed => {}
+        }
+    }
+
+    /// Records that the worker has accepted a stop. After that, it accepts no start of this attempt
+    /// or an earlier one.
+    pub fn stop_accepted(&mut self, task: TaskId, attempt: u32, now: Duration) {
+        let run = self.runs.entry((task, attempt)).or_default();
+        run.expected_since.get_or_insert(now);
+    }
+
+    /// Handles the listing of a poll that was sent at `sent_at`; returns what has changed. Answers
+    /// may overtake each other, so one to an earlier poll is ignored.
+    pub fn diff_listing(&mut self, listing: Listing, sent_at: Duration, now: Duration) -> Report {
+        if sent_at < self.last_poll_sent {
+            return Report::default();
+        }
+        self.last_poll_sent = sent_at;
+        let full = !std::mem::replace(&mut self.full_report_made, true);
+        let listed: HashSet<RunKey> = listing.running.iter().map(|r| (r.task, r.attempt)).collect();
+        for end in &listing.ended {
+            self.runs.remove(&(end.task, end.attempt));
+        }
+        let missing = self.remove_missing(&listed, sent_at);
+        let all = full || self.report_load;
+        let running =
+            listing.running.into_iter().filter_map(|listed| self.changed_run(listed, all, now)).collect();
+        let known_end = if full { 0 } else { self.last_end };
+        let ended: Vec<_> = listing.ended.into_iter().filter(|e| e.sequence_number > known_end).collect();
+        self.last_end = ended.iter().map(|e| e.sequence_number).fold(known_end, u64::max);
+        Report { full, running, missing, ended }
+    }
+
+    /// Removes and returns runs that should be listed and are not.
+    fn remove_missing(&mut self, listed: &HashSet<RunKey>, sent_at: Duration) -> Vec<RunKey> {
+        let is_missing = |key: &RunKey, run: &TrackedRun| {
+            run.expected_since.is_some_and(|since| since < sent_at) && !listed.contains(key)
+        };
+        let mut missing: Vec<RunKey> =
+            self.runs.iter().filter(|(key, run)| is_missing(key, run)).map(|(key, _)| *key).collect();
+        missing.sort_unstable();
+        for key in &missing {
+            self.runs.remove(key);
+        }
+        missing
+    }
+
+    /// Returns the run if it has changed in a way that is reported.
+    fn changed_run(&mut self, listed: ReportedRun, all: bool, now: Duration) -> Option<ReportedRun> {
+        let new_run = || TrackedRun { progressed_at: now, ..TrackedRun::default() };
+        let run = self.runs.entry((listed.task, listed.attempt)).or_insert_with(new_run);
+        run.expected_since.get_or_insert(Duration::ZERO);
+        if listed.percent != run.percent {
+            run.progressed_at = now;
+            run.percent = listed.percent;
+        }
+        let done = listed.percent >= 100;
+        let stalled_for = if done { Duration::ZERO } else { now.saturating_sub(run.progressed_at) };
+        let stalled = stalled_for >= STALL_REPORT_AFTER;
+        let new_checkpoint = !listed.checkpoint.is_empty()
+            && listed.checkpoint != run.checkpoint
+            && now >= run.checkpoint_reported_at + CHECKPOINT_REPORT_INTERVAL;
+        let completion_changed = (run.reported_percent >= 100) != done;
+        if !all && run.reported && stalled == run.reported_stalled && !new_checkpoint && !completion_changed {
+            return None;
+        }
+        run.reported = true;
+        run.reported_stalled = stalled;
+        run.reported_percent = listed.percent;
+        if new_checkpoint {
+            run.checkpoint.clone_from(&listed.checkpoint);
+            run.checkpoint_reported_at = now;
+        }
+        Some(ReportedRun { stalled_for, ..listed })
+    }
+}
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -12,7 +12,7 @@
 use super::handover::OrderMarks;
 use super::host::Host;
 use super::job::{Job, JobRecord, JobStatus, Outcome, OverRecord, Phase, Task, WorkerId};
-use super::known::{Jobs, OverJob};
+use super::job_table::{ArchivedJob, JobTable};
 use super::map::Map;
 use super::notes::Notes;
 use super::policy::Policy;
@@ -24,7 +24,7 @@
 use super::types::{Action, Batch, Event, Limits, Record, ShownJob, lease_span};
 use super::wave::WaveState;
 use super::worker::{Worker, WorkerInfo, WorkerRecord};
-use super::workers::Workers;
+use super::worker_index::WorkerIndex;
 use super::workspace::Owner;
 use crate::ids::{DataCentre, HostId, ServiceId, Term, UnixMs};
 use crate::invariant;
@@ -54,9 +54,9 @@
     /// What is in force.
     pub config: Arc<SchedConfig>,
     /// Jobs that are known.
-    pub jobs: Jobs,
+    pub jobs: JobTable,
     /// Lives of workers that are known.
-    pub workers: Workers,
+    pub workers: WorkerIndex,
     /// Entries of workers whose service is not in force.
     pub(super) unnamed: BTreeMap<WorkerId, WorkerInfo>,
     /// Who speaks with them.
@@ -148,8 +148,8 @@
             limits,
             policy: Policy::default(),
             config: Arc::default(),
-            jobs: Jobs::default(),
-            workers: Workers::default(),
+            jobs: JobTable::default(),
+            workers: WorkerIndex::default(),
             unnamed: BTreeMap::new(),
             relays: Relays::default(),
             ready: Map::default(),
@@ -187,14 +187,14 @@
 
     /// Takes over a worker that a predecessor recorded.
     pub fn restore_worker(&mut self, id: WorkerId, rec: WorkerRecord) {
-        let info = WorkerInfo::restore(id.clone(), rec);
+        let info = WorkerInfo::from_record(id.clone(), rec);
         let (lease_end, since) = (self.inherited_lease_end(), self.since);
-        let mut w = self.workers.get_or_insert_with(&id, || Worker::unknown(lease_end, since));
+        let mut w = self.workers.get_or_insert_with(&id, || Worker::new(lease_end, since));
         w.info = Some(Arc::new(info));
         drop(w);
         // Its address tells whether that life is over.
-        self.attend(&id);
-        self.note_life(&id);
+        self.request_relay(&id);
+        self.keep_latest_incarnation(&id);
     }
 
     /// Takes over a job as the inbox holds it, with the state that a predecessor recorded.
@@ -231,16 +231,16 @@
             let Some(task) = job.task(&id) else { continue };
             for run in &task.runs {
                 let since = self.since;
-                let mut w = self.workers.get_or_insert_with(&run.worker, || Worker::unknown(bound, since));
+                let mut w = self.workers.get_or_insert_with(&run.worker, || Worker::new(bound, since));
                 if let Some(step) = job.step(&id) {
-                    w.take(id, run.attempt, job.spec.reservation(step));
-                    w.mark(&id, step);
+                    w.add_run(id, run.attempt, job.spec.reservation(step));
+                    w.note_task_kind(&id, step);
                 }
                 places.insert(run.worker.clone());
             }
         }
         self.jobs.insert(job);
-        places.iter().for_each(|id| self.note_life(id));
+        places.iter().for_each(|id| self.keep_latest_incarnation(id));
         self.watch_advised(key);
         self.open_due_rounds(key);
         self.queue_job(key);
@@ -249,7 +249,7 @@
 
     fn restore_over(&mut self, key: JobKey, outcome: Outcome, record: OverRecord, in_inbox: bool) {
         let (queue, owner, state) = (record.queue.clone(), record.owner, Some(JobStatus::Ended(outcome)));
-        self.jobs.set_over(key, OverJob { outcome, record }, self.now);
+        self.jobs.archive(key, ArchivedJob { outcome, record }, self.now);
         self.shown.push(ShownJob { key, queue, owner, state, timed: false });
         if in_inbox {
             self.over.push(key);
@@ -276,8 +276,8 @@
             Event::WorkerListed(info) => self.worker_listed(info),
             Event::WorkerUnlisted(id) => self.worker_unlisted(&id),
             Event::LifeOver(id, heard) => self.other_life_answered(&id, heard),
-            Event::Restarted(id, started, heard) => self.restarted(&id, started, heard),
-            Event::Relayed(id, token, news) => self.relayed(&id, token, news),
+            Event::Restarted(id, started, heard) => self.worker_restarted(&id, started, heard),
+            Event::Relayed(id, token, news) => self.handle_worker_news(&id, token, news),
             Event::Advised(a) => self.advised(a),
             Event::Hosts(list, asked) => self.hosts_listed(list, asked),
             Event::Wave(wave, rec) => self.wave_asked(wave, rec),
@@ -330,7 +330,7 @@
                 .push(format_args!("event=cancel_not_taken job={key:016x} reason=job_of_other_workspace"));
             return;
         }
-        if self.jobs.is_over(&key) {
+        if self.jobs.is_archived(&key) {
             return;
         }
         let Some(job) = self.jobs.get_mut(&key) else {
@@ -497,7 +497,7 @@
 
     /// Does what only the passing of time asks for.
     fn tick(&mut self) {
-        for key in self.jobs.timed() {
+        for key in self.jobs.repeating() {
             let before = self.jobs.get(&key).map_or(0, |j| j.rounds.len());
             self.open_due_rounds(key);
             if self.jobs.get(&key).map_or(0, |j| j.rounds.len()) > before {
@@ -510,9 +510,9 @@
         if self.now >= self.slow_checked + SLOW_EVERY {
             self.slow_checked = self.now;
             self.settle_slow();
-            self.clear_proven();
+            self.clear_proven_tasks();
         }
-        self.evict_leaving();
+        self.evict_from_draining();
         self.evict_inherited();
         self.run_waves();
         self.run_pools();
@@ -525,7 +525,7 @@
     /// Forgets jobs that ended long enough ago and run nowhere.
     fn forget_jobs(&mut self) {
         let Some(before) = self.now.checked_sub(self.limits.keep_ended) else { return };
-        for (key, over) in self.jobs.forget_over(before) {
+        for (key, over) in self.jobs.forget_archived(before) {
             self.dropped.push((key, over.record.queue, over.record.owner));
         }
     }
@@ -556,7 +556,7 @@
         let over = Some(record.clone());
         let stored = JobRecord { cancelled, begun, outcome: Some(outcome), over, ..JobRecord::default() };
         batch.records.push(Record::Job(key, stored));
-        self.jobs.set_over(key, OverJob { outcome, record }, self.now);
+        self.jobs.archive(key, ArchivedJob { outcome, record }, self.now);
         self.over.push(key);
     }
 
@@ -564,7 +564,7 @@
     pub fn take_batch(&mut self) -> Batch {
         let services = std::mem::take(&mut self.place_again);
         for service in services {
-            self.place(&service);
+            self.place_waiting_tasks(&service);
         }
         self.ask_adviser();
         let mut batch = Batch { shown: std::mem::take(&mut self.shown), ..Batch::default() };
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/settle.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::crash::LifeEnd;
+use super::crash_attribution::IncarnationEnd;
 use super::host::HostState;
 use super::job::{FULL_PACE_PERCENT, Phase, Run, WorkerId};
 use super::sched::Scheduler;
@@ -43,7 +43,7 @@
     /// Takes a worker in that is listed, new or changed.
     pub(super) fn worker_listed(&mut self, info: WorkerInfo) {
         let id = info.id.clone();
-        if self.has_later_life(&id) {
+        if self.has_later_incarnation(&id) {
             self.notes.push(format_args!("event=worker_ignored worker={id} reason=has_started_again"));
             return;
         }
@@ -56,7 +56,7 @@
         let now = self.now;
         let cordoned = self.is_cordoned(&info.host);
         let evacuated = self.evacuated.contains(&info.data_centre);
-        let mut w = self.workers.get_or_insert_with(&id, || Worker::unknown(now, now));
+        let mut w = self.workers.get_or_insert_with(&id, || Worker::new(now, now));
         w.cordoned = cordoned;
         w.evacuated = evacuated;
         let fresh = w.info.is_none() || !w.listed;
@@ -78,12 +78,12 @@
                 self.dirty_workers.insert(id.clone());
             }
             if !attended {
-                self.attend(&id);
+                self.request_relay(&id);
             }
         } else if draining {
             self.notes.push(format_args!("event=worker_draining worker={id} service={}", info.service));
         }
-        self.note_life(&id);
+        self.keep_latest_incarnation(&id);
     }
 
     /// Ends lives that a list of hosts shows to be over: their host is
@@ -107,7 +107,7 @@
         let over: Vec<WorkerId> =
             self.workers.iter().filter(|(id, w)| over(id, w)).map(|(id, _)| id.clone()).collect();
         for id in over {
-            self.life_over(&id, LifeEnd::NotOnHost);
+            self.life_over(&id, IncarnationEnd::HostWithoutWorker);
         }
     }
 
@@ -126,7 +126,7 @@
     fn drop_if_idle(&mut self, id: &WorkerId) {
         let idle = self.workers.get(id).is_some_and(|w| !w.listed && w.runs.is_empty());
         if idle {
-            self.take_crash(id, LifeEnd::Gone);
+            self.attribute_crash(id, IncarnationEnd::UnreachableAndUnlisted);
             self.drop_worker(id);
         }
     }
@@ -135,7 +135,7 @@
     fn drop_worker(&mut self, id: &WorkerId) -> bool {
         let Some(w) = self.workers.remove(id) else { return false };
         self.dirty_workers.insert(id.clone());
-        self.unattend(id, w.relay);
+        self.forget_relay_assignment(id, w.relay);
         true
     }
 
@@ -143,7 +143,7 @@
     pub(super) fn unanswered(&mut self, id: &WorkerId, lease_end: Duration) {
         let Some(mut w) = self.workers.get_mut(id) else { return };
         if w.reachable {
-            w.silent_for = self.now.saturating_sub(w.heard);
+            w.silent_for = self.now.saturating_sub(w.last_heard);
             let silent = w.silent_for.as_millis();
             self.notes.push(format_args!(
                 "event=worker_unreachable worker={id} runs={} silent_ms={silent}",
@@ -157,30 +157,30 @@
     /// The answer of a worker is late.
     pub(super) fn doubt(&mut self, id: &WorkerId) {
         if let Some(mut w) = self.workers.get_mut(id) {
-            w.doubted = true;
+            w.poll_overdue = true;
         }
     }
 
     /// A worker's address is answered by another life.
     pub(super) fn other_life_answered(&mut self, id: &WorkerId, heard: Duration) {
         self.note_last_heard(id, heard);
-        self.life_over(id, LifeEnd::OtherLife);
+        self.life_over(id, IncarnationEnd::OtherIncarnation);
     }
 
     /// Notes when a life last answered that is over.
     pub(super) fn note_last_heard(&mut self, id: &WorkerId, heard: Duration) {
         if let Some(mut w) = self.workers.get_mut(id) {
-            w.heard = w.heard.max(heard);
+            w.last_heard = w.last_heard.max(heard);
             if w.reachable {
-                w.silent_for = self.now.saturating_sub(w.heard);
+                w.silent_for = self.now.saturating_sub(w.last_heard);
             }
         }
     }
 
     /// A life of a worker is over: nothing runs there.
-    pub(super) fn life_over(&mut self, id: &WorkerId, end: LifeEnd) {
+    pub(super) fn life_over(&mut self, id: &WorkerId, end: IncarnationEnd) {
         let why = end.label();
-        self.take_crash(id, end);
+        self.attribute_crash(id, end);
         let lost = self.workers.get(id).map_or(0, |w| w.runs.len());
         self.tally.lives_lost += u64::from(lost > 0);
         self.tally.runs_lost += lost as u64;
@@ -204,8 +204,8 @@
     /// A run is over without an end of its own.
     pub(super) fn settle(&mut self, id: &WorkerId, task_id: &TaskId, attempt: u32, why: &str) {
         let heard = self.workers.get_mut(id).map_or(Duration::ZERO, |mut w| {
-            w.release(*task_id, attempt);
-            w.heard
+            w.remove_run(*task_id, attempt);
+            w.last_heard
         });
         let Some(task) = self.jobs.get_mut(&task_id.job).and_then(|j| j.task_mut(task_id)) else { return };
         let run = task.runs.iter().position(|r| r.worker == *id && r.attempt == attempt);
@@ -260,7 +260,7 @@
             StartReply::Refused | StartReply::Ticket | StartReply::Unwell | StartReply::NotSent => {
                 self.settle(id, &task, attempt, "start_refused");
             }
-            StartReply::Deposed => self.depose(id),
+            StartReply::Deposed => self.note_higher_token(id),
         }
     }
 
@@ -279,7 +279,7 @@
         };
         let until = self.now + shun_for;
         if let Some(mut w) = self.workers.get_mut(id) {
-            w.shunned_until = w.shunned_until.max(until);
+            w.backoff_until = w.backoff_until.max(until);
         }
     }
 
@@ -300,21 +300,21 @@
                     self.actions.push(Action::Stop(id.clone(), task, attempt));
                 }
             }
-            StopReply::Deposed => self.depose(id),
+            StopReply::Deposed => self.note_higher_token(id),
         }
     }
 
     /// Settles what ran on workers whose lease has ended.
     pub(super) fn settle_lapsed(&mut self) {
         let now = self.now;
-        let lapsed = self.workers.silent().filter(|(_, w)| w.lease_end < now);
+        let lapsed = self.workers.unreachable().filter(|(_, w)| w.lease_end < now);
         let lapsed: Vec<WorkerId> = lapsed.map(|(id, _)| id.clone()).collect();
         for id in lapsed {
             for (task, attempt) in self.runs_on(&id) {
                 // The outcome of a start on its way brings a later end of the lease.
                 let starting = self.run_mut(&id, &task, attempt).is_some_and(|r| r.phase == Phase::Starting);
                 if !starting {
-                    self.take_lapsed(&id, &task, attempt);
+                    self.record_lapsed_run(&id, &task, attempt);
                     self.settle(&id, &task, attempt, "lease_ended");
                 }
             }
--- /dev/null
+++ b/crates/workswood-core/src/jobs/worker_restart.rs
@@ -0,0 +1,136 @@
+//! Workers that restart under the same name.
+//!
+//! A restarted worker has lost all state of its earlier incarnation; its clock and the sequence
+//! numbers of its ends start anew. Calls address a worker by name only, so a call meant for the
+//! earlier incarnation may still reach the later one.
+//!
+//! * The later incarnation is polled with a higher token than the earlier one. Once it has
+//!   answered, it refuses calls meant for the earlier one, and its answer lists those that it has
+//!   accepted.
+//! * Until then, runs of the earlier incarnation may exist in the later one. They are settled with
+//!   that first answer: listed runs go on in the later incarnation, the others are over.
+//! * A lease that was meant for the earlier incarnation is read on the clock of the later one.
+//!   There it may last as long as the longest lease that the platform accepts.
+
+use std::time::Duration;
+
+use super::crash_attribution::IncarnationEnd;
+use super::job::{Run, WorkerId};
+use super::sched::Scheduler;
+use super::spec::TaskId;
+use super::types::lease_span;
+use super::worker::{Report, Worker, WorkerInfo};
+use crate::ids::UnixMs;
+
+impl Scheduler {
+    /// Handles an answer that shows that the worker `id` has restarted at `started`; the earlier
+    /// incarnation last answered at `heard`.
+    pub(super) fn worker_restarted(&mut self, id: &WorkerId, started: UnixMs, heard: Duration) {
+        self.note_last_heard(id, heard);
+        let Some(info) = self.workers.get(id).map(|w| w.info.clone()) else { return };
+        let later = WorkerId::new(id.name(), Some(started));
+        // The answer may be older than what is known by now.
+        if !later.supersedes(id) || self.has_later_incarnation(&later) {
+            return;
+        }
+        if let Some(info) = info.filter(|_| !self.workers.contains_key(&later)) {
+            // The restarted worker may differ in capacity and labels, which become known once it is
+            // listed.
+            let info = WorkerInfo::from_record(later.clone(), info.record());
+            let now = self.now;
+            self.workers.get_or_insert_with(&later, || Worker::new(now, now)).info = Some(info.into());
+            self.dirty_workers.insert(later.clone());
+            self.request_relay(&later);
+        }
+        self.supersede_earlier_incarnations(&later);
+    }
+
+    /// Whether a later incarnation of the same worker is known.
+    pub(super) fn has_later_incarnation(&self, id: &WorkerId) -> bool {
+        self.workers.incarnations_of(id.name()).iter().any(|other| other.supersedes(id))
+    }
+
+    /// Known incarnations of the same worker before this one.
+    fn earlier_incarnations(&self, id: &WorkerId) -> Vec<WorkerId> {
+        self.workers.incarnations_of(id.name()).iter().filter(|other| id.supersedes(other)).cloned().collect()
+    }
+
+    /// Supersedes all known incarnations of the worker of `id` except the latest.
+    pub(super) fn keep_latest_incarnation(&mut self, id: &WorkerId) {
+        let incarnations = self.workers.incarnations_of(id.name());
+        if incarnations.len() > 1
+            && let Some(latest) =
+                incarnations.iter().max_by_key(|incarnation| incarnation.started_at()).cloned()
+        {
+            self.supersede_earlier_incarnations(&latest);
+        }
+    }
+
+    /// Stops polling earlier incarnations. Their runs are settled with the first answer of this
+    /// one.
+    fn supersede_earlier_incarnations(&mut self, later: &WorkerId) {
+        for id in self.earlier_incarnations(later) {
+            let lease_end = self.misdelivered_lease_end();
+            let Some(mut w) = self.workers.get_mut(&id).filter(|w| !w.superseded) else { continue };
+            w.superseded = true;
+            w.listed = false;
+            w.lease_end = w.lease_end.max(lease_end);
+            let (runs, relays) = (w.runs.len(), w.relay_count);
+            drop(w);
+            self.record_relay_count(&id, relays);
+            self.notes.push(format_args!("event=worker_restarted worker={later} before={id} runs={runs}"));
+            self.withdraw_relay(&id);
+            if runs == 0 {
+                self.life_over(&id, IncarnationEnd::OtherIncarnation);
+            }
+        }
+    }
+
+    /// When a lease must have ended that is sent now and read on the clock of a later incarnation.
+    fn misdelivered_lease_end(&self) -> Duration {
+        self.now + lease_span(self.limits.longest_lease, self.limits.drift)
+    }
+
+    /// Settles the runs of earlier incarnations with the first answer of a later one.
+    pub(super) fn settle_earlier_incarnations(&mut self, later: &WorkerId, report: &Report) {
+        let incarnations = self.earlier_incarnations(later);
+        if incarnations.is_empty() {
+            return;
+        }
+        let lease_end = self.misdelivered_lease_end();
+        if let Some(mut w) = self.workers.get_mut(later) {
+            w.lease_end = w.lease_end.max(lease_end);
+        }
+        let running = report.running.iter().map(|r| (r.task, r.attempt));
+        let ended = report.ended.iter().map(|e| (e.task, e.attempt));
+        let listed: Vec<(TaskId, u32)> = running.chain(ended).collect();
+        for id in incarnations {
+            for (task, attempt) in &listed {
+                self.carry_over_run(&id, later, task, *attempt);
+            }
+            self.life_over(&id, IncarnationEnd::OtherIncarnation);
+        }
+    }
+
+    /// Moves a run of an earlier incarnation to a later one that lists the run or its end.
+    fn carry_over_run(&mut self, earlier: &WorkerId, later: &WorkerId, task: &TaskId, attempt: u32) {
+        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let spec = job.spec.clone();
+        let Some(step) = spec.steps.get(usize::from(task.step)) else { return };
+        let Some(t) = job.task_mut(task) else { return };
+        let same_run = |r: &&mut Run| r.worker == *earlier && r.attempt == attempt;
+        let Some(run) = t.runs.iter_mut().find(same_run) else { return };
+        run.worker = later.clone();
+        if let Some(mut w) = self.workers.get_mut(earlier) {
+            w.remove_run(*task, attempt);
+        }
+        if let Some(mut w) = self.workers.get_mut(later) {
+            w.add_run(*task, attempt, spec.reservation(step));
+            w.note_task_kind(task, step);
+        }
+        self.dirty.insert(task.job);
+        self.notes.push(format_args!(
+            "event=run_carried_over worker={later} before={earlier} task={task} attempt={attempt}"
+        ));
+    }
+}
--- a/crates/workswood-core/src/plan/fleet_index.rs
+++ b/crates/workswood-core/src/plan/fleet_index.rs
@@ -68,7 +68,9 @@
         }
         let budget = self.services.get(service).map(|s| &s.budget);
         let current = self.availability.get(service);
-        let Some(reduced) = budget.zip(current).and_then(|(b, a)| a.without_one_on(b, rec)) else { return false };
+        let Some(reduced) = budget.zip(current).and_then(|(b, a)| a.without_one_on(b, rec)) else {
+            return false;
+        };
         self.availability.insert(service.to_string(), reduced);
         true
     }
--- a/crates/workswood-core/src/plan/host_actions.rs
+++ b/crates/workswood-core/src/plan/host_actions.rs
@@ -140,7 +140,8 @@
 fn missing_stops(state: &State, id: &HostId, observed: &ObservedHost) -> Vec<HostAction> {
     let mut actions = Vec::new();
     // Tokens are offsets. A task whose start is not folded yet may be wanted.
-    for t in observed.tasks.iter().filter(|t| t.ended.is_none() && t.token > 0 && t.token < state.next_offset) {
+    for t in observed.tasks.iter().filter(|t| t.ended.is_none() && t.token > 0 && t.token < state.next_offset)
+    {
         let unwanted = match (state.instances.get(&t.id), state.jobs.get(&t.id)) {
             (Some(i), _) => i.host != *id && t.token < i.token,
             (None, Some(j)) => {
--- a/crates/workswood-core/src/plan/place.rs
+++ b/crates/workswood-core/src/plan/place.rs
@@ -27,7 +27,11 @@
         let placed: Vec<(&InstanceId, &PlacedInstance)> = state.instances_of(&s.name).collect();
         for (id, i) in &placed {
             if must_leave(state, index, s, id, i, now) {
-                records.push(Record::Instance { term, instance: (*id).clone(), change: InstanceChange::Remove });
+                records.push(Record::Instance {
+                    term,
+                    instance: (*id).clone(),
+                    change: InstanceChange::Remove,
+                });
             }
         }
         if placed.len() >= s.instances as usize {
--- a/crates/workswood-core/src/plan/transitions.rs
+++ b/crates/workswood-core/src/plan/transitions.rs
@@ -57,7 +57,8 @@
         let task = host.and_then(|h| h.tasks.iter().find(|t| t.id == *id && t.ended.is_none()));
         let host_rec = state.hosts.get(&rec.host);
         // An instance is not ready before the list shows the end of the drain of its host.
-        let drain_ended = host.zip(host_rec).is_some_and(|(s, h)| !s.draining && s.token >= h.action_generation);
+        let drain_ended =
+            host.zip(host_rec).is_some_and(|(s, h)| !s.draining && s.token >= h.action_generation);
         let ready = drain_ended && task.is_some_and(|t| t.ready);
         let address = task.map_or(rec.address.clone(), |t| t.address.clone());
         // The instance of a host that is away keeps its recorded state.
--- a/crates/workswood-core/src/route/queue.rs
+++ b/crates/workswood-core/src/route/queue.rs
@@ -102,8 +102,9 @@
         let below_guarantee =
             |c: &PriorityClass| self.in_flight(*c) < slots_in_share(SLOT_SHARES[class_index(*c)].0, slots);
         let guaranteed = PriorityClass::ALL.into_iter().filter(is_waiting).find(below_guarantee);
-        guaranteed
-            .or_else(|| PriorityClass::ALL.into_iter().filter(is_waiting).find(|c| self.may_take_slot(*c, slots)))
+        guaranteed.or_else(|| {
+            PriorityClass::ALL.into_iter().filter(is_waiting).find(|c| self.may_take_slot(*c, slots))
+        })
     }
 
     /// Takes the first request of a class.
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -276,7 +276,7 @@
             return self.new_life();
         }
         let started = self.now.as_millis() as u64;
-        SimWorker::new(WorkerId::life(self.workers[n].id.name(), Some(started)))
+        SimWorker::new(WorkerId::new(self.workers[n].id.name(), Some(started)))
     }
 
     fn info(&self, n: usize, id: &WorkerId) -> WorkerInfo {
@@ -337,7 +337,7 @@
             data_centre: "north".to_string(),
             strength: 100,
         };
-        sched.policy.relays.most_workers = if self.relays.is_empty() { usize::MAX } else { RELAY_ROOM };
+        sched.policy.relays.max_workers = if self.relays.is_empty() { usize::MAX } else { RELAY_ROOM };
         sched.set_relay_entries(others.map(entry).collect());
     }
 
--- a/src/workswood/ops/entry/deferred_requests.rs
+++ b/src/workswood/ops/entry/deferred_requests.rs
@@ -78,8 +78,10 @@
     match node.append(vec![record]).await.map(|appended| appended.verdicts) {
         Ok(verdicts) => match verdicts.first() {
             Some(Ok(())) => accepted_reply(&given.key),
-            Some(Err(Rejection::KeyTaken | Rejection::Expired)) => keyed_requests::recorded_reply(node, &given)
-                .unwrap_or_else(|| refusal(Code::KeyExpired, ExecutionStatus::Unknown, None)),
+            Some(Err(Rejection::KeyTaken | Rejection::Expired)) => {
+                keyed_requests::recorded_reply(node, &given)
+                    .unwrap_or_else(|| refusal(Code::KeyExpired, ExecutionStatus::Unknown, None))
+            }
             _ => refusal(Code::LogUnavailable, ExecutionStatus::NotRun, Some(Duration::from_secs(1))),
         },
         Err(AppendError::NotSent) => {
@@ -194,7 +196,8 @@
 async fn run_attempt(node: &Arc<Node>, key: &str, rec: KeyedRequest) {
     let Some(deferred) = &rec.deferred else { return };
     let Some(dispatcher) = dispatch::dispatcher_of(node, &rec.service) else { return };
-    let slot_request = SlotRequest { class: PriorityClass::Later, deadline: node.now() + SLOT_TIMEOUT, tried: &[] };
+    let slot_request =
+        SlotRequest { class: PriorityClass::Later, deadline: node.now() + SLOT_TIMEOUT, tried: &[] };
     let Some(Ok(slot)) = dispatch::acquire(node, &dispatcher, slot_request).await else { return };
     let Some(request) = routed_request(node, key, &rec, deferred) else { return };
     let attempt = rec.attempts + 1;
@@ -228,7 +231,12 @@
 }
 
 /// Rebuilds a request from the log; `None` if its route is no longer in force.
-fn routed_request(node: &Node, key: &str, rec: &KeyedRequest, deferred: &DeferredRequest) -> Option<RoutedRequest> {
+fn routed_request(
+    node: &Node,
+    key: &str,
+    rec: &KeyedRequest,
+    deferred: &DeferredRequest,
+) -> Option<RoutedRequest> {
     let table = node.table.load();
     let path = deferred.path.split('?').next().unwrap_or_default();
     let (route, service) = table.route_for(path).filter(|(_, s)| *s == rec.service)?.clone();
--- a/src/workswood/ops/entry/dispatch.rs
+++ b/src/workswood/ops/entry/dispatch.rs
@@ -153,7 +153,8 @@
                          borrowed={borrowed} passed_over={passed_over}"
                     );
                     let grant = Grant { endpoint, address };
-                    let delivered = self.waiting.remove(&request_id).is_some_and(|tx| tx.send(Ok(grant)).is_ok());
+                    let delivered =
+                        self.waiting.remove(&request_id).is_some_and(|tx| tx.send(Ok(grant)).is_ok());
                     if !delivered {
                         remaining.extend(self.dispatcher.finish(now, request_id, Outcome::Neutral));
                     }
@@ -304,7 +305,8 @@
     let mut in_flight = BTreeMap::new();
     for dispatcher in dispatchers {
         let inner = dispatcher.inner.lock();
-        let of_service = inner.dispatcher.in_flight_by_endpoint().filter(|(id, n)| *n > 0 && instances.contains(id));
+        let of_service =
+            inner.dispatcher.in_flight_by_endpoint().filter(|(id, n)| *n > 0 && instances.contains(id));
         in_flight.extend(of_service.map(|(id, n)| (id.clone(), n)));
     }
     in_flight
--- a/src/workswood/ops/entry/keyed_requests.rs
+++ b/src/workswood/ops/entry/keyed_requests.rs
@@ -106,7 +106,12 @@
 }
 
 /// Claims the key of a request in the log and sends the request if the claim wins.
-async fn claim_and_run(node: &Arc<Node>, request: RoutedRequest, body: Bytes, given: RequestIdentity) -> Reply {
+async fn claim_and_run(
+    node: &Arc<Node>,
+    request: RoutedRequest,
+    body: Bytes,
+    given: RequestIdentity,
+) -> Reply {
     if let Some(reply) = recorded_reply(node, &given) {
         return reply;
     }
@@ -202,8 +207,10 @@
 /// Response that is stored with a key; its body is empty if it was too large to store.
 fn stored_reply(status: u16, body: Option<&str>, key: &str) -> Reply {
     let bytes = body.and_then(|b| STANDARD.decode(b).ok()).unwrap_or_default();
-    let mut res =
-        Response::builder().status(status).header(RAN_HEADER, ExecutionStatus::Run.as_str()).header(KEY_HEADER, key);
+    let mut res = Response::builder()
+        .status(status)
+        .header(RAN_HEADER, ExecutionStatus::Run.as_str())
+        .header(KEY_HEADER, key);
     if body.is_none() {
         res = res.header("x-workswood-body", "not-kept");
     }
@@ -239,7 +246,10 @@
         || !node.is_set(&node.ready)
         || node.claims.lock().claim_begun_or_hold(key, node.now());
     let roster = state.roster.iter().map(|m| m.id.clone());
-    idempotency::InquiryReply { known, roster: roster.chain(node.proposed_roster.lock().iter().cloned()).collect() }
+    idempotency::InquiryReply {
+        known,
+        roster: roster.chain(node.proposed_roster.lock().iter().cloned()).collect(),
+    }
 }
 
 /// Asks all processes that may claim a key, and returns whether none of them knows it.
@@ -253,7 +263,9 @@
             None => None,
         };
         inquiry.record_reply(match answer {
-            Some(Msg::KeyReply(reply)) => Some(idempotency::InquiryReply { known: reply.known, roster: reply.roster }),
+            Some(Msg::KeyReply(reply)) => {
+                Some(idempotency::InquiryReply { known: reply.known, roster: reply.roster })
+            }
             _ => None,
         });
     }
--- a/src/workswood/ops/entry/log_reader.rs
+++ b/src/workswood/ops/entry/log_reader.rs
@@ -101,8 +101,7 @@
 /// Replaces the state of this process, unless the new one is older.
 fn adopt_state(node: &Arc<Node>, state: State) {
     let current = node.state.read().next_offset;
-    let newer =
-        invariant::check(state.next_offset >= current, || {
+    let newer = invariant::check(state.next_offset >= current, || {
         format!("state {} is older than {current}", state.next_offset)
     });
     if newer {
--- a/src/workswood/ops/entry/proxy.rs
+++ b/src/workswood/ops/entry/proxy.rs
@@ -334,7 +334,9 @@
     let slot_request = SlotRequest { class: request.route.class, deadline: request.deadline, tried: &[] };
     let mut slot = match dispatch::acquire(node, &dispatcher, slot_request).await {
         Some(Ok(slot)) => slot,
-        Some(Err(refused)) => return refusal(refused.code, ExecutionStatus::NotRun, Some(refused.retry_after)),
+        Some(Err(refused)) => {
+            return refusal(refused.code, ExecutionStatus::NotRun, Some(refused.retry_after));
+        }
         None => return refusal(Code::NoEndpoint, ExecutionStatus::NotRun, None),
     };
     node.metrics.sends.inc();
--- a/src/workswood/ops/jobs/relay/wire.rs
+++ b/src/workswood/ops/jobs/relay/wire.rs
@@ -48,7 +48,7 @@
 fn write_order(order: Order) -> wire::Order {
     match order {
         Order::Attend { worker, token } => {
-            let started = worker.id.started();
+            let started = worker.id.started_at();
             let (name, address, data_centre) =
                 (worker.id.name().to_string(), worker.address, worker.data_centre);
             wire::Order::Attend(wire::Attend { name, address, token, data_centre, started })
@@ -76,7 +76,7 @@
         let order = match o.order? {
             wire::Order::Attend(a) => Order::Attend {
                 worker: WorkerAddress {
-                    id: WorkerId::life(&a.name, a.started),
+                    id: WorkerId::new(&a.name, a.started),
                     address: a.address,
                     data_centre: a.data_centre,
                 },
@@ -166,19 +166,19 @@
         run: Some(run(r.task, r.attempt)),
         checkpoint: r.checkpoint,
         percent: r.percent,
-        figure: r.figure,
-        still_ms: r.still.as_millis() as u32,
+        figure: r.load,
+        still_ms: r.stalled_for.as_millis() as u32,
     });
     let ended = report.ended.into_iter().map(|e| wire::EndedTask {
         run: Some(run(e.task, e.attempt)),
-        number: e.number,
+        number: e.sequence_number,
         how: how(e.kind) as i32,
         checkpoint: e.checkpoint,
     });
     wire::Reported {
-        whole: report.whole,
+        whole: report.full,
         running: running.collect(),
-        gone: report.gone.into_iter().map(|(task, attempt)| run(task, attempt)).collect(),
+        gone: report.missing.into_iter().map(|(task, attempt)| run(task, attempt)).collect(),
         ended: ended.collect(),
     }
 }
@@ -221,19 +221,19 @@
             attempt,
             checkpoint: r.checkpoint,
             percent: r.percent,
-            figure: r.figure,
-            still,
+            load: r.figure,
+            stalled_for: still,
         })
     });
     let ended = report.ended.into_iter().map(|e| {
         let (task, attempt) = task(&e.run?)?;
         let kind = kind(wire::EndedHow::try_from(e.how).ok()?);
-        Some(ReportedEnd { number: e.number, task, attempt, kind, checkpoint: e.checkpoint })
+        Some(ReportedEnd { sequence_number: e.number, task, attempt, kind, checkpoint: e.checkpoint })
     });
     Some(Report {
-        whole: report.whole,
+        full: report.whole,
         running: running.collect::<Option<_>>()?,
-        gone: report.gone.iter().map(task).collect::<Option<_>>()?,
+        missing: report.gone.iter().map(task).collect::<Option<_>>()?,
         ended: ended.collect::<Option<_>>()?,
     })
 }
--- a/src/workswood/ops/model/carry.rs
+++ b/src/workswood/ops/model/carry.rs
@@ -5,8 +5,8 @@
 use workswood_core::ids::HostId;
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{
-    Action, Batch, Follow, JobKey, JobRecord, JobStatus, Outcome, Record, Scheduler, ShownJob, WaveRecord,
-    WorkerRecord,
+    Action, Batch, JobKey, JobRecord, JobStatus, Outcome, Record, RunTracker, Scheduler, ShownJob,
+    WaveRecord, WorkerRecord,
 };
 
 use super::agenda::{Happening, Order};
@@ -60,7 +60,7 @@
 
     /// Has workers attended: the model has no relays.
     fn attend(&mut self) {
-        let orders = self.sched.as_mut().map(Scheduler::take_attendance).unwrap_or_default();
+        let orders = self.sched.as_mut().map(Scheduler::assign_relays).unwrap_or_default();
         orders.into_iter().for_each(|action| self.act(action));
     }
 
@@ -92,7 +92,7 @@
             }
             Action::Watch { info, .. } => {
                 if let Some(n) = self.host_of(&info.id) {
-                    self.hosts[n].follow = Follow::default();
+                    self.hosts[n].follow = RunTracker::default();
                     self.after(WAY, Happening::Look(n, info.id, true));
                 }
             }
--- a/src/workswood/ops/model/fleet.rs
+++ b/src/workswood/ops/model/fleet.rs
@@ -7,7 +7,7 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
-    EndKind, Follow, Host, HostState, Listing, Report, ReportedEnd, ReportedRun, TaskId, WorkerInfo,
+    EndKind, Host, HostState, Listing, Report, ReportedEnd, ReportedRun, RunTracker, TaskId, WorkerInfo,
 };
 
 use super::deployment::{DATA_CENTRES, SPARE};
@@ -52,7 +52,7 @@
     ended: Vec<ReportedEnd>,
     ends: u64,
     /// What the scheduler knows of its runs.
-    pub follow: Follow,
+    pub follow: RunTracker,
 }
 
 /// The data centre of a number.
@@ -74,7 +74,7 @@
             used: 0,
             ended: Vec::new(),
             ends: 0,
-            follow: Follow::default(),
+            follow: RunTracker::default(),
         }
     }
 
@@ -139,7 +139,7 @@
         self.used = 0;
         self.ended.clear();
         self.ends = 0;
-        self.follow = Follow::default();
+        self.follow = RunTracker::default();
     }
 
     /// How many tasks run.
@@ -161,14 +161,20 @@
         self.used -= run.cpu_millis;
         self.running.remove(&task);
         self.ends += 1;
-        self.ended.push(ReportedEnd { number: self.ends, task, attempt, kind, checkpoint: String::new() });
+        self.ended.push(ReportedEnd {
+            sequence_number: self.ends,
+            task,
+            attempt,
+            kind,
+            checkpoint: String::new(),
+        });
         true
     }
 
     /// What is new in what its worker answers when it is looked at.
     pub fn report(&mut self, now: Duration) -> Report {
         let listing = self.listing(now);
-        self.follow.listed(listing, now, now)
+        self.follow.diff_listing(listing, now, now)
     }
 
     /// What its worker answers: all ends that it has not been told to forget, too.
@@ -178,15 +184,15 @@
             attempt: run.attempt,
             checkpoint: String::new(),
             percent: run.percent(asked),
-            figure: 0,
-            still: Duration::ZERO,
+            load: 0,
+            stalled_for: Duration::ZERO,
         });
         Listing { running: running.collect(), ended: self.ended.clone() }
     }
 
     /// The scheduler has on record all ends up to a number.
     pub fn forget(&mut self, number: u64) {
-        self.ended.retain(|e| e.number > number);
+        self.ended.retain(|e| e.sequence_number > number);
     }
 }
 
--- a/tests/testsuite/restarted_workers.rs
+++ b/tests/testsuite/restarted_workers.rs
@@ -17,7 +17,7 @@
 
 /// A life of the only worker, by when it started.
 fn life(started: u64) -> WorkerInfo {
-    WorkerInfo { id: WorkerId::life("w", Some(started)), ..worker(0, 0) }
+    WorkerInfo { id: WorkerId::new("w", Some(started)), ..worker(0, 0) }
 }
 
 fn nothing() -> Listing {
@@ -47,13 +47,15 @@
 
 #[test]
 fn names_and_lives() {
-    let of = |name, started| WorkerId::life(name, started);
+    let of = |name, started| WorkerId::new(name, started);
     for (name, started) in [("w", None), ("w", Some(7)), ("a@b", None), ("a@5", None), ("a@5", Some(6))] {
         let read = WorkerId::from(of(name, started).as_str());
-        assert_eq!((read.name(), read.started()), (name, started));
+        assert_eq!((read.name(), read.started_at()), (name, started));
     }
-    assert!(of("w", Some(2)).follows(&of("w", Some(1))) && of("w", Some(1)).follows(&of("w", None)));
-    assert!(!of("w", Some(1)).follows(&of("w", Some(1))) && !of("w", Some(2)).follows(&of("v", Some(1))));
+    assert!(of("w", Some(2)).supersedes(&of("w", Some(1))) && of("w", Some(1)).supersedes(&of("w", None)));
+    assert!(
+        !of("w", Some(1)).supersedes(&of("w", Some(1))) && !of("w", Some(2)).supersedes(&of("v", Some(1)))
+    );
 }
 
 /// What the earlier life ran is started again, but not before the later one has answered: until then
@@ -84,10 +86,11 @@
     let told = world.tick();
     assert!(!told.iter().any(|a| matches!(a, Action::Start { .. } | Action::Stop(..))), "{told:?}");
     let task = TaskId { job: 1, round: 0, step: 0, index: 0 };
-    let done = ReportedEnd { number: 1, task, attempt: 1, kind: EndKind::Done, checkpoint: String::new() };
+    let done =
+        ReportedEnd { sequence_number: 1, task, attempt: 1, kind: EndKind::Done, checkpoint: String::new() };
     world.answers(&life(20).id, Listing { running: vec![], ended: vec![done] });
     world.tick();
-    assert!(world.sched.jobs.is_over(&1) || world.sched.jobs.get(&1).is_some_and(|j| !j.open()));
+    assert!(world.sched.jobs.is_archived(&1) || world.sched.jobs.get(&1).is_some_and(|j| !j.open()));
 }
 
 /// Likewise, and its end is in the first answer already.
@@ -97,7 +100,8 @@
     world.at(100);
     world.sched.handle(Event::WorkerListed(life(20)));
     let task = TaskId { job: 1, round: 0, step: 0, index: 0 };
-    let done = ReportedEnd { number: 1, task, attempt: 1, kind: EndKind::Done, checkpoint: String::new() };
+    let done =
+        ReportedEnd { sequence_number: 1, task, attempt: 1, kind: EndKind::Done, checkpoint: String::new() };
     world.answers(&life(20).id, Listing { running: vec![], ended: vec![done] });
     assert_eq!(starts(&world.tick()), [], "it is done");
 }
@@ -111,9 +115,10 @@
     world.answers(&life(20).id, nothing());
     world.tick();
     let Action::Start { task, attempt, .. } = begun[0] else { panic!("a start") };
-    let end = ReportedEnd { number: 1, task, attempt, kind: EndKind::Done, checkpoint: String::new() };
+    let end =
+        ReportedEnd { sequence_number: 1, task, attempt, kind: EndKind::Done, checkpoint: String::new() };
     for news in [
-        News::Reported(Report { whole: true, ended: vec![end], ..Report::default() }),
+        News::Reported(Report { full: true, ended: vec![end], ..Report::default() }),
         News::Started(task, attempt, workswood_core::jobs::StartReply::Taken),
         News::Unanswered { lease_end: Duration::from_secs(9), heard: Duration::ZERO },
         News::Fenced,
@@ -185,7 +190,7 @@
 /// shows the later one.
 #[test]
 fn next_holder() {
-    for before in [life(10).id, WorkerId::life("w", None)] {
+    for before in [life(10).id, WorkerId::new("w", None)] {
         let (mut first, _) = one_task();
         let mut rec = first.sched.jobs.get(&1).expect("it is open").record();
         let tasks = rec.rounds.iter_mut().flatten().flatten();
@@ -208,7 +213,7 @@
     let mut world = HostWorld::new(0);
     let listed = || {
         let mut m = host(0, SERVICE, None);
-        m.worker = Some(WorkerId::life("w", None));
+        m.worker = Some(WorkerId::new("w", None));
         m
     };
     world.sched.handle(Event::WorkerListed(life(10)));
@@ -264,7 +269,7 @@
 #[test]
 fn orders_and_news_between_processes() {
     let worker = WorkerAddress {
-        id: WorkerId::life("w", Some(20)),
+        id: WorkerId::new("w", Some(20)),
         address: "10.0.0.1:80".to_string(),
         data_centre: "north".to_string(),
     };
