--- a/crates/workswood-core/src/jobs/handover.rs
+++ b/crates/workswood-core/src/jobs/handover.rs
@@ -50,7 +50,7 @@
     /// Whether a host may be given an order now.
     pub(super) fn may_order(&self, host: &HostId) -> bool {
         let inherited = self.marks.by_host.get(host) == Some(&Mark::Inherited);
-        !inherited || self.now >= self.since + self.limits.host_handover
+        !inherited || self.now >= self.since + self.limits.host_order_delay
     }
 
     /// Whether a host may have been given an order after a time.
@@ -84,7 +84,7 @@
 
     /// Whether nothing of the order that a mark stands for can follow any more.
     fn is_over(&self, host: &HostId, mark: Mark) -> bool {
-        let handover = self.limits.host_handover;
+        let handover = self.limits.host_order_delay;
         match mark {
             Mark::Inherited => self.now > self.since + handover,
             Mark::Own(at) => self.now > at + handover && !self.order_open(host),
--- a/crates/workswood-core/src/jobs/lives.rs
+++ b/crates/workswood-core/src/jobs/lives.rs
@@ -16,7 +16,7 @@
 use super::job::{Run, WorkerId};
 use super::sched::Scheduler;
 use super::spec::TaskId;
-use super::types::lease_span;
+use super::types::lease_with_drift;
 use super::worker::{Report, Worker, WorkerInfo};
 use crate::ids::UnixMs;
 
@@ -83,7 +83,7 @@
 
     /// When a lease has ended that is sent now and is read on the clock of a later life.
     fn stray_lease_end(&self) -> Duration {
-        self.now + lease_span(self.limits.longest_lease, self.limits.drift)
+        self.now + lease_with_drift(self.limits.max_lease, self.limits.clock_drift)
     }
 
     /// Settles what earlier lives ran with the first answer of a later one.
--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -157,14 +157,14 @@
 
     /// Has a worker attended anew: nothing is sent to it before it has answered.
     pub(super) fn attend(&mut self, id: &WorkerId) {
-        let bound = self.now + self.lease_span();
+        let bound = self.now + self.lease_with_drift();
         self.unattended(id, bound);
         self.relays.waiting.insert(id.clone());
     }
 
     /// Has a worker attended no longer; what it runs is not settled by that.
     pub(super) fn stop_attending(&mut self, id: &WorkerId) {
-        let bound = self.now + self.lease_span();
+        let bound = self.now + self.lease_with_drift();
         self.unattended(id, bound);
         self.relays.waiting.remove(id);
     }
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -20,7 +20,7 @@
 use super::relays::Relays;
 use super::shares::Shares;
 use super::spec::{JobKey, JobSpec, QueueId, StepId, TaskId};
-use super::types::{Action, Batch, Event, Limits, Record, ShownJob, lease_span};
+use super::types::{Action, Batch, Event, Limits, Record, ShownJob, lease_with_drift};
 use super::waiting::Waiting;
 use super::wave::WaveState;
 use super::worker::{Worker, WorkerInfo, WorkerRecord};
@@ -258,12 +258,12 @@
 
     /// When the last lease that a predecessor may have extended has ended.
     fn inherited_lease_end(&self) -> Duration {
-        self.since + self.limits.grace + self.lease_span()
+        self.since + self.limits.grace + self.lease_with_drift()
     }
 
     /// The longest real time that a lease may last.
-    pub fn lease_span(&self) -> Duration {
-        lease_span(self.limits.lease, self.limits.drift)
+    pub fn lease_with_drift(&self) -> Duration {
+        lease_with_drift(self.limits.lease, self.limits.clock_drift)
     }
 
     /// Takes one event in.
@@ -365,7 +365,7 @@
 
     /// Opens rounds that are due.
     pub(super) fn open_due_rounds(&mut self, key: JobKey) {
-        let ahead = self.wall + self.limits.early.as_millis() as u64;
+        let ahead = self.wall + self.limits.round_lead_time.as_millis() as u64;
         let Some(job) = self.jobs.get_mut(&key) else { return };
         while job.open() && (job.rounds.len() as u32) < job.spec.rounds() {
             if job.spec.due(job.rounds.len() as u32) > ahead {
@@ -523,7 +523,7 @@
 
     /// Forgets jobs that ended long enough ago and run nowhere.
     fn forget_jobs(&mut self) {
-        let Some(before) = self.now.checked_sub(self.limits.keep_ended) else { return };
+        let Some(before) = self.now.checked_sub(self.limits.ended_job_retention) else { return };
         for (key, over) in self.jobs.forget_over(before) {
             self.dropped.push((key, over.record.queue, over.record.owner));
         }
--- a/crates/workswood-core/src/jobs/types.rs
+++ b/crates/workswood-core/src/jobs/types.rs
@@ -22,25 +22,25 @@
     /// Length of a worker's lease, counted from when it was sent.
     pub lease: Duration,
     /// Longest lease that a worker takes, whatever it is told.
-    pub longest_lease: Duration,
+    pub max_lease: Duration,
     /// How long a scheduler that can't renew its own lease goes on extending
     /// workers' leases.
     pub grace: Duration,
     /// Share by which a worker's clock may run slow.
-    pub drift: f64,
+    pub clock_drift: f64,
     /// A new holder waits this long before its first order to a host.
-    pub host_handover: Duration,
+    pub host_order_delay: Duration,
     /// Orders to hosts a second that the platform takes; it turns others away.
     pub host_orders_per_s: f64,
     /// How long ended jobs are kept for questions.
-    pub keep_ended: Duration,
+    pub ended_job_retention: Duration,
     /// How far ahead of its due time a round may be opened.
-    pub early: Duration,
+    pub round_lead_time: Duration,
 }
 
 /// The longest real time that a lease may last on a worker whose clock runs slow by a
 /// share, `drift`.
-pub fn lease_span(lease: Duration, drift: f64) -> Duration {
+pub fn lease_with_drift(lease: Duration, drift: f64) -> Duration {
     lease.mul_f64(1.0 / (1.0 - drift)) + LEASE_SLACK
 }
 
--- a/crates/workswood-test-support/src/job_world/holder.rs
+++ b/crates/workswood-test-support/src/job_world/holder.rs
@@ -6,7 +6,7 @@
 
 use workswood_core::ids::{DataCentre, HostId, Term};
 use workswood_core::jobs::job::WorkerId;
-use workswood_core::jobs::types::{Record, ShownJob, lease_span};
+use workswood_core::jobs::types::{Record, ShownJob, lease_with_drift};
 use workswood_core::jobs::{
     Action, Advice, AdviceReply, Advised, Batch, Event, JobKey, News, Outcome, Scheduler, Shown, StepId,
 };
@@ -202,7 +202,7 @@
         if let Some(s) = self.sessions.get_mut(&t.number) {
             s.kept_by_holder = false;
         }
-        let end = t.granted + lease_span(LEASE, limits().drift);
+        let end = t.granted + lease_with_drift(LEASE, limits().clock_drift);
         h.sched.handle(Event::RelayDown(entry.clone(), end, may_return));
     }
 
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -134,13 +134,13 @@
 pub(super) fn limits() -> Limits {
     Limits {
         lease: LEASE,
-        longest_lease: LONGEST_LEASE,
+        max_lease: LONGEST_LEASE,
         grace: GRACE,
-        drift: 0.02,
-        host_handover: Duration::from_secs(3),
+        clock_drift: 0.02,
+        host_order_delay: Duration::from_secs(3),
         host_orders_per_s: 64.0,
-        keep_ended: Duration::from_secs(3600),
-        early: Duration::ZERO,
+        ended_job_retention: Duration::from_secs(3600),
+        round_lead_time: Duration::ZERO,
     }
 }
 
--- a/crates/workswood-test-support/src/job_world/relay.rs
+++ b/crates/workswood-test-support/src/job_world/relay.rs
@@ -10,7 +10,7 @@
 
 use workswood_core::ids::{HostId, Term, UnixMs};
 use workswood_core::jobs::job::WorkerId;
-use workswood_core::jobs::types::lease_span;
+use workswood_core::jobs::types::lease_with_drift;
 use workswood_core::jobs::{Follow, Listing, News, StartReply, StopReply, TaskId};
 
 use super::worker::{Answer, Order};
@@ -293,7 +293,7 @@
             let lease = self.lease_from(served);
             let Some(w) = served.watched.get_mut(&id) else { return };
             let Some(lease_end) = lease.filter(|_| !w.silent) else { break };
-            w.leased_until = self.now + lease_span(LEASE, limits().drift);
+            w.leased_until = self.now + lease_with_drift(LEASE, limits().clock_drift);
             let order = Order::Start { token, task, attempt, lease_end, ticket: ticket.clone() };
             let answer = self.deliver(&id, order).map(|a| match a {
                 Answer::Reply(reply) => reply,
@@ -337,7 +337,7 @@
         let Some(w) = served.watched.get_mut(&id) else { return };
         let lease_end = if w.silent { None } else { lease };
         if lease_end.is_some() {
-            w.leased_until = now + lease_span(LEASE, limits().drift);
+            w.leased_until = now + lease_with_drift(LEASE, limits().clock_drift);
         }
         let there = w.answered.take().is_some_and(|at| now < at + FORGETS_WITHIN);
         let forget = if there && w.forget > w.forgotten { w.forget } else { 0 };
--- a/src/workswood/ops/bench/pools.rs
+++ b/src/workswood/ops/bench/pools.rs
@@ -141,13 +141,13 @@
 fn limits() -> Limits {
     Limits {
         lease: Duration::from_secs(5),
-        longest_lease: Duration::from_secs(10),
+        max_lease: Duration::from_secs(10),
         grace: Duration::from_secs(4),
-        drift: 0.02,
-        host_handover: Duration::ZERO,
+        clock_drift: 0.02,
+        host_order_delay: Duration::ZERO,
         host_orders_per_s: 64.0,
-        keep_ended: Duration::from_secs(60),
-        early: Duration::ZERO,
+        ended_job_retention: Duration::from_secs(60),
+        round_lead_time: Duration::ZERO,
     }
 }
 
--- a/src/workswood/ops/jobs/limits.rs
+++ b/src/workswood/ops/jobs/limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use workswood_core::jobs::Limits;
-use workswood_core::jobs::types::lease_span;
+use workswood_core::jobs::types::lease_with_drift;
 
 use super::renew::GRACE;
 use crate::util::job_settings::JobSettings;
@@ -33,7 +33,7 @@
 
     /// The longest real time that a lease may last.
     pub fn span(&self) -> Duration {
-        lease_span(self.lease, DRIFT)
+        lease_with_drift(self.lease, DRIFT)
     }
 }
 
@@ -41,12 +41,12 @@
 pub(super) fn limits(s: &JobSettings) -> Limits {
     Limits {
         lease: LeaseTimes::of(s).lease,
-        longest_lease: Duration::from_millis(s.longest_lease_ms),
+        max_lease: Duration::from_millis(s.longest_lease_ms),
         grace: GRACE,
-        drift: DRIFT,
-        host_handover: Duration::from_millis(s.host_handover_ms) + HANDOVER_MARGIN,
+        clock_drift: DRIFT,
+        host_order_delay: Duration::from_millis(s.host_handover_ms) + HANDOVER_MARGIN,
         host_orders_per_s: s.host_orders_per_s,
-        keep_ended: Duration::from_secs_f64(s.keep_ended_s),
-        early: Duration::from_millis(s.early_ms) / 2,
+        ended_job_retention: Duration::from_secs_f64(s.keep_ended_s),
+        round_lead_time: Duration::from_millis(s.early_ms) / 2,
     }
 }
--- a/src/workswood/ops/model/deployment.rs
+++ b/src/workswood/ops/model/deployment.rs
@@ -53,13 +53,13 @@
 pub fn limits() -> Limits {
     Limits {
         lease: Duration::from_secs(5),
-        longest_lease: Duration::from_secs(10),
+        max_lease: Duration::from_secs(10),
         grace: Duration::from_secs(4),
-        drift: 0.02,
-        host_handover: Duration::from_millis(3300),
+        clock_drift: 0.02,
+        host_order_delay: Duration::from_millis(3300),
         host_orders_per_s: 64.0,
-        keep_ended: Duration::from_secs(120),
-        early: Duration::ZERO,
+        ended_job_retention: Duration::from_secs(120),
+        round_lead_time: Duration::ZERO,
     }
 }
 
--- a/tests/testsuite/order_marks.rs
+++ b/tests/testsuite/order_marks.rs
@@ -10,7 +10,7 @@
 /// A new holder of this name, after one that ordered host 7 about lately.
 fn holder_after_entry_1(name: &str) -> HostWorld {
     let mut world = HostWorld::new(1);
-    world.sched.limits.host_handover = Duration::from_secs(3);
+    world.sched.limits.host_order_delay = Duration::from_secs(3);
     world.sched.holder = name.to_string();
     world.sched.restore_mark("m-7".to_string(), "entry-1");
     world
