--- a/crates/workswood-core/src/jobs/advice.rs
+++ b/crates/workswood-core/src/jobs/advice.rs
@@ -19,7 +19,7 @@
 use super::job::WorkerId;
 use super::sched::Scheduler;
 use super::spec::{JobKey, QueueId, StepId, TaskId};
-use super::types::{Action, Advice, AdviceReply, Advised};
+use super::types::{Action, Advice, AdviceReply, AdviceResult};
 use super::worker::Verdict;
 
 /// An answer is waited for this much longer than the adviser should need: the
@@ -218,19 +218,19 @@
     }
 
     /// Takes the outcome of a call in.
-    pub(super) fn advised(&mut self, a: Advised) {
+    pub(super) fn advised(&mut self, a: AdviceResult) {
         let now = self.now;
-        let most_pause = match self.advice.others_answered(a.lane) {
+        let most_pause = match self.advice.others_answered(a.channel) {
             true => MOST_PAUSE_BESIDE,
             false => MOST_PAUSE,
         };
-        let Some(lane) = self.advice.lanes.get_mut(a.lane) else { return };
+        let Some(lane) = self.advice.lanes.get_mut(a.channel) else { return };
         let Some(call) = lane.call.take() else { return };
         match a.reply {
             AdviceReply::Answered(answer) => {
                 lane.answered(now.saturating_sub(call.due));
                 self.advice.failed = self.advice.failed.filter(|step| *step != call.step);
-                self.take_advice(a.step, &a.asked, now.saturating_sub(call.due), answer);
+                self.take_advice(a.step, &a.workers, now.saturating_sub(call.due), answer);
                 return;
             }
             AdviceReply::NoAnswer => lane.failed(&call, now, true, most_pause),
@@ -248,12 +248,12 @@
             return;
         }
         let Some(cfg) = self.advice_of(step.job).copied() else { return };
-        let valid = answer.valid.unwrap_or(cfg.valid);
+        let valid = answer.valid_for.unwrap_or(cfg.valid);
         let margin = self.policy.advice.margin.min(valid / 5);
         // An answer may have been late on its way, so that its tickets are as old. Were
         // they always taken to be, a slow adviser's would never be used.
         let until = self.now + valid - margin - late.min(valid / 2);
-        let good: HashMap<WorkerId, _> = answer.good.into_iter().collect();
+        let good: HashMap<WorkerId, _> = answer.tickets.into_iter().collect();
         if let Some(job) = self.jobs.get(&step.job) {
             let share = self.advice.shares.entry(job.spec.queue.clone()).or_default();
             let known = |id: &&WorkerId| self.workers.get(id).is_some_and(|w| w.advice.contains_key(&step));
@@ -293,7 +293,7 @@
             let work = before + cfg.decide + cfg.each * workers.len() as u32;
             let patience = entry.patience(work, failures);
             entry.call = Some(Call { step, due: self.now + work });
-            self.actions.push(Action::Advise { lane, step, workers, patience });
+            self.actions.push(Action::Advise { channel: lane, step, workers, timeout: patience });
         }
     }
 
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -92,7 +92,8 @@
 pub use sched::Scheduler;
 pub use spec::{JobKey, JobSpec, Repeat, StepId, StepSpec, TaskId};
 pub use types::{
-    Action, Advice, AdviceReply, Advised, Batch, Event, Limits, News, Record, ShownJob, StartReply, StopReply,
+    Action, Advice, AdviceReply, AdviceResult, Batch, Event, JobStatusUpdate, Limits, Record, StartReply,
+    StopReply, WorkerUpdate,
 };
 pub use wave::{Wave, WaveRecord};
 pub use worker::{
--- a/crates/workswood-core/src/jobs/moves.rs
+++ b/crates/workswood-core/src/jobs/moves.rs
@@ -117,7 +117,7 @@
         v.sent = Some(self.now);
         let to = v.to.clone();
         self.mark_order(&name);
-        self.actions.push(Action::Move(name, to));
+        self.actions.push(Action::MoveHost(name, to));
     }
 
     /// Corrects a list of hosts that is older than a move.
--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -24,7 +24,7 @@
 use super::claim::Strength;
 use super::job::Phase;
 use super::sched::Scheduler;
-use super::types::{Action, News, StopReply};
+use super::types::{Action, StopReply, WorkerUpdate};
 use super::worker_id::WorkerId;
 use crate::ids::{DataCentre, HostId, Term};
 
@@ -225,7 +225,7 @@
         let wanted = !w.fills.is_empty();
         if w.figures != wanted && w.reachable {
             w.figures = wanted;
-            self.relays.orders.push(Action::Figures(id.clone(), wanted));
+            self.relays.orders.push(Action::ReportFigures(id.clone(), wanted));
         }
     }
 
@@ -341,7 +341,7 @@
     /// Takes in what the relay of a worker tells. What an earlier one still tells is told
     /// anew by the present one; taken in, it would let work be sent before that has looked
     /// at the worker.
-    pub(super) fn relayed(&mut self, id: &WorkerId, token: Term, news: News) {
+    pub(super) fn relayed(&mut self, id: &WorkerId, token: Term, news: WorkerUpdate) {
         let present = self.workers.get(id).filter(|w| w.relay.is_some());
         if present.is_none_or(|w| self.worker_token(w.relays) != token) {
             return;
@@ -352,12 +352,12 @@
             w.heard = w.heard.max(heard);
         }
         match news {
-            News::Reported(report) => self.reported(id, &report),
-            News::Doubted => self.doubt(id),
-            News::Unanswered { lease_end, .. } => self.unanswered(id, lease_end),
-            News::Fenced => self.depose(id),
-            News::Started(task, attempt, reply) => self.started(id, task, attempt, reply),
-            News::Stopped(task, attempt, reply) => self.stopped(id, task, attempt, reply),
+            WorkerUpdate::Reported(report) => self.reported(id, &report),
+            WorkerUpdate::ProbeLate => self.doubt(id),
+            WorkerUpdate::Unanswered { lease_end, .. } => self.unanswered(id, lease_end),
+            WorkerUpdate::Fenced => self.depose(id),
+            WorkerUpdate::Started(task, attempt, reply) => self.started(id, task, attempt, reply),
+            WorkerUpdate::Stopped(task, attempt, reply) => self.stopped(id, task, attempt, reply),
         }
     }
 
@@ -369,13 +369,13 @@
     }
 
     /// When a worker answered at the latest, as news of it tell.
-    fn heard_with(&self, news: &News) -> Option<Duration> {
+    fn heard_with(&self, news: &WorkerUpdate) -> Option<Duration> {
         match news {
-            News::Reported(_) | News::Fenced => Some(self.now),
-            News::Unanswered { heard, .. } => Some(*heard),
-            News::Started(_, _, reply) => reply.is_answer().then_some(self.now),
-            News::Stopped(_, _, reply) => (*reply == StopReply::Taken).then_some(self.now),
-            News::Doubted => None,
+            WorkerUpdate::Reported(_) | WorkerUpdate::Fenced => Some(self.now),
+            WorkerUpdate::Unanswered { heard, .. } => Some(*heard),
+            WorkerUpdate::Started(_, _, reply) => reply.is_answer().then_some(self.now),
+            WorkerUpdate::Stopped(_, _, reply) => (*reply == StopReply::Taken).then_some(self.now),
+            WorkerUpdate::ProbeLate => None,
         }
     }
 
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -20,7 +20,7 @@
 use super::relays::Relays;
 use super::shares::Shares;
 use super::spec::{JobKey, JobSpec, QueueId, StepId, TaskId};
-use super::types::{Action, Batch, Event, Limits, Record, ShownJob, lease_with_drift};
+use super::types::{Action, Batch, Event, JobStatusUpdate, Limits, Record, lease_with_drift};
 use super::waiting::Waiting;
 use super::wave::WaveState;
 use super::worker::{Worker, WorkerInfo, WorkerRecord};
@@ -97,7 +97,7 @@
     /// Workers whose record changed since the last batch.
     pub(super) dirty_workers: BTreeSet<WorkerId>,
     /// What callers may be told with the next batch, beside jobs whose record changed.
-    shown: Vec<ShownJob>,
+    shown: Vec<JobStatusUpdate>,
     /// Jobs that are over since the last batch.
     over: Vec<JobKey>,
     /// Jobs forgotten since the last batch.
@@ -250,7 +250,7 @@
     fn restore_over(&mut self, key: JobKey, outcome: Outcome, record: OverRecord, in_inbox: bool) {
         let (queue, owner, state) = (record.queue.clone(), record.owner, Some(Shown::Ended(outcome)));
         self.jobs.set_over(key, OverJob { outcome, record }, self.now);
-        self.shown.push(ShownJob { key, queue, owner, state, timed: false });
+        self.shown.push(JobStatusUpdate { key, queue, owner, state, timed: false });
         if in_inbox {
             self.over.push(key);
         }
@@ -271,17 +271,17 @@
         match ev {
             Event::Submitted(key, spec) => self.submitted(key, spec),
             Event::Cancelled(key, owner) => self.cancel(key, owner),
-            Event::Config(cfg) => self.set_config(cfg),
+            Event::ConfigChanged(cfg) => self.set_config(cfg),
             Event::Evacuated(data_centres) => self.set_evacuated(data_centres),
             Event::WorkerListed(info) => self.worker_listed(info),
             Event::WorkerUnlisted(id) => self.worker_unlisted(&id),
             Event::LifeOver(id, heard) => self.other_life_answered(&id, heard),
-            Event::Restarted(id, started, heard) => self.restarted(&id, started, heard),
-            Event::Relayed(id, token, news) => self.relayed(&id, token, news),
-            Event::Advised(a) => self.advised(a),
-            Event::Hosts(list, asked) => self.hosts_listed(list, asked),
-            Event::Wave(wave, rec) => self.wave_asked(wave, rec),
-            Event::HostOrdered(host, reply) => self.host_ordered(&host, reply),
+            Event::WorkerRestarted(id, started, heard) => self.restarted(&id, started, heard),
+            Event::WorkerUpdate(id, token, news) => self.relayed(&id, token, news),
+            Event::AdviceReceived(a) => self.advised(a),
+            Event::HostsListed(list, asked) => self.hosts_listed(list, asked),
+            Event::WaveRequested(wave, rec) => self.wave_asked(wave, rec),
+            Event::HostOrderAnswered(host, reply) => self.host_ordered(&host, reply),
             Event::RelayUp(entry) => self.relay_up(&entry),
             Event::RelayHeard(entry) => self.relay_heard(&entry),
             Event::RelayLeaving(entry) => self.relay_leaving(&entry),
@@ -536,7 +536,7 @@
         let state = Some(job.shown());
         if std::mem::replace(&mut job.told, state) != state {
             let (queue, timed) = (job.spec.queue.clone(), job.spec.repeat.is_some());
-            batch.shown.push(ShownJob { key, queue, owner: job.spec.owner(), state, timed });
+            batch.status_updates.push(JobStatusUpdate { key, queue, owner: job.spec.owner(), state, timed });
         }
         let Some(outcome) = job.outcome.filter(|_| job.at_rest()) else {
             batch.records.push(Record::Job(key, job.record()));
@@ -566,14 +566,14 @@
             self.place(&service);
         }
         self.ask_adviser();
-        let mut batch = Batch { shown: std::mem::take(&mut self.shown), ..Batch::default() };
+        let mut batch = Batch { status_updates: std::mem::take(&mut self.shown), ..Batch::default() };
         for key in std::mem::take(&mut self.dirty) {
             self.record_job(key, &mut batch);
         }
-        batch.over = std::mem::take(&mut self.over);
+        batch.finished_jobs = std::mem::take(&mut self.over);
         for (key, queue, owner) in std::mem::take(&mut self.dropped) {
             batch.records.push(Record::DropJob(key));
-            batch.shown.push(ShownJob { key, queue, owner, state: None, timed: false });
+            batch.status_updates.push(JobStatusUpdate { key, queue, owner, state: None, timed: false });
         }
         for id in std::mem::take(&mut self.dirty_workers) {
             batch.records.push(match self.workers.get(&id).and_then(|w| w.info.as_ref()) {
@@ -587,11 +587,11 @@
             batch.waves.push((n, wave.complete()));
         }
         for (host, marked) in self.marks.take_changes() {
-            batch.records.push(Record::Ordered(host, marked.then(|| self.holder.clone())));
+            batch.records.push(Record::HostOrderMark(host, marked.then(|| self.holder.clone())));
         }
-        batch.inbox_read = self.inbox_read;
+        batch.inbox_read_at = self.inbox_read;
         batch.actions = std::mem::take(&mut self.actions);
-        batch.forget = std::mem::take(&mut self.forget).into_iter().collect();
+        batch.acked_ends = std::mem::take(&mut self.forget).into_iter().collect();
         batch
     }
 }
--- a/crates/workswood-core/src/jobs/types.rs
+++ b/crates/workswood-core/src/jobs/types.rs
@@ -55,7 +55,7 @@
     /// A caller cancelled a job, and that is on record; with whose key.
     Cancelled(JobKey, Owner),
     /// What is in force changed.
-    Config(Arc<SchedConfig>),
+    ConfigChanged(Arc<SchedConfig>),
     /// Data centres that are being evacuated, all of them.
     Evacuated(BTreeSet<DataCentre>),
     /// The list shows a worker, new or changed.
@@ -63,21 +63,21 @@
     /// The list no longer shows a worker.
     WorkerUnlisted(WorkerId),
     /// What the relay of a worker tells of it, which attends it with this token.
-    Relayed(WorkerId, Term, News),
+    WorkerUpdate(WorkerId, Term, WorkerUpdate),
     /// A worker's address is answered by another life: this one is over. When it last
     /// answered, on the scheduler's clock.
     LifeOver(WorkerId, Duration),
     /// A worker has started again under its name, at this time of day: the life that is named is
     /// over. When that last answered, on the scheduler's clock.
-    Restarted(WorkerId, UnixMs, Duration),
+    WorkerRestarted(WorkerId, UnixMs, Duration),
     /// The outcome of a call to the adviser.
-    Advised(Advised),
+    AdviceReceived(AdviceResult),
     /// The list of hosts, and when it was asked for.
-    Hosts(Vec<Host>, Duration),
+    HostsListed(Vec<Host>, Duration),
     /// An operator asks for maintenance, or a predecessor's progress with it.
-    Wave(Wave, Option<WaveRecord>),
+    WaveRequested(Wave, Option<WaveRecord>),
     /// The outcome of an order to a host.
-    HostOrdered(HostId, HostReply),
+    HostOrderAnswered(HostId, HostReply),
     /// A relay takes orders.
     RelayUp(HostId),
     /// A relay was heard of.
@@ -95,11 +95,11 @@
 
 /// What is new of a worker.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum WorkerUpdate {
     /// It answered a look.
     Reported(Report),
     /// The answer to a look is late.
-    Doubted,
+    ProbeLate,
     /// It did not answer. Times are on the scheduler's clock.
     Unanswered {
         /// When its lease ends if it is not extended.
@@ -153,13 +153,13 @@
 
 /// A call to the adviser, and what came of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Advised {
+pub struct AdviceResult {
     /// Which entry called; 0 is this one.
-    pub lane: usize,
+    pub channel: usize,
     /// The step that it was about.
     pub step: StepId,
     /// The workers that it named.
-    pub asked: Vec<WorkerId>,
+    pub workers: Vec<WorkerId>,
     /// What came of it.
     pub reply: AdviceReply,
 }
@@ -183,9 +183,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Advice {
     /// Workers that may run the step, each with its ticket.
-    pub good: Vec<(WorkerId, Arc<str>)>,
+    pub tickets: Vec<(WorkerId, Arc<str>)>,
     /// How long the tickets hold, if it says so.
-    pub valid: Option<Duration>,
+    pub valid_for: Option<Duration>,
 }
 
 /// What came of a stop.
@@ -218,7 +218,7 @@
     /// Have a worker attended no longer.
     Unwatch(WorkerId),
     /// Have the figures of all that runs on a worker told with each look, or no longer.
-    Figures(WorkerId, bool),
+    ReportFigures(WorkerId, bool),
     /// Start a task.
     Start {
         /// Where.
@@ -240,22 +240,22 @@
     /// Ask the adviser which of these workers may run a step.
     Advise {
         /// Which entry calls; 0 is this one.
-        lane: usize,
+        channel: usize,
         /// The step.
         step: StepId,
         /// The workers.
         workers: Vec<WorkerId>,
         /// How long the answer is waited for.
-        patience: Duration,
+        timeout: Duration,
     },
     /// Stop a task.
     Stop(WorkerId, TaskId, u32),
     /// Let a task work at a share, in percent.
     Pace(WorkerId, TaskId, u32, u32),
     /// Maintain a host as part of a wave.
-    Upkeep(HostId, u64),
+    MaintainHost(HostId, u64),
     /// Give a host to another pool.
-    Move(HostId, ServiceId),
+    MoveHost(HostId, ServiceId),
 }
 
 /// A record of the scheduler's state.
@@ -273,12 +273,12 @@
     DropWorker(WorkerId),
     /// Name of the holder that has given a host an order lately, or is about
     /// to; `None` if none has.
-    Ordered(HostId, Option<String>),
+    HostOrderMark(HostId, Option<String>),
 }
 
 /// What the caller-facing part may tell once a batch is stored.
 #[derive(Clone, Debug)]
-pub struct ShownJob {
+pub struct JobStatusUpdate {
     /// The job.
     pub key: JobKey,
     /// Its queue.
@@ -299,13 +299,13 @@
     /// Actions that wait for the records.
     pub actions: Vec<Action>,
     /// Highest end that each worker may forget.
-    pub forget: Vec<(WorkerId, u64)>,
+    pub acked_ends: Vec<(WorkerId, u64)>,
     /// What callers may be told.
-    pub shown: Vec<ShownJob>,
+    pub status_updates: Vec<JobStatusUpdate>,
     /// Jobs that are over with these records: the inbox need not hold them any more.
-    pub over: Vec<JobKey>,
+    pub finished_jobs: Vec<JobKey>,
     /// Waves whose status is to be published, with whether they are complete.
     pub waves: Vec<(u64, bool)>,
     /// Everything that was in the inbox at this time is shown with this batch.
-    pub inbox_read: Duration,
+    pub inbox_read_at: Duration,
 }
--- a/crates/workswood-core/src/jobs/upkeep.rs
+++ b/crates/workswood-core/src/jobs/upkeep.rs
@@ -69,7 +69,7 @@
             w.sent.insert(host.clone(), self.now);
         }
         self.mark_order(&host);
-        self.actions.push(Action::Upkeep(host, n));
+        self.actions.push(Action::MaintainHost(host, n));
     }
 
     /// Whether a host is likely to take an order. One that is on its way to a
--- a/crates/workswood-test-support/src/advised_world.rs
+++ b/crates/workswood-test-support/src/advised_world.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use workswood_core::jobs::job::WorkerId;
-use workswood_core::jobs::{Action, Advice, AdviceConfig, AdviceReply, Advised, Event, SchedConfig, StepId};
+use workswood_core::jobs::{
+    Action, Advice, AdviceConfig, AdviceReply, AdviceResult, Event, SchedConfig, StepId,
+};
 
 use crate::host_world::HostWorld;
 use crate::job_world::{QUEUE, config};
@@ -27,7 +29,7 @@
 /// A scheduler that knows this many idle workers, and a queue with advice.
 pub fn advised(workers: usize, cfg: AdviceConfig) -> HostWorld {
     let mut world = HostWorld::new(workers);
-    world.sched.handle(Event::Config(Arc::new(advised_config(cfg, 2))));
+    world.sched.handle(Event::ConfigChanged(Arc::new(advised_config(cfg, 2))));
     world
 }
 
@@ -39,7 +41,7 @@
 /// All calls to the adviser among actions, with their lanes.
 pub fn calls(actions: &[Action]) -> Vec<(usize, StepId, Vec<WorkerId>)> {
     let call = |a: &Action| match a {
-        Action::Advise { lane, step, workers, .. } => Some((*lane, *step, workers.clone())),
+        Action::Advise { channel: lane, step, workers, .. } => Some((*lane, *step, workers.clone())),
         _ => None,
     };
     actions.iter().filter_map(call).collect()
@@ -57,11 +59,11 @@
 /// An answer to this entry's call: some of the workers are good.
 pub fn advice(step: StepId, asked: &[WorkerId], good: &[WorkerId], valid: Duration) -> Event {
     let ticket = |id: &WorkerId| (id.clone(), format!("for-{id}").as_str().into());
-    let answer = Advice { good: good.iter().map(ticket).collect(), valid: Some(valid) };
+    let answer = Advice { tickets: good.iter().map(ticket).collect(), valid_for: Some(valid) };
     failed(0, step, asked, AdviceReply::Answered(answer))
 }
 
 /// The outcome of a call.
 pub fn failed(lane: usize, step: StepId, asked: &[WorkerId], reply: AdviceReply) -> Event {
-    Event::Advised(Advised { lane, step, asked: asked.to_vec(), reply })
+    Event::AdviceReceived(AdviceResult { channel: lane, step, workers: asked.to_vec(), reply })
 }
--- a/crates/workswood-test-support/src/host_world.rs
+++ b/crates/workswood-test-support/src/host_world.rs
@@ -10,8 +10,8 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{
-    Action, Event, Follow, Host, HostState, Limits, Listing, News, Record, ReportedRun, Scheduler,
-    ServiceConfig, StartReply, TaskId, Wave, WorkerInfo,
+    Action, Event, Follow, Host, HostState, Limits, Listing, Record, ReportedRun, Scheduler, ServiceConfig,
+    StartReply, TaskId, Wave, WorkerInfo, WorkerUpdate,
 };
 
 use crate::job_world::{SERVICE, config};
@@ -109,7 +109,7 @@
             ordered: Vec::new(),
             attended: BTreeMap::new(),
         };
-        world.sched.handle(Event::Config(Arc::new(cfg)));
+        world.sched.handle(Event::ConfigChanged(Arc::new(cfg)));
         for n in 0..workers {
             world.sched.handle(Event::WorkerListed(worker(n, 0)));
             world.report(n, 0, &[]);
@@ -127,7 +127,7 @@
         self.sched.handle(Event::RelayHeard(own));
         let late = self.attended.iter().filter(|(_, (_, heard))| *heard + LATE < now);
         let late: Vec<WorkerId> = late.map(|(id, _)| id.clone()).collect();
-        late.into_iter().for_each(|id| self.tells(&id, News::Doubted));
+        late.into_iter().for_each(|id| self.tells(&id, WorkerUpdate::ProbeLate));
     }
 
     /// The workers are attended from now on: their next answers list all.
@@ -136,9 +136,9 @@
     }
 
     /// Whoever attends a worker tells something of it.
-    pub fn tells(&mut self, id: &WorkerId, news: News) {
+    pub fn tells(&mut self, id: &WorkerId, news: WorkerUpdate) {
         let token = self.sched.token_of(id).unwrap_or(0);
-        self.sched.handle(Event::Relayed(id.clone(), token, news));
+        self.sched.handle(Event::WorkerUpdate(id.clone(), token, news));
     }
 
     /// A worker took a start.
@@ -146,7 +146,7 @@
         let now = self.sched.now;
         let (follow, _) = self.attended.entry(id.clone()).or_default();
         follow.started(task, attempt, StartReply::Taken, now);
-        self.tells(id, News::Started(task, attempt, StartReply::Taken));
+        self.tells(id, WorkerUpdate::Started(task, attempt, StartReply::Taken));
     }
 
     /// A worker answers a look that is sent now.
@@ -160,7 +160,7 @@
         let (follow, heard) = self.attended.entry(id.clone()).or_default();
         *heard = now;
         let report = follow.listed(listing, now, now);
-        self.tells(id, News::Reported(report));
+        self.tells(id, WorkerUpdate::Reported(report));
     }
 
     /// A worker answers a look and lists what it was told to start.
@@ -182,8 +182,8 @@
         let batch = self.sched.take_batch();
         for rec in &batch.records {
             match rec {
-                Record::Ordered(host, Some(_)) => self.ordered.push(host.clone()),
-                Record::Ordered(host, None) => self.ordered.retain(|m| m != host),
+                Record::HostOrderMark(host, Some(_)) => self.ordered.push(host.clone()),
+                Record::HostOrderMark(host, None) => self.ordered.retain(|m| m != host),
                 _ => {}
             }
         }
@@ -194,14 +194,14 @@
     /// The list of hosts is asked for and read at this time.
     pub fn list(&mut self, hosts: Vec<Host>) {
         let now = self.sched.now;
-        self.sched.handle(Event::Hosts(hosts, now));
+        self.sched.handle(Event::HostsListed(hosts, now));
     }
 }
 
 /// Hosts that are ordered down.
 pub fn upkeeps(actions: &[Action]) -> Vec<String> {
     let name = |a: &Action| match a {
-        Action::Upkeep(m, _) => Some(m.clone()),
+        Action::MaintainHost(m, _) => Some(m.clone()),
         _ => None,
     };
     actions.iter().filter_map(name).collect()
@@ -210,7 +210,7 @@
 /// Hosts that are ordered to move, each with the pool that gets it.
 pub fn moves(actions: &[Action]) -> Vec<(String, String)> {
     let of = |a: &Action| match a {
-        Action::Move(m, pool) => Some((m.clone(), pool.clone())),
+        Action::MoveHost(m, pool) => Some((m.clone(), pool.clone())),
         _ => None,
     };
     actions.iter().filter_map(of).collect()
--- a/crates/workswood-test-support/src/job_world/holder.rs
+++ b/crates/workswood-test-support/src/job_world/holder.rs
@@ -6,9 +6,10 @@
 
 use workswood_core::ids::{DataCentre, HostId, Term};
 use workswood_core::jobs::job::WorkerId;
-use workswood_core::jobs::types::{Record, ShownJob, lease_with_drift};
+use workswood_core::jobs::types::{JobStatusUpdate, Record, lease_with_drift};
 use workswood_core::jobs::{
-    Action, Advice, AdviceReply, Advised, Batch, Event, JobKey, News, Outcome, Scheduler, Shown, StepId,
+    Action, Advice, AdviceReply, AdviceResult, Batch, Event, JobKey, Outcome, Scheduler, Shown, StepId,
+    WorkerUpdate,
 };
 
 use super::adviser::{self, ADVICE, may_run};
@@ -44,7 +45,7 @@
     attended: BTreeMap<WorkerId, (HostId, Term)>,
     /// Events that wait: when to take them, and what they are.
     inbox: Vec<(Duration, Event)>,
-    pub shown: HashMap<JobKey, ShownJob>,
+    pub shown: HashMap<JobKey, JobStatusUpdate>,
 }
 
 impl Holder {
@@ -181,17 +182,18 @@
                 h.sched.handle(Event::LifeOver(id, now.saturating_sub(silent)));
             }
             ToHolder::Restarted(id, started, silent) => {
-                h.sched.handle(Event::Restarted(id, started, now.saturating_sub(silent)));
+                h.sched.handle(Event::WorkerRestarted(id, started, now.saturating_sub(silent)));
             }
             ToHolder::Leaving => h.sched.handle(Event::RelayLeaving(entry.clone())),
             ToHolder::News(id, token, news) => {
                 let news = match news {
-                    News::Unanswered { lease_end, heard } => {
-                        News::Unanswered { lease_end: now + lease_end, heard: now.saturating_sub(heard) }
-                    }
+                    WorkerUpdate::Unanswered { lease_end, heard } => WorkerUpdate::Unanswered {
+                        lease_end: now + lease_end,
+                        heard: now.saturating_sub(heard),
+                    },
                     other => other,
                 };
-                h.sched.handle(Event::Relayed(id, token, news));
+                h.sched.handle(Event::WorkerUpdate(id, token, news));
             }
         }
     }
@@ -236,15 +238,15 @@
                     self.stored_workers.remove(id);
                 }
                 // The model has no hosts and no waves.
-                Record::DropJob(_) | Record::Wave(..) | Record::Ordered(..) => {}
+                Record::DropJob(_) | Record::Wave(..) | Record::HostOrderMark(..) => {}
             }
         }
         self.act(n, batch);
     }
 
     fn act(&mut self, n: usize, batch: Batch) {
-        self.trimmed.extend(batch.over);
-        for s in batch.shown {
+        self.trimmed.extend(batch.finished_jobs);
+        for s in batch.status_updates {
             match s.state {
                 Some(Shown::Ended(Outcome::Completed)) => self.check_completed(s.key),
                 Some(Shown::Ended(Outcome::Failed)) => self.check_failed(s.key),
@@ -252,7 +254,7 @@
             }
             self.holders[n].shown.insert(s.key, s);
         }
-        for (id, number) in batch.forget {
+        for (id, number) in batch.acked_ends {
             self.order(n, &id.clone(), ToRelay::Forget(id, number));
         }
         for action in batch.actions {
@@ -286,11 +288,16 @@
                     self.order(n, &worker, ToRelay::Start { id, task, attempt, ticket });
                 }
             }
-            Action::Advise { lane, step, workers, patience } => self.advise(n, lane, step, workers, patience),
+            Action::Advise { channel: lane, step, workers, timeout: patience } => {
+                self.advise(n, lane, step, workers, patience)
+            }
             Action::Stop(worker, task, attempt) => {
                 self.order(n, &worker.clone(), ToRelay::Stop(worker, task, attempt));
             }
-            Action::Pace(..) | Action::Upkeep(..) | Action::Move(..) | Action::Figures(..) => {}
+            Action::Pace(..)
+            | Action::MaintainHost(..)
+            | Action::MoveHost(..)
+            | Action::ReportFigures(..) => {}
         }
     }
 
@@ -338,7 +345,7 @@
         let made = self.now + takes;
         let good: Vec<(WorkerId, Arc<str>)> =
             good.map(|id| (id.clone(), adviser::ticket(&step, id, made))).collect();
-        let answer = AdviceReply::Answered(Advice { good, valid: Some(ADVICE.valid) });
+        let answer = AdviceReply::Answered(Advice { tickets: good, valid_for: Some(ADVICE.valid) });
         let (reply, wait) = match (self.luck.fate(), self.luck.below(8)) {
             (Fate::Fine, _) => (answer, takes),
             (_, 0 | 1) => (AdviceReply::Busy, STEP),
@@ -347,7 +354,7 @@
             (_, 4 | 5) => (answer, patience),
             _ => (AdviceReply::NoAnswer, patience),
         };
-        let advised = Event::Advised(Advised { lane, step, asked, reply });
+        let advised = Event::AdviceReceived(AdviceResult { channel: lane, step, workers: asked, reply });
         self.holders[n].hears(self.now + wait, advised);
     }
 }
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -309,7 +309,7 @@
             let workspace = Workspace { name: WORKSPACE.to_string(), weight: 1.0, limit: room };
             cfg.workspaces.add(workspace, []);
         }
-        sched.handle(Event::Config(Arc::new(cfg)));
+        sched.handle(Event::ConfigChanged(Arc::new(cfg)));
         sched.handle(Event::Evacuated(self.evacuated()));
         for (id, rec) in &self.stored_workers {
             sched.restore_worker(id.clone(), rec.clone());
--- a/crates/workswood-test-support/src/job_world/relay.rs
+++ b/crates/workswood-test-support/src/job_world/relay.rs
@@ -11,7 +11,7 @@
 use workswood_core::ids::{HostId, Term, UnixMs};
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::types::lease_with_drift;
-use workswood_core::jobs::{Follow, Listing, News, StartReply, StopReply, TaskId};
+use workswood_core::jobs::{Follow, Listing, StartReply, StopReply, TaskId, WorkerUpdate};
 
 use super::worker::{Answer, Order};
 use super::{LEASE, STEP, World, limits};
@@ -64,7 +64,7 @@
     /// Likewise; the worker has started again under its name, at this time of day.
     Restarted(WorkerId, UnixMs, Duration),
     /// News of a worker that was given this token. Times are counted from when it is told.
-    News(WorkerId, Term, News),
+    News(WorkerId, Term, WorkerUpdate),
 }
 
 /// A session between a holder and a relay.
@@ -374,7 +374,7 @@
                 if quiet {
                     return;
                 }
-                News::Reported(report)
+                WorkerUpdate::Reported(report)
             }
             Coming::Restarted(later) => {
                 let silent = now.saturating_sub(w.heard);
@@ -391,24 +391,24 @@
             Coming::LookLost { gone: false } => {
                 w.silent = true;
                 w.doubted = true;
-                News::Unanswered {
+                WorkerUpdate::Unanswered {
                     lease_end: w.leased_until.saturating_sub(now),
                     heard: now.saturating_sub(w.heard),
                 }
             }
-            Coming::Fenced => News::Fenced,
+            Coming::Fenced => WorkerUpdate::Fenced,
             Coming::Started { task, attempt, reply } => {
                 w.follow.started(task, attempt, reply, now);
                 if reply.is_answer() {
                     w.heard = now;
                 }
-                News::Started(task, attempt, reply)
+                WorkerUpdate::Started(task, attempt, reply)
             }
             Coming::Stopped { task, attempt, reply } => {
                 if reply == StopReply::Taken {
                     w.follow.stop_taken(task, attempt, now);
                 }
-                News::Stopped(task, attempt, reply)
+                WorkerUpdate::Stopped(task, attempt, reply)
             }
         };
         self.tell_holder(served.session, ToHolder::News(id, token, news));
--- a/src/workswood/ops/bench/pools.rs
+++ b/src/workswood/ops/bench/pools.rs
@@ -8,8 +8,8 @@
 use workswood_core::ids::{HostId, ServiceId};
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{
-    Action, Event, Host, HostReply, HostState, JobSpec, Limits, News, QueueConfig, Report, SchedConfig,
-    Scheduler, ServiceConfig, StepSpec, Wave, WorkerInfo,
+    Action, Event, Host, HostReply, HostState, JobSpec, Limits, QueueConfig, Report, SchedConfig, Scheduler,
+    ServiceConfig, StepSpec, Wave, WorkerInfo, WorkerUpdate,
 };
 
 use super::stats::median;
@@ -55,14 +55,14 @@
     /// Idle hosts, a quarter of them off, and a wave over all of them.
     fn new(count: usize) -> Fleet {
         let mut sched = Scheduler::new(1, limits(), Duration::ZERO, 0);
-        sched.handle(Event::Config(Arc::new(config())));
+        sched.handle(Event::ConfigChanged(Arc::new(config())));
         let hosts: BTreeMap<HostId, Host> = (0..count).map(host).map(|m| (m.name.clone(), m)).collect();
         let mut fleet = Fleet { sched, hosts, orders: 0 };
         fleet.list();
         let names = fleet.hosts.keys().cloned().collect();
         let within = Duration::from_secs(600);
         let wave = Wave { number: 1, hosts: names, within, most_at_once: count / 20 };
-        fleet.sched.handle(Event::Wave(wave, None));
+        fleet.sched.handle(Event::WaveRequested(wave, None));
         fleet
     }
 
@@ -80,9 +80,9 @@
             self.sched.take_attendance();
             let report = Report { whole: true, ..Report::default() };
             let token = self.sched.token_of(&id).unwrap_or(0);
-            self.sched.handle(Event::Relayed(id, token, News::Reported(report)));
+            self.sched.handle(Event::WorkerUpdate(id, token, WorkerUpdate::Reported(report)));
         }
-        self.sched.handle(Event::Hosts(self.hosts.values().cloned().collect(), now));
+        self.sched.handle(Event::HostsListed(self.hosts.values().cloned().collect(), now));
     }
 
     /// Jobs for one service that fill half of all hosts.
@@ -124,8 +124,8 @@
 
     fn carry_out(&mut self, action: Action) {
         let (name, pool) = match action {
-            Action::Move(name, pool) => (name, Some(pool)),
-            Action::Upkeep(name, _) => (name, None),
+            Action::MoveHost(name, pool) => (name, Some(pool)),
+            Action::MaintainHost(name, _) => (name, None),
             _ => return,
         };
         self.orders += 1;
@@ -134,7 +134,7 @@
             m.pool = pool.unwrap_or_else(|| m.pool.clone());
             m.worker = (m.pool != SPARE).then(|| format!("w-{name}-{life}").as_str().into());
         }
-        self.sched.handle(Event::HostOrdered(name, HostReply::Done));
+        self.sched.handle(Event::HostOrderAnswered(name, HostReply::Done));
     }
 }
 
--- a/src/workswood/ops/jobs/advice.rs
+++ b/src/workswood/ops/jobs/advice.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use workswood_core::jobs::job::WorkerId;
-use workswood_core::jobs::{Advice, AdviceReply, Advised, Event, StepId};
+use workswood_core::jobs::{Advice, AdviceReply, AdviceResult, Event, StepId};
 use workswood_peers as wire;
 use workswood_peers::{AdviceOutcome, AdviceTicket, CallError, Msg};
 
@@ -36,7 +36,7 @@
     };
     let outcome = label(&reply);
     let good = match &reply {
-        AdviceReply::Answered(answer) => answer.good.len(),
+        AdviceReply::Answered(answer) => answer.tickets.len(),
         _ => 0,
     };
     node.metrics.advice.with_label_values(&[outcome]).inc();
@@ -48,9 +48,9 @@
         (node.now() - sent).as_millis(),
         call.patience.as_millis()
     );
-    let advised = Advised { lane: call.lane, step: call.step, asked: call.workers, reply };
+    let advised = AdviceResult { channel: call.lane, step: call.step, workers: call.workers, reply };
     // A scheduler that has just ended takes no more events.
-    let _ = l.tx.send(Event::Advised(advised));
+    let _ = l.tx.send(Event::AdviceReceived(advised));
 }
 
 /// Has the n-th other process make a call.
@@ -103,8 +103,8 @@
     };
     wire::AdviceReply {
         outcome: outcome as i32,
-        good: answer.good.into_iter().map(row).collect(),
-        valid_ms: answer.valid.map(|v| v.as_millis() as u64),
+        good: answer.tickets.into_iter().map(row).collect(),
+        valid_ms: answer.valid_for.map(|v| v.as_millis() as u64),
     }
 }
 
@@ -112,7 +112,7 @@
     let good = reply.good.into_iter().map(|t| (t.worker.into(), t.ticket.into())).collect();
     let valid = reply.valid_ms.map(Duration::from_millis);
     match AdviceOutcome::try_from(reply.outcome).unwrap_or(AdviceOutcome::NoAnswer) {
-        AdviceOutcome::Answered => AdviceReply::Answered(Advice { good, valid }),
+        AdviceOutcome::Answered => AdviceReply::Answered(Advice { tickets: good, valid_for: valid }),
         AdviceOutcome::Busy => AdviceReply::Busy,
         AdviceOutcome::Refused => AdviceReply::Refused,
         AdviceOutcome::NoAnswer => AdviceReply::NoAnswer,
--- a/src/workswood/ops/jobs/feeds.rs
+++ b/src/workswood/ops/jobs/feeds.rs
@@ -113,7 +113,7 @@
     let asked = node.now();
     match node.platform.hosts().await {
         Ok(list) => {
-            let _ = l.tx.send(Event::Hosts(list, asked));
+            let _ = l.tx.send(Event::HostsListed(list, asked));
         }
         Err(e) => log::warn!("event=machines_not_read error=\"{e}\""),
     }
--- a/src/workswood/ops/jobs/follow.rs
+++ b/src/workswood/ops/jobs/follow.rs
@@ -163,11 +163,11 @@
             log::info!("event=config_in_force version={} queues={}", cfg.version, cfg.queues.len());
             let cfg = Arc::new(cfg);
             node.configure(cfg.clone(), rec.value.clone().unwrap_or_default());
-            node.tell_scheduler(Event::Config(cfg));
+            node.tell_scheduler(Event::ConfigChanged(cfg));
         }
         Ok(Some(OperatorItem::Wave(wave))) => {
             node.waves.lock().insert(wave.number, wave.clone());
-            node.tell_scheduler(Event::Wave(wave, None));
+            node.tell_scheduler(Event::WaveRequested(wave, None));
         }
         Ok(Some(OperatorItem::Evacuation { data_centre, wanted: true })) => _ = evacuated.insert(data_centre),
         Ok(Some(OperatorItem::Evacuation { data_centre, wanted: false })) => {
--- a/src/workswood/ops/jobs/host_orders.rs
+++ b/src/workswood/ops/jobs/host_orders.rs
@@ -20,7 +20,7 @@
 pub async fn give(node: Arc<Node>, l: Arc<Leading>, host: HostId, order: HostOrder) {
     let reply = reply_to(&node, &l, &host, order).await;
     // A scheduler that has just ended takes no more events.
-    let _ = l.tx.send(Event::HostOrdered(host, reply));
+    let _ = l.tx.send(Event::HostOrderAnswered(host, reply));
 }
 
 /// Gives an order, if this process may still give any. A holder that was paused or suspended, or
--- a/src/workswood/ops/jobs/lead.rs
+++ b/src/workswood/ops/jobs/lead.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::Instant;
-use workswood_core::jobs::{Action, Batch, Event, JobKey, Scheduler, ShownJob};
+use workswood_core::jobs::{Action, Batch, Event, JobKey, JobStatusUpdate, Scheduler};
 use workswood_platform::jobs::{Guard, KeyedRecord, StoreError, Topic};
 
 use super::advice::{self, AdviceCall};
@@ -247,16 +247,16 @@
 
     /// Does what a stored batch asks for.
     fn carry_out(&mut self, batch: Batch, tasks: &mut JoinSet<()>) {
-        if !batch.shown.is_empty() {
-            self.show(batch.shown);
+        if !batch.status_updates.is_empty() {
+            self.show(batch.status_updates);
         }
-        self.l.inbox_read.store(batch.inbox_read.as_millis() as u64, Ordering::Release);
-        for (id, number) in batch.forget {
+        self.l.inbox_read.store(batch.inbox_read_at.as_millis() as u64, Ordering::Release);
+        for (id, number) in batch.acked_ends {
             self.sessions.forget(&id, number);
         }
-        if !batch.over.is_empty() {
+        if !batch.finished_jobs.is_empty() {
             // Who takes them out ends with the scheduler.
-            let _ = self.over.send(batch.over);
+            let _ = self.over.send(batch.finished_jobs);
         }
         if !batch.waves.is_empty() {
             self.status.send_modify(|s| s.extend(batch.waves));
@@ -279,13 +279,13 @@
     fn act(&mut self, action: Action, tasks: &mut JoinSet<()>) {
         let (node, l) = (self.node.clone(), self.l.clone());
         match action {
-            Action::Upkeep(host, wave) => {
+            Action::MaintainHost(host, wave) => {
                 tasks.spawn(host_orders::give(node, l, host, HostOrder::Upkeep(wave)));
             }
-            Action::Move(host, pool) => {
+            Action::MoveHost(host, pool) => {
                 tasks.spawn(host_orders::give(node, l, host, HostOrder::Move(pool)));
             }
-            Action::Advise { lane, step, workers, patience } => {
+            Action::Advise { channel: lane, step, workers, timeout: patience } => {
                 tasks.spawn(advice::ask(node, l, AdviceCall { lane, step, workers, patience }));
             }
             other => self.sessions.send(other, tasks),
@@ -293,7 +293,7 @@
     }
 
     /// Shows callers the jobs of a stored batch.
-    fn show(&self, shown: Vec<ShownJob>) {
+    fn show(&self, shown: Vec<JobStatusUpdate>) {
         let mut all = self.l.shown.write();
         shown.into_iter().for_each(|s| all.show(s));
     }
--- a/src/workswood/ops/jobs/load.rs
+++ b/src/workswood/ops/jobs/load.rs
@@ -49,7 +49,7 @@
     sched.strength = node.settings.strength();
     sched.now = node.now();
     if let Some(cfg) = node.config.load_full() {
-        sched.handle(Event::Config(cfg));
+        sched.handle(Event::ConfigChanged(cfg));
     }
     sched.handle(Event::Evacuated(node.operators.evacuations().data_centres.clone()));
     let state = read_state(state);
@@ -63,7 +63,7 @@
     restore(&mut sched, records, state.jobs);
     sched.restore_demand();
     for (n, wave) in node.waves.lock().iter() {
-        sched.handle(Event::Wave(wave.clone(), state.waves.get(n).cloned()));
+        sched.handle(Event::WaveRequested(wave.clone(), state.waves.get(n).cloned()));
     }
     log::info!(
         "event=state_loaded term={term} jobs={} fence_ms={} read_ms={} restore_ms={}",
--- a/src/workswood/ops/jobs/record.rs
+++ b/src/workswood/ops/jobs/record.rs
@@ -145,8 +145,8 @@
         Record::DropJob(job) => drop_record(job_key(*job)),
         Record::Wave(n, progress) => value_record(format!("{WAVE}{n}"), progress),
         Record::Worker(id, worker) => value_record(format!("{WORKER}{id}"), worker),
-        Record::Ordered(host, Some(holder)) => value_record(format!("{ORDERED}{host}"), holder),
-        Record::Ordered(host, None) => drop_record(format!("{ORDERED}{host}")),
+        Record::HostOrderMark(host, Some(holder)) => value_record(format!("{ORDERED}{host}"), holder),
+        Record::HostOrderMark(host, None) => drop_record(format!("{ORDERED}{host}")),
         Record::DropWorker(id) => drop_record(format!("{WORKER}{id}")),
     }
 }
@@ -159,6 +159,6 @@
         | Record::Wave(..)
         | Record::Worker(..)
         | Record::DropWorker(..)
-        | Record::Ordered(..) => None,
+        | Record::HostOrderMark(..) => None,
     }
 }
--- a/src/workswood/ops/jobs/relay/order.rs
+++ b/src/workswood/ops/jobs/relay/order.rs
@@ -5,7 +5,7 @@
 
 use workswood_core::ids::{Term, UnixMs};
 use workswood_core::jobs::job::WorkerId;
-use workswood_core::jobs::{Event, News, Report, StartReply, StopReply, TaskId, WorkerAddress};
+use workswood_core::jobs::{Event, Report, StartReply, StopReply, TaskId, WorkerAddress, WorkerUpdate};
 
 /// Number that the lease holder gives a worker each time a relay begins to attend it.
 pub type Number = u32;
@@ -108,17 +108,17 @@
         let news = match self {
             What::LifeOver(silent) => return Event::LifeOver(id, now.saturating_sub(silent)),
             What::Restarted(started, silent) => {
-                return Event::Restarted(id, started, now.saturating_sub(silent));
+                return Event::WorkerRestarted(id, started, now.saturating_sub(silent));
             }
-            What::Reported(report) => News::Reported(report),
-            What::Doubted => News::Doubted,
+            What::Reported(report) => WorkerUpdate::Reported(report),
+            What::Doubted => WorkerUpdate::ProbeLate,
             What::Unanswered { leased, silent } => {
-                News::Unanswered { lease_end: now + leased, heard: now.saturating_sub(silent) }
+                WorkerUpdate::Unanswered { lease_end: now + leased, heard: now.saturating_sub(silent) }
             }
-            What::Fenced => News::Fenced,
-            What::Started { task, attempt, reply } => News::Started(task, attempt, reply),
-            What::Stopped { task, attempt, reply } => News::Stopped(task, attempt, reply),
+            What::Fenced => WorkerUpdate::Fenced,
+            What::Started { task, attempt, reply } => WorkerUpdate::Started(task, attempt, reply),
+            What::Stopped { task, attempt, reply } => WorkerUpdate::Stopped(task, attempt, reply),
         };
-        Event::Relayed(id, token, news)
+        Event::WorkerUpdate(id, token, news)
     }
 }
--- a/src/workswood/ops/jobs/sessions.rs
+++ b/src/workswood/ops/jobs/sessions.rs
@@ -78,7 +78,7 @@
                     self.leave(&a);
                 }
             }
-            Action::Figures(id, wanted) => self.order(&id, Order::Figures(wanted)),
+            Action::ReportFigures(id, wanted) => self.order(&id, Order::Figures(wanted)),
             Action::Stop(id, task, attempt) => self.order(&id, Order::Stop { task, attempt }),
             Action::Pace(id, task, attempt, percent) => {
                 self.order(&id, Order::Pace { task, attempt, percent });
@@ -91,7 +91,7 @@
                     self.order(&worker, Order::Start(s));
                 }
             }
-            Action::Advise { .. } | Action::Upkeep(..) | Action::Move(..) => {}
+            Action::Advise { .. } | Action::MaintainHost(..) | Action::MoveHost(..) => {}
         }
     }
 
--- a/src/workswood/ops/jobs/shown.rs
+++ b/src/workswood/ops/jobs/shown.rs
@@ -3,17 +3,17 @@
 use std::collections::HashMap;
 
 use workswood_core::jobs::spec::QueueId;
-use workswood_core::jobs::{JobKey, Owner, Shown, ShownJob};
+use workswood_core::jobs::{JobKey, JobStatusUpdate, Owner, Shown};
 
 /// What callers may be told of jobs, with what is asked of a whole queue.
 #[derive(Debug, Default)]
 pub struct ShownJobs {
-    by_key: HashMap<JobKey, ShownJob>,
+    by_key: HashMap<JobKey, JobStatusUpdate>,
     /// Jobs that have not begun, by queue; those with times of their own apart.
     queued: HashMap<QueueId, u64>,
 }
 
-fn counts(s: &ShownJob) -> bool {
+fn counts(s: &JobStatusUpdate) -> bool {
     s.state == Some(Shown::Queued) && !s.timed
 }
 
@@ -31,7 +31,7 @@
     }
 
     /// Takes in what may be told of a job; nothing of one that is forgotten.
-    pub fn show(&mut self, s: ShownJob) {
+    pub fn show(&mut self, s: JobStatusUpdate) {
         if counts(&s) {
             *self.queued.entry(s.queue.clone()).or_default() += 1;
         }
--- a/src/workswood/ops/model/carry.rs
+++ b/src/workswood/ops/model/carry.rs
@@ -5,7 +5,7 @@
 use workswood_core::ids::HostId;
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{
-    Action, Batch, Follow, JobKey, JobRecord, Outcome, Record, Scheduler, Shown, ShownJob, WaveRecord,
+    Action, Batch, Follow, JobKey, JobRecord, JobStatusUpdate, Outcome, Record, Scheduler, Shown, WaveRecord,
     WorkerRecord,
 };
 
@@ -34,8 +34,8 @@
             Record::Wave(n, wave) => drop(self.waves.insert(n, wave)),
             Record::Worker(id, w) => drop(self.workers.insert(id, w)),
             Record::DropWorker(id) => drop(self.workers.remove(&id)),
-            Record::Ordered(host, Some(holder)) => drop(self.ordered.insert(host, holder)),
-            Record::Ordered(host, None) => drop(self.ordered.remove(&host)),
+            Record::HostOrderMark(host, Some(holder)) => drop(self.ordered.insert(host, holder)),
+            Record::HostOrderMark(host, None) => drop(self.ordered.remove(&host)),
         }
     }
 }
@@ -67,8 +67,8 @@
     /// Carries out what a batch says whose records are stored.
     pub(super) fn carry_out(&mut self, batch: Batch) {
         batch.records.into_iter().for_each(|r| self.stored.take(r));
-        batch.shown.iter().for_each(|shown| self.show(shown));
-        for (worker, number) in batch.forget {
+        batch.status_updates.iter().for_each(|shown| self.show(shown));
+        for (worker, number) in batch.acked_ends {
             if let Some(n) = self.host_of(&worker) {
                 self.hosts[n].forget(number);
             }
@@ -76,7 +76,7 @@
         batch.actions.into_iter().for_each(|action| self.act(action));
     }
 
-    fn show(&mut self, shown: &ShownJob) {
+    fn show(&mut self, shown: &JobStatusUpdate) {
         if shown.state == Some(Shown::Ended(Outcome::Completed)) {
             self.done.entry(shown.key).or_insert(self.now);
         }
@@ -96,15 +96,15 @@
                     self.after(WAY, Happening::Look(n, info.id, true));
                 }
             }
-            Action::Move(host, pool) => {
+            Action::MoveHost(host, pool) => {
                 self.after(WAY, Happening::Ordered(host, Order::Move(pool)));
             }
-            Action::Upkeep(host, _) => self.after(WAY, Happening::Ordered(host, Order::Upkeep)),
+            Action::MaintainHost(host, _) => self.after(WAY, Happening::Ordered(host, Order::Upkeep)),
             // No queue of the model has advice.
             Action::Unwatch(_)
             | Action::Pace(..)
             | Action::Advise { .. }
-            | Action::Figures(..)
+            | Action::ReportFigures(..)
             | Action::OpenRelay(_)
             | Action::CloseRelay(_) => {}
         }
--- a/src/workswood/ops/model/faults.rs
+++ b/src/workswood/ops/model/faults.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use workswood_core::jobs::job::WorkerId;
-use workswood_core::jobs::{Event, HostState, News, Scheduler};
+use workswood_core::jobs::{Event, HostState, Scheduler, WorkerUpdate};
 
 use super::agenda::Happening;
 use super::deployment::{CRASH_AWAY, LEASE, TAKEOVER, config, limits};
@@ -22,7 +22,7 @@
         let mut s = Scheduler::new(self.term, limits(), self.now, wall);
         s.policy = self.policy.clone();
         s.holder = format!("entry-{}", self.term);
-        s.handle(Event::Config(Arc::new(config(self.spec))));
+        s.handle(Event::ConfigChanged(Arc::new(config(self.spec))));
         s.handle(Event::Evacuated(self.evacuated.keys().cloned().collect()));
         self.restore(&mut s);
         self.sched = Some(s);
@@ -46,7 +46,7 @@
         s.restore_demand();
         if let Some(wave) = self.wave.clone() {
             let rec = self.stored.waves.get(&wave.number).cloned();
-            s.handle(Event::Wave(wave, rec));
+            s.handle(Event::WaveRequested(wave, rec));
         }
     }
 
@@ -108,7 +108,7 @@
         let worker = self.hosts[n].worker().clone();
         self.hosts[n].end_life(HostState::Down);
         let (lease_end, heard) = (self.now + LEASE, self.now);
-        self.tell_of(worker, News::Unanswered { lease_end, heard });
+        self.tell_of(worker, WorkerUpdate::Unanswered { lease_end, heard });
         self.after(away, Happening::Arrives(n));
     }
 }
--- a/src/workswood/ops/model/hosts.rs
+++ b/src/workswood/ops/model/hosts.rs
@@ -5,7 +5,9 @@
 use workswood_core::invariant;
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::spec::Room;
-use workswood_core::jobs::{EndKind, Event, HostReply, HostState, News, StartReply, StopReply, TaskId};
+use workswood_core::jobs::{
+    EndKind, Event, HostReply, HostState, StartReply, StopReply, TaskId, WorkerUpdate,
+};
 
 use super::agenda::{Happening, Order};
 use super::deployment::{
@@ -43,7 +45,7 @@
     pub(super) fn list(&mut self) {
         let room = self.room();
         let list = self.hosts.iter().map(|m| m.listed(room)).collect();
-        self.tell(Event::Hosts(list, self.now));
+        self.tell(Event::HostsListed(list, self.now));
         self.after(LIST, Happening::List);
     }
 
@@ -59,7 +61,7 @@
             return;
         }
         let report = self.hosts[n].report(self.now);
-        self.tell_of(worker.clone(), News::Reported(report));
+        self.tell_of(worker.clone(), WorkerUpdate::Reported(report));
         if again && self.sched.is_some() {
             self.after(LOOK, Happening::Look(n, worker, true));
         }
@@ -77,7 +79,7 @@
         if let Some(n) = self.host_of(&worker) {
             self.hosts[n].follow.started(task, attempt, reply, now);
         }
-        self.tell_of(worker, News::Started(task, attempt, reply));
+        self.tell_of(worker, WorkerUpdate::Started(task, attempt, reply));
     }
 
     /// Nothing that was decided after a data centre was evacuated begins there.
@@ -120,13 +122,13 @@
         if let Some(n) = self.host_of(&worker) {
             self.hosts[n].follow.stop_taken(task, attempt, now);
         }
-        self.tell_of(worker, News::Stopped(task, attempt, StopReply::Taken));
+        self.tell_of(worker, WorkerUpdate::Stopped(task, attempt, StopReply::Taken));
     }
 
     pub(super) fn ordered(&mut self, host: HostId, order: Order) {
         let Some(n) = self.hosts.iter().position(|m| *m.name() == host) else { return };
         if self.hosts[n].state != HostState::Up {
-            self.tell(Event::HostOrdered(host, HostReply::Busy));
+            self.tell(Event::HostOrderAnswered(host, HostReply::Busy));
             return;
         }
         let (state, takes) = match &order {
@@ -139,6 +141,6 @@
             self.moves += 1;
         }
         self.after(takes, Happening::Arrives(n));
-        self.tell(Event::HostOrdered(host, HostReply::Done));
+        self.tell(Event::HostOrderAnswered(host, HostReply::Done));
     }
 }
--- a/src/workswood/ops/model/world.rs
+++ b/src/workswood/ops/model/world.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use workswood_core::ids::{DataCentre, Term};
 use workswood_core::jobs::job::WorkerId;
-use workswood_core::jobs::{EndKind, Event, JobKey, News, Policy, Scheduler, Wave};
+use workswood_core::jobs::{EndKind, Event, JobKey, Policy, Scheduler, Wave, WorkerUpdate};
 
 use super::agenda::{Agenda, Happening};
 use super::bound;
@@ -141,9 +141,9 @@
     }
 
     /// Tells what is new of a worker.
-    pub(super) fn tell_of(&mut self, id: WorkerId, news: News) {
+    pub(super) fn tell_of(&mut self, id: WorkerId, news: WorkerUpdate) {
         let token = self.sched.as_ref().and_then(|s| s.token_of(&id)).unwrap_or(0);
-        self.tell(Event::Relayed(id, token, news));
+        self.tell(Event::WorkerUpdate(id, token, news));
     }
 
     fn happens(&mut self, what: Happening) {
@@ -192,7 +192,7 @@
         let hosts = self.hosts.iter().step_by(stride.max(1)).take(count).map(|m| m.name().clone());
         let wave = Wave { number: 1, hosts: hosts.collect(), within: w.within, most_at_once: w.most_at_once };
         self.wave = Some(wave.clone());
-        self.tell(Event::Wave(wave, None));
+        self.tell(Event::WaveRequested(wave, None));
     }
 
     /// Counts hosts that are on, and what tasks fill of them, until a time.
--- a/tests/testsuite/advice_protocol.rs
+++ b/tests/testsuite/advice_protocol.rs
@@ -67,8 +67,8 @@
     let (a, c) = adviser().await;
     a.refuse("i-2");
     let answer = answered(c.advise(STEP, &ids(&["i-1", "i-2", "i-3"]), LONG).await);
-    let good: Vec<&str> = answer.good.iter().map(|(id, _)| &**id).collect();
-    assert_eq!((good, answer.valid), (vec!["i-1", "i-3"], Some(ms(700))));
+    let good: Vec<&str> = answer.tickets.iter().map(|(id, _)| &**id).collect();
+    assert_eq!((good, answer.valid_for), (vec!["i-1", "i-3"], Some(ms(700))));
     let asked = ("5c0e7a21d94b36f8.0.1".to_string(), ["i-1", "i-2", "i-3"].map(String::from).to_vec());
     assert_eq!(a.calls(), [asked]);
 }
@@ -83,7 +83,7 @@
     assert_eq!(c.advise(STEP, &one, ms(60)).await, AdviceReply::NoAnswer);
     a.faults(|f| f.late = ms(400));
     assert_eq!(c.advise(STEP, &one, ms(60)).await, AdviceReply::NoAnswer);
-    assert_eq!(answered(c.advise(STEP, &one, LONG).await).good.len(), 1, "late, but waited for");
+    assert_eq!(answered(c.advise(STEP, &one, LONG).await).tickets.len(), 1, "late, but waited for");
     for none in [None, Some(NOWHERE.to_string())] {
         assert_eq!(client(none).advise(STEP, &one, LONG).await, AdviceReply::NotSent);
     }
@@ -119,7 +119,7 @@
     assert_eq!(start(&info, 1, 0, None).await, Err(WorkerError::Ticket));
     assert_eq!(start(&info, 1, 0, Some("t-0".into())).await, Err(WorkerError::Ticket));
     let answer = answered(c.advise(STEP, &ids(&["i-1"]), LONG).await);
-    let ticket = Some(answer.good[0].1.clone());
+    let ticket = Some(answer.tickets[0].1.clone());
     assert_eq!(start(&info, 1, 0, ticket.clone()).await, Ok(()));
     assert_eq!(start(&info, 1, 1, ticket).await, Ok(()), "it holds for all tasks of the step");
     assert_eq!(w.without_ticket(), 2);
@@ -142,8 +142,8 @@
     let call = AdviceCall { lane, step: STEP, workers: ids(&["i-1", "i-2"]), patience: ms(300) };
     advice::ask(node.clone(), l, call).await;
     match rx.recv().await {
-        Some(Event::Advised(a)) => {
-            assert_eq!((a.lane, a.step, a.asked.len()), (lane, STEP, 2));
+        Some(Event::AdviceReceived(a)) => {
+            assert_eq!((a.channel, a.step, a.workers.len()), (lane, STEP, 2));
             a.reply
         }
         other => panic!("no outcome but {other:?}"),
@@ -159,13 +159,13 @@
     assert_eq!(call(&holder, 0).await, AdviceReply::NotSent);
     assert_eq!(call(&holder, 1).await, AdviceReply::NotSent, "no other entry is known yet");
     holder.peers.know("entry-2", &helper.settings.peers.to_string(), 600);
-    assert_eq!(answered(call(&holder, 1).await).good.len(), 2);
+    assert_eq!(answered(call(&holder, 1).await).tickets.len(), 2);
     assert_eq!(call(&holder, 2).await, AdviceReply::NotSent);
     a.faults(|f| f.busy = 1);
     assert_eq!(call(&holder, 1).await, AdviceReply::Busy);
     a.faults(|f| f.silent = 1);
     assert_eq!(call(&holder, 1).await, AdviceReply::NoAnswer);
-    assert_eq!(answered(call(&holder, 1).await).valid, Some(ms(700)));
+    assert_eq!(answered(call(&holder, 1).await).valid_for, Some(ms(700)));
     holder.peers.know("entry-2", NOWHERE, 600);
     assert_eq!(call(&holder, 1).await, AdviceReply::NotSent, "that entry is gone");
 }
--- a/tests/testsuite/advice_tickets.rs
+++ b/tests/testsuite/advice_tickets.rs
@@ -6,8 +6,8 @@
 
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{
-    Action, AdviceConfig, AdviceReply, EndKind, Event, Listing, News, Owner, ReportedEnd, StartReply, StepId,
-    TaskId,
+    Action, AdviceConfig, AdviceReply, EndKind, Event, Listing, Owner, ReportedEnd, StartReply, StepId,
+    TaskId, WorkerUpdate,
 };
 use workswood_test_support::advised_world::{
     PLAIN, advice, advised, advised_config, asked, calls, failed, started,
@@ -140,7 +140,7 @@
     world.sched.handle(advice(STEP, &ids, &ids, ms(3000)));
     assert_eq!(started(&world.tick()).len(), 1);
     let task = TaskId { job: 1, round: 0, step: 0, index: 0 };
-    world.tells(&ids[0], News::Started(task, 1, StartReply::Ticket));
+    world.tells(&ids[0], WorkerUpdate::Started(task, 1, StartReply::Ticket));
     let actions = world.tick();
     assert!(started(&actions).is_empty() && asked(&actions).is_none(), "not in a hurry");
     world.at(620);
@@ -180,7 +180,7 @@
 fn slow_adviser_gets_time() {
     let (mut world, ids) = waiting(2, 1);
     let patience = |world: &HostWorld| match world.actions.last() {
-        Some(Action::Advise { patience, .. }) => *patience,
+        Some(Action::Advise { timeout: patience, .. }) => *patience,
         other => panic!("no call but {other:?}"),
     };
     let mut last = patience(&world);
@@ -212,7 +212,7 @@
     let actions = world.tick();
     assert!(started(&actions).is_empty(), "it may have ended");
     let wait = world.actions.iter().rev().find_map(|a| match a {
-        Action::Advise { patience, .. } => Some(*patience),
+        Action::Advise { timeout: patience, .. } => Some(*patience),
         _ => None,
     });
     assert_eq!(wait, Some(ms(105 + 300 + 2000)), "the next answer may be as late");
@@ -225,7 +225,8 @@
     world.sched.handle(failed(0, STEP, &ids, AdviceReply::NoAnswer));
     world.at(110);
     let actions = world.tick();
-    let Some(Action::Advise { patience, .. }) = actions.iter().find(|a| matches!(a, Action::Advise { .. }))
+    let Some(Action::Advise { timeout: patience, .. }) =
+        actions.iter().find(|a| matches!(a, Action::Advise { .. }))
     else {
         panic!("it is asked again");
     };
@@ -305,7 +306,7 @@
                 world.sched.handle(advice(step_id, &ids, &[], ms(3000)));
             } else {
                 let patience = actions.iter().find_map(|a| match a {
-                    Action::Advise { lane: 1, patience, .. } => Some(*patience),
+                    Action::Advise { channel: 1, timeout: patience, .. } => Some(*patience),
                     _ => None,
                 });
                 waited = waited.max(patience.unwrap_or_default());
@@ -371,9 +372,9 @@
     let (mut world, _) = waiting(2, 1);
     let mut without = advised_config(cfg(), 3);
     without.queues.values_mut().for_each(|q| q.advice = None);
-    world.sched.handle(Event::Config(Arc::new(without)));
+    world.sched.handle(Event::ConfigChanged(Arc::new(without)));
     assert_eq!(started(&world.tick()).len(), 1, "any worker may run it now");
-    world.sched.handle(Event::Config(Arc::new(advised_config(cfg(), 4))));
+    world.sched.handle(Event::ConfigChanged(Arc::new(advised_config(cfg(), 4))));
     world.sched.handle(Event::Submitted(2, Arc::new(job(vec![step(1, vec![])], 0))));
     assert!(started(&world.tick()).is_empty());
 }
--- a/tests/testsuite/chance_crashes.rs
+++ b/tests/testsuite/chance_crashes.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 use workswood_core::jobs::{
-    Action, EndKind, Event, JobSpec, Listing, News, Outcome, Owner, ReportedEnd, ReportedRun, Shown,
-    StepSpec, TaskId,
+    Action, EndKind, Event, JobSpec, Listing, Outcome, Owner, ReportedEnd, ReportedRun, Shown, StepSpec,
+    TaskId, WorkerUpdate,
 };
 use workswood_test_support::host_world::{HostWorld, host, listed, worker};
 use workswood_test_support::job_world::{ATTEMPTS, SERVICE, job, step};
@@ -92,7 +92,7 @@
         self.runs.retain(|_, (on, _)| *on != n);
         let (id, now) = (worker(n, self.lives[n]).id, self.world.sched.now);
         let lease_end = now + Duration::from_secs(5);
-        self.world.tells(&id, News::Unanswered { lease_end, heard: now });
+        self.world.tells(&id, WorkerUpdate::Unanswered { lease_end, heard: now });
         self.lives[n] += 1;
         self.ms += 100;
         self.world.at(self.ms);
--- a/tests/testsuite/changing_room.rs
+++ b/tests/testsuite/changing_room.rs
@@ -5,7 +5,8 @@
 
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{
-    Action, EndKind, Event, Listing, News, Owner, ReportedEnd, ReportedRun, StopReply, TaskId, WorkerInfo,
+    Action, EndKind, Event, Listing, Owner, ReportedEnd, ReportedRun, StopReply, TaskId, WorkerInfo,
+    WorkerUpdate,
 };
 use workswood_test_support::host_world::{HostWorld, worker};
 use workswood_test_support::job_world::{job, step};
@@ -88,7 +89,7 @@
     world.sched.handle(Event::Cancelled(1, Owner::PUBLIC));
     assert_eq!(starts(&submit(&mut world, 2, 4)), [], "they are only told to stop");
     for (task, attempt) in &runs {
-        world.tells(&worker(0, 0).id, News::Stopped(*task, *attempt, StopReply::Taken));
+        world.tells(&worker(0, 0).id, WorkerUpdate::Stopped(*task, *attempt, StopReply::Taken));
     }
     assert_eq!(starts(&world.tick()), [], "a stop takes some time");
     world.at(900);
--- a/tests/testsuite/crash_evidence.rs
+++ b/tests/testsuite/crash_evidence.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use workswood_core::jobs::crash::{Crash, Evidence};
-use workswood_core::jobs::{Action, Event, JobSpec, News, Outcome, Shown, TaskId};
+use workswood_core::jobs::{Action, Event, JobSpec, Outcome, Shown, TaskId, WorkerUpdate};
 use workswood_test_support::host_world::{HostWorld, host, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
 
@@ -52,7 +52,7 @@
 fn lose(world: &mut HostWorld, n: usize, lives: &mut [usize], heard: Duration) -> Vec<Action> {
     let (now, id) = (world.sched.now, worker(n, lives[n]).id);
     let end = now + Duration::from_secs(5);
-    world.tells(&id, News::Unanswered { lease_end: end, heard });
+    world.tells(&id, WorkerUpdate::Unanswered { lease_end: end, heard });
     world.at(now.as_millis() as u64 + 1000);
     lives[n] += 1;
     world.list(listed(lives));
@@ -157,11 +157,11 @@
         within: Duration::from_secs(1),
         most_at_once: 1,
     };
-    world.sched.handle(Event::Wave(wave, None));
+    world.sched.handle(Event::WaveRequested(wave, None));
     let mut ordered = false;
     for ms in (300..8000).step_by(150) {
         world.at(ms);
-        ordered |= world.tick().iter().any(|a| matches!(a, Action::Upkeep(..)));
+        ordered |= world.tick().iter().any(|a| matches!(a, Action::MaintainHost(..)));
         if ordered {
             break;
         }
--- a/tests/testsuite/demand_history.rs
+++ b/tests/testsuite/demand_history.rs
@@ -62,7 +62,7 @@
         world.sched.take_batch();
     }
     world.sched.now = Duration::from_secs(1);
-    world.sched.handle(Event::Hosts(hosts, world.sched.now));
+    world.sched.handle(Event::HostsListed(hosts, world.sched.now));
     hand_in(&mut world, 4, 4);
     world.tick();
     moves(&world.actions).len()
@@ -115,7 +115,7 @@
     let (moved, mut world) = moved_at_first(3.0, 4);
     let sent: Vec<String> = moves(&world.actions).into_iter().map(|(m, _)| m).collect();
     for m in &sent {
-        world.sched.handle(Event::HostOrdered(m.clone(), HostReply::Done));
+        world.sched.handle(Event::HostOrderAnswered(m.clone(), HostReply::Done));
     }
     // They have come; the first jobs are done, and the next ones on their way.
     let mut hosts: Vec<_> = (0..4).map(|n| host(n, SERVICE, Some(0))).collect();
--- a/tests/testsuite/evacuated_centres.rs
+++ b/tests/testsuite/evacuated_centres.rs
@@ -9,7 +9,7 @@
 use workswood::ops::jobs::operators::Evacuations;
 use workswood::ops::jobs::relay::order::{Order, StartTask};
 use workswood::ops::jobs::relay::{Grant, Relay, Sink};
-use workswood_core::jobs::{Action, Event, Host, News, StartReply, TaskId, WorkerInfo};
+use workswood_core::jobs::{Action, Event, Host, StartReply, TaskId, WorkerInfo, WorkerUpdate};
 use workswood_test_support::host_world::{HostWorld, SPARE, host, listed, moves, worker};
 use workswood_test_support::job_node::settings;
 use workswood_test_support::job_world::{SERVICE, job, step};
@@ -177,7 +177,9 @@
     while let Ok(ev) = rx.try_recv() {
         told.push(ev);
     }
-    let not_sent = |ev: &Event| matches!(ev, Event::Relayed(_, 7, News::Started(_, 1, StartReply::NotSent)));
+    let not_sent = |ev: &Event| {
+        matches!(ev, Event::WorkerUpdate(_, 7, WorkerUpdate::Started(_, 1, StartReply::NotSent)))
+    };
     assert!(told.iter().any(not_sent), "it is told that nothing was sent");
     evacuated(&["north"]);
     start(2);
--- a/tests/testsuite/eviction_budget.rs
+++ b/tests/testsuite/eviction_budget.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood_core::jobs::{Action, Event, News};
+use workswood_core::jobs::{Action, Event, WorkerUpdate};
 use workswood_test_support::host_world::{HostWorld, host, wave, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
 
@@ -52,7 +52,7 @@
 /// How many stops a wave over one host leads to within some seconds, while
 /// another worker is silent or not.
 fn stops_in_wave(over: usize, silent: &[usize], mut world: HostWorld, starts: &[Action]) -> usize {
-    world.sched.handle(Event::Wave(wave(&[over], 1), None));
+    world.sched.handle(Event::WaveRequested(wave(&[over], 1), None));
     let mut stops = 0;
     for t in 1..20 {
         world.at(100 + t * 150);
@@ -72,7 +72,7 @@
     let hosts = hosts_of(&starts);
     assert_eq!(hosts.len(), 2, "{starts:?}");
     let end = lease_end(&world);
-    world.tells(&worker(hosts[1], 0).id, News::Unanswered { lease_end: end, heard: Duration::ZERO });
+    world.tells(&worker(hosts[1], 0).id, WorkerUpdate::Unanswered { lease_end: end, heard: Duration::ZERO });
     assert_eq!(stops_in_wave(hosts[0], &[hosts[1]], world, &starts), 0, "the other one may be lost");
 }
 
@@ -83,7 +83,7 @@
     // Its look hangs: there is neither an answer nor a failure.
     world.at(2000);
     let mut stops = 0;
-    world.sched.handle(Event::Wave(wave(&[hosts[0]], 1), None));
+    world.sched.handle(Event::WaveRequested(wave(&[hosts[0]], 1), None));
     for t in 1..20 {
         world.at(2000 + t * 150);
         report_all(&mut world, &starts, &[hosts[1]]);
--- a/tests/testsuite/eviction_handover.rs
+++ b/tests/testsuite/eviction_handover.rs
@@ -90,7 +90,7 @@
 fn evict_one() -> (Vec<Option<TaskId>>, usize, JobRecord) {
     let (mut world, tasks, mut stored) = first_holder();
     let over = first(&tasks);
-    world.sched.handle(Event::Wave(wave(&[over], 1), None));
+    world.sched.handle(Event::WaveRequested(wave(&[over], 1), None));
     for t in 1..10 {
         world.at(100 + t * TICK);
         answer_all(&mut world, &tasks);
@@ -151,7 +151,7 @@
     // Its worker lists the task until it has stopped.
     let mut next = next_holder(&record);
     let other = others(&tasks, gone)[0];
-    next.sched.handle(Event::Wave(wave(&[other], 1), None));
+    next.sched.handle(Event::WaveRequested(wave(&[other], 1), None));
     let stopped = run_next(&mut next, &tasks, TAKEN_OVER, 10);
     assert!(!stopped.contains(&tasks[other].expect("a task")), "a second one is away: {stopped:?}");
 }
@@ -206,7 +206,7 @@
     next.tick();
     let (at, run) = begun(&mut next, task);
     let other = others(&tasks, gone)[0];
-    next.sched.handle(Event::Wave(wave(&[other], 1), None));
+    next.sched.handle(Event::WaveRequested(wave(&[other], 1), None));
     let mut stopped = Vec::new();
     for t in 1..10 {
         next.at(TAKEN_OVER + t * TICK);
--- a/tests/testsuite/foreign_entries.rs
+++ b/tests/testsuite/foreign_entries.rs
@@ -152,7 +152,7 @@
     let mut service = cfg.services.values().next().expect("a service").clone();
     service.name.clone_from(&other.service);
     cfg.services.insert(other.service.clone(), service);
-    world.sched.handle(Event::Config(Arc::new(cfg)));
+    world.sched.handle(Event::ConfigChanged(Arc::new(cfg)));
     assert!(watched(&world.sched.take_attendance()));
 }
 
--- a/tests/testsuite/job_limits.rs
+++ b/tests/testsuite/job_limits.rs
@@ -6,14 +6,14 @@
 use workswood_adapter::callers::read_job;
 use workswood_adapter_standin::caller::one_task;
 use workswood_core::jobs::{
-    Action, Event, Job, JobSpec, News, Outcome, Owner, Repeat, Scheduler, Shown, WorkerInfo,
+    Action, Event, Job, JobSpec, Outcome, Owner, Repeat, Scheduler, Shown, WorkerInfo, WorkerUpdate,
 };
 use workswood_test_support::host_world::limits;
 use workswood_test_support::job_world::{SERVICE, config, job, step};
 
 fn scheduler() -> Scheduler {
     let mut s = Scheduler::new(1, limits(), Duration::from_secs(1), 1000);
-    s.handle(Event::Config(Arc::new(config())));
+    s.handle(Event::ConfigChanged(Arc::new(config())));
     s
 }
 
@@ -33,7 +33,7 @@
     let report = workswood_core::jobs::Report { whole: true, ..Default::default() };
     s.take_attendance();
     let token = s.token_of(&"w".into()).expect("it is known");
-    s.handle(Event::Relayed("w".into(), token, News::Reported(report)));
+    s.handle(Event::WorkerUpdate("w".into(), token, WorkerUpdate::Reported(report)));
     s
 }
 
@@ -81,7 +81,7 @@
     assert!(!rec.fits(&other));
     let mut s = scheduler();
     s.restore(5, Some(other), Some(rec));
-    let shown = s.take_batch().shown;
+    let shown = s.take_batch().status_updates;
     assert_eq!(shown[0].state, Some(Shown::Ended(Outcome::Failed)));
 }
 
@@ -92,7 +92,7 @@
     s.handle(Event::Submitted(9, Arc::new(job(vec![step(1, vec![])], 0))));
     let batch = s.take_batch();
     assert!(!batch.actions.iter().any(|a| matches!(a, Action::Start { .. })), "{:?}", batch.actions);
-    assert_eq!(batch.shown[0].state, Some(Shown::Ended(Outcome::Canceled)));
+    assert_eq!(batch.status_updates[0].state, Some(Shown::Ended(Outcome::Canceled)));
 }
 
 #[test]
--- a/tests/testsuite/job_records.rs
+++ b/tests/testsuite/job_records.rs
@@ -11,7 +11,7 @@
 use workswood_core::jobs::job::{TaskRecord, WorkerId};
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{
-    JobRecord, JobSpec, Outcome, OverRecord, Owner, Repeat, Shown, ShownJob, StepSpec,
+    JobRecord, JobSpec, JobStatusUpdate, Outcome, OverRecord, Owner, Repeat, Shown, StepSpec,
 };
 use workswood_test_support::job_world::{job, step};
 
@@ -173,8 +173,8 @@
     assert!(job_spec::decode(&bytes[..bytes.len() - 1]).is_err());
 }
 
-fn shown(key: u64, queue: &str, state: Option<Shown>) -> ShownJob {
-    ShownJob { key, queue: queue.to_string(), owner: Owner::PUBLIC, state, timed: false }
+fn shown(key: u64, queue: &str, state: Option<Shown>) -> JobStatusUpdate {
+    JobStatusUpdate { key, queue: queue.to_string(), owner: Owner::PUBLIC, state, timed: false }
 }
 
 #[test]
@@ -184,7 +184,7 @@
     all.show(shown(1, "a", Some(Shown::Queued)));
     all.show(shown(2, "a", Some(Shown::Queued)));
     all.show(shown(3, "b", Some(Shown::Queued)));
-    all.show(ShownJob { timed: true, ..shown(4, "b", Some(Shown::Queued)) });
+    all.show(JobStatusUpdate { timed: true, ..shown(4, "b", Some(Shown::Queued)) });
     assert_eq!((all.queued("a"), all.queued("b"), all.queued("c")), (2, 1, 0));
     all.show(shown(1, "a", Some(Shown::Running)));
     all.show(shown(2, "a", None));
--- a/tests/testsuite/lingering_lives.rs
+++ b/tests/testsuite/lingering_lives.rs
@@ -29,7 +29,7 @@
     // The latest list of hosts is older, and tells nothing of that entry.
     world.at(100);
     world.sched.handle(Event::WorkerListed(worker(M, lingering)));
-    world.sched.handle(Event::Wave(wave(&[M], 1), None));
+    world.sched.handle(Event::WaveRequested(wave(&[M], 1), None));
     for t in 1..30 {
         world.at(t * 150);
         world.report(M, life, &starts);
--- a/tests/testsuite/lost_looks.rs
+++ b/tests/testsuite/lost_looks.rs
@@ -8,7 +8,7 @@
 use workswood::ops::jobs::limits::LeaseTimes;
 use workswood::ops::jobs::relay::link::WorkerLink;
 use workswood::ops::jobs::relay::{Grant, Shared, Sink, look};
-use workswood_core::jobs::{Event, News};
+use workswood_core::jobs::{Event, WorkerUpdate};
 use workswood_test_support::host_world::worker;
 use workswood_test_support::job_node::settings;
 use workswood_test_support::turn_store::TurnStore;
@@ -33,7 +33,7 @@
     while node.now() < Duration::from_secs(10) {
         match rx.recv().await {
             // Told at once, so that nothing is evicted elsewhere on its account.
-            Some(Event::Relayed(_, _, News::Reported(_) | News::Doubted)) => {}
+            Some(Event::WorkerUpdate(_, _, WorkerUpdate::Reported(_) | WorkerUpdate::ProbeLate)) => {}
             other => panic!("the worker answers: {other:?}"),
         }
         longest = longest.max(node.now() - last);
--- a/tests/testsuite/order_marks.rs
+++ b/tests/testsuite/order_marks.rs
@@ -25,7 +25,7 @@
     world.tick();
     assert_eq!(moves(&world.actions).len(), 1);
     assert_eq!(world.ordered, ["m-7"], "in the batch whose records are stored before the order is sent");
-    world.sched.handle(Event::HostOrdered("m-7".to_string(), HostReply::Done));
+    world.sched.handle(Event::HostOrderAnswered("m-7".to_string(), HostReply::Done));
     world.at(300);
     world.tick();
     assert_eq!(world.ordered, [""; 0], "with no time to wait, the mark is dropped");
@@ -47,7 +47,7 @@
     world.at(2900);
     world.tick();
     assert!(moves(&world.actions).iter().all(|(m, _)| m == "m-8"), "a predecessor may have ordered m-7");
-    world.sched.handle(Event::HostOrdered("m-8".to_string(), HostReply::Done));
+    world.sched.handle(Event::HostOrderAnswered("m-8".to_string(), HostReply::Done));
     world.at(3050);
     world.sched.handle(Event::Submitted(2, Arc::new(job(vec![step(30, vec![])], 3000))));
     world.tick();
--- a/tests/testsuite/over_jobs.rs
+++ b/tests/testsuite/over_jobs.rs
@@ -26,7 +26,7 @@
 
 fn scheduler() -> Scheduler {
     let mut s = Scheduler::new(1, limits(), NOW, 60_000);
-    s.handle(Event::Config(Arc::new(config())));
+    s.handle(Event::ConfigChanged(Arc::new(config())));
     s
 }
 
@@ -57,14 +57,14 @@
     s.handle(Event::Submitted(2, spec()));
     s.handle(Event::Cancelled(1, Owner::PUBLIC));
     let batch = s.take_batch();
-    assert_eq!(batch.over, [1], "the inbox need not hold it");
+    assert_eq!(batch.finished_jobs, [1], "the inbox need not hold it");
     assert!(s.jobs.is_over(&1) && !s.jobs.is_over(&2));
     let rec = recorded(&batch, 1).expect("it changed");
     assert!(rec.rounds.is_empty());
     let over = rec.over.expect("it is over");
     assert_eq!((over.queue.as_str(), over.service.as_str(), over.accepted), (QUEUE, SERVICE, 50_000));
     assert_eq!(recorded(&batch, 2).expect("it is new").over, None);
-    assert!(s.take_batch().over.is_empty(), "it is told once");
+    assert!(s.take_batch().finished_jobs.is_empty(), "it is told once");
 }
 
 #[test]
@@ -72,8 +72,8 @@
     let mut next = scheduler();
     next.restore(1, None, Some(over_record()));
     let batch = next.take_batch();
-    assert_eq!(batch.shown[0].state, Some(Shown::Ended(Outcome::Canceled)));
-    assert_eq!((batch.records.len(), batch.over.len()), (0, 0), "nothing is new");
+    assert_eq!(batch.status_updates[0].state, Some(Shown::Ended(Outcome::Canceled)));
+    assert_eq!((batch.records.len(), batch.finished_jobs.len()), (0, 0), "nothing is new");
 }
 
 #[test]
@@ -81,8 +81,8 @@
     let mut next = scheduler();
     next.restore(1, Some(spec()), Some(over_record()));
     let batch = next.take_batch();
-    assert_eq!(batch.shown[0].state, Some(Shown::Ended(Outcome::Canceled)));
-    assert_eq!(batch.over, [1], "its predecessor did not come to take it out");
+    assert_eq!(batch.status_updates[0].state, Some(Shown::Ended(Outcome::Canceled)));
+    assert_eq!(batch.finished_jobs, [1], "its predecessor did not come to take it out");
 }
 
 #[test]
@@ -93,7 +93,7 @@
     next.handle(Event::Submitted(1, spec()));
     next.handle(Event::Cancelled(1, Owner::PUBLIC));
     let batch = next.take_batch();
-    assert!(batch.records.is_empty() && batch.shown.is_empty(), "it is not begun again");
+    assert!(batch.records.is_empty() && batch.status_updates.is_empty(), "it is not begun again");
 }
 
 #[test]
--- a/tests/testsuite/restarted_workers.rs
+++ b/tests/testsuite/restarted_workers.rs
@@ -9,7 +9,7 @@
 use workswood::ops::jobs::worker_list::WorkerList;
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{
-    Action, EndKind, Event, Listing, News, Report, ReportedEnd, TaskId, WorkerAddress, WorkerInfo,
+    Action, EndKind, Event, Listing, Report, ReportedEnd, TaskId, WorkerAddress, WorkerInfo, WorkerUpdate,
 };
 use workswood_platform::jobs::KeyedRecord;
 use workswood_test_support::host_world::{HostWorld, host, listed, upkeeps, wave, worker};
@@ -77,7 +77,7 @@
 fn start_taken_by_the_later_life() {
     let (mut world, begun) = one_task();
     world.at(100);
-    world.sched.handle(Event::Restarted(life(10).id, 20, Duration::ZERO));
+    world.sched.handle(Event::WorkerRestarted(life(10).id, 20, Duration::ZERO));
     assert_eq!(starts(&world.tick()), []);
     world
         .answers(&life(20).id, Listing { running: begun.iter().filter_map(listed).collect(), ended: vec![] });
@@ -113,16 +113,16 @@
     let Action::Start { task, attempt, .. } = begun[0] else { panic!("a start") };
     let end = ReportedEnd { number: 1, task, attempt, kind: EndKind::Done, checkpoint: String::new() };
     for news in [
-        News::Reported(Report { whole: true, ended: vec![end], ..Report::default() }),
-        News::Started(task, attempt, workswood_core::jobs::StartReply::Taken),
-        News::Unanswered { lease_end: Duration::from_secs(9), heard: Duration::ZERO },
-        News::Fenced,
+        WorkerUpdate::Reported(Report { whole: true, ended: vec![end], ..Report::default() }),
+        WorkerUpdate::Started(task, attempt, workswood_core::jobs::StartReply::Taken),
+        WorkerUpdate::Unanswered { lease_end: Duration::from_secs(9), heard: Duration::ZERO },
+        WorkerUpdate::Fenced,
     ] {
-        world.sched.handle(Event::Relayed(life(10).id, token, news));
+        world.sched.handle(Event::WorkerUpdate(life(10).id, token, news));
     }
     world.sched.handle(Event::WorkerListed(life(10)));
     world.sched.handle(Event::WorkerUnlisted(life(10).id));
-    world.sched.handle(Event::Restarted(life(10).id, 20, Duration::ZERO));
+    world.sched.handle(Event::WorkerRestarted(life(10).id, 20, Duration::ZERO));
     assert!(!world.sched.deposed && !world.sched.workers.contains_key(&life(10).id));
     assert!(world.sched.workers.get(&life(20).id).is_some_and(|w| w.listed && w.reachable));
     assert!(world.sched.jobs.get(&1).is_some_and(|j| j.open()), "its task is not done");
@@ -136,7 +136,7 @@
     let token = |world: &HostWorld| world.sched.token_of(&life(30).id);
     world.answers(&life(30).id, nothing());
     let before = token(&world);
-    world.sched.handle(Event::Restarted(life(10).id, 20, Duration::ZERO));
+    world.sched.handle(Event::WorkerRestarted(life(10).id, 20, Duration::ZERO));
     world.tick();
     assert!(!world.sched.workers.contains_key(&life(20).id), "it is over already");
     assert_eq!(token(&world), before);
@@ -167,7 +167,7 @@
     world.at(1000);
     world
         .answers(&life(20).id, Listing { running: begun.iter().filter_map(listed).collect(), ended: vec![] });
-    let lost = News::Unanswered { lease_end: Duration::from_secs(6), heard: Duration::from_secs(1) };
+    let lost = WorkerUpdate::Unanswered { lease_end: Duration::from_secs(6), heard: Duration::from_secs(1) };
     world.tells(&life(20).id, lost);
     world.at(10_900);
     assert_eq!(starts(&world.tick()), [], "it may run there still");
@@ -214,18 +214,21 @@
     world.sched.handle(Event::WorkerListed(life(10)));
     world.answers(&life(10).id, nothing());
     world.at(100);
-    world.tells(&life(10).id, News::Unanswered { lease_end: Duration::from_secs(6), heard: Duration::ZERO });
+    world.tells(
+        &life(10).id,
+        WorkerUpdate::Unanswered { lease_end: Duration::from_secs(6), heard: Duration::ZERO },
+    );
     world.list(vec![listed()]);
     assert!(world.sched.workers.contains_key(&life(10).id));
     world.answers(&life(10).id, nothing());
-    world.sched.handle(Event::Wave(wave(&[0], 1), None));
+    world.sched.handle(Event::WaveRequested(wave(&[0], 1), None));
     for t in 1..20 {
         world.at(100 + t * 150);
         world.tick();
     }
     assert!(upkeeps(&world.actions).iter().all(|m| m == "m-0"));
     assert!(!world.actions.is_empty(), "it is ordered down");
-    world.sched.handle(Event::HostOrdered("m-0".to_string(), workswood_core::jobs::HostReply::Done));
+    world.sched.handle(Event::HostOrderAnswered("m-0".to_string(), workswood_core::jobs::HostReply::Done));
     world.at(3300);
     world.list(vec![listed()]);
     assert!(!world.sched.waves[&1].complete(), "it may not have begun to go down");
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -23,7 +23,7 @@
 use workswood::ops::jobs::{Node, help, peers};
 use workswood_adapter::{Addresses, PlatformClient};
 use workswood_adapter_standin::{StoreStandin, WorkerStandin};
-use workswood_core::jobs::{Shown, ShownJob, WorkerAddress};
+use workswood_core::jobs::{JobStatusUpdate, Shown, WorkerAddress};
 use workswood_liveness::HalfOpen;
 use workswood_peers::{Done, Handler, JobAsk, Link, Msg, StateAsk, StateReply};
 use workswood_platform::jobs::{Guard, JobPlatform, KeyedRecord, StoreError, Topic, WorkerClock};
@@ -202,7 +202,7 @@
     let (tx, _events) = mpsc::unbounded_channel();
     let (end, _ended) = watch::channel(false);
     let l = Leading::new(7, holder.now(), LONG, tx, end);
-    let shown = ShownJob {
+    let shown = JobStatusUpdate {
         key: 1,
         queue: "q".into(),
         owner: workswood_core::jobs::Owner::PUBLIC,
--- a/tests/testsuite/suspended_host.rs
+++ b/tests/testsuite/suspended_host.rs
@@ -67,10 +67,10 @@
     let order = || give(node.clone(), leading.clone(), "m-1".to_string(), HostOrder::Upkeep(1));
     order().await;
     assert_eq!(store.orders(), 1);
-    assert!(matches!(rx.recv().await, Some(Event::HostOrdered(..))));
+    assert!(matches!(rx.recv().await, Some(Event::HostOrderAnswered(..))));
     node.clock().suspend(SUSPENDED);
     order().await;
     assert_eq!(store.orders(), 1, "a successor may have ordered it");
     let outcome = rx.recv().await;
-    assert!(matches!(outcome, Some(Event::HostOrdered(_, HostReply::Later))), "{outcome:?}");
+    assert!(matches!(outcome, Some(Event::HostOrderAnswered(_, HostReply::Later))), "{outcome:?}");
 }
--- a/tests/testsuite/wave_orders.rs
+++ b/tests/testsuite/wave_orders.rs
@@ -11,7 +11,7 @@
 fn most_at_once() {
     let mut world = HostWorld::new(6);
     world.list((0..6).map(|n| host(n, SERVICE, Some(0))).collect());
-    world.sched.handle(Event::Wave(wave(&[0, 1, 2, 3, 4, 5], 2), None));
+    world.sched.handle(Event::WaveRequested(wave(&[0, 1, 2, 3, 4, 5], 2), None));
     let mut down = Vec::new();
     for t in 1..40 {
         world.at(t * 150);
@@ -20,7 +20,7 @@
             if !down.contains(&m) {
                 down.push(m.clone());
             }
-            world.sched.handle(Event::HostOrdered(m, HostReply::Done));
+            world.sched.handle(Event::HostOrderAnswered(m, HostReply::Done));
         }
     }
     assert_eq!(down.len(), 2, "none has come back yet: {down:?}");
@@ -31,7 +31,7 @@
     let mut world = HostWorld::new(1);
     // The workers that stand on these hosts are not known yet.
     world.list(vec![host(1, SERVICE, None), host(2, SERVICE, None)]);
-    world.sched.handle(Event::Wave(wave(&[1, 2], 1), None));
+    world.sched.handle(Event::WaveRequested(wave(&[1, 2], 1), None));
     world.at(150);
     world.tick();
     world.at(300);
@@ -40,9 +40,9 @@
     // Asked for before the order was carried out, answered after it.
     let asked = world.sched.now;
     world.at(400);
-    world.sched.handle(Event::HostOrdered("m-1".to_string(), HostReply::Done));
+    world.sched.handle(Event::HostOrderAnswered("m-1".to_string(), HostReply::Done));
     let list = vec![host(1, SERVICE, Some(3)), host(2, SERVICE, None)];
-    world.sched.handle(Event::Hosts(list, asked));
+    world.sched.handle(Event::HostsListed(list, asked));
     for t in 0..10 {
         world.at(500 + t * 150);
         world.tick();
@@ -55,13 +55,13 @@
 fn busy_host() {
     let mut world = HostWorld::new(2);
     world.list(vec![host(0, SERVICE, Some(0)), host(1, SERVICE, Some(0))]);
-    world.sched.handle(Event::Wave(wave(&[0], 1), None));
+    world.sched.handle(Event::WaveRequested(wave(&[0], 1), None));
     world.at(150);
     world.tick();
     world.at(300);
     world.tick();
     assert_eq!(upkeeps(&world.actions), ["m-0"]);
-    world.sched.handle(Event::HostOrdered("m-0".to_string(), HostReply::Busy));
+    world.sched.handle(Event::HostOrderAnswered("m-0".to_string(), HostReply::Busy));
     // The host is back with another life, which takes no work meanwhile.
     world.sched.handle(Event::LifeOver(worker(0, 0).id, Duration::ZERO));
     world.sched.handle(Event::WorkerListed(worker(0, 1)));
@@ -83,7 +83,7 @@
     let mut moving = host(1, SERVICE, None);
     moving.state = HostState::Moving;
     world.list(vec![host(0, SERVICE, Some(0)), moving]);
-    world.sched.handle(Event::Wave(wave(&[1], 1), None));
+    world.sched.handle(Event::WaveRequested(wave(&[1], 1), None));
     for t in 1..10 {
         world.at(t * 150);
         world.tick();
@@ -99,11 +99,11 @@
 fn pause_after_busy() {
     let mut world = HostWorld::new(1);
     world.list(vec![host(0, SERVICE, Some(0))]);
-    world.sched.handle(Event::Wave(wave(&[0], 1), None));
+    world.sched.handle(Event::WaveRequested(wave(&[0], 1), None));
     for t in 1..=20 {
         world.at(t * 150);
         for m in upkeeps(&world.tick()) {
-            world.sched.handle(Event::HostOrdered(m, HostReply::Busy));
+            world.sched.handle(Event::HostOrderAnswered(m, HostReply::Busy));
         }
     }
     let ordered = upkeeps(&world.actions).len();
@@ -130,7 +130,7 @@
     }
     world.at(150);
     world.tick();
-    world.sched.handle(Event::Wave(wave(&[0, 1, 2, 3], 4), None));
+    world.sched.handle(Event::WaveRequested(wave(&[0, 1, 2, 3], 4), None));
     world.at(300);
     world.tick();
     let emptied = |line: &&str| line.contains("event=machine_emptying");
@@ -159,11 +159,11 @@
     world.sched.handle(Event::WorkerListed(worker(1, 0)));
     let list = || vec![host(0, SERVICE, Some(0)), host(1, SPARE, None)];
     world.list(list());
-    world.sched.handle(Event::Wave(wave(&[1], 1), None));
+    world.sched.handle(Event::WaveRequested(wave(&[1], 1), None));
     for t in 1..30 {
         world.at(t * 150);
         for m in upkeeps(&world.tick()) {
-            world.sched.handle(Event::HostOrdered(m, HostReply::Done));
+            world.sched.handle(Event::HostOrderAnswered(m, HostReply::Done));
         }
         world.list(list());
     }
@@ -178,11 +178,11 @@
     let one = || vec![host(0, SERVICE, Some(0))];
     world.list(both());
     // Host 1 is emptied, and turns its order down; then no list shows it.
-    world.sched.handle(Event::Wave(wave(&[1], 1), None));
+    world.sched.handle(Event::WaveRequested(wave(&[1], 1), None));
     for t in 1..40 {
         world.at(t * 150);
         for m in upkeeps(&world.tick()) {
-            world.sched.handle(Event::HostOrdered(m, HostReply::Busy));
+            world.sched.handle(Event::HostOrderAnswered(m, HostReply::Busy));
         }
         world.list(if t < 4 { both() } else { one() });
         if t == 20 {
@@ -199,7 +199,7 @@
     world.list(both());
     world.at(100);
     world.list(vec![host(0, SERVICE, Some(0))]);
-    world.sched.handle(Event::Wave(wave(&[1], 1), None));
+    world.sched.handle(Event::WaveRequested(wave(&[1], 1), None));
     for t in 1..6 {
         world.at(100 + t * 150);
         world.tick();
@@ -216,7 +216,7 @@
 /// Orders down so far, each with its wave.
 fn orders(actions: &[Action]) -> Vec<(String, u64)> {
     let of = |a: &Action| match a {
-        Action::Upkeep(m, wave) => Some((m.clone(), *wave)),
+        Action::MaintainHost(m, wave) => Some((m.clone(), *wave)),
         _ => None,
     };
     actions.iter().filter_map(of).collect()
@@ -229,8 +229,8 @@
     let mut world = HostWorld::new(2);
     world.list(vec![host(0, SERVICE, Some(0)), host(1, SERVICE, Some(0))]);
     let second = Wave { number: 2, ..wave(&[0, 1], 2) };
-    world.sched.handle(Event::Wave(wave(&[0], 1), None));
-    world.sched.handle(Event::Wave(second, None));
+    world.sched.handle(Event::WaveRequested(wave(&[0], 1), None));
+    world.sched.handle(Event::WaveRequested(second, None));
     let mut life = 0;
     let mut back_at = None;
     for t in 1..200 {
@@ -240,7 +240,7 @@
                 assert!(back_at.is_none(), "wave {n} orders it while it is down");
                 back_at = Some(t + 20);
             }
-            world.sched.handle(Event::HostOrdered(name, HostReply::Done));
+            world.sched.handle(Event::HostOrderAnswered(name, HostReply::Done));
         }
         if back_at == Some(t) {
             back_at = None;
@@ -284,8 +284,8 @@
     world.report(3, 0, &[]);
     // Asked for before the lives were known, so that it ends none of them.
     let listed = [(1, 1), (2, 0), (3, 0)].map(|(n, life)| host(n, SERVICE, Some(life)));
-    world.sched.handle(Event::Hosts(listed.to_vec(), Duration::from_millis(40)));
-    world.sched.handle(Event::Wave(wave(&[1, 2, 3], 1), None));
+    world.sched.handle(Event::HostsListed(listed.to_vec(), Duration::from_millis(40)));
+    world.sched.handle(Event::WaveRequested(wave(&[1, 2, 3], 1), None));
     world.at(150);
     world.tick();
     assert_eq!(upkeeps(&world.actions), ["m-3"], "the idle one goes first");
--- a/tests/testsuite/worker_lives.rs
+++ b/tests/testsuite/worker_lives.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood_core::jobs::{Action, Event, News};
+use workswood_core::jobs::{Action, Event, WorkerUpdate};
 use workswood_test_support::host_world::{HostWorld, host, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
 
@@ -18,10 +18,10 @@
     world.at(2000);
     world.tells(
         &worker(0, 0).id,
-        News::Unanswered { lease_end: Duration::from_secs(6), heard: Duration::from_millis(100) },
+        WorkerUpdate::Unanswered { lease_end: Duration::from_secs(6), heard: Duration::from_millis(100) },
     );
     // The list was asked for before the life was known: it tells nothing.
-    world.sched.handle(Event::Hosts(vec![host(0, SERVICE, Some(9))], Duration::ZERO));
+    world.sched.handle(Event::HostsListed(vec![host(0, SERVICE, Some(9))], Duration::ZERO));
     assert!(world.sched.workers.contains_key(&worker(0, 0).id));
     world.list(vec![host(0, SERVICE, Some(1))]);
     assert!(!world.sched.workers.contains_key(&worker(0, 0).id), "another life stands on its host");
--- a/tests/testsuite/workspace_limits.rs
+++ b/tests/testsuite/workspace_limits.rs
@@ -9,8 +9,8 @@
 use workswood_core::jobs::shares::{Shares, use_by_share};
 use workswood_core::jobs::spec::Room;
 use workswood_core::jobs::{
-    Action, EndKind, Event, Job, JobSpec, Listing, News, Owner, Report, ReportedEnd, SchedConfig, StartReply,
-    StepId, TaskId, Workspace, Workspaces,
+    Action, EndKind, Event, Job, JobSpec, Listing, Owner, Report, ReportedEnd, SchedConfig, StartReply,
+    StepId, TaskId, WorkerUpdate, Workspace, Workspaces,
 };
 use workswood_test_support::host_world::HostWorld;
 use workswood_test_support::job_world::{QUEUE, config, job, step};
@@ -29,7 +29,7 @@
 }
 
 fn configured(version: u64, limits: &[(&str, u64)]) -> Event {
-    Event::Config(Arc::new(SchedConfig { version, workspaces: workspaces(limits), ..config() }))
+    Event::ConfigChanged(Arc::new(SchedConfig { version, workspaces: workspaces(limits), ..config() }))
 }
 
 /// A job of a workspace, of tasks of one core each.
@@ -86,12 +86,12 @@
     let mut world = world(&[("north", 3000)]);
     let first = submit(&mut world, 1, of("north", 3));
     let [Action::Start { worker: w, task, attempt, .. }, ..] = first.as_slice() else { panic!("a start") };
-    world.tells(w, News::Started(*task, *attempt, StartReply::NoAnswer));
+    world.tells(w, WorkerUpdate::Started(*task, *attempt, StartReply::NoAnswer));
     assert_eq!(submit(&mut world, 2, of("north", 3)).len(), 0);
     world.sched.handle(Event::Cancelled(1, Owner::of(Some("north"))));
     assert_eq!(submit(&mut world, 3, of("north", 3)).len(), 0, "what is stopped may still run");
     // Its worker lists nothing of it any more.
-    world.tells(w, News::Reported(Report { whole: true, ..Report::default() }));
+    world.tells(w, WorkerUpdate::Reported(Report { whole: true, ..Report::default() }));
     assert_eq!(starts(world.tick()).len(), 3);
 }
 
@@ -116,7 +116,7 @@
     taken(&mut world, &first);
     let [Action::Start { worker: w, .. }, ..] = first.as_slice() else { panic!("a start") };
     let lease_end = Duration::from_millis(6000);
-    world.tells(w, News::Unanswered { lease_end, heard: Duration::from_millis(200) });
+    world.tells(w, WorkerUpdate::Unanswered { lease_end, heard: Duration::from_millis(200) });
     world.sched.handle(Event::WorkerUnlisted(w.clone()));
     world.at(5900);
     assert_eq!(starts(world.tick()).len(), 0);
