--- a/crates/workswood-core/src/jobs/advice.rs
+++ b/crates/workswood-core/src/jobs/advice.rs
@@ -259,7 +259,7 @@
             let known = |id: &&WorkerId| self.workers.get(id).is_some_and(|w| w.advice.contains_key(&step));
             let fresh: Vec<&WorkerId> = asked.iter().filter(|id| !known(id)).collect();
             share.observe(fresh.len(), fresh.iter().filter(|id| good.contains_key(**id)).count());
-            self.place_again.insert(job.spec.service.clone());
+            self.services_to_place.insert(job.spec.service.clone());
         }
         for id in asked {
             let Some(mut w) = self.workers.get_mut(id) else { continue };
--- a/crates/workswood-core/src/jobs/crash.rs
+++ b/crates/workswood-core/src/jobs/crash.rs
@@ -321,7 +321,7 @@
 
     /// Crashes a second of one worker, those under a task left out.
     fn rate_without(&self, task: &TaskId) -> f64 {
-        self.crash_rate.without(task, self.now, self.workers.len(), self.now.saturating_sub(self.since))
+        self.crash_rate.without(task, self.now, self.workers.len(), self.now.saturating_sub(self.claimed_at))
     }
 
     /// A run was lost with a worker that crashed; `part` explains that, for so many runs.
@@ -338,7 +338,7 @@
             None => Evidence::Supposed,
         };
         if task.crashes.note(l.attempt, Crash { evidence, within: l.within }) {
-            self.dirty.insert(l.task.job);
+            self.dirty_jobs.insert(l.task.job);
         }
         let count = task.crashes.count();
         let suspicion = task.crashes.suspicion(rate);
@@ -363,7 +363,7 @@
         self.notes.push(format_args!(
             "event=task_given_up worker={id} task={task} crashes={crashes} suspicion={suspicion:.1}"
         ));
-        self.tally.given_up += 1;
+        self.counters.tasks_given_up += 1;
         self.crash_rate.explain(task, self.now);
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         if !job.step(task).is_some_and(|s| s.lasting) {
@@ -373,7 +373,7 @@
         if let Some(t) = job.task_mut(task) {
             t.given_up = true;
         }
-        self.dirty.insert(task.job);
+        self.dirty_jobs.insert(task.job);
         if job.nothing_left() {
             self.end_job(task.job, Outcome::Failed);
         }
@@ -419,7 +419,7 @@
             if let Some(task) = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(&id)) {
                 task.crashes = Crashes::default();
                 task.suspicion = None;
-                self.dirty.insert(id.job);
+                self.dirty_jobs.insert(id.job);
             }
         }
     }
--- a/crates/workswood-core/src/jobs/ends.rs
+++ b/crates/workswood-core/src/jobs/ends.rs
@@ -34,7 +34,7 @@
         w.reachable = true;
         w.fenced = true;
         if back {
-            self.place_again.extend(w.info.as_ref().map(|i| i.service.clone()));
+            self.services_to_place.extend(w.info.as_ref().map(|i| i.service.clone()));
             self.notes.push(format_args!("event=worker_reached worker={id} token={}", self.token));
         }
     }
@@ -51,7 +51,7 @@
             w.recorded_ends = last;
         }
         if !ended.is_empty() {
-            self.forget.insert(id.clone(), last);
+            self.acked_ends.insert(id.clone(), last);
         }
     }
 
@@ -114,7 +114,7 @@
             w.mark(&listed.task, step);
         }
         self.unqueue(&listed.task);
-        self.dirty.insert(listed.task.job);
+        self.dirty_jobs.insert(listed.task.job);
         self.notes.push(format_args!(
             "event=run_adopted worker={id} task={} attempt={}",
             listed.task, listed.attempt
@@ -149,7 +149,7 @@
             w.info.clone()
         });
         if let Some(info) = info {
-            self.place_soon(&info.service);
+            self.schedule_placement(&info.service);
         }
         self.notes.push(format_args!(
             "event=run_ended worker={id} task={task_id} attempt={} how={:?} number={}",
@@ -173,7 +173,7 @@
         if known && step.checkpointing && !end.checkpoint.is_empty() {
             task.checkpoint.clone_from(&end.checkpoint);
         }
-        self.dirty.insert(task_id.job);
+        self.dirty_jobs.insert(task_id.job);
         match end.kind {
             EndKind::Done => self.task_done(id, &task_id, step.gang, step.lasting),
             EndKind::Failed => self.task_failed(id, &task_id, end.attempt, step.lasting),
--- a/crates/workswood-core/src/jobs/evacuation.rs
+++ b/crates/workswood-core/src/jobs/evacuation.rs
@@ -23,7 +23,7 @@
         });
         self.evacuated = evacuated;
         self.measure_fleet();
-        self.place_again.extend(self.ready.keys().cloned());
+        self.services_to_place.extend(self.ready.keys().cloned());
     }
 
     /// Whether work may begin on a host, as far as its data centre is concerned.
@@ -34,7 +34,7 @@
     /// Adds up the room of all hosts on which work may begin.
     pub(super) fn measure_fleet(&mut self) {
         let open = self.hosts.values().filter(|m| self.stands_open(m));
-        self.fleet_cpu = open.map(|m| m.capacity.cpu_millis).sum();
+        self.fleet_cpu_millis = open.map(|m| m.capacity.cpu_millis).sum();
     }
 
     /// Data centres that are being evacuated, as far as this lease holder knows.
--- a/crates/workswood-core/src/jobs/evict.rs
+++ b/crates/workswood-core/src/jobs/evict.rs
@@ -109,7 +109,7 @@
         let recorded = std::mem::replace(&mut run.evicted, true);
         run.enter(Phase::Stopping, now);
         if !recorded {
-            self.dirty.insert(task.job);
+            self.dirty_jobs.insert(task.job);
         }
         self.notes
             .push(format_args!("event=task_evicted worker={id} task={task} attempt={attempt} reason={why}"));
--- a/crates/workswood-core/src/jobs/handover.rs
+++ b/crates/workswood-core/src/jobs/handover.rs
@@ -43,21 +43,21 @@
 impl Scheduler {
     /// Takes over a mark that a holder of this name recorded.
     pub fn restore_mark(&mut self, host: HostId, holder: &str) {
-        let mark = if holder == self.holder { Mark::Own(self.since) } else { Mark::Inherited };
-        self.marks.by_host.insert(host, mark);
+        let mark = if holder == self.holder { Mark::Own(self.claimed_at) } else { Mark::Inherited };
+        self.order_marks.by_host.insert(host, mark);
     }
 
     /// Whether a host may be given an order now.
     pub(super) fn may_order(&self, host: &HostId) -> bool {
-        let inherited = self.marks.by_host.get(host) == Some(&Mark::Inherited);
-        !inherited || self.now >= self.since + self.limits.host_order_delay
+        let inherited = self.order_marks.by_host.get(host) == Some(&Mark::Inherited);
+        !inherited || self.now >= self.claimed_at + self.limits.host_order_delay
     }
 
     /// Whether a host may have been given an order after a time.
     pub(super) fn is_ordered_since(&self, host: &HostId, since: Duration) -> bool {
-        match self.marks.by_host.get(host) {
+        match self.order_marks.by_host.get(host) {
             Some(Mark::Own(at)) => *at >= since,
-            Some(Mark::Inherited) => self.since >= since,
+            Some(Mark::Inherited) => self.claimed_at >= since,
             None => false,
         }
     }
@@ -65,20 +65,20 @@
     /// Marks a host that is about to be given an order.
     pub(super) fn mark_order(&mut self, host: &HostId) {
         let own = Mark::Own(self.now);
-        let before = self.marks.by_host.insert(host.clone(), own);
+        let before = self.order_marks.by_host.insert(host.clone(), own);
         if !matches!(before, Some(Mark::Own(_))) {
-            self.marks.dirty.insert(host.clone());
+            self.order_marks.dirty.insert(host.clone());
         }
     }
 
     /// Drops marks of hosts that no holder has ordered anything about lately.
     pub(super) fn drop_marks(&mut self) {
-        let marks = self.marks.by_host.iter();
+        let marks = self.order_marks.by_host.iter();
         let over: Vec<HostId> =
             marks.filter(|(m, mark)| self.is_over(m, **mark)).map(|(m, _)| m.clone()).collect();
         for m in over {
-            self.marks.by_host.remove(&m);
-            self.marks.dirty.insert(m);
+            self.order_marks.by_host.remove(&m);
+            self.order_marks.dirty.insert(m);
         }
     }
 
@@ -86,7 +86,7 @@
     fn is_over(&self, host: &HostId, mark: Mark) -> bool {
         let handover = self.limits.host_order_delay;
         match mark {
-            Mark::Inherited => self.now > self.since + handover,
+            Mark::Inherited => self.now > self.claimed_at + handover,
             Mark::Own(at) => self.now > at + handover && !self.order_open(host),
         }
     }
--- a/crates/workswood-core/src/jobs/lives.rs
+++ b/crates/workswood-core/src/jobs/lives.rs
@@ -123,7 +123,7 @@
             w.take(*task, attempt, spec.held(step));
             w.mark(task, step);
         }
-        self.dirty.insert(task.job);
+        self.dirty_jobs.insert(task.job);
         self.notes.push(format_args!(
             "event=run_carried_over worker={later} before={earlier} task={task} attempt={attempt}"
         ));
--- a/crates/workswood-core/src/jobs/place.rs
+++ b/crates/workswood-core/src/jobs/place.rs
@@ -49,7 +49,7 @@
     /// those go first that take the least from the others.
     fn rank_of(&self, service: &str) -> Rank {
         let asked = self.ready.get(service).map_or(0, |w| w.room().0.cpu_millis);
-        let room = self.workers.cpu_of(service).max(self.fleet_cpu);
+        let room = self.workers.cpu_of(service).max(self.fleet_cpu_millis);
         if asked as f64 > room as f64 * self.policy.order.overload { Rank::LeastWork } else { Rank::Due }
     }
 
@@ -267,7 +267,7 @@
         task.runs.push(Run { trial, placed_at: Some(now), ..run });
         let checkpoint = task.checkpoint.clone();
         job.begun = true;
-        self.dirty.insert(id.job);
+        self.dirty_jobs.insert(id.job);
         if let Some(mut w) = self.workers.get_mut(worker) {
             let held = spec.held(step);
             let fits = w.free().holds(&held.room);
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -31,7 +31,7 @@
 
 /// Time between two looks for runs that make no progress, or whose stop had no effect:
 /// half of the time after which a stop is sent again. It looks at every run.
-const SLOW_EVERY: Duration = Duration::from_millis(500);
+const STALLED_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The state of the process that holds the scheduler lease.
 pub struct Scheduler {
@@ -40,7 +40,7 @@
     /// Time of day.
     pub wall: UnixMs,
     /// When this scheduler's lease was claimed.
-    pub since: Duration,
+    pub claimed_at: Duration,
     /// Fencing token of this term.
     pub token: Term,
     /// Name of the entry that holds the lease.
@@ -58,7 +58,7 @@
     /// Lives of workers that are known.
     pub workers: Workers,
     /// Entries of workers whose service is not in force.
-    pub(super) unnamed: BTreeMap<WorkerId, WorkerInfo>,
+    pub(super) workers_without_service: BTreeMap<WorkerId, WorkerInfo>,
     /// Who speaks with them.
     pub(super) relays: Relays,
     /// Tasks that wait for a worker, by service.
@@ -69,7 +69,7 @@
     pub(super) evacuated: BTreeSet<DataCentre>,
     /// Processor room of all hosts on which work may begin, in thousandths of a core, as they were
     /// last listed.
-    pub(super) fleet_cpu: u64,
+    pub(super) fleet_cpu_millis: u64,
     /// What workspaces have sent lately, against their shares.
     shares: Shares,
     /// How often workers crash by themselves.
@@ -79,9 +79,9 @@
     /// Hosts, as last listed.
     pub hosts: Map<HostId, Host>,
     /// When that list was asked for.
-    pub(super) hosts_asked: Duration,
+    pub(super) hosts_requested_at: Duration,
     /// Hosts that were ordered about lately.
-    pub(super) marks: OrderMarks,
+    pub(super) order_marks: OrderMarks,
     /// Waves by number.
     pub waves: BTreeMap<u64, WaveState>,
     /// Moves of hosts, and what pools need.
@@ -91,48 +91,48 @@
     /// Whether a worker has shown a higher token than ours.
     pub deposed: bool,
     /// Jobs whose record changed since the last batch.
-    pub(super) dirty: BTreeSet<JobKey>,
+    pub(super) dirty_jobs: BTreeSet<JobKey>,
     /// Waves whose record changed since the last batch.
     pub(super) dirty_waves: BTreeSet<u64>,
     /// Workers whose record changed since the last batch.
     pub(super) dirty_workers: BTreeSet<WorkerId>,
     /// What callers may be told with the next batch, beside jobs whose record changed.
-    shown: Vec<JobStatusUpdate>,
+    status_updates: Vec<JobStatusUpdate>,
     /// Jobs that are over since the last batch.
-    over: Vec<JobKey>,
+    finished_jobs: Vec<JobKey>,
     /// Jobs forgotten since the last batch.
-    dropped: Vec<(JobKey, QueueId, Owner)>,
+    forgotten_jobs: Vec<(JobKey, QueueId, Owner)>,
     /// Hosts that get no new work, as workers know it.
-    pub(super) cordoned: BTreeSet<HostId>,
+    pub(super) cordoned_hosts: BTreeSet<HostId>,
     /// When runs were last looked at that make no progress.
-    slow_checked: Duration,
+    stalled_checked_at: Duration,
     /// Runs that a predecessor evicted and that are still listed.
     pub(super) inherited_evictions: BTreeSet<(WorkerId, TaskId, u32)>,
     /// Actions for the next batch.
     pub(super) actions: Vec<Action>,
     /// Highest end taken in from each worker since the last batch.
-    pub(super) forget: BTreeMap<WorkerId, u64>,
+    pub(super) acked_ends: BTreeMap<WorkerId, u64>,
     /// Services whose waiting tasks are to be placed before the next batch.
-    pub(super) place_again: BTreeSet<ServiceId>,
+    pub(super) services_to_place: BTreeSet<ServiceId>,
     /// When the inbox was last read to its end.
-    inbox_read: Duration,
+    inbox_read_at: Duration,
     /// Cancels of jobs that are not known yet.
     early_cancels: BTreeSet<(JobKey, Owner)>,
     /// Decisions worth a log line, drained by the process.
     pub notes: Notes,
     /// What is counted for metrics, since this term began.
-    pub tally: Tally,
+    pub counters: SchedulerCounters,
 }
 
 /// What a scheduler counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct SchedulerCounters {
     /// Lives of workers that were over while something ran there.
     pub lives_lost: u64,
     /// Runs that were lost with them.
     pub runs_lost: u64,
     /// Tasks that were given up since their workers crash.
-    pub given_up: u64,
+    pub tasks_given_up: u64,
 }
 
 impl Scheduler {
@@ -141,7 +141,7 @@
         Scheduler {
             now: since,
             wall,
-            since,
+            claimed_at: since,
             token,
             holder: String::new(),
             strength: Strength::MAX,
@@ -150,45 +150,45 @@
             config: Arc::default(),
             jobs: Jobs::default(),
             workers: Workers::default(),
-            unnamed: BTreeMap::new(),
+            workers_without_service: BTreeMap::new(),
             relays: Relays::default(),
             ready: Map::default(),
             trials: Map::default(),
             evacuated: BTreeSet::new(),
-            fleet_cpu: 0,
+            fleet_cpu_millis: 0,
             shares: Shares::default(),
             crash_rate: CrashRate::default(),
             durations: Durations::default(),
             hosts: Map::default(),
-            hosts_asked: Duration::ZERO,
-            marks: OrderMarks::default(),
+            hosts_requested_at: Duration::ZERO,
+            order_marks: OrderMarks::default(),
             waves: BTreeMap::new(),
             pools: PoolState::default(),
             advice: AdviceState::default(),
             deposed: false,
-            dirty: BTreeSet::new(),
+            dirty_jobs: BTreeSet::new(),
             dirty_waves: BTreeSet::new(),
             dirty_workers: BTreeSet::new(),
-            shown: Vec::new(),
-            over: Vec::new(),
-            dropped: Vec::new(),
-            cordoned: BTreeSet::new(),
-            slow_checked: Duration::ZERO,
+            status_updates: Vec::new(),
+            finished_jobs: Vec::new(),
+            forgotten_jobs: Vec::new(),
+            cordoned_hosts: BTreeSet::new(),
+            stalled_checked_at: Duration::ZERO,
             inherited_evictions: BTreeSet::new(),
             actions: Vec::new(),
-            forget: BTreeMap::new(),
-            place_again: BTreeSet::new(),
-            inbox_read: Duration::ZERO,
+            acked_ends: BTreeMap::new(),
+            services_to_place: BTreeSet::new(),
+            inbox_read_at: Duration::ZERO,
             early_cancels: BTreeSet::new(),
             notes: Notes::default(),
-            tally: Tally::default(),
+            counters: SchedulerCounters::default(),
         }
     }
 
     /// Takes over a worker that a predecessor recorded.
     pub fn restore_worker(&mut self, id: WorkerId, rec: WorkerRecord) {
         let info = WorkerInfo::restore(id.clone(), rec);
-        let (lease_end, since) = (self.inherited_lease_end(), self.since);
+        let (lease_end, since) = (self.inherited_lease_end(), self.claimed_at);
         let mut w = self.workers.get_or_insert_with(&id, || Worker::unknown(lease_end, since));
         w.info = Some(Arc::new(info));
         drop(w);
@@ -199,17 +199,17 @@
 
     /// Takes over a job as the inbox holds it, with the state that a predecessor recorded.
     /// Of a job that is over, only the state is stored.
-    pub fn restore(&mut self, key: JobKey, spec: Option<Arc<JobSpec>>, rec: Option<JobRecord>) {
+    pub fn restore_job(&mut self, key: JobKey, spec: Option<Arc<JobSpec>>, rec: Option<JobRecord>) {
         let over = rec.as_ref().and_then(|rec| rec.outcome.zip(rec.over.clone()));
         match (spec, over) {
-            (spec, Some((outcome, over))) => self.restore_over(key, outcome, over, spec.is_some()),
-            (Some(spec), None) => self.restore_open(key, spec, rec),
+            (spec, Some((outcome, over))) => self.restore_finished_job(key, outcome, over, spec.is_some()),
+            (Some(spec), None) => self.restore_open_job(key, spec, rec),
             // It is left from a job that was being forgotten.
-            (None, None) => self.dropped.push((key, QueueId::new(), Owner::PUBLIC)),
+            (None, None) => self.forgotten_jobs.push((key, QueueId::new(), Owner::PUBLIC)),
         }
     }
 
-    fn restore_open(&mut self, key: JobKey, spec: Arc<JobSpec>, rec: Option<JobRecord>) {
+    fn restore_open_job(&mut self, key: JobKey, spec: Arc<JobSpec>, rec: Option<JobRecord>) {
         let now = self.now;
         let fits = rec.as_ref().is_none_or(|rec| rec.fits(&spec));
         let mut job = match rec {
@@ -230,7 +230,7 @@
         for id in job.task_ids() {
             let Some(task) = job.task(&id) else { continue };
             for run in &task.runs {
-                let since = self.since;
+                let since = self.claimed_at;
                 let mut w = self.workers.get_or_insert_with(&run.worker, || Worker::unknown(bound, since));
                 if let Some(step) = job.step(&id) {
                     w.take(id, run.attempt, job.spec.held(step));
@@ -244,21 +244,21 @@
         self.watch_advised(key);
         self.open_due_rounds(key);
         self.queue_job(key);
-        self.dirty.insert(key);
+        self.dirty_jobs.insert(key);
     }
 
-    fn restore_over(&mut self, key: JobKey, outcome: Outcome, record: OverRecord, in_inbox: bool) {
+    fn restore_finished_job(&mut self, key: JobKey, outcome: Outcome, record: OverRecord, in_inbox: bool) {
         let (queue, owner, state) = (record.queue.clone(), record.owner, Some(Shown::Ended(outcome)));
         self.jobs.set_over(key, OverJob { outcome, record }, self.now);
-        self.shown.push(JobStatusUpdate { key, queue, owner, state, timed: false });
+        self.status_updates.push(JobStatusUpdate { key, queue, owner, state, timed: false });
         if in_inbox {
-            self.over.push(key);
+            self.finished_jobs.push(key);
         }
     }
 
     /// When the last lease that a predecessor may have extended has ended.
     fn inherited_lease_end(&self) -> Duration {
-        self.since + self.limits.grace + self.lease_with_drift()
+        self.claimed_at + self.limits.grace + self.lease_with_drift()
     }
 
     /// The longest real time that a lease may last.
@@ -280,13 +280,13 @@
             Event::WorkerUpdate(id, token, news) => self.relayed(&id, token, news),
             Event::AdviceReceived(a) => self.advised(a),
             Event::HostsListed(list, asked) => self.hosts_listed(list, asked),
-            Event::WaveRequested(wave, rec) => self.wave_asked(wave, rec),
+            Event::WaveRequested(wave, rec) => self.wave_requested(wave, rec),
             Event::HostOrderAnswered(host, reply) => self.host_ordered(&host, reply),
             Event::RelayUp(entry) => self.relay_up(&entry),
             Event::RelayHeard(entry) => self.relay_heard(&entry),
             Event::RelayLeaving(entry) => self.relay_leaving(&entry),
             Event::RelayDown(entry, lease_end, may_return) => self.relay_down(&entry, lease_end, may_return),
-            Event::InboxRead(at) => self.inbox_read = at,
+            Event::InboxRead(at) => self.inbox_read_at = at,
             Event::Tick => self.tick(),
         }
     }
@@ -312,7 +312,7 @@
         let most_cpu = self.config.workspaces.limit(owner).cpu_millis;
         self.jobs.insert(Job { excess, most_cpu, ..Job::new(key, spec) });
         self.watch_advised(key);
-        self.dirty.insert(key);
+        self.dirty_jobs.insert(key);
         self.open_due_rounds(key);
         self.work_arrived(key);
         self.queue_job(key);
@@ -346,7 +346,7 @@
         }
         // What the budget kept at work when it failed ends now.
         let ids = job.task_ids();
-        self.dirty.insert(key);
+        self.dirty_jobs.insert(key);
         ids.iter().for_each(|id| self.stop_runs(id));
     }
 
@@ -356,11 +356,11 @@
             return;
         }
         self.config = cfg;
-        for (_, info) in std::mem::take(&mut self.unnamed) {
+        for (_, info) in std::mem::take(&mut self.workers_without_service) {
             self.worker_listed(info);
         }
         self.watch_all_advised();
-        self.place_again.extend(self.ready.keys().cloned());
+        self.services_to_place.extend(self.ready.keys().cloned());
     }
 
     /// Opens rounds that are due.
@@ -372,14 +372,14 @@
                 break;
             }
             job.open_round();
-            self.dirty.insert(key);
+            self.dirty_jobs.insert(key);
         }
     }
 
     /// Has the waiting tasks of a service placed before the next batch.
-    pub(super) fn place_soon(&mut self, service: &str) {
-        if !self.place_again.contains(service) {
-            self.place_again.insert(service.to_string());
+    pub(super) fn schedule_placement(&mut self, service: &str) {
+        if !self.services_to_place.contains(service) {
+            self.services_to_place.insert(service.to_string());
         }
     }
 
@@ -394,7 +394,7 @@
         for (step, tasks) in waiting {
             self.enqueue(step, tasks);
         }
-        self.finish_if_done(key);
+        self.complete_if_done(key);
     }
 
     /// Queues one task if it may be started now.
@@ -425,13 +425,13 @@
             }
         }
         if step.gang {
-            self.place_soon(&spec.service);
+            self.schedule_placement(&spec.service);
             return;
         }
         for index in &tasks {
             self.queue_trial(&id.task(*index), &spec.service);
         }
-        self.place_soon(&spec.service);
+        self.schedule_placement(&spec.service);
     }
 
     /// Takes a task out of the queue.
@@ -461,7 +461,7 @@
             self.wall.saturating_sub(job.spec.accepted)
         ));
         self.jobs.note_ended(key);
-        self.dirty.insert(key);
+        self.dirty_jobs.insert(key);
         self.drop_advice(key);
         let ids = self.jobs.get(&key).map(Job::task_ids).unwrap_or_default();
         for id in ids {
@@ -473,7 +473,7 @@
     }
 
     /// Shows a job as completed once nothing of it is open.
-    pub(super) fn finish_if_done(&mut self, key: JobKey) {
+    pub(super) fn complete_if_done(&mut self, key: JobKey) {
         let done = self.jobs.get(&key).is_some_and(|j| j.open() && j.all_done());
         if done {
             self.end_job(key, Outcome::Completed);
@@ -506,8 +506,8 @@
         let wall = self.wall;
         self.ready.values_mut().for_each(|w| w.age(wall));
         self.settle_lapsed();
-        if self.now >= self.slow_checked + SLOW_EVERY {
-            self.slow_checked = self.now;
+        if self.now >= self.stalled_checked_at + STALLED_CHECK_INTERVAL {
+            self.stalled_checked_at = self.now;
             self.settle_slow();
             self.clear_proven();
         }
@@ -518,14 +518,15 @@
         self.drop_marks();
         self.balance_relays();
         self.forget_jobs();
-        self.place_again.extend(self.ready.iter().filter(|(_, s)| !s.is_empty()).map(|(k, _)| k.clone()));
+        self.services_to_place
+            .extend(self.ready.iter().filter(|(_, s)| !s.is_empty()).map(|(k, _)| k.clone()));
     }
 
     /// Forgets jobs that ended long enough ago and run nowhere.
     fn forget_jobs(&mut self) {
         let Some(before) = self.now.checked_sub(self.limits.ended_job_retention) else { return };
         for (key, over) in self.jobs.forget_over(before) {
-            self.dropped.push((key, over.record.queue, over.record.owner));
+            self.forgotten_jobs.push((key, over.record.queue, over.record.owner));
         }
     }
 
@@ -556,22 +557,23 @@
         let stored = JobRecord { cancelled, begun, outcome: Some(outcome), over, ..JobRecord::default() };
         batch.records.push(Record::Job(key, stored));
         self.jobs.set_over(key, OverJob { outcome, record }, self.now);
-        self.over.push(key);
+        self.finished_jobs.push(key);
     }
 
     /// Decides what can be decided, and hands over all that changed.
     pub fn take_batch(&mut self) -> Batch {
-        let services = std::mem::take(&mut self.place_again);
+        let services = std::mem::take(&mut self.services_to_place);
         for service in services {
             self.place(&service);
         }
         self.ask_adviser();
-        let mut batch = Batch { status_updates: std::mem::take(&mut self.shown), ..Batch::default() };
-        for key in std::mem::take(&mut self.dirty) {
+        let mut batch =
+            Batch { status_updates: std::mem::take(&mut self.status_updates), ..Batch::default() };
+        for key in std::mem::take(&mut self.dirty_jobs) {
             self.record_job(key, &mut batch);
         }
-        batch.finished_jobs = std::mem::take(&mut self.over);
-        for (key, queue, owner) in std::mem::take(&mut self.dropped) {
+        batch.finished_jobs = std::mem::take(&mut self.finished_jobs);
+        for (key, queue, owner) in std::mem::take(&mut self.forgotten_jobs) {
             batch.records.push(Record::DropJob(key));
             batch.status_updates.push(JobStatusUpdate { key, queue, owner, state: None, timed: false });
         }
@@ -586,12 +588,12 @@
             batch.records.push(Record::Wave(n, wave.record.clone()));
             batch.waves.push((n, wave.complete()));
         }
-        for (host, marked) in self.marks.take_changes() {
+        for (host, marked) in self.order_marks.take_changes() {
             batch.records.push(Record::HostOrderMark(host, marked.then(|| self.holder.clone())));
         }
-        batch.inbox_read_at = self.inbox_read;
+        batch.inbox_read_at = self.inbox_read_at;
         batch.actions = std::mem::take(&mut self.actions);
-        batch.acked_ends = std::mem::take(&mut self.forget).into_iter().collect();
+        batch.acked_ends = std::mem::take(&mut self.acked_ends).into_iter().collect();
         batch
     }
 }
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/settle.rs
@@ -50,7 +50,7 @@
         if !self.config.services.contains_key(&info.service) {
             self.notes.push(format_args!("event=worker_ignored worker={id} service={}", info.service));
             self.worker_unlisted(&id);
-            self.unnamed.insert(id, info);
+            self.workers_without_service.insert(id, info);
             return;
         }
         let now = self.now;
@@ -64,7 +64,7 @@
         let recorded = w.info.as_ref().is_some_and(|i| i.record() == info.record());
         // One that is on record, or was not listed for a while, may be attended already.
         let attended = w.info.as_ref().is_some_and(|i| i.address == info.address);
-        self.place_again.insert(info.service.clone());
+        self.services_to_place.insert(info.service.clone());
         w.info = Some(Arc::new(info.clone()));
         w.listed = true;
         w.unlisted_at = None;
@@ -113,7 +113,7 @@
 
     /// A worker is no longer listed. It may live on, cut off from the store.
     pub(super) fn worker_unlisted(&mut self, id: &WorkerId) {
-        self.unnamed.remove(id);
+        self.workers_without_service.remove(id);
         let Some(mut w) = self.workers.get_mut(id) else { return };
         w.listed = false;
         w.unlisted_at = Some(self.now);
@@ -182,8 +182,8 @@
         let why = end.label();
         self.take_crash(id, end);
         let lost = self.workers.get(id).map_or(0, |w| w.runs.len());
-        self.tally.lives_lost += u64::from(lost > 0);
-        self.tally.runs_lost += lost as u64;
+        self.counters.lives_lost += u64::from(lost > 0);
+        self.counters.runs_lost += lost as u64;
         self.settle_all(id, why);
         if self.drop_worker(id) {
             self.notes.push(format_args!("event=worker_life_over worker={id} runs={lost} reason={why}"));
@@ -214,7 +214,7 @@
             "event=run_settled worker={id} task={task_id} attempt={attempt} ran_ms={} reason={why}",
             Ran(run.ran(heard))
         ));
-        self.dirty.insert(task_id.job);
+        self.dirty_jobs.insert(task_id.job);
         self.queue_task(task_id);
     }
 
--- a/crates/workswood-core/src/jobs/wave.rs
+++ b/crates/workswood-core/src/jobs/wave.rs
@@ -158,7 +158,7 @@
 
 impl Scheduler {
     /// An operator asks for a wave.
-    pub(super) fn wave_asked(&mut self, wave: Wave, rec: Option<WaveRecord>) {
+    pub(super) fn wave_requested(&mut self, wave: Wave, rec: Option<WaveRecord>) {
         let number = wave.number;
         if self.waves.contains_key(&number) {
             return;
@@ -191,10 +191,10 @@
     /// The platform's list of hosts was read.
     pub(super) fn hosts_listed(&mut self, list: Vec<Host>, asked: Duration) {
         // Answers may overtake one another; an older list tells nothing new.
-        if asked < self.hosts_asked {
+        if asked < self.hosts_requested_at {
             return;
         }
-        self.hosts_asked = asked;
+        self.hosts_requested_at = asked;
         self.hosts = list.into_iter().map(|m| (m.name.clone(), m)).collect();
         self.measure_fleet();
         self.correct_list();
@@ -204,7 +204,7 @@
     }
 
     /// Whether the list of hosts is needed.
-    pub fn wants_hosts(&self) -> bool {
+    pub fn needs_host_list(&self) -> bool {
         self.waves.values().any(|w| !w.complete()) || self.config.services.values().any(|s| s.spare)
     }
 
@@ -264,10 +264,10 @@
     fn set_cordons(&mut self) {
         let taken: BTreeSet<HostId> = self.taken_hosts().into_iter().cloned().collect();
         let changed: Vec<(HostId, bool)> = taken
-            .symmetric_difference(&self.cordoned)
+            .symmetric_difference(&self.cordoned_hosts)
             .map(|host| (host.clone(), taken.contains(host)))
             .collect();
-        self.cordoned = taken;
+        self.cordoned_hosts = taken;
         for (host, cordoned) in changed {
             for id in self.workers.on_host(&host).to_vec() {
                 self.set_cordon(&id, cordoned);
@@ -279,7 +279,7 @@
         let Some(mut w) = self.workers.get_mut(id) else { return };
         w.cordoned = cordoned;
         if let Some(info) = &w.info {
-            self.place_again.insert(info.service.clone());
+            self.services_to_place.insert(info.service.clone());
         }
     }
 
--- a/crates/workswood-test-support/src/job_world/crashes.rs
+++ b/crates/workswood-test-support/src/job_world/crashes.rs
@@ -109,7 +109,7 @@
 
     /// Since when the newest holder has held the lease and not been paused.
     fn calm_since(&self) -> Duration {
-        self.holders.last().map_or(self.now, |h| h.paused_until.max(h.sched.since))
+        self.holders.last().map_or(self.now, |h| h.paused_until.max(h.sched.claimed_at))
     }
 
     /// A task is started; whether that is beyond what its crashes allow.
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -316,7 +316,7 @@
         }
         for (key, spec) in &self.jobs {
             let spec = Some(spec.clone()).filter(|_| !self.trimmed.contains(key));
-            sched.restore(*key, spec, self.stored_jobs.get(key).cloned());
+            sched.restore_job(*key, spec, self.stored_jobs.get(key).cloned());
         }
         for key in &self.cancelled {
             sched.handle(Event::Cancelled(*key, self.owner()));
--- a/src/workswood/ops/jobs/lead.rs
+++ b/src/workswood/ops/jobs/lead.rs
@@ -200,14 +200,14 @@
         self.sched.set_advice_entries(1 + self.node.peers.others(&own).len());
         self.know_entries();
         self.sched.handle(Event::Tick);
-        let (m, tally) = (&self.node.metrics, &self.sched.tally);
+        let (m, tally) = (&self.node.metrics, &self.sched.counters);
         m.lives_lost.set(tally.lives_lost as i64);
         m.runs_lost.set(tally.runs_lost as i64);
-        m.given_up.set(tally.given_up as i64);
+        m.given_up.set(tally.tasks_given_up as i64);
         let (fullest, at_work) = self.sched.use_of_limits();
         m.fullest_workspace.set((fullest * 100.0) as i64);
         m.workspaces_at_work.set(at_work as i64);
-        if self.sched.wants_hosts() && self.node.now() > self.hosts_read + HOSTS_EVERY {
+        if self.sched.needs_host_list() && self.node.now() > self.hosts_read + HOSTS_EVERY {
             self.hosts_read = self.node.now();
             tasks.spawn(read_hosts(self.node.clone(), self.l.clone()));
         }
--- a/src/workswood/ops/jobs/load.rs
+++ b/src/workswood/ops/jobs/load.rs
@@ -135,9 +135,9 @@
         }
     }
     for (key, spec) in jobs {
-        sched.restore(key, Some(spec), records.remove(&key));
+        sched.restore_job(key, Some(spec), records.remove(&key));
     }
-    records.into_iter().for_each(|(key, rec)| sched.restore(key, None, Some(rec)));
+    records.into_iter().for_each(|(key, rec)| sched.restore_job(key, None, Some(rec)));
     for (key, owner) in cancels {
         sched.handle(Event::Cancelled(key, owner));
     }
--- a/src/workswood/ops/model/faults.rs
+++ b/src/workswood/ops/model/faults.rs
@@ -41,7 +41,7 @@
             s.restore_mark(host.clone(), holder);
         }
         for j in self.jobs.iter().filter(|j| j.at <= self.now) {
-            s.restore(j.key, Some(Arc::clone(&j.spec)), self.stored.jobs.get(&j.key).cloned());
+            s.restore_job(j.key, Some(Arc::clone(&j.spec)), self.stored.jobs.get(&j.key).cloned());
         }
         s.restore_demand();
         if let Some(wave) = self.wave.clone() {
--- a/tests/testsuite/advice_tickets.rs
+++ b/tests/testsuite/advice_tickets.rs
@@ -359,7 +359,7 @@
     let mut next = advised(1, cfg());
     next.at(200);
     let spec = world.sched.jobs[&1].spec.clone();
-    next.sched.restore(1, Some(spec), Some(world.sched.jobs[&1].record()));
+    next.sched.restore_job(1, Some(spec), Some(world.sched.jobs[&1].record()));
     // What the predecessor started is not listed by the worker, and waits again.
     next.report(0, 0, &[]);
     let actions = next.tick();
--- a/tests/testsuite/chance_crashes.rs
+++ b/tests/testsuite/chance_crashes.rs
@@ -131,8 +131,8 @@
         site.crash(n);
         site.go_on(800);
     }
-    assert_eq!(site.world.sched.tally.lives_lost, 4);
-    assert_eq!(site.world.sched.tally.given_up, 0);
+    assert_eq!(site.world.sched.counters.lives_lost, 4);
+    assert_eq!(site.world.sched.counters.tasks_given_up, 0);
     assert_eq!(site.stops(), 0);
     assert_eq!(site.runs.len(), 4, "it is whole again");
     assert_eq!(site.world.sched.jobs.shown(&1), Some(Shown::Running));
@@ -168,7 +168,7 @@
         assert!(crashes <= 3, "it is started without end");
         site.crash(n);
     }
-    assert_eq!(site.world.sched.tally.given_up, 1);
+    assert_eq!(site.world.sched.counters.tasks_given_up, 1);
     site.go_on(5000);
     assert_eq!((site.stops(), site.runs.len()), (0, 3), "its siblings serve on, and it isn't started");
     assert_eq!(site.world.sched.jobs.shown(&1), Some(Shown::Running));
--- a/tests/testsuite/crash_evidence.rs
+++ b/tests/testsuite/crash_evidence.rs
@@ -124,10 +124,10 @@
         let heard = world.sched.now;
         world.at((heard + silent).as_millis() as u64);
         actions = lose(&mut world, at, &mut lives, heard);
-        if world.sched.tally.given_up > 0 {
+        if world.sched.counters.tasks_given_up > 0 {
             assert_eq!(starts(&actions), Vec::new());
             assert_eq!(world.sched.jobs.shown(&1), Some(Shown::Ended(Outcome::Failed)));
-            assert_eq!(world.sched.tally.lives_lost, crashes as u64);
+            assert_eq!(world.sched.counters.lives_lost, crashes as u64);
             return crashes;
         }
     }
--- a/tests/testsuite/demand_history.rs
+++ b/tests/testsuite/demand_history.rs
@@ -56,7 +56,7 @@
     let mut hosts = vec![host(0, SERVICE, Some(0))];
     hosts.extend((1..30).map(|n| host(n, "spare", None)));
     if turn_before {
-        world.sched.restore(7, Some(work(80, 20_000)), None);
+        world.sched.restore_job(7, Some(work(80, 20_000)), None);
         world.sched.restore_demand();
         world.sched.handle(Event::Cancelled(7, Owner::PUBLIC));
         world.sched.take_batch();
@@ -150,7 +150,7 @@
     world.list(hosts);
     world.at(1000);
     world.sched.wall = 60_000;
-    world.sched.restore(7, Some(work(1, 20_000)), None);
+    world.sched.restore_job(7, Some(work(1, 20_000)), None);
     world.sched.restore_demand();
     world.sched.handle(Event::Cancelled(7, Owner::PUBLIC));
     hand_in(&mut world, 4, 4);
--- a/tests/testsuite/eviction_handover.rs
+++ b/tests/testsuite/eviction_handover.rs
@@ -42,7 +42,7 @@
 fn holder(at: u64) -> HostWorld {
     let mut world = HostWorld::new(WORKERS);
     world.at(at);
-    world.sched.since = world.sched.now;
+    world.sched.claimed_at = world.sched.now;
     world.list((0..WORKERS).map(|n| host(n, SERVICE, Some(0))).collect());
     world
 }
@@ -118,7 +118,7 @@
 fn next_holder(record: &JobRecord) -> HostWorld {
     let stored = serde_json::to_string(record).expect("a record is JSON");
     let mut next = holder(TAKEN_OVER);
-    next.sched.restore(1, Some(spec()), Some(serde_json::from_str(&stored).expect("it is read back")));
+    next.sched.restore_job(1, Some(spec()), Some(serde_json::from_str(&stored).expect("it is read back")));
     next.attend_anew();
     next
 }
--- a/tests/testsuite/job_limits.rs
+++ b/tests/testsuite/job_limits.rs
@@ -80,7 +80,7 @@
     let other: Arc<JobSpec> = Arc::new(job(vec![step(1, vec![])], 0));
     assert!(!rec.fits(&other));
     let mut s = scheduler();
-    s.restore(5, Some(other), Some(rec));
+    s.restore_job(5, Some(other), Some(rec));
     let shown = s.take_batch().status_updates;
     assert_eq!(shown[0].state, Some(Shown::Ended(Outcome::Failed)));
 }
@@ -120,6 +120,6 @@
     s.take_batch();
     let rec = s.jobs[&1].record();
     let mut next = scheduler();
-    next.restore(1, Some(spec), Some(rec));
+    next.restore_job(1, Some(spec), Some(rec));
     assert_eq!(next.workers.values().map(|w| w.fills.len()).sum::<usize>(), 1);
 }
--- a/tests/testsuite/over_jobs.rs
+++ b/tests/testsuite/over_jobs.rs
@@ -70,7 +70,7 @@
 #[test]
 fn restored_without_its_text() {
     let mut next = scheduler();
-    next.restore(1, None, Some(over_record()));
+    next.restore_job(1, None, Some(over_record()));
     let batch = next.take_batch();
     assert_eq!(batch.status_updates[0].state, Some(Shown::Ended(Outcome::Canceled)));
     assert_eq!((batch.records.len(), batch.finished_jobs.len()), (0, 0), "nothing is new");
@@ -79,7 +79,7 @@
 #[test]
 fn left_in_the_inbox() {
     let mut next = scheduler();
-    next.restore(1, Some(spec()), Some(over_record()));
+    next.restore_job(1, Some(spec()), Some(over_record()));
     let batch = next.take_batch();
     assert_eq!(batch.status_updates[0].state, Some(Shown::Ended(Outcome::Canceled)));
     assert_eq!(batch.finished_jobs, [1], "its predecessor did not come to take it out");
@@ -88,7 +88,7 @@
 #[test]
 fn handed_in_again() {
     let mut next = scheduler();
-    next.restore(1, None, Some(over_record()));
+    next.restore_job(1, None, Some(over_record()));
     next.take_batch();
     next.handle(Event::Submitted(1, spec()));
     next.handle(Event::Cancelled(1, Owner::PUBLIC));
@@ -101,7 +101,7 @@
     let mut begun = Job::new(5, spec());
     begun.open_round();
     let mut next = scheduler();
-    next.restore(5, None, Some(begun.record()));
+    next.restore_job(5, None, Some(begun.record()));
     let dropped = next.take_batch().records;
     assert!(matches!(dropped.as_slice(), [Record::DropJob(5)]), "{} records", dropped.len());
 }
--- a/tests/testsuite/restarted_workers.rs
+++ b/tests/testsuite/restarted_workers.rs
@@ -193,7 +193,7 @@
         first.tick();
         let mut world = HostWorld::new(0);
         world.sched.restore_worker(before.clone(), life(10).record());
-        world.sched.restore(1, Some(Arc::new(job(vec![step(1, vec![])], 0))), Some(rec));
+        world.sched.restore_job(1, Some(Arc::new(job(vec![step(1, vec![])], 0))), Some(rec));
         world.sched.handle(Event::WorkerListed(life(20)));
         assert_eq!(starts(&world.tick()), []);
         world.answers(&life(20).id, nothing());
--- a/tests/testsuite/workspace_limits.rs
+++ b/tests/testsuite/workspace_limits.rs
@@ -103,7 +103,7 @@
     assert_eq!(first.len(), 3);
     let record = before.sched.jobs[&1].record();
     let mut next = world(&[("north", 3000)]);
-    next.sched.restore(1, Some(Arc::new(of("north", 4))), Some(record));
+    next.sched.restore_job(1, Some(Arc::new(of("north", 4))), Some(record));
     assert_eq!(starts(next.sched.take_batch().actions).len(), 0);
     assert_eq!(submit(&mut next, 2, of("north", 2)).len(), 0);
 }
