--- a/crates/workswood-core/src/jobs/advice.rs
+++ b/crates/workswood-core/src/jobs/advice.rs
@@ -14,10 +14,10 @@
 use serde::{Deserialize, Serialize};
 
 use super::advice_batch::{Share, choose_batch};
-use super::advice_need::{Pools, Wanted};
+use super::advice_candidates::{Pools, Wanted};
 use super::config::AdviceConfig;
 use super::job::WorkerId;
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::{JobKey, QueueId, StepId, TaskId};
 use super::types::{Action, Advice, AdviceReply, AdviceResult};
 use super::worker::Verdict;
--- a/crates/workswood-core/src/jobs/advice_need.rs
+++ b/crates/workswood-core/src/jobs/advice_candidates.rs
@@ -8,7 +8,7 @@
 use super::job::{Job, Phase, Task, WorkerId};
 use super::order::Place;
 use super::place::same_step;
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::{Room, StepId, StepSpec, TaskId};
 use super::worker::{Verdict, Worker};
 use crate::ids::ServiceId;
--- a/crates/workswood-core/src/jobs/crash.rs
+++ b/crates/workswood-core/src/jobs/crash.rs
@@ -22,7 +22,7 @@
 
 use super::crash_rate::blame;
 use super::job::{Job, Outcome, Phase, Run, Task, WorkerId};
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::TaskId;
 use super::worker::Worker;
 
--- a/crates/workswood-core/src/jobs/ends.rs
+++ b/crates/workswood-core/src/jobs/ends.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::job::{Job, Outcome, Phase, Run, WorkerId};
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::TaskId;
 use super::types::Action;
 use super::worker::{EndKind, Report, ReportedEnd, ReportedRun, Worker};
--- a/crates/workswood-core/src/jobs/evacuation.rs
+++ b/crates/workswood-core/src/jobs/evacuation.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 use super::host::Host;
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use crate::ids::DataCentre;
 
 impl Scheduler {
--- a/crates/workswood-core/src/jobs/evict.rs
+++ b/crates/workswood-core/src/jobs/evict.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::job::{Outcome, Phase, Run, WorkerId};
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::TaskId;
 use super::types::Action;
 
--- a/crates/workswood-core/src/jobs/lives.rs
+++ b/crates/workswood-core/src/jobs/lives.rs
@@ -14,7 +14,7 @@
 
 use super::crash::LifeEnd;
 use super::job::{Run, WorkerId};
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::TaskId;
 use super::types::lease_with_drift;
 use super::worker::{Report, Worker, WorkerInfo};
--- a/crates/workswood-core/src/jobs/upkeep.rs
+++ b/crates/workswood-core/src/jobs/maintenance_orders.rs
@@ -8,9 +8,9 @@
 use super::crash::LifeEnd;
 use super::host::{HostReply, HostState, ORDER_AGAIN};
 use super::job::WorkerId;
-use super::sched::Scheduler;
+use super::maintenance_waves::WaveState;
+use super::scheduler::Scheduler;
 use super::types::Action;
-use super::wave::WaveState;
 use crate::ids::HostId;
 
 impl Scheduler {
--- a/crates/workswood-core/src/jobs/wave.rs
+++ b/crates/workswood-core/src/jobs/maintenance_waves.rs
@@ -3,7 +3,7 @@
 //! A host passes through these states: it is emptied (no new work, lasting
 //! tasks moved off within their budgets), ordered down (the order is on
 //! record first), down, and finished when it is up again with another life of
-//! its worker. The orders themselves are in [`upkeep`](super::upkeep).
+//! its worker. The orders themselves are in [`maintenance_orders`](super::maintenance_orders).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use super::map::{Map, Set};
 use super::policy::WavePolicy;
 use super::pool_count::works;
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use crate::ids::{HostId, ServiceId};
 
 /// A host that is off is listed as under maintenance within this time
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -26,57 +26,57 @@
 //! * [`relays`] decides which entry speaks with which workers, and [`follow`] what is new
 //!   in what a worker lists.
 //! * [`types`] holds the events that go in and the batches that come out.
-//! * [`sched`] takes events in; [`ends`], [`settle`], [`place`], [`share`] and
+//! * [`scheduler`] takes events in; [`ends`], [`settle`], [`place`], [`share`] and
 //!   [`evict`] are its decisions.
 //! * [`crash`] tells which task crashes its workers, against [`crash_rate`], and [`trials`]
 //!   tries those that are suspected.
 //! * [`advice`] asks ahead which workers may run a step, where only some may:
-//!   `advice_need` says which steps want it, [`advice_batch`] whom to ask about.
+//!   [`advice_candidates`] says which steps want it, [`advice_batch`] whom to ask about.
 //! * [`claim`] decides which process runs the scheduler.
-//! * [`wave`] decides which host is maintained next, and [`upkeep`] orders it down.
-//! * [`handover`] keeps a new holder off hosts that were just ordered.
+//! * [`maintenance_waves`] decides which host is maintained next, and [`maintenance_orders`] orders it down.
+//! * [`order_marks`] keeps a new holder off hosts that were just ordered.
 //! * [`policy`] holds what these decisions are tuned by.
-//! * [`need`] works out how many hosts each pool needs, and [`pools`]
-//!   decides which host changes its pool; [`moves`] brings it there.
+//! * [`pool_need`] works out how many hosts each pool needs, and [`pool_planning`]
+//!   decides which host changes its pool; [`pool_moves`] brings it there.
 
 pub mod accounts;
 pub mod advice;
 pub mod advice_batch;
-mod advice_need;
+mod advice_candidates;
 pub mod claim;
 pub mod config;
 pub mod crash;
 pub mod crash_rate;
-pub mod demand;
+pub mod demand_history;
 pub mod ends;
 mod evacuation;
 pub mod evict;
 pub mod follow;
-pub mod handover;
 pub mod host;
 pub mod job;
 pub mod known;
 mod lives;
+pub mod maintenance_orders;
+pub mod maintenance_waves;
 pub mod map;
-pub mod moves;
-pub mod need;
 mod notes;
 pub mod order;
+pub mod order_marks;
 pub mod place;
 pub mod policy;
 mod pool_count;
-pub mod pools;
+pub mod pool_moves;
+pub mod pool_need;
+pub mod pool_planning;
 pub mod relays;
-pub mod sched;
+pub mod scheduler;
 pub mod settle;
 pub mod share;
 pub mod shares;
 pub mod spec;
 pub mod trials;
 pub mod types;
-pub mod upkeep;
 pub mod waiting;
-pub mod wave;
 pub mod worker;
 pub mod worker_id;
 pub mod workers;
@@ -87,15 +87,15 @@
 pub use follow::Follow;
 pub use host::{Host, HostReply, HostState};
 pub use job::{Job, JobRecord, Outcome, OverRecord, Phase, Run, Shown, Task};
+pub use maintenance_waves::{Wave, WaveRecord};
 pub use policy::Policy;
 pub use relays::{RelayEntry, RelayPolicy};
-pub use sched::Scheduler;
+pub use scheduler::Scheduler;
 pub use spec::{JobKey, JobSpec, Repeat, StepId, StepSpec, TaskId};
 pub use types::{
     Action, Advice, AdviceReply, AdviceResult, Batch, Event, JobStatusUpdate, Limits, Record, StartReply,
     StopReply, WorkerUpdate,
 };
-pub use wave::{Wave, WaveRecord};
 pub use worker::{
     EndKind, Listing, Report, ReportedEnd, ReportedRun, Verdict, Worker, WorkerAddress, WorkerInfo,
     WorkerRecord,
--- a/crates/workswood-core/src/jobs/handover.rs
+++ b/crates/workswood-core/src/jobs/order_marks.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use crate::ids::HostId;
 
 /// Who ordered something about a host last.
--- a/crates/workswood-core/src/jobs/place.rs
+++ b/crates/workswood-core/src/jobs/place.rs
@@ -8,7 +8,7 @@
 use super::job::{Job, Phase, Run, Task, WorkerId};
 use super::order::{Place, Rank, Standing};
 use super::policy::ShareOrder;
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::shares::use_by_share;
 use super::spec::{Room, StepId, StepSpec, TaskId};
 use super::types::Action;
--- a/crates/workswood-core/src/jobs/pool_count.rs
+++ b/crates/workswood-core/src/jobs/pool_count.rs
@@ -8,7 +8,7 @@
 
 use super::host::{Host, HostState};
 use super::job::WorkerId;
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use crate::ids::{HostId, ServiceId};
 
 /// Hosts of one pool that may go to another now, with their workers.
--- a/crates/workswood-core/src/jobs/moves.rs
+++ b/crates/workswood-core/src/jobs/pool_moves.rs
@@ -9,7 +9,7 @@
 use super::crash::LifeEnd;
 use super::host::{Host, HostReply, HostState, ORDER_AGAIN};
 use super::job::WorkerId;
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::types::Action;
 use crate::ids::{HostId, ServiceId};
 
--- a/crates/workswood-core/src/jobs/need.rs
+++ b/crates/workswood-core/src/jobs/pool_need.rs
@@ -5,11 +5,11 @@
 
 use std::time::Duration;
 
-use super::demand::Demand;
+use super::demand_history::Demand;
 use super::job::Job;
 use super::order::whole_work;
 use super::pool_count::PoolCount;
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::{JobKey, Room};
 use crate::ids::ServiceId;
 
--- a/crates/workswood-core/src/jobs/pools.rs
+++ b/crates/workswood-core/src/jobs/pool_planning.rs
@@ -5,17 +5,17 @@
 //! carry gets hosts that are off, or empty ones of a pool that has more than
 //! it needs; a pool that has had too many for some time gives some up. What
 //! runs on a host dies when it moves: only empty hosts do. How a move goes
-//! on is in [`moves`](super::moves).
+//! on is in [`pool_moves`](super::pool_moves).
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::demand::Demand;
-use super::moves::Moving;
-use super::need::Need;
+use super::demand_history::Demand;
 use super::pool_count::PoolCount;
-use super::sched::Scheduler;
+use super::pool_moves::Moving;
+use super::pool_need::Need;
+use super::scheduler::Scheduler;
 use super::waiting::Waiting;
 use crate::ids::{HostId, ServiceId};
 
--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -23,7 +23,7 @@
 
 use super::claim::Strength;
 use super::job::Phase;
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::types::{Action, StopReply, WorkerUpdate};
 use super::worker_id::WorkerId;
 use crate::ids::{DataCentre, HostId, Term};
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/settle.rs
@@ -12,7 +12,7 @@
 use super::crash::LifeEnd;
 use super::host::HostState;
 use super::job::{FULL_PACE, Phase, Run, WorkerId};
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::{StepSpec, TaskId};
 use super::types::{Action, StartReply, StopReply};
 use super::worker::{Worker, WorkerInfo};
--- a/crates/workswood-core/src/jobs/share.rs
+++ b/crates/workswood-core/src/jobs/share.rs
@@ -7,7 +7,7 @@
 
 use super::job::{FULL_PACE, Phase, Run, WorkerId};
 use super::policy::PacePolicy;
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::TaskId;
 use super::types::Action;
 
--- a/crates/workswood-core/src/jobs/trials.rs
+++ b/crates/workswood-core/src/jobs/trials.rs
@@ -8,7 +8,7 @@
 
 use super::crash::{CrashPolicy, PROVEN_AFTER};
 use super::job::{Task, WorkerId};
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::{StepSpec, TaskId};
 use super::worker::Worker;
 use crate::ids::ServiceId;
--- a/tests/testsuite/demand_history.rs
+++ b/tests/testsuite/demand_history.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood_core::jobs::demand::Demand;
+use workswood_core::jobs::demand_history::Demand;
 use workswood_core::jobs::{Event, HostReply, JobSpec, Owner};
 use workswood_test_support::host_world::{HostWorld, host, moves, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
