--- a/crates/workswood-core/src/jobs/host.rs
+++ b/crates/workswood-core/src/jobs/host.rs
@@ -7,7 +7,7 @@
 use crate::ids::{DataCentre, HostId, ServiceId};
 
 /// An order without an outcome is sent again after this time.
-pub(super) const ORDER_AGAIN: Duration = Duration::from_millis(1500);
+pub(super) const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(1500);
 
 /// State of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/workswood-core/src/jobs/maintenance_waves.rs
+++ b/crates/workswood-core/src/jobs/maintenance_waves.rs
@@ -20,12 +20,12 @@
 
 /// A host that is off is listed as under maintenance within this time
 /// after its order was confirmed, if it is at all.
-const OFF_SETTLES: Duration = Duration::from_millis(1500);
+const OFF_HOST_LIST_DELAY: Duration = Duration::from_millis(1500);
 
 /// A host that no list has shown for this long was taken away for good: lists
 /// are asked for every 0.6 s, and a host that changes its pool or is maintained
 /// stays listed.
-const GONE_AFTER: Duration = Duration::from_millis(4000);
+const REMOVED_HOST_TIMEOUT: Duration = Duration::from_millis(4000);
 
 /// A wave, as operators ask for it.
 #[derive(Clone, Debug, PartialEq)]
@@ -35,9 +35,9 @@
     /// Hosts to maintain.
     pub hosts: Vec<HostId>,
     /// Time allowed for all of them.
-    pub within: Duration,
+    pub time_allowed: Duration,
     /// How many may be down at once.
-    pub most_at_once: usize,
+    pub max_down: usize,
 }
 
 /// The stored progress of a wave.
@@ -62,19 +62,19 @@
     /// What is on record.
     pub record: WaveRecord,
     /// Hosts that are being emptied, and since when.
-    pub emptying: BTreeMap<HostId, Duration>,
+    pub draining: BTreeMap<HostId, Duration>,
     /// When each order was last sent.
-    pub sent: BTreeMap<HostId, Duration>,
+    pub order_sent_at: BTreeMap<HostId, Duration>,
     /// When each order was confirmed, as far as this scheduler heard it.
-    pub confirmed: BTreeMap<HostId, Duration>,
+    pub confirmed_at: BTreeMap<HostId, Duration>,
     /// Hosts whose order may yet be carried out though it was not answered.
-    pub unsure: BTreeSet<HostId>,
+    pub unconfirmed: BTreeSet<HostId>,
     /// Hosts that the list does not show, and since when.
-    pub absent: BTreeMap<HostId, Duration>,
+    pub absent_since: BTreeMap<HostId, Duration>,
     /// Hosts that were taken away; they need no maintenance.
-    pub gone: BTreeSet<HostId>,
+    pub removed: BTreeSet<HostId>,
     /// When we heard of it.
-    pub heard: Duration,
+    pub known_since: Duration,
 }
 
 /// Whether a host is back from maintenance: its worker has another life.
@@ -82,7 +82,7 @@
 /// may be one that ended when it was turned off. A list that was asked for before the order was confirmed may be older than the
 /// maintenance: with a life on record that is not the latest (the host has
 /// just changed its pool), it would show the host as back at once.
-fn is_back(
+fn has_returned(
     m: &Host,
     off: bool,
     before: &Option<String>,
@@ -94,12 +94,12 @@
         // The list names workers; one that started again may go by its name of before.
         (Some(id), HostState::Up) => match before.as_deref().map(WorkerId::from) {
             Some(life) if life.name() == id.name() => {
-                life.started().is_some() && *confirmed + OFF_SETTLES < asked
+                life.started().is_some() && *confirmed + OFF_HOST_LIST_DELAY < asked
             }
             Some(_) | None => true,
         },
         (None, HostState::Up | HostState::Down) if off || before.is_none() => {
-            *confirmed + OFF_SETTLES < asked
+            *confirmed + OFF_HOST_LIST_DELAY < asked
         }
         _ => false,
     }
@@ -107,51 +107,51 @@
 
 impl WaveState {
     /// Whether every host of it has been maintained, or was taken away.
-    pub fn complete(&self) -> bool {
-        self.wave.hosts.iter().all(|m| self.record.finished.contains(m) || self.gone.contains(m))
+    pub fn is_complete(&self) -> bool {
+        self.wave.hosts.iter().all(|m| self.record.finished.contains(m) || self.removed.contains(m))
     }
 
     /// Takes in which hosts a list shows; returns whether some count as taken
     /// away now that did not before, or the other way round.
-    fn note_absent(&mut self, hosts: &Map<HostId, Host>, asked: Duration) -> bool {
-        let before = self.gone.len();
+    fn update_absent(&mut self, hosts: &Map<HostId, Host>, asked: Duration) -> bool {
+        let before = self.removed.len();
         let absent = self.wave.hosts.iter().filter(|m| !hosts.contains_key(*m));
-        let absent = absent.map(|m| (m.clone(), self.absent.get(m).copied().unwrap_or(asked)));
-        self.absent = absent.collect();
-        let gone = self.absent.iter().filter(|(_, since)| **since + GONE_AFTER <= asked);
-        self.gone = gone.map(|(m, _)| m.clone()).collect();
-        self.gone.len() != before
+        let absent = absent.map(|m| (m.clone(), self.absent_since.get(m).copied().unwrap_or(asked)));
+        self.absent_since = absent.collect();
+        let gone = self.absent_since.iter().filter(|(_, since)| **since + REMOVED_HOST_TIMEOUT <= asked);
+        self.removed = gone.map(|(m, _)| m.clone()).collect();
+        self.removed.len() != before
     }
 
     /// How many hosts should be finished or under way by now.
-    fn planned(&self, now: Duration, short: bool, policy: &WavePolicy) -> usize {
+    fn planned_by(&self, now: Duration, short: bool, policy: &WavePolicy) -> usize {
         let used = if short { policy.use_when_short } else { policy.use_of_time };
-        let passed = now.saturating_sub(self.heard).as_secs_f64() + policy.ahead.as_secs_f64();
-        let within = self.wave.within.as_secs_f64() * used;
+        let passed = now.saturating_sub(self.known_since).as_secs_f64() + policy.ahead.as_secs_f64();
+        let within = self.wave.time_allowed.as_secs_f64() * used;
         let share = if within > 0.0 { (passed / within).min(1.0) } else { 1.0 };
         (self.wave.hosts.len() as f64 * share).ceil() as usize
     }
 
     /// Whether nothing has been begun yet with a host of it.
-    fn waits(&self, host: &HostId) -> bool {
-        let begun = self.record.ordered.contains_key(host) || self.emptying.contains_key(host);
+    fn is_pending(&self, host: &HostId) -> bool {
+        let begun = self.record.ordered.contains_key(host) || self.draining.contains_key(host);
         !begun && !self.record.finished.contains(host)
     }
 
     /// Whether a host is emptied for it, or is or may be down.
-    fn takes(&self, host: &HostId) -> bool {
+    fn occupies(&self, host: &HostId) -> bool {
         let ordered = self.record.ordered.contains_key(host) && !self.record.finished.contains(host);
-        ordered || self.emptying.contains_key(host)
+        ordered || self.draining.contains_key(host)
     }
 
     /// Hosts that are emptied for it, or are or may be down.
-    fn taken(&self) -> impl Iterator<Item = &HostId> {
+    fn occupied(&self) -> impl Iterator<Item = &HostId> {
         let down = self.record.ordered.keys().filter(|m| !self.record.finished.contains(*m));
-        self.emptying.keys().chain(down)
+        self.draining.keys().chain(down)
     }
 
     /// Hosts that are, or may be, down for it.
-    pub(super) fn down_now(&self) -> usize {
+    pub(super) fn down_count(&self) -> usize {
         self.record.ordered.keys().filter(|m| !self.record.finished.contains(*m)).count()
     }
 }
@@ -166,7 +166,7 @@
         self.notes.push(format_args!(
             "event=wave_known wave={number} machines={} most_at_once={}",
             wave.hosts.len(),
-            wave.most_at_once
+            wave.max_down
         ));
         let record = rec.unwrap_or_default();
         let now = self.now;
@@ -176,13 +176,13 @@
         let state = WaveState {
             wave,
             record,
-            emptying: BTreeMap::new(),
-            sent: BTreeMap::new(),
-            confirmed,
-            unsure,
-            absent: BTreeMap::new(),
-            gone: BTreeSet::new(),
-            heard: now,
+            draining: BTreeMap::new(),
+            order_sent_at: BTreeMap::new(),
+            confirmed_at: confirmed,
+            unconfirmed: unsure,
+            absent_since: BTreeMap::new(),
+            removed: BTreeSet::new(),
+            known_since: now,
         };
         self.waves.insert(number, state);
         self.dirty_waves.insert(number);
@@ -200,19 +200,19 @@
         self.correct_list();
         self.note_declared();
         self.end_listed_over(asked);
-        self.finish_hosts(asked);
+        self.mark_finished_hosts(asked);
     }
 
     /// Whether the list of hosts is needed.
     pub fn needs_host_list(&self) -> bool {
-        self.waves.values().any(|w| !w.complete()) || self.config.services.values().any(|s| s.spare)
+        self.waves.values().any(|w| !w.is_complete()) || self.config.services.values().any(|s| s.spare)
     }
 
     /// Marks hosts as finished that are up again with another life.
-    fn finish_hosts(&mut self, asked: Duration) {
+    fn mark_finished_hosts(&mut self, asked: Duration) {
         let spare = self.spare_pool();
         for (number, w) in &mut self.waves {
-            if !self.hosts.is_empty() && w.note_absent(&self.hosts, asked) {
+            if !self.hosts.is_empty() && w.update_absent(&self.hosts, asked) {
                 self.dirty_waves.insert(*number);
             }
             let waiting: Vec<HostId> =
@@ -222,7 +222,7 @@
                 let back = match self.hosts.get(&name) {
                     Some(m) => {
                         let off = spare.as_ref() == Some(&m.pool);
-                        is_back(m, off, &before, w.confirmed.get(&name), asked)
+                        has_returned(m, off, &before, w.confirmed_at.get(&name), asked)
                     }
                     // A host that was taken away needs no maintenance.
                     None => !self.hosts.is_empty(),
@@ -236,33 +236,33 @@
     }
 
     /// Goes on with all waves.
-    pub(super) fn run_waves(&mut self) {
-        let open: Vec<u64> = self.waves.iter().filter(|(_, w)| !w.complete()).map(|(n, _)| *n).collect();
+    pub(super) fn advance_waves(&mut self) {
+        let open: Vec<u64> = self.waves.iter().filter(|(_, w)| !w.is_complete()).map(|(n, _)| *n).collect();
         for n in open {
-            self.run_wave(n);
+            self.advance_wave(n);
         }
-        self.set_cordons();
+        self.update_cordons();
     }
 
     /// Whether a host gets no new work: it moves, or a wave takes it.
     pub(super) fn is_cordoned(&self, host: &HostId) -> bool {
-        self.pools.moving.contains_key(host) || self.wave_takes(host)
+        self.pools.moving.contains_key(host) || self.in_maintenance(host)
     }
 
     /// Whether some wave empties a host or has it down.
-    pub(super) fn wave_takes(&self, host: &HostId) -> bool {
-        self.waves.values().any(|w| w.takes(host))
+    pub(super) fn in_maintenance(&self, host: &HostId) -> bool {
+        self.waves.values().any(|w| w.occupies(host))
     }
 
     /// Hosts that get no new work: they move, or a wave takes them.
-    pub(super) fn taken_hosts(&self) -> Set<&HostId> {
-        let waves = self.waves.values().filter(|w| !w.complete()).flat_map(WaveState::taken);
+    pub(super) fn hosts_to_cordon(&self) -> Set<&HostId> {
+        let waves = self.waves.values().filter(|w| !w.is_complete()).flat_map(WaveState::occupied);
         self.pools.moving.keys().chain(waves).collect()
     }
 
     /// Keeps new work away from hosts that are to go down.
-    fn set_cordons(&mut self) {
-        let taken: BTreeSet<HostId> = self.taken_hosts().into_iter().cloned().collect();
+    fn update_cordons(&mut self) {
+        let taken: BTreeSet<HostId> = self.hosts_to_cordon().into_iter().cloned().collect();
         let changed: Vec<(HostId, bool)> = taken
             .symmetric_difference(&self.cordoned_hosts)
             .map(|host| (host.clone(), taken.contains(host)))
@@ -284,34 +284,34 @@
     }
 
     /// Goes on with one wave.
-    fn run_wave(&mut self, n: u64) {
+    fn advance_wave(&mut self, n: u64) {
         if self.hosts.is_empty() {
             return;
         }
-        self.order_again(n);
-        self.start_emptying(n);
-        self.order_empty(n);
+        self.resend_maintenance_orders(n);
+        self.start_draining(n);
+        self.order_drained_hosts(n);
     }
 
     /// Picks hosts to empty: idle ones that their pool can spare at any
     /// time, others only as the wave's time runs out.
-    fn start_emptying(&mut self, n: u64) {
+    fn start_draining(&mut self, n: u64) {
         let Some(w) = self.waves.get(&n) else { return };
-        let begun = w.emptying.len() + w.down_now();
-        let mut room = w.wave.most_at_once.max(1).saturating_sub(begun);
+        let begun = w.draining.len() + w.down_count();
+        let mut room = w.wave.max_down.max(1).saturating_sub(begun);
         if room == 0 {
             return;
         }
         let mut count = self.count_pools();
         let short = self.short_pools(&count);
-        let planned = w.planned(self.now, !short.is_empty(), &self.policy.waves);
+        let planned = w.planned_by(self.now, !short.is_empty(), &self.policy.waves);
         let mut behind = planned.saturating_sub(w.record.finished.len() + begun);
-        for (lasting, used, m) in self.next_to_empty(w, &short) {
+        for (lasting, used, m) in self.drain_candidates(w, &short) {
             let spared = lasting == 0 && used == 0 && self.can_spare(&count, &m);
             if room == 0 {
                 break;
             }
-            if (behind == 0 && !spared) || self.wave_takes(&m) {
+            if (behind == 0 && !spared) || self.in_maintenance(&m) {
                 continue;
             }
             room -= 1;
@@ -322,7 +322,7 @@
             }
             let now = self.now;
             if let Some(w) = self.waves.get_mut(&n) {
-                w.emptying.insert(m, now);
+                w.draining.insert(m, now);
             }
         }
     }
@@ -330,17 +330,17 @@
     /// Hosts of a wave that wait, those of pools that are short last, those
     /// with the least on them first; each with its lasting tasks and processor
     /// use.
-    fn next_to_empty(&self, w: &WaveState, short: &[ServiceId]) -> Vec<(usize, u64, HostId)> {
+    fn drain_candidates(&self, w: &WaveState, short: &[ServiceId]) -> Vec<(usize, u64, HostId)> {
         let free = |m: &&HostId| self.hosts.contains_key(*m) && !self.pools.moving.contains_key(*m);
-        let waiting = w.wave.hosts.iter().filter(|m| w.waits(m)).filter(free);
+        let waiting = w.wave.hosts.iter().filter(|m| w.is_pending(m)).filter(free);
         let mut waiting: Vec<(bool, (usize, u64, HostId))> =
-            waiting.map(|m| (self.stands_in(m, short), self.load_on(m, self.worker_on(m)))).collect();
+            waiting.map(|m| (self.is_in_pools(m, short), self.load_on(m, self.worker_on(m)))).collect();
         waiting.sort();
         waiting.into_iter().map(|(_, load)| load).collect()
     }
 
     /// Whether a host stands in one of these pools.
-    fn stands_in(&self, m: &HostId, pools: &[ServiceId]) -> bool {
+    fn is_in_pools(&self, m: &HostId, pools: &[ServiceId]) -> bool {
         self.hosts.get(m).is_some_and(|m| pools.contains(&m.pool))
     }
 
--- a/crates/workswood-core/src/jobs/order_marks.rs
+++ b/crates/workswood-core/src/jobs/order_marks.rs
@@ -29,20 +29,20 @@
     /// Hosts that were ordered about lately.
     by_host: BTreeMap<HostId, Mark>,
     /// Hosts whose record has to be written or dropped.
-    dirty: BTreeSet<HostId>,
+    changed: BTreeSet<HostId>,
 }
 
 impl OrderMarks {
     /// Hosts whose mark changed, with whether they are marked now.
     pub(super) fn take_changes(&mut self) -> Vec<(HostId, bool)> {
-        let changed = std::mem::take(&mut self.dirty);
+        let changed = std::mem::take(&mut self.changed);
         changed.into_iter().map(|m| (m.clone(), self.by_host.contains_key(&m))).collect()
     }
 }
 
 impl Scheduler {
     /// Takes over a mark that a holder of this name recorded.
-    pub fn restore_mark(&mut self, host: HostId, holder: &str) {
+    pub fn restore_order_mark(&mut self, host: HostId, holder: &str) {
         let mark = if holder == self.holder { Mark::Own(self.claimed_at) } else { Mark::Inherited };
         self.order_marks.by_host.insert(host, mark);
     }
@@ -67,32 +67,32 @@
         let own = Mark::Own(self.now);
         let before = self.order_marks.by_host.insert(host.clone(), own);
         if !matches!(before, Some(Mark::Own(_))) {
-            self.order_marks.dirty.insert(host.clone());
+            self.order_marks.changed.insert(host.clone());
         }
     }
 
     /// Drops marks of hosts that no holder has ordered anything about lately.
-    pub(super) fn drop_marks(&mut self) {
+    pub(super) fn drop_expired_marks(&mut self) {
         let marks = self.order_marks.by_host.iter();
         let over: Vec<HostId> =
-            marks.filter(|(m, mark)| self.is_over(m, **mark)).map(|(m, _)| m.clone()).collect();
+            marks.filter(|(m, mark)| self.is_mark_expired(m, **mark)).map(|(m, _)| m.clone()).collect();
         for m in over {
             self.order_marks.by_host.remove(&m);
-            self.order_marks.dirty.insert(m);
+            self.order_marks.changed.insert(m);
         }
     }
 
     /// Whether nothing of the order that a mark stands for can follow any more.
-    fn is_over(&self, host: &HostId, mark: Mark) -> bool {
+    fn is_mark_expired(&self, host: &HostId, mark: Mark) -> bool {
         let handover = self.limits.host_order_delay;
         match mark {
             Mark::Inherited => self.now > self.claimed_at + handover,
-            Mark::Own(at) => self.now > at + handover && !self.order_open(host),
+            Mark::Own(at) => self.now > at + handover && !self.has_open_order(host),
         }
     }
 
     /// Whether an order for a host has no outcome yet, so that it is repeated.
-    fn order_open(&self, host: &HostId) -> bool {
-        self.pools.moving.contains_key(host) || self.wave_of_order(host).is_some()
+    fn has_open_order(&self, host: &HostId) -> bool {
+        self.pools.moving.contains_key(host) || self.wave_with_open_order(host).is_some()
     }
 }
--- a/crates/workswood-core/src/jobs/pool_count.rs
+++ b/crates/workswood-core/src/jobs/pool_count.rs
@@ -61,10 +61,10 @@
             Some(n) => *n += 1,
             None => _ = have.insert(pool.clone(), 1),
         };
-        let taken = self.taken_hosts();
+        let taken = self.hosts_to_cordon();
         let leaves = |m: &Host| {
             let moving = || self.pools.moving.get(&m.name).is_some_and(|v| v.to != m.pool);
-            taken.contains(&m.name) && (moving() || self.wave_takes(&m.name))
+            taken.contains(&m.name) && (moving() || self.in_maintenance(&m.name))
         };
         let stay = self.hosts.values().filter(|m| works(m) && self.stands_open(m) && !leaves(m));
         stay.for_each(|m| add(&m.pool));
@@ -80,7 +80,7 @@
     /// just come may go on at once: to a new lease holder every worker is new, and it would be held up.
     fn free_hosts(&self) -> BTreeMap<ServiceId, Free> {
         let spare = self.spare_pool();
-        let taken = self.taken_hosts();
+        let taken = self.hosts_to_cordon();
         let may_move = |m: &&Host| {
             let up = m.state == HostState::Up && self.stands_open(m);
             up && !taken.contains(&m.name) && self.may_order(&m.name)
--- a/crates/workswood-core/src/jobs/pool_moves.rs
+++ b/crates/workswood-core/src/jobs/pool_moves.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::crash::LifeEnd;
-use super::host::{Host, HostReply, HostState, ORDER_AGAIN};
+use super::host::{Host, HostReply, HostState, ORDER_RETRY_INTERVAL};
 use super::job::WorkerId;
 use super::scheduler::Scheduler;
 use super::types::Action;
@@ -107,7 +107,7 @@
         match v.sent {
             None if empty => Some(Due::Order),
             None => (self.now > v.since + self.policy.pools.empty_for).then_some(Due::GiveUp),
-            Some(at) => (at + ORDER_AGAIN < self.now).then_some(Due::Order),
+            Some(at) => (at + ORDER_RETRY_INTERVAL < self.now).then_some(Due::Order),
         }
     }
 
--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -281,7 +281,7 @@
             Event::AdviceReceived(a) => self.advised(a),
             Event::HostsListed(list, asked) => self.hosts_listed(list, asked),
             Event::WaveRequested(wave, rec) => self.wave_requested(wave, rec),
-            Event::HostOrderAnswered(host, reply) => self.host_ordered(&host, reply),
+            Event::HostOrderAnswered(host, reply) => self.host_order_answered(&host, reply),
             Event::RelayUp(entry) => self.relay_up(&entry),
             Event::RelayHeard(entry) => self.relay_heard(&entry),
             Event::RelayLeaving(entry) => self.relay_leaving(&entry),
@@ -513,9 +513,9 @@
         }
         self.evict_leaving();
         self.evict_inherited();
-        self.run_waves();
+        self.advance_waves();
         self.run_pools();
-        self.drop_marks();
+        self.drop_expired_marks();
         self.balance_relays();
         self.forget_jobs();
         self.services_to_place
@@ -586,7 +586,7 @@
         for n in std::mem::take(&mut self.dirty_waves) {
             let Some(wave) = self.waves.get(&n) else { continue };
             batch.records.push(Record::Wave(n, wave.record.clone()));
-            batch.waves.push((n, wave.complete()));
+            batch.waves.push((n, wave.is_complete()));
         }
         for (host, marked) in self.order_marks.take_changes() {
             batch.records.push(Record::HostOrderMark(host, marked.then(|| self.holder.clone())));
--- a/crates/workswood-test-support/src/host_world.rs
+++ b/crates/workswood-test-support/src/host_world.rs
@@ -219,5 +219,5 @@
 /// Wave 1, of hosts by their numbers, within 20 s.
 pub fn wave(hosts: &[usize], most_at_once: usize) -> Wave {
     let hosts = hosts.iter().map(|n| format!("m-{n}")).collect();
-    Wave { number: 1, hosts, within: Duration::from_secs(20), most_at_once }
+    Wave { number: 1, hosts, time_allowed: Duration::from_secs(20), max_down: most_at_once }
 }
--- a/src/workswood/ops/bench/pools.rs
+++ b/src/workswood/ops/bench/pools.rs
@@ -61,7 +61,7 @@
         fleet.list();
         let names = fleet.hosts.keys().cloned().collect();
         let within = Duration::from_secs(600);
-        let wave = Wave { number: 1, hosts: names, within, most_at_once: count / 20 };
+        let wave = Wave { number: 1, hosts: names, time_allowed: within, max_down: count / 20 };
         fleet.sched.handle(Event::WaveRequested(wave, None));
         fleet
     }
--- a/src/workswood/ops/job_status/sum.rs
+++ b/src/workswood/ops/job_status/sum.rs
@@ -374,8 +374,8 @@
     WaveStatus {
         wave: w.number,
         hosts: w.hosts.len(),
-        most_at_once: w.most_at_once,
-        within_ms: w.within.as_millis() as u64,
+        most_at_once: w.max_down,
+        within_ms: w.time_allowed.as_millis() as u64,
         waiting: waiting.cloned().collect(),
         down: down.cloned().collect(),
         finished: w.hosts.iter().filter(finished).count(),
--- a/src/workswood/ops/jobs/load.rs
+++ b/src/workswood/ops/jobs/load.rs
@@ -57,7 +57,7 @@
         sched.restore_worker(id, rec);
     }
     for (host, holder) in state.ordered {
-        sched.restore_mark(host, &holder);
+        sched.restore_order_mark(host, &holder);
     }
     let records = inbox.into_iter().flat_map(|(_, n)| n.records).collect();
     restore(&mut sched, records, state.jobs);
--- a/src/workswood/ops/model/faults.rs
+++ b/src/workswood/ops/model/faults.rs
@@ -38,7 +38,7 @@
             s.restore_worker(id.clone(), rec.clone());
         }
         for (host, holder) in &self.stored.ordered {
-            s.restore_mark(host.clone(), holder);
+            s.restore_order_mark(host.clone(), holder);
         }
         for j in self.jobs.iter().filter(|j| j.at <= self.now) {
             s.restore_job(j.key, Some(Arc::clone(&j.spec)), self.stored.jobs.get(&j.key).cloned());
--- a/src/workswood/ops/model/world.rs
+++ b/src/workswood/ops/model/world.rs
@@ -190,7 +190,8 @@
         // Every so many hosts, so that each pool has some.
         let stride = self.hosts.len() / count.max(1);
         let hosts = self.hosts.iter().step_by(stride.max(1)).take(count).map(|m| m.name().clone());
-        let wave = Wave { number: 1, hosts: hosts.collect(), within: w.within, most_at_once: w.most_at_once };
+        let wave =
+            Wave { number: 1, hosts: hosts.collect(), time_allowed: w.within, max_down: w.most_at_once };
         self.wave = Some(wave.clone());
         self.tell(Event::WaveRequested(wave, None));
     }
--- a/tests/testsuite/crash_evidence.rs
+++ b/tests/testsuite/crash_evidence.rs
@@ -154,8 +154,8 @@
     let wave = workswood_core::jobs::Wave {
         number: 1,
         hosts: vec![format!("m-{at}")],
-        within: Duration::from_secs(1),
-        most_at_once: 1,
+        time_allowed: Duration::from_secs(1),
+        max_down: 1,
     };
     world.sched.handle(Event::WaveRequested(wave, None));
     let mut ordered = false;
--- a/tests/testsuite/order_marks.rs
+++ b/tests/testsuite/order_marks.rs
@@ -12,7 +12,7 @@
     let mut world = HostWorld::new(1);
     world.sched.limits.host_order_delay = Duration::from_secs(3);
     world.sched.holder = name.to_string();
-    world.sched.restore_mark("m-7".to_string(), "entry-1");
+    world.sched.restore_order_mark("m-7".to_string(), "entry-1");
     world
 }
 
--- a/tests/testsuite/restarted_workers.rs
+++ b/tests/testsuite/restarted_workers.rs
@@ -231,10 +231,10 @@
     world.sched.handle(Event::HostOrderAnswered("m-0".to_string(), workswood_core::jobs::HostReply::Done));
     world.at(3300);
     world.list(vec![listed()]);
-    assert!(!world.sched.waves[&1].complete(), "it may not have begun to go down");
+    assert!(!world.sched.waves[&1].is_complete(), "it may not have begun to go down");
     world.at(5300);
     world.list(vec![listed()]);
-    assert!(world.sched.waves[&1].complete());
+    assert!(world.sched.waves[&1].is_complete());
 }
 
 fn record(started: u64) -> KeyedRecord {
--- a/tests/testsuite/wave_orders.rs
+++ b/tests/testsuite/wave_orders.rs
@@ -168,7 +168,7 @@
         world.list(list());
     }
     assert_eq!(upkeeps(&world.actions), ["m-1"]);
-    assert!(world.sched.waves[&1].complete(), "it is off, before and after");
+    assert!(world.sched.waves[&1].is_complete(), "it is off, before and after");
 }
 
 #[test]
@@ -186,10 +186,10 @@
         }
         world.list(if t < 4 { both() } else { one() });
         if t == 20 {
-            assert!(!world.sched.waves[&1].complete(), "it may yet be listed again");
+            assert!(!world.sched.waves[&1].is_complete(), "it may yet be listed again");
         }
     }
-    assert!(world.sched.waves[&1].complete(), "nobody can maintain it");
+    assert!(world.sched.waves[&1].is_complete(), "nobody can maintain it");
 }
 
 #[test]
@@ -258,7 +258,7 @@
     ordered.sort();
     let wanted = [("m-0", 1), ("m-0", 2), ("m-1", 2)].map(|(m, n)| (m.to_string(), n));
     assert_eq!(ordered, wanted, "each wave orders each of its hosts once");
-    assert!(world.sched.waves.values().all(|w| w.complete()), "{:?}", world.sched.waves);
+    assert!(world.sched.waves.values().all(|w| w.is_complete()), "{:?}", world.sched.waves);
 }
 
 #[test]
