--- a/crates/workswood-core/src/jobs/maintenance_orders.rs
+++ b/crates/workswood-core/src/jobs/maintenance_orders.rs
@@ -94,7 +94,7 @@
 
     /// The outcome of an order to a host, of a move or of a wave.
     pub(super) fn host_order_answered(&mut self, host: &HostId, reply: HostReply) {
-        if self.host_moved(host, reply) {
+        if self.move_answered(host, reply) {
             return;
         }
         let Some(n) = self.wave_with_open_order(host) else { return };
--- a/crates/workswood-core/src/jobs/maintenance_waves.rs
+++ b/crates/workswood-core/src/jobs/maintenance_waves.rs
@@ -14,7 +14,7 @@
 use super::job::WorkerId;
 use super::map::{Map, Set};
 use super::policy::WavePolicy;
-use super::pool_count::works;
+use super::pool_count::is_working;
 use super::scheduler::Scheduler;
 use crate::ids::{HostId, ServiceId};
 
@@ -197,8 +197,8 @@
         self.hosts_requested_at = asked;
         self.hosts = list.into_iter().map(|m| (m.name.clone(), m)).collect();
         self.measure_fleet();
-        self.correct_list();
-        self.note_declared();
+        self.correct_host_list();
+        self.record_declared_sizes();
         self.end_listed_over(asked);
         self.mark_finished_hosts(asked);
     }
@@ -246,7 +246,7 @@
 
     /// Whether a host gets no new work: it moves, or a wave takes it.
     pub(super) fn is_cordoned(&self, host: &HostId) -> bool {
-        self.pools.moving.contains_key(host) || self.in_maintenance(host)
+        self.pools.moves.contains_key(host) || self.in_maintenance(host)
     }
 
     /// Whether some wave empties a host or has it down.
@@ -257,7 +257,7 @@
     /// Hosts that get no new work: they move, or a wave takes them.
     pub(super) fn hosts_to_cordon(&self) -> Set<&HostId> {
         let waves = self.waves.values().filter(|w| !w.is_complete()).flat_map(WaveState::occupied);
-        self.pools.moving.keys().chain(waves).collect()
+        self.pools.moves.keys().chain(waves).collect()
     }
 
     /// Keeps new work away from hosts that are to go down.
@@ -317,8 +317,8 @@
             room -= 1;
             behind = behind.saturating_sub(1);
             self.notes.push(format_args!("event=machine_emptying wave={n} machine={m} spared={spared}"));
-            if let Some(m) = self.hosts.get(&m).filter(|m| works(m) && self.stands_open(m)) {
-                count.leaves(&m.pool);
+            if let Some(m) = self.hosts.get(&m).filter(|m| is_working(m) && self.stands_open(m)) {
+                count.remove_host(&m.pool);
             }
             let now = self.now;
             if let Some(w) = self.waves.get_mut(&n) {
@@ -331,7 +331,7 @@
     /// with the least on them first; each with its lasting tasks and processor
     /// use.
     fn drain_candidates(&self, w: &WaveState, short: &[ServiceId]) -> Vec<(usize, u64, HostId)> {
-        let free = |m: &&HostId| self.hosts.contains_key(*m) && !self.pools.moving.contains_key(*m);
+        let free = |m: &&HostId| self.hosts.contains_key(*m) && !self.pools.moves.contains_key(*m);
         let waiting = w.wave.hosts.iter().filter(|m| w.is_pending(m)).filter(free);
         let mut waiting: Vec<(bool, (usize, u64, HostId))> =
             waiting.map(|m| (self.is_in_pools(m, short), self.load_on(m, self.worker_on(m)))).collect();
--- a/crates/workswood-core/src/jobs/order_marks.rs
+++ b/crates/workswood-core/src/jobs/order_marks.rs
@@ -93,6 +93,6 @@
 
     /// Whether an order for a host has no outcome yet, so that it is repeated.
     fn has_open_order(&self, host: &HostId) -> bool {
-        self.pools.moving.contains_key(host) || self.wave_with_open_order(host).is_some()
+        self.pools.moves.contains_key(host) || self.wave_with_open_order(host).is_some()
     }
 }
--- a/crates/workswood-core/src/jobs/pool_need.rs
+++ b/crates/workswood-core/src/jobs/pool_need.rs
@@ -52,8 +52,8 @@
 impl Scheduler {
     /// Works out how many hosts each service needs.
     pub(super) fn work_out_need(&mut self, count: &PoolCount) {
-        let passed = self.now.saturating_sub(self.pools.worked_out).as_secs_f64();
-        self.pools.worked_out = self.now;
+        let passed = self.now.saturating_sub(self.pools.need_computed_at).as_secs_f64();
+        self.pools.need_computed_at = self.now;
         let all = self.hosts.len() as f64;
         let policy = &self.policy.need;
         let (lend_falls, keep_falls) = (passed * policy.lend_per_s * all, passed * policy.forget_per_s * all);
@@ -75,11 +75,11 @@
         let soon = wanted.hosts(self.offered_soon(service), policy.full).max(now);
         let before = self.pools.need.get(service).copied().unwrap_or_default();
         // Before its first work, a pool is taken to be of the right size.
-        let known = self.pools.worked.contains(service) || now > 0.0;
+        let known = self.pools.services_with_work.contains(service) || now > 0.0;
         let keep = if known { before.keep - keep_falls } else { have };
         let lend = before.lend - lend_falls;
         if known {
-            self.pools.worked.insert(service.clone());
+            self.pools.services_with_work.insert(service.clone());
         }
         // What a turn is taken to want is kept like what is in use: the signs of
         // it come and go with single jobs, and its hosts would with them.
@@ -195,7 +195,7 @@
             return 0.0;
         }
         let size = self.hosts.values().map(|m| m.capacity.cpu_millis).max().unwrap_or(0) as f64 / 1000.0;
-        if recent < size * self.hosts_share(policy.turn_least) {
+        if recent < size * self.share_of_hosts(policy.turn_least) {
             return 0.0;
         }
         // What this turn has shown so far tells nothing about the rest of it.
@@ -205,7 +205,7 @@
             return own * policy.turn_share;
         }
         let any = self.pools.demand.values().map(Demand::highest).fold(0.0, f64::max);
-        let declared = self.pools.declared.get(service).map_or(0.0, |count| *count as f64);
+        let declared = self.pools.declared_sizes.get(service).map_or(0.0, |count| *count as f64);
         let sharp = demand.rate(self.now, Duration::ZERO, policy.arrivals / 3);
         let rises = sharp >= recent * policy.turn_still_rises;
         let most = if rises { sharp * policy.turn_first_rise } else { recent };
--- a/crates/workswood-core/src/jobs/pool_planning.rs
+++ b/crates/workswood-core/src/jobs/pool_planning.rs
@@ -13,39 +13,39 @@
 
 use super::demand_history::Demand;
 use super::pool_count::PoolCount;
-use super::pool_moves::Moving;
+use super::pool_moves::PoolMove;
 use super::pool_need::Need;
 use super::scheduler::Scheduler;
 use super::waiting::Waiting;
 use crate::ids::{HostId, ServiceId};
 
 /// Time between two lines of the log on each pool.
-const NOTE_EVERY: Duration = Duration::from_secs(1);
+const POOL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What the pools look like to the planner.
 #[derive(Debug, Default)]
 pub struct PoolState {
     /// Moves under way, by host.
-    pub moving: BTreeMap<HostId, Moving>,
+    pub moves: BTreeMap<HostId, PoolMove>,
     /// Need of each service, in hosts.
     pub(super) need: BTreeMap<ServiceId, Need>,
     /// Moves that the platform says can't be.
-    pub(super) impossible: BTreeSet<(HostId, ServiceId)>,
+    pub(super) impossible_moves: BTreeSet<(HostId, ServiceId)>,
     /// Pools of hosts that moved lately; the list may be older than that.
-    pub(super) moved: BTreeMap<HostId, (Duration, ServiceId)>,
+    pub(super) recent_moves: BTreeMap<HostId, (Duration, ServiceId)>,
     /// Work that came in lately, by service.
     pub(super) demand: BTreeMap<ServiceId, Demand>,
     /// Hosts that each pool had before any work came in.
-    pub(super) declared: BTreeMap<ServiceId, usize>,
+    pub(super) declared_sizes: BTreeMap<ServiceId, usize>,
     /// Services that have had work.
-    pub(super) worked: BTreeSet<ServiceId>,
+    pub(super) services_with_work: BTreeSet<ServiceId>,
     /// Orders that may be sent at once, and when that was last counted.
-    pub(super) orders_left: f64,
-    pub(super) orders_counted: Duration,
+    pub(super) order_budget: f64,
+    pub(super) order_budget_updated_at: Duration,
     /// When the pools were last noted in the log.
-    noted: Duration,
+    logged_at: Duration,
     /// When the need was last worked out.
-    pub(super) worked_out: Duration,
+    pub(super) need_computed_at: Duration,
 }
 
 /// A service's pool as it stands.
@@ -64,35 +64,38 @@
     }
 
     /// Services whose hosts are on.
-    fn working_services(&self) -> Vec<ServiceId> {
+    fn active_services(&self) -> Vec<ServiceId> {
         self.config.services.values().filter(|s| !s.spare).map(|s| s.name.clone()).collect()
     }
 
     /// A share of all hosts, at least one. What is right for 50 hosts and
     /// for 350 is a share: demand, and what is put aside for it, grow alike.
-    pub(super) fn hosts_share(&self, share: f64) -> f64 {
+    pub(super) fn share_of_hosts(&self, share: f64) -> f64 {
         (self.hosts.len() as f64 * share).round().max(1.0)
     }
 
     /// Hosts that a pool keeps above its need.
     fn margin(&self) -> f64 {
-        self.hosts_share(self.policy.pools.margin)
+        self.share_of_hosts(self.policy.pools.margin)
     }
 
     /// Notes how many hosts operators gave each pool. Once work has come in,
     /// pools are as we have made them.
-    pub(super) fn note_declared(&mut self) {
-        if !self.pools.demand.is_empty() || !self.pools.moving.is_empty() || !self.pools.worked.is_empty() {
+    pub(super) fn record_declared_sizes(&mut self) {
+        if !self.pools.demand.is_empty()
+            || !self.pools.moves.is_empty()
+            || !self.pools.services_with_work.is_empty()
+        {
             return;
         }
-        self.pools.declared.clear();
+        self.pools.declared_sizes.clear();
         for m in self.hosts.values() {
-            *self.pools.declared.entry(m.pool.clone()).or_insert(0) += 1;
+            *self.pools.declared_sizes.entry(m.pool.clone()).or_insert(0) += 1;
         }
     }
 
     /// Goes on with moves, and decides on new ones.
-    pub(super) fn run_pools(&mut self) {
+    pub(super) fn plan_pools(&mut self) {
         if self.hosts.is_empty() {
             return;
         }
@@ -103,30 +106,30 @@
             self.trim_pools(&spare, &mut count);
         }
         self.order_moves();
-        self.note_pools();
+        self.log_pools();
     }
 
     /// Notes now and then how the pools stand.
-    fn note_pools(&mut self) {
-        if self.now < self.pools.noted + NOTE_EVERY {
+    fn log_pools(&mut self) {
+        if self.now < self.pools.logged_at + POOL_LOG_INTERVAL {
             return;
         }
-        self.pools.noted = self.now;
+        self.pools.logged_at = self.now;
         let count = self.count_pools();
-        for s in self.working_services() {
-            let note = self.pool_note(&count, &s);
+        for s in self.active_services() {
+            let note = self.pool_log_line(&count, &s);
             self.notes.push(format_args!("{note}"));
         }
     }
 
     /// The line of the log on a service's pool; counts are of hosts.
-    fn pool_note(&self, count: &PoolCount, service: &ServiceId) -> String {
+    fn pool_log_line(&self, count: &PoolCount, service: &ServiceId) -> String {
         let Pool { need, have } = self.pool(count, service);
         let (used, size) = (self.workers.room_in_use(service), self.workers.largest(service));
         let busy = used.cpu_millis as f64 / size.cpu_millis.max(1) as f64;
         let waiting = self.ready.get(service).map_or(0, Waiting::count);
         let Need { now, soon, lend, keep } = need;
-        let moving = self.pools.moving.len();
+        let moving = self.pools.moves.len();
         format!(
             "event=pool_state service={service} have={have} busy={busy:.1} need_now={now:.1} need_soon={soon:.1} \
              need_lend={lend:.1} need_keep={keep:.1} waiting={waiting} moving={moving}"
@@ -157,7 +160,7 @@
     /// Whether a pool has fewer hosts than it could use now. Before its first work, a pool is taken to be
     /// of the right size, also while its hosts come up.
     fn is_short(&self, count: &PoolCount, service: &ServiceId) -> bool {
-        if !self.pools.worked.contains(service) {
+        if !self.pools.services_with_work.contains(service) {
             return false;
         }
         let pool = self.pool(count, service);
@@ -166,26 +169,26 @@
 
     /// Services whose pools have fewer hosts than they could use now.
     pub(super) fn short_pools(&self, count: &PoolCount) -> Vec<ServiceId> {
-        self.working_services().into_iter().filter(|s| self.is_short(count, s)).collect()
+        self.active_services().into_iter().filter(|s| self.is_short(count, s)).collect()
     }
 
     /// Whether as many hosts are under way as may be.
-    fn most_moves_begun(&self, to_spare: bool) -> bool {
-        self.pools.moving.len() as f64 >= self.most_moves(to_spare)
+    fn move_limit_reached(&self, to_spare: bool) -> bool {
+        self.pools.moves.len() as f64 >= self.max_moves(to_spare)
     }
 
     /// Brings hosts to pools that are short of them.
     fn fill_pools(&mut self, spare: &ServiceId, count: &mut PoolCount) {
-        let mut services = self.working_services();
+        let mut services = self.active_services();
         // The one that lacks most first, by tenths of a host.
         let short = |p: &Pool| ((p.need.soon - p.have) * 10.0) as i64;
         services.sort_by_key(|s| (Reverse(short(&self.pool(count, s))), s.clone()));
         for s in &services {
-            while self.is_short(count, s) && !self.most_moves_begun(false) {
+            while self.is_short(count, s) && !self.move_limit_reached(false) {
                 let found = self.free_host(spare, s, count);
                 let found = found.or_else(|| self.surplus_host(&services, s, count));
                 let Some(host) = found else { break };
-                self.move_free(host, s, count);
+                self.begin_free_host_move(host, s, count);
             }
         }
     }
@@ -200,32 +203,33 @@
     /// A host of a pool that may go to another now, the first by name.
     fn free_host(&self, from: &ServiceId, to: &ServiceId, count: &mut PoolCount) -> Option<HostId> {
         let here = count.free(self).get(from)?;
-        let may = |m: &&HostId| !self.pools.impossible.contains(&((*m).clone(), to.clone()));
+        let may = |m: &&HostId| !self.pools.impossible_moves.contains(&((*m).clone(), to.clone()));
         here.keys().find(may).cloned()
     }
 
     /// Begins the move of a free host.
-    fn move_free(&mut self, host: HostId, to: &ServiceId, count: &mut PoolCount) {
+    fn begin_free_host_move(&mut self, host: HostId, to: &ServiceId, count: &mut PoolCount) {
         let Some(from) = self.hosts.get(&host).map(|m| m.pool.clone()) else { return };
-        let worker = count.take(&host, &from, to);
+        let worker = count.move_free_host(&host, &from, to);
         self.begin_move(host, to.clone(), worker);
     }
 
     /// Sends hosts off that their pools have not needed for some time.
     fn trim_pools(&mut self, spare: &ServiceId, count: &mut PoolCount) {
-        for s in self.working_services() {
+        for s in self.active_services() {
             let pool = self.pool(count, &s);
-            let keeps = (pool.need.keep + self.margin()).ceil() + self.hosts_share(self.policy.pools.surplus);
+            let keeps =
+                (pool.need.keep + self.margin()).ceil() + self.share_of_hosts(self.policy.pools.surplus);
             if pool.have < keeps {
                 continue;
             }
             let over = pool.have - keeps;
             for _ in 0..=(over as usize) {
-                if self.most_moves_begun(true) {
+                if self.move_limit_reached(true) {
                     return;
                 }
                 let Some(host) = self.free_host(&s, spare, count) else { break };
-                self.move_free(host, spare, count);
+                self.begin_free_host_move(host, spare, count);
             }
         }
     }
--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -514,7 +514,7 @@
         self.evict_leaving();
         self.evict_inherited();
         self.advance_waves();
-        self.run_pools();
+        self.plan_pools();
         self.drop_expired_marks();
         self.balance_relays();
         self.forget_jobs();
