--- a/crates/workswood-core/src/jobs/pool_need.rs
+++ b/crates/workswood-core/src/jobs/pool_need.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use super::demand_history::Demand;
+use super::demand_history::DemandHistory;
 use super::job::Job;
 use super::order::whole_work;
 use super::pool_count::PoolCount;
@@ -21,37 +21,37 @@
     /// What it will be able to use when a host that is sent for now has come.
     pub soon: f64,
     /// What it keeps when another pool is short.
-    pub lend: f64,
+    pub lend_floor: f64,
     /// What it keeps before hosts are turned off.
-    pub keep: f64,
+    pub power_off_floor: f64,
 }
 
 /// What runs and waits in a service.
-struct Wanted {
+struct ServiceLoad {
     /// Whether anything does.
-    any: bool,
+    any_task: bool,
     /// How many hosts it fills.
-    load: f64,
+    hosts_filled: f64,
     /// Cores of a host; 0 if there is none to go by.
-    cores: f64,
+    cores_per_host: f64,
     /// Hosts that lasting tasks need because only so many may share one.
-    apart: f64,
+    spread_hosts: f64,
 }
 
-impl Wanted {
+impl ServiceLoad {
     /// Hosts that are needed while the work that comes in keeps so many cores
     /// busy, when each is filled to such a share.
-    fn hosts(&self, offered: f64, full: f64) -> f64 {
-        if self.cores == 0.0 {
-            return if self.any { self.apart.max(1.0) } else { self.apart };
+    fn hosts_needed(&self, offered: f64, full: f64) -> f64 {
+        if self.cores_per_host == 0.0 {
+            return if self.any_task { self.spread_hosts.max(1.0) } else { self.spread_hosts };
         }
-        (self.load.max(offered / self.cores) / full).max(self.apart)
+        (self.hosts_filled.max(offered / self.cores_per_host) / full).max(self.spread_hosts)
     }
 }
 
 impl Scheduler {
     /// Works out how many hosts each service needs.
-    pub(super) fn work_out_need(&mut self, count: &PoolCount) {
+    pub(super) fn compute_need(&mut self, count: &PoolCount) {
         let passed = self.now.saturating_sub(self.pools.need_computed_at).as_secs_f64();
         self.pools.need_computed_at = self.now;
         let all = self.hosts.len() as f64;
@@ -60,44 +60,44 @@
         let services: Vec<ServiceId> = self.config.services.keys().cloned().collect();
         for s in services {
             let have = count.of(&s) as f64;
-            let need = self.need_after(&s, have, lend_falls, keep_falls);
+            let need = self.next_need(&s, have, lend_falls, keep_falls);
             self.pools.need.insert(s, need);
         }
     }
 
     /// Need of a service whose pool has so many hosts, when it falls by so many
     /// at most.
-    fn need_after(&mut self, service: &ServiceId, have: f64, lend_falls: f64, keep_falls: f64) -> Need {
+    fn next_need(&mut self, service: &ServiceId, have: f64, lend_falls: f64, keep_falls: f64) -> Need {
         let policy = &self.policy.need;
-        let wanted = self.wanted(service);
-        let offered = self.offered(service);
-        let now = wanted.hosts(offered, policy.full);
-        let soon = wanted.hosts(self.offered_soon(service), policy.full).max(now);
+        let wanted = self.service_load(service);
+        let offered = self.offered_cores(service);
+        let now = wanted.hosts_needed(offered, policy.full);
+        let soon = wanted.hosts_needed(self.expected_cores(service), policy.full).max(now);
         let before = self.pools.need.get(service).copied().unwrap_or_default();
         // Before its first work, a pool is taken to be of the right size.
         let known = self.pools.services_with_work.contains(service) || now > 0.0;
-        let keep = if known { before.keep - keep_falls } else { have };
-        let lend = before.lend - lend_falls;
+        let keep = if known { before.power_off_floor - keep_falls } else { have };
+        let lend = before.lend_floor - lend_falls;
         if known {
             self.pools.services_with_work.insert(service.clone());
         }
         // What a turn is taken to want is kept like what is in use: the signs of
         // it come and go with single jobs, and its hosts would with them.
-        Need { now, soon, lend: lend.max(now), keep: keep.max(soon) }
+        Need { now, soon, lend_floor: lend.max(now), power_off_floor: keep.max(soon) }
     }
 
     /// What runs and waits in a service.
-    fn wanted(&self, service: &ServiceId) -> Wanted {
+    fn service_load(&self, service: &ServiceId) -> ServiceLoad {
         let size = self.workers.largest(service);
-        let (room, late) = (self.room_wanted(service), self.waiting_room(service).1);
+        let (room, late) = (self.room_wanted(service), self.waiting_task_room(service).1);
         let policy = &self.policy.need;
         let cpu = (room.cpu_millis as f64 + late.cpu_millis as f64 * policy.late) / size.cpu_millis as f64;
         let mem = (room.mem_mb as f64 + late.mem_mb as f64 * policy.late) / size.mem_mb.max(1) as f64;
-        Wanted {
-            any: room != Room::default(),
-            load: cpu.max(mem),
-            cores: size.cpu_millis as f64 / 1000.0,
-            apart: f64::from(self.hosts_apart(service)),
+        ServiceLoad {
+            any_task: room != Room::default(),
+            hosts_filled: cpu.max(mem),
+            cores_per_host: size.cpu_millis as f64 / 1000.0,
+            spread_hosts: f64::from(self.spread_hosts(service)),
         }
     }
 
@@ -105,19 +105,19 @@
     /// be in time.
     pub fn room_wanted(&self, service: &ServiceId) -> Room {
         let mut room = self.workers.room_in_use(service);
-        room.add(&self.waiting_room(service).0);
+        room.add(&self.waiting_task_room(service).0);
         room
     }
 
     /// Room that is waited for by tasks whose job can be in time, and by others. What a limit
     /// keeps from beginning asks for no hosts.
-    fn waiting_room(&self, service: &ServiceId) -> (Room, Room) {
+    fn waiting_task_room(&self, service: &ServiceId) -> (Room, Room) {
         let waiting = self.ready.get(service);
         waiting.map(|w| w.room_within(|owner| self.left_of_limit(owner))).unwrap_or_default()
     }
 
     /// Hosts that lasting tasks need because only so many may share one.
-    fn hosts_apart(&self, service: &ServiceId) -> u32 {
+    fn spread_hosts(&self, service: &ServiceId) -> u32 {
         let jobs = self.jobs.lasting(service).filter(|j| j.open());
         let steps = jobs.flat_map(|j| &j.spec.steps).filter(|s| s.lasting && s.most_per_worker > 0);
         steps.map(|s| s.count.div_ceil(s.most_per_worker)).max().unwrap_or(0)
@@ -164,34 +164,34 @@
     }
 
     /// Cores that are busy if work goes on coming in as it did lately.
-    fn offered(&self, service: &ServiceId) -> f64 {
+    fn offered_cores(&self, service: &ServiceId) -> f64 {
         let demand = self.pools.demand.get(service);
         demand.map_or(0.0, |d| d.rate(self.now, Duration::ZERO, self.policy.need.arrivals))
     }
 
     /// Cores that will be busy if the work that comes in goes on rising, or a
     /// turn of demand has begun.
-    fn offered_soon(&self, service: &ServiceId) -> f64 {
+    fn expected_cores(&self, service: &ServiceId) -> f64 {
         let Some(demand) = self.pools.demand.get(service) else { return 0.0 };
         let policy = &self.policy.need;
         let window = policy.arrivals;
-        let recent = self.offered(service);
+        let recent = self.offered_cores(service);
         let before = demand.rate(self.now, window, window);
         // The mean of a window stands for its middle.
         let ahead = if policy.ahead.is_zero() { 0.0 } else { (policy.ahead + window / 2).as_secs_f64() };
         let rise = (recent - before).max(0.0) / window.as_secs_f64();
         let drawn_out = (recent + rise * ahead).min(recent * policy.most_rise);
-        drawn_out.max(self.turn_begun(service, demand, recent))
+        drawn_out.max(self.surge_cores(service, demand, recent))
     }
 
     /// Cores that a turn of demand will ask for that has just begun.
-    fn turn_begun(&self, service: &ServiceId, demand: &Demand, recent: f64) -> f64 {
+    fn surge_cores(&self, service: &ServiceId, demand: &DemandHistory, recent: f64) -> f64 {
         let policy = &self.policy.need;
         let calm = demand.rate(self.now, policy.arrivals, policy.turn_after);
         if policy.turn_share == 0.0 || recent < calm * policy.turn_rise {
             return 0.0;
         }
-        if demand.jobs(self.now, policy.arrivals) < policy.turn_jobs {
+        if demand.job_count(self.now, policy.arrivals) < policy.turn_jobs {
             return 0.0;
         }
         let size = self.hosts.values().map(|m| m.capacity.cpu_millis).max().unwrap_or(0) as f64 / 1000.0;
@@ -199,12 +199,12 @@
             return 0.0;
         }
         // What this turn has shown so far tells nothing about the rest of it.
-        let own = demand.highest_before(self.now, policy.turn_after);
+        let own = demand.peak_rate_before(self.now, policy.turn_after);
         let told = if policy.turn_any { own * policy.turn_share > recent } else { own > 0.0 };
         if told {
             return own * policy.turn_share;
         }
-        let any = self.pools.demand.values().map(Demand::highest).fold(0.0, f64::max);
+        let any = self.pools.demand.values().map(DemandHistory::peak_rate).fold(0.0, f64::max);
         let declared = self.pools.declared_sizes.get(service).map_or(0.0, |count| *count as f64);
         let sharp = demand.rate(self.now, Duration::ZERO, policy.arrivals / 3);
         let rises = sharp >= recent * policy.turn_still_rises;
--- a/crates/workswood-core/src/jobs/pool_planning.rs
+++ b/crates/workswood-core/src/jobs/pool_planning.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::demand_history::Demand;
+use super::demand_history::DemandHistory;
 use super::pool_count::PoolCount;
 use super::pool_moves::PoolMove;
 use super::pool_need::Need;
@@ -34,7 +34,7 @@
     /// Pools of hosts that moved lately; the list may be older than that.
     pub(super) recent_moves: BTreeMap<HostId, (Duration, ServiceId)>,
     /// Work that came in lately, by service.
-    pub(super) demand: BTreeMap<ServiceId, Demand>,
+    pub(super) demand: BTreeMap<ServiceId, DemandHistory>,
     /// Hosts that each pool had before any work came in.
     pub(super) declared_sizes: BTreeMap<ServiceId, usize>,
     /// Services that have had work.
@@ -100,7 +100,7 @@
             return;
         }
         let mut count = self.count_pools();
-        self.work_out_need(&count);
+        self.compute_need(&count);
         if let Some(spare) = self.spare_pool() {
             self.fill_pools(&spare, &mut count);
             self.trim_pools(&spare, &mut count);
@@ -128,7 +128,7 @@
         let (used, size) = (self.workers.room_in_use(service), self.workers.largest(service));
         let busy = used.cpu_millis as f64 / size.cpu_millis.max(1) as f64;
         let waiting = self.ready.get(service).map_or(0, Waiting::count);
-        let Need { now, soon, lend, keep } = need;
+        let Need { now, soon, lend_floor: lend, power_off_floor: keep } = need;
         let moving = self.pools.moves.len();
         format!(
             "event=pool_state service={service} have={have} busy={busy:.1} need_now={now:.1} need_soon={soon:.1} \
@@ -154,7 +154,7 @@
     /// Whether a pool has a host more than it keeps when another is short.
     fn has_surplus(&self, count: &PoolCount, service: &ServiceId) -> bool {
         let pool = self.pool(count, service);
-        pool.have >= (pool.need.lend + self.margin()).ceil() + 1.0
+        pool.have >= (pool.need.lend_floor + self.margin()).ceil() + 1.0
     }
 
     /// Whether a pool has fewer hosts than it could use now. Before its first work, a pool is taken to be
@@ -218,8 +218,8 @@
     fn trim_pools(&mut self, spare: &ServiceId, count: &mut PoolCount) {
         for s in self.active_services() {
             let pool = self.pool(count, &s);
-            let keeps =
-                (pool.need.keep + self.margin()).ceil() + self.share_of_hosts(self.policy.pools.surplus);
+            let keeps = (pool.need.power_off_floor + self.margin()).ceil()
+                + self.share_of_hosts(self.policy.pools.surplus);
             if pool.have < keeps {
                 continue;
             }
--- a/tests/testsuite/demand_history.rs
+++ b/tests/testsuite/demand_history.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood_core::jobs::demand_history::Demand;
+use workswood_core::jobs::demand_history::DemandHistory;
 use workswood_core::jobs::{Event, HostReply, JobSpec, Owner};
 use workswood_test_support::host_world::{HostWorld, host, moves, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
@@ -16,28 +16,28 @@
 
 #[test]
 fn rate_of_a_window() {
-    let mut demand = Demand::default();
+    let mut demand = DemandHistory::default();
     demand.add(ms(200), 1000, WINDOW);
     demand.add(ms(900), 3000, WINDOW);
     demand.add(ms(2100), 500, WINDOW);
     assert_eq!(demand.rate(ms(1000), Duration::ZERO, WINDOW), 4.0);
     assert_eq!(demand.rate(ms(2100), Duration::ZERO, WINDOW), 0.5, "a second after the others");
     assert_eq!(demand.rate(ms(2000), WINDOW, WINDOW), 4.0, "the window before the last");
-    assert_eq!(demand.highest(), 4.0);
+    assert_eq!(demand.peak_rate(), 4.0);
 }
 
 #[test]
 fn restored_like_heard() {
-    let mut heard = Demand::default();
+    let mut heard = DemandHistory::default();
     [(100, 700), (600, 900), (1400, 200)].iter().for_each(|(at, work)| heard.add(ms(*at), *work, WINDOW));
-    let mut restored = Demand::default();
+    let mut restored = DemandHistory::default();
     let now = ms(50);
     // The process began later: all of it lies before its clock's beginning.
     [(1900, 200), (3200, 700), (2700, 900)]
         .iter()
         .for_each(|(ago, work)| restored.restore(now, ms(*ago), *work));
     restored.finish_restore(now, WINDOW);
-    assert_eq!(restored.highest(), heard.highest());
+    assert_eq!(restored.peak_rate(), heard.peak_rate());
     assert_eq!(restored.rate(now, ms(1900), WINDOW), heard.rate(ms(1400), Duration::ZERO, WINDOW));
 }
 
