--- a/crates/workswood-core/src/jobs/ends.rs
+++ b/crates/workswood-core/src/jobs/ends.rs
@@ -255,7 +255,7 @@
         if faults < self.policy.health.faults_to_shun || !self.may_shun(id) {
             return;
         }
-        let until = now + (self.policy.health.shun_for * faults).min(self.policy.health.shun_at_most);
+        let until = now + (self.policy.health.shun_for * faults).min(self.policy.health.max_shun);
         if let Some(mut w) = self.workers.get_mut(id) {
             w.shunned_until = until;
         }
--- a/crates/workswood-core/src/jobs/evict.rs
+++ b/crates/workswood-core/src/jobs/evict.rs
@@ -66,7 +66,7 @@
     fn is_at_work(&self, run: &Run) -> bool {
         let Some(w) = self.workers.get(&run.worker) else { return false };
         let heard = w.relay.as_ref().map_or(Duration::ZERO, |r| self.relays.heard(r));
-        let believed = self.now <= heard + self.policy.health.believed_for;
+        let believed = self.now <= heard + self.policy.health.report_valid_for;
         run.warm() && !run.evicted && w.reachable && !w.doubted && believed
     }
 
--- a/crates/workswood-core/src/jobs/maintenance_waves.rs
+++ b/crates/workswood-core/src/jobs/maintenance_waves.rs
@@ -125,7 +125,7 @@
 
     /// How many hosts should be finished or under way by now.
     fn planned_by(&self, now: Duration, short: bool, policy: &WavePolicy) -> usize {
-        let used = if short { policy.use_when_short } else { policy.use_of_time };
+        let used = if short { policy.planned_time_share_when_short } else { policy.planned_time_share };
         let passed = now.saturating_sub(self.known_since).as_secs_f64() + policy.ahead.as_secs_f64();
         let within = self.wave.time_allowed.as_secs_f64() * used;
         let share = if within > 0.0 { (passed / within).min(1.0) } else { 1.0 };
--- a/crates/workswood-core/src/jobs/order.rs
+++ b/crates/workswood-core/src/jobs/order.rs
@@ -107,7 +107,7 @@
         let ms = took.as_secs_f64() * 1000.0;
         let (n, mean) = self.by_queue.entry(queue.to_string()).or_insert((0, ms));
         *n += 1;
-        let weight = policy.newest.max(1.0 / f64::from(*n));
+        let weight = policy.newest_weight.max(1.0 / f64::from(*n));
         *mean += (ms - *mean) * weight;
     }
 
@@ -116,7 +116,7 @@
     pub fn expect(&self, queue: &str, estimate: Duration, policy: &OrderPolicy) -> Duration {
         let guess = if estimate.is_zero() { NO_ESTIMATE } else { estimate };
         match self.by_queue.get(queue) {
-            Some((n, mean)) if *n >= policy.enough_ends => {
+            Some((n, mean)) if *n >= policy.min_ends => {
                 let guess = guess.as_secs_f64() * 1000.0;
                 Duration::from_secs_f64((guess * mean).sqrt() / 1000.0)
             }
@@ -162,7 +162,7 @@
     let owed = owed_after(spec, queue, &took);
     let left = chain_from(spec, usize::from(id.step), &took).as_millis() as u64;
     let end = begin + owed.as_millis() as u64;
-    let end_late = begin + owed.mul_f64(policy.late_until).as_millis() as u64;
+    let end_late = begin + owed.mul_f64(policy.worthless_after).as_millis() as u64;
     let dues = if lasting {
         Dues { begin, in_time: UnixMs::MAX, late: UnixMs::MAX }
     } else {
--- a/crates/workswood-core/src/jobs/place.rs
+++ b/crates/workswood-core/src/jobs/place.rs
@@ -28,7 +28,7 @@
         let mut turns = Turns::new(self.rank_of(service));
         let owners: Vec<Owner> = self.ready.get(service).map(|w| w.owners().collect()).unwrap_or_default();
         owners.into_iter().for_each(|owner| self.give_turn(&mut turns, service, owner, None));
-        while misses < self.policy.placement.most_misses {
+        while misses < self.policy.placement.max_misses {
             let Some(next) = turns.next() else { return };
             match self.place_step(service, &next.step) {
                 Placing::Done => {}
@@ -50,7 +50,11 @@
     fn rank_of(&self, service: &str) -> Rank {
         let asked = self.ready.get(service).map_or(0, |w| w.room().0.cpu_millis);
         let room = self.workers.cpu_of(service).max(self.fleet_cpu_millis);
-        if asked as f64 > room as f64 * self.policy.order.overload { Rank::LeastWork } else { Rank::Due }
+        if asked as f64 > room as f64 * self.policy.order.overload_share {
+            Rank::LeastWork
+        } else {
+            Rank::Due
+        }
     }
 
     /// Lets the step of an owner have a turn that comes after a place.
@@ -58,7 +62,7 @@
         let Some(place) = self.ready.get(service).and_then(|w| w.next_of(owner, after, turns.rank)) else {
             return;
         };
-        let used = match (self.policy.order.shares, turns.rank) {
+        let used = match (self.policy.order.share_order, turns.rank) {
             (ShareOrder::Plain | ShareOrder::Excess, _) | (_, Rank::Due) => 0,
             (ShareOrder::Dominant, Rank::LeastWork) => {
                 let at_work = self.workers.accounts().at_work(owner);
@@ -237,7 +241,7 @@
         }
         let beside = match (step.fills, step.target) {
             // Beside others that fill: a host with one of them is never empty.
-            (true, _) if !policy.fills_beside => 2 * w.serves.len() + usize::from(w.fills.is_empty()),
+            (true, _) if !policy.fill_serving_hosts => 2 * w.serves.len() + usize::from(w.fills.is_empty()),
             (false, Some(_)) => w.fills.len(),
             _ => 0,
         };
--- a/crates/workswood-core/src/jobs/pool_moves.rs
+++ b/crates/workswood-core/src/jobs/pool_moves.rs
@@ -97,7 +97,7 @@
     /// Moves that may be under way, to the pool of hosts that are off or to others.
     pub(super) fn max_moves(&self, to_spare: bool) -> f64 {
         let ahead = self.limits.host_orders_per_s * MOVE_LEAD_TIME.as_secs_f64();
-        let most = self.share_of_hosts(self.policy.pools.most_moves).min(ahead.max(1.0));
+        let most = self.share_of_hosts(self.policy.pools.max_moves_share).min(ahead.max(1.0));
         if to_spare { (most * SPARE_MOVES_SHARE).max(1.0) } else { most }
     }
 
--- a/crates/workswood-core/src/jobs/pool_need.rs
+++ b/crates/workswood-core/src/jobs/pool_need.rs
@@ -56,7 +56,8 @@
         self.pools.need_computed_at = self.now;
         let all = self.hosts.len() as f64;
         let policy = &self.policy.need;
-        let (lend_falls, keep_falls) = (passed * policy.lend_per_s * all, passed * policy.forget_per_s * all);
+        let (lend_falls, keep_falls) =
+            (passed * policy.lend_floor_fall_per_s * all, passed * policy.power_off_floor_fall_per_s * all);
         let services: Vec<ServiceId> = self.config.services.keys().cloned().collect();
         for s in services {
             let have = count.of(&s) as f64;
@@ -71,8 +72,8 @@
         let policy = &self.policy.need;
         let wanted = self.service_load(service);
         let offered = self.offered_cores(service);
-        let now = wanted.hosts_needed(offered, policy.full);
-        let soon = wanted.hosts_needed(self.expected_cores(service), policy.full).max(now);
+        let now = wanted.hosts_needed(offered, policy.target_use);
+        let soon = wanted.hosts_needed(self.expected_cores(service), policy.target_use).max(now);
         let before = self.pools.need.get(service).copied().unwrap_or_default();
         // Before its first work, a pool is taken to be of the right size.
         let known = self.pools.services_with_work.contains(service) || now > 0.0;
@@ -91,8 +92,10 @@
         let size = self.workers.largest(service);
         let (room, late) = (self.room_wanted(service), self.waiting_task_room(service).1);
         let policy = &self.policy.need;
-        let cpu = (room.cpu_millis as f64 + late.cpu_millis as f64 * policy.late) / size.cpu_millis as f64;
-        let mem = (room.mem_mb as f64 + late.mem_mb as f64 * policy.late) / size.mem_mb.max(1) as f64;
+        let cpu = (room.cpu_millis as f64 + late.cpu_millis as f64 * policy.late_task_weight)
+            / size.cpu_millis as f64;
+        let mem =
+            (room.mem_mb as f64 + late.mem_mb as f64 * policy.late_task_weight) / size.mem_mb.max(1) as f64;
         ServiceLoad {
             any_task: room != Room::default(),
             hosts_filled: cpu.max(mem),
@@ -127,7 +130,7 @@
     pub(super) fn work_arrived(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(&key) else { return };
         let Some(work) = self.work_of(job) else { return };
-        let (now, window) = (self.now, self.policy.need.arrivals);
+        let (now, window) = (self.now, self.policy.need.arrival_window);
         let service = job.spec.service.clone();
         self.pools.demand.entry(service).or_default().add(now, work, window);
     }
@@ -146,7 +149,7 @@
                 Some((over.record.service.clone(), ago, over.record.work?))
             }))
             .collect();
-        let (now, window) = (self.now, self.policy.need.arrivals);
+        let (now, window) = (self.now, self.policy.need.arrival_window);
         for (service, ago, work) in came {
             self.pools.demand.entry(service).or_default().restore(now, ago, work);
         }
@@ -166,7 +169,7 @@
     /// Cores that are busy if work goes on coming in as it did lately.
     fn offered_cores(&self, service: &ServiceId) -> f64 {
         let demand = self.pools.demand.get(service);
-        demand.map_or(0.0, |d| d.rate(self.now, Duration::ZERO, self.policy.need.arrivals))
+        demand.map_or(0.0, |d| d.rate(self.now, Duration::ZERO, self.policy.need.arrival_window))
     }
 
     /// Cores that will be busy if the work that comes in goes on rising, or a
@@ -174,42 +177,43 @@
     fn expected_cores(&self, service: &ServiceId) -> f64 {
         let Some(demand) = self.pools.demand.get(service) else { return 0.0 };
         let policy = &self.policy.need;
-        let window = policy.arrivals;
+        let window = policy.arrival_window;
         let recent = self.offered_cores(service);
         let before = demand.rate(self.now, window, window);
         // The mean of a window stands for its middle.
         let ahead = if policy.ahead.is_zero() { 0.0 } else { (policy.ahead + window / 2).as_secs_f64() };
         let rise = (recent - before).max(0.0) / window.as_secs_f64();
-        let drawn_out = (recent + rise * ahead).min(recent * policy.most_rise);
+        let drawn_out = (recent + rise * ahead).min(recent * policy.max_rise);
         drawn_out.max(self.surge_cores(service, demand, recent))
     }
 
     /// Cores that a turn of demand will ask for that has just begun.
     fn surge_cores(&self, service: &ServiceId, demand: &DemandHistory, recent: f64) -> f64 {
         let policy = &self.policy.need;
-        let calm = demand.rate(self.now, policy.arrivals, policy.turn_after);
-        if policy.turn_share == 0.0 || recent < calm * policy.turn_rise {
+        let calm = demand.rate(self.now, policy.arrival_window, policy.calm_window);
+        if policy.surge_peak_share == 0.0 || recent < calm * policy.surge_rise {
             return 0.0;
         }
-        if demand.job_count(self.now, policy.arrivals) < policy.turn_jobs {
+        if demand.job_count(self.now, policy.arrival_window) < policy.surge_min_jobs {
             return 0.0;
         }
         let size = self.hosts.values().map(|m| m.capacity.cpu_millis).max().unwrap_or(0) as f64 / 1000.0;
-        if recent < size * self.share_of_hosts(policy.turn_least) {
+        if recent < size * self.share_of_hosts(policy.surge_min_share) {
             return 0.0;
         }
         // What this turn has shown so far tells nothing about the rest of it.
-        let own = demand.peak_rate_before(self.now, policy.turn_after);
-        let told = if policy.turn_any { own * policy.turn_share > recent } else { own > 0.0 };
+        let own = demand.peak_rate_before(self.now, policy.calm_window);
+        let told =
+            if policy.surge_from_other_services { own * policy.surge_peak_share > recent } else { own > 0.0 };
         if told {
-            return own * policy.turn_share;
+            return own * policy.surge_peak_share;
         }
         let any = self.pools.demand.values().map(DemandHistory::peak_rate).fold(0.0, f64::max);
         let declared = self.pools.declared_sizes.get(service).map_or(0.0, |count| *count as f64);
-        let sharp = demand.rate(self.now, Duration::ZERO, policy.arrivals / 3);
-        let rises = sharp >= recent * policy.turn_still_rises;
-        let most = if rises { sharp * policy.turn_first_rise } else { recent };
-        let guessed = (declared * policy.turn_first * size).min(most);
-        (any * policy.turn_share).max(guessed)
+        let sharp = demand.rate(self.now, Duration::ZERO, policy.arrival_window / 3);
+        let rises = sharp >= recent * policy.first_surge_min_rise;
+        let most = if rises { sharp * policy.first_surge_max_rise } else { recent };
+        let guessed = (declared * policy.first_surge_pool_factor * size).min(most);
+        (any * policy.surge_peak_share).max(guessed)
     }
 }
--- a/crates/workswood-core/src/jobs/share.rs
+++ b/crates/workswood-core/src/jobs/share.rs
@@ -49,11 +49,11 @@
 fn next_pace(pace: u32, load: f64, policy: &PacePolicy) -> u32 {
     if load > 1.0 {
         let less = pace / 3;
-        return if less < policy.least { 0 } else { less };
+        return if less < policy.min_percent { 0 } else { less };
     }
-    if load > policy.danger {
+    if load > policy.slow_down_above {
         let less = pace * 2 / 3;
-        return if less < policy.least { 0 } else { less };
+        return if less < policy.min_percent { 0 } else { less };
     }
-    if load < policy.ease { (pace + policy.step).min(FULL_PACE) } else { pace }
+    if load < policy.speed_up_below { (pace + policy.step_percent).min(FULL_PACE) } else { pace }
 }
--- a/src/workswood/ops/jobs/inbox.rs
+++ b/src/workswood/ops/jobs/inbox.rs
@@ -311,7 +311,7 @@
 
 /// Sends an append, and asks for help with it if it is refused or hangs.
 async fn try_append(node: &Node, part: Part, batch: &[Waiting]) -> Tried {
-    if !node.settings.policy.calls.help {
+    if !node.settings.policy.calls.write_for_others {
         return Tried { own: append_here(node, part, batch).await, helped: vec![None; batch.len()] };
     }
     let mut own = pin!(append_here(node, part, batch));
--- a/src/workswood/ops/jobs/relay/look.rs
+++ b/src/workswood/ops/jobs/relay/look.rs
@@ -116,7 +116,7 @@
     /// until the answer that does not come is given up, nobody would hear of its ends.
     async fn ask_twice(&mut self) -> Result<Seen, WorkerError> {
         let wait = if self.may_extend() { LOOK_WAIT } else { Duration::ZERO };
-        if !self.shared.node.settings.policy.calls.look_again {
+        if !self.shared.node.settings.policy.calls.resend_probe {
             return self.ask(wait).await;
         }
         let late_after = self.patience.late_after().min(wait + LATE_AT_LAST);
--- a/src/workswood/ops/jobs/renew.rs
+++ b/src/workswood/ops/jobs/renew.rs
@@ -47,7 +47,8 @@
             }
             Err(e) => {
                 log::warn!("event=lease_not_renewed term={} error=\"{e}\"", l.term);
-                let hopeless = node.now() > renewed + HOPELESS_AFTER && node.settings.policy.calls.help;
+                let hopeless =
+                    node.now() > renewed + HOPELESS_AFTER && node.settings.policy.calls.write_for_others;
                 if hopeless && help::release(&node, l.term).await {
                     log::warn!("event=lease_released term={} by=helper", l.term);
                     let _ = l.end.send(true);
--- a/tests/testsuite/demand_history.rs
+++ b/tests/testsuite/demand_history.rs
@@ -50,8 +50,8 @@
 /// turn of demand, when the service has had a turn before or not.
 fn moved_in_first_second(turn_before: bool) -> usize {
     let mut world = HostWorld::new(1);
-    world.sched.policy.need.turn_share = 0.8;
-    world.sched.policy.need.turn_least = 0.01;
+    world.sched.policy.need.surge_peak_share = 0.8;
+    world.sched.policy.need.surge_min_share = 0.01;
     world.sched.wall = 60_000;
     let mut hosts = vec![host(0, SERVICE, Some(0))];
     hosts.extend((1..30).map(|n| host(n, "spare", None)));
@@ -85,8 +85,8 @@
 /// comes in, of 16 tasks in all.
 fn moved_at_first(turn_first: f64, jobs: u64) -> (usize, HostWorld) {
     let mut world = HostWorld::new(1);
-    world.sched.policy.need.turn_first = turn_first;
-    world.sched.policy.need.turn_least = 0.01;
+    world.sched.policy.need.first_surge_pool_factor = turn_first;
+    world.sched.policy.need.surge_min_share = 0.01;
     world.sched.wall = 60_000;
     let mut hosts: Vec<_> = (0..4).map(|n| host(n, SERVICE, Some(0))).collect();
     hosts.extend((4..40).map(|n| host(n, "spare", None)));
@@ -142,9 +142,9 @@
 /// one small job 40 s before.
 fn moved_after_little(turn_any: bool) -> usize {
     let mut world = HostWorld::new(1);
-    world.sched.policy.need.turn_any = turn_any;
-    world.sched.policy.need.turn_least = 0.01;
-    world.sched.policy.need.turn_first = 3.0;
+    world.sched.policy.need.surge_from_other_services = turn_any;
+    world.sched.policy.need.surge_min_share = 0.01;
+    world.sched.policy.need.first_surge_pool_factor = 3.0;
     let mut hosts: Vec<_> = (0..4).map(|n| host(n, SERVICE, Some(0))).collect();
     hosts.extend((4..40).map(|n| host(n, "spare", None)));
     world.list(hosts);
--- a/tests/testsuite/job_settings.rs
+++ b/tests/testsuite/job_settings.rs
@@ -56,8 +56,8 @@
         GOOD.replace("\"stop_within_s\": 6", &format!("\"stop_within_s\": 6, \"policy\": {table}"))
     };
     let s = read("policy", &with(r#"{"need": {"full": 0.5, "arrivals": "2s"}}"#)).expect("the file is good");
-    assert_eq!(s.policy.need.full, 0.5);
-    assert_eq!(s.policy.need.arrivals.as_secs(), 2);
+    assert_eq!(s.policy.need.target_use, 0.5);
+    assert_eq!(s.policy.need.arrival_window.as_secs(), 2);
     assert_eq!(s.policy.order, Policy::default().order, "what is not named keeps its default");
     let cases = [
         (r#"{"need": {"full": 0}}"#, "policy.need.full"),
--- a/tests/testsuite/policy_model.rs
+++ b/tests/testsuite/policy_model.rs
@@ -189,7 +189,7 @@
 fn values_of_a_field() {
     let vary = Vary::parse("need.arrivals=1s,1500ms").expect("a field and values");
     let policies = vary.policies(&Policy::default()).expect("both are good");
-    let spans: Vec<Duration> = policies.iter().map(|(_, p)| p.need.arrivals).collect();
+    let spans: Vec<Duration> = policies.iter().map(|(_, p)| p.need.arrival_window).collect();
     assert_eq!(spans, [Duration::from_secs(1), Duration::from_millis(1500)]);
     for bad in ["need.full", "=1", "need.full="] {
         let report = Vary::parse(bad).expect_err("not of that form").report();
@@ -260,8 +260,10 @@
     let mut spec = calm();
     spec.services.iter_mut().for_each(|s| s.jobs_per_s *= 16.0);
     spec.lasts = Duration::from_secs(24);
-    let first_due =
-        Policy { order: OrderPolicy { overload: f64::MAX, ..OrderPolicy::default() }, ..spec.policy.clone() };
+    let first_due = Policy {
+        order: OrderPolicy { overload_share: f64::MAX, ..OrderPolicy::default() },
+        ..spec.policy.clone()
+    };
     let before = mean(&ModelSpec { policy: first_due, ..spec.clone() }, 2);
     let f = mean(&spec, 2);
     assert!(f.in_time > before.in_time * 1.8, "{f:?} against {before:?}");
--- a/tests/testsuite/wave_orders.rs
+++ b/tests/testsuite/wave_orders.rs
@@ -114,8 +114,8 @@
 /// the pool of the first two is short of hosts or not.
 fn begun_at_once(short: bool) -> Vec<String> {
     let mut world = HostWorld::new(2);
-    world.sched.policy.waves.use_of_time = 0.2;
-    world.sched.policy.waves.use_when_short = 0.8;
+    world.sched.policy.waves.planned_time_share = 0.2;
+    world.sched.policy.waves.planned_time_share_when_short = 0.8;
     for n in 2..4 {
         let mut other = worker(n, 0);
         other.service = OTHER.to_string();
