--- a/crates/workswood-core/src/jobs/advice.rs
+++ b/crates/workswood-core/src/jobs/advice.rs
@@ -13,8 +13,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::advice_batch::{Share, choose_batch};
-use super::advice_candidates::{Pools, Wanted};
+use super::advice_batch::{GoodRate, choose_batch};
+use super::advice_candidates::{AdviceRequest, WorkersByService};
 use super::config::AdviceConfig;
 use super::job::WorkerId;
 use super::scheduler::Scheduler;
@@ -24,21 +24,21 @@
 
 /// An answer is waited for this much longer than the adviser should need: the
 /// way there and back on a busy entry takes a hundred milliseconds.
-const PATIENCE: Duration = Duration::from_millis(300);
+const BASE_SLACK: Duration = Duration::from_millis(300);
 /// After calls without an answer, the wait grows to this at most.
-const MOST_PATIENCE: Duration = Duration::from_secs(5);
+const MAX_SLACK: Duration = Duration::from_secs(5);
 /// Pause after a call that failed; it doubles with each one in a row,
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// up to this: an adviser that is back is heard of soon;
-const MOST_PAUSE: Duration = Duration::from_secs(1);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 /// or up to this for an entry that fails while others are answered: each try with a
 /// gone entry delays a step.
-const MOST_PAUSE_BESIDE: Duration = Duration::from_secs(8);
+const MAX_BACKOFF_OF_ONE_ENTRY: Duration = Duration::from_secs(8);
 /// Doublings after which waits and pauses are at their longest.
-const MOST_DOUBLINGS: u32 = 8;
+const MAX_DOUBLINGS: u32 = 8;
 /// A worker whose ticket was turned down is not asked about for so long: were
 /// tickets turned down always, starts would be lost at this rate.
-const TURNED_DOWN_FOR: Duration = Duration::from_millis(500);
+const REJECTED_TICKET_DELAY: Duration = Duration::from_millis(500);
 
 /// When the adviser is asked.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -72,27 +72,27 @@
 
 /// Calls by one entry: its turn at the adviser is its own.
 #[derive(Debug, Default)]
-struct Lane {
+struct Channel {
     call: Option<Call>,
     /// No call before this time.
     next_call: Duration,
     /// The adviser may be at work on lost calls until then.
-    busy_until: Duration,
+    adviser_busy_until: Duration,
     /// Failed calls in a row.
     failures: u32,
     /// Whether the last call was answered.
     answered: bool,
     /// By how much answers were late; the latest counts, older ones halve.
-    late: Duration,
+    lateness: Duration,
 }
 
-impl Lane {
+impl Channel {
     /// Takes in that a call failed; `most_pause` bounds the time until the next.
     fn failed(&mut self, call: &Call, now: Duration, at_work: bool, most_pause: Duration) {
         if at_work {
-            self.busy_until = self.busy_until.max(call.due);
+            self.adviser_busy_until = self.adviser_busy_until.max(call.due);
         }
-        let pause = FIRST_PAUSE * (1 << self.failures.min(MOST_DOUBLINGS));
+        let pause = INITIAL_BACKOFF * (1 << self.failures.min(MAX_DOUBLINGS));
         self.next_call = now + pause.min(most_pause);
         self.answered = false;
         self.failures += 1;
@@ -100,14 +100,14 @@
 
     /// Takes in an answer that was late by this much.
     fn answered(&mut self, late: Duration) {
-        *self = Lane { answered: true, late: late.max(self.late / 2), ..Lane::default() };
+        *self = Channel { answered: true, lateness: late.max(self.lateness / 2), ..Channel::default() };
     }
 
     /// How long the answer to a call is waited for that should take `work`, when
     /// every entry has had so many failures in a row.
-    fn patience(&self, work: Duration, failures: u32) -> Duration {
-        let slack = PATIENCE * (1 << failures.min(MOST_DOUBLINGS)) + self.late;
-        work + slack.min(MOST_PATIENCE)
+    fn timeout(&self, work: Duration, failures: u32) -> Duration {
+        let slack = BASE_SLACK * (1 << failures.min(MAX_DOUBLINGS)) + self.lateness;
+        work + slack.min(MAX_SLACK)
     }
 }
 
@@ -117,37 +117,37 @@
     /// Open jobs of queues with advice.
     pub(super) jobs: BTreeSet<JobKey>,
     /// Of the workers asked about, those that were good, by queue.
-    shares: HashMap<QueueId, Share>,
+    good_rates: HashMap<QueueId, GoodRate>,
     /// Calls by entry; the first is the lease holder.
-    lanes: Vec<Lane>,
+    channels: Vec<Channel>,
     /// Step of the last call that failed; others go first.
-    failed: Option<StepId>,
+    last_failed: Option<StepId>,
 }
 
 impl AdviceState {
     /// An entry that may call now, those whose last calls went well first.
-    fn free_lane(&self, now: Duration, most_calls: usize) -> Option<usize> {
-        if self.lanes.iter().filter(|l| l.call.is_some()).count() >= most_calls {
+    fn free_channel(&self, now: Duration, most_calls: usize) -> Option<usize> {
+        if self.channels.iter().filter(|l| l.call.is_some()).count() >= most_calls {
             return None;
         }
-        let free = self.lanes.iter().enumerate().filter(|(_, l)| l.call.is_none() && l.next_call <= now);
+        let free = self.channels.iter().enumerate().filter(|(_, l)| l.call.is_none() && l.next_call <= now);
         free.min_by_key(|(n, l)| (l.failures, *n)).map(|(n, _)| n)
     }
 
     /// Whether the last call of some other entry was answered.
     fn others_answered(&self, lane: usize) -> bool {
-        self.lanes.iter().enumerate().any(|(n, l)| n != lane && l.answered)
+        self.channels.iter().enumerate().any(|(n, l)| n != lane && l.answered)
     }
 
     /// Failures in a row that every entry has had: with more, it is the adviser that
     /// is slow or away.
     fn common_failures(&self) -> u32 {
-        self.lanes.iter().map(|l| l.failures).min().unwrap_or(0)
+        self.channels.iter().map(|l| l.failures).min().unwrap_or(0)
     }
 
     /// Whether a step is being asked about.
-    fn is_asked(&self, step: &StepId) -> bool {
-        self.lanes.iter().filter_map(|l| l.call.as_ref()).any(|c| c.step == *step)
+    fn has_call_for(&self, step: &StepId) -> bool {
+        self.channels.iter().filter_map(|l| l.call.as_ref()).any(|c| c.step == *step)
     }
 }
 
@@ -199,8 +199,8 @@
     }
 
     /// A worker has turned a ticket down: it is asked for again.
-    pub(super) fn ticket_turned_down(&mut self, id: &WorkerId, task: &TaskId) {
-        let until = self.now + TURNED_DOWN_FOR;
+    pub(super) fn ticket_rejected(&mut self, id: &WorkerId, task: &TaskId) {
+        let until = self.now + REJECTED_TICKET_DELAY;
         if !self.advice.jobs.contains(&task.job) {
             return;
         }
@@ -213,23 +213,23 @@
     pub fn set_advice_entries(&mut self, entries: usize) {
         let entries = entries.max(1);
         // An entry that is gone may have a call under way.
-        let under_way = self.advice.lanes.iter().rposition(|l| l.call.is_some()).map_or(0, |n| n + 1);
-        self.advice.lanes.resize_with(entries.max(under_way), Lane::default);
+        let under_way = self.advice.channels.iter().rposition(|l| l.call.is_some()).map_or(0, |n| n + 1);
+        self.advice.channels.resize_with(entries.max(under_way), Channel::default);
     }
 
     /// Takes the outcome of a call in.
-    pub(super) fn advised(&mut self, a: AdviceResult) {
+    pub(super) fn advice_received(&mut self, a: AdviceResult) {
         let now = self.now;
         let most_pause = match self.advice.others_answered(a.channel) {
-            true => MOST_PAUSE_BESIDE,
-            false => MOST_PAUSE,
+            true => MAX_BACKOFF_OF_ONE_ENTRY,
+            false => MAX_BACKOFF,
         };
-        let Some(lane) = self.advice.lanes.get_mut(a.channel) else { return };
+        let Some(lane) = self.advice.channels.get_mut(a.channel) else { return };
         let Some(call) = lane.call.take() else { return };
         match a.reply {
             AdviceReply::Answered(answer) => {
                 lane.answered(now.saturating_sub(call.due));
-                self.advice.failed = self.advice.failed.filter(|step| *step != call.step);
+                self.advice.last_failed = self.advice.last_failed.filter(|step| *step != call.step);
                 self.take_advice(a.step, &a.workers, now.saturating_sub(call.due), answer);
                 return;
             }
@@ -238,7 +238,7 @@
                 lane.failed(&call, now, false, most_pause);
             }
         }
-        self.advice.failed = Some(call.step);
+        self.advice.last_failed = Some(call.step);
     }
 
     /// Keeps tickets and refusals with the lives that they are about; the answer was
@@ -255,7 +255,7 @@
         let until = self.now + valid - margin - late.min(valid / 2);
         let good: HashMap<WorkerId, _> = answer.tickets.into_iter().collect();
         if let Some(job) = self.jobs.get(&step.job) {
-            let share = self.advice.shares.entry(job.spec.queue.clone()).or_default();
+            let share = self.advice.good_rates.entry(job.spec.queue.clone()).or_default();
             let known = |id: &&WorkerId| self.workers.get(id).is_some_and(|w| w.advice.contains_key(&step));
             let fresh: Vec<&WorkerId> = asked.iter().filter(|id| !known(id)).collect();
             share.observe(fresh.len(), fresh.iter().filter(|id| good.contains_key(**id)).count());
@@ -276,22 +276,22 @@
         if self.advice.jobs.is_empty() {
             return;
         }
-        if self.advice.lanes.is_empty() {
-            self.advice.lanes.push(Lane::default());
+        if self.advice.channels.is_empty() {
+            self.advice.channels.push(Channel::default());
         }
         let most_calls = 1 + self.policy.advice.helpers;
-        if self.advice.free_lane(self.now, most_calls).is_none() {
+        if self.advice.free_channel(self.now, most_calls).is_none() {
             return;
         }
-        let pools = self.advised_pools();
+        let pools = self.advised_workers();
         let mut steps = self.steps_to_ask(&pools).into_iter();
-        while let Some(lane) = self.advice.free_lane(self.now, most_calls) {
-            let Some((step, workers, cfg)) = steps.find_map(|w| self.call_for(&w, &pools)) else { return };
+        while let Some(lane) = self.advice.free_channel(self.now, most_calls) {
+            let Some((step, workers, cfg)) = steps.find_map(|w| self.plan_call(&w, &pools)) else { return };
             let failures = self.advice.common_failures();
-            let entry = &mut self.advice.lanes[lane];
-            let before = entry.busy_until.saturating_sub(self.now);
+            let entry = &mut self.advice.channels[lane];
+            let before = entry.adviser_busy_until.saturating_sub(self.now);
             let work = before + cfg.decide + cfg.each * workers.len() as u32;
-            let patience = entry.patience(work, failures);
+            let patience = entry.timeout(work, failures);
             entry.call = Some(Call { step, due: self.now + work });
             self.actions.push(Action::Advise { channel: lane, step, workers, timeout: patience });
         }
@@ -299,23 +299,27 @@
 
     /// Steps that want advice, the next one first: those that wait, then those that
     /// open soon, and the one whose last call failed.
-    fn steps_to_ask(&self, pools: &Pools) -> Vec<Wanted> {
-        let mut steps = self.waiting_for_advice(pools);
+    fn steps_to_ask(&self, pools: &WorkersByService) -> Vec<AdviceRequest> {
+        let mut steps = self.steps_waiting_for_advice(pools);
         if self.policy.advice.ahead {
-            steps.extend(self.opening_soon());
+            steps.extend(self.steps_opening_soon());
         }
-        steps.retain(|w| !self.advice.is_asked(&w.step));
-        steps.sort_by_key(|w| self.advice.failed == Some(w.step));
+        steps.retain(|w| !self.advice.has_call_for(&w.step));
+        steps.sort_by_key(|w| self.advice.last_failed == Some(w.step));
         steps
     }
 
     /// Workers to ask about for a step; `None` if its tickets are enough, or
     /// nobody is left to ask about.
-    fn call_for(&self, wanted: &Wanted, pools: &Pools) -> Option<(StepId, Vec<WorkerId>, AdviceConfig)> {
+    fn plan_call(
+        &self,
+        wanted: &AdviceRequest,
+        pools: &WorkersByService,
+    ) -> Option<(StepId, Vec<WorkerId>, AdviceConfig)> {
         let cfg = self.advice_of(wanted.step.job).copied()?;
         let (need, candidates) = self.need_and_candidates(wanted, &cfg, pools)?;
         let queue = &self.jobs.get(&wanted.step.job)?.spec.queue;
-        let share = self.advice.shares.get(queue).copied().unwrap_or_default().value();
+        let share = self.advice.good_rates.get(queue).copied().unwrap_or_default().value();
         let ids = choose_batch(&candidates, need, share, &cfg);
         (!ids.is_empty()).then_some((wanted.step, ids, cfg))
     }
--- a/crates/workswood-core/src/jobs/advice_batch.rs
+++ b/crates/workswood-core/src/jobs/advice_batch.rs
@@ -4,14 +4,14 @@
 use super::job::WorkerId;
 
 /// Fewest workers that a full call may name.
-const LEAST_IDS: u32 = 30;
+const MIN_FULL_CALL_IDS: u32 = 30;
 /// Most workers that a call may name.
-pub const MOST_IDS: u32 = 100;
+pub const MAX_IDS: u32 = 100;
 /// In a full call, workers take this many times what the call itself takes: so
 /// its own time is a quarter, and the first answers are there soon.
-const FULL_CALL: f64 = 3.0;
+const FULL_CALL_RATIO: f64 = 3.0;
 /// Answers after which older ones count half.
-const FORGET_AFTER: f64 = 200.0;
+const DECAY_AFTER_ANSWERS: f64 = 200.0;
 
 /// A worker that may be asked about.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,15 +26,15 @@
 
 /// How many of the workers that were asked about may run a step.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Share {
+pub struct GoodRate {
     asked: f64,
     good: f64,
 }
 
-impl Share {
+impl GoodRate {
     /// Takes an answer in.
     pub fn observe(&mut self, asked: usize, good: usize) {
-        if self.asked > FORGET_AFTER {
+        if self.asked > DECAY_AFTER_ANSWERS {
             self.asked /= 2.0;
             self.good /= 2.0;
         }
@@ -50,12 +50,12 @@
 
 /// Most workers that a call names: beyond this the time of the call itself is a
 /// small part, and answers come later.
-fn most_ids(cfg: &AdviceConfig) -> usize {
+fn max_ids(cfg: &AdviceConfig) -> usize {
     if cfg.each.is_zero() {
-        return MOST_IDS as usize;
+        return MAX_IDS as usize;
     }
-    let full = cfg.decide.mul_f64(FULL_CALL).div_duration_f64(cfg.each) as u32;
-    full.clamp(LEAST_IDS, MOST_IDS) as usize
+    let full = cfg.decide.mul_f64(FULL_CALL_RATIO).div_duration_f64(cfg.each) as u32;
+    full.clamp(MIN_FULL_CALL_IDS, MAX_IDS) as usize
 }
 
 /// The workers to ask about so that `need` tasks find a place: the first ones, as
@@ -63,10 +63,10 @@
 /// takes its own time; it saves another call as likely as the others before it are
 /// not enough.
 pub fn choose_batch(candidates: &[Candidate], need: u32, share: f64, cfg: &AdviceConfig) -> Vec<WorkerId> {
-    let mut short = Short::new(need);
+    let mut short = Shortfall::new(need);
     let mut batch = Vec::new();
-    for c in candidates.iter().take(most_ids(cfg)) {
-        if short.likelihood() * cfg.decide.as_secs_f64() <= cfg.each.as_secs_f64() {
+    for c in candidates.iter().take(max_ids(cfg)) {
+        if short.probability() * cfg.decide.as_secs_f64() <= cfg.each.as_secs_f64() {
             break;
         }
         short.add(c.fits, if c.good { 1.0 } else { share });
@@ -76,29 +76,29 @@
 }
 
 /// How likely each number of places is that is short of the need.
-struct Short {
-    likely: Vec<f64>,
+struct Shortfall {
+    probabilities: Vec<f64>,
 }
 
-impl Short {
-    fn new(need: u32) -> Short {
+impl Shortfall {
+    fn new(need: u32) -> Shortfall {
         let mut likely = vec![0.0; need as usize];
         if let Some(none) = likely.first_mut() {
             *none = 1.0;
         }
-        Short { likely }
+        Shortfall { probabilities: likely }
     }
 
     /// Adds a worker with so many places that is good at a likelihood.
     fn add(&mut self, fits: u32, good: f64) {
-        for n in (0..self.likely.len()).rev() {
-            let from = n.checked_sub(fits as usize).map_or(0.0, |m| self.likely[m]);
-            self.likely[n] = self.likely[n] * (1.0 - good) + from * good;
+        for n in (0..self.probabilities.len()).rev() {
+            let from = n.checked_sub(fits as usize).map_or(0.0, |m| self.probabilities[m]);
+            self.probabilities[n] = self.probabilities[n] * (1.0 - good) + from * good;
         }
     }
 
     /// How likely the places are not enough.
-    fn likelihood(&self) -> f64 {
-        self.likely.iter().sum()
+    fn probability(&self) -> f64 {
+        self.probabilities.iter().sum()
     }
 }
--- a/crates/workswood-core/src/jobs/advice_candidates.rs
+++ b/crates/workswood-core/src/jobs/advice_candidates.rs
@@ -15,46 +15,46 @@
 
 /// Share of the room in use that is taken to be free again while tickets hold.
 /// More asks about steps whose turn comes after their tickets have ended.
-const FREE_AGAIN: f64 = 0.5;
+const SOON_FREE_SHARE: f64 = 0.5;
 /// From this percentage on, a run's progress tells when it will end.
-const TELLING_PERCENT: u32 = 10;
+const MIN_PREDICTIVE_PERCENT: u32 = 10;
 /// Workers whose time a renewal plans with: about what one call names.
-const USUAL_IDS: u32 = 10;
+const TYPICAL_CALL_IDS: u32 = 10;
 
 /// A step that wants advice.
 #[derive(Clone, Debug)]
-pub(super) struct Wanted {
+pub(super) struct AdviceRequest {
     /// The step.
     pub step: StepId,
     /// Its tasks that have no place.
     pub tasks: Vec<TaskId>,
     /// When they may be started.
-    pub opens: Duration,
+    pub opens_at: Duration,
 }
 
 /// What a step has against workers.
-struct Wish<'a> {
+struct RequestContext<'a> {
     job: &'a Job,
     spec: &'a StepSpec,
-    wanted: &'a Wanted,
+    request: &'a AdviceRequest,
     /// Workers that may be good.
-    others: usize,
+    possible_workers: usize,
 }
 
 /// Workers that take work, by service.
-pub(super) type Pools = BTreeMap<ServiceId, Vec<WorkerId>>;
+pub(super) type WorkersByService = BTreeMap<ServiceId, Vec<WorkerId>>;
 
 impl Scheduler {
     /// Services with open jobs that need advice, and their workers.
-    pub(super) fn advised_pools(&self) -> Pools {
+    pub(super) fn advised_workers(&self) -> WorkersByService {
         let jobs = self.advice.jobs.iter().filter_map(|key| self.jobs.get(key));
         let services: BTreeSet<&ServiceId> = jobs.map(|j| &j.spec.service).collect();
         services.into_iter().map(|s| (s.clone(), self.takers(s))).collect()
     }
 
     /// Steps whose tasks wait, most urgent first, as far as there will be room.
-    pub(super) fn waiting_for_advice(&self, pools: &Pools) -> Vec<Wanted> {
-        let mut found: Vec<(Place, Wanted)> = Vec::new();
+    pub(super) fn steps_waiting_for_advice(&self, pools: &WorkersByService) -> Vec<AdviceRequest> {
+        let mut found: Vec<(Place, AdviceRequest)> = Vec::new();
         for (service, workers) in pools {
             let Some(waiting) = self.ready.get(service) else { continue };
             let mut room = self.room_soon(workers);
@@ -76,7 +76,7 @@
                     tasks.push(task);
                 }
                 if self.is_advised(&place.step) {
-                    found.push((*place, Wanted { step: place.step, tasks, opens: self.now }));
+                    found.push((*place, AdviceRequest { step: place.step, tasks, opens_at: self.now }));
                 }
             }
         }
@@ -86,32 +86,32 @@
 
     /// Room of workers that is free or will be soon, in thousandths of a core.
     fn room_soon(&self, workers: &[WorkerId]) -> f64 {
-        let of = |w: &Worker| w.free().cpu_millis as f64 + w.used.cpu_millis as f64 * FREE_AGAIN;
+        let of = |w: &Worker| w.free().cpu_millis as f64 + w.used.cpu_millis as f64 * SOON_FREE_SHARE;
         workers.iter().filter_map(|id| self.workers.get(id)).map(of).sum()
     }
 
     /// Steps that open while tickets asked for now still hold, the next first.
-    pub(super) fn opening_soon(&self) -> Vec<Wanted> {
+    pub(super) fn steps_opening_soon(&self) -> Vec<AdviceRequest> {
         let mut found = Vec::new();
         for key in &self.advice.jobs {
             let (Some(job), Some(cfg)) = (self.jobs.get(key), self.advice_of(*key)) else { continue };
             for round in 0..job.rounds.len() as u32 {
                 for step in 0..job.spec.steps.len() as u16 {
                     let id = StepId { job: *key, round, step };
-                    let opens = self.opens_in(job, &id).filter(|left| *left <= cfg.valid / 2);
+                    let opens = self.time_to_open(job, &id).filter(|left| *left <= cfg.valid / 2);
                     let Some(left) = opens else { continue };
                     let task = |index| TaskId { job: *key, round, step, index };
                     let tasks = (0..job.spec.steps[usize::from(step)].count).map(task).collect();
-                    found.push(Wanted { step: id, tasks, opens: self.now + left });
+                    found.push(AdviceRequest { step: id, tasks, opens_at: self.now + left });
                 }
             }
         }
-        found.sort_by_key(|w| (w.opens, w.step));
+        found.sort_by_key(|w| (w.opens_at, w.step));
         found
     }
 
     /// How long until a step opens all whose earlier steps are done or at work.
-    fn opens_in(&self, job: &Job, id: &StepId) -> Option<Duration> {
+    fn time_to_open(&self, job: &Job, id: &StepId) -> Option<Duration> {
         if job.step_open(id.round, id.step) {
             return None;
         }
@@ -124,18 +124,18 @@
             );
             let tasks = job.rounds.get(id.round as usize)?.get(usize::from(*before))?;
             for task in tasks.iter().filter(|t| !t.done) {
-                longest = longest.max(self.ends_in(task, expected)?);
+                longest = longest.max(self.time_to_end(task, expected)?);
             }
         }
         Some(longest)
     }
 
     /// How long a task at work will take; `None` if it is not at work.
-    fn ends_in(&self, task: &Task, expected: Duration) -> Option<Duration> {
+    fn time_to_end(&self, task: &Task, expected: Duration) -> Option<Duration> {
         let at_work = |p: Phase| matches!(p, Phase::Starting | Phase::Running);
         let run = task.runs.iter().find(|r| at_work(r.phase))?;
         let passed = self.now.saturating_sub(run.phase_at);
-        if run.percent < TELLING_PERCENT {
+        if run.percent < MIN_PREDICTIVE_PERCENT {
             return Some(expected.saturating_sub(passed));
         }
         let told = run.progressed.saturating_sub(run.phase_at);
@@ -148,24 +148,24 @@
     /// tickets are enough.
     pub(super) fn need_and_candidates(
         &self,
-        wanted: &Wanted,
+        wanted: &AdviceRequest,
         cfg: &AdviceConfig,
-        pools: &Pools,
+        pools: &WorkersByService,
     ) -> Option<(u32, Vec<Candidate>)> {
         let job = self.jobs.get(&wanted.step.job)?;
         let spec = job.spec.steps.get(usize::from(wanted.step.step))?;
         let first = wanted.tasks.first()?;
         let workers = pools.get(&job.spec.service)?;
         let others = self.may_be_good(workers, &wanted.step);
-        let wish = Wish { job, spec, wanted, others };
+        let wish = RequestContext { job, spec, request: wanted, possible_workers: others };
         // What ends before another answer would be there is asked for now.
-        let ahead = (cfg.decide + cfg.each * USUAL_IDS).min(cfg.valid / 4);
-        let holds_until = wanted.opens + ahead;
+        let ahead = (cfg.decide + cfg.each * TYPICAL_CALL_IDS).min(cfg.valid / 4);
+        let holds_until = wanted.opens_at + ahead;
         let mut covered = 0;
         let mut candidates = Vec::new();
         for id in workers {
             let Some(w) = self.workers.get(id) else { continue };
-            let (free, whole) = self.places_on(&wish, id, w);
+            let (free, whole) = self.task_slots_on(&wish, id, w);
             // A full worker has a place when one of its tasks has ended.
             let fits = if free == 0 { whole.min(1) } else { free };
             if fits == 0 || !self.allowed(w, spec, first) {
@@ -191,28 +191,29 @@
     }
 
     /// How many tasks of the step have room on a worker now, and if it were empty.
-    fn places_on(&self, wish: &Wish<'_>, id: &WorkerId, w: &Worker) -> (u32, u32) {
+    fn task_slots_on(&self, wish: &RequestContext<'_>, id: &WorkerId, w: &Worker) -> (u32, u32) {
         let task = |t: &TaskId| wish.job.task(t);
-        let avoids = |t: &&TaskId| wish.others > 1 && task(t).is_some_and(|t| t.avoid.as_ref() == Some(id));
-        let mut most = wish.wanted.tasks.iter().filter(|t| !avoids(t)).count() as u32;
+        let avoids =
+            |t: &&TaskId| wish.possible_workers > 1 && task(t).is_some_and(|t| t.avoid.as_ref() == Some(id));
+        let mut most = wish.request.tasks.iter().filter(|t| !avoids(t)).count() as u32;
         if wish.spec.most_per_worker > 0 {
-            let here = wish.wanted.tasks.first().map_or(0, |t| same_step(w, t)) as u32;
+            let here = wish.request.tasks.first().map_or(0, |t| same_step(w, t)) as u32;
             most = most.min(wish.spec.most_per_worker.saturating_sub(here));
         }
         let mut free = w.free();
-        if wish.wanted.opens > self.now {
+        if wish.request.opens_at > self.now {
             // What the job runs here has ended when the step opens.
             let own = w.runs.iter().filter(|((t, _), _)| t.job == wish.job.key);
             own.for_each(|(_, held)| free.add(&held.room));
         }
         let whole = w.info.as_ref().map(|i| i.capacity).unwrap_or_default();
         let room = wish.spec.reserved();
-        (times(&free, &room).min(most), times(&whole, &room).min(most))
+        (times_contained(&free, &room).min(most), times_contained(&whole, &room).min(most))
     }
 }
 
 /// How many times a room holds another.
-fn times(whole: &Room, part: &Room) -> u32 {
+fn times_contained(whole: &Room, part: &Room) -> u32 {
     let fit = |whole: u64, part: u64| whole.checked_div(part).unwrap_or(u64::MAX);
     let least = fit(whole.cpu_millis, part.cpu_millis)
         .min(fit(whole.mem_mb, part.mem_mb))
--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -278,7 +278,7 @@
             Event::LifeOver(id, heard) => self.other_life_answered(&id, heard),
             Event::WorkerRestarted(id, started, heard) => self.restarted(&id, started, heard),
             Event::WorkerUpdate(id, token, news) => self.relayed(&id, token, news),
-            Event::AdviceReceived(a) => self.advised(a),
+            Event::AdviceReceived(a) => self.advice_received(a),
             Event::HostsListed(list, asked) => self.hosts_listed(list, asked),
             Event::WaveRequested(wave, rec) => self.wave_requested(wave, rec),
             Event::HostOrderAnswered(host, reply) => self.host_order_answered(&host, reply),
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/settle.rs
@@ -238,7 +238,7 @@
         }
         self.shun_after_refusal(id, reply);
         if reply == StartReply::Ticket {
-            self.ticket_turned_down(id, &task);
+            self.ticket_rejected(id, &task);
         }
         let job = self.jobs.get(&task.job);
         let wanted = job.is_some_and(|j| j.open() && j.task(&task).is_some_and(|t| !t.done));
