--- a/crates/workswood-core/src/jobs/types.rs
+++ b/crates/workswood-core/src/jobs/types.rs
@@ -1,7 +1,5 @@
-//! What goes into the scheduler and what comes out of it.
-//!
-//! [`Event`]s go in. What comes out is a [`Batch`]: [`Record`]s to be stored
-//! first, and [`Action`]s that follow once they are.
+//! The interface of the scheduler: [`Event`]s go in; a [`Batch`] of [`Record`]s, to be stored
+//! first, and [`Action`]s, carried out once the records are stored, comes out.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,76 +14,77 @@
 use super::workspace::Owner;
 use crate::ids::{DataCentre, HostId, ServiceId, Term, UnixMs};
 
-/// Bounds of the platform that the scheduler works with, and its own limits.
+/// Limits that the platform sets, and the scheduler's own.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Length of a worker's lease, counted from when it was sent.
+    /// Length of a worker's lease, counted from when the request was sent.
     pub lease: Duration,
-    /// Longest lease that a worker takes, whatever it is told.
+    /// Longest lease that a worker accepts, whatever it is asked for.
     pub max_lease: Duration,
-    /// How long a scheduler that can't renew its own lease goes on extending
-    /// workers' leases.
+    /// How long a scheduler that can't renew its own lease goes on extending workers' leases.
     pub grace: Duration,
-    /// Share by which a worker's clock may run slow.
+    /// Largest share by which a worker's clock may run slow.
     pub clock_drift: f64,
-    /// A new holder waits this long before its first order to a host.
+    /// How long a new lease holder waits before its first order to a host that a predecessor
+    /// ordered.
     pub host_order_delay: Duration,
-    /// Orders to hosts a second that the platform takes; it turns others away.
+    /// Rate of orders to hosts that the platform accepts; it rejects those beyond it.
     pub host_orders_per_s: f64,
-    /// How long ended jobs are kept for questions.
+    /// How long the state of ended jobs is kept for status queries.
     pub ended_job_retention: Duration,
-    /// How far ahead of its due time a round may be opened.
+    /// How far ahead of its due time a round of a job may be opened.
     pub round_lead_time: Duration,
 }
 
-/// The longest real time that a lease may last on a worker whose clock runs slow by a
-/// share, `drift`.
+/// The longest real time that a lease may last on a worker whose clock runs slow by the share
+/// `drift`.
 pub fn lease_with_drift(lease: Duration, drift: f64) -> Duration {
     lease.mul_f64(1.0 / (1.0 - drift)) + LEASE_SLACK
 }
 
-/// Added to the end of every lease, for rounding and queues on the way.
+/// Added to the end of every lease, for rounding and for delays in transit.
 pub const LEASE_SLACK: Duration = Duration::from_millis(300);
 
-/// What happened.
+/// An input of the scheduler.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A caller handed a job in, and it is on record.
+    /// A caller submitted a job, and the job is on record.
     Submitted(JobKey, Arc<JobSpec>),
-    /// A caller cancelled a job, and that is on record; with whose key.
+    /// A caller cancelled a job, and the cancellation is on record. The owner is that of the
+    /// caller's key.
     Cancelled(JobKey, Owner),
-    /// What is in force changed.
+    /// The configuration changed.
     ConfigChanged(Arc<SchedConfig>),
-    /// Data centres that are being evacuated, all of them.
+    /// The set of all data centres that are being evacuated.
     Evacuated(BTreeSet<DataCentre>),
-    /// The list shows a worker, new or changed.
+    /// The list of workers shows a worker, new or changed.
     WorkerListed(WorkerInfo),
-    /// The list no longer shows a worker.
+    /// The list of workers no longer shows a worker.
     WorkerUnlisted(WorkerId),
-    /// What the relay of a worker tells of it, which attends it with this token.
+    /// An update from the relay that attends the worker with this fencing token.
     WorkerUpdate(WorkerId, Term, WorkerUpdate),
-    /// A worker's address is answered by another life: this one is over. When it last
-    /// answered, on the scheduler's clock.
+    /// Another life of the worker answers at its address, so this one is over. The time is that of
+    /// its last answer, on the scheduler's clock.
     LifeOver(WorkerId, Duration),
-    /// A worker has started again under its name, at this time of day: the life that is named is
-    /// over. When that last answered, on the scheduler's clock.
+    /// A worker restarted under the same name at this time of day, so the named life is over. The
+    /// duration is the time of its last answer, on the scheduler's clock.
     WorkerRestarted(WorkerId, UnixMs, Duration),
-    /// The outcome of a call to the adviser.
+    /// The result of a call to the adviser.
     AdviceReceived(AdviceResult),
-    /// The list of hosts, and when it was asked for.
+    /// The list of hosts, and when it was requested.
     HostsListed(Vec<Host>, Duration),
-    /// An operator asks for maintenance, or a predecessor's progress with it.
+    /// An operator requested a maintenance wave; with its progress as a predecessor recorded it.
     WaveRequested(Wave, Option<WaveRecord>),
-    /// The outcome of an order to a host.
+    /// The reply to an order to a host.
     HostOrderAnswered(HostId, HostReply),
-    /// A relay takes orders.
+    /// A relay accepts orders.
     RelayUp(HostId),
-    /// A relay was heard of.
+    /// A message from a relay arrived.
     RelayHeard(HostId),
     /// A relay is about to stop.
     RelayLeaving(HostId),
-    /// A relay is lost or could not be reached; leases that it extended end as told.
-    /// Whether its connection broke, so that it may be reached again at once.
+    /// A relay is lost or could not be reached. The leases that it extended end at the given time;
+    /// the flag tells whether only its connection broke, so that it may be reached again at once.
     RelayDown(HostId, Duration, bool),
     /// The inbox was read to its end at this time.
     InboxRead(Duration),
@@ -93,51 +92,52 @@
     Tick,
 }
 
-/// What is new of a worker.
+/// An update on a worker from its relay.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerUpdate {
-    /// It answered a look.
+    /// The worker answered a probe.
     Reported(Report),
-    /// The answer to a look is late.
+    /// The answer to the current probe is late.
     ProbeLate,
-    /// It did not answer. Times are on the scheduler's clock.
+    /// The worker did not answer a probe. Times are on the scheduler's clock.
     Unanswered {
-        /// When its lease ends if it is not extended.
+        /// When the worker's lease ends unless it is extended.
         lease_end: Duration,
-        /// When it last answered.
+        /// When the worker last answered.
         heard: Duration,
     },
-    /// It knows a higher token.
+    /// The worker has seen a higher fencing token.
     Fenced,
-    /// The outcome of a start.
+    /// The reply to a start of this attempt of a task.
     Started(TaskId, u32, StartReply),
-    /// The outcome of a stop.
+    /// The reply to a stop of this attempt of a task.
     Stopped(TaskId, u32, StopReply),
 }
 
-/// What came of a start.
+/// Outcome of a request to start a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartReply {
-    /// It runs, or ran.
+    /// The task runs, or ran.
     Taken,
-    /// The worker refused every try, and has done nothing.
+    /// The worker refused every request, and has done nothing.
     Refused,
-    /// Its ticket did not hold, and the worker has done nothing.
+    /// The adviser's ticket was not valid, and the worker has done nothing.
     Ticket,
-    /// The worker is not well and has done nothing.
+    /// The worker reports that it is unhealthy, and has done nothing.
     Unwell,
-    /// It refused the last try, but an earlier one had no answer.
+    /// The worker refused the last request, but an earlier one had no answer and may have taken
+    /// effect.
     Unsure,
-    /// No try was answered.
+    /// No request was answered.
     NoAnswer,
-    /// Nothing was sent.
+    /// No request was sent.
     NotSent,
-    /// The worker knows a higher token.
+    /// The worker has seen a higher fencing token.
     Deposed,
 }
 
 impl StartReply {
-    /// Whether the worker answered the last try.
+    /// Whether the worker answered the last request.
     pub fn is_answer(self) -> bool {
         match self {
             StartReply::Taken
@@ -151,60 +151,61 @@
     }
 }
 
-/// A call to the adviser, and what came of it.
+/// A call to the adviser and its reply.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdviceResult {
-    /// Which entry called; 0 is this one.
+    /// The channel that made the call: 0 is that of the lease holder, others are those of its
+    /// helpers.
     pub channel: usize,
-    /// The step that it was about.
+    /// The step that the call was about.
     pub step: StepId,
-    /// The workers that it named.
+    /// The workers that the call named.
     pub workers: Vec<WorkerId>,
-    /// What came of it.
+    /// The reply.
     pub reply: AdviceReply,
 }
 
-/// What came of a call to the adviser.
+/// Reply to a call to the adviser.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdviceReply {
-    /// It answered.
+    /// The adviser answered.
     Answered(Advice),
-    /// It has too many calls waiting and has not taken this one.
+    /// The adviser's queue is full; it has not accepted the call.
     Busy,
-    /// It refused the call, or its answer can't be read.
+    /// The adviser refused the call, or its answer can't be decoded.
     Refused,
-    /// No answer; it may be at work on it.
+    /// No answer came; the adviser may be working on the call.
     NoAnswer,
-    /// Nothing was sent.
+    /// The call was not sent.
     NotSent,
 }
 
-/// What the adviser answers.
+/// The adviser's answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Advice {
     /// Workers that may run the step, each with its ticket.
     pub tickets: Vec<(WorkerId, Arc<str>)>,
-    /// How long the tickets hold, if it says so.
+    /// How long the tickets are valid, if the adviser says so.
     pub valid_for: Option<Duration>,
 }
 
-/// What came of a stop.
+/// Outcome of a request to stop a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReply {
-    /// The worker has taken it.
+    /// The worker accepted the stop.
     Taken,
-    /// No answer, or a refusal without effect.
+    /// No answer came, or the request was refused without effect.
     NoAnswer,
-    /// The worker knows a higher token.
+    /// The worker has seen a higher fencing token.
     Deposed,
 }
 
-/// What is to be done once the records of the batch are stored.
+/// What to do once the records of the batch are stored.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Make an entry a relay.
     OpenRelay(HostId),
-    /// An entry is a relay no longer.
+    /// Close the relay of an entry.
     CloseRelay(HostId),
     /// Have a relay attend a worker from now on.
     Watch {
@@ -212,100 +213,102 @@
         relay: HostId,
         /// The worker.
         info: WorkerInfo,
-        /// Token that its orders carry.
+        /// Fencing token of the relay's orders to the worker.
         token: Term,
     },
     /// Have a worker attended no longer.
     Unwatch(WorkerId),
-    /// Have the figures of all that runs on a worker told with each look, or no longer.
+    /// Turn on or off that the worker's relay reports the load figures of all its tasks with each
+    /// probe.
     ReportFigures(WorkerId, bool),
     /// Start a task.
     Start {
-        /// Where.
+        /// The worker to start it on.
         worker: WorkerId,
-        /// Token of its relay when that was decided; with another one, the start is
-        /// not sent.
+        /// Fencing token of the worker's relay when the start was decided; with a different token
+        /// the start is not sent.
         token: Term,
-        /// Which.
+        /// The task.
         task: TaskId,
-        /// Number of the try.
+        /// Number of the attempt.
         attempt: u32,
-        /// Text of the job.
+        /// The job's text, as submitted.
         text: Arc<str>,
-        /// Checkpoint to go on from; empty for none.
+        /// Checkpoint to resume from; empty for none.
         checkpoint: String,
-        /// Ticket of the adviser, where one is needed.
+        /// The adviser's ticket, if the step needs one.
         ticket: Option<Arc<str>>,
     },
     /// Ask the adviser which of these workers may run a step.
     Advise {
-        /// Which entry calls; 0 is this one.
+        /// The channel to call through: 0 is that of the lease holder, others are those of its
+        /// helpers.
         channel: usize,
         /// The step.
         step: StepId,
         /// The workers.
         workers: Vec<WorkerId>,
-        /// How long the answer is waited for.
+        /// How long to wait for the answer.
         timeout: Duration,
     },
-    /// Stop a task.
+    /// Stop an attempt of a task.
     Stop(WorkerId, TaskId, u32),
-    /// Let a task work at a share, in percent.
+    /// Limit an attempt of a task to a pace in percent.
     Pace(WorkerId, TaskId, u32, u32),
-    /// Maintain a host as part of a wave.
+    /// Order a host into maintenance as part of a wave.
     MaintainHost(HostId, u64),
-    /// Give a host to another pool.
+    /// Order a host to move to the pool of a service.
     MoveHost(HostId, ServiceId),
 }
 
-/// A record of the scheduler's state.
+/// A change to the scheduler's stored state.
 #[derive(Clone, Debug)]
 pub enum Record {
     /// The state of a job.
     Job(JobKey, JobRecord),
-    /// A job is forgotten.
+    /// The record of a job is deleted.
     DropJob(JobKey),
     /// Progress of a wave.
     Wave(u64, WaveRecord),
-    /// A life of a worker.
+    /// The record of one life of a worker.
     Worker(WorkerId, WorkerRecord),
-    /// A life of a worker is forgotten.
+    /// The record of one life of a worker is deleted.
     DropWorker(WorkerId),
-    /// Name of the holder that has given a host an order lately, or is about
-    /// to; `None` if none has.
+    /// Name of the lease holder that has ordered a host recently, or is about to; `None` deletes
+    /// the mark.
     HostOrderMark(HostId, Option<String>),
 }
 
-/// What the caller-facing part may tell once a batch is stored.
+/// The state of a job, to be shown to callers once the batch is stored.
 #[derive(Clone, Debug)]
 pub struct JobStatusUpdate {
     /// The job.
     pub key: JobKey,
     /// Its queue.
     pub queue: QueueId,
-    /// Whose it is.
+    /// Its owner.
     pub owner: Owner,
-    /// Its state; `None` when it is forgotten.
+    /// Its state; `None` once the job is forgotten.
     pub state: Option<Shown>,
-    /// Whether its rounds have times of their own.
+    /// Whether the job repeats on a schedule.
     pub timed: bool,
 }
 
-/// Records to store, and what follows once they are stored.
+/// The scheduler's output: records to store, and what follows once they are stored.
 #[derive(Debug, Default)]
 pub struct Batch {
-    /// Records, to be stored all or none.
+    /// Records to store, all or none.
     pub records: Vec<Record>,
-    /// Actions that wait for the records.
+    /// Actions to carry out after the records are stored.
     pub actions: Vec<Action>,
-    /// Highest end that each worker may forget.
+    /// Highest number of an end that each worker may forget.
     pub acked_ends: Vec<(WorkerId, u64)>,
-    /// What callers may be told.
+    /// States of jobs that callers may be shown.
     pub status_updates: Vec<JobStatusUpdate>,
-    /// Jobs that are over with these records: the inbox need not hold them any more.
+    /// Jobs that ended and no longer run anywhere; the inbox need not hold them any more.
     pub finished_jobs: Vec<JobKey>,
-    /// Waves whose status is to be published, with whether they are complete.
+    /// Waves whose status is to be published, and whether they are complete.
     pub waves: Vec<(u64, bool)>,
-    /// Everything that was in the inbox at this time is shown with this batch.
+    /// Everything that was in the inbox at this time is reflected in this batch.
     pub inbox_read_at: Duration,
 }
