--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler: events in, records and actions out.
+//! The scheduler's state machine: takes events in and returns records and actions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -29,66 +29,66 @@
 use crate::ids::{DataCentre, HostId, ServiceId, Term, UnixMs};
 use crate::invariant;
 
-/// Time between two looks for runs that make no progress, or whose stop had no effect:
-/// half of the time after which a stop is sent again. It looks at every run.
+/// Interval of the check for runs that make no progress, or whose stop had no effect. The check
+/// visits every run.
 const STALLED_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The state of the process that holds the scheduler lease.
 pub struct Scheduler {
-    /// Steady clock.
+    /// Monotonic time.
     pub now: Duration,
     /// Time of day.
     pub wall: UnixMs,
-    /// When this scheduler's lease was claimed.
+    /// When the scheduler lease was claimed.
     pub claimed_at: Duration,
     /// Fencing token of this term.
     pub token: Term,
     /// Name of the entry that holds the lease.
     pub holder: String,
-    /// Workers that this entry can look after.
+    /// Number of workers that this entry can attend.
     pub strength: Strength,
-    /// Bounds.
+    /// Limits of the platform and of the scheduler.
     pub limits: Limits,
-    /// What decisions are tuned by.
+    /// Parameters of the decisions.
     pub policy: Policy,
-    /// What is in force.
+    /// The configuration in force.
     pub config: Arc<SchedConfig>,
-    /// Jobs that are known.
+    /// All known jobs.
     pub jobs: Jobs,
-    /// Lives of workers that are known.
+    /// All known lives of workers.
     pub workers: Workers,
-    /// Entries of workers whose service is not in force.
+    /// Listed workers whose service is not in the configuration yet.
     pub(super) workers_without_service: BTreeMap<WorkerId, WorkerInfo>,
-    /// Who speaks with them.
+    /// Relays, and which workers each attends.
     pub(super) relays: Relays,
     /// Tasks that wait for a worker, by service.
     pub(super) ready: Map<ServiceId, Waiting>,
-    /// Those of them that wait for a trial, by since when they are suspected.
+    /// Of those, the tasks that wait for a trial run, each with the time since which it is
+    /// suspected of crashing workers.
     pub(super) trials: Map<ServiceId, BTreeSet<(Duration, TaskId)>>,
-    /// Data centres in which nothing begins.
+    /// Data centres that are being evacuated; no work begins there.
     pub(super) evacuated: BTreeSet<DataCentre>,
-    /// Processor room of all hosts on which work may begin, in thousandths of a core, as they were
-    /// last listed.
+    /// Processor capacity, in thousandths of a core, of all listed hosts on which work may begin.
     pub(super) fleet_cpu_millis: u64,
-    /// What workspaces have sent lately, against their shares.
+    /// What each workspace submitted lately, compared with its share.
     shares: Shares,
     /// How often workers crash by themselves.
     pub(super) crash_rate: CrashRate,
-    /// How long tasks take.
+    /// Durations of tasks.
     pub(super) durations: Durations,
     /// Hosts, as last listed.
     pub hosts: Map<HostId, Host>,
-    /// When that list was asked for.
+    /// When that list was requested.
     pub(super) hosts_requested_at: Duration,
-    /// Hosts that were ordered about lately.
+    /// Hosts that were ordered lately.
     pub(super) order_marks: OrderMarks,
     /// Waves by number.
     pub waves: BTreeMap<u64, WaveState>,
-    /// Moves of hosts, and what pools need.
+    /// Moves of hosts between pools, and what pools need.
     pub(super) pools: PoolState,
     /// Calls to the adviser.
     pub(super) advice: AdviceState,
-    /// Whether a worker has shown a higher token than ours.
+    /// Whether a worker reported a higher fencing token than this term's.
     pub deposed: bool,
     /// Jobs whose record changed since the last batch.
     pub(super) dirty_jobs: BTreeSet<JobKey>,
@@ -96,47 +96,47 @@
     pub(super) dirty_waves: BTreeSet<u64>,
     /// Workers whose record changed since the last batch.
     pub(super) dirty_workers: BTreeSet<WorkerId>,
-    /// What callers may be told with the next batch, beside jobs whose record changed.
+    /// States of jobs to show to callers with the next batch, besides those of `dirty_jobs`.
     status_updates: Vec<JobStatusUpdate>,
-    /// Jobs that are over since the last batch.
+    /// Jobs that ended and no longer run anywhere, since the last batch.
     finished_jobs: Vec<JobKey>,
     /// Jobs forgotten since the last batch.
     forgotten_jobs: Vec<(JobKey, QueueId, Owner)>,
-    /// Hosts that get no new work, as workers know it.
+    /// Hosts whose workers are cordoned.
     pub(super) cordoned_hosts: BTreeSet<HostId>,
-    /// When runs were last looked at that make no progress.
+    /// When stalled runs were last checked.
     stalled_checked_at: Duration,
-    /// Runs that a predecessor evicted and that are still listed.
+    /// Runs that a predecessor evicted and that workers still list.
     pub(super) inherited_evictions: BTreeSet<(WorkerId, TaskId, u32)>,
     /// Actions for the next batch.
     pub(super) actions: Vec<Action>,
-    /// Highest end taken in from each worker since the last batch.
+    /// Highest number of an end processed from each worker since the last batch.
     pub(super) acked_ends: BTreeMap<WorkerId, u64>,
-    /// Services whose waiting tasks are to be placed before the next batch.
+    /// Services whose waiting tasks are placed before the next batch is taken.
     pub(super) services_to_place: BTreeSet<ServiceId>,
     /// When the inbox was last read to its end.
     inbox_read_at: Duration,
-    /// Cancels of jobs that are not known yet.
+    /// Cancellations of jobs that are not known yet.
     early_cancels: BTreeSet<(JobKey, Owner)>,
-    /// Decisions worth a log line, drained by the process.
+    /// Log lines about decisions; the process drains them.
     pub notes: Notes,
-    /// What is counted for metrics, since this term began.
+    /// Counters for metrics since this term began.
     pub counters: SchedulerCounters,
 }
 
-/// What a scheduler counts.
+/// Counters of a scheduler's term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SchedulerCounters {
-    /// Lives of workers that were over while something ran there.
+    /// Lives of workers that ended while something ran on them.
     pub lives_lost: u64,
-    /// Runs that were lost with them.
+    /// Runs that were lost with those lives.
     pub runs_lost: u64,
-    /// Tasks that were given up since their workers crash.
+    /// Tasks that were given up because they crash their workers.
     pub tasks_given_up: u64,
 }
 
 impl Scheduler {
-    /// A scheduler that knows nothing yet.
+    /// Returns a scheduler that knows nothing yet.
     pub fn new(token: Term, limits: Limits, since: Duration, wall: UnixMs) -> Scheduler {
         Scheduler {
             now: since,
@@ -192,19 +192,19 @@
         let mut w = self.workers.get_or_insert_with(&id, || Worker::unknown(lease_end, since));
         w.info = Some(Arc::new(info));
         drop(w);
-        // Its address tells whether that life is over.
+        // A probe of its address shows whether that life is over.
         self.attend(&id);
         self.note_life(&id);
     }
 
-    /// Takes over a job as the inbox holds it, with the state that a predecessor recorded.
-    /// Of a job that is over, only the state is stored.
+    /// Takes over a job from the inbox with the state that a predecessor recorded. Of a finished
+    /// job only the state is stored.
     pub fn restore_job(&mut self, key: JobKey, spec: Option<Arc<JobSpec>>, rec: Option<JobRecord>) {
         let over = rec.as_ref().and_then(|rec| rec.outcome.zip(rec.over.clone()));
         match (spec, over) {
             (spec, Some((outcome, over))) => self.restore_finished_job(key, outcome, over, spec.is_some()),
             (Some(spec), None) => self.restore_open_job(key, spec, rec),
-            // It is left from a job that was being forgotten.
+            // The record remains from a job that was being forgotten.
             (None, None) => self.forgotten_jobs.push((key, QueueId::new(), Owner::PUBLIC)),
         }
     }
@@ -217,8 +217,8 @@
             _ => Job::new(key, spec),
         };
         if !fits {
-            // Handed in again with other steps: what was begun does not match
-            // what is asked for, and must not be begun anew.
+            // The job was submitted again with different steps. What was begun does not match them
+            // and must not be started again.
             self.notes.push(format_args!("event=job_changed job={key:016x} outcome=Failed"));
             job.outcome = Some(Outcome::Failed);
             job.ended = now;
@@ -256,17 +256,17 @@
         }
     }
 
-    /// When the last lease that a predecessor may have extended has ended.
+    /// Returns when the last lease that a predecessor may have extended ends.
     fn inherited_lease_end(&self) -> Duration {
         self.claimed_at + self.limits.grace + self.lease_with_drift()
     }
 
-    /// The longest real time that a lease may last.
+    /// The longest real time that a worker's lease may last, with clock drift.
     pub fn lease_with_drift(&self) -> Duration {
         lease_with_drift(self.limits.lease, self.limits.clock_drift)
     }
 
-    /// Takes one event in.
+    /// Processes one event.
     pub fn handle(&mut self, ev: Event) {
         match ev {
             Event::Submitted(key, spec) => self.submitted(key, spec),
@@ -291,7 +291,7 @@
         }
     }
 
-    /// A job is new, or known already from an earlier read.
+    /// Adds a job, unless it is known from an earlier read of the inbox.
     fn submitted(&mut self, key: JobKey, spec: Arc<JobSpec>) {
         let owner = spec.owner();
         if let Some(known) = self.jobs.owner(&key) {
@@ -321,7 +321,7 @@
         }
     }
 
-    /// The caller cancelled a job.
+    /// Cancels a job, or notes the cancellation until the job is known.
     fn cancel(&mut self, key: JobKey, owner: Owner) {
         let known = self.jobs.owner(&key);
         if known.is_some_and(|known| known != owner) {
@@ -344,13 +344,13 @@
             self.end_job(key, Outcome::Canceled);
             return;
         }
-        // What the budget kept at work when it failed ends now.
+        // Tasks that the availability budget kept running after the job failed are stopped now.
         let ids = job.task_ids();
         self.dirty_jobs.insert(key);
         ids.iter().for_each(|id| self.stop_runs(id));
     }
 
-    /// Puts a configuration in force unless a newer one is.
+    /// Applies a configuration unless a newer one is in force.
     fn set_config(&mut self, cfg: Arc<SchedConfig>) {
         if cfg.version < self.config.version {
             return;
@@ -376,7 +376,7 @@
         }
     }
 
-    /// Has the waiting tasks of a service placed before the next batch.
+    /// Has the waiting tasks of a service placed before the next batch is taken.
     pub(super) fn schedule_placement(&mut self, service: &str) {
         if !self.services_to_place.contains(service) {
             self.services_to_place.insert(service.to_string());
@@ -472,7 +472,7 @@
         }
     }
 
-    /// Shows a job as completed once nothing of it is open.
+    /// Completes a job once all its tasks are done.
     pub(super) fn complete_if_done(&mut self, key: JobKey) {
         let done = self.jobs.get(&key).is_some_and(|j| j.open() && j.all_done());
         if done {
@@ -485,7 +485,7 @@
         let now = self.now;
         let Some(task) = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id)) else { return };
         for run in &mut task.runs {
-            // A start on its way is stopped when its outcome is known.
+            // A start in flight is stopped once its outcome is known.
             if matches!(run.phase, Phase::Starting | Phase::Stopping | Phase::Stopped) {
                 continue;
             }
@@ -494,7 +494,7 @@
         }
     }
 
-    /// Does what only the passing of time asks for.
+    /// Does the work that depends only on the time.
     fn tick(&mut self) {
         for key in self.jobs.timed() {
             let before = self.jobs.get(&key).map_or(0, |j| j.rounds.len());
@@ -522,7 +522,7 @@
             .extend(self.ready.iter().filter(|(_, s)| !s.is_empty()).map(|(k, _)| k.clone()));
     }
 
-    /// Forgets jobs that ended long enough ago and run nowhere.
+    /// Forgets finished jobs whose retention has ended.
     fn forget_jobs(&mut self) {
         let Some(before) = self.now.checked_sub(self.limits.ended_job_retention) else { return };
         for (key, over) in self.jobs.forget_over(before) {
@@ -530,8 +530,8 @@
         }
     }
 
-    /// Adds the record of a job to a batch, and what callers are shown of it. One that has
-    /// come to rest is over with that.
+    /// Adds the record of a job to a batch, and the state to show to callers if it changed. A job
+    /// that ended and has no runs left is reduced to its final record.
     fn record_job(&mut self, key: JobKey, batch: &mut Batch) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let state = Some(job.shown());
@@ -560,7 +560,7 @@
         self.finished_jobs.push(key);
     }
 
-    /// Decides what can be decided, and hands over all that changed.
+    /// Places waiting tasks, asks the adviser, and returns all that changed since the last batch.
     pub fn take_batch(&mut self) -> Batch {
         let services = std::mem::take(&mut self.services_to_place);
         for service in services {
