--- a/crates/workswood-core/src/jobs/advice.rs
+++ b/crates/workswood-core/src/jobs/advice.rs
@@ -1,12 +1,11 @@
-//! Which workers may run a step, where only the adviser knows.
+//! Calls to the adviser about which workers may run a step, where only the adviser knows.
 //!
-//! The adviser takes one call at a time from each entry and needs time for each
-//! worker that a call names. So each entry, the lease holder first, has one call
-//! under way at a time, about few workers: those that the placement would take
-//! next ([`advice_batch`](super::advice_batch)). Steps that wait come first, in
-//! the order of their tasks; while none does, steps that will open soon. What the
-//! adviser said is kept with the life of the worker. A new lease holder knows
-//! nothing of it and asks again.
+//! The adviser handles one call at a time from each entry and needs time for each worker that a
+//! call names. So each entry, the lease holder first, has one call under way at a time, about a few
+//! workers: those that the placement would choose next ([`advice_batch`](super::advice_batch)).
+//! Waiting steps come first, in the order of their tasks; while there is none, steps that open
+//! soon. Answers are kept with the life of the worker. A new lease holder has none of them and asks
+//! again.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -22,43 +21,42 @@
 use super::types::{Action, Advice, AdviceReply, AdviceResult};
 use super::worker::Verdict;
 
-/// An answer is waited for this much longer than the adviser should need: the
-/// way there and back on a busy entry takes a hundred milliseconds.
+/// Added to the time that the adviser should need, for the way there and back.
 const BASE_SLACK: Duration = Duration::from_millis(300);
-/// After calls without an answer, the wait grows to this at most.
+/// Largest addition, after calls without an answer.
 const MAX_SLACK: Duration = Duration::from_secs(5);
-/// Pause after a call that failed; it doubles with each one in a row,
+/// Delay after a failed call; it doubles with each failure in a row.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// up to this: an adviser that is back is heard of soon;
+/// Largest delay after failed calls.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// or up to this for an entry that fails while others are answered: each try with a
-/// gone entry delays a step.
+/// Largest delay for an entry whose calls fail while those of others are answered: each attempt
+/// through an entry that is gone delays a step.
 const MAX_BACKOFF_OF_ONE_ENTRY: Duration = Duration::from_secs(8);
-/// Doublings after which waits and pauses are at their longest.
+/// Number of doublings after which additions and delays are at their maximum.
 const MAX_DOUBLINGS: u32 = 8;
-/// A worker whose ticket was turned down is not asked about for so long: were
-/// tickets turned down always, starts would be lost at this rate.
+/// How long the adviser is not asked about a worker that rejected a ticket. This bounds the rate of
+/// lost starts if tickets are always rejected.
 const REJECTED_TICKET_DELAY: Duration = Duration::from_millis(500);
 
-/// When the adviser is asked.
+/// Parameters of calls to the adviser.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AdvicePolicy {
-    /// Whether it is asked about steps that open soon.
-    pub ahead: bool,
-    /// How many other entries have calls under way for the lease holder. Each entry
-    /// has a turn of its own at the adviser: at 0.3 s a call the holder alone has
-    /// three steps a second advised.
+    /// Whether the adviser is asked about steps that open soon.
+    #[serde(rename = "ahead")]
+    pub ask_ahead: bool,
+    /// Number of other entries that call the adviser for the lease holder. The adviser queues the
+    /// calls of each entry separately.
     pub helpers: usize,
-    /// A ticket is used until this long before its end, or a fifth of its time if
-    /// that is less: a start is stored first, and may need a second try.
-    #[serde(with = "humantime_serde")]
-    pub margin: Duration,
+    /// A ticket is used until this long before its end, or a fifth of its validity if that is less:
+    /// a start is stored first, and may need a second attempt.
+    #[serde(rename = "margin", with = "humantime_serde")]
+    pub ticket_margin: Duration,
 }
 
 impl Default for AdvicePolicy {
     fn default() -> AdvicePolicy {
-        AdvicePolicy { ahead: true, helpers: 5, margin: Duration::from_millis(250) }
+        AdvicePolicy { ask_ahead: true, helpers: 5, ticket_margin: Duration::from_millis(250) }
     }
 }
 
@@ -70,89 +68,89 @@
     due: Duration,
 }
 
-/// Calls by one entry: its turn at the adviser is its own.
+/// The calls by one entry, at most one at a time.
 #[derive(Debug, Default)]
 struct Channel {
     call: Option<Call>,
-    /// No call before this time.
+    /// No call is made before this time.
     next_call: Duration,
-    /// The adviser may be at work on lost calls until then.
+    /// The adviser may be working on lost calls until this time.
     adviser_busy_until: Duration,
-    /// Failed calls in a row.
+    /// Number of failed calls in a row.
     failures: u32,
     /// Whether the last call was answered.
     answered: bool,
-    /// By how much answers were late; the latest counts, older ones halve.
+    /// How late answers were: the maximum of the latest lateness and half of this value before.
     lateness: Duration,
 }
 
 impl Channel {
-    /// Takes in that a call failed; `most_pause` bounds the time until the next.
-    fn failed(&mut self, call: &Call, now: Duration, at_work: bool, most_pause: Duration) {
+    /// Handles a failed call; `max_backoff` bounds the delay before the next.
+    fn failed(&mut self, call: &Call, now: Duration, at_work: bool, max_backoff: Duration) {
         if at_work {
             self.adviser_busy_until = self.adviser_busy_until.max(call.due);
         }
-        let pause = INITIAL_BACKOFF * (1 << self.failures.min(MAX_DOUBLINGS));
-        self.next_call = now + pause.min(most_pause);
+        let backoff = INITIAL_BACKOFF * (1 << self.failures.min(MAX_DOUBLINGS));
+        self.next_call = now + backoff.min(max_backoff);
         self.answered = false;
         self.failures += 1;
     }
 
-    /// Takes in an answer that was late by this much.
+    /// Handles an answer that was late by this much.
     fn answered(&mut self, late: Duration) {
         *self = Channel { answered: true, lateness: late.max(self.lateness / 2), ..Channel::default() };
     }
 
-    /// How long the answer to a call is waited for that should take `work`, when
-    /// every entry has had so many failures in a row.
+    /// Timeout of a call that should take `work`, when every entry has had `failures` failures in a
+    /// row.
     fn timeout(&self, work: Duration, failures: u32) -> Duration {
         let slack = BASE_SLACK * (1 << failures.min(MAX_DOUBLINGS)) + self.lateness;
         work + slack.min(MAX_SLACK)
     }
 }
 
-/// Calls to the adviser.
+/// The state of calls to the adviser.
 #[derive(Debug, Default)]
 pub struct AdviceState {
-    /// Open jobs of queues with advice.
+    /// Open jobs of queues that need advice.
     pub(super) jobs: BTreeSet<JobKey>,
-    /// Of the workers asked about, those that were good, by queue.
+    /// Share of the workers asked about that were good, by queue.
     good_rates: HashMap<QueueId, GoodRate>,
-    /// Calls by entry; the first is the lease holder.
+    /// One channel per entry; the first is that of the lease holder.
     channels: Vec<Channel>,
-    /// Step of the last call that failed; others go first.
+    /// Step of the last failed call; other steps go first.
     last_failed: Option<StepId>,
 }
 
 impl AdviceState {
-    /// An entry that may call now, those whose last calls went well first.
-    fn free_channel(&self, now: Duration, most_calls: usize) -> Option<usize> {
-        if self.channels.iter().filter(|l| l.call.is_some()).count() >= most_calls {
+    /// A channel that may be used now, those with the fewest failures first.
+    fn free_channel(&self, now: Duration, max_calls: usize) -> Option<usize> {
+        if self.channels.iter().filter(|c| c.call.is_some()).count() >= max_calls {
             return None;
         }
-        let free = self.channels.iter().enumerate().filter(|(_, l)| l.call.is_none() && l.next_call <= now);
-        free.min_by_key(|(n, l)| (l.failures, *n)).map(|(n, _)| n)
+        let free = self.channels.iter().enumerate().filter(|(_, c)| c.call.is_none() && c.next_call <= now);
+        free.min_by_key(|(n, c)| (c.failures, *n)).map(|(n, _)| n)
     }
 
-    /// Whether the last call of some other entry was answered.
-    fn others_answered(&self, lane: usize) -> bool {
-        self.channels.iter().enumerate().any(|(n, l)| n != lane && l.answered)
+    /// Whether the last call of some other channel was answered.
+    fn others_answered(&self, channel: usize) -> bool {
+        self.channels.iter().enumerate().any(|(n, c)| n != channel && c.answered)
     }
 
-    /// Failures in a row that every entry has had: with more, it is the adviser that
+    /// Smallest number of failures in a row of any channel. While it is above 0, the adviser itself
     /// is slow or away.
     fn common_failures(&self) -> u32 {
-        self.channels.iter().map(|l| l.failures).min().unwrap_or(0)
+        self.channels.iter().map(|c| c.failures).min().unwrap_or(0)
     }
 
-    /// Whether a step is being asked about.
+    /// Whether a call about a step is under way.
     fn has_call_for(&self, step: &StepId) -> bool {
-        self.channels.iter().filter_map(|l| l.call.as_ref()).any(|c| c.step == *step)
+        self.channels.iter().filter_map(|c| c.call.as_ref()).any(|call| call.step == *step)
     }
 }
 
 impl Scheduler {
-    /// How the adviser works for a job; `None` if all workers may run its steps.
+    /// The adviser's settings for the queue of a job; `None` if all workers may run its steps.
     pub(super) fn advice_of(&self, job: JobKey) -> Option<&AdviceConfig> {
         let job = self.jobs.get(&job)?;
         self.config.queues.get(&job.spec.queue)?.advice.as_ref()
@@ -163,7 +161,7 @@
         self.advice.jobs.contains(&id.job)
     }
 
-    /// Notes a job whose queue has advice.
+    /// Tracks a job if its queue needs advice.
     pub(super) fn watch_advised(&mut self, key: JobKey) {
         let open = self.jobs.get(&key).is_some_and(|j| j.open());
         if open && self.advice_of(key).is_some() {
@@ -171,7 +169,7 @@
         }
     }
 
-    /// Notes all of them anew: queues have changed.
+    /// Tracks all jobs again after a change of the queues.
     pub(super) fn watch_all_advised(&mut self) {
         self.advice.jobs.clear();
         if self.config.queues.values().all(|q| q.advice.is_none()) {
@@ -183,7 +181,7 @@
         }
     }
 
-    /// Forgets what was said of the steps of a job that has ended.
+    /// Forgets the verdicts on the steps of a job that has ended.
     pub(super) fn drop_advice(&mut self, key: JobKey) {
         if !self.advice.jobs.remove(&key) {
             return;
@@ -191,14 +189,14 @@
         self.workers.for_each_mut(|w| w.advice.retain(|step, _| step.job != key));
     }
 
-    /// Workers of a list that may run a step, as far as is known.
+    /// Number of workers of a list that may run a step, as far as is known.
     pub(super) fn may_be_good(&self, workers: &[WorkerId], step: &StepId) -> usize {
         let bad =
             |id: &&WorkerId| self.workers.get(id).is_some_and(|w| w.advice.get(step) == Some(&Verdict::Bad));
         workers.len() - workers.iter().filter(bad).count()
     }
 
-    /// A worker has turned a ticket down: it is asked for again.
+    /// Handles that a worker rejected a ticket: a new one is asked for.
     pub(super) fn ticket_rejected(&mut self, id: &WorkerId, task: &TaskId) {
         let until = self.now + REJECTED_TICKET_DELAY;
         if !self.advice.jobs.contains(&task.job) {
@@ -209,49 +207,48 @@
         }
     }
 
-    /// Tells how many entries may call the adviser, the lease holder included.
+    /// Sets how many entries may call the adviser, the lease holder included.
     pub fn set_advice_entries(&mut self, entries: usize) {
         let entries = entries.max(1);
-        // An entry that is gone may have a call under way.
-        let under_way = self.advice.channels.iter().rposition(|l| l.call.is_some()).map_or(0, |n| n + 1);
+        // An entry that is gone may still have a call under way.
+        let under_way = self.advice.channels.iter().rposition(|c| c.call.is_some()).map_or(0, |n| n + 1);
         self.advice.channels.resize_with(entries.max(under_way), Channel::default);
     }
 
-    /// Takes the outcome of a call in.
+    /// Handles the result of a call.
     pub(super) fn advice_received(&mut self, a: AdviceResult) {
         let now = self.now;
-        let most_pause = match self.advice.others_answered(a.channel) {
+        let max_backoff = match self.advice.others_answered(a.channel) {
             true => MAX_BACKOFF_OF_ONE_ENTRY,
             false => MAX_BACKOFF,
         };
-        let Some(lane) = self.advice.channels.get_mut(a.channel) else { return };
-        let Some(call) = lane.call.take() else { return };
+        let Some(channel) = self.advice.channels.get_mut(a.channel) else { return };
+        let Some(call) = channel.call.take() else { return };
         match a.reply {
             AdviceReply::Answered(answer) => {
-                lane.answered(now.saturating_sub(call.due));
+                channel.answered(now.saturating_sub(call.due));
                 self.advice.last_failed = self.advice.last_failed.filter(|step| *step != call.step);
                 self.take_advice(a.step, &a.workers, now.saturating_sub(call.due), answer);
                 return;
             }
-            AdviceReply::NoAnswer => lane.failed(&call, now, true, most_pause),
+            AdviceReply::NoAnswer => channel.failed(&call, now, true, max_backoff),
             AdviceReply::Busy | AdviceReply::Refused | AdviceReply::NotSent => {
-                lane.failed(&call, now, false, most_pause);
+                channel.failed(&call, now, false, max_backoff);
             }
         }
         self.advice.last_failed = Some(call.step);
     }
 
-    /// Keeps tickets and refusals with the lives that they are about; the answer was
-    /// late by so much.
+    /// Stores tickets and refusals with the workers' lives; the answer was late by `late`.
     fn take_advice(&mut self, step: StepId, asked: &[WorkerId], late: Duration, answer: Advice) {
         if !self.advice.jobs.contains(&step.job) {
             return;
         }
         let Some(cfg) = self.advice_of(step.job).copied() else { return };
         let valid = answer.valid_for.unwrap_or(cfg.valid);
-        let margin = self.policy.advice.margin.min(valid / 5);
-        // An answer may have been late on its way, so that its tickets are as old. Were
-        // they always taken to be, a slow adviser's would never be used.
+        let margin = self.policy.advice.ticket_margin.min(valid / 5);
+        // The delay may have been on the way back, so the tickets count as older. The deduction is
+        // bounded, since otherwise the tickets of a slow adviser would never be used.
         let until = self.now + valid - margin - late.min(valid / 2);
         let good: HashMap<WorkerId, _> = answer.tickets.into_iter().collect();
         if let Some(job) = self.jobs.get(&step.job) {
@@ -279,29 +276,33 @@
         if self.advice.channels.is_empty() {
             self.advice.channels.push(Channel::default());
         }
-        let most_calls = 1 + self.policy.advice.helpers;
-        if self.advice.free_channel(self.now, most_calls).is_none() {
+        let max_calls = 1 + self.policy.advice.helpers;
+        if self.advice.free_channel(self.now, max_calls).is_none() {
             return;
         }
-        let pools = self.advised_workers();
-        let mut steps = self.steps_to_ask(&pools).into_iter();
-        while let Some(lane) = self.advice.free_channel(self.now, most_calls) {
-            let Some((step, workers, cfg)) = steps.find_map(|w| self.plan_call(&w, &pools)) else { return };
+        let workers_by_service = self.advised_workers();
+        let mut steps = self.steps_to_ask(&workers_by_service).into_iter();
+        while let Some(n) = self.advice.free_channel(self.now, max_calls) {
+            let Some((step, workers, cfg)) =
+                steps.find_map(|request| self.plan_call(&request, &workers_by_service))
+            else {
+                return;
+            };
             let failures = self.advice.common_failures();
-            let entry = &mut self.advice.channels[lane];
-            let before = entry.adviser_busy_until.saturating_sub(self.now);
+            let channel = &mut self.advice.channels[n];
+            let before = channel.adviser_busy_until.saturating_sub(self.now);
             let work = before + cfg.decide + cfg.each * workers.len() as u32;
-            let patience = entry.timeout(work, failures);
-            entry.call = Some(Call { step, due: self.now + work });
-            self.actions.push(Action::Advise { channel: lane, step, workers, timeout: patience });
+            let timeout = channel.timeout(work, failures);
+            channel.call = Some(Call { step, due: self.now + work });
+            self.actions.push(Action::Advise { channel: n, step, workers, timeout });
         }
     }
 
-    /// Steps that want advice, the next one first: those that wait, then those that
-    /// open soon, and the one whose last call failed.
-    fn steps_to_ask(&self, pools: &WorkersByService) -> Vec<AdviceRequest> {
-        let mut steps = self.steps_waiting_for_advice(pools);
-        if self.policy.advice.ahead {
+    /// Steps that need advice, the next one first: waiting steps, then steps that open soon, then
+    /// the step whose last call failed.
+    fn steps_to_ask(&self, workers: &WorkersByService) -> Vec<AdviceRequest> {
+        let mut steps = self.steps_waiting_for_advice(workers);
+        if self.policy.advice.ask_ahead {
             steps.extend(self.steps_opening_soon());
         }
         steps.retain(|w| !self.advice.has_call_for(&w.step));
@@ -309,18 +310,18 @@
         steps
     }
 
-    /// Workers to ask about for a step; `None` if its tickets are enough, or
-    /// nobody is left to ask about.
+    /// Plans a call about a step; `None` if its tickets are enough or no worker is left to ask
+    /// about.
     fn plan_call(
         &self,
-        wanted: &AdviceRequest,
-        pools: &WorkersByService,
+        request: &AdviceRequest,
+        workers: &WorkersByService,
     ) -> Option<(StepId, Vec<WorkerId>, AdviceConfig)> {
-        let cfg = self.advice_of(wanted.step.job).copied()?;
-        let (need, candidates) = self.need_and_candidates(wanted, &cfg, pools)?;
-        let queue = &self.jobs.get(&wanted.step.job)?.spec.queue;
+        let cfg = self.advice_of(request.step.job).copied()?;
+        let (need, candidates) = self.need_and_candidates(request, &cfg, workers)?;
+        let queue = &self.jobs.get(&request.step.job)?.spec.queue;
         let share = self.advice.good_rates.get(queue).copied().unwrap_or_default().value();
         let ids = choose_batch(&candidates, need, share, &cfg);
-        (!ids.is_empty()).then_some((wanted.step, ids, cfg))
+        (!ids.is_empty()).then_some((request.step, ids, cfg))
     }
 }
--- a/crates/workswood-core/src/jobs/advice_batch.rs
+++ b/crates/workswood-core/src/jobs/advice_batch.rs
@@ -1,16 +1,16 @@
-//! Which workers one call to the adviser names.
+//! Chooses the workers that one call to the adviser names.
 
 use super::config::AdviceConfig;
 use super::job::WorkerId;
 
-/// Fewest workers that a full call may name.
+/// Smallest limit on the number of workers of a call.
 const MIN_FULL_CALL_IDS: u32 = 30;
-/// Most workers that a call may name.
+/// Largest limit on the number of workers of a call.
 pub const MAX_IDS: u32 = 100;
-/// In a full call, workers take this many times what the call itself takes: so
-/// its own time is a quarter, and the first answers are there soon.
+/// In a full call, the time for its workers is this multiple of the call's fixed time, so that the
+/// fixed time is a small part and the answer still comes soon.
 const FULL_CALL_RATIO: f64 = 3.0;
-/// Answers after which older ones count half.
+/// Number of answers after which older ones are halved in weight.
 const DECAY_AFTER_ANSWERS: f64 = 200.0;
 
 /// A worker that may be asked about.
@@ -18,13 +18,13 @@
 pub struct Candidate {
     /// The worker.
     pub worker: WorkerId,
-    /// Tasks of the step that have room there.
+    /// Number of tasks of the step that fit there.
     pub fits: u32,
-    /// Whether it is known that it may run the step, and only its ticket has ended.
+    /// Whether it is known to be good, and only its ticket has ended.
     pub good: bool,
 }
 
-/// How many of the workers that were asked about may run a step.
+/// Moving share of the workers asked about that may run a step.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GoodRate {
     asked: f64,
@@ -32,7 +32,7 @@
 }
 
 impl GoodRate {
-    /// Takes an answer in.
+    /// Adds an answer.
     pub fn observe(&mut self, asked: usize, good: usize) {
         if self.asked > DECAY_AFTER_ANSWERS {
             self.asked /= 2.0;
@@ -42,14 +42,14 @@
         self.good += good as f64;
     }
 
-    /// The share; a half as long as nothing is known.
+    /// The share; one half while nothing is known.
     pub fn value(&self) -> f64 {
         (self.good + 1.0) / (self.asked + 2.0)
     }
 }
 
-/// Most workers that a call names: beyond this the time of the call itself is a
-/// small part, and answers come later.
+/// Largest number of workers that a call names: beyond it the fixed time of the call is a small
+/// part, and the answer comes later.
 fn max_ids(cfg: &AdviceConfig) -> usize {
     if cfg.each.is_zero() {
         return MAX_IDS as usize;
@@ -58,10 +58,10 @@
     full.clamp(MIN_FULL_CALL_IDS, MAX_IDS) as usize
 }
 
-/// The workers to ask about so that `need` tasks find a place: the first ones, as
-/// many as pay. `share` is how many of the unknown ones are good. One more worker
-/// takes its own time; it saves another call as likely as the others before it are
-/// not enough.
+/// Chooses the first candidates to ask about so that `need` tasks find a place. `share` is the
+/// expected share of good ones among those not known to be good. A further worker is worth its own
+/// time only if the probability that the workers before it are not enough, times the fixed time of
+/// another call, is larger.
 pub fn choose_batch(candidates: &[Candidate], need: u32, share: f64, cfg: &AdviceConfig) -> Vec<WorkerId> {
     let mut short = Shortfall::new(need);
     let mut batch = Vec::new();
@@ -75,7 +75,7 @@
     batch
 }
 
-/// How likely each number of places is that is short of the need.
+/// Probability of each number of places below the need.
 struct Shortfall {
     probabilities: Vec<f64>,
 }
@@ -89,7 +89,7 @@
         Shortfall { probabilities: likely }
     }
 
-    /// Adds a worker with so many places that is good at a likelihood.
+    /// Adds a worker with `fits` places that is good with the probability `good`.
     fn add(&mut self, fits: u32, good: f64) {
         for n in (0..self.probabilities.len()).rev() {
             let from = n.checked_sub(fits as usize).map_or(0.0, |m| self.probabilities[m]);
@@ -97,7 +97,7 @@
         }
     }
 
-    /// How likely the places are not enough.
+    /// Probability that the places are not enough.
     fn probability(&self) -> f64 {
         self.probabilities.iter().sum()
     }
--- a/crates/workswood-core/src/jobs/advice_candidates.rs
+++ b/crates/workswood-core/src/jobs/advice_candidates.rs
@@ -1,4 +1,4 @@
-//! Which steps want advice, and what they lack.
+//! Finds the steps that need advice, and the workers to ask about.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,35 +13,34 @@
 use super::worker::{Verdict, Worker};
 use crate::ids::ServiceId;
 
-/// Share of the room in use that is taken to be free again while tickets hold.
-/// More asks about steps whose turn comes after their tickets have ended.
+/// Share of the room in use that is expected to be free again while tickets are valid.
 const SOON_FREE_SHARE: f64 = 0.5;
-/// From this percentage on, a run's progress tells when it will end.
+/// Smallest progress, in percent, from which the end of a run is predicted.
 const MIN_PREDICTIVE_PERCENT: u32 = 10;
-/// Workers whose time a renewal plans with: about what one call names.
+/// Number of workers that the time of a renewal call is planned for.
 const TYPICAL_CALL_IDS: u32 = 10;
 
-/// A step that wants advice.
+/// A step that needs advice.
 #[derive(Clone, Debug)]
 pub(super) struct AdviceRequest {
     /// The step.
     pub step: StepId,
-    /// Its tasks that have no place.
+    /// Its tasks without a place.
     pub tasks: Vec<TaskId>,
-    /// When they may be started.
+    /// When its tasks may be started.
     pub opens_at: Duration,
 }
 
-/// What a step has against workers.
+/// What is needed to match a step with workers.
 struct RequestContext<'a> {
     job: &'a Job,
     spec: &'a StepSpec,
     request: &'a AdviceRequest,
-    /// Workers that may be good.
+    /// Number of workers that may be good.
     possible_workers: usize,
 }
 
-/// Workers that take work, by service.
+/// Workers that accept work, by service.
 pub(super) type WorkersByService = BTreeMap<ServiceId, Vec<WorkerId>>;
 
 impl Scheduler {
@@ -52,12 +51,13 @@
         services.into_iter().map(|s| (s.clone(), self.takers(s))).collect()
     }
 
-    /// Steps whose tasks wait, most urgent first, as far as there will be room.
-    pub(super) fn steps_waiting_for_advice(&self, pools: &WorkersByService) -> Vec<AdviceRequest> {
+    /// Waiting steps that need advice, most urgent first, as far as there will be room for their
+    /// tasks.
+    pub(super) fn steps_waiting_for_advice(&self, workers: &WorkersByService) -> Vec<AdviceRequest> {
         let mut found: Vec<(Place, AdviceRequest)> = Vec::new();
-        for (service, workers) in pools {
+        for (service, pool) in workers {
             let Some(waiting) = self.ready.get(service) else { continue };
-            let mut room = self.room_soon(workers);
+            let mut room = self.room_soon(pool);
             for place in waiting.places() {
                 let spec = self.jobs.get(&place.step.job).map(|j| &j.spec);
                 let Some(step) = spec.and_then(|s| s.steps.get(usize::from(place.step.step))) else {
@@ -84,13 +84,13 @@
         found.into_iter().map(|(_, w)| w).collect()
     }
 
-    /// Room of workers that is free or will be soon, in thousandths of a core.
+    /// Processor room that is free or expected to be free soon, in thousandths of a core.
     fn room_soon(&self, workers: &[WorkerId]) -> f64 {
         let of = |w: &Worker| w.free().cpu_millis as f64 + w.used.cpu_millis as f64 * SOON_FREE_SHARE;
         workers.iter().filter_map(|id| self.workers.get(id)).map(of).sum()
     }
 
-    /// Steps that open while tickets asked for now still hold, the next first.
+    /// Steps that open while tickets asked for now are still valid, the next first.
     pub(super) fn steps_opening_soon(&self) -> Vec<AdviceRequest> {
         let mut found = Vec::new();
         for key in &self.advice.jobs {
@@ -110,7 +110,8 @@
         found
     }
 
-    /// How long until a step opens all whose earlier steps are done or at work.
+    /// Time until a step opens; `None` if it is open, or some earlier task is neither done nor
+    /// running.
     fn time_to_open(&self, job: &Job, id: &StepId) -> Option<Duration> {
         if job.step_open(id.round, id.step) {
             return None;
@@ -130,7 +131,7 @@
         Some(longest)
     }
 
-    /// How long a task at work will take; `None` if it is not at work.
+    /// Time until a task ends; `None` if it does not run.
     fn time_to_end(&self, task: &Task, expected: Duration) -> Option<Duration> {
         let at_work = |p: Phase| matches!(p, Phase::Starting | Phase::Running);
         let run = task.runs.iter().find(|r| at_work(r.phase))?;
@@ -138,40 +139,40 @@
         if run.percent < MIN_PREDICTIVE_PERCENT {
             return Some(expected.saturating_sub(passed));
         }
-        let told = run.progressed.saturating_sub(run.phase_at);
-        let whole = told.mul_f64(100.0 / f64::from(run.percent));
+        let progress_time = run.progressed.saturating_sub(run.phase_at);
+        let whole = progress_time.mul_f64(100.0 / f64::from(run.percent));
         Some(whole.saturating_sub(passed))
     }
 
-    /// Tasks of a step that no ticket has a place for, and the workers that may be
-    /// asked about in the order in which the placement would take them; `None` if
-    /// tickets are enough.
+    /// The number of tasks of a step without a place by a valid ticket, and the workers to ask
+    /// about in the order in which the placement would choose them; `None` if the tickets are
+    /// enough.
     pub(super) fn need_and_candidates(
         &self,
-        wanted: &AdviceRequest,
+        request: &AdviceRequest,
         cfg: &AdviceConfig,
-        pools: &WorkersByService,
+        workers: &WorkersByService,
     ) -> Option<(u32, Vec<Candidate>)> {
-        let job = self.jobs.get(&wanted.step.job)?;
-        let spec = job.spec.steps.get(usize::from(wanted.step.step))?;
-        let first = wanted.tasks.first()?;
-        let workers = pools.get(&job.spec.service)?;
-        let others = self.may_be_good(workers, &wanted.step);
-        let wish = RequestContext { job, spec, request: wanted, possible_workers: others };
-        // What ends before another answer would be there is asked for now.
+        let job = self.jobs.get(&request.step.job)?;
+        let spec = job.spec.steps.get(usize::from(request.step.step))?;
+        let first = request.tasks.first()?;
+        let workers = workers.get(&job.spec.service)?;
+        let others = self.may_be_good(workers, &request.step);
+        let context = RequestContext { job, spec, request, possible_workers: others };
+        // Tickets that end before another answer would arrive are renewed now.
         let ahead = (cfg.decide + cfg.each * TYPICAL_CALL_IDS).min(cfg.valid / 4);
-        let holds_until = wanted.opens_at + ahead;
+        let holds_until = request.opens_at + ahead;
         let mut covered = 0;
         let mut candidates = Vec::new();
         for id in workers {
             let Some(w) = self.workers.get(id) else { continue };
-            let (free, whole) = self.task_slots_on(&wish, id, w);
-            // A full worker has a place when one of its tasks has ended.
+            let (free, whole) = self.task_slots_on(&context, id, w);
+            // A full worker has a place once one of its tasks has ended.
             let fits = if free == 0 { whole.min(1) } else { free };
             if fits == 0 || !self.allowed(w, spec, first) {
                 continue;
             }
-            let good = match w.advice.get(&wanted.step) {
+            let good = match w.advice.get(&request.step) {
                 Some(Verdict::Good(_, until)) if *until > holds_until => {
                     covered += fits;
                     continue;
@@ -185,34 +186,35 @@
             let rank = (free == 0, far, !good, crowd, faults, left);
             candidates.push((rank, Candidate { worker: id.clone(), fits, good }));
         }
-        let need = (wanted.tasks.len() as u32).checked_sub(covered).filter(|n| *n > 0)?;
+        let need = (request.tasks.len() as u32).checked_sub(covered).filter(|n| *n > 0)?;
         candidates.sort_by_key(|c| c.0);
         Some((need, candidates.into_iter().map(|(_, c)| c).collect()))
     }
 
-    /// How many tasks of the step have room on a worker now, and if it were empty.
-    fn task_slots_on(&self, wish: &RequestContext<'_>, id: &WorkerId, w: &Worker) -> (u32, u32) {
-        let task = |t: &TaskId| wish.job.task(t);
-        let avoids =
-            |t: &&TaskId| wish.possible_workers > 1 && task(t).is_some_and(|t| t.avoid.as_ref() == Some(id));
-        let mut most = wish.request.tasks.iter().filter(|t| !avoids(t)).count() as u32;
-        if wish.spec.most_per_worker > 0 {
-            let here = wish.request.tasks.first().map_or(0, |t| same_step(w, t)) as u32;
-            most = most.min(wish.spec.most_per_worker.saturating_sub(here));
+    /// How many tasks of the step fit on a worker now, and how many if it were empty.
+    fn task_slots_on(&self, context: &RequestContext<'_>, id: &WorkerId, w: &Worker) -> (u32, u32) {
+        let task = |t: &TaskId| context.job.task(t);
+        let avoids = |t: &&TaskId| {
+            context.possible_workers > 1 && task(t).is_some_and(|t| t.avoid.as_ref() == Some(id))
+        };
+        let mut most = context.request.tasks.iter().filter(|t| !avoids(t)).count() as u32;
+        if context.spec.most_per_worker > 0 {
+            let here = context.request.tasks.first().map_or(0, |t| same_step(w, t)) as u32;
+            most = most.min(context.spec.most_per_worker.saturating_sub(here));
         }
         let mut free = w.free();
-        if wish.request.opens_at > self.now {
-            // What the job runs here has ended when the step opens.
-            let own = w.runs.iter().filter(|((t, _), _)| t.job == wish.job.key);
+        if context.request.opens_at > self.now {
+            // The job's own tasks here have ended when the step opens.
+            let own = w.runs.iter().filter(|((t, _), _)| t.job == context.job.key);
             own.for_each(|(_, held)| free.add(&held.room));
         }
         let whole = w.info.as_ref().map(|i| i.capacity).unwrap_or_default();
-        let room = wish.spec.reserved();
+        let room = context.spec.reserved();
         (times_contained(&free, &room).min(most), times_contained(&whole, &room).min(most))
     }
 }
 
-/// How many times a room holds another.
+/// How many times a room contains another.
 fn times_contained(whole: &Room, part: &Room) -> u32 {
     let fit = |whole: u64, part: u64| whole.checked_div(part).unwrap_or(u64::MAX);
     let least = fit(whole.cpu_millis, part.cpu_millis)
--- a/crates/workswood-core/src/jobs/maintenance_orders.rs
+++ b/crates/workswood-core/src/jobs/maintenance_orders.rs
@@ -1,7 +1,7 @@
-//! Orders to hosts that a wave takes down, and their outcomes.
+//! Maintenance orders to the hosts of a wave, and their replies.
 //!
-//! An order is on record before it is sent. One without an answer is repeated;
-//! the platform answers alike when it has been carried out already.
+//! An order is on record before it is sent. One without a reply is repeated; the platform gives the
+//! same reply if it was carried out already.
 
 use std::time::Duration;
 
@@ -14,125 +14,127 @@
 use crate::ids::HostId;
 
 impl Scheduler {
-    /// Sends orders again that have had no outcome.
-    pub(super) fn resend_maintenance_orders(&mut self, n: u64) {
+    /// Sends orders without a reply again.
+    pub(super) fn resend_maintenance_orders(&mut self, number: u64) {
         let now = self.now;
-        let Some(w) = self.waves.get(&n) else { return };
-        let open = w.record.ordered.keys().filter(|m| !w.record.down.contains(*m));
+        let Some(wave) = self.waves.get(&number) else { return };
+        let open = wave.record.ordered.keys().filter(|host| !wave.record.down.contains(*host));
         let due: Vec<HostId> = open
-            .filter(|m| w.order_sent_at.get(*m).is_none_or(|at| *at + ORDER_RETRY_INTERVAL < now))
+            .filter(|host| wave.order_sent_at.get(*host).is_none_or(|at| *at + ORDER_RETRY_INTERVAL < now))
             .cloned()
             .collect();
-        let due: Vec<HostId> = due.into_iter().filter(|m| self.may_order(m)).collect();
-        for m in due {
-            self.send_maintenance_order(n, m);
+        let due: Vec<HostId> = due.into_iter().filter(|host| self.may_order(host)).collect();
+        for host in due {
+            self.send_maintenance_order(number, host);
         }
     }
 
-    /// Orders hosts down that are empty, or were given enough time.
-    pub(super) fn order_drained_hosts(&mut self, n: u64) {
-        let Some(w) = self.waves.get(&n) else { return };
-        let mut room = w.wave.max_down.max(1).saturating_sub(w.down_count());
-        if w.draining.is_empty() {
+    /// Orders hosts into maintenance that are empty or whose drain time has ended.
+    pub(super) fn order_drained_hosts(&mut self, number: u64) {
+        let Some(wave) = self.waves.get(&number) else { return };
+        let mut room = wave.request.max_down.max(1).saturating_sub(wave.down_count());
+        if wave.draining.is_empty() {
             return;
         }
-        let worker = |m: &HostId| {
-            let listed = || self.hosts.get(m).and_then(|m| m.worker.clone());
-            self.worker_on(m).cloned().or_else(listed)
+        let worker = |host: &HostId| {
+            let listed = || self.hosts.get(host).and_then(|host| host.worker.clone());
+            self.worker_on(host).cloned().or_else(listed)
         };
-        let emptying: Vec<(HostId, Duration, Option<WorkerId>)> =
-            w.draining.iter().map(|(m, at)| (m.clone(), *at, worker(m))).collect();
-        for (m, at, worker) in emptying {
+        let draining: Vec<(HostId, Duration, Option<WorkerId>)> =
+            wave.draining.iter().map(|(host, at)| (host.clone(), *at, worker(host))).collect();
+        for (host, at, worker) in draining {
             let lasting = worker.as_ref().map_or(0, |id| self.evict_within_budget(id));
             let runs = worker.as_ref().and_then(|id| self.workers.get(id)).map_or(0, |w| w.runs.len());
-            let waited = self.now >= at + self.policy.waves.empty_for;
-            let ready = self.accepts_orders(n, &m) && self.may_order(&m);
+            let waited = self.now >= at + self.policy.waves.drain_timeout;
+            let ready = self.accepts_orders(number, &host) && self.may_order(&host);
             if room == 0 || lasting > 0 || (runs > 0 && !waited) || !ready {
                 continue;
             }
             room -= 1;
-            self.notes.push(format_args!("event=machine_ordered_down wave={n} machine={m} runs={runs}"));
-            self.order_maintenance(n, m, worker);
+            self.notes
+                .push(format_args!("event=machine_ordered_down wave={number} machine={host} runs={runs}"));
+            self.order_maintenance(number, host, worker);
         }
     }
 
-    /// Orders a host down for the first time, with the life of its worker.
-    fn order_maintenance(&mut self, n: u64, host: HostId, worker: Option<WorkerId>) {
-        let Some(w) = self.waves.get_mut(&n) else { return };
-        w.draining.remove(&host);
-        w.record.ordered.insert(host.clone(), worker.map(|id| id.to_string()));
-        self.dirty_waves.insert(n);
-        self.send_maintenance_order(n, host);
+    /// Sends the first maintenance order to a host and records the life of its worker.
+    fn order_maintenance(&mut self, number: u64, host: HostId, worker: Option<WorkerId>) {
+        let Some(wave) = self.waves.get_mut(&number) else { return };
+        wave.draining.remove(&host);
+        wave.record.ordered.insert(host.clone(), worker.map(|id| id.to_string()));
+        self.dirty_waves.insert(number);
+        self.send_maintenance_order(number, host);
     }
 
-    /// Sends the order for the maintenance of a host.
-    fn send_maintenance_order(&mut self, n: u64, host: HostId) {
-        if let Some(w) = self.waves.get_mut(&n) {
-            w.order_sent_at.insert(host.clone(), self.now);
+    /// Sends a maintenance order.
+    fn send_maintenance_order(&mut self, number: u64, host: HostId) {
+        if let Some(wave) = self.waves.get_mut(&number) {
+            wave.order_sent_at.insert(host.clone(), self.now);
         }
         self.mark_order(&host);
-        self.actions.push(Action::MaintainHost(host, n));
+        self.actions.push(Action::MaintainHost(host, number));
     }
 
-    /// Whether a host is likely to take an order. One that is on its way to a
-    /// pool, or being maintained, turns it down until it is up again; so does one
-    /// that is not listed, and one that has just turned one down.
-    fn accepts_orders(&self, n: u64, host: &HostId) -> bool {
-        let sent = self.waves.get(&n).and_then(|w| w.order_sent_at.get(host));
+    /// Whether a host is likely to accept an order. The platform rejects orders for hosts that move
+    /// between pools, are under maintenance or are not listed; an order that was just rejected is
+    /// not repeated at once.
+    fn accepts_orders(&self, number: u64, host: &HostId) -> bool {
+        let sent = self.waves.get(&number).and_then(|wave| wave.order_sent_at.get(host));
         if sent.is_some_and(|at| self.now < *at + ORDER_RETRY_INTERVAL) {
             return false;
         }
-        let state = self.hosts.get(host).map(|m| m.state);
+        let state = self.hosts.get(host).map(|host| host.state);
         matches!(state, Some(HostState::Up | HostState::Down))
     }
 
-    /// The wave that has ordered a host down and waits for the outcome.
+    /// The wave with an order for this host that has no final reply.
     pub(super) fn wave_with_open_order(&self, host: &HostId) -> Option<u64> {
-        let waits = |w: &WaveState| w.record.ordered.contains_key(host) && !w.record.down.contains(host);
-        self.waves.iter().find(|(_, w)| waits(w)).map(|(n, _)| *n)
+        let waits =
+            |wave: &WaveState| wave.record.ordered.contains_key(host) && !wave.record.down.contains(host);
+        self.waves.iter().find(|(_, wave)| waits(wave)).map(|(number, _)| *number)
     }
 
-    /// The outcome of an order to a host, of a move or of a wave.
+    /// Handles the reply to an order to a host, for a move or for maintenance.
     pub(super) fn host_order_answered(&mut self, host: &HostId, reply: HostReply) {
         if self.move_answered(host, reply) {
             return;
         }
-        let Some(n) = self.wave_with_open_order(host) else { return };
+        let Some(number) = self.wave_with_open_order(host) else { return };
         let listed = self.hosts.get(host);
-        let (pool, state) = listed.map_or(("none", None), |m| (m.pool.as_str(), Some(m.state)));
+        let (pool, state) = listed.map_or(("none", None), |host| (host.pool.as_str(), Some(host.state)));
         self.notes.push(format_args!(
-            "event=machine_answer wave={n} machine={host} reply={reply:?} pool={pool} listed={state:?}"
+            "event=machine_answer wave={number} machine={host} reply={reply:?} pool={pool} listed={state:?}"
         ));
-        let Some(w) = self.waves.get_mut(&n) else { return };
+        let Some(wave) = self.waves.get_mut(&number) else { return };
         match reply {
-            HostReply::Done => self.maintenance_begun(n, host),
+            HostReply::Done => self.maintenance_begun(number, host),
             HostReply::Impossible => {
-                w.record.down.insert(host.clone());
-                w.record.finished.insert(host.clone());
-                self.dirty_waves.insert(n);
+                wave.record.down.insert(host.clone());
+                wave.record.finished.insert(host.clone());
+                self.dirty_waves.insert(number);
             }
             HostReply::NoAnswer => {
-                w.unconfirmed.insert(host.clone());
+                wave.unconfirmed.insert(host.clone());
             }
-            // Nothing was done. Unless an earlier try may yet be, the host
-            // is emptied anew: it may come back with other work on it.
+            // Nothing was done. Unless an earlier request may yet be carried out, the host is
+            // drained again: it may come back with other work on it.
             HostReply::Busy | HostReply::Later | HostReply::Fenced => {
-                if !w.unconfirmed.contains(host) {
-                    w.record.ordered.remove(host);
-                    w.draining.insert(host.clone(), self.now);
-                    self.dirty_waves.insert(n);
+                if !wave.unconfirmed.contains(host) {
+                    wave.record.ordered.remove(host);
+                    wave.draining.insert(host.clone(), self.now);
+                    self.dirty_waves.insert(number);
                 }
             }
         }
     }
 
-    /// A host was ordered down, and the life of its worker ended with that.
-    fn maintenance_begun(&mut self, n: u64, host: &HostId) {
-        let Some(w) = self.waves.get_mut(&n) else { return };
-        w.record.down.insert(host.clone());
-        w.confirmed_at.insert(host.clone(), self.now);
-        let life = w.record.ordered.get(host).cloned().flatten();
-        self.dirty_waves.insert(n);
+    /// A host goes into maintenance, which ends the life of its worker.
+    fn maintenance_begun(&mut self, number: u64, host: &HostId) {
+        let Some(wave) = self.waves.get_mut(&number) else { return };
+        wave.record.down.insert(host.clone());
+        wave.confirmed_at.insert(host.clone(), self.now);
+        let life = wave.record.ordered.get(host).cloned().flatten();
+        self.dirty_waves.insert(number);
         if let Some(life) = life {
             self.life_over(&life.as_str().into(), LifeEnd::Upkeep);
         }
--- a/crates/workswood-core/src/jobs/maintenance_waves.rs
+++ b/crates/workswood-core/src/jobs/maintenance_waves.rs
@@ -1,9 +1,9 @@
 //! Maintenance waves: which host goes down next, and when.
 //!
-//! A host passes through these states: it is emptied (no new work, lasting
-//! tasks moved off within their budgets), ordered down (the order is on
-//! record first), down, and finished when it is up again with another life of
-//! its worker. The orders themselves are in [`maintenance_orders`](super::maintenance_orders).
+//! Each host is first drained (no new work, lasting tasks evicted within their budgets), then
+//! ordered down (the order is on record first), then down, and finished when it is up again with
+//! another life of its worker. Orders are sent by
+//! [`maintenance_orders`](super::maintenance_orders).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,16 +18,15 @@
 use super::scheduler::Scheduler;
 use crate::ids::{HostId, ServiceId};
 
-/// A host that is off is listed as under maintenance within this time
-/// after its order was confirmed, if it is at all.
+/// Time within which the list shows a confirmed maintenance of a host that is turned off, if it
+/// shows it at all.
 const OFF_HOST_LIST_DELAY: Duration = Duration::from_millis(1500);
 
-/// A host that no list has shown for this long was taken away for good: lists
-/// are asked for every 0.6 s, and a host that changes its pool or is maintained
-/// stays listed.
+/// A host that no list has shown for this long was removed for good. A host that moves or is
+/// maintained stays listed.
 const REMOVED_HOST_TIMEOUT: Duration = Duration::from_millis(4000);
 
-/// A wave, as operators ask for it.
+/// A maintenance wave as an operator requests it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Wave {
     /// Its number.
@@ -36,14 +35,14 @@
     pub hosts: Vec<HostId>,
     /// Time allowed for all of them.
     pub time_allowed: Duration,
-    /// How many may be down at once.
+    /// How many of them may be down at the same time.
     pub max_down: usize,
 }
 
-/// The stored progress of a wave.
+/// Stored progress of a wave.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WaveRecord {
-    /// Hosts ordered down, with the life of the worker at that time.
+    /// Hosts that were ordered down, with the life of the worker at that time.
     #[serde(default)]
     pub ordered: BTreeMap<HostId, Option<String>>,
     /// Hosts whose order was confirmed.
@@ -54,44 +53,45 @@
     pub finished: BTreeSet<HostId>,
 }
 
-/// What the scheduler knows of a wave.
+/// The state of a wave.
 #[derive(Clone, Debug)]
 pub struct WaveState {
-    /// What was asked for.
-    pub wave: Wave,
-    /// What is on record.
+    /// The wave as requested.
+    pub request: Wave,
+    /// The stored progress.
     pub record: WaveRecord,
-    /// Hosts that are being emptied, and since when.
+    /// Hosts that are being drained, and since when.
     pub draining: BTreeMap<HostId, Duration>,
     /// When each order was last sent.
     pub order_sent_at: BTreeMap<HostId, Duration>,
-    /// When each order was confirmed, as far as this scheduler heard it.
+    /// When each order was confirmed, as far as this scheduler received the reply.
     pub confirmed_at: BTreeMap<HostId, Duration>,
-    /// Hosts whose order may yet be carried out though it was not answered.
+    /// Hosts whose order may still be carried out although it was not answered.
     pub unconfirmed: BTreeSet<HostId>,
     /// Hosts that the list does not show, and since when.
     pub absent_since: BTreeMap<HostId, Duration>,
-    /// Hosts that were taken away; they need no maintenance.
+    /// Hosts that were removed; they need no maintenance.
     pub removed: BTreeSet<HostId>,
-    /// When we heard of it.
+    /// When this scheduler first knew of the wave.
     pub known_since: Duration,
 }
 
 /// Whether a host is back from maintenance: its worker has another life.
-/// One that is off in its pool has no worker, before and after; the life on record
-/// may be one that ended when it was turned off. A list that was asked for before the order was confirmed may be older than the
-/// maintenance: with a life on record that is not the latest (the host has
-/// just changed its pool), it would show the host as back at once.
+///
+/// A host that is turned off has no worker, before and after; the life on record may be one that
+/// ended when it was turned off. A list that was requested before the order was confirmed may be
+/// older than the maintenance. If the life on record is not the latest, as after a move between
+/// pools, such a list would show the host as back at once.
 fn has_returned(
-    m: &Host,
+    host: &Host,
     off: bool,
     before: &Option<String>,
     confirmed: Option<&Duration>,
     asked: Duration,
 ) -> bool {
     let Some(confirmed) = confirmed.filter(|at| **at < asked) else { return false };
-    match (&m.worker, m.state) {
-        // The list names workers; one that started again may go by its name of before.
+    match (&host.worker, host.state) {
+        // The list names workers; one that restarted may appear under the same name.
         (Some(id), HostState::Up) => match before.as_deref().map(WorkerId::from) {
             Some(life) if life.name() == id.name() => {
                 life.started().is_some() && *confirmed + OFF_HOST_LIST_DELAY < asked
@@ -106,58 +106,61 @@
 }
 
 impl WaveState {
-    /// Whether every host of it has been maintained, or was taken away.
+    /// Whether every host of it has been maintained or was removed.
     pub fn is_complete(&self) -> bool {
-        self.wave.hosts.iter().all(|m| self.record.finished.contains(m) || self.removed.contains(m))
+        self.request
+            .hosts
+            .iter()
+            .all(|host| self.record.finished.contains(host) || self.removed.contains(host))
     }
 
-    /// Takes in which hosts a list shows; returns whether some count as taken
-    /// away now that did not before, or the other way round.
+    /// Updates the hosts that are missing from the list. Returns whether the number of removed
+    /// hosts changed.
     fn update_absent(&mut self, hosts: &Map<HostId, Host>, asked: Duration) -> bool {
         let before = self.removed.len();
-        let absent = self.wave.hosts.iter().filter(|m| !hosts.contains_key(*m));
-        let absent = absent.map(|m| (m.clone(), self.absent_since.get(m).copied().unwrap_or(asked)));
+        let absent = self.request.hosts.iter().filter(|host| !hosts.contains_key(*host));
+        let absent = absent.map(|host| (host.clone(), self.absent_since.get(host).copied().unwrap_or(asked)));
         self.absent_since = absent.collect();
         let gone = self.absent_since.iter().filter(|(_, since)| **since + REMOVED_HOST_TIMEOUT <= asked);
-        self.removed = gone.map(|(m, _)| m.clone()).collect();
+        self.removed = gone.map(|(host, _)| host.clone()).collect();
         self.removed.len() != before
     }
 
-    /// How many hosts should be finished or under way by now.
+    /// How many hosts should be finished or begun by now.
     fn planned_by(&self, now: Duration, short: bool, policy: &WavePolicy) -> usize {
         let used = if short { policy.planned_time_share_when_short } else { policy.planned_time_share };
-        let passed = now.saturating_sub(self.known_since).as_secs_f64() + policy.ahead.as_secs_f64();
-        let within = self.wave.time_allowed.as_secs_f64() * used;
+        let passed = now.saturating_sub(self.known_since).as_secs_f64() + policy.lead_time.as_secs_f64();
+        let within = self.request.time_allowed.as_secs_f64() * used;
         let share = if within > 0.0 { (passed / within).min(1.0) } else { 1.0 };
-        (self.wave.hosts.len() as f64 * share).ceil() as usize
+        (self.request.hosts.len() as f64 * share).ceil() as usize
     }
 
-    /// Whether nothing has been begun yet with a host of it.
+    /// Whether the maintenance of a host has not begun.
     fn is_pending(&self, host: &HostId) -> bool {
         let begun = self.record.ordered.contains_key(host) || self.draining.contains_key(host);
         !begun && !self.record.finished.contains(host)
     }
 
-    /// Whether a host is emptied for it, or is or may be down.
+    /// Whether a host is being drained for the wave, or is or may be down.
     fn occupies(&self, host: &HostId) -> bool {
         let ordered = self.record.ordered.contains_key(host) && !self.record.finished.contains(host);
         ordered || self.draining.contains_key(host)
     }
 
-    /// Hosts that are emptied for it, or are or may be down.
+    /// Hosts that are being drained for the wave, or are or may be down.
     fn occupied(&self) -> impl Iterator<Item = &HostId> {
-        let down = self.record.ordered.keys().filter(|m| !self.record.finished.contains(*m));
+        let down = self.record.ordered.keys().filter(|host| !self.record.finished.contains(*host));
         self.draining.keys().chain(down)
     }
 
-    /// Hosts that are, or may be, down for it.
+    /// Number of hosts that are, or may be, down for the wave.
     pub(super) fn down_count(&self) -> usize {
-        self.record.ordered.keys().filter(|m| !self.record.finished.contains(*m)).count()
+        self.record.ordered.keys().filter(|host| !self.record.finished.contains(*host)).count()
     }
 }
 
 impl Scheduler {
-    /// An operator asks for a wave.
+    /// Adds a wave that an operator requested.
     pub(super) fn wave_requested(&mut self, wave: Wave, rec: Option<WaveRecord>) {
         let number = wave.number;
         if self.waves.contains_key(&number) {
@@ -170,16 +173,16 @@
         ));
         let record = rec.unwrap_or_default();
         let now = self.now;
-        let open = record.ordered.keys().filter(|m| !record.down.contains(*m));
-        let unsure = open.cloned().collect();
-        let confirmed = record.down.iter().map(|m| (m.clone(), now)).collect();
+        let open = record.ordered.keys().filter(|host| !record.down.contains(*host));
+        let unconfirmed = open.cloned().collect();
+        let confirmed_at = record.down.iter().map(|host| (host.clone(), now)).collect();
         let state = WaveState {
-            wave,
+            request: wave,
             record,
             draining: BTreeMap::new(),
             order_sent_at: BTreeMap::new(),
-            confirmed_at: confirmed,
-            unconfirmed: unsure,
+            confirmed_at,
+            unconfirmed,
             absent_since: BTreeMap::new(),
             removed: BTreeSet::new(),
             known_since: now,
@@ -188,14 +191,14 @@
         self.dirty_waves.insert(number);
     }
 
-    /// The platform's list of hosts was read.
+    /// Takes over a list of hosts that was requested at `asked`.
     pub(super) fn hosts_listed(&mut self, list: Vec<Host>, asked: Duration) {
-        // Answers may overtake one another; an older list tells nothing new.
+        // Answers may overtake one another, so older lists are ignored.
         if asked < self.hosts_requested_at {
             return;
         }
         self.hosts_requested_at = asked;
-        self.hosts = list.into_iter().map(|m| (m.name.clone(), m)).collect();
+        self.hosts = list.into_iter().map(|host| (host.name.clone(), host)).collect();
         self.measure_fleet();
         self.correct_host_list();
         self.record_declared_sizes();
@@ -203,71 +206,77 @@
         self.mark_finished_hosts(asked);
     }
 
-    /// Whether the list of hosts is needed.
+    /// Whether the scheduler needs lists of hosts at present.
     pub fn needs_host_list(&self) -> bool {
-        self.waves.values().any(|w| !w.is_complete()) || self.config.services.values().any(|s| s.spare)
+        self.waves.values().any(|wave| !wave.is_complete()) || self.config.services.values().any(|s| s.spare)
     }
 
-    /// Marks hosts as finished that are up again with another life.
+    /// Marks hosts as finished that are up again with another life of their worker.
     fn mark_finished_hosts(&mut self, asked: Duration) {
         let spare = self.spare_pool();
-        for (number, w) in &mut self.waves {
-            if !self.hosts.is_empty() && w.update_absent(&self.hosts, asked) {
+        for (number, wave) in &mut self.waves {
+            if !self.hosts.is_empty() && wave.update_absent(&self.hosts, asked) {
                 self.dirty_waves.insert(*number);
             }
-            let waiting: Vec<HostId> =
-                w.record.down.iter().filter(|m| !w.record.finished.contains(*m)).cloned().collect();
+            let waiting: Vec<HostId> = wave
+                .record
+                .down
+                .iter()
+                .filter(|host| !wave.record.finished.contains(*host))
+                .cloned()
+                .collect();
             for name in waiting {
-                let before = w.record.ordered.get(&name).cloned().flatten();
+                let before = wave.record.ordered.get(&name).cloned().flatten();
                 let back = match self.hosts.get(&name) {
-                    Some(m) => {
-                        let off = spare.as_ref() == Some(&m.pool);
-                        has_returned(m, off, &before, w.confirmed_at.get(&name), asked)
+                    Some(host) => {
+                        let off = spare.as_ref() == Some(&host.pool);
+                        has_returned(host, off, &before, wave.confirmed_at.get(&name), asked)
                     }
-                    // A host that was taken away needs no maintenance.
+                    // A removed host needs no maintenance.
                     None => !self.hosts.is_empty(),
                 };
                 if back {
-                    w.record.finished.insert(name);
+                    wave.record.finished.insert(name);
                     self.dirty_waves.insert(*number);
                 }
             }
         }
     }
 
-    /// Goes on with all waves.
+    /// Advances all waves.
     pub(super) fn advance_waves(&mut self) {
-        let open: Vec<u64> = self.waves.iter().filter(|(_, w)| !w.is_complete()).map(|(n, _)| *n).collect();
-        for n in open {
-            self.advance_wave(n);
+        let open: Vec<u64> =
+            self.waves.iter().filter(|(_, wave)| !wave.is_complete()).map(|(number, _)| *number).collect();
+        for number in open {
+            self.advance_wave(number);
         }
         self.update_cordons();
     }
 
-    /// Whether a host gets no new work: it moves, or a wave takes it.
+    /// Whether a host gets no new work since it moves or is in maintenance.
     pub(super) fn is_cordoned(&self, host: &HostId) -> bool {
         self.pools.moves.contains_key(host) || self.in_maintenance(host)
     }
 
-    /// Whether some wave empties a host or has it down.
+    /// Whether some wave drains a host or has it down.
     pub(super) fn in_maintenance(&self, host: &HostId) -> bool {
-        self.waves.values().any(|w| w.occupies(host))
+        self.waves.values().any(|wave| wave.occupies(host))
     }
 
-    /// Hosts that get no new work: they move, or a wave takes them.
+    /// Hosts that get no new work since they move or are in maintenance.
     pub(super) fn hosts_to_cordon(&self) -> Set<&HostId> {
-        let waves = self.waves.values().filter(|w| !w.is_complete()).flat_map(WaveState::occupied);
+        let waves = self.waves.values().filter(|wave| !wave.is_complete()).flat_map(WaveState::occupied);
         self.pools.moves.keys().chain(waves).collect()
     }
 
-    /// Keeps new work away from hosts that are to go down.
+    /// Updates the cordons of workers after a change of the hosts to cordon.
     fn update_cordons(&mut self) {
-        let taken: BTreeSet<HostId> = self.hosts_to_cordon().into_iter().cloned().collect();
-        let changed: Vec<(HostId, bool)> = taken
+        let to_cordon: BTreeSet<HostId> = self.hosts_to_cordon().into_iter().cloned().collect();
+        let changed: Vec<(HostId, bool)> = to_cordon
             .symmetric_difference(&self.cordoned_hosts)
-            .map(|host| (host.clone(), taken.contains(host)))
+            .map(|host| (host.clone(), to_cordon.contains(host)))
             .collect();
-        self.cordoned_hosts = taken;
+        self.cordoned_hosts = to_cordon;
         for (host, cordoned) in changed {
             for id in self.workers.on_host(&host).to_vec() {
                 self.set_cordon(&id, cordoned);
@@ -283,73 +292,76 @@
         }
     }
 
-    /// Goes on with one wave.
-    fn advance_wave(&mut self, n: u64) {
+    /// Advances one wave.
+    fn advance_wave(&mut self, number: u64) {
         if self.hosts.is_empty() {
             return;
         }
-        self.resend_maintenance_orders(n);
-        self.start_draining(n);
-        self.order_drained_hosts(n);
+        self.resend_maintenance_orders(number);
+        self.start_draining(number);
+        self.order_drained_hosts(number);
     }
 
-    /// Picks hosts to empty: idle ones that their pool can spare at any
-    /// time, others only as the wave's time runs out.
-    fn start_draining(&mut self, n: u64) {
-        let Some(w) = self.waves.get(&n) else { return };
-        let begun = w.draining.len() + w.down_count();
-        let mut room = w.wave.max_down.max(1).saturating_sub(begun);
+    /// Picks hosts to drain: idle ones that their pool can spare at any time, others only as far as
+    /// the wave is behind its plan.
+    fn start_draining(&mut self, number: u64) {
+        let Some(wave) = self.waves.get(&number) else { return };
+        let begun = wave.draining.len() + wave.down_count();
+        let mut room = wave.request.max_down.max(1).saturating_sub(begun);
         if room == 0 {
             return;
         }
         let mut count = self.count_pools();
         let short = self.short_pools(&count);
-        let planned = w.planned_by(self.now, !short.is_empty(), &self.policy.waves);
-        let mut behind = planned.saturating_sub(w.record.finished.len() + begun);
-        for (lasting, used, m) in self.drain_candidates(w, &short) {
-            let spared = lasting == 0 && used == 0 && self.can_spare(&count, &m);
+        let planned = wave.planned_by(self.now, !short.is_empty(), &self.policy.waves);
+        let mut behind = planned.saturating_sub(wave.record.finished.len() + begun);
+        for (lasting, used, host) in self.drain_candidates(wave, &short) {
+            let spared = lasting == 0 && used == 0 && self.can_spare(&count, &host);
             if room == 0 {
                 break;
             }
-            if (behind == 0 && !spared) || self.in_maintenance(&m) {
+            if (behind == 0 && !spared) || self.in_maintenance(&host) {
                 continue;
             }
             room -= 1;
             behind = behind.saturating_sub(1);
-            self.notes.push(format_args!("event=machine_emptying wave={n} machine={m} spared={spared}"));
-            if let Some(m) = self.hosts.get(&m).filter(|m| is_working(m) && self.stands_open(m)) {
-                count.remove_host(&m.pool);
+            self.notes
+                .push(format_args!("event=machine_emptying wave={number} machine={host} spared={spared}"));
+            if let Some(host) =
+                self.hosts.get(&host).filter(|host| is_working(host) && self.stands_open(host))
+            {
+                count.remove_host(&host.pool);
             }
             let now = self.now;
-            if let Some(w) = self.waves.get_mut(&n) {
-                w.draining.insert(m, now);
+            if let Some(wave) = self.waves.get_mut(&number) {
+                wave.draining.insert(host, now);
             }
         }
     }
 
-    /// Hosts of a wave that wait, those of pools that are short last, those
-    /// with the least on them first; each with its lasting tasks and processor
-    /// use.
-    fn drain_candidates(&self, w: &WaveState, short: &[ServiceId]) -> Vec<(usize, u64, HostId)> {
-        let free = |m: &&HostId| self.hosts.contains_key(*m) && !self.pools.moves.contains_key(*m);
-        let waiting = w.wave.hosts.iter().filter(|m| w.is_pending(m)).filter(free);
-        let mut waiting: Vec<(bool, (usize, u64, HostId))> =
-            waiting.map(|m| (self.is_in_pools(m, short), self.load_on(m, self.worker_on(m)))).collect();
+    /// Hosts of a wave whose maintenance has not begun, with their lasting tasks and processor use:
+    /// those of short pools last, those with the least load first.
+    fn drain_candidates(&self, wave: &WaveState, short: &[ServiceId]) -> Vec<(usize, u64, HostId)> {
+        let free = |host: &&HostId| self.hosts.contains_key(*host) && !self.pools.moves.contains_key(*host);
+        let waiting = wave.request.hosts.iter().filter(|host| wave.is_pending(host)).filter(free);
+        let mut waiting: Vec<(bool, (usize, u64, HostId))> = waiting
+            .map(|host| (self.is_in_pools(host, short), self.load_on(host, self.worker_on(host))))
+            .collect();
         waiting.sort();
         waiting.into_iter().map(|(_, load)| load).collect()
     }
 
-    /// Whether a host stands in one of these pools.
-    fn is_in_pools(&self, m: &HostId, pools: &[ServiceId]) -> bool {
-        self.hosts.get(m).is_some_and(|m| pools.contains(&m.pool))
+    /// Whether a host is in one of these pools.
+    fn is_in_pools(&self, host: &HostId, pools: &[ServiceId]) -> bool {
+        self.hosts.get(host).is_some_and(|host| pools.contains(&host.pool))
     }
 
-    /// Lasting tasks and processor use on a host, by its worker's statement or
-    /// the list of hosts.
-    fn load_on(&self, m: &HostId, says: Option<&WorkerId>) -> (usize, u64, HostId) {
-        let id = says.or_else(|| self.hosts.get(m).and_then(|m| m.worker.as_ref()));
+    /// Lasting tasks and processor use of a host's worker, found by the worker's own statement or
+    /// else by the list of hosts.
+    fn load_on(&self, host: &HostId, stated: Option<&WorkerId>) -> (usize, u64, HostId) {
+        let id = stated.or_else(|| self.hosts.get(host).and_then(|host| host.worker.as_ref()));
         let lasting = id.map_or(0, |id| self.lasting_runs(id).len());
         let used = id.and_then(|id| self.workers.get(id)).map_or(0, |w| w.used.cpu_millis);
-        (lasting, used, m.clone())
+        (lasting, used, host.clone())
     }
 }
--- a/crates/workswood-core/src/jobs/policy.rs
+++ b/crates/workswood-core/src/jobs/policy.rs
@@ -1,9 +1,7 @@
-//! What the scheduler's decisions are tuned by.
+//! Parameters of the scheduler's decisions.
 //!
-//! Each mechanism that decides reads its limits, weights and thresholds from a
-//! [`Policy`]. The defaults serve the deployments of `docs/` best; a
-//! settings file may change single values, to try them out or to switch a
-//! mechanism off.
+//! Each mechanism reads its limits, weights and thresholds from a [`Policy`]. A settings file may
+//! change single values; fields keep their names there by `#[serde(rename)]`.
 
 use std::time::Duration;
 
@@ -13,69 +11,67 @@
 use super::crash::CrashPolicy;
 use super::relays::RelayPolicy;
 
-/// All that the scheduler's decisions are tuned by.
+/// All parameters of the scheduler's decisions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
-    /// Which waiting task is next.
+    /// The order of waiting tasks.
     pub order: OrderPolicy,
-    /// Which worker a task is started on.
+    /// The choice of workers for tasks.
     pub placement: PlacementPolicy,
-    /// How many hosts a pool needs.
+    /// The number of hosts that a pool needs.
     pub need: NeedPolicy,
-    /// Which hosts change their pool.
+    /// Moves of hosts between pools.
     pub pools: PoolPolicy,
-    /// When hosts are maintained.
+    /// The pace of maintenance waves.
     pub waves: WavePolicy,
-    /// Which workers are believed and used.
+    /// The use of workers that are silent, faulty or stuck.
     pub health: HealthPolicy,
-    /// How crashes of workers are put down to tasks.
+    /// The attribution of worker crashes to tasks.
     pub crashes: CrashPolicy,
-    /// How fast filling tasks work.
+    /// The pace of filling tasks.
     pub pace: PacePolicy,
-    /// What is done about calls that fail or are lost.
+    /// The handling of calls that fail or are lost.
     pub calls: CallPolicy,
-    /// When the adviser is asked.
+    /// Calls to the adviser.
     pub advice: AdvicePolicy,
-    /// Which entries speak with workers for the lease holder.
+    /// The choice of relays.
     pub relays: RelayPolicy,
 }
 
-/// Which waiting task is next.
+/// Parameters of the order of waiting tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OrderPolicy {
-    /// A job that is done this many multiples of its time after it was owed is
-    /// worth nothing.
+    /// A job is worthless once it is late by this multiple of its target time.
     #[serde(rename = "late_until")]
     pub worthless_after: f64,
-    /// Ends after which the mean of a queue is trusted as much as an estimate.
+    /// Number of ends after which the measured mean of a queue is trusted as much as an estimate.
     #[serde(rename = "enough_ends")]
     pub min_ends: u32,
-    /// Weight of the newest end in the mean of a queue: about the last 30 count.
+    /// Weight of the newest end in the moving average of a queue.
     #[serde(rename = "newest")]
     pub newest_weight: f64,
-    /// From so much room on that the waiting tasks of a service ask for whose job can be in time, as a
-    /// share of the room of all hosts, those with the least work left go first: not all can be
-    /// in time any more. Before that, those that must begin first do. A share that is much smaller is
-    /// reached at the start of each turn, where all can be in time.
+    /// Overload threshold: the room that the tasks waiting in a service ask for whose jobs can
+    /// still be in time, as a share of the capacity of all hosts. Above it not all jobs can be in
+    /// time, so those with the least work left go first; below it, those that must begin first.
     #[serde(rename = "overload")]
     pub overload_share: f64,
-    /// Whose waiting tasks go first when all is full.
+    /// How workspaces share workers when all are full.
     #[serde(rename = "shares")]
     pub share_order: ShareOrder,
 }
 
-/// Whose waiting tasks go first when all is full.
+/// How workspaces share workers when all are full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ShareOrder {
-    /// Whoever must begin first.
+    /// Only urgency counts, not the workspace.
     Plain,
-    /// Likewise, but what a workspace sends beyond its share goes behind.
+    /// As `Plain`, but work that a workspace submits beyond its share goes last.
     Excess,
-    /// Likewise; and while not all can be in time, the workspace with the least at work by its share
-    /// goes first. Before that, taking turns would make late what could be in time.
+    /// As `Excess`; in addition, while not all jobs can be in time, the workspace that uses the
+    /// least relative to its share goes first.
     Dominant,
 }
 
@@ -91,16 +87,16 @@
     }
 }
 
-/// Which worker a task is started on.
+/// Parameters of the choice of workers for tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlacementPolicy {
-    /// Steps without a place that are looked at before a pass gives up, lasting
-    /// ones apart. Smaller tasks behind may fit where larger ones don't; with
-    /// many of them the large ones would never find room.
+    /// Number of steps without a fitting worker, other than those of lasting tasks, after which a
+    /// placement pass stops. Smaller tasks further back would otherwise always fill the room that
+    /// larger ones wait for.
     #[serde(rename = "most_misses")]
     pub max_misses: usize,
-    /// Whether filling tasks go to hosts that serve.
+    /// Whether filling tasks may run on hosts with serving tasks.
     #[serde(rename = "fills_beside")]
     pub fill_serving_hosts: bool,
 }
@@ -111,70 +107,66 @@
     }
 }
 
-/// How many hosts a pool needs.
+/// Parameters of the number of hosts that a pool needs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct NeedPolicy {
-    /// Share of a host's room that is planned to be in use.
+    /// Share of a host's capacity that is planned to be in use.
     #[serde(rename = "full")]
     pub target_use: f64,
-    /// How much a waiting task counts whose job is late: it is worth little,
-    /// but it was accepted.
+    /// Weight of a waiting task whose job is already late.
     #[serde(rename = "late")]
     pub late_task_weight: f64,
-    /// Work that came in within this time tells how much there will be to do,
-    /// before it shows in what runs: tasks of later steps are not waiting yet.
+    /// Window over which the rate of submitted work is measured. It shows demand before the tasks
+    /// of later steps wait.
     #[serde(rename = "arrivals", with = "humantime_serde")]
     pub arrival_window: Duration,
-    /// How far ahead a rise of the work that comes in is drawn out: the time
-    /// that a host needs to get to another pool.
-    #[serde(with = "humantime_serde")]
-    pub ahead: Duration,
-    /// The work that comes in is taken to rise to this multiple at most.
+    /// How far ahead a rise of the rate is extrapolated: the time that a host needs to move to
+    /// another pool.
+    #[serde(rename = "ahead", with = "humantime_serde")]
+    pub rise_lookahead: Duration,
+    /// The extrapolated rate is at most this multiple of the measured one.
     #[serde(rename = "most_rise")]
     pub max_rise: f64,
-    /// A turn of demand has begun when work comes in at this multiple of what
-    /// it did before.
+    /// A surge of demand has begun when the rate reaches this multiple of the rate before.
     #[serde(rename = "turn_rise")]
     pub surge_rise: f64,
-    /// How long that time before is.
+    /// Length of the window before `arrival_window` in which the rate before a surge is measured.
     #[serde(rename = "turn_after", with = "humantime_serde")]
     pub calm_window: Duration,
-    /// It has to keep this share of all hosts busy, lest a single job counts
-    /// as a turn.
+    /// A surge has to keep at least this share of all hosts busy, so that a single job does not
+    /// count as one.
     #[serde(rename = "turn_least")]
     pub surge_min_share: f64,
-    /// So many jobs have to have come in: a single one may be as large as many.
+    /// A surge has to consist of at least this many jobs.
     #[serde(rename = "turn_jobs")]
     pub surge_min_jobs: usize,
-    /// Share of the highest rate seen that a turn is taken to come to; 0 takes
-    /// none to come.
+    /// Share of the highest rate seen before that a surge is expected to reach; 0 switches the
+    /// forecast off.
     #[serde(rename = "turn_share")]
     pub surge_peak_share: f64,
-    /// A turn is taken to want this many times the hosts that operators gave
-    /// the pool, until more is known.
+    /// A service's first surge is expected to need this multiple of the hosts that operators gave
+    /// its pool.
     #[serde(rename = "turn_first")]
     pub first_surge_pool_factor: f64,
-    /// but no more than this many times what comes in now, which the last third of `arrivals` tells: where
-    /// pools are far larger than the demand on them, their sizes tell nothing of a turn;
+    /// Upper bound of that forecast, as a multiple of the rate in the last third of
+    /// `arrival_window`.
     #[serde(rename = "turn_first_rise")]
     pub first_surge_max_rise: f64,
-    /// and only while that is this many times the rate of all of `arrivals`: afterwards the turn is at its
-    /// height, and what came in tells what it wants.
+    /// That forecast applies only while the rate in the last third of `arrival_window` is at least
+    /// this multiple of the rate in the whole window: afterwards the surge has reached its peak.
     #[serde(rename = "turn_still_rises")]
     pub first_surge_min_rise: f64,
-    /// Whether a turn that asks for more than its service's earlier ones is taken to
-    /// come to what turns of other services did. Before its first turn a service has
-    /// only shown how little it asks for in between.
+    /// Whether a surge beyond the service's earlier ones is expected to reach the highest rate of
+    /// any service. Before its first surge, a service's own history only shows its low demand.
     #[serde(rename = "turn_any")]
     pub surge_from_other_services: bool,
-    /// How fast the need falls that counts when another pool is short, as a
-    /// share of all hosts a second: a host that is idle here is wanted
-    /// there.
+    /// How fast the lend floor of a pool falls, in shares of all hosts per second. Hosts above the
+    /// floor may go to a pool that is short.
     #[serde(rename = "lend_per_s")]
     pub lend_floor_fall_per_s: f64,
-    /// How fast the need falls that counts when hosts are turned off,
-    /// likewise: the next turn of demand may come soon.
+    /// How fast the power-off floor of a pool falls, in shares of all hosts per second. Hosts above
+    /// the floor may be turned off; the floor falls slowly since demand often returns.
     #[serde(rename = "forget_per_s")]
     pub power_off_floor_fall_per_s: f64,
 }
@@ -185,7 +177,7 @@
             target_use: 0.85,
             late_task_weight: 0.3,
             arrival_window: Duration::from_millis(1000),
-            ahead: Duration::ZERO,
+            rise_lookahead: Duration::ZERO,
             max_rise: 3.0,
             surge_rise: 3.0,
             calm_window: Duration::from_secs(8),
@@ -202,23 +194,20 @@
     }
 }
 
-/// Which hosts change their pool.
+/// Parameters of moves between pools.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PoolPolicy {
-    /// Hosts that a pool keeps above its need, as a share of all hosts.
+    /// Number of hosts that a pool keeps above its need, as a share of all hosts.
     pub margin: f64,
-    /// A pool gives hosts up only when it has more than it needs by this
-    /// share of all hosts.
+    /// A pool turns hosts off only when it exceeds its power-off floor by this share of all hosts.
     pub surplus: f64,
-    /// Share of all hosts that may be under way at a time. A turn of demand
-    /// wants several times a pool's hosts within a task's time.
+    /// Share of all hosts that may be moving at the same time.
     #[serde(rename = "most_moves")]
     pub max_moves_share: f64,
-    /// Longest time that a host is kept from new work before its move is
-    /// given up.
-    #[serde(with = "humantime_serde")]
-    pub empty_for: Duration,
+    /// Longest time that a host is cordoned for a move before the move is abandoned.
+    #[serde(rename = "empty_for", with = "humantime_serde")]
+    pub drain_timeout: Duration,
 }
 
 impl Default for PoolPolicy {
@@ -227,29 +216,29 @@
             margin: 0.02,
             surplus: 0.04,
             max_moves_share: 0.25,
-            empty_for: Duration::from_millis(2500),
+            drain_timeout: Duration::from_millis(2500),
         }
     }
 }
 
-/// When hosts are maintained.
+/// Parameters of maintenance waves.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WavePolicy {
-    /// Share of a wave's time that is planned for; the rest is for hosts
-    /// that come back late.
+    /// Share of a wave's time by which all its hosts are planned to be begun; the rest is reserved
+    /// for hosts that come back late.
     #[serde(rename = "use_of_time")]
     pub planned_time_share: f64,
     /// The same while some pool is short of hosts.
     #[serde(rename = "use_when_short")]
     pub planned_time_share_when_short: f64,
-    /// A host is begun this long before it has to be finished: emptying, and
-    /// the maintenance itself.
-    #[serde(with = "humantime_serde")]
-    pub ahead: Duration,
-    /// Longest time that short tasks are given to end before a host goes down.
-    #[serde(with = "humantime_serde")]
-    pub empty_for: Duration,
+    /// How long before its planned completion the maintenance of a host begins: the time to drain
+    /// it and to maintain it.
+    #[serde(rename = "ahead", with = "humantime_serde")]
+    pub lead_time: Duration,
+    /// Longest time that short tasks get to end before the host is ordered down.
+    #[serde(rename = "empty_for", with = "humantime_serde")]
+    pub drain_timeout: Duration,
 }
 
 impl Default for WavePolicy {
@@ -257,38 +246,34 @@
         WavePolicy {
             planned_time_share: 0.35,
             planned_time_share_when_short: 0.6,
-            ahead: Duration::from_millis(4000),
-            empty_for: Duration::from_millis(3500),
+            lead_time: Duration::from_millis(4000),
+            drain_timeout: Duration::from_millis(3500),
         }
     }
 }
 
-/// Which workers are believed and used.
+/// Parameters of the use of workers that are silent, faulty or stuck.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HealthPolicy {
-    /// What a worker said last is believed for this long when budgets are
-    /// counted: a look waits 0.9 s for news, and an answer needs some time on a
-    /// busy entry. A worker that has been silent for longer may have lost what
-    /// it ran.
+    /// How long a worker's last report counts as current for the availability budget. A worker that
+    /// is silent for longer may have lost its tasks.
     #[serde(rename = "believed_for", with = "humantime_serde")]
     pub report_valid_for: Duration,
-    /// A running task whose progress stands still for this long is taken to be
-    /// stuck. Twice the look interval plus a second for slow workers.
+    /// A running task without progress for this long is considered stuck.
     #[serde(with = "humantime_serde")]
     pub stuck_after: Duration,
-    /// Share of its estimated time that a task may go without progress beyond
-    /// that: three times what a percent takes.
+    /// Share of its estimated duration that a task may go without progress in addition to
+    /// `stuck_after`.
     pub stuck_share: f64,
-    /// A worker that turned a start down as unwell gets no work for this long;
-    /// about one look.
+    /// How long a worker gets no work after it rejected a start as unhealthy.
     #[serde(with = "humantime_serde")]
     pub unwell_for: Duration,
-    /// A worker that refused a start gets no work for this long; a few looks.
+    /// How long a worker gets no work after it refused a start.
     #[serde(with = "humantime_serde")]
     pub refused_for: Duration,
-    /// Faults of different jobs, with nothing done in between, after which a
-    /// worker is shunned. One alone is more often the job's own.
+    /// Number of faults in a row, of different jobs, after which a worker is shunned. A single
+    /// fault is more often the job's own.
     pub faults_to_shun: u32,
     /// How long a worker is shunned for each fault in a row.
     #[serde(with = "humantime_serde")]
@@ -296,7 +281,7 @@
     /// Longest time that a worker is shunned before it is tried again.
     #[serde(rename = "shun_at_most", with = "humantime_serde")]
     pub max_shun: Duration,
-    /// At most one of this many workers of a service is shunned at a time.
+    /// At most one in this many workers of a service is shunned at a time.
     pub shun_one_of: usize,
 }
 
@@ -316,20 +301,20 @@
     }
 }
 
-/// How fast filling tasks work beside tasks that serve users.
+/// Parameters of the pace of filling tasks that run beside serving tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PacePolicy {
-    /// Above this share of its target a serving task is in danger.
+    /// A serving task above this share of its target slows filling tasks down.
     #[serde(rename = "danger")]
     pub slow_down_above: f64,
-    /// Below this share of its target a serving task has room to spare.
+    /// Filling tasks speed up while all serving tasks are below this share of their targets.
     #[serde(rename = "ease")]
     pub speed_up_below: f64,
-    /// By how much the pace rises a look, in percent.
+    /// By how much the pace rises with each probe, in percent.
     #[serde(rename = "step")]
     pub step_percent: u32,
-    /// A pace below this, in percent, is no pace: the task waits.
+    /// Filling tasks whose pace would fall below this, in percent, are paused.
     #[serde(rename = "least")]
     pub min_percent: u32,
 }
@@ -340,14 +325,14 @@
     }
 }
 
-/// What is done about calls that fail or are lost.
+/// Parameters of the handling of calls that fail or are lost.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CallPolicy {
-    /// Whether entries that the store turns away have others write for them.
+    /// Whether entries that the store rejects have other entries write for them.
     #[serde(rename = "help")]
     pub write_for_others: bool,
-    /// Whether a look that seems to be lost is sent again before it is given up.
+    /// Whether a probe that seems to be lost is sent again before it counts as failed.
     #[serde(rename = "look_again")]
     pub resend_probe: bool,
 }
@@ -358,11 +343,11 @@
     }
 }
 
-/// Longest time that a policy may name; more is a slip of the pen.
+/// Longest duration that a policy may set.
 const MAX_DURATION: Duration = Duration::from_secs(600);
 
 impl Policy {
-    /// Checks that each value is one that the scheduler can work with.
+    /// Checks that each value is within its valid range.
     pub fn check(&self) -> Result<(), String> {
         self.check_shares()?;
         self.check_factors()?;
@@ -370,7 +355,7 @@
         self.check_times()
     }
 
-    /// Shares lie above 0, and at 1 at most.
+    /// Checks that shares are above 0 and at most 1.
     fn check_shares(&self) -> Result<(), String> {
         let shares = [
             ("order.newest", self.order.newest_weight),
@@ -387,7 +372,7 @@
         bad.map_or(Ok(()), |(name, v)| Err(format!("`policy.{name}` must be above 0 and at most 1, not {v}")))
     }
 
-    /// Factors and rates are not negative.
+    /// Checks that factors and rates are finite and not negative.
     fn check_factors(&self) -> Result<(), String> {
         let factors = [
             ("order.late_until", self.order.worthless_after),
@@ -413,7 +398,7 @@
         bad.map_or(Ok(()), |(name, v)| Err(format!("`policy.{name}` must not be negative, as {v} is")))
     }
 
-    /// Counts are at least one.
+    /// Checks that counts are at least 1.
     fn check_counts(&self) -> Result<(), String> {
         let counts = [
             ("order.enough_ends", self.order.min_ends as usize),
@@ -428,22 +413,22 @@
         bad.map_or(Ok(()), |(name, _)| Err(format!("`policy.{name}` must be at least 1")))
     }
 
-    /// Times are below a bound.
+    /// Checks that durations are at most [`MAX_DURATION`].
     fn check_times(&self) -> Result<(), String> {
         let times = [
             ("need.arrivals", self.need.arrival_window),
-            ("need.ahead", self.need.ahead),
+            ("need.ahead", self.need.rise_lookahead),
             ("need.turn_after", self.need.calm_window),
-            ("pools.empty_for", self.pools.empty_for),
-            ("waves.ahead", self.waves.ahead),
-            ("waves.empty_for", self.waves.empty_for),
+            ("pools.empty_for", self.pools.drain_timeout),
+            ("waves.ahead", self.waves.lead_time),
+            ("waves.empty_for", self.waves.drain_timeout),
             ("health.believed_for", self.health.report_valid_for),
             ("health.stuck_after", self.health.stuck_after),
             ("health.unwell_for", self.health.unwell_for),
             ("health.refused_for", self.health.refused_for),
             ("health.shun_for", self.health.shun_for),
             ("health.shun_at_most", self.health.max_shun),
-            ("advice.margin", self.advice.margin),
+            ("advice.margin", self.advice.ticket_margin),
             ("relays.shun_for", self.relays.shun_for),
             ("crashes.young", self.crashes.young),
             ("crashes.first_wait", self.crashes.first_wait),
--- a/crates/workswood-core/src/jobs/pool_moves.rs
+++ b/crates/workswood-core/src/jobs/pool_moves.rs
@@ -1,8 +1,8 @@
-//! How a host that changes its pool gets there.
+//! Moves of hosts between pools.
 //!
-//! From when a move is decided nothing new is placed on the host. Once it is
-//! empty, the platform is ordered to move it; an order without an answer is
-//! repeated. A host that does not become empty in time stays where it is.
+//! From the decision on, the host is cordoned. Once it is empty, the platform is ordered to move
+//! it; an order without a reply is repeated. A host that does not become empty in time stays in its
+//! pool.
 
 use std::time::Duration;
 
@@ -13,16 +13,15 @@
 use super::types::Action;
 use crate::ids::{HostId, ServiceId};
 
-/// A list of hosts may have been asked for this long ago.
+/// Largest time between the request for a list of hosts and its arrival.
 const HOST_LIST_LAG: Duration = Duration::from_millis(1200);
 
-/// Moves are begun as far ahead of their orders as this: from then on nothing new begins on their hosts,
-/// and some become empty only after a while.
+/// How far ahead of their orders moves are begun: hosts need some time to become empty.
 const MOVE_LEAD_TIME: Duration = Duration::from_millis(1500);
-/// Of these, those to the pool of hosts that are off take this share at most: they can wait.
+/// Largest share of these moves that may go to the pool of hosts that are turned off, since they
+/// can wait.
 const SPARE_MOVES_SHARE: f64 = 0.5;
-/// After a pause, as many orders are sent at once as the platform takes in this time: it counts them by the
-/// second, and a turn of demand wants its hosts now.
+/// After a pause, as many orders may be sent at once as the platform accepts in this time.
 const ORDER_BURST_TIME: Duration = Duration::from_millis(1000);
 
 /// A move that is under way.
@@ -30,28 +29,28 @@
 pub struct PoolMove {
     /// The pool that gets the host.
     pub to: ServiceId,
-    /// When it was decided.
+    /// When the move was decided.
     pub begun_at: Duration,
     /// When the order was last sent, if it was.
     pub order_sent_at: Option<Duration>,
-    /// Whether an order had no answer, so that it may yet be carried out.
+    /// Whether an order had no reply, so that it may still be carried out.
     pub unconfirmed: bool,
-    /// The life of its worker when it was decided.
+    /// The life of the host's worker when the move was decided.
     pub worker: Option<WorkerId>,
 }
 
-/// What is due about a move.
+/// The next step of a move.
 enum NextStep {
-    /// Its order is sent, for the first time or again.
+    /// Send the order, for the first time or again.
     Order,
-    /// The host did not become empty: it stays in its pool.
+    /// Give up: the host did not become empty in time and stays in its pool.
     GiveUp,
 }
 
 impl Scheduler {
-    /// Begins a move: from now on nothing new is placed on the host.
+    /// Begins a move and cordons the host.
     pub(super) fn begin_move(&mut self, host: HostId, to: ServiceId, worker: Option<WorkerId>) {
-        let from = self.hosts.get(&host).map(|m| m.pool.clone()).unwrap_or_default();
+        let from = self.hosts.get(&host).map(|host| host.pool.clone()).unwrap_or_default();
         let need = self.pools.need.get(&to).map_or(0.0, |n| n.now);
         self.notes
             .push(format_args!("event=machine_moving machine={host} from={from} to={to} need={need:.1}"));
@@ -62,20 +61,21 @@
         self.pools.moves.insert(host, moving);
     }
 
-    /// Sends the orders of hosts that are empty, those to pools at work first and no more than the
-    /// platform takes, and gives up on those that did not become so.
+    /// Sends the orders of empty hosts, at the rate that the platform accepts, moves to active
+    /// pools first. Gives up moves whose hosts did not become empty in time.
     pub(super) fn order_moves(&mut self) {
         let all = self.pools.moves.iter();
         let due: Vec<(HostId, NextStep)> =
-            all.filter_map(|(name, v)| Some((name.clone(), self.next_step(v)?))).collect();
+            all.filter_map(|(name, pool_move)| Some((name.clone(), self.next_step(pool_move)?))).collect();
         let (orders, over): (Vec<_>, Vec<_>) =
             due.into_iter().partition(|(_, due)| matches!(due, NextStep::Order));
         for (name, _) in over {
             self.pools.moves.remove(&name);
         }
         let spare = self.spare_pool();
-        let trims =
-            |(name, _): &(HostId, NextStep)| self.pools.moves.get(name).map(|v| &v.to) == spare.as_ref();
+        let trims = |(name, _): &(HostId, NextStep)| {
+            self.pools.moves.get(name).map(|pool_move| &pool_move.to) == spare.as_ref()
+        };
         let (last, first): (Vec<_>, Vec<_>) = orders.into_iter().partition(trims);
         let most = self.available_orders();
         for (name, _) in first.into_iter().chain(last).take(most) {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Orders of moves that may be sent now.
+    /// Number of move orders that may be sent now.
     fn available_orders(&mut self) -> usize {
         let rate = self.limits.host_orders_per_s;
         let passed = self.now.saturating_sub(self.pools.order_budget_updated_at).as_secs_f64();
@@ -94,48 +94,51 @@
         self.pools.order_budget as usize
     }
 
-    /// Moves that may be under way, to the pool of hosts that are off or to others.
+    /// Largest number of moves that may be under way, to the pool of hosts that are turned off or
+    /// to others.
     pub(super) fn max_moves(&self, to_spare: bool) -> f64 {
         let ahead = self.limits.host_orders_per_s * MOVE_LEAD_TIME.as_secs_f64();
         let most = self.share_of_hosts(self.policy.pools.max_moves_share).min(ahead.max(1.0));
         if to_spare { (most * SPARE_MOVES_SHARE).max(1.0) } else { most }
     }
 
-    /// What is due about a move, if anything is.
-    fn next_step(&self, v: &PoolMove) -> Option<NextStep> {
-        let worker = v.worker.as_ref().and_then(|id| self.workers.get(id));
+    /// The next step of a move, if one is due.
+    fn next_step(&self, pool_move: &PoolMove) -> Option<NextStep> {
+        let worker = pool_move.worker.as_ref().and_then(|id| self.workers.get(id));
         let empty = worker.is_none_or(|w| w.runs.is_empty());
-        match v.order_sent_at {
+        match pool_move.order_sent_at {
             None if empty => Some(NextStep::Order),
-            None => (self.now > v.begun_at + self.policy.pools.empty_for).then_some(NextStep::GiveUp),
+            None => {
+                (self.now > pool_move.begun_at + self.policy.pools.drain_timeout).then_some(NextStep::GiveUp)
+            }
             Some(at) => (at + ORDER_RETRY_INTERVAL < self.now).then_some(NextStep::Order),
         }
     }
 
     /// Sends the order of a move.
     fn order_move(&mut self, name: HostId) {
-        let Some(v) = self.pools.moves.get_mut(&name) else { return };
-        v.order_sent_at = Some(self.now);
-        let to = v.to.clone();
+        let Some(pool_move) = self.pools.moves.get_mut(&name) else { return };
+        pool_move.order_sent_at = Some(self.now);
+        let to = pool_move.to.clone();
         self.mark_order(&name);
         self.actions.push(Action::MoveHost(name, to));
     }
 
-    /// Corrects a list of hosts that is older than a move.
+    /// Corrects the list of hosts where it is older than a move.
     pub(super) fn correct_host_list(&mut self) {
         let now = self.now;
         self.pools.recent_moves.retain(|_, (at, _)| *at + HOST_LIST_LAG > now);
         for (name, (_, to)) in &self.pools.recent_moves {
-            if let Some(m) = self.hosts.get_mut(name).filter(|m| m.pool != *to) {
-                set_moving_to(m, to.clone());
+            if let Some(host) = self.hosts.get_mut(name).filter(|host| host.pool != *to) {
+                set_moving_to(host, to.clone());
             }
         }
     }
 
-    /// The outcome of an order to move; returns whether there was such a move.
+    /// Handles the reply to a move order; returns whether there was such a move.
     pub(super) fn move_answered(&mut self, host: &HostId, reply: HostReply) -> bool {
-        let Some(v) = self.pools.moves.get_mut(host) else { return false };
-        let (to, worker, unsure) = (v.to.clone(), v.worker.clone(), v.unconfirmed);
+        let Some(pool_move) = self.pools.moves.get_mut(host) else { return false };
+        let (to, worker, unsure) = (pool_move.to.clone(), pool_move.worker.clone(), pool_move.unconfirmed);
         self.notes.push(format_args!("event=machine_moved machine={host} to={to} reply={reply:?}"));
         match reply {
             HostReply::Done => self.move_done(host, to, worker),
@@ -143,8 +146,9 @@
                 self.pools.moves.remove(host);
                 self.pools.impossible_moves.insert((host.clone(), to));
             }
-            HostReply::NoAnswer => v.unconfirmed = true,
-            // Nothing was done; if an earlier try may yet be, it is repeated.
+            HostReply::NoAnswer => pool_move.unconfirmed = true,
+            // Nothing was done. If an earlier request may still be carried out, the order is
+            // repeated.
             HostReply::Busy | HostReply::Later | HostReply::Fenced => {
                 if !unsure {
                     self.pools.moves.remove(host);
@@ -154,12 +158,12 @@
         true
     }
 
-    /// A host was moved, and the life of its worker ended with that.
+    /// Completes a move, which ends the life of the host's worker.
     fn move_done(&mut self, host: &HostId, to: ServiceId, worker: Option<WorkerId>) {
         self.pools.moves.remove(host);
         self.pools.recent_moves.insert(host.clone(), (self.now, to.clone()));
-        if let Some(m) = self.hosts.get_mut(host) {
-            set_moving_to(m, to);
+        if let Some(host) = self.hosts.get_mut(host) {
+            set_moving_to(host, to);
         }
         if let Some(id) = worker {
             self.life_over(&id, LifeEnd::Moved);
@@ -167,9 +171,9 @@
     }
 }
 
-/// Notes that a host is on its way to a pool; its worker's life is over.
-fn set_moving_to(m: &mut Host, pool: ServiceId) {
-    m.pool = pool;
-    m.state = HostState::Moving;
-    m.worker = None;
+/// Marks a host as moving to a pool; the life of its worker is over.
+fn set_moving_to(host: &mut Host, pool: ServiceId) {
+    host.pool = pool;
+    host.state = HostState::Moving;
+    host.worker = None;
 }
--- a/crates/workswood-core/src/jobs/pool_need.rs
+++ b/crates/workswood-core/src/jobs/pool_need.rs
@@ -1,7 +1,7 @@
-//! How many hosts the pool of each service needs.
+//! Number of hosts that the pool of each service needs.
 //!
-//! The need comes from what runs, what waits and what came in lately. It rises
-//! at once and falls slowly, at two speeds: demand that fell often comes back.
+//! The need follows from the tasks that run and wait and from the rate of submitted work. It rises
+//! at once and falls slowly, at two rates, since demand often returns.
 
 use std::time::Duration;
 
@@ -13,81 +13,86 @@
 use super::spec::{JobKey, Room};
 use crate::ids::ServiceId;
 
-/// Need of a service in hosts, falling from its peaks at two speeds.
+/// Need of a service, in hosts; its two floors fall slowly from their peaks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Need {
-    /// What it could use now.
+    /// Hosts that it could use now.
     pub now: f64,
-    /// What it will be able to use when a host that is sent for now has come.
+    /// Hosts that it is expected to be able to use when a host that is moved now has arrived.
     pub soon: f64,
-    /// What it keeps when another pool is short.
+    /// Hosts that it keeps when another pool is short of hosts.
     pub lend_floor: f64,
-    /// What it keeps before hosts are turned off.
+    /// Hosts that it keeps before any are turned off.
     pub power_off_floor: f64,
 }
 
-/// What runs and waits in a service.
+/// The load that running and waiting tasks put on a service.
 struct ServiceLoad {
-    /// Whether anything does.
+    /// Whether any task runs or waits.
     any_task: bool,
-    /// How many hosts it fills.
+    /// Number of hosts that these tasks fill.
     hosts_filled: f64,
-    /// Cores of a host; 0 if there is none to go by.
+    /// Cores of the largest host; 0 if none is known.
     cores_per_host: f64,
-    /// Hosts that lasting tasks need because only so many may share one.
+    /// Hosts needed by lasting tasks that limit how many of them share a host.
     spread_hosts: f64,
 }
 
 impl ServiceLoad {
-    /// Hosts that are needed while the work that comes in keeps so many cores
-    /// busy, when each is filled to such a share.
-    fn hosts_needed(&self, offered: f64, full: f64) -> f64 {
+    /// Hosts needed for this load and for submitted work that keeps `offered_cores` cores busy, if each
+    /// host is used up to `target_use`.
+    fn hosts_needed(&self, offered_cores: f64, target_use: f64) -> f64 {
         if self.cores_per_host == 0.0 {
             return if self.any_task { self.spread_hosts.max(1.0) } else { self.spread_hosts };
         }
-        (self.hosts_filled.max(offered / self.cores_per_host) / full).max(self.spread_hosts)
+        (self.hosts_filled.max(offered_cores / self.cores_per_host) / target_use).max(self.spread_hosts)
     }
 }
 
 impl Scheduler {
-    /// Works out how many hosts each service needs.
+    /// Computes the need of each service.
     pub(super) fn compute_need(&mut self, count: &PoolCount) {
         let passed = self.now.saturating_sub(self.pools.need_computed_at).as_secs_f64();
         self.pools.need_computed_at = self.now;
         let all = self.hosts.len() as f64;
         let policy = &self.policy.need;
-        let (lend_falls, keep_falls) =
+        let (max_lend_fall, max_power_off_fall) =
             (passed * policy.lend_floor_fall_per_s * all, passed * policy.power_off_floor_fall_per_s * all);
         let services: Vec<ServiceId> = self.config.services.keys().cloned().collect();
         for s in services {
             let have = count.of(&s) as f64;
-            let need = self.next_need(&s, have, lend_falls, keep_falls);
+            let need = self.next_need(&s, have, max_lend_fall, max_power_off_fall);
             self.pools.need.insert(s, need);
         }
     }
 
-    /// Need of a service whose pool has so many hosts, when it falls by so many
-    /// at most.
-    fn next_need(&mut self, service: &ServiceId, have: f64, lend_falls: f64, keep_falls: f64) -> Need {
+    /// The need of a service whose pool has `have` hosts, with the largest falls of its two floors.
+    fn next_need(
+        &mut self,
+        service: &ServiceId,
+        have: f64,
+        max_lend_fall: f64,
+        max_power_off_fall: f64,
+    ) -> Need {
         let policy = &self.policy.need;
-        let wanted = self.service_load(service);
+        let load = self.service_load(service);
         let offered = self.offered_cores(service);
-        let now = wanted.hosts_needed(offered, policy.target_use);
-        let soon = wanted.hosts_needed(self.expected_cores(service), policy.target_use).max(now);
+        let now = load.hosts_needed(offered, policy.target_use);
+        let soon = load.hosts_needed(self.expected_cores(service), policy.target_use).max(now);
         let before = self.pools.need.get(service).copied().unwrap_or_default();
-        // Before its first work, a pool is taken to be of the right size.
+        // Before its first work, a pool is assumed to have the right size.
         let known = self.pools.services_with_work.contains(service) || now > 0.0;
-        let keep = if known { before.power_off_floor - keep_falls } else { have };
-        let lend = before.lend_floor - lend_falls;
+        let keep = if known { before.power_off_floor - max_power_off_fall } else { have };
+        let lend = before.lend_floor - max_lend_fall;
         if known {
             self.pools.services_with_work.insert(service.clone());
         }
-        // What a turn is taken to want is kept like what is in use: the signs of
-        // it come and go with single jobs, and its hosts would with them.
+        // An expected surge raises the floor like present use: its signs come and go with single
+        // jobs, and hosts should not move back and forth with them.
         Need { now, soon, lend_floor: lend.max(now), power_off_floor: keep.max(soon) }
     }
 
-    /// What runs and waits in a service.
+    /// The load that running and waiting tasks put on a service.
     fn service_load(&self, service: &ServiceId) -> ServiceLoad {
         let size = self.workers.largest(service);
         let (room, late) = (self.room_wanted(service), self.waiting_task_room(service).1);
@@ -104,29 +109,29 @@
         }
     }
 
-    /// Room that runs take in a service, and that is waited for by tasks which may begin and can
-    /// be in time.
+    /// Room that is used in a service or wanted by tasks that may begin and whose jobs can be in
+    /// time.
     pub fn room_wanted(&self, service: &ServiceId) -> Room {
         let mut room = self.workers.room_in_use(service);
         room.add(&self.waiting_task_room(service).0);
         room
     }
 
-    /// Room that is waited for by tasks whose job can be in time, and by others. What a limit
-    /// keeps from beginning asks for no hosts.
+    /// Room wanted by waiting tasks whose jobs can be in time, and by other waiting tasks. Tasks
+    /// held back by a limit of their workspace are not counted.
     fn waiting_task_room(&self, service: &ServiceId) -> (Room, Room) {
         let waiting = self.ready.get(service);
         waiting.map(|w| w.room_within(|owner| self.left_of_limit(owner))).unwrap_or_default()
     }
 
-    /// Hosts that lasting tasks need because only so many may share one.
+    /// Hosts needed by lasting tasks that limit how many of them share a host.
     fn spread_hosts(&self, service: &ServiceId) -> u32 {
         let jobs = self.jobs.lasting(service).filter(|j| j.open());
         let steps = jobs.flat_map(|j| &j.spec.steps).filter(|s| s.lasting && s.most_per_worker > 0);
         steps.map(|s| s.count.div_ceil(s.most_per_worker)).max().unwrap_or(0)
     }
 
-    /// Takes in the work of a job that was handed in.
+    /// Adds the work of a submitted job to the demand history.
     pub(super) fn work_arrived(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(&key) else { return };
         let Some(work) = self.work_of(job) else { return };
@@ -135,9 +140,9 @@
         self.pools.demand.entry(service).or_default().add(now, work, window);
     }
 
-    /// Takes in the work of all jobs on record, which predecessors accepted.
+    /// Restores the demand history from all jobs on record, which predecessors accepted.
     pub fn restore_demand(&mut self) {
-        let came: Vec<(ServiceId, Duration, u64)> = self
+        let arrivals: Vec<(ServiceId, Duration, u64)> = self
             .jobs
             .values()
             .filter_map(|j| {
@@ -150,70 +155,77 @@
             }))
             .collect();
         let (now, window) = (self.now, self.policy.need.arrival_window);
-        for (service, ago, work) in came {
+        for (service, ago, work) in arrivals {
             self.pools.demand.entry(service).or_default().restore(now, ago, work);
         }
         self.pools.demand.values_mut().for_each(|d| d.finish_restore(now, window));
     }
 
-    /// Work of a job that ends by itself, in core-milliseconds.
+    /// Work of a job, in core-milliseconds; `None` if it does not end by itself.
     pub(super) fn work_of(&self, job: &Job) -> Option<u64> {
         if job.spec.lasts() || job.rounds.is_empty() {
             return None;
         }
-        let took =
+        let duration =
             |n: usize| self.durations.expect(&job.spec.queue, job.spec.steps[n].estimate, &self.policy.order);
-        Some(whole_work(&job.spec, &took))
+        Some(whole_work(&job.spec, &duration))
     }
 
-    /// Cores that are busy if work goes on coming in as it did lately.
+    /// Cores kept busy by work that is submitted at the current rate.
     fn offered_cores(&self, service: &ServiceId) -> f64 {
         let demand = self.pools.demand.get(service);
         demand.map_or(0.0, |d| d.rate(self.now, Duration::ZERO, self.policy.need.arrival_window))
     }
 
-    /// Cores that will be busy if the work that comes in goes on rising, or a
-    /// turn of demand has begun.
+    /// Cores expected to be busy soon, if the rate goes on rising or a surge has begun.
     fn expected_cores(&self, service: &ServiceId) -> f64 {
         let Some(demand) = self.pools.demand.get(service) else { return 0.0 };
         let policy = &self.policy.need;
         let window = policy.arrival_window;
         let recent = self.offered_cores(service);
         let before = demand.rate(self.now, window, window);
-        // The mean of a window stands for its middle.
-        let ahead = if policy.ahead.is_zero() { 0.0 } else { (policy.ahead + window / 2).as_secs_f64() };
+        // The mean rate of a window stands for the middle of it.
+        let ahead = if policy.rise_lookahead.is_zero() {
+            0.0
+        } else {
+            (policy.rise_lookahead + window / 2).as_secs_f64()
+        };
         let rise = (recent - before).max(0.0) / window.as_secs_f64();
-        let drawn_out = (recent + rise * ahead).min(recent * policy.max_rise);
-        drawn_out.max(self.surge_cores(service, demand, recent))
+        let extrapolated = (recent + rise * ahead).min(recent * policy.max_rise);
+        extrapolated.max(self.surge_cores(service, demand, recent))
     }
 
-    /// Cores that a turn of demand will ask for that has just begun.
+    /// Cores that a surge of demand is expected to need, if one has just begun.
     fn surge_cores(&self, service: &ServiceId, demand: &DemandHistory, recent: f64) -> f64 {
         let policy = &self.policy.need;
-        let calm = demand.rate(self.now, policy.arrival_window, policy.calm_window);
-        if policy.surge_peak_share == 0.0 || recent < calm * policy.surge_rise {
+        let calm_rate = demand.rate(self.now, policy.arrival_window, policy.calm_window);
+        if policy.surge_peak_share == 0.0 || recent < calm_rate * policy.surge_rise {
             return 0.0;
         }
         if demand.job_count(self.now, policy.arrival_window) < policy.surge_min_jobs {
             return 0.0;
         }
-        let size = self.hosts.values().map(|m| m.capacity.cpu_millis).max().unwrap_or(0) as f64 / 1000.0;
+        let size =
+            self.hosts.values().map(|host| host.capacity.cpu_millis).max().unwrap_or(0) as f64 / 1000.0;
         if recent < size * self.share_of_hosts(policy.surge_min_share) {
             return 0.0;
         }
-        // What this turn has shown so far tells nothing about the rest of it.
-        let own = demand.peak_rate_before(self.now, policy.calm_window);
-        let told =
-            if policy.surge_from_other_services { own * policy.surge_peak_share > recent } else { own > 0.0 };
-        if told {
-            return own * policy.surge_peak_share;
+        // The surge's own rates so far don't tell how high it will rise.
+        let own_peak = demand.peak_rate_before(self.now, policy.calm_window);
+        let own_peak_tells = if policy.surge_from_other_services {
+            own_peak * policy.surge_peak_share > recent
+        } else {
+            own_peak > 0.0
+        };
+        if own_peak_tells {
+            return own_peak * policy.surge_peak_share;
         }
-        let any = self.pools.demand.values().map(DemandHistory::peak_rate).fold(0.0, f64::max);
+        let highest_peak = self.pools.demand.values().map(DemandHistory::peak_rate).fold(0.0, f64::max);
         let declared = self.pools.declared_sizes.get(service).map_or(0.0, |count| *count as f64);
-        let sharp = demand.rate(self.now, Duration::ZERO, policy.arrival_window / 3);
-        let rises = sharp >= recent * policy.first_surge_min_rise;
-        let most = if rises { sharp * policy.first_surge_max_rise } else { recent };
-        let guessed = (declared * policy.first_surge_pool_factor * size).min(most);
-        (any * policy.surge_peak_share).max(guessed)
+        let latest = demand.rate(self.now, Duration::ZERO, policy.arrival_window / 3);
+        let still_rises = latest >= recent * policy.first_surge_min_rise;
+        let max_cores = if still_rises { latest * policy.first_surge_max_rise } else { recent };
+        let first_surge = (declared * policy.first_surge_pool_factor * size).min(max_cores);
+        (highest_peak * policy.surge_peak_share).max(first_surge)
     }
 }
