--- a/crates/workswood-core/src/jobs/demand_history.rs
+++ b/crates/workswood-core/src/jobs/demand_history.rs
@@ -1,41 +1,37 @@
-//! How much work came in for a service lately.
+//! The recent history of the work submitted for a service.
 //!
-//! Demand turns among services: one asks for several times its mean for some
-//! seconds, then for next to nothing. What came in is known from the jobs on
-//! record, so a new lease holder knows the history of its predecessors.
+//! Arrivals are derived from the jobs on record, so a new lease holder knows the history of its
+//! predecessors.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A moment in milliseconds on the scheduler's steady clock; below zero for what
-/// came in before the process began.
+/// Milliseconds on the scheduler's monotonic clock; negative for arrivals before the process began.
 type AtMs = i64;
 
-/// What came in is remembered for this long: as long as ended jobs are kept for
-/// questions on the deployments known to us.
+/// How long arrivals are kept.
 const HISTORY_LENGTH: Duration = Duration::from_secs(120);
 
-/// Work that came in at a time.
+/// An arrival of work.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     at: AtMs,
-    /// All work that came in until then, in core-milliseconds.
+    /// Total work that arrived up to and including this arrival, in core-milliseconds.
     total_work: u64,
 }
 
-/// Work that came in for one service, in the order of its coming.
+/// Arrivals of work for one service, in order of time.
 ///
-/// What came in within any span is the difference of two sums: a pool is planned from
-/// several spans of up to some seconds many times a second, and hundreds of jobs come
-/// in each.
+/// Each arrival holds a running total, so the work in any span is the difference of two totals.
+/// Pools are planned from several spans many times per second, with hundreds of jobs in each.
 #[derive(Clone, Debug, Default)]
 pub struct DemandHistory {
     arrivals: VecDeque<Arrival>,
-    /// Work that is no longer remembered.
+    /// Running total of the arrivals that were dropped.
     forgotten_work: u64,
-    /// Work that came in before this holder began, in any order.
+    /// Arrivals before this holder began, in any order, until they are merged.
     restored: Vec<(AtMs, u64)>,
-    /// Each rate that was higher than all before it, in cores, and when.
+    /// Each rate that exceeded all before it, in cores, and when.
     peaks: Vec<(AtMs, f64)>,
 }
 
@@ -44,7 +40,7 @@
 }
 
 impl DemandHistory {
-    /// Takes in work that came in now; `window` is that of the highest rate.
+    /// Adds work that arrives now. `window` is the window of the peak rate.
     pub fn add(&mut self, now: Duration, work: u64, window: Duration) {
         let now = to_ms(now);
         self.push(now, work);
@@ -57,13 +53,12 @@
         self.arrivals.push_back(Arrival { at, total_work: total });
     }
 
-    /// Takes in work that came in before this holder began, in any order:
-    /// `ago` before `now`.
+    /// Adds work that arrived `ago` before `now`, before this holder began, in any order.
     pub fn restore(&mut self, now: Duration, ago: Duration, work: u64) {
         self.restored.push((to_ms(now) - to_ms(ago), work));
     }
 
-    /// Orders what was restored, and finds the highest rate that it shows.
+    /// Sorts and merges the restored arrivals and finds their peak rate.
     pub fn finish_restore(&mut self, now: Duration, window: Duration) {
         self.restored.sort_unstable();
         for (at, work) in std::mem::take(&mut self.restored) {
@@ -89,38 +84,37 @@
         }
     }
 
-    /// Cores that the work keeps busy that came in for `span` until `ago` before
-    /// now.
+    /// Rate of the arrivals in the `span` that ended `ago` before now, in cores.
     pub fn rate(&self, now: Duration, ago: Duration, span: Duration) -> f64 {
         let to = to_ms(now) - to_ms(ago);
         self.rate_between(to - to_ms(span), to)
     }
 
-    /// Jobs that came in for `span` until now.
+    /// Number of jobs that arrived within `span` before now.
     pub fn job_count(&self, now: Duration, span: Duration) -> usize {
         let from = to_ms(now) - to_ms(span);
         self.arrivals.len() - self.arrivals.partition_point(|c| c.at <= from)
     }
 
-    /// The highest rate that any window showed, in cores.
+    /// The peak rate, in cores.
     pub fn peak_rate(&self) -> f64 {
         self.peaks.last().map_or(0.0, |(_, rate)| *rate)
     }
 
-    /// The highest rate that any window showed that ended `ago` before now.
+    /// The peak rate of all windows that ended at least `ago` before now, in cores.
     pub fn peak_rate_before(&self, now: Duration, ago: Duration) -> f64 {
         let until = to_ms(now) - to_ms(ago);
         let before = self.peaks.iter().rev().find(|(at, _)| *at <= until);
         before.map_or(0.0, |(_, rate)| *rate)
     }
 
-    /// Cores that the work keeps busy that came in after `from` until `to`.
+    /// Rate of the arrivals after `from` and up to `to`, in cores.
     fn rate_between(&self, from: AtMs, to: AtMs) -> f64 {
         let work = self.work_until(to) - self.work_until(from);
         work as f64 / (to - from).max(1) as f64
     }
 
-    /// All work that came in until a time.
+    /// Total work that arrived up to a time.
     fn work_until(&self, at: AtMs) -> u64 {
         let count = self.arrivals.partition_point(|c| c.at <= at);
         count.checked_sub(1).map_or(self.forgotten_work, |n| self.arrivals[n].total_work)
--- a/crates/workswood-core/src/jobs/host.rs
+++ b/crates/workswood-core/src/jobs/host.rs
@@ -1,4 +1,4 @@
-//! Hosts, and the answers to orders to them.
+//! Hosts as the platform lists them, and replies to orders to hosts.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 use super::spec::Room;
 use crate::ids::{DataCentre, HostId, ServiceId};
 
-/// An order without an outcome is sent again after this time.
+/// An order without a reply is sent again after this time.
 pub(super) const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(1500);
 
 /// State of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
-    /// It works, or could.
+    /// It is in service.
     Up,
-    /// It changes its pool.
+    /// It is moving to another pool.
     Moving,
-    /// It is being maintained.
+    /// It is under maintenance.
     Upkeep,
     /// It is off or lost.
     Down,
@@ -31,29 +31,29 @@
     pub pool: ServiceId,
     /// Its state.
     pub state: HostState,
-    /// Where it stands.
+    /// The data centre that it is in.
     pub data_centre: DataCentre,
-    /// Kind and rack.
+    /// Labels such as its kind and rack.
     pub labels: Vec<String>,
-    /// Its room.
+    /// Its capacity.
     pub capacity: Room,
-    /// Its worker, of which the list may tell the name only.
+    /// The worker on it. The list may tell only the name, not the life.
     pub worker: Option<WorkerId>,
 }
 
-/// Answer to an order to a host.
+/// Reply to an order to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostReply {
-    /// Done, now or before.
+    /// The order was carried out, now or before.
     Done,
-    /// Not now: the host is busy.
+    /// The host is busy; nothing was done.
     Busy,
-    /// Never: no such host, or not part of this wave.
+    /// The order can never be carried out: no such host, or it is not part of the wave.
     Impossible,
-    /// Another holder has used a higher token for it.
+    /// A holder with a higher fencing token has ordered the host.
     Fenced,
-    /// No answer; it may have been done.
+    /// No answer came; the order may have been carried out.
     NoAnswer,
-    /// Refused for now without effect.
+    /// The order was refused for now, without effect.
     Later,
 }
--- a/crates/workswood-core/src/jobs/order_marks.rs
+++ b/crates/workswood-core/src/jobs/order_marks.rs
@@ -1,12 +1,10 @@
-//! Which hosts a new lease holder has to leave alone for a while.
+//! Marks of hosts that a lease holder has ordered recently.
 //!
-//! Orders for one host must not come from two holders within a short time of
-//! each other. So a host is marked on record before an order for it is sent,
-//! and the mark is dropped when nothing of that order can follow any more. A new
-//! holder waits only for hosts that it finds marked; all others it may order
-//! at once, which matters when demand turns while the holder changes. An entry that
-//! takes its own lease back waits for nothing: orders of its former life are
-//! those of the same holder, and carry a lower token.
+//! Orders for one host must not come from two holders within a short time of each other. So a host
+//! is marked on record before an order for it is sent, and the mark is deleted once nothing more
+//! can follow from that order. A new holder delays orders only to hosts that it finds marked. An
+//! entry that takes its own lease back does not wait: the orders of its earlier term came from the
+//! same holder and carry a lower token.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,29 +12,29 @@
 use super::scheduler::Scheduler;
 use crate::ids::HostId;
 
-/// Who ordered something about a host last.
+/// Who ordered a host last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mark {
-    /// A predecessor may have, until it was overtaken.
+    /// A predecessor, possibly until this holder claimed the lease.
     Inherited,
-    /// This holder did, at this time.
+    /// This holder, at this time.
     Own(Duration),
 }
 
-/// Marks of hosts, and which of them changed since the last batch.
+/// Order marks, and which of them changed since the last batch.
 #[derive(Debug, Default)]
 pub(super) struct OrderMarks {
-    /// Hosts that were ordered about lately.
+    /// Marked hosts.
     by_host: BTreeMap<HostId, Mark>,
-    /// Hosts whose record has to be written or dropped.
+    /// Hosts whose mark has to be stored or deleted.
     changed: BTreeSet<HostId>,
 }
 
 impl OrderMarks {
-    /// Hosts whose mark changed, with whether they are marked now.
+    /// Returns hosts whose mark changed, and whether they are marked now.
     pub(super) fn take_changes(&mut self) -> Vec<(HostId, bool)> {
         let changed = std::mem::take(&mut self.changed);
-        changed.into_iter().map(|m| (m.clone(), self.by_host.contains_key(&m))).collect()
+        changed.into_iter().map(|host| (host.clone(), self.by_host.contains_key(&host))).collect()
     }
 }
 
@@ -47,13 +45,13 @@
         self.order_marks.by_host.insert(host, mark);
     }
 
-    /// Whether a host may be given an order now.
+    /// Whether a host may be ordered now.
     pub(super) fn may_order(&self, host: &HostId) -> bool {
         let inherited = self.order_marks.by_host.get(host) == Some(&Mark::Inherited);
         !inherited || self.now >= self.claimed_at + self.limits.host_order_delay
     }
 
-    /// Whether a host may have been given an order after a time.
+    /// Whether a host may have been ordered at or after a time.
     pub(super) fn is_ordered_since(&self, host: &HostId, since: Duration) -> bool {
         match self.order_marks.by_host.get(host) {
             Some(Mark::Own(at)) => *at >= since,
@@ -62,7 +60,7 @@
         }
     }
 
-    /// Marks a host that is about to be given an order.
+    /// Marks a host that is about to be ordered.
     pub(super) fn mark_order(&mut self, host: &HostId) {
         let own = Mark::Own(self.now);
         let before = self.order_marks.by_host.insert(host.clone(), own);
@@ -71,18 +69,20 @@
         }
     }
 
-    /// Drops marks of hosts that no holder has ordered anything about lately.
+    /// Deletes marks whose orders can have no further effect.
     pub(super) fn drop_expired_marks(&mut self) {
         let marks = self.order_marks.by_host.iter();
-        let over: Vec<HostId> =
-            marks.filter(|(m, mark)| self.is_mark_expired(m, **mark)).map(|(m, _)| m.clone()).collect();
-        for m in over {
-            self.order_marks.by_host.remove(&m);
-            self.order_marks.changed.insert(m);
+        let over: Vec<HostId> = marks
+            .filter(|(host, mark)| self.is_mark_expired(host, **mark))
+            .map(|(host, _)| host.clone())
+            .collect();
+        for host in over {
+            self.order_marks.by_host.remove(&host);
+            self.order_marks.changed.insert(host);
         }
     }
 
-    /// Whether nothing of the order that a mark stands for can follow any more.
+    /// Whether the order that a mark stands for can have no further effect.
     fn is_mark_expired(&self, host: &HostId, mark: Mark) -> bool {
         let handover = self.limits.host_order_delay;
         match mark {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether an order for a host has no outcome yet, so that it is repeated.
+    /// Whether an order to a host has no final reply yet, so that it is repeated.
     fn has_open_order(&self, host: &HostId) -> bool {
         self.pools.moves.contains_key(host) || self.wave_with_open_order(host).is_some()
     }
--- a/crates/workswood-core/src/jobs/pool_count.rs
+++ b/crates/workswood-core/src/jobs/pool_count.rs
@@ -1,8 +1,7 @@
-//! Hosts of all pools, counted once for a round of decisions.
+//! Counts and free hosts of all pools for one round of planning.
 //!
-//! A turn of demand moves hundreds of hosts in one round. What each decision
-//! asks for is counted in one pass before, and kept up with what the round
-//! decides: counted anew for each host, a round would grow with the square of the hosts.
+//! They are collected in one pass and updated with each decision. Collecting them again for each
+//! host would make a round quadratic in the number of hosts.
 
 use std::collections::BTreeMap;
 
@@ -11,20 +10,20 @@
 use super::scheduler::Scheduler;
 use crate::ids::{HostId, ServiceId};
 
-/// Hosts of one pool that may go to another now, with their workers.
+/// Hosts of one pool that may move to another now, with their workers.
 type FreeHosts = BTreeMap<HostId, Option<WorkerId>>;
 
-/// Hosts of all pools, as they are in one round.
+/// Counts of all pools in one round of planning.
 #[derive(Debug, Default)]
 pub(super) struct PoolCount {
-    /// How many each pool has or is about to get.
+    /// Number of hosts that each pool has or is about to get.
     have: BTreeMap<ServiceId, usize>,
-    /// Free hosts by pool, once something asked for them.
+    /// Free hosts by pool, collected on first use.
     free: Option<BTreeMap<ServiceId, FreeHosts>>,
 }
 
 impl PoolCount {
-    /// Hosts that a pool has or is about to get.
+    /// Number of hosts that a pool has or is about to get.
     pub(super) fn of(&self, service: &ServiceId) -> usize {
         self.have.get(service).copied().unwrap_or(0)
     }
@@ -34,7 +33,7 @@
         self.free.get_or_insert_with(|| sched.free_hosts())
     }
 
-    /// A free host goes to another pool; returns its worker.
+    /// Moves a free host to another pool; returns its worker.
     pub(super) fn move_free_host(
         &mut self,
         host: &HostId,
@@ -46,16 +45,16 @@
         self.free.as_mut()?.get_mut(from)?.remove(host)?
     }
 
-    /// A host of a pool stays there no longer.
+    /// Removes a host from the count of a pool.
     pub(super) fn remove_host(&mut self, pool: &ServiceId) {
         let have = self.have.entry(pool.clone()).or_default();
         *have = have.saturating_sub(1);
     }
 }
 
-/// Whether a host works, or will without an order of ours.
-pub(super) fn is_working(m: &Host) -> bool {
-    matches!(m.state, HostState::Up | HostState::Moving)
+/// Whether a host is in service, or will be without an order by this scheduler.
+pub(super) fn is_working(host: &Host) -> bool {
+    matches!(host.state, HostState::Up | HostState::Moving)
 }
 
 impl Scheduler {
@@ -67,48 +66,51 @@
             None => _ = have.insert(pool.clone(), 1),
         };
         let taken = self.hosts_to_cordon();
-        let leaves = |m: &Host| {
-            let moving = || self.pools.moves.get(&m.name).is_some_and(|v| v.to != m.pool);
-            taken.contains(&m.name) && (moving() || self.in_maintenance(&m.name))
+        let leaves = |host: &Host| {
+            let moving =
+                || self.pools.moves.get(&host.name).is_some_and(|pool_move| pool_move.to != host.pool);
+            taken.contains(&host.name) && (moving() || self.in_maintenance(&host.name))
         };
-        let stay = self.hosts.values().filter(|m| is_working(m) && self.stands_open(m) && !leaves(m));
-        stay.for_each(|m| add(&m.pool));
+        let stay =
+            self.hosts.values().filter(|host| is_working(host) && self.stands_open(host) && !leaves(host));
+        stay.for_each(|host| add(&host.pool));
         let moving = self.pools.moves.iter();
-        let comes = |m: &Host, to: &ServiceId| m.pool != *to && self.stands_open(m);
-        let come = moving.filter(|(name, v)| self.hosts.get(*name).is_none_or(|m| comes(m, &v.to)));
-        come.for_each(|(_, v)| add(&v.to));
+        let comes = |host: &Host, to: &ServiceId| host.pool != *to && self.stands_open(host);
+        let come = moving
+            .filter(|(name, pool_move)| self.hosts.get(*name).is_none_or(|host| comes(host, &pool_move.to)));
+        come.for_each(|(_, pool_move)| add(&pool_move.to));
         PoolCount { have, free: None }
     }
 
-    /// Hosts that may go to another pool now, by pool: those that are off, and
-    /// of the others those whose worker answers and runs nothing. One that has
-    /// just come may go on at once: to a new lease holder every worker is new, and it would be held up.
+    /// Hosts that may move to another pool now, by pool: those that are turned off, and those whose
+    /// worker is reachable and idle. A host may move again right after its arrival: to a new lease
+    /// holder every worker is new, so waiting here would delay all moves.
     fn free_hosts(&self) -> BTreeMap<ServiceId, FreeHosts> {
         let spare = self.spare_pool();
         let taken = self.hosts_to_cordon();
-        let may_move = |m: &&Host| {
-            let up = m.state == HostState::Up && self.stands_open(m);
-            up && !taken.contains(&m.name) && self.may_order(&m.name)
+        let may_move = |host: &&Host| {
+            let up = host.state == HostState::Up && self.stands_open(host);
+            up && !taken.contains(&host.name) && self.may_order(&host.name)
         };
         let mut free: BTreeMap<ServiceId, FreeHosts> = BTreeMap::new();
-        for m in self.hosts.values().filter(may_move) {
-            let worker = self.worker_on(&m.name).or(m.worker.as_ref());
-            if spare.as_ref() == Some(&m.pool) || worker.is_some_and(|id| self.is_idle_worker(id)) {
-                free.entry(m.pool.clone()).or_default().insert(m.name.clone(), worker.cloned());
+        for host in self.hosts.values().filter(may_move) {
+            let worker = self.worker_on(&host.name).or(host.worker.as_ref());
+            if spare.as_ref() == Some(&host.pool) || worker.is_some_and(|id| self.is_idle_worker(id)) {
+                free.entry(host.pool.clone()).or_default().insert(host.name.clone(), worker.cloned());
             }
         }
         free
     }
 
-    /// Whether a worker answers and runs nothing.
+    /// Whether a worker is reachable and runs nothing.
     fn is_idle_worker(&self, id: &WorkerId) -> bool {
         self.workers.get(id).is_some_and(|w| w.reachable && w.runs.is_empty())
     }
 
-    /// The worker of a host by the workers' own statements. A life that is not
-    /// listed may be cut off and still run tasks; one that is over may be listed for
-    /// a while, but does not answer. A new lease holder is told of both, and a
-    /// host would be taken for empty whose present life is busy.
+    /// The worker of a host, by the workers' own statements. A life that is not listed may be cut
+    /// off and still run tasks; a life that is over may stay listed for a while, but does not
+    /// answer. A new lease holder knows both, and must not take a host for idle whose current life
+    /// is busy.
     pub(super) fn worker_on(&self, host: &HostId) -> Option<&WorkerId> {
         let lives = self.workers.on_host(host).iter();
         let known = lives.filter_map(|id| Some((id, self.workers.get(id)?)));
--- a/crates/workswood-core/src/jobs/pool_planning.rs
+++ b/crates/workswood-core/src/jobs/pool_planning.rs
@@ -1,11 +1,10 @@
-//! Which host changes its pool.
+//! Plans which hosts move between pools.
 //!
-//! Demand turns among services within seconds, and hosts that stand idle in
-//! a pool are paid for. So a pool that has more to do than its hosts can
-//! carry gets hosts that are off, or empty ones of a pool that has more than
-//! it needs; a pool that has had too many for some time gives some up. What
-//! runs on a host dies when it moves: only empty hosts do. How a move goes
-//! on is in [`pool_moves`](super::pool_moves).
+//! Demand shifts between services within seconds, and hosts that are on cost money while they are
+//! idle. A pool that is short of hosts gets hosts that are turned off, or idle ones of a pool with
+//! a surplus; a pool that has had a surplus for some time has hosts turned off. Only empty hosts
+//! move, since a move ends all tasks on the host. Moves are carried out by
+//! [`pool_moves`](super::pool_moves).
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,68 +18,67 @@
 use super::waiting::Waiting;
 use crate::ids::{HostId, ServiceId};
 
-/// Time between two lines of the log on each pool.
+/// Interval of the log lines on each pool.
 const POOL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the pools look like to the planner.
+/// State of the planning of pools.
 #[derive(Debug, Default)]
 pub struct PoolState {
     /// Moves under way, by host.
     pub moves: BTreeMap<HostId, PoolMove>,
     /// Need of each service, in hosts.
     pub(super) need: BTreeMap<ServiceId, Need>,
-    /// Moves that the platform says can't be.
+    /// Moves that the platform reported as impossible.
     pub(super) impossible_moves: BTreeSet<(HostId, ServiceId)>,
-    /// Pools of hosts that moved lately; the list may be older than that.
+    /// Recent moves, with time and pool; the list of hosts may be older.
     pub(super) recent_moves: BTreeMap<HostId, (Duration, ServiceId)>,
-    /// Work that came in lately, by service.
+    /// Recent history of submitted work, by service.
     pub(super) demand: BTreeMap<ServiceId, DemandHistory>,
-    /// Hosts that each pool had before any work came in.
+    /// Number of hosts that each pool had before any work was submitted.
     pub(super) declared_sizes: BTreeMap<ServiceId, usize>,
     /// Services that have had work.
     pub(super) services_with_work: BTreeSet<ServiceId>,
-    /// Orders that may be sent at once, and when that was last counted.
+    /// Number of move orders that may be sent at once, and when it was last updated.
     pub(super) order_budget: f64,
     pub(super) order_budget_updated_at: Duration,
-    /// When the pools were last noted in the log.
+    /// When the pools were last logged.
     logged_at: Duration,
-    /// When the need was last worked out.
+    /// When the need was last computed.
     pub(super) need_computed_at: Duration,
 }
 
-/// A service's pool as it stands.
+/// The need and the size of a service's pool.
 struct Pool {
     /// Hosts that it needs.
     need: Need,
-    /// Hosts that it has or is about to get.
+    /// Number of hosts that it has or is about to get.
     have: f64,
 }
 
 impl Scheduler {
-    /// Whether some service's hosts are off, so that pools can change.
+    /// The service whose hosts are turned off, if there is one; pools change only if there is.
     pub(super) fn spare_pool(&self) -> Option<ServiceId> {
         let mut spare = self.config.services.values().filter(|s| s.spare).map(|s| s.name.clone());
         spare.next()
     }
 
-    /// Services whose hosts are on.
+    /// Services whose hosts are turned on.
     fn active_services(&self) -> Vec<ServiceId> {
         self.config.services.values().filter(|s| !s.spare).map(|s| s.name.clone()).collect()
     }
 
-    /// A share of all hosts, at least one. What is right for 50 hosts and
-    /// for 350 is a share: demand, and what is put aside for it, grow alike.
+    /// Number of hosts in a share of all hosts, at least one.
     pub(super) fn share_of_hosts(&self, share: f64) -> f64 {
         (self.hosts.len() as f64 * share).round().max(1.0)
     }
 
-    /// Hosts that a pool keeps above its need.
+    /// Number of hosts that a pool keeps above its need.
     fn margin(&self) -> f64 {
         self.share_of_hosts(self.policy.pools.margin)
     }
 
-    /// Notes how many hosts operators gave each pool. Once work has come in,
-    /// pools are as we have made them.
+    /// Records how many hosts operators gave each pool. Once work has been submitted, pool sizes
+    /// are the scheduler's own.
     pub(super) fn record_declared_sizes(&mut self) {
         if !self.pools.demand.is_empty()
             || !self.pools.moves.is_empty()
@@ -89,12 +87,12 @@
             return;
         }
         self.pools.declared_sizes.clear();
-        for m in self.hosts.values() {
-            *self.pools.declared_sizes.entry(m.pool.clone()).or_insert(0) += 1;
+        for host in self.hosts.values() {
+            *self.pools.declared_sizes.entry(host.pool.clone()).or_insert(0) += 1;
         }
     }
 
-    /// Goes on with moves, and decides on new ones.
+    /// Computes the need of all pools, decides on new moves and advances those under way.
     pub(super) fn plan_pools(&mut self) {
         if self.hosts.is_empty() {
             return;
@@ -109,7 +107,7 @@
         self.log_pools();
     }
 
-    /// Notes now and then how the pools stand.
+    /// Logs the state of the pools at intervals.
     fn log_pools(&mut self) {
         if self.now < self.pools.logged_at + POOL_LOG_INTERVAL {
             return;
@@ -122,7 +120,7 @@
         }
     }
 
-    /// The line of the log on a service's pool; counts are of hosts.
+    /// The log line on a service's pool; counts are of hosts.
     fn pool_log_line(&self, count: &PoolCount, service: &ServiceId) -> String {
         let Pool { need, have } = self.pool(count, service);
         let (used, size) = (self.workers.room_in_use(service), self.workers.largest(service));
@@ -136,29 +134,30 @@
         )
     }
 
-    /// The pool of a service: what it needs, and the hosts that stay or come.
+    /// The need of a service's pool, and the number of hosts that stay or arrive.
     fn pool(&self, count: &PoolCount, service: &ServiceId) -> Pool {
         let need = self.pools.need.get(service).copied().unwrap_or_default();
         Pool { need, have: count.of(service) as f64 }
     }
 
-    /// Whether a host's pool does without it. One on which nothing begins is not counted.
+    /// Whether a host's pool can spare it. A host of a data centre that is being evacuated is not
+    /// counted.
     pub(super) fn can_spare(&self, count: &PoolCount, host: &HostId) -> bool {
-        let Some(m) = self.hosts.get(host) else { return false };
-        if !self.stands_open(m) || self.config.services.get(&m.pool).is_some_and(|s| s.spare) {
+        let Some(host) = self.hosts.get(host) else { return false };
+        if !self.stands_open(host) || self.config.services.get(&host.pool).is_some_and(|s| s.spare) {
             return true;
         }
-        self.has_surplus(count, &m.pool)
+        self.has_surplus(count, &host.pool)
     }
 
-    /// Whether a pool has a host more than it keeps when another is short.
+    /// Whether a pool has at least one host more than it keeps when another is short.
     fn has_surplus(&self, count: &PoolCount, service: &ServiceId) -> bool {
         let pool = self.pool(count, service);
         pool.have >= (pool.need.lend_floor + self.margin()).ceil() + 1.0
     }
 
-    /// Whether a pool has fewer hosts than it could use now. Before its first work, a pool is taken to be
-    /// of the right size, also while its hosts come up.
+    /// Whether a pool has fewer hosts than it could use. Before its first work, a pool is assumed
+    /// to have the right size, also while its hosts start.
     fn is_short(&self, count: &PoolCount, service: &ServiceId) -> bool {
         if !self.pools.services_with_work.contains(service) {
             return false;
@@ -167,20 +166,20 @@
         pool.have < (pool.need.soon + self.margin()).ceil()
     }
 
-    /// Services whose pools have fewer hosts than they could use now.
+    /// Services whose pools are short of hosts.
     pub(super) fn short_pools(&self, count: &PoolCount) -> Vec<ServiceId> {
         self.active_services().into_iter().filter(|s| self.is_short(count, s)).collect()
     }
 
-    /// Whether as many hosts are under way as may be.
+    /// Whether as many moves are under way as are allowed.
     fn move_limit_reached(&self, to_spare: bool) -> bool {
         self.pools.moves.len() as f64 >= self.max_moves(to_spare)
     }
 
-    /// Brings hosts to pools that are short of them.
+    /// Begins moves to pools that are short of hosts.
     fn fill_pools(&mut self, spare: &ServiceId, count: &mut PoolCount) {
         let mut services = self.active_services();
-        // The one that lacks most first, by tenths of a host.
+        // The pool that is shortest goes first, by tenths of a host.
         let short = |p: &Pool| ((p.need.soon - p.have) * 10.0) as i64;
         services.sort_by_key(|s| (Reverse(short(&self.pool(count, s))), s.clone()));
         for s in &services {
@@ -193,28 +192,28 @@
         }
     }
 
-    /// A host of a pool that has more than it needs.
+    /// A free host of a pool that has a surplus.
     fn surplus_host(&self, services: &[ServiceId], to: &ServiceId, count: &mut PoolCount) -> Option<HostId> {
         let donors = services.iter().filter(|s| *s != to).filter(|s| self.has_surplus(count, s));
         let donors: Vec<&ServiceId> = donors.collect();
         donors.into_iter().filter_map(|s| self.free_host(s, to, count)).min()
     }
 
-    /// A host of a pool that may go to another now, the first by name.
+    /// A free host of a pool that may move to another, the first by name.
     fn free_host(&self, from: &ServiceId, to: &ServiceId, count: &mut PoolCount) -> Option<HostId> {
         let here = count.free(self).get(from)?;
-        let may = |m: &&HostId| !self.pools.impossible_moves.contains(&((*m).clone(), to.clone()));
+        let may = |host: &&HostId| !self.pools.impossible_moves.contains(&((*host).clone(), to.clone()));
         here.keys().find(may).cloned()
     }
 
     /// Begins the move of a free host.
     fn begin_free_host_move(&mut self, host: HostId, to: &ServiceId, count: &mut PoolCount) {
-        let Some(from) = self.hosts.get(&host).map(|m| m.pool.clone()) else { return };
+        let Some(from) = self.hosts.get(&host).map(|host| host.pool.clone()) else { return };
         let worker = count.move_free_host(&host, &from, to);
         self.begin_move(host, to.clone(), worker);
     }
 
-    /// Sends hosts off that their pools have not needed for some time.
+    /// Turns off hosts that their pools have not needed for some time.
     fn trim_pools(&mut self, spare: &ServiceId, count: &mut PoolCount) {
         for s in self.active_services() {
             let pool = self.pool(count, &s);
