--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -1,43 +1,46 @@
-//! Jobs of many steps: what is queued, what runs where, and what is known of
-//! the workers that run it.
+//! Jobs of many steps: what is queued, what runs where, and the state of the workers.
 //!
-//! One process at a time holds the scheduler lease and owns a [`Scheduler`].
-//! The scheduler is a state machine: [`Event`]s go in, changed records and
-//! [`Action`]s come out as a [`Batch`]. The process writes the records of a
-//! batch to the platform's store first and carries the actions out only after
-//! the store has acknowledged them. What follows from that order:
+//! One process at a time holds the scheduler lease and owns a [`Scheduler`]. The scheduler is a
+//! state machine: [`Event`]s go in, and changed records and [`Action`]s come out as a [`Batch`].
+//! The process first writes the records of a batch to the platform's store, and carries out the
+//! actions only after the store has acknowledged them. This order guarantees that
 //!
-//! * a start is on record before a worker can hear of it, so that a successor
-//!   knows every place where a task may run;
-//! * an end is on record before the worker is told to forget it;
-//! * callers are shown a state only when it is on record.
+//! * a start is on record before a worker can receive it, so a successor knows every place where a
+//!   task may run;
+//! * the end of a run is on record before the worker is told to forget it;
+//! * callers are shown a state only once it is on record.
 //!
-//! How the pieces meet:
+//! A worker that restarts keeps its name, but starts another *life*; most state is kept by life.
 //!
-//! * [`spec`] holds what callers ask for, and its checks.
-//! * [`config`] holds queues and services in force, [`workspace`] whose calls are taken.
-//! * [`accounts`] holds what each workspace has at work, and [`shares`] who sends more than its share.
-//! * [`job`] holds the state of one job and its stored form, [`known`] all of them.
-//! * [`worker`] holds what is known of one worker, its room and its lease;
-//!   [`worker_id`] is its name, and [`workers`] holds all of them.
-//! * [`host`] holds what is known of one host.
-//! * [`map`] is a map whose order is the same in every run.
-//! * [`order`] decides which waiting task is next, and [`waiting`] keeps them.
-//! * [`relays`] decides which entry speaks with which workers, and [`follow`] what is new
-//!   in what a worker lists.
-//! * [`types`] holds the events that go in and the batches that come out.
-//! * [`scheduler`] takes events in; [`ends`], [`settle`], [`place`], [`share`] and
-//!   [`evict`] are its decisions.
-//! * [`crash`] tells which task crashes its workers, against [`crash_rate`], and [`trials`]
-//!   tries those that are suspected.
-//! * [`advice`] asks ahead which workers may run a step, where only some may:
-//!   [`advice_candidates`] says which steps want it, [`advice_batch`] whom to ask about.
+//! Modules:
+//!
+//! * [`spec`] defines what callers submit, and its checks.
+//! * [`config`] holds the queues and services in force, [`workspace`] the workspaces whose calls
+//!   are accepted.
+//! * [`accounts`] holds what each workspace has at work, and [`shares`] who submits more than its
+//!   share.
+//! * [`job`] holds the state of one job and its stored form, [`known`] all jobs.
+//! * [`worker`] holds the state of one worker, its capacity and its lease; [`worker_id`] is its
+//!   name, and [`workers`] holds all workers.
+//! * [`host`] defines hosts and replies to orders.
+//! * [`map`] is a map with the same iteration order in every run.
+//! * [`order`] decides which waiting task is next, and [`waiting`] holds the waiting tasks.
+//! * [`relays`] decides which entry attends which workers, and [`follow`] finds what is new in a
+//!   worker's answers.
+//! * [`types`] defines events, actions, records and batches.
+//! * [`scheduler`] handles events; [`ends`], [`settle`], [`place`], [`share`] and [`evict`] make
+//!   its decisions about tasks.
+//! * [`crash`] finds tasks that crash their workers, compared with [`crash_rate`], and [`trials`]
+//!   tests suspected ones.
+//! * [`advice`] asks the adviser in advance which workers may run a step: `advice_candidates` finds
+//!   the steps and workers, [`advice_batch`] chooses those of one call.
 //! * [`claim`] decides which process runs the scheduler.
-//! * [`maintenance_waves`] decides which host is maintained next, and [`maintenance_orders`] orders it down.
-//! * [`order_marks`] keeps a new holder off hosts that were just ordered.
-//! * [`policy`] holds what these decisions are tuned by.
-//! * [`pool_need`] works out how many hosts each pool needs, and [`pool_planning`]
-//!   decides which host changes its pool; [`pool_moves`] brings it there.
+//! * [`maintenance_waves`] decides which host is maintained next, and [`maintenance_orders`] orders
+//!   it down.
+//! * [`order_marks`] keeps a new lease holder from ordering hosts that were just ordered.
+//! * [`policy`] holds the parameters of the decisions.
+//! * [`pool_need`] computes how many hosts each pool needs, from the [`demand_history`];
+//!   [`pool_planning`] decides which host moves to another pool, and [`pool_moves`] carries it out.
 
 pub mod accounts;
 pub mod advice;
