--- a/crates/workswood-core/src/jobs/advice.rs
+++ b/crates/workswood-core/src/jobs/advice.rs
@@ -86,8 +86,8 @@
 
 impl Channel {
     /// Handles a failed call; `max_backoff` bounds the delay before the next.
-    fn failed(&mut self, call: &Call, now: Duration, at_work: bool, max_backoff: Duration) {
-        if at_work {
+    fn failed(&mut self, call: &Call, now: Duration, adviser_busy: bool, max_backoff: Duration) {
+        if adviser_busy {
             self.adviser_busy_until = self.adviser_busy_until.max(call.due);
         }
         let backoff = INITIAL_BACKOFF * (1 << self.failures.min(MAX_DOUBLINGS));
@@ -139,7 +139,7 @@
 
     /// Smallest number of failures in a row of any channel. While it is above 0, the adviser itself
     /// is slow or away.
-    fn common_failures(&self) -> u32 {
+    fn min_failures(&self) -> u32 {
         self.channels.iter().map(|c| c.failures).min().unwrap_or(0)
     }
 
@@ -151,33 +151,33 @@
 
 impl Scheduler {
     /// The adviser's settings for the queue of a job; `None` if all workers may run its steps.
-    pub(super) fn advice_of(&self, job: JobKey) -> Option<&AdviceConfig> {
+    pub(super) fn advice_config(&self, job: JobKey) -> Option<&AdviceConfig> {
         let job = self.jobs.get(&job)?;
         self.config.queues.get(&job.spec.queue)?.advice.as_ref()
     }
 
     /// Whether tasks of a step need a ticket.
-    pub(super) fn is_advised(&self, id: &StepId) -> bool {
+    pub(super) fn needs_ticket(&self, id: &StepId) -> bool {
         self.advice.jobs.contains(&id.job)
     }
 
     /// Tracks a job if its queue needs advice.
-    pub(super) fn watch_advised(&mut self, key: JobKey) {
+    pub(super) fn track_advised_job(&mut self, key: JobKey) {
         let open = self.jobs.get(&key).is_some_and(|j| j.open());
-        if open && self.advice_of(key).is_some() {
+        if open && self.advice_config(key).is_some() {
             self.advice.jobs.insert(key);
         }
     }
 
     /// Tracks all jobs again after a change of the queues.
-    pub(super) fn watch_all_advised(&mut self) {
+    pub(super) fn track_all_advised_jobs(&mut self) {
         self.advice.jobs.clear();
         if self.config.queues.values().all(|q| q.advice.is_none()) {
             return;
         }
         let keys: Vec<JobKey> = self.jobs.values().map(|j| j.key).collect();
         for key in keys {
-            self.watch_advised(key);
+            self.track_advised_job(key);
         }
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Number of workers of a list that may run a step, as far as is known.
-    pub(super) fn may_be_good(&self, workers: &[WorkerId], step: &StepId) -> usize {
+    pub(super) fn count_possible_workers(&self, workers: &[WorkerId], step: &StepId) -> usize {
         let bad =
             |id: &&WorkerId| self.workers.get(id).is_some_and(|w| w.advice.get(step) == Some(&Verdict::Bad));
         workers.len() - workers.iter().filter(bad).count()
@@ -228,7 +228,7 @@
             AdviceReply::Answered(answer) => {
                 channel.answered(now.saturating_sub(call.due));
                 self.advice.last_failed = self.advice.last_failed.filter(|step| *step != call.step);
-                self.take_advice(a.step, &a.workers, now.saturating_sub(call.due), answer);
+                self.store_verdicts(a.step, &a.workers, now.saturating_sub(call.due), answer);
                 return;
             }
             AdviceReply::NoAnswer => channel.failed(&call, now, true, max_backoff),
@@ -240,11 +240,11 @@
     }
 
     /// Stores tickets and refusals with the workers' lives; the answer was late by `late`.
-    fn take_advice(&mut self, step: StepId, asked: &[WorkerId], late: Duration, answer: Advice) {
+    fn store_verdicts(&mut self, step: StepId, asked: &[WorkerId], late: Duration, answer: Advice) {
         if !self.advice.jobs.contains(&step.job) {
             return;
         }
-        let Some(cfg) = self.advice_of(step.job).copied() else { return };
+        let Some(cfg) = self.advice_config(step.job).copied() else { return };
         let valid = answer.valid_for.unwrap_or(cfg.valid);
         let margin = self.policy.advice.ticket_margin.min(valid / 5);
         // The delay may have been on the way back, so the tickets count as older. The deduction is
@@ -288,7 +288,7 @@
             else {
                 return;
             };
-            let failures = self.advice.common_failures();
+            let failures = self.advice.min_failures();
             let channel = &mut self.advice.channels[n];
             let before = channel.adviser_busy_until.saturating_sub(self.now);
             let work = before + cfg.decide + cfg.each * workers.len() as u32;
@@ -317,7 +317,7 @@
         request: &AdviceRequest,
         workers: &WorkersByService,
     ) -> Option<(StepId, Vec<WorkerId>, AdviceConfig)> {
-        let cfg = self.advice_of(request.step.job).copied()?;
+        let cfg = self.advice_config(request.step.job).copied()?;
         let (need, candidates) = self.need_and_candidates(request, &cfg, workers)?;
         let queue = &self.jobs.get(&request.step.job)?.spec.queue;
         let share = self.advice.good_rates.get(queue).copied().unwrap_or_default().value();
--- a/crates/workswood-core/src/jobs/advice_candidates.rs
+++ b/crates/workswood-core/src/jobs/advice_candidates.rs
@@ -75,7 +75,7 @@
                     room -= each;
                     tasks.push(task);
                 }
-                if self.is_advised(&place.step) {
+                if self.needs_ticket(&place.step) {
                     found.push((*place, AdviceRequest { step: place.step, tasks, opens_at: self.now }));
                 }
             }
@@ -94,7 +94,7 @@
     pub(super) fn steps_opening_soon(&self) -> Vec<AdviceRequest> {
         let mut found = Vec::new();
         for key in &self.advice.jobs {
-            let (Some(job), Some(cfg)) = (self.jobs.get(key), self.advice_of(*key)) else { continue };
+            let (Some(job), Some(cfg)) = (self.jobs.get(key), self.advice_config(*key)) else { continue };
             for round in 0..job.rounds.len() as u32 {
                 for step in 0..job.spec.steps.len() as u16 {
                     let id = StepId { job: *key, round, step };
@@ -157,7 +157,7 @@
         let spec = job.spec.steps.get(usize::from(request.step.step))?;
         let first = request.tasks.first()?;
         let workers = workers.get(&job.spec.service)?;
-        let others = self.may_be_good(workers, &request.step);
+        let others = self.count_possible_workers(workers, &request.step);
         let context = RequestContext { job, spec, request, possible_workers: others };
         // Tickets that end before another answer would arrive are renewed now.
         let ahead = (cfg.decide + cfg.each * TYPICAL_CALL_IDS).min(cfg.valid / 4);
--- a/crates/workswood-core/src/jobs/ends.rs
+++ b/crates/workswood-core/src/jobs/ends.rs
@@ -113,7 +113,7 @@
             w.take(listed.task, listed.attempt, spec.held(step));
             w.mark(&listed.task, step);
         }
-        self.unqueue(&listed.task);
+        self.dequeue(&listed.task);
         self.dirty_jobs.insert(listed.task.job);
         self.notes.push(format_args!(
             "event=run_adopted worker={id} task={} attempt={}",
@@ -204,7 +204,7 @@
         }
         let step_done = job.step_done(task_id.round, task_id.step);
         for m in &members {
-            self.unqueue(m);
+            self.dequeue(m);
             self.stop_runs(m);
         }
         if step_done {
--- a/crates/workswood-core/src/jobs/order_marks.rs
+++ b/crates/workswood-core/src/jobs/order_marks.rs
@@ -72,11 +72,11 @@
     /// Deletes marks whose orders can have no further effect.
     pub(super) fn drop_expired_marks(&mut self) {
         let marks = self.order_marks.by_host.iter();
-        let over: Vec<HostId> = marks
+        let expired: Vec<HostId> = marks
             .filter(|(host, mark)| self.is_mark_expired(host, **mark))
             .map(|(host, _)| host.clone())
             .collect();
-        for host in over {
+        for host in expired {
             self.order_marks.by_host.remove(&host);
             self.order_marks.changed.insert(host);
         }
@@ -84,10 +84,10 @@
 
     /// Whether the order that a mark stands for can have no further effect.
     fn is_mark_expired(&self, host: &HostId, mark: Mark) -> bool {
-        let handover = self.limits.host_order_delay;
+        let delay = self.limits.host_order_delay;
         match mark {
-            Mark::Inherited => self.now > self.claimed_at + handover,
-            Mark::Own(at) => self.now > at + handover && !self.has_open_order(host),
+            Mark::Inherited => self.now > self.claimed_at + delay,
+            Mark::Own(at) => self.now > at + delay && !self.has_open_order(host),
         }
     }
 
--- a/crates/workswood-core/src/jobs/place.rs
+++ b/crates/workswood-core/src/jobs/place.rs
@@ -33,7 +33,7 @@
             match self.place_step(service, &next.step) {
                 Placing::Done => {}
                 Placing::NoRoom => {
-                    misses += usize::from(!self.lasts(&next.step) && !self.is_advised(&next.step));
+                    misses += usize::from(!self.lasts(&next.step) && !self.needs_ticket(&next.step));
                 }
                 // Nothing else of its workspace may begin either.
                 Placing::OverLimit => continue,
@@ -182,7 +182,7 @@
     fn choose(&self, job: &Job, step: &StepSpec, id: &TaskId, service: &str) -> Option<WorkerId> {
         let room = step.reserved();
         let avoid = job.task(id).and_then(|t| t.avoid.as_ref());
-        let advised = self.is_advised(&id.step_id());
+        let advised = self.needs_ticket(&id.step_id());
         let fits = |w: &Worker| {
             let ticket = !advised || w.ticket(&id.step_id(), self.now).is_some();
             let closed = w.is_shunned(self.now) || w.in_quarantine(self.now);
@@ -203,7 +203,7 @@
         }
         // The one to be avoided is taken only where no other may ever be.
         let others = if advised {
-            self.may_be_good(&self.takers(service), &id.step_id())
+            self.count_possible_workers(&self.takers(service), &id.step_id())
         } else {
             self.workers.takers(service, 0).filter(|(_, w)| !w.is_shunned(self.now)).take(2).count()
         };
@@ -253,7 +253,7 @@
 
     /// Starts a task on a worker, once that is on record.
     pub(super) fn start(&mut self, id: &TaskId, worker: &WorkerId, attempt: Option<u32>) {
-        self.unqueue(id);
+        self.dequeue(id);
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
         let spec = job.spec.clone();
--- a/crates/workswood-core/src/jobs/pool_count.rs
+++ b/crates/workswood-core/src/jobs/pool_count.rs
@@ -24,7 +24,7 @@
 
 impl PoolCount {
     /// Number of hosts that a pool has or is about to get.
-    pub(super) fn of(&self, service: &ServiceId) -> usize {
+    pub(super) fn hosts_in(&self, service: &ServiceId) -> usize {
         self.have.get(service).copied().unwrap_or(0)
     }
 
--- a/crates/workswood-core/src/jobs/pool_moves.rs
+++ b/crates/workswood-core/src/jobs/pool_moves.rs
@@ -67,16 +67,16 @@
         let all = self.pools.moves.iter();
         let due: Vec<(HostId, NextStep)> =
             all.filter_map(|(name, pool_move)| Some((name.clone(), self.next_step(pool_move)?))).collect();
-        let (orders, over): (Vec<_>, Vec<_>) =
+        let (orders, given_up): (Vec<_>, Vec<_>) =
             due.into_iter().partition(|(_, due)| matches!(due, NextStep::Order));
-        for (name, _) in over {
+        for (name, _) in given_up {
             self.pools.moves.remove(&name);
         }
         let spare = self.spare_pool();
-        let trims = |(name, _): &(HostId, NextStep)| {
+        let goes_to_spare_pool = |(name, _): &(HostId, NextStep)| {
             self.pools.moves.get(name).map(|pool_move| &pool_move.to) == spare.as_ref()
         };
-        let (last, first): (Vec<_>, Vec<_>) = orders.into_iter().partition(trims);
+        let (last, first): (Vec<_>, Vec<_>) = orders.into_iter().partition(goes_to_spare_pool);
         let most = self.available_orders();
         for (name, _) in first.into_iter().chain(last).take(most) {
             self.pools.order_budget -= 1.0;
--- a/crates/workswood-core/src/jobs/pool_need.rs
+++ b/crates/workswood-core/src/jobs/pool_need.rs
@@ -60,7 +60,7 @@
             (passed * policy.lend_floor_fall_per_s * all, passed * policy.power_off_floor_fall_per_s * all);
         let services: Vec<ServiceId> = self.config.services.keys().cloned().collect();
         for s in services {
-            let have = count.of(&s) as f64;
+            let have = count.hosts_in(&s) as f64;
             let need = self.next_need(&s, have, max_lend_fall, max_power_off_fall);
             self.pools.need.insert(s, need);
         }
@@ -132,9 +132,9 @@
     }
 
     /// Adds the work of a submitted job to the demand history.
-    pub(super) fn work_arrived(&mut self, key: JobKey) {
+    pub(super) fn record_submitted_work(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(&key) else { return };
-        let Some(work) = self.work_of(job) else { return };
+        let Some(work) = self.job_work(job) else { return };
         let (now, window) = (self.now, self.policy.need.arrival_window);
         let service = job.spec.service.clone();
         self.pools.demand.entry(service).or_default().add(now, work, window);
@@ -147,7 +147,7 @@
             .values()
             .filter_map(|j| {
                 let ago = Duration::from_millis(self.wall.saturating_sub(j.spec.accepted));
-                Some((j.spec.service.clone(), ago, self.work_of(j)?))
+                Some((j.spec.service.clone(), ago, self.job_work(j)?))
             })
             .chain(self.jobs.over().filter_map(|over| {
                 let ago = Duration::from_millis(self.wall.saturating_sub(over.record.accepted));
@@ -162,7 +162,7 @@
     }
 
     /// Work of a job, in core-milliseconds; `None` if it does not end by itself.
-    pub(super) fn work_of(&self, job: &Job) -> Option<u64> {
+    pub(super) fn job_work(&self, job: &Job) -> Option<u64> {
         if job.spec.lasts() || job.rounds.is_empty() {
             return None;
         }
--- a/crates/workswood-core/src/jobs/pool_planning.rs
+++ b/crates/workswood-core/src/jobs/pool_planning.rs
@@ -137,7 +137,7 @@
     /// The need of a service's pool, and the number of hosts that stay or arrive.
     fn pool(&self, count: &PoolCount, service: &ServiceId) -> Pool {
         let need = self.pools.need.get(service).copied().unwrap_or_default();
-        Pool { need, have: count.of(service) as f64 }
+        Pool { need, have: count.hosts_in(service) as f64 }
     }
 
     /// Whether a host's pool can spare it. A host of a data centre that is being evacuated is not
--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -241,7 +241,7 @@
         }
         self.jobs.insert(job);
         places.iter().for_each(|id| self.note_life(id));
-        self.watch_advised(key);
+        self.track_advised_job(key);
         self.open_due_rounds(key);
         self.queue_job(key);
         self.dirty_jobs.insert(key);
@@ -258,7 +258,7 @@
 
     /// Returns when the last lease that a predecessor may have extended ends.
     fn inherited_lease_end(&self) -> Duration {
-        self.claimed_at + self.limits.grace + self.lease_with_drift()
+        self.claimed_at + self.limits.extension_grace + self.lease_with_drift()
     }
 
     /// The longest real time that a worker's lease may last, with clock drift.
@@ -269,7 +269,7 @@
     /// Processes one event.
     pub fn handle(&mut self, ev: Event) {
         match ev {
-            Event::Submitted(key, spec) => self.submitted(key, spec),
+            Event::Submitted(key, spec) => self.add_job(key, spec),
             Event::Cancelled(key, owner) => self.cancel(key, owner),
             Event::ConfigChanged(cfg) => self.set_config(cfg),
             Event::Evacuated(data_centres) => self.set_evacuated(data_centres),
@@ -292,7 +292,7 @@
     }
 
     /// Adds a job, unless it is known from an earlier read of the inbox.
-    fn submitted(&mut self, key: JobKey, spec: Arc<JobSpec>) {
+    fn add_job(&mut self, key: JobKey, spec: Arc<JobSpec>) {
         let owner = spec.owner();
         if let Some(known) = self.jobs.owner(&key) {
             if known != owner {
@@ -311,10 +311,10 @@
         let excess = self.shares.is_excess(owner, self.config.workspaces.weight(owner), spec.accepted);
         let most_cpu = self.config.workspaces.limit(owner).cpu_millis;
         self.jobs.insert(Job { excess, most_cpu, ..Job::new(key, spec) });
-        self.watch_advised(key);
+        self.track_advised_job(key);
         self.dirty_jobs.insert(key);
         self.open_due_rounds(key);
-        self.work_arrived(key);
+        self.record_submitted_work(key);
         self.queue_job(key);
         if self.early_cancels.remove(&(key, owner)) {
             self.cancel(key, owner);
@@ -359,7 +359,7 @@
         for (_, info) in std::mem::take(&mut self.workers_without_service) {
             self.worker_listed(info);
         }
-        self.watch_all_advised();
+        self.track_all_advised_jobs();
         self.services_to_place.extend(self.ready.keys().cloned());
     }
 
@@ -435,7 +435,7 @@
     }
 
     /// Takes a task out of the queue.
-    pub(super) fn unqueue(&mut self, id: &TaskId) {
+    pub(super) fn dequeue(&mut self, id: &TaskId) {
         let Some(job) = self.jobs.get(&id.job) else { return };
         if let Some(waiting) = self.ready.get_mut(&job.spec.service) {
             waiting.remove(id);
@@ -465,7 +465,7 @@
         self.drop_advice(key);
         let ids = self.jobs.get(&key).map(Job::task_ids).unwrap_or_default();
         for id in ids {
-            self.unqueue(&id);
+            self.dequeue(&id);
             if !self.outlives_job(&id) {
                 self.stop_runs(&id);
             }
@@ -544,7 +544,7 @@
             return;
         };
         let (cancelled, begun, spec) = (job.cancelled, job.begun, job.spec.clone());
-        let work = self.jobs.get(&key).and_then(|j| self.work_of(j));
+        let work = self.jobs.get(&key).and_then(|j| self.job_work(j));
         let record = OverRecord {
             queue: spec.queue.clone(),
             service: spec.service.clone(),
--- a/crates/workswood-core/src/jobs/trials.rs
+++ b/crates/workswood-core/src/jobs/trials.rs
@@ -155,7 +155,7 @@
 
     /// Whether a task may be tried on a worker, but for its room.
     fn may_try(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> bool {
-        let ticket = !self.is_advised(&id.step_id()) || w.ticket(&id.step_id(), self.now).is_some();
+        let ticket = !self.needs_ticket(&id.step_id()) || w.ticket(&id.step_id(), self.now).is_some();
         ticket && !w.is_shunned(self.now) && self.allowed(w, step, id)
     }
 }
--- a/crates/workswood-core/src/jobs/types.rs
+++ b/crates/workswood-core/src/jobs/types.rs
@@ -22,7 +22,7 @@
     /// Longest lease that a worker accepts, whatever it is asked for.
     pub max_lease: Duration,
     /// How long a scheduler that can't renew its own lease goes on extending workers' leases.
-    pub grace: Duration,
+    pub extension_grace: Duration,
     /// Largest share by which a worker's clock may run slow.
     pub clock_drift: f64,
     /// How long a new lease holder waits before its first order to a host that a predecessor
@@ -254,7 +254,7 @@
     /// Stop an attempt of a task.
     Stop(WorkerId, TaskId, u32),
     /// Limit an attempt of a task to a pace in percent.
-    Pace(WorkerId, TaskId, u32, u32),
+    SetPace(WorkerId, TaskId, u32, u32),
     /// Order a host into maintenance as part of a wave.
     MaintainHost(HostId, u64),
     /// Order a host to move to the pool of a service.
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -135,7 +135,7 @@
     Limits {
         lease: LEASE,
         max_lease: LONGEST_LEASE,
-        grace: GRACE,
+        extension_grace: GRACE,
         clock_drift: 0.02,
         host_order_delay: Duration::from_secs(3),
         host_orders_per_s: 64.0,
--- a/src/workswood/ops/jobs/limits.rs
+++ b/src/workswood/ops/jobs/limits.rs
@@ -42,7 +42,7 @@
     Limits {
         lease: LeaseTimes::of(s).lease,
         max_lease: Duration::from_millis(s.longest_lease_ms),
-        grace: GRACE,
+        extension_grace: GRACE,
         clock_drift: DRIFT,
         host_order_delay: Duration::from_millis(s.host_handover_ms) + HANDOVER_MARGIN,
         host_orders_per_s: s.host_orders_per_s,
--- a/src/workswood/ops/model/deployment.rs
+++ b/src/workswood/ops/model/deployment.rs
@@ -54,7 +54,7 @@
     Limits {
         lease: Duration::from_secs(5),
         max_lease: Duration::from_secs(10),
-        grace: Duration::from_secs(4),
+        extension_grace: Duration::from_secs(4),
         clock_drift: 0.02,
         host_order_delay: Duration::from_millis(3300),
         host_orders_per_s: 64.0,
