--- a/crates/workswood-core/src/jobs/advice.rs
+++ b/crates/workswood-core/src/jobs/advice.rs
@@ -21,9 +21,10 @@
 use super::types::{Action, Advice, AdviceReply, AdviceResult};
 use super::worker::Verdict;
 
-/// Added to the time that the adviser should need, for the way there and back.
+/// Slack of a call's timeout beyond the time that the adviser should need; it doubles with each
+/// failure in a row.
 const BASE_SLACK: Duration = Duration::from_millis(300);
-/// Largest addition, after calls without an answer.
+/// Largest slack of a call's timeout.
 const MAX_SLACK: Duration = Duration::from_secs(5);
 /// Delay after a failed call; it doubles with each failure in a row.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
@@ -32,7 +33,7 @@
 /// Largest delay for an entry whose calls fail while those of others are answered: each attempt
 /// through an entry that is gone delays a step.
 const MAX_BACKOFF_OF_ONE_ENTRY: Duration = Duration::from_secs(8);
-/// Number of doublings after which additions and delays are at their maximum.
+/// Largest number of doublings of slack and backoff.
 const MAX_DOUBLINGS: u32 = 8;
 /// How long the adviser is not asked about a worker that rejected a ticket. This bounds the rate of
 /// lost starts if tickets are always rejected.
@@ -80,7 +81,7 @@
     failures: u32,
     /// Whether the last call was answered.
     answered: bool,
-    /// How late answers were: the maximum of the latest lateness and half of this value before.
+    /// How late answers were: the latest lateness, or half of the previous value if that is larger.
     lateness: Duration,
 }
 
--- a/crates/workswood-core/src/jobs/advice_batch.rs
+++ b/crates/workswood-core/src/jobs/advice_batch.rs
@@ -3,15 +3,15 @@
 use super::config::AdviceConfig;
 use super::job::WorkerId;
 
-/// Smallest limit on the number of workers of a call.
+/// Lower bound of the limit on the number of workers that a call names.
 const MIN_FULL_CALL_IDS: u32 = 30;
-/// Largest limit on the number of workers of a call.
+/// Upper bound of the limit on the number of workers that a call names.
 pub const MAX_IDS: u32 = 100;
 /// In a full call, the time for its workers is this multiple of the call's fixed time, so that the
 /// fixed time is a small part and the answer still comes soon.
 const FULL_CALL_RATIO: f64 = 3.0;
-/// Number of answers after which older ones are halved in weight.
-const DECAY_AFTER_ANSWERS: f64 = 200.0;
+/// Number of workers asked about after which earlier answers are halved in weight.
+const DECAY_AFTER_WORKERS: f64 = 200.0;
 
 /// A worker that may be asked about.
 #[derive(Clone, Debug, PartialEq)]
@@ -34,7 +34,7 @@
 impl GoodRate {
     /// Adds an answer.
     pub fn observe(&mut self, asked: usize, good: usize) {
-        if self.asked > DECAY_AFTER_ANSWERS {
+        if self.asked > DECAY_AFTER_WORKERS {
             self.asked /= 2.0;
             self.good /= 2.0;
         }
@@ -63,13 +63,13 @@
 /// time only if the probability that the workers before it are not enough, times the fixed time of
 /// another call, is larger.
 pub fn choose_batch(candidates: &[Candidate], need: u32, share: f64, cfg: &AdviceConfig) -> Vec<WorkerId> {
-    let mut short = Shortfall::new(need);
+    let mut shortfall = Shortfall::new(need);
     let mut batch = Vec::new();
     for c in candidates.iter().take(max_ids(cfg)) {
-        if short.probability() * cfg.decide.as_secs_f64() <= cfg.each.as_secs_f64() {
+        if shortfall.probability() * cfg.decide.as_secs_f64() <= cfg.each.as_secs_f64() {
             break;
         }
-        short.add(c.fits, if c.good { 1.0 } else { share });
+        shortfall.add(c.fits, if c.good { 1.0 } else { share });
         batch.push(c.worker.clone());
     }
     batch
@@ -82,11 +82,11 @@
 
 impl Shortfall {
     fn new(need: u32) -> Shortfall {
-        let mut likely = vec![0.0; need as usize];
-        if let Some(none) = likely.first_mut() {
-            *none = 1.0;
+        let mut probabilities = vec![0.0; need as usize];
+        if let Some(no_places) = probabilities.first_mut() {
+            *no_places = 1.0;
         }
-        Shortfall { probabilities: likely }
+        Shortfall { probabilities }
     }
 
     /// Adds a worker with `fits` places that is good with the probability `good`.
--- a/crates/workswood-core/src/jobs/demand_history.rs
+++ b/crates/workswood-core/src/jobs/demand_history.rs
@@ -49,7 +49,7 @@
     }
 
     fn push(&mut self, at: AtMs, work: u64) {
-        let total = self.arrivals.back().map_or(self.forgotten_work, |c| c.total_work) + work;
+        let total = self.arrivals.back().map_or(self.forgotten_work, |arrival| arrival.total_work) + work;
         self.arrivals.push_back(Arrival { at, total_work: total });
     }
 
@@ -64,7 +64,7 @@
         for (at, work) in std::mem::take(&mut self.restored) {
             self.push(at, work);
         }
-        let ends: Vec<AtMs> = self.arrivals.iter().map(|c| c.at).collect();
+        let ends: Vec<AtMs> = self.arrivals.iter().map(|arrival| arrival.at).collect();
         ends.into_iter().for_each(|at| self.update_peak(at, window));
         self.forget_old(to_ms(now));
     }
@@ -78,8 +78,8 @@
 
     fn forget_old(&mut self, now: AtMs) {
         let oldest = now - to_ms(HISTORY_LENGTH);
-        while let Some(c) = self.arrivals.front().filter(|c| c.at < oldest) {
-            self.forgotten_work = c.total_work;
+        while let Some(arrival) = self.arrivals.front().filter(|arrival| arrival.at < oldest) {
+            self.forgotten_work = arrival.total_work;
             self.arrivals.pop_front();
         }
     }
@@ -93,7 +93,7 @@
     /// Number of jobs that arrived within `span` before now.
     pub fn job_count(&self, now: Duration, span: Duration) -> usize {
         let from = to_ms(now) - to_ms(span);
-        self.arrivals.len() - self.arrivals.partition_point(|c| c.at <= from)
+        self.arrivals.len() - self.arrivals.partition_point(|arrival| arrival.at <= from)
     }
 
     /// The peak rate, in cores.
@@ -116,7 +116,7 @@
 
     /// Total work that arrived up to a time.
     fn work_until(&self, at: AtMs) -> u64 {
-        let count = self.arrivals.partition_point(|c| c.at <= at);
+        let count = self.arrivals.partition_point(|arrival| arrival.at <= at);
         count.checked_sub(1).map_or(self.forgotten_work, |n| self.arrivals[n].total_work)
     }
 }
--- a/crates/workswood-core/src/jobs/pool_planning.rs
+++ b/crates/workswood-core/src/jobs/pool_planning.rs
@@ -38,8 +38,9 @@
     pub(super) declared_sizes: BTreeMap<ServiceId, usize>,
     /// Services that have had work.
     pub(super) services_with_work: BTreeSet<ServiceId>,
-    /// Number of move orders that may be sent at once, and when it was last updated.
+    /// Number of move orders that may be sent at once.
     pub(super) order_budget: f64,
+    /// When `order_budget` was last updated.
     pub(super) order_budget_updated_at: Duration,
     /// When the pools were last logged.
     logged_at: Duration,
