--- a/crates/workswood-core/src/jobs/advice_need.rs
+++ b/crates/workswood-core/src/jobs/advice_candidates.rs
@@ -1,4 +1,4 @@
-//! Which steps want advice, and what they lack.
+//! Finds the steps that need advice, and the workers to ask about.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,56 +8,56 @@
 use super::job::{Job, Phase, Task, WorkerId};
 use super::placement::count_same_step;
 use super::queue_order::QueuePosition;
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::{Resources, StepId, StepSpec, TaskId};
 use super::worker::{AdviceVerdict, Worker};
 use crate::ids::ServiceId;
 
-/// Share of the room in use that is taken to be free again while tickets hold.
-/// More asks about steps whose turn comes after their tickets have ended.
-const FREE_AGAIN: f64 = 0.5;
-/// From this percentage on, a run's progress tells when it will end.
-const TELLING_PERCENT: u32 = 10;
-/// Workers whose time a renewal plans with: about what one call names.
-const USUAL_IDS: u32 = 10;
+/// Share of the room in use that is expected to be free again while tickets are valid.
+const SOON_FREE_SHARE: f64 = 0.5;
+/// Smallest progress, in percent, from which the end of a run is predicted.
+const MIN_PREDICTIVE_PERCENT: u32 = 10;
+/// Number of workers that the time of a renewal call is planned for.
+const TYPICAL_CALL_IDS: u32 = 10;
 
-/// A step that wants advice.
+/// A step that needs advice.
 #[derive(Clone, Debug)]
-pub(super) struct Wanted {
+pub(super) struct AdviceRequest {
     /// The step.
     pub step: StepId,
-    /// Its tasks that have no place.
+    /// Its tasks without a place.
     pub tasks: Vec<TaskId>,
-    /// When they may be started.
-    pub opens: Duration,
+    /// When its tasks may be started.
+    pub opens_at: Duration,
 }
 
-/// What a step has against workers.
-struct Wish<'a> {
+/// What is needed to match a step with workers.
+struct RequestContext<'a> {
     job: &'a Job,
     spec: &'a StepSpec,
-    wanted: &'a Wanted,
-    /// Workers that may be good.
-    others: usize,
+    request: &'a AdviceRequest,
+    /// Number of workers that may be good.
+    possible_workers: usize,
 }
 
-/// Workers that take work, by service.
-pub(super) type Pools = BTreeMap<ServiceId, Vec<WorkerId>>;
+/// Workers that accept work, by service.
+pub(super) type WorkersByService = BTreeMap<ServiceId, Vec<WorkerId>>;
 
 impl Scheduler {
     /// Services with open jobs that need advice, and their workers.
-    pub(super) fn advised_pools(&self) -> Pools {
+    pub(super) fn advised_workers(&self) -> WorkersByService {
         let jobs = self.advice.jobs.iter().filter_map(|key| self.jobs.get(key));
         let services: BTreeSet<&ServiceId> = jobs.map(|j| &j.spec.service).collect();
         services.into_iter().map(|s| (s.clone(), self.available_workers(s))).collect()
     }
 
-    /// Steps whose tasks wait, most urgent first, as far as there will be room.
-    pub(super) fn waiting_for_advice(&self, pools: &Pools) -> Vec<Wanted> {
-        let mut found: Vec<(QueuePosition, Wanted)> = Vec::new();
-        for (service, workers) in pools {
+    /// Waiting steps that need advice, most urgent first, as far as there will be room for their
+    /// tasks.
+    pub(super) fn steps_waiting_for_advice(&self, workers: &WorkersByService) -> Vec<AdviceRequest> {
+        let mut found: Vec<(QueuePosition, AdviceRequest)> = Vec::new();
+        for (service, pool) in workers {
             let Some(waiting) = self.ready.get(service) else { continue };
-            let mut room = self.room_soon(workers);
+            let mut room = self.room_soon(pool);
             for place in waiting.positions() {
                 let spec = self.jobs.get(&place.step.job).map(|j| &j.spec);
                 let Some(step) = spec.and_then(|s| s.steps.get(usize::from(place.step.step))) else {
@@ -75,8 +75,8 @@
                     room -= each;
                     tasks.push(task);
                 }
-                if self.is_advised(&place.step) {
-                    found.push((*place, Wanted { step: place.step, tasks, opens: self.now }));
+                if self.needs_ticket(&place.step) {
+                    found.push((*place, AdviceRequest { step: place.step, tasks, opens_at: self.now }));
                 }
             }
         }
@@ -84,34 +84,36 @@
         found.into_iter().map(|(_, w)| w).collect()
     }
 
-    /// Room of workers that is free or will be soon, in thousandths of a core.
+    /// Processor room that is free or expected to be free soon, in thousandths of a core.
     fn room_soon(&self, workers: &[WorkerId]) -> f64 {
-        let of = |w: &Worker| w.free_room().cpu_millis as f64 + w.used_room.cpu_millis as f64 * FREE_AGAIN;
+        let of =
+            |w: &Worker| w.free_room().cpu_millis as f64 + w.used_room.cpu_millis as f64 * SOON_FREE_SHARE;
         workers.iter().filter_map(|id| self.workers.get(id)).map(of).sum()
     }
 
-    /// Steps that open while tickets asked for now still hold, the next first.
-    pub(super) fn opening_soon(&self) -> Vec<Wanted> {
+    /// Steps that open while tickets asked for now are still valid, the next first.
+    pub(super) fn steps_opening_soon(&self) -> Vec<AdviceRequest> {
         let mut found = Vec::new();
         for key in &self.advice.jobs {
-            let (Some(job), Some(cfg)) = (self.jobs.get(key), self.advice_of(*key)) else { continue };
+            let (Some(job), Some(cfg)) = (self.jobs.get(key), self.advice_config(*key)) else { continue };
             for round in 0..job.rounds.len() as u32 {
                 for step in 0..job.spec.steps.len() as u16 {
                     let id = StepId { job: *key, round, step };
-                    let opens = self.opens_in(job, &id).filter(|left| *left <= cfg.valid / 2);
+                    let opens = self.time_to_open(job, &id).filter(|left| *left <= cfg.valid / 2);
                     let Some(left) = opens else { continue };
                     let task = |index| TaskId { job: *key, round, step, index };
                     let tasks = (0..job.spec.steps[usize::from(step)].count).map(task).collect();
-                    found.push(Wanted { step: id, tasks, opens: self.now + left });
+                    found.push(AdviceRequest { step: id, tasks, opens_at: self.now + left });
                 }
             }
         }
-        found.sort_by_key(|w| (w.opens, w.step));
+        found.sort_by_key(|w| (w.opens_at, w.step));
         found
     }
 
-    /// How long until a step opens all whose earlier steps are done or at work.
-    fn opens_in(&self, job: &Job, id: &StepId) -> Option<Duration> {
+    /// Time until a step opens; `None` if it is open, or some earlier task is neither done nor
+    /// running.
+    fn time_to_open(&self, job: &Job, id: &StepId) -> Option<Duration> {
         if job.step_open(id.round, id.step) {
             return None;
         }
@@ -124,54 +126,54 @@
             );
             let tasks = job.rounds.get(id.round as usize)?.get(usize::from(*before))?;
             for task in tasks.iter().filter(|t| !t.done) {
-                longest = longest.max(self.ends_in(task, expected)?);
+                longest = longest.max(self.time_to_end(task, expected)?);
             }
         }
         Some(longest)
     }
 
-    /// How long a task at work will take; `None` if it is not at work.
-    fn ends_in(&self, task: &Task, expected: Duration) -> Option<Duration> {
+    /// Time until a task ends; `None` if it does not run.
+    fn time_to_end(&self, task: &Task, expected: Duration) -> Option<Duration> {
         let at_work = |p: Phase| matches!(p, Phase::Starting | Phase::Running);
         let run = task.runs.iter().find(|r| at_work(r.phase))?;
         let passed = self.now.saturating_sub(run.phase_since);
-        if run.progress_percent < TELLING_PERCENT {
+        if run.progress_percent < MIN_PREDICTIVE_PERCENT {
             return Some(expected.saturating_sub(passed));
         }
-        let told = run.progressed_at.saturating_sub(run.phase_since);
-        let whole = told.mul_f64(100.0 / f64::from(run.progress_percent));
+        let progress_time = run.progressed_at.saturating_sub(run.phase_since);
+        let whole = progress_time.mul_f64(100.0 / f64::from(run.progress_percent));
         Some(whole.saturating_sub(passed))
     }
 
-    /// Tasks of a step that no ticket has a place for, and the workers that may be
-    /// asked about in the order in which the placement would take them; `None` if
-    /// tickets are enough.
+    /// The number of tasks of a step without a place by a valid ticket, and the workers to ask
+    /// about in the order in which the placement would choose them; `None` if the tickets are
+    /// enough.
     pub(super) fn need_and_candidates(
         &self,
-        wanted: &Wanted,
+        request: &AdviceRequest,
         cfg: &AdviceConfig,
-        pools: &Pools,
+        workers: &WorkersByService,
     ) -> Option<(u32, Vec<Candidate>)> {
-        let job = self.jobs.get(&wanted.step.job)?;
-        let spec = job.spec.steps.get(usize::from(wanted.step.step))?;
-        let first = wanted.tasks.first()?;
-        let workers = pools.get(&job.spec.service)?;
-        let others = self.may_be_good(workers, &wanted.step);
-        let wish = Wish { job, spec, wanted, others };
-        // What ends before another answer would be there is asked for now.
-        let ahead = (cfg.decide + cfg.each * USUAL_IDS).min(cfg.valid / 4);
-        let holds_until = wanted.opens + ahead;
+        let job = self.jobs.get(&request.step.job)?;
+        let spec = job.spec.steps.get(usize::from(request.step.step))?;
+        let first = request.tasks.first()?;
+        let workers = workers.get(&job.spec.service)?;
+        let others = self.count_possible_workers(workers, &request.step);
+        let context = RequestContext { job, spec, request, possible_workers: others };
+        // Tickets that end before another answer would arrive are renewed now.
+        let ahead = (cfg.decide + cfg.each * TYPICAL_CALL_IDS).min(cfg.valid / 4);
+        let holds_until = request.opens_at + ahead;
         let mut covered = 0;
         let mut candidates = Vec::new();
         for id in workers {
             let Some(w) = self.workers.get(id) else { continue };
-            let (free, whole) = self.places_on(&wish, id, w);
-            // A full worker has a place when one of its tasks has ended.
+            let (free, whole) = self.task_slots_on(&context, id, w);
+            // A full worker has a place once one of its tasks has ended.
             let fits = if free == 0 { whole.min(1) } else { free };
             if fits == 0 || !self.meets_constraints(w, spec, first) {
                 continue;
             }
-            let good = match w.advice.get(&wanted.step) {
+            let good = match w.advice.get(&request.step) {
                 Some(AdviceVerdict::Eligible(_, until)) if *until > holds_until => {
                     covered += fits;
                     continue;
@@ -185,35 +187,36 @@
             let rank = (free == 0, far, !good, crowd, faults, left);
             candidates.push((rank, Candidate { worker: id.clone(), fits, good }));
         }
-        let need = (wanted.tasks.len() as u32).checked_sub(covered).filter(|n| *n > 0)?;
+        let need = (request.tasks.len() as u32).checked_sub(covered).filter(|n| *n > 0)?;
         candidates.sort_by_key(|c| c.0);
         Some((need, candidates.into_iter().map(|(_, c)| c).collect()))
     }
 
-    /// How many tasks of the step have room on a worker now, and if it were empty.
-    fn places_on(&self, wish: &Wish<'_>, id: &WorkerId, w: &Worker) -> (u32, u32) {
-        let task = |t: &TaskId| wish.job.task(t);
-        let avoids =
-            |t: &&TaskId| wish.others > 1 && task(t).is_some_and(|t| t.avoid_worker.as_ref() == Some(id));
-        let mut most = wish.wanted.tasks.iter().filter(|t| !avoids(t)).count() as u32;
-        if wish.spec.max_per_worker > 0 {
-            let here = wish.wanted.tasks.first().map_or(0, |t| count_same_step(w, t)) as u32;
-            most = most.min(wish.spec.max_per_worker.saturating_sub(here));
+    /// How many tasks of the step fit on a worker now, and how many if it were empty.
+    fn task_slots_on(&self, context: &RequestContext<'_>, id: &WorkerId, w: &Worker) -> (u32, u32) {
+        let task = |t: &TaskId| context.job.task(t);
+        let avoids = |t: &&TaskId| {
+            context.possible_workers > 1 && task(t).is_some_and(|t| t.avoid_worker.as_ref() == Some(id))
+        };
+        let mut most = context.request.tasks.iter().filter(|t| !avoids(t)).count() as u32;
+        if context.spec.max_per_worker > 0 {
+            let here = context.request.tasks.first().map_or(0, |t| count_same_step(w, t)) as u32;
+            most = most.min(context.spec.max_per_worker.saturating_sub(here));
         }
         let mut free = w.free_room();
-        if wish.wanted.opens > self.now {
-            // What the job runs here has ended when the step opens.
-            let own = w.runs.iter().filter(|((t, _), _)| t.job == wish.job.key);
+        if context.request.opens_at > self.now {
+            // The job's own tasks here have ended when the step opens.
+            let own = w.runs.iter().filter(|((t, _), _)| t.job == context.job.key);
             own.for_each(|(_, held)| free.add(&held.resources));
         }
         let whole = w.info.as_ref().map(|i| i.capacity).unwrap_or_default();
-        let room = wish.spec.reserved_resources();
-        (times(&free, &room).min(most), times(&whole, &room).min(most))
+        let room = context.spec.reserved_resources();
+        (times_contained(&free, &room).min(most), times_contained(&whole, &room).min(most))
     }
 }
 
-/// How many times a room holds another.
-fn times(whole: &Resources, part: &Resources) -> u32 {
+/// How many times a room contains another.
+fn times_contained(whole: &Resources, part: &Resources) -> u32 {
     let fit = |whole: u64, part: u64| whole.checked_div(part).unwrap_or(u64::MAX);
     let least = fit(whole.cpu_millis, part.cpu_millis)
         .min(fit(whole.mem_mb, part.mem_mb))
--- a/crates/workswood-core/src/jobs/crash_attribution.rs
+++ b/crates/workswood-core/src/jobs/crash_attribution.rs
@@ -23,7 +23,7 @@
 
 use super::crash_rate::task_fault_score;
 use super::job::{Job, Outcome, Phase, Run, Task, WorkerId};
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::TaskId;
 use super::worker::Worker;
 
@@ -339,7 +339,12 @@
 
     /// Crashes per second and worker, without those during runs of the task.
     fn background_crash_rate(&self, task: &TaskId) -> f64 {
-        self.crash_rate.rate_without(task, self.now, self.workers.len(), self.now.saturating_sub(self.since))
+        self.crash_rate.rate_without(
+            task,
+            self.now,
+            self.workers.len(),
+            self.now.saturating_sub(self.claimed_at),
+        )
     }
 
     /// Records the loss of a run in a crash that runs of the given role explain. `same_role` is the
@@ -357,7 +362,7 @@
             None => Evidence::Unconfirmed,
         };
         if task.crashes.record(run.attempt, CrashRecord { evidence, max_run_time: run.max_run_time }) {
-            self.dirty.insert(run.task.job);
+            self.dirty_jobs.insert(run.task.job);
         }
         let count = task.crashes.count();
         let suspicion = task.crashes.score(rate);
@@ -385,7 +390,7 @@
         self.notes.push(format_args!(
             "event=task_given_up worker={id} task={task} crashes={crashes} suspicion={suspicion:.1}"
         ));
-        self.tally.given_up += 1;
+        self.counters.tasks_given_up += 1;
         self.crash_rate.record_culprit(task, self.now);
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         if !job.step(task).is_some_and(|s| s.long_running) {
@@ -395,7 +400,7 @@
         if let Some(t) = job.task_mut(task) {
             t.given_up = true;
         }
-        self.dirty.insert(task.job);
+        self.dirty_jobs.insert(task.job);
         if job.nothing_left() {
             self.end_job(task.job, Outcome::Failed);
         }
@@ -442,7 +447,7 @@
             if let Some(task) = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(&id)) {
                 task.crashes = CrashHistory::default();
                 task.suspicion = None;
-                self.dirty.insert(id.job);
+                self.dirty_jobs.insert(id.job);
             }
         }
     }
--- a/crates/workswood-core/src/jobs/crash_trials.rs
+++ b/crates/workswood-core/src/jobs/crash_trials.rs
@@ -9,7 +9,7 @@
 
 use super::crash_attribution::{CrashPolicy, PROVEN_SAFE_AFTER};
 use super::job::{Task, WorkerId};
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::{StepSpec, TaskId};
 use super::worker::Worker;
 use crate::ids::ServiceId;
@@ -164,7 +164,7 @@
 
     /// Whether a task may be tried on a worker, free resources aside.
     fn trial_allowed(&self, w: &Worker, step: &StepSpec, id: &TaskId) -> bool {
-        let ticket = !self.is_advised(&id.step_id()) || w.ticket(&id.step_id(), self.now).is_some();
+        let ticket = !self.needs_ticket(&id.step_id()) || w.ticket(&id.step_id(), self.now).is_some();
         ticket && !w.in_backoff(self.now) && self.meets_constraints(w, step, id)
     }
 }
--- a/crates/workswood-core/src/jobs/ends.rs
+++ b/crates/workswood-core/src/jobs/ends.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::job::{Job, Outcome, Phase, Run, WorkerId};
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::TaskId;
 use super::types::Action;
 use super::worker::{EndKind, Report, ReportedEnd, ReportedRun, Worker};
@@ -34,7 +34,7 @@
         w.reachable = true;
         w.token_accepted = true;
         if back {
-            self.place_again.extend(w.info.as_ref().map(|i| i.service.clone()));
+            self.services_to_place.extend(w.info.as_ref().map(|i| i.service.clone()));
             self.notes.push(format_args!("event=worker_reached worker={id} token={}", self.token));
         }
     }
@@ -51,7 +51,7 @@
             w.last_recorded_end = last;
         }
         if !ended.is_empty() {
-            self.forget.insert(id.clone(), last);
+            self.acked_ends.insert(id.clone(), last);
         }
     }
 
@@ -113,8 +113,8 @@
             w.add_run(listed.task, listed.attempt, spec.reservation(step));
             w.note_task_kind(&listed.task, step);
         }
-        self.unqueue(&listed.task);
-        self.dirty.insert(listed.task.job);
+        self.dequeue(&listed.task);
+        self.dirty_jobs.insert(listed.task.job);
         self.notes.push(format_args!(
             "event=run_adopted worker={id} task={} attempt={}",
             listed.task, listed.attempt
@@ -149,7 +149,7 @@
             w.info.clone()
         });
         if let Some(info) = info {
-            self.place_soon(&info.service);
+            self.schedule_placement(&info.service);
         }
         self.notes.push(format_args!(
             "event=run_ended worker={id} task={task_id} attempt={} how={:?} number={}",
@@ -173,7 +173,7 @@
         if known && step.checkpointing && !end.checkpoint.is_empty() {
             task.checkpoint.clone_from(&end.checkpoint);
         }
-        self.dirty.insert(task_id.job);
+        self.dirty_jobs.insert(task_id.job);
         match end.kind {
             EndKind::Done => self.task_done(id, &task_id, step.gang, step.long_running),
             EndKind::Failed => self.task_failed(id, &task_id, end.attempt, step.long_running),
@@ -204,7 +204,7 @@
         }
         let step_done = job.step_done(task_id.round, task_id.step);
         for m in &members {
-            self.unqueue(m);
+            self.dequeue(m);
             self.stop_runs(m);
         }
         if step_done {
@@ -255,7 +255,7 @@
         if faults < self.policy.health.faults_to_shun || !self.may_shun(id) {
             return;
         }
-        let until = now + (self.policy.health.shun_for * faults).min(self.policy.health.shun_at_most);
+        let until = now + (self.policy.health.shun_for * faults).min(self.policy.health.max_shun);
         if let Some(mut w) = self.workers.get_mut(id) {
             w.backoff_until = until;
         }
--- a/crates/workswood-core/src/jobs/evacuation.rs
+++ b/crates/workswood-core/src/jobs/evacuation.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 use super::host::Host;
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use crate::ids::DataCentre;
 
 impl Scheduler {
@@ -23,7 +23,7 @@
         });
         self.evacuated = evacuated;
         self.update_fleet_cpu();
-        self.place_again.extend(self.ready.keys().cloned());
+        self.services_to_place.extend(self.ready.keys().cloned());
     }
 
     /// Whether the data centre of a host is not being evacuated.
@@ -34,7 +34,7 @@
     /// Recomputes the total processor capacity of the hosts on which work may start.
     pub(super) fn update_fleet_cpu(&mut self) {
         let open = self.hosts.values().filter(|m| self.is_outside_evacuation(m));
-        self.fleet_cpu = open.map(|m| m.capacity.cpu_millis).sum();
+        self.fleet_cpu_millis = open.map(|m| m.capacity.cpu_millis).sum();
     }
 
     /// Data centres that are being evacuated, as known to this lease holder.
--- a/crates/workswood-core/src/jobs/eviction.rs
+++ b/crates/workswood-core/src/jobs/eviction.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::job::{Outcome, Phase, Run, WorkerId};
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::TaskId;
 use super::types::Action;
 
@@ -65,7 +65,7 @@
     fn counts_as_available(&self, run: &Run) -> bool {
         let Some(w) = self.workers.get(&run.worker) else { return false };
         let heard = w.relay.as_ref().map_or(Duration::ZERO, |r| self.relays.last_heard(r));
-        let recently_confirmed = self.now <= heard + self.policy.health.believed_for;
+        let recently_confirmed = self.now <= heard + self.policy.health.report_valid_for;
         run.is_warmed_up() && !run.evicted && w.reachable && !w.poll_overdue && recently_confirmed
     }
 
@@ -107,7 +107,7 @@
         let already_recorded = std::mem::replace(&mut run.evicted, true);
         run.set_phase(Phase::Stopping, now);
         if !already_recorded {
-            self.dirty.insert(task.job);
+            self.dirty_jobs.insert(task.job);
         }
         self.notes.push(format_args!(
             "event=task_evicted worker={id} task={task} attempt={attempt} reason={reason}"
--- /dev/null
+++ b/crates/workswood-core/src/jobs/maintenance_waves.rs
@@ -0,0 +1,367 @@
+//! Maintenance waves: which host goes down next, and when.
+//!
+//! Each host is first drained (no new work, lasting tasks evicted within their budgets), then
+//! ordered down (the order is on record first), then down, and finished when it is up again with
+//! another life of its worker. Orders are sent by
+//! [`maintenance_orders`](super::maintenance_orders).
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use serde::{Deserialize, Serialize};
+
+use super::host::{Host, HostState};
+use super::job::WorkerId;
+use super::map::{Map, Set};
+use super::policy::WavePolicy;
+use super::pool_count::is_working;
+use super::scheduler::Scheduler;
+use crate::ids::{HostId, ServiceId};
+
+/// Time within which the list shows a confirmed maintenance of a host that is turned off, if it
+/// shows it at all.
+const OFF_HOST_LIST_DELAY: Duration = Duration::from_millis(1500);
+
+/// A host that no list has shown for this long was removed for good. A host that moves or is
+/// maintained stays listed.
+const REMOVED_HOST_TIMEOUT: Duration = Duration::from_millis(4000);
+
+/// A maintenance wave as an operator requests it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Wave {
+    /// Its number.
+    pub number: u64,
+    /// Hosts to maintain.
+    pub hosts: Vec<HostId>,
+    /// Time allowed for all of them.
+    pub time_allowed: Duration,
+    /// How many of them may be down at the same time.
+    pub max_down: usize,
+}
+
+/// Stored progress of a wave.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct WaveRecord {
+    /// Hosts that were ordered down, with the life of the worker at that time.
+    #[serde(default)]
+    pub ordered: BTreeMap<HostId, Option<String>>,
+    /// Hosts whose order was confirmed.
+    #[serde(default)]
+    pub down: BTreeSet<HostId>,
+    /// Hosts that are up again.
+    #[serde(default)]
+    pub finished: BTreeSet<HostId>,
+}
+
+/// The state of a wave.
+#[derive(Clone, Debug)]
+pub struct WaveState {
+    /// The wave as requested.
+    pub request: Wave,
+    /// The stored progress.
+    pub record: WaveRecord,
+    /// Hosts that are being drained, and since when.
+    pub draining: BTreeMap<HostId, Duration>,
+    /// When each order was last sent.
+    pub order_sent_at: BTreeMap<HostId, Duration>,
+    /// When each order was confirmed, as far as this scheduler received the reply.
+    pub confirmed_at: BTreeMap<HostId, Duration>,
+    /// Hosts whose order may still be carried out although it was not answered.
+    pub unconfirmed: BTreeSet<HostId>,
+    /// Hosts that the list does not show, and since when.
+    pub absent_since: BTreeMap<HostId, Duration>,
+    /// Hosts that were removed; they need no maintenance.
+    pub removed: BTreeSet<HostId>,
+    /// When this scheduler first knew of the wave.
+    pub known_since: Duration,
+}
+
+/// Whether a host is back from maintenance: its worker has another life.
+///
+/// A host that is turned off has no worker, before and after; the life on record may be one that
+/// ended when it was turned off. A list that was requested before the order was confirmed may be
+/// older than the maintenance. If the life on record is not the latest, as after a move between
+/// pools, such a list would show the host as back at once.
+fn has_returned(
+    host: &Host,
+    off: bool,
+    before: &Option<String>,
+    confirmed: Option<&Duration>,
+    asked: Duration,
+) -> bool {
+    let Some(confirmed) = confirmed.filter(|at| **at < asked) else { return false };
+    match (&host.worker, host.state) {
+        // The list names workers; one that restarted may appear under the same name.
+        (Some(id), HostState::Up) => match before.as_deref().map(WorkerId::from) {
+            Some(life) if life.name() == id.name() => {
+                life.started_at().is_some() && *confirmed + OFF_HOST_LIST_DELAY < asked
+            }
+            Some(_) | None => true,
+        },
+        (None, HostState::Up | HostState::Down) if off || before.is_none() => {
+            *confirmed + OFF_HOST_LIST_DELAY < asked
+        }
+        _ => false,
+    }
+}
+
+impl WaveState {
+    /// Whether every host of it has been maintained or was removed.
+    pub fn is_complete(&self) -> bool {
+        self.request
+            .hosts
+            .iter()
+            .all(|host| self.record.finished.contains(host) || self.removed.contains(host))
+    }
+
+    /// Updates the hosts that are missing from the list. Returns whether the number of removed
+    /// hosts changed.
+    fn update_absent(&mut self, hosts: &Map<HostId, Host>, asked: Duration) -> bool {
+        let before = self.removed.len();
+        let absent = self.request.hosts.iter().filter(|host| !hosts.contains_key(*host));
+        let absent = absent.map(|host| (host.clone(), self.absent_since.get(host).copied().unwrap_or(asked)));
+        self.absent_since = absent.collect();
+        let gone = self.absent_since.iter().filter(|(_, since)| **since + REMOVED_HOST_TIMEOUT <= asked);
+        self.removed = gone.map(|(host, _)| host.clone()).collect();
+        self.removed.len() != before
+    }
+
+    /// How many hosts should be finished or begun by now.
+    fn planned_by(&self, now: Duration, short: bool, policy: &WavePolicy) -> usize {
+        let used = if short { policy.planned_time_share_when_short } else { policy.planned_time_share };
+        let passed = now.saturating_sub(self.known_since).as_secs_f64() + policy.lead_time.as_secs_f64();
+        let within = self.request.time_allowed.as_secs_f64() * used;
+        let share = if within > 0.0 { (passed / within).min(1.0) } else { 1.0 };
+        (self.request.hosts.len() as f64 * share).ceil() as usize
+    }
+
+    /// Whether the maintenance of a host has not begun.
+    fn is_pending(&self, host: &HostId) -> bool {
+        let begun = self.record.ordered.contains_key(host) || self.draining.contains_key(host);
+        !begun && !self.record.finished.contains(host)
+    }
+
+    /// Whether a host is being drained for the wave, or is or may be down.
+    fn occupies(&self, host: &HostId) -> bool {
+        let ordered = self.record.ordered.contains_key(host) && !self.record.finished.contains(host);
+        ordered || self.draining.contains_key(host)
+    }
+
+    /// Hosts that are being drained for the wave, or are or may be down.
+    fn occupied(&self) -> impl Iterator<Item = &HostId> {
+        let down = self.record.ordered.keys().filter(|host| !self.record.finished.contains(*host));
+        self.draining.keys().chain(down)
+    }
+
+    /// Number of hosts that are, or may be, down for the wave.
+    pub(super) fn down_count(&self) -> usize {
+        self.record.ordered.keys().filter(|host| !self.record.finished.contains(*host)).count()
+    }
+}
+
+impl Scheduler {
+    /// Adds a wave that an operator requested.
+    pub(super) fn wave_requested(&mut self, wave: Wave, rec: Option<WaveRecord>) {
+        let number = wave.number;
+        if self.waves.contains_key(&number) {
+            return;
+        }
+        self.notes.push(format_args!(
+            "event=wave_known wave={number} machines={} most_at_once={}",
+            wave.hosts.len(),
+            wave.max_down
+        ));
+        let record = rec.unwrap_or_default();
+        let now = self.now;
+        let open = record.ordered.keys().filter(|host| !record.down.contains(*host));
+        let unconfirmed = open.cloned().collect();
+        let confirmed_at = record.down.iter().map(|host| (host.clone(), now)).collect();
+        let state = WaveState {
+            request: wave,
+            record,
+            draining: BTreeMap::new(),
+            order_sent_at: BTreeMap::new(),
+            confirmed_at,
+            unconfirmed,
+            absent_since: BTreeMap::new(),
+            removed: BTreeSet::new(),
+            known_since: now,
+        };
+        self.waves.insert(number, state);
+        self.dirty_waves.insert(number);
+    }
+
+    /// Takes over a list of hosts that was requested at `asked`.
+    pub(super) fn hosts_listed(&mut self, list: Vec<Host>, asked: Duration) {
+        // Answers may overtake one another, so older lists are ignored.
+        if asked < self.hosts_requested_at {
+            return;
+        }
+        self.hosts_requested_at = asked;
+        self.hosts = list.into_iter().map(|host| (host.name.clone(), host)).collect();
+        self.update_fleet_cpu();
+        self.correct_host_list();
+        self.record_declared_sizes();
+        self.end_listed_over(asked);
+        self.mark_finished_hosts(asked);
+    }
+
+    /// Whether the scheduler needs lists of hosts at present.
+    pub fn needs_host_list(&self) -> bool {
+        self.waves.values().any(|wave| !wave.is_complete()) || self.config.services.values().any(|s| s.spare)
+    }
+
+    /// Marks hosts as finished that are up again with another life of their worker.
+    fn mark_finished_hosts(&mut self, asked: Duration) {
+        let spare = self.spare_pool();
+        for (number, wave) in &mut self.waves {
+            if !self.hosts.is_empty() && wave.update_absent(&self.hosts, asked) {
+                self.dirty_waves.insert(*number);
+            }
+            let waiting: Vec<HostId> = wave
+                .record
+                .down
+                .iter()
+                .filter(|host| !wave.record.finished.contains(*host))
+                .cloned()
+                .collect();
+            for name in waiting {
+                let before = wave.record.ordered.get(&name).cloned().flatten();
+                let back = match self.hosts.get(&name) {
+                    Some(host) => {
+                        let off = spare.as_ref() == Some(&host.pool);
+                        has_returned(host, off, &before, wave.confirmed_at.get(&name), asked)
+                    }
+                    // A removed host needs no maintenance.
+                    None => !self.hosts.is_empty(),
+                };
+                if back {
+                    wave.record.finished.insert(name);
+                    self.dirty_waves.insert(*number);
+                }
+            }
+        }
+    }
+
+    /// Advances all waves.
+    pub(super) fn advance_waves(&mut self) {
+        let open: Vec<u64> =
+            self.waves.iter().filter(|(_, wave)| !wave.is_complete()).map(|(number, _)| *number).collect();
+        for number in open {
+            self.advance_wave(number);
+        }
+        self.update_cordons();
+    }
+
+    /// Whether a host gets no new work since it moves or is in maintenance.
+    pub(super) fn is_cordoned(&self, host: &HostId) -> bool {
+        self.pools.moves.contains_key(host) || self.in_maintenance(host)
+    }
+
+    /// Whether some wave drains a host or has it down.
+    pub(super) fn in_maintenance(&self, host: &HostId) -> bool {
+        self.waves.values().any(|wave| wave.occupies(host))
+    }
+
+    /// Hosts that get no new work since they move or are in maintenance.
+    pub(super) fn hosts_to_cordon(&self) -> Set<&HostId> {
+        let waves = self.waves.values().filter(|wave| !wave.is_complete()).flat_map(WaveState::occupied);
+        self.pools.moves.keys().chain(waves).collect()
+    }
+
+    /// Updates the cordons of workers after a change of the hosts to cordon.
+    fn update_cordons(&mut self) {
+        let to_cordon: BTreeSet<HostId> = self.hosts_to_cordon().into_iter().cloned().collect();
+        let changed: Vec<(HostId, bool)> = to_cordon
+            .symmetric_difference(&self.cordoned_hosts)
+            .map(|host| (host.clone(), to_cordon.contains(host)))
+            .collect();
+        self.cordoned_hosts = to_cordon;
+        for (host, cordoned) in changed {
+            for id in self.workers.on_host(&host).to_vec() {
+                self.set_cordon(&id, cordoned);
+            }
+        }
+    }
+
+    fn set_cordon(&mut self, id: &WorkerId, cordoned: bool) {
+        let Some(mut w) = self.workers.get_mut(id) else { return };
+        w.cordoned = cordoned;
+        if let Some(info) = &w.info {
+            self.services_to_place.insert(info.service.clone());
+        }
+    }
+
+    /// Advances one wave.
+    fn advance_wave(&mut self, number: u64) {
+        if self.hosts.is_empty() {
+            return;
+        }
+        self.resend_maintenance_orders(number);
+        self.start_draining(number);
+        self.order_drained_hosts(number);
+    }
+
+    /// Picks hosts to drain: idle ones that their pool can spare at any time, others only as far as
+    /// the wave is behind its plan.
+    fn start_draining(&mut self, number: u64) {
+        let Some(wave) = self.waves.get(&number) else { return };
+        let begun = wave.draining.len() + wave.down_count();
+        let mut room = wave.request.max_down.max(1).saturating_sub(begun);
+        if room == 0 {
+            return;
+        }
+        let mut count = self.count_pools();
+        let short = self.short_pools(&count);
+        let planned = wave.planned_by(self.now, !short.is_empty(), &self.policy.waves);
+        let mut behind = planned.saturating_sub(wave.record.finished.len() + begun);
+        for (lasting, used, host) in self.drain_candidates(wave, &short) {
+            let spared = lasting == 0 && used == 0 && self.can_spare(&count, &host);
+            if room == 0 {
+                break;
+            }
+            if (behind == 0 && !spared) || self.in_maintenance(&host) {
+                continue;
+            }
+            room -= 1;
+            behind = behind.saturating_sub(1);
+            self.notes
+                .push(format_args!("event=machine_emptying wave={number} machine={host} spared={spared}"));
+            if let Some(host) =
+                self.hosts.get(&host).filter(|host| is_working(host) && self.is_outside_evacuation(host))
+            {
+                count.remove_host(&host.pool);
+            }
+            let now = self.now;
+            if let Some(wave) = self.waves.get_mut(&number) {
+                wave.draining.insert(host, now);
+            }
+        }
+    }
+
+    /// Hosts of a wave whose maintenance has not begun, with their lasting tasks and processor use:
+    /// those of short pools last, those with the least load first.
+    fn drain_candidates(&self, wave: &WaveState, short: &[ServiceId]) -> Vec<(usize, u64, HostId)> {
+        let free = |host: &&HostId| self.hosts.contains_key(*host) && !self.pools.moves.contains_key(*host);
+        let waiting = wave.request.hosts.iter().filter(|host| wave.is_pending(host)).filter(free);
+        let mut waiting: Vec<(bool, (usize, u64, HostId))> = waiting
+            .map(|host| (self.is_in_pools(host, short), self.load_on(host, self.worker_on(host))))
+            .collect();
+        waiting.sort();
+        waiting.into_iter().map(|(_, load)| load).collect()
+    }
+
+    /// Whether a host is in one of these pools.
+    fn is_in_pools(&self, host: &HostId, pools: &[ServiceId]) -> bool {
+        self.hosts.get(host).is_some_and(|host| pools.contains(&host.pool))
+    }
+
+    /// Lasting tasks and processor use of a host's worker, found by the worker's own statement or
+    /// else by the list of hosts.
+    fn load_on(&self, host: &HostId, stated: Option<&WorkerId>) -> (usize, u64, HostId) {
+        let id = stated.or_else(|| self.hosts.get(host).and_then(|host| host.worker.as_ref()));
+        let lasting = id.map_or(0, |id| self.runs_of_long_running_tasks(id).len());
+        let used = id.and_then(|id| self.workers.get(id)).map_or(0, |w| w.used_room.cpu_millis);
+        (lasting, used, host.clone())
+    }
+}
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -1,80 +1,83 @@
-//! Jobs of many steps: what is queued, what runs where, and what is known of
-//! the workers that run it.
+//! Jobs of many steps: what is queued, what runs where, and the state of the workers.
 //!
-//! One process at a time holds the scheduler lease and owns a [`Scheduler`].
-//! The scheduler is a state machine: [`Event`]s go in, changed records and
-//! [`Action`]s come out as a [`Batch`]. The process writes the records of a
-//! batch to the platform's store first and carries the actions out only after
-//! the store has acknowledged them. What follows from that order:
+//! One process at a time holds the scheduler lease and owns a [`Scheduler`]. The scheduler is a
+//! state machine: [`Event`]s go in, and changed records and [`Action`]s come out as a [`Batch`].
+//! The process first writes the records of a batch to the platform's store, and carries out the
+//! actions only after the store has acknowledged them. This order guarantees that
 //!
-//! * a start is on record before a worker can hear of it, so that a successor
-//!   knows every place where a task may run;
-//! * an end is on record before the worker is told to forget it;
-//! * callers are shown a state only when it is on record.
+//! * a start is on record before a worker can receive it, so a successor knows every place where a
+//!   task may run;
+//! * the end of a run is on record before the worker is told to forget it;
+//! * callers are shown a state only once it is on record.
 //!
-//! How the pieces meet:
+//! A worker that restarts keeps its name, but starts another *life*; most state is kept by life.
 //!
-//! * [`spec`] holds what callers ask for, and its checks.
-//! * [`config`] holds queues and services in force, [`workspace`] whose calls are taken.
-//! * [`workspace_usage`] holds what each workspace has at work, and [`fair_share`] who sends more than its share.
-//! * [`job`] holds the state of one job and its stored form, [`job_table`] all of them.
-//! * [`worker`] holds what is known of one worker, its room and its lease;
-//!   [`worker_id`] is its name, and [`worker_index`] holds all of them.
-//! * [`host`] holds what is known of one host.
-//! * [`map`] is a map whose order is the same in every run.
-//! * [`queue_order`] decides which waiting task is next, and [`task_queue`] keeps them.
-//! * [`relays`] decides which entry speaks with which workers, and [`run_tracker`] what is new
-//!   in what a worker lists.
-//! * [`types`] holds the events that go in and the batches that come out.
-//! * [`sched`] takes events in; [`ends`], [`settle`], [`placement`], [`pacing`] and
-//!   [`eviction`] are its decisions.
-//! * [`crash_attribution`] tells which task crashes its workers, against [`crash_rate`], and [`crash_trials`]
-//!   tries those that are suspected.
-//! * [`advice`] asks ahead which workers may run a step, where only some may:
-//!   `advice_need` says which steps want it, [`advice_batch`] whom to ask about.
+//! Modules:
+//!
+//! * [`spec`] defines what callers submit, and its checks.
+//! * [`config`] holds the queues and services in force, [`workspace`] the workspaces whose calls
+//!   are accepted.
+//! * [`workspace_usage`] holds what each workspace has at work, and [`fair_share`] who submits more than its
+//!   share.
+//! * [`job`] holds the state of one job and its stored form, [`job_table`] all jobs.
+//! * [`worker`] holds the state of one worker, its capacity and its lease; [`worker_id`] is its
+//!   name, and [`worker_index`] holds all workers.
+//! * [`host`] defines hosts and replies to orders.
+//! * [`map`] is a map with the same iteration order in every run.
+//! * [`queue_order`] decides which waiting task is next, and [`task_queue`] holds the waiting tasks.
+//! * [`relays`] decides which entry attends which workers, and [`run_tracker`] finds what is new in a
+//!   worker's answers.
+//! * [`types`] defines events, actions, records and batches.
+//! * [`scheduler`] handles events; [`ends`], [`settle`], [`placement`], [`pacing`] and [`eviction`] make
+//!   its decisions about tasks.
+//! * [`crash_attribution`] finds tasks that crash their workers, compared with [`crash_rate`], and [`crash_trials`]
+//!   tests suspected ones.
+//! * [`advice`] asks the adviser in advance which workers may run a step: `advice_candidates` finds
+//!   the steps and workers, [`advice_batch`] chooses those of one call.
 //! * [`claim`] decides which process runs the scheduler.
-//! * [`wave`] decides which host is maintained next, and [`upkeep`] orders it down.
-//! * [`handover`] keeps a new holder off hosts that were just ordered.
-//! * [`policy`] holds what these decisions are tuned by.
-//! * [`need`] works out how many hosts each pool needs, and [`pools`]
-//!   decides which host changes its pool; [`moves`] brings it there.
+//! * [`maintenance_waves`] decides which host is maintained next, and [`maintenance_orders`] orders
+//!   it down.
+//! * [`order_marks`] keeps a new lease holder from ordering hosts that were just ordered.
+//! * [`policy`] holds the parameters of the decisions.
+//! * [`pool_need`] computes how many hosts each pool needs, from the [`demand_history`];
+//!   [`pool_planning`] decides which host moves to another pool, and [`pool_moves`] carries it out.
 
 pub mod advice;
 pub mod advice_batch;
-mod advice_need;
+mod advice_candidates;
 pub mod claim;
 pub mod config;
 pub mod crash_attribution;
 pub mod crash_rate;
 pub mod crash_trials;
-pub mod demand;
+pub mod demand_history;
 pub mod ends;
 mod evacuation;
 pub mod eviction;
 pub mod fair_share;
-pub mod handover;
 pub mod host;
 pub mod job;
 pub mod job_table;
+pub mod maintenance_orders;
+pub mod maintenance_waves;
 pub mod map;
-pub mod moves;
-pub mod need;
 mod notes;
+pub mod order_marks;
 pub mod pacing;
 pub mod placement;
 pub mod policy;
 mod pool_count;
-pub mod pools;
+pub mod pool_moves;
+pub mod pool_need;
+pub mod pool_planning;
 pub mod queue_order;
 pub mod relays;
 pub mod run_tracker;
-pub mod sched;
+pub mod scheduler;
 pub mod settle;
 pub mod spec;
 pub mod task_queue;
 pub mod types;
-pub mod upkeep;
-pub mod wave;
 pub mod worker;
 pub mod worker_id;
 pub mod worker_index;
@@ -86,15 +89,16 @@
 pub use config::{AdviceConfig, QueueConfig, SchedConfig, ServiceConfig};
 pub use host::{Host, HostReply, HostState};
 pub use job::{Job, JobRecord, JobStatus, Outcome, OverRecord, Phase, Run, Task};
+pub use maintenance_waves::{Wave, WaveRecord};
 pub use policy::Policy;
 pub use relays::{RelayEntry, RelayPolicy};
 pub use run_tracker::RunTracker;
-pub use sched::Scheduler;
+pub use scheduler::Scheduler;
 pub use spec::{JobKey, JobSpec, Repeat, StepId, StepSpec, TaskId};
 pub use types::{
-    Action, Advice, AdviceReply, Advised, Batch, Event, Limits, News, Record, ShownJob, StartReply, StopReply,
+    Action, Advice, AdviceReply, AdviceResult, Batch, Event, JobStatusUpdate, Limits, Record, StartReply,
+    StopReply, WorkerUpdate,
 };
-pub use wave::{Wave, WaveRecord};
 pub use worker::{
     AdviceVerdict, EndKind, Listing, Report, ReportedEnd, ReportedRun, Worker, WorkerAddress, WorkerInfo,
     WorkerRecord,
--- a/crates/workswood-core/src/jobs/placement.rs
+++ b/crates/workswood-core/src/jobs/placement.rs
@@ -8,7 +8,7 @@
 use super::job::{Job, Phase, Run, Task, WorkerId};
 use super::policy::ShareOrder;
 use super::queue_order::{QueueOrder, QueuePosition, Timeliness};
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::{Resources, StepId, StepSpec, TaskId};
 use super::types::Action;
 use super::worker::Worker;
@@ -28,12 +28,13 @@
         let mut steps = StepQueue::new(self.placement_rank(service));
         let owners: Vec<Owner> = self.ready.get(service).map(|w| w.owners().collect()).unwrap_or_default();
         owners.into_iter().for_each(|owner| self.queue_next_step(&mut steps, service, owner, None));
-        while misses < self.policy.placement.most_misses {
+        while misses < self.policy.placement.max_misses {
             let Some(next) = steps.next() else { return };
             match self.place_step(service, &next.step) {
                 StepPlacement::Done => {}
                 StepPlacement::NoWorker => {
-                    misses += usize::from(!self.is_long_running(&next.step) && !self.is_advised(&next.step));
+                    misses +=
+                        usize::from(!self.is_long_running(&next.step) && !self.needs_ticket(&next.step));
                 }
                 // Nothing else of this workspace can start either, so its next step is not queued.
                 StepPlacement::OverLimit => continue,
@@ -49,8 +50,8 @@
     /// longer. So under overload the steps that take the least from the others go first.
     fn placement_rank(&self, service: &str) -> QueueOrder {
         let waiting_cpu = self.ready.get(service).map_or(0, |w| w.requested().0.cpu_millis);
-        let total_cpu = self.workers.listed_cpu(service).max(self.fleet_cpu);
-        if waiting_cpu as f64 > total_cpu as f64 * self.policy.order.overload {
+        let total_cpu = self.workers.listed_cpu(service).max(self.fleet_cpu_millis);
+        if waiting_cpu as f64 > total_cpu as f64 * self.policy.order.overload_share {
             QueueOrder::LeastWork
         } else {
             QueueOrder::EarliestDeadline
@@ -69,7 +70,7 @@
         else {
             return;
         };
-        let owner_usage = match (self.policy.order.shares, steps.rank) {
+        let owner_usage = match (self.policy.order.share_order, steps.rank) {
             (ShareOrder::Plain | ShareOrder::Excess, _) | (_, QueueOrder::EarliestDeadline) => 0,
             (ShareOrder::Dominant, QueueOrder::LeastWork) => {
                 let at_work = self.workers.accounts().in_use(owner);
@@ -198,7 +199,7 @@
     fn choose_worker(&self, job: &Job, step: &StepSpec, id: &TaskId, service: &str) -> Option<WorkerId> {
         let room = step.reserved_resources();
         let avoid = job.task(id).and_then(|t| t.avoid_worker.as_ref());
-        let advised = self.is_advised(&id.step_id());
+        let advised = self.needs_ticket(&id.step_id());
         let fits = |w: &Worker| {
             let ticket = !advised || w.ticket(&id.step_id(), self.now).is_some();
             let excluded = w.in_backoff(self.now) || w.in_quarantine(self.now);
@@ -219,7 +220,7 @@
         }
         // The worker to avoid is used only if no other worker could ever run the task.
         let others = if advised {
-            self.may_be_good(&self.available_workers(service), &id.step_id())
+            self.count_possible_workers(&self.available_workers(service), &id.step_id())
         } else {
             self.workers.available(service, 0).filter(|(_, w)| !w.in_backoff(self.now)).take(2).count()
         };
@@ -257,7 +258,9 @@
         }
         let interfering = match (step.best_effort, step.latency_target) {
             // Keep best-effort tasks together, since a host with one of them is never empty.
-            (true, _) if !policy.fills_beside => 2 * w.serving.len() + usize::from(w.best_effort.is_empty()),
+            (true, _) if !policy.fill_serving_hosts => {
+                2 * w.serving.len() + usize::from(w.best_effort.is_empty())
+            }
             (false, Some(_)) => w.best_effort.len(),
             _ => 0,
         };
@@ -269,7 +272,7 @@
 
     /// Starts a task on a worker. The start is sent once it is on record.
     pub(super) fn start_task(&mut self, id: &TaskId, worker: &WorkerId, attempt: Option<u32>) {
-        self.unqueue(id);
+        self.dequeue(id);
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
         let spec = job.spec.clone();
@@ -289,7 +292,7 @@
         task.runs.push(Run { trial_quarantine: trial, placed_at: Some(now), ..run });
         let checkpoint = task.checkpoint.clone();
         job.begun = true;
-        self.dirty.insert(id.job);
+        self.dirty_jobs.insert(id.job);
         if let Some(mut w) = self.workers.get_mut(worker) {
             let held = spec.reservation(step);
             let fits = w.free_room().contains(&held.resources);
--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -23,8 +23,8 @@
 
 use super::claim::Strength;
 use super::job::Phase;
-use super::sched::Scheduler;
-use super::types::{Action, News, StopReply};
+use super::scheduler::Scheduler;
+use super::types::{Action, StopReply, WorkerUpdate};
 use super::worker_id::WorkerId;
 use crate::ids::{DataCentre, HostId, Term};
 
@@ -165,14 +165,14 @@
 
     /// Queues a worker for a new relay. No orders are sent to it until it has answered that relay.
     pub(super) fn request_relay(&mut self, id: &WorkerId) {
-        let lease_end = self.now + self.lease_span();
+        let lease_end = self.now + self.lease_with_drift();
         self.detach_relay(id, lease_end);
         self.relays.unassigned.insert(id.clone());
     }
 
     /// Takes a worker from its relay without assigning another; its runs are not settled by that.
     pub(super) fn withdraw_relay(&mut self, id: &WorkerId) {
-        let lease_end = self.now + self.lease_span();
+        let lease_end = self.now + self.lease_with_drift();
         self.detach_relay(id, lease_end);
         self.relays.unassigned.remove(id);
     }
@@ -234,7 +234,7 @@
         let wanted = !w.best_effort.is_empty();
         if w.reports_load != wanted && w.reachable {
             w.reports_load = wanted;
-            self.relays.orders.push(Action::Figures(id.clone(), wanted));
+            self.relays.orders.push(Action::ReportFigures(id.clone(), wanted));
         }
     }
 
@@ -350,7 +350,7 @@
     /// Handles news of a worker from its relay. News from an earlier relay is dropped, since the
     /// present one reports it again; accepting it would let orders be sent before the present relay
     /// has polled the worker.
-    pub(super) fn handle_worker_news(&mut self, id: &WorkerId, token: Term, news: News) {
+    pub(super) fn handle_worker_news(&mut self, id: &WorkerId, token: Term, news: WorkerUpdate) {
         let present = self.workers.get(id).filter(|w| w.relay.is_some());
         if present.is_none_or(|w| self.worker_token(w.relay_count) != token) {
             return;
@@ -361,12 +361,12 @@
             w.last_heard = w.last_heard.max(heard);
         }
         match news {
-            News::Reported(report) => self.reported(id, &report),
-            News::Doubted => self.doubt(id),
-            News::Unanswered { lease_end, .. } => self.unanswered(id, lease_end),
-            News::Fenced => self.note_higher_token(id),
-            News::Started(task, attempt, reply) => self.started(id, task, attempt, reply),
-            News::Stopped(task, attempt, reply) => self.stopped(id, task, attempt, reply),
+            WorkerUpdate::Reported(report) => self.reported(id, &report),
+            WorkerUpdate::ProbeLate => self.doubt(id),
+            WorkerUpdate::Unanswered { lease_end, .. } => self.unanswered(id, lease_end),
+            WorkerUpdate::Fenced => self.note_higher_token(id),
+            WorkerUpdate::Started(task, attempt, reply) => self.started(id, task, attempt, reply),
+            WorkerUpdate::Stopped(task, attempt, reply) => self.stopped(id, task, attempt, reply),
         }
     }
 
@@ -378,13 +378,13 @@
     }
 
     /// The latest time at which the worker answered, according to the news.
-    fn answer_time(&self, news: &News) -> Option<Duration> {
+    fn answer_time(&self, news: &WorkerUpdate) -> Option<Duration> {
         match news {
-            News::Reported(_) | News::Fenced => Some(self.now),
-            News::Unanswered { heard, .. } => Some(*heard),
-            News::Started(_, _, reply) => reply.is_answer().then_some(self.now),
-            News::Stopped(_, _, reply) => (*reply == StopReply::Taken).then_some(self.now),
-            News::Doubted => None,
+            WorkerUpdate::Reported(_) | WorkerUpdate::Fenced => Some(self.now),
+            WorkerUpdate::Unanswered { heard, .. } => Some(*heard),
+            WorkerUpdate::Started(_, _, reply) => reply.is_answer().then_some(self.now),
+            WorkerUpdate::Stopped(_, _, reply) => (*reply == StopReply::Taken).then_some(self.now),
+            WorkerUpdate::ProbeLate => None,
         }
     }
 
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler: events in, records and actions out.
+//! The scheduler's state machine: takes events in and returns records and actions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,139 +9,139 @@
 use super::config::SchedConfig;
 use super::crash_rate::CrashRate;
 use super::fair_share::SubmissionRates;
-use super::handover::OrderMarks;
 use super::host::Host;
 use super::job::{Job, JobRecord, JobStatus, Outcome, OverRecord, Phase, Task, WorkerId};
 use super::job_table::{ArchivedJob, JobTable};
+use super::maintenance_waves::WaveState;
 use super::map::Map;
 use super::notes::Notes;
+use super::order_marks::OrderMarks;
 use super::policy::Policy;
-use super::pools::PoolState;
+use super::pool_planning::PoolState;
 use super::queue_order::{TaskDurations, queue_position};
 use super::relays::Relays;
 use super::spec::{JobKey, JobSpec, QueueId, StepId, TaskId};
 use super::task_queue::TaskQueue;
-use super::types::{Action, Batch, Event, Limits, Record, ShownJob, lease_span};
-use super::wave::WaveState;
+use super::types::{Action, Batch, Event, JobStatusUpdate, Limits, Record, lease_with_drift};
 use super::worker::{Worker, WorkerInfo, WorkerRecord};
 use super::worker_index::WorkerIndex;
 use super::workspace::Owner;
 use crate::ids::{DataCentre, HostId, ServiceId, Term, UnixMs};
 use crate::invariant;
 
-/// Time between two looks for runs that make no progress, or whose stop had no effect:
-/// half of the time after which a stop is sent again. It looks at every run.
-const SLOW_EVERY: Duration = Duration::from_millis(500);
+/// Interval of the check for runs that make no progress, or whose stop had no effect. The check
+/// visits every run.
+const STALLED_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The state of the process that holds the scheduler lease.
 pub struct Scheduler {
-    /// Steady clock.
+    /// Monotonic time.
     pub now: Duration,
     /// Time of day.
     pub wall: UnixMs,
-    /// When this scheduler's lease was claimed.
-    pub since: Duration,
+    /// When the scheduler lease was claimed.
+    pub claimed_at: Duration,
     /// Fencing token of this term.
     pub token: Term,
     /// Name of the entry that holds the lease.
     pub holder: String,
-    /// Workers that this entry can look after.
+    /// Number of workers that this entry can attend.
     pub strength: Strength,
-    /// Bounds.
+    /// Limits of the platform and of the scheduler.
     pub limits: Limits,
-    /// What decisions are tuned by.
+    /// Parameters of the decisions.
     pub policy: Policy,
-    /// What is in force.
+    /// The configuration in force.
     pub config: Arc<SchedConfig>,
-    /// Jobs that are known.
+    /// All known jobs.
     pub jobs: JobTable,
-    /// Lives of workers that are known.
+    /// All known lives of workers.
     pub workers: WorkerIndex,
-    /// Entries of workers whose service is not in force.
-    pub(super) unnamed: BTreeMap<WorkerId, WorkerInfo>,
-    /// Who speaks with them.
+    /// Listed workers whose service is not in the configuration yet.
+    pub(super) workers_without_service: BTreeMap<WorkerId, WorkerInfo>,
+    /// Relays, and which workers each attends.
     pub(super) relays: Relays,
     /// Tasks that wait for a worker, by service.
     pub(super) ready: Map<ServiceId, TaskQueue>,
-    /// Those of them that wait for a trial, by since when they are suspected.
+    /// Of those, the tasks that wait for a trial run, each with the time since which it is
+    /// suspected of crashing workers.
     pub(super) trials: Map<ServiceId, BTreeSet<(Duration, TaskId)>>,
-    /// Data centres in which nothing begins.
+    /// Data centres that are being evacuated; no work begins there.
     pub(super) evacuated: BTreeSet<DataCentre>,
-    /// Processor room of all hosts on which work may begin, in thousandths of a core, as they were
-    /// last listed.
-    pub(super) fleet_cpu: u64,
-    /// What workspaces have sent lately, against their shares.
+    /// Processor capacity, in thousandths of a core, of all listed hosts on which work may begin.
+    pub(super) fleet_cpu_millis: u64,
+    /// What each workspace submitted lately, compared with its share.
     shares: SubmissionRates,
     /// How often workers crash by themselves.
     pub(super) crash_rate: CrashRate,
-    /// How long tasks take.
+    /// Durations of tasks.
     pub(super) durations: TaskDurations,
     /// Hosts, as last listed.
     pub hosts: Map<HostId, Host>,
-    /// When that list was asked for.
-    pub(super) hosts_asked: Duration,
-    /// Hosts that were ordered about lately.
-    pub(super) marks: OrderMarks,
+    /// When that list was requested.
+    pub(super) hosts_requested_at: Duration,
+    /// Hosts that were ordered lately.
+    pub(super) order_marks: OrderMarks,
     /// Waves by number.
     pub waves: BTreeMap<u64, WaveState>,
-    /// Moves of hosts, and what pools need.
+    /// Moves of hosts between pools, and what pools need.
     pub(super) pools: PoolState,
     /// Calls to the adviser.
     pub(super) advice: AdviceState,
-    /// Whether a worker has shown a higher token than ours.
+    /// Whether a worker reported a higher fencing token than this term's.
     pub deposed: bool,
     /// Jobs whose record changed since the last batch.
-    pub(super) dirty: BTreeSet<JobKey>,
+    pub(super) dirty_jobs: BTreeSet<JobKey>,
     /// Waves whose record changed since the last batch.
     pub(super) dirty_waves: BTreeSet<u64>,
     /// Workers whose record changed since the last batch.
     pub(super) dirty_workers: BTreeSet<WorkerId>,
-    /// What callers may be told with the next batch, beside jobs whose record changed.
-    shown: Vec<ShownJob>,
-    /// Jobs that are over since the last batch.
-    over: Vec<JobKey>,
+    /// States of jobs to show to callers with the next batch, besides those of `dirty_jobs`.
+    status_updates: Vec<JobStatusUpdate>,
+    /// Jobs that ended and no longer run anywhere, since the last batch.
+    finished_jobs: Vec<JobKey>,
     /// Jobs forgotten since the last batch.
-    dropped: Vec<(JobKey, QueueId, Owner)>,
-    /// Hosts that get no new work, as workers know it.
-    pub(super) cordoned: BTreeSet<HostId>,
-    /// When runs were last looked at that make no progress.
-    slow_checked: Duration,
-    /// Runs that a predecessor evicted and that are still listed.
+    forgotten_jobs: Vec<(JobKey, QueueId, Owner)>,
+    /// Hosts whose workers are cordoned.
+    pub(super) cordoned_hosts: BTreeSet<HostId>,
+    /// When stalled runs were last checked.
+    stalled_checked_at: Duration,
+    /// Runs that a predecessor evicted and that workers still list.
     pub(super) inherited_evictions: BTreeSet<(WorkerId, TaskId, u32)>,
     /// Actions for the next batch.
     pub(super) actions: Vec<Action>,
-    /// Highest end taken in from each worker since the last batch.
-    pub(super) forget: BTreeMap<WorkerId, u64>,
-    /// Services whose waiting tasks are to be placed before the next batch.
-    pub(super) place_again: BTreeSet<ServiceId>,
+    /// Highest number of an end processed from each worker since the last batch.
+    pub(super) acked_ends: BTreeMap<WorkerId, u64>,
+    /// Services whose waiting tasks are placed before the next batch is taken.
+    pub(super) services_to_place: BTreeSet<ServiceId>,
     /// When the inbox was last read to its end.
-    inbox_read: Duration,
-    /// Cancels of jobs that are not known yet.
+    inbox_read_at: Duration,
+    /// Cancellations of jobs that are not known yet.
     early_cancels: BTreeSet<(JobKey, Owner)>,
-    /// Decisions worth a log line, drained by the process.
+    /// Log lines about decisions; the process drains them.
     pub notes: Notes,
-    /// What is counted for metrics, since this term began.
-    pub tally: Tally,
+    /// Counters for metrics since this term began.
+    pub counters: SchedulerCounters,
 }
 
-/// What a scheduler counts.
+/// Counters of a scheduler's term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Lives of workers that were over while something ran there.
+pub struct SchedulerCounters {
+    /// Lives of workers that ended while something ran on them.
     pub lives_lost: u64,
-    /// Runs that were lost with them.
+    /// Runs that were lost with those lives.
     pub runs_lost: u64,
-    /// Tasks that were given up since their workers crash.
-    pub given_up: u64,
+    /// Tasks that were given up because they crash their workers.
+    pub tasks_given_up: u64,
 }
 
 impl Scheduler {
-    /// A scheduler that knows nothing yet.
+    /// Returns a scheduler that knows nothing yet.
     pub fn new(token: Term, limits: Limits, since: Duration, wall: UnixMs) -> Scheduler {
         Scheduler {
             now: since,
             wall,
-            since,
+            claimed_at: since,
             token,
             holder: String::new(),
             strength: Strength::MAX,
@@ -150,66 +150,66 @@
             config: Arc::default(),
             jobs: JobTable::default(),
             workers: WorkerIndex::default(),
-            unnamed: BTreeMap::new(),
+            workers_without_service: BTreeMap::new(),
             relays: Relays::default(),
             ready: Map::default(),
             trials: Map::default(),
             evacuated: BTreeSet::new(),
-            fleet_cpu: 0,
+            fleet_cpu_millis: 0,
             shares: SubmissionRates::default(),
             crash_rate: CrashRate::default(),
             durations: TaskDurations::default(),
             hosts: Map::default(),
-            hosts_asked: Duration::ZERO,
-            marks: OrderMarks::default(),
+            hosts_requested_at: Duration::ZERO,
+            order_marks: OrderMarks::default(),
             waves: BTreeMap::new(),
             pools: PoolState::default(),
             advice: AdviceState::default(),
             deposed: false,
-            dirty: BTreeSet::new(),
+            dirty_jobs: BTreeSet::new(),
             dirty_waves: BTreeSet::new(),
             dirty_workers: BTreeSet::new(),
-            shown: Vec::new(),
-            over: Vec::new(),
-            dropped: Vec::new(),
-            cordoned: BTreeSet::new(),
-            slow_checked: Duration::ZERO,
+            status_updates: Vec::new(),
+            finished_jobs: Vec::new(),
+            forgotten_jobs: Vec::new(),
+            cordoned_hosts: BTreeSet::new(),
+            stalled_checked_at: Duration::ZERO,
             inherited_evictions: BTreeSet::new(),
             actions: Vec::new(),
-            forget: BTreeMap::new(),
-            place_again: BTreeSet::new(),
-            inbox_read: Duration::ZERO,
+            acked_ends: BTreeMap::new(),
+            services_to_place: BTreeSet::new(),
+            inbox_read_at: Duration::ZERO,
             early_cancels: BTreeSet::new(),
             notes: Notes::default(),
-            tally: Tally::default(),
+            counters: SchedulerCounters::default(),
         }
     }
 
     /// Takes over a worker that a predecessor recorded.
     pub fn restore_worker(&mut self, id: WorkerId, rec: WorkerRecord) {
         let info = WorkerInfo::from_record(id.clone(), rec);
-        let (lease_end, since) = (self.inherited_lease_end(), self.since);
+        let (lease_end, since) = (self.inherited_lease_end(), self.claimed_at);
         let mut w = self.workers.get_or_insert_with(&id, || Worker::new(lease_end, since));
         w.info = Some(Arc::new(info));
         drop(w);
-        // Its address tells whether that life is over.
+        // A probe of its address shows whether that life is over.
         self.request_relay(&id);
         self.keep_latest_incarnation(&id);
     }
 
-    /// Takes over a job as the inbox holds it, with the state that a predecessor recorded.
-    /// Of a job that is over, only the state is stored.
-    pub fn restore(&mut self, key: JobKey, spec: Option<Arc<JobSpec>>, rec: Option<JobRecord>) {
+    /// Takes over a job from the inbox with the state that a predecessor recorded. Of a finished
+    /// job only the state is stored.
+    pub fn restore_job(&mut self, key: JobKey, spec: Option<Arc<JobSpec>>, rec: Option<JobRecord>) {
         let over = rec.as_ref().and_then(|rec| rec.outcome.zip(rec.over.clone()));
         match (spec, over) {
-            (spec, Some((outcome, over))) => self.restore_over(key, outcome, over, spec.is_some()),
-            (Some(spec), None) => self.restore_open(key, spec, rec),
-            // It is left from a job that was being forgotten.
-            (None, None) => self.dropped.push((key, QueueId::new(), Owner::PUBLIC)),
+            (spec, Some((outcome, over))) => self.restore_finished_job(key, outcome, over, spec.is_some()),
+            (Some(spec), None) => self.restore_open_job(key, spec, rec),
+            // The record remains from a job that was being forgotten.
+            (None, None) => self.forgotten_jobs.push((key, QueueId::new(), Owner::PUBLIC)),
         }
     }
 
-    fn restore_open(&mut self, key: JobKey, spec: Arc<JobSpec>, rec: Option<JobRecord>) {
+    fn restore_open_job(&mut self, key: JobKey, spec: Arc<JobSpec>, rec: Option<JobRecord>) {
         let now = self.now;
         let fits = rec.as_ref().is_none_or(|rec| rec.fits(&spec));
         let mut job = match rec {
@@ -217,8 +217,8 @@
             _ => Job::new(key, spec),
         };
         if !fits {
-            // Handed in again with other steps: what was begun does not match
-            // what is asked for, and must not be begun anew.
+            // The job was submitted again with different steps. What was begun does not match them
+            // and must not be started again.
             self.notes.push(format_args!("event=job_changed job={key:016x} outcome=Failed"));
             job.outcome = Some(Outcome::Failed);
             job.ended = now;
@@ -230,7 +230,7 @@
         for id in job.task_ids() {
             let Some(task) = job.task(&id) else { continue };
             for run in &task.runs {
-                let since = self.since;
+                let since = self.claimed_at;
                 let mut w = self.workers.get_or_insert_with(&run.worker, || Worker::new(bound, since));
                 if let Some(step) = job.step(&id) {
                     w.add_run(id, run.attempt, job.spec.reservation(step));
@@ -241,58 +241,58 @@
         }
         self.jobs.insert(job);
         places.iter().for_each(|id| self.keep_latest_incarnation(id));
-        self.watch_advised(key);
+        self.track_advised_job(key);
         self.open_due_rounds(key);
         self.queue_job(key);
-        self.dirty.insert(key);
+        self.dirty_jobs.insert(key);
     }
 
-    fn restore_over(&mut self, key: JobKey, outcome: Outcome, record: OverRecord, in_inbox: bool) {
+    fn restore_finished_job(&mut self, key: JobKey, outcome: Outcome, record: OverRecord, in_inbox: bool) {
         let (queue, owner, state) = (record.queue.clone(), record.owner, Some(JobStatus::Ended(outcome)));
         self.jobs.archive(key, ArchivedJob { outcome, record }, self.now);
-        self.shown.push(ShownJob { key, queue, owner, state, timed: false });
+        self.status_updates.push(JobStatusUpdate { key, queue, owner, state, timed: false });
         if in_inbox {
-            self.over.push(key);
+            self.finished_jobs.push(key);
         }
     }
 
-    /// When the last lease that a predecessor may have extended has ended.
+    /// Returns when the last lease that a predecessor may have extended ends.
     fn inherited_lease_end(&self) -> Duration {
-        self.since + self.limits.grace + self.lease_span()
+        self.claimed_at + self.limits.extension_grace + self.lease_with_drift()
     }
 
-    /// The longest real time that a lease may last.
-    pub fn lease_span(&self) -> Duration {
-        lease_span(self.limits.lease, self.limits.drift)
+    /// The longest real time that a worker's lease may last, with clock drift.
+    pub fn lease_with_drift(&self) -> Duration {
+        lease_with_drift(self.limits.lease, self.limits.clock_drift)
     }
 
-    /// Takes one event in.
+    /// Processes one event.
     pub fn handle(&mut self, ev: Event) {
         match ev {
-            Event::Submitted(key, spec) => self.submitted(key, spec),
+            Event::Submitted(key, spec) => self.add_job(key, spec),
             Event::Cancelled(key, owner) => self.cancel(key, owner),
-            Event::Config(cfg) => self.set_config(cfg),
+            Event::ConfigChanged(cfg) => self.set_config(cfg),
             Event::Evacuated(data_centres) => self.set_evacuated(data_centres),
             Event::WorkerListed(info) => self.worker_listed(info),
             Event::WorkerUnlisted(id) => self.worker_unlisted(&id),
             Event::LifeOver(id, heard) => self.other_life_answered(&id, heard),
-            Event::Restarted(id, started, heard) => self.worker_restarted(&id, started, heard),
-            Event::Relayed(id, token, news) => self.handle_worker_news(&id, token, news),
-            Event::Advised(a) => self.advised(a),
-            Event::Hosts(list, asked) => self.hosts_listed(list, asked),
-            Event::Wave(wave, rec) => self.wave_asked(wave, rec),
-            Event::HostOrdered(host, reply) => self.host_ordered(&host, reply),
+            Event::WorkerRestarted(id, started, heard) => self.worker_restarted(&id, started, heard),
+            Event::WorkerUpdate(id, token, news) => self.handle_worker_news(&id, token, news),
+            Event::AdviceReceived(a) => self.advice_received(a),
+            Event::HostsListed(list, asked) => self.hosts_listed(list, asked),
+            Event::WaveRequested(wave, rec) => self.wave_requested(wave, rec),
+            Event::HostOrderAnswered(host, reply) => self.host_order_answered(&host, reply),
             Event::RelayUp(entry) => self.relay_up(&entry),
             Event::RelayHeard(entry) => self.relay_heard(&entry),
             Event::RelayLeaving(entry) => self.relay_leaving(&entry),
             Event::RelayDown(entry, lease_end, may_return) => self.relay_down(&entry, lease_end, may_return),
-            Event::InboxRead(at) => self.inbox_read = at,
+            Event::InboxRead(at) => self.inbox_read_at = at,
             Event::Tick => self.tick(),
         }
     }
 
-    /// A job is new, or known already from an earlier read.
-    fn submitted(&mut self, key: JobKey, spec: Arc<JobSpec>) {
+    /// Adds a job, unless it is known from an earlier read of the inbox.
+    fn add_job(&mut self, key: JobKey, spec: Arc<JobSpec>) {
         let owner = spec.owner();
         if let Some(known) = self.jobs.owner(&key) {
             if known != owner {
@@ -312,17 +312,17 @@
             self.shares.exceeds_rate(owner, self.config.workspaces.jobs_per_s(owner), spec.accepted_at);
         let most_cpu = self.config.workspaces.limit(owner).cpu_millis;
         self.jobs.insert(Job { excess, most_cpu, ..Job::new(key, spec) });
-        self.watch_advised(key);
-        self.dirty.insert(key);
+        self.track_advised_job(key);
+        self.dirty_jobs.insert(key);
         self.open_due_rounds(key);
-        self.work_arrived(key);
+        self.record_submitted_work(key);
         self.queue_job(key);
         if self.early_cancels.remove(&(key, owner)) {
             self.cancel(key, owner);
         }
     }
 
-    /// The caller cancelled a job.
+    /// Cancels a job, or notes the cancellation until the job is known.
     fn cancel(&mut self, key: JobKey, owner: Owner) {
         let known = self.jobs.owner(&key);
         if known.is_some_and(|known| known != owner) {
@@ -345,42 +345,42 @@
             self.end_job(key, Outcome::Canceled);
             return;
         }
-        // What the budget kept at work when it failed ends now.
+        // Tasks that the availability budget kept running after the job failed are stopped now.
         let ids = job.task_ids();
-        self.dirty.insert(key);
+        self.dirty_jobs.insert(key);
         ids.iter().for_each(|id| self.stop_runs(id));
     }
 
-    /// Puts a configuration in force unless a newer one is.
+    /// Applies a configuration unless a newer one is in force.
     fn set_config(&mut self, cfg: Arc<SchedConfig>) {
         if cfg.version < self.config.version {
             return;
         }
         self.config = cfg;
-        for (_, info) in std::mem::take(&mut self.unnamed) {
+        for (_, info) in std::mem::take(&mut self.workers_without_service) {
             self.worker_listed(info);
         }
-        self.watch_all_advised();
-        self.place_again.extend(self.ready.keys().cloned());
+        self.track_all_advised_jobs();
+        self.services_to_place.extend(self.ready.keys().cloned());
     }
 
     /// Opens rounds that are due.
     pub(super) fn open_due_rounds(&mut self, key: JobKey) {
-        let ahead = self.wall + self.limits.early.as_millis() as u64;
+        let ahead = self.wall + self.limits.round_lead_time.as_millis() as u64;
         let Some(job) = self.jobs.get_mut(&key) else { return };
         while job.open() && (job.rounds.len() as u32) < job.spec.round_count() {
             if job.spec.round_due_at(job.rounds.len() as u32) > ahead {
                 break;
             }
             job.open_round();
-            self.dirty.insert(key);
+            self.dirty_jobs.insert(key);
         }
     }
 
-    /// Has the waiting tasks of a service placed before the next batch.
-    pub(super) fn place_soon(&mut self, service: &str) {
-        if !self.place_again.contains(service) {
-            self.place_again.insert(service.to_string());
+    /// Has the waiting tasks of a service placed before the next batch is taken.
+    pub(super) fn schedule_placement(&mut self, service: &str) {
+        if !self.services_to_place.contains(service) {
+            self.services_to_place.insert(service.to_string());
         }
     }
 
@@ -395,7 +395,7 @@
         for (step, tasks) in waiting {
             self.enqueue(step, tasks);
         }
-        self.finish_if_done(key);
+        self.complete_if_done(key);
     }
 
     /// Queues one task if it may be started now.
@@ -426,17 +426,17 @@
             }
         }
         if step.gang {
-            self.place_soon(&spec.service);
+            self.schedule_placement(&spec.service);
             return;
         }
         for index in &tasks {
             self.queue_trial(&id.task(*index), &spec.service);
         }
-        self.place_soon(&spec.service);
+        self.schedule_placement(&spec.service);
     }
 
     /// Takes a task out of the queue.
-    pub(super) fn unqueue(&mut self, id: &TaskId) {
+    pub(super) fn dequeue(&mut self, id: &TaskId) {
         let Some(job) = self.jobs.get(&id.job) else { return };
         if let Some(waiting) = self.ready.get_mut(&job.spec.service) {
             waiting.remove(id);
@@ -462,19 +462,19 @@
             self.wall.saturating_sub(job.spec.accepted_at)
         ));
         self.jobs.note_ended(key);
-        self.dirty.insert(key);
+        self.dirty_jobs.insert(key);
         self.drop_advice(key);
         let ids = self.jobs.get(&key).map(Job::task_ids).unwrap_or_default();
         for id in ids {
-            self.unqueue(&id);
+            self.dequeue(&id);
             if !self.outlives_job(&id) {
                 self.stop_runs(&id);
             }
         }
     }
 
-    /// Shows a job as completed once nothing of it is open.
-    pub(super) fn finish_if_done(&mut self, key: JobKey) {
+    /// Completes a job once all its tasks are done.
+    pub(super) fn complete_if_done(&mut self, key: JobKey) {
         let done = self.jobs.get(&key).is_some_and(|j| j.open() && j.all_done());
         if done {
             self.end_job(key, Outcome::Completed);
@@ -486,7 +486,7 @@
         let now = self.now;
         let Some(task) = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id)) else { return };
         for run in &mut task.runs {
-            // A start on its way is stopped when its outcome is known.
+            // A start in flight is stopped once its outcome is known.
             if matches!(run.phase, Phase::Starting | Phase::Stopping | Phase::Stopped) {
                 continue;
             }
@@ -495,7 +495,7 @@
         }
     }
 
-    /// Does what only the passing of time asks for.
+    /// Does the work that depends only on the time.
     fn tick(&mut self) {
         for key in self.jobs.repeating() {
             let before = self.jobs.get(&key).map_or(0, |j| j.rounds.len());
@@ -507,44 +507,45 @@
         let wall = self.wall;
         self.ready.values_mut().for_each(|w| w.downgrade_overdue(wall));
         self.settle_lapsed();
-        if self.now >= self.slow_checked + SLOW_EVERY {
-            self.slow_checked = self.now;
+        if self.now >= self.stalled_checked_at + STALLED_CHECK_INTERVAL {
+            self.stalled_checked_at = self.now;
             self.settle_slow();
             self.clear_proven_tasks();
         }
         self.evict_from_draining();
         self.evict_inherited();
-        self.run_waves();
-        self.run_pools();
-        self.drop_marks();
+        self.advance_waves();
+        self.plan_pools();
+        self.drop_expired_marks();
         self.balance_relays();
         self.forget_jobs();
-        self.place_again.extend(self.ready.iter().filter(|(_, s)| !s.is_empty()).map(|(k, _)| k.clone()));
+        self.services_to_place
+            .extend(self.ready.iter().filter(|(_, s)| !s.is_empty()).map(|(k, _)| k.clone()));
     }
 
-    /// Forgets jobs that ended long enough ago and run nowhere.
+    /// Forgets finished jobs whose retention has ended.
     fn forget_jobs(&mut self) {
-        let Some(before) = self.now.checked_sub(self.limits.keep_ended) else { return };
+        let Some(before) = self.now.checked_sub(self.limits.ended_job_retention) else { return };
         for (key, over) in self.jobs.forget_archived(before) {
-            self.dropped.push((key, over.record.queue, over.record.owner));
+            self.forgotten_jobs.push((key, over.record.queue, over.record.owner));
         }
     }
 
-    /// Adds the record of a job to a batch, and what callers are shown of it. One that has
-    /// come to rest is over with that.
+    /// Adds the record of a job to a batch, and the state to show to callers if it changed. A job
+    /// that ended and has no runs left is reduced to its final record.
     fn record_job(&mut self, key: JobKey, batch: &mut Batch) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let state = Some(job.status());
         if std::mem::replace(&mut job.published_status, state) != state {
             let (queue, timed) = (job.spec.queue.clone(), job.spec.repeat.is_some());
-            batch.shown.push(ShownJob { key, queue, owner: job.spec.owner(), state, timed });
+            batch.status_updates.push(JobStatusUpdate { key, queue, owner: job.spec.owner(), state, timed });
         }
         let Some(outcome) = job.outcome.filter(|_| job.at_rest()) else {
             batch.records.push(Record::Job(key, job.record()));
             return;
         };
         let (cancelled, begun, spec) = (job.cancelled, job.begun, job.spec.clone());
-        let work = self.jobs.get(&key).and_then(|j| self.work_of(j));
+        let work = self.jobs.get(&key).and_then(|j| self.job_work(j));
         let record = OverRecord {
             queue: spec.queue.clone(),
             service: spec.service.clone(),
@@ -557,24 +558,25 @@
         let stored = JobRecord { cancelled, begun, outcome: Some(outcome), over, ..JobRecord::default() };
         batch.records.push(Record::Job(key, stored));
         self.jobs.archive(key, ArchivedJob { outcome, record }, self.now);
-        self.over.push(key);
+        self.finished_jobs.push(key);
     }
 
-    /// Decides what can be decided, and hands over all that changed.
+    /// Places waiting tasks, asks the adviser, and returns all that changed since the last batch.
     pub fn take_batch(&mut self) -> Batch {
-        let services = std::mem::take(&mut self.place_again);
+        let services = std::mem::take(&mut self.services_to_place);
         for service in services {
             self.place_waiting_tasks(&service);
         }
         self.ask_adviser();
-        let mut batch = Batch { shown: std::mem::take(&mut self.shown), ..Batch::default() };
-        for key in std::mem::take(&mut self.dirty) {
+        let mut batch =
+            Batch { status_updates: std::mem::take(&mut self.status_updates), ..Batch::default() };
+        for key in std::mem::take(&mut self.dirty_jobs) {
             self.record_job(key, &mut batch);
         }
-        batch.over = std::mem::take(&mut self.over);
-        for (key, queue, owner) in std::mem::take(&mut self.dropped) {
+        batch.finished_jobs = std::mem::take(&mut self.finished_jobs);
+        for (key, queue, owner) in std::mem::take(&mut self.forgotten_jobs) {
             batch.records.push(Record::DropJob(key));
-            batch.shown.push(ShownJob { key, queue, owner, state: None, timed: false });
+            batch.status_updates.push(JobStatusUpdate { key, queue, owner, state: None, timed: false });
         }
         for id in std::mem::take(&mut self.dirty_workers) {
             batch.records.push(match self.workers.get(&id).and_then(|w| w.info.as_ref()) {
@@ -585,14 +587,14 @@
         for n in std::mem::take(&mut self.dirty_waves) {
             let Some(wave) = self.waves.get(&n) else { continue };
             batch.records.push(Record::Wave(n, wave.record.clone()));
-            batch.waves.push((n, wave.complete()));
+            batch.waves.push((n, wave.is_complete()));
         }
-        for (host, marked) in self.marks.take_changes() {
-            batch.records.push(Record::Ordered(host, marked.then(|| self.holder.clone())));
+        for (host, marked) in self.order_marks.take_changes() {
+            batch.records.push(Record::HostOrderMark(host, marked.then(|| self.holder.clone())));
         }
-        batch.inbox_read = self.inbox_read;
+        batch.inbox_read_at = self.inbox_read_at;
         batch.actions = std::mem::take(&mut self.actions);
-        batch.forget = std::mem::take(&mut self.forget).into_iter().collect();
+        batch.acked_ends = std::mem::take(&mut self.acked_ends).into_iter().collect();
         batch
     }
 }
--- a/crates/workswood-core/src/jobs/worker_restart.rs
+++ b/crates/workswood-core/src/jobs/worker_restart.rs
@@ -16,9 +16,9 @@
 
 use super::crash_attribution::IncarnationEnd;
 use super::job::{Run, WorkerId};
-use super::sched::Scheduler;
+use super::scheduler::Scheduler;
 use super::spec::TaskId;
-use super::types::lease_span;
+use super::types::lease_with_drift;
 use super::worker::{Report, Worker, WorkerInfo};
 use crate::ids::UnixMs;
 
@@ -88,7 +88,7 @@
 
     /// When a lease must have ended that is sent now and read on the clock of a later incarnation.
     fn misdelivered_lease_end(&self) -> Duration {
-        self.now + lease_span(self.limits.longest_lease, self.limits.drift)
+        self.now + lease_with_drift(self.limits.max_lease, self.limits.clock_drift)
     }
 
     /// Settles the runs of earlier incarnations with the first answer of a later one.
@@ -128,7 +128,7 @@
             w.add_run(*task, attempt, spec.reservation(step));
             w.note_task_kind(task, step);
         }
-        self.dirty.insert(task.job);
+        self.dirty_jobs.insert(task.job);
         self.notes.push(format_args!(
             "event=run_carried_over worker={later} before={earlier} task={task} attempt={attempt}"
         ));
--- a/crates/workswood-test-support/src/host_world.rs
+++ b/crates/workswood-test-support/src/host_world.rs
@@ -10,8 +10,8 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
-    Action, Event, Host, HostState, Limits, Listing, News, Record, ReportedRun, RunTracker, Scheduler,
-    ServiceConfig, StartReply, TaskId, Wave, WorkerInfo,
+    Action, Event, Host, HostState, Limits, Listing, Record, ReportedRun, RunTracker, Scheduler,
+    ServiceConfig, StartReply, TaskId, Wave, WorkerInfo, WorkerUpdate,
 };
 
 use crate::job_world::{SERVICE, config};
@@ -45,13 +45,13 @@
 pub fn limits() -> Limits {
     Limits {
         lease: Duration::from_secs(5),
-        longest_lease: Duration::from_secs(10),
-        grace: Duration::from_secs(4),
-        drift: 0.02,
-        host_handover: Duration::ZERO,
+        max_lease: Duration::from_secs(10),
+        extension_grace: Duration::from_secs(4),
+        clock_drift: 0.02,
+        host_order_delay: Duration::ZERO,
         host_orders_per_s: 64.0,
-        keep_ended: Duration::from_secs(60),
-        early: Duration::ZERO,
+        ended_job_retention: Duration::from_secs(60),
+        round_lead_time: Duration::ZERO,
     }
 }
 
@@ -109,7 +109,7 @@
             ordered: Vec::new(),
             attended: BTreeMap::new(),
         };
-        world.sched.handle(Event::Config(Arc::new(cfg)));
+        world.sched.handle(Event::ConfigChanged(Arc::new(cfg)));
         for n in 0..workers {
             world.sched.handle(Event::WorkerListed(worker(n, 0)));
             world.report(n, 0, &[]);
@@ -127,7 +127,7 @@
         self.sched.handle(Event::RelayHeard(own));
         let late = self.attended.iter().filter(|(_, (_, heard))| *heard + LATE < now);
         let late: Vec<WorkerId> = late.map(|(id, _)| id.clone()).collect();
-        late.into_iter().for_each(|id| self.tells(&id, News::Doubted));
+        late.into_iter().for_each(|id| self.tells(&id, WorkerUpdate::ProbeLate));
     }
 
     /// The workers are attended from now on: their next answers list all.
@@ -136,9 +136,9 @@
     }
 
     /// Whoever attends a worker tells something of it.
-    pub fn tells(&mut self, id: &WorkerId, news: News) {
+    pub fn tells(&mut self, id: &WorkerId, news: WorkerUpdate) {
         let token = self.sched.token_of(id).unwrap_or(0);
-        self.sched.handle(Event::Relayed(id.clone(), token, news));
+        self.sched.handle(Event::WorkerUpdate(id.clone(), token, news));
     }
 
     /// A worker took a start.
@@ -146,7 +146,7 @@
         let now = self.sched.now;
         let (follow, _) = self.attended.entry(id.clone()).or_default();
         follow.start_answered(task, attempt, StartReply::Taken, now);
-        self.tells(id, News::Started(task, attempt, StartReply::Taken));
+        self.tells(id, WorkerUpdate::Started(task, attempt, StartReply::Taken));
     }
 
     /// A worker answers a look that is sent now.
@@ -160,7 +160,7 @@
         let (follow, heard) = self.attended.entry(id.clone()).or_default();
         *heard = now;
         let report = follow.diff_listing(listing, now, now);
-        self.tells(id, News::Reported(report));
+        self.tells(id, WorkerUpdate::Reported(report));
     }
 
     /// A worker answers a look and lists what it was told to start.
@@ -182,8 +182,8 @@
         let batch = self.sched.take_batch();
         for rec in &batch.records {
             match rec {
-                Record::Ordered(host, Some(_)) => self.ordered.push(host.clone()),
-                Record::Ordered(host, None) => self.ordered.retain(|m| m != host),
+                Record::HostOrderMark(host, Some(_)) => self.ordered.push(host.clone()),
+                Record::HostOrderMark(host, None) => self.ordered.retain(|m| m != host),
                 _ => {}
             }
         }
@@ -194,14 +194,14 @@
     /// The list of hosts is asked for and read at this time.
     pub fn list(&mut self, hosts: Vec<Host>) {
         let now = self.sched.now;
-        self.sched.handle(Event::Hosts(hosts, now));
+        self.sched.handle(Event::HostsListed(hosts, now));
     }
 }
 
 /// Hosts that are ordered down.
 pub fn upkeeps(actions: &[Action]) -> Vec<String> {
     let name = |a: &Action| match a {
-        Action::Upkeep(m, _) => Some(m.clone()),
+        Action::MaintainHost(m, _) => Some(m.clone()),
         _ => None,
     };
     actions.iter().filter_map(name).collect()
@@ -210,7 +210,7 @@
 /// Hosts that are ordered to move, each with the pool that gets it.
 pub fn moves(actions: &[Action]) -> Vec<(String, String)> {
     let of = |a: &Action| match a {
-        Action::Move(m, pool) => Some((m.clone(), pool.clone())),
+        Action::MoveHost(m, pool) => Some((m.clone(), pool.clone())),
         _ => None,
     };
     actions.iter().filter_map(of).collect()
@@ -219,5 +219,5 @@
 /// Wave 1, of hosts by their numbers, within 20 s.
 pub fn wave(hosts: &[usize], most_at_once: usize) -> Wave {
     let hosts = hosts.iter().map(|n| format!("m-{n}")).collect();
-    Wave { number: 1, hosts, within: Duration::from_secs(20), most_at_once }
+    Wave { number: 1, hosts, time_allowed: Duration::from_secs(20), max_down: most_at_once }
 }
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -134,13 +134,13 @@
 pub(super) fn limits() -> Limits {
     Limits {
         lease: LEASE,
-        longest_lease: LONGEST_LEASE,
-        grace: GRACE,
-        drift: 0.02,
-        host_handover: Duration::from_secs(3),
+        max_lease: LONGEST_LEASE,
+        extension_grace: GRACE,
+        clock_drift: 0.02,
+        host_order_delay: Duration::from_secs(3),
         host_orders_per_s: 64.0,
-        keep_ended: Duration::from_secs(3600),
-        early: Duration::ZERO,
+        ended_job_retention: Duration::from_secs(3600),
+        round_lead_time: Duration::ZERO,
     }
 }
 
@@ -309,14 +309,14 @@
             let workspace = Workspace { name: WORKSPACE.to_string(), jobs_per_s: 1.0, limit: room };
             cfg.workspaces.add(workspace, []);
         }
-        sched.handle(Event::Config(Arc::new(cfg)));
+        sched.handle(Event::ConfigChanged(Arc::new(cfg)));
         sched.handle(Event::Evacuated(self.evacuated()));
         for (id, rec) in &self.stored_workers {
             sched.restore_worker(id.clone(), rec.clone());
         }
         for (key, spec) in &self.jobs {
             let spec = Some(spec.clone()).filter(|_| !self.trimmed.contains(key));
-            sched.restore(*key, spec, self.stored_jobs.get(key).cloned());
+            sched.restore_job(*key, spec, self.stored_jobs.get(key).cloned());
         }
         for key in &self.cancelled {
             sched.handle(Event::Cancelled(*key, self.owner()));
--- a/crates/workswood-test-support/src/job_world/relay.rs
+++ b/crates/workswood-test-support/src/job_world/relay.rs
@@ -10,8 +10,8 @@
 
 use workswood_core::ids::{HostId, Term, UnixMs};
 use workswood_core::jobs::job::WorkerId;
-use workswood_core::jobs::types::lease_span;
-use workswood_core::jobs::{Listing, News, RunTracker, StartReply, StopReply, TaskId};
+use workswood_core::jobs::types::lease_with_drift;
+use workswood_core::jobs::{Listing, RunTracker, StartReply, StopReply, TaskId, WorkerUpdate};
 
 use super::worker::{Answer, Order};
 use super::{LEASE, STEP, World, limits};
@@ -64,7 +64,7 @@
     /// Likewise; the worker has started again under its name, at this time of day.
     Restarted(WorkerId, UnixMs, Duration),
     /// News of a worker that was given this token. Times are counted from when it is told.
-    News(WorkerId, Term, News),
+    News(WorkerId, Term, WorkerUpdate),
 }
 
 /// A session between a holder and a relay.
@@ -293,7 +293,7 @@
             let lease = self.lease_from(served);
             let Some(w) = served.watched.get_mut(&id) else { return };
             let Some(lease_end) = lease.filter(|_| !w.silent) else { break };
-            w.leased_until = self.now + lease_span(LEASE, limits().drift);
+            w.leased_until = self.now + lease_with_drift(LEASE, limits().clock_drift);
             let order = Order::Start { token, task, attempt, lease_end, ticket: ticket.clone() };
             let answer = self.deliver(&id, order).map(|a| match a {
                 Answer::Reply(reply) => reply,
@@ -337,7 +337,7 @@
         let Some(w) = served.watched.get_mut(&id) else { return };
         let lease_end = if w.silent { None } else { lease };
         if lease_end.is_some() {
-            w.leased_until = now + lease_span(LEASE, limits().drift);
+            w.leased_until = now + lease_with_drift(LEASE, limits().clock_drift);
         }
         let there = w.answered.take().is_some_and(|at| now < at + FORGETS_WITHIN);
         let forget = if there && w.forget > w.forgotten { w.forget } else { 0 };
@@ -374,7 +374,7 @@
                 if quiet {
                     return;
                 }
-                News::Reported(report)
+                WorkerUpdate::Reported(report)
             }
             Coming::Restarted(later) => {
                 let silent = now.saturating_sub(w.heard);
@@ -391,24 +391,24 @@
             Coming::LookLost { gone: false } => {
                 w.silent = true;
                 w.doubted = true;
-                News::Unanswered {
+                WorkerUpdate::Unanswered {
                     lease_end: w.leased_until.saturating_sub(now),
                     heard: now.saturating_sub(w.heard),
                 }
             }
-            Coming::Fenced => News::Fenced,
+            Coming::Fenced => WorkerUpdate::Fenced,
             Coming::Started { task, attempt, reply } => {
                 w.follow.start_answered(task, attempt, reply, now);
                 if reply.is_answer() {
                     w.heard = now;
                 }
-                News::Started(task, attempt, reply)
+                WorkerUpdate::Started(task, attempt, reply)
             }
             Coming::Stopped { task, attempt, reply } => {
                 if reply == StopReply::Taken {
                     w.follow.stop_accepted(task, attempt, now);
                 }
-                News::Stopped(task, attempt, reply)
+                WorkerUpdate::Stopped(task, attempt, reply)
             }
         };
         self.tell_holder(served.session, ToHolder::News(id, token, news));
--- a/src/workswood/ops/jobs/load.rs
+++ b/src/workswood/ops/jobs/load.rs
@@ -49,7 +49,7 @@
     sched.strength = node.settings.strength();
     sched.now = node.now();
     if let Some(cfg) = node.config.load_full() {
-        sched.handle(Event::Config(cfg));
+        sched.handle(Event::ConfigChanged(cfg));
     }
     sched.handle(Event::Evacuated(node.operators.evacuations().data_centres.clone()));
     let state = read_state(state);
@@ -57,13 +57,13 @@
         sched.restore_worker(id, rec);
     }
     for (host, holder) in state.ordered {
-        sched.restore_mark(host, &holder);
+        sched.restore_order_mark(host, &holder);
     }
     let records = inbox.into_iter().flat_map(|(_, n)| n.records).collect();
     restore(&mut sched, records, state.jobs);
     sched.restore_demand();
     for (n, wave) in node.waves.lock().iter() {
-        sched.handle(Event::Wave(wave.clone(), state.waves.get(n).cloned()));
+        sched.handle(Event::WaveRequested(wave.clone(), state.waves.get(n).cloned()));
     }
     log::info!(
         "event=state_loaded term={term} jobs={} fence_ms={} read_ms={} restore_ms={}",
@@ -135,9 +135,9 @@
         }
     }
     for (key, spec) in jobs {
-        sched.restore(key, Some(spec), records.remove(&key));
+        sched.restore_job(key, Some(spec), records.remove(&key));
     }
-    records.into_iter().for_each(|(key, rec)| sched.restore(key, None, Some(rec)));
+    records.into_iter().for_each(|(key, rec)| sched.restore_job(key, None, Some(rec)));
     for (key, owner) in cancels {
         sched.handle(Event::Cancelled(key, owner));
     }
--- a/tests/testsuite/chance_crashes.rs
+++ b/tests/testsuite/chance_crashes.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 use workswood_core::jobs::{
-    Action, EndKind, Event, JobSpec, JobStatus, Listing, News, Outcome, Owner, ReportedEnd, ReportedRun,
-    StepSpec, TaskId,
+    Action, EndKind, Event, JobSpec, JobStatus, Listing, Outcome, Owner, ReportedEnd, ReportedRun, StepSpec,
+    TaskId, WorkerUpdate,
 };
 use workswood_test_support::host_world::{HostWorld, host, listed, worker};
 use workswood_test_support::job_world::{ATTEMPTS, SERVICE, job, step};
@@ -92,7 +92,7 @@
         self.runs.retain(|_, (on, _)| *on != n);
         let (id, now) = (worker(n, self.lives[n]).id, self.world.sched.now);
         let lease_end = now + Duration::from_secs(5);
-        self.world.tells(&id, News::Unanswered { lease_end, heard: now });
+        self.world.tells(&id, WorkerUpdate::Unanswered { lease_end, heard: now });
         self.lives[n] += 1;
         self.ms += 100;
         self.world.at(self.ms);
@@ -131,8 +131,8 @@
         site.crash(n);
         site.go_on(800);
     }
-    assert_eq!(site.world.sched.tally.lives_lost, 4);
-    assert_eq!(site.world.sched.tally.given_up, 0);
+    assert_eq!(site.world.sched.counters.lives_lost, 4);
+    assert_eq!(site.world.sched.counters.tasks_given_up, 0);
     assert_eq!(site.stops(), 0);
     assert_eq!(site.runs.len(), 4, "it is whole again");
     assert_eq!(site.world.sched.jobs.shown(&1), Some(JobStatus::Running));
@@ -168,7 +168,7 @@
         assert!(crashes <= 3, "it is started without end");
         site.crash(n);
     }
-    assert_eq!(site.world.sched.tally.given_up, 1);
+    assert_eq!(site.world.sched.counters.tasks_given_up, 1);
     site.go_on(5000);
     assert_eq!((site.stops(), site.runs.len()), (0, 3), "its siblings serve on, and it isn't started");
     assert_eq!(site.world.sched.jobs.shown(&1), Some(JobStatus::Running));
--- a/tests/testsuite/crash_evidence.rs
+++ b/tests/testsuite/crash_evidence.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use workswood_core::jobs::crash_attribution::{CrashRecord, Evidence};
-use workswood_core::jobs::{Action, Event, JobSpec, JobStatus, News, Outcome, TaskId};
+use workswood_core::jobs::{Action, Event, JobSpec, JobStatus, Outcome, TaskId, WorkerUpdate};
 use workswood_test_support::host_world::{HostWorld, host, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
 
@@ -52,7 +52,7 @@
 fn lose(world: &mut HostWorld, n: usize, lives: &mut [usize], heard: Duration) -> Vec<Action> {
     let (now, id) = (world.sched.now, worker(n, lives[n]).id);
     let end = now + Duration::from_secs(5);
-    world.tells(&id, News::Unanswered { lease_end: end, heard });
+    world.tells(&id, WorkerUpdate::Unanswered { lease_end: end, heard });
     world.at(now.as_millis() as u64 + 1000);
     lives[n] += 1;
     world.list(listed(lives));
@@ -127,10 +127,10 @@
         let heard = world.sched.now;
         world.at((heard + silent).as_millis() as u64);
         actions = lose(&mut world, at, &mut lives, heard);
-        if world.sched.tally.given_up > 0 {
+        if world.sched.counters.tasks_given_up > 0 {
             assert_eq!(starts(&actions), Vec::new());
             assert_eq!(world.sched.jobs.shown(&1), Some(JobStatus::Ended(Outcome::Failed)));
-            assert_eq!(world.sched.tally.lives_lost, crashes as u64);
+            assert_eq!(world.sched.counters.lives_lost, crashes as u64);
             return crashes;
         }
     }
@@ -157,14 +157,14 @@
     let wave = workswood_core::jobs::Wave {
         number: 1,
         hosts: vec![format!("m-{at}")],
-        within: Duration::from_secs(1),
-        most_at_once: 1,
+        time_allowed: Duration::from_secs(1),
+        max_down: 1,
     };
-    world.sched.handle(Event::Wave(wave, None));
+    world.sched.handle(Event::WaveRequested(wave, None));
     let mut ordered = false;
     for ms in (300..8000).step_by(150) {
         world.at(ms);
-        ordered |= world.tick().iter().any(|a| matches!(a, Action::Upkeep(..)));
+        ordered |= world.tick().iter().any(|a| matches!(a, Action::MaintainHost(..)));
         if ordered {
             break;
         }
--- a/tests/testsuite/demand_history.rs
+++ b/tests/testsuite/demand_history.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood_core::jobs::demand::Demand;
+use workswood_core::jobs::demand_history::DemandHistory;
 use workswood_core::jobs::{Event, HostReply, JobSpec, Owner};
 use workswood_test_support::host_world::{HostWorld, host, moves, worker};
 use workswood_test_support::job_world::{SERVICE, job, step};
@@ -16,28 +16,28 @@
 
 #[test]
 fn rate_of_a_window() {
-    let mut demand = Demand::default();
+    let mut demand = DemandHistory::default();
     demand.add(ms(200), 1000, WINDOW);
     demand.add(ms(900), 3000, WINDOW);
     demand.add(ms(2100), 500, WINDOW);
     assert_eq!(demand.rate(ms(1000), Duration::ZERO, WINDOW), 4.0);
     assert_eq!(demand.rate(ms(2100), Duration::ZERO, WINDOW), 0.5, "a second after the others");
     assert_eq!(demand.rate(ms(2000), WINDOW, WINDOW), 4.0, "the window before the last");
-    assert_eq!(demand.highest(), 4.0);
+    assert_eq!(demand.peak_rate(), 4.0);
 }
 
 #[test]
 fn restored_like_heard() {
-    let mut heard = Demand::default();
+    let mut heard = DemandHistory::default();
     [(100, 700), (600, 900), (1400, 200)].iter().for_each(|(at, work)| heard.add(ms(*at), *work, WINDOW));
-    let mut restored = Demand::default();
+    let mut restored = DemandHistory::default();
     let now = ms(50);
     // The process began later: all of it lies before its clock's beginning.
     [(1900, 200), (3200, 700), (2700, 900)]
         .iter()
         .for_each(|(ago, work)| restored.restore(now, ms(*ago), *work));
     restored.finish_restore(now, WINDOW);
-    assert_eq!(restored.highest(), heard.highest());
+    assert_eq!(restored.peak_rate(), heard.peak_rate());
     assert_eq!(restored.rate(now, ms(1900), WINDOW), heard.rate(ms(1400), Duration::ZERO, WINDOW));
 }
 
@@ -50,19 +50,19 @@
 /// turn of demand, when the service has had a turn before or not.
 fn moved_in_first_second(turn_before: bool) -> usize {
     let mut world = HostWorld::new(1);
-    world.sched.policy.need.turn_share = 0.8;
-    world.sched.policy.need.turn_least = 0.01;
+    world.sched.policy.need.surge_peak_share = 0.8;
+    world.sched.policy.need.surge_min_share = 0.01;
     world.sched.wall = 60_000;
     let mut hosts = vec![host(0, SERVICE, Some(0))];
     hosts.extend((1..30).map(|n| host(n, "spare", None)));
     if turn_before {
-        world.sched.restore(7, Some(work(80, 20_000)), None);
+        world.sched.restore_job(7, Some(work(80, 20_000)), None);
         world.sched.restore_demand();
         world.sched.handle(Event::Cancelled(7, Owner::PUBLIC));
         world.sched.take_batch();
     }
     world.sched.now = Duration::from_secs(1);
-    world.sched.handle(Event::Hosts(hosts, world.sched.now));
+    world.sched.handle(Event::HostsListed(hosts, world.sched.now));
     hand_in(&mut world, 4, 4);
     world.tick();
     moves(&world.actions).len()
@@ -85,8 +85,8 @@
 /// comes in, of 16 tasks in all.
 fn moved_at_first(turn_first: f64, jobs: u64) -> (usize, HostWorld) {
     let mut world = HostWorld::new(1);
-    world.sched.policy.need.turn_first = turn_first;
-    world.sched.policy.need.turn_least = 0.01;
+    world.sched.policy.need.first_surge_pool_factor = turn_first;
+    world.sched.policy.need.surge_min_share = 0.01;
     world.sched.wall = 60_000;
     let mut hosts: Vec<_> = (0..4).map(|n| host(n, SERVICE, Some(0))).collect();
     hosts.extend((4..40).map(|n| host(n, "spare", None)));
@@ -115,7 +115,7 @@
     let (moved, mut world) = moved_at_first(3.0, 4);
     let sent: Vec<String> = moves(&world.actions).into_iter().map(|(m, _)| m).collect();
     for m in &sent {
-        world.sched.handle(Event::HostOrdered(m.clone(), HostReply::Done));
+        world.sched.handle(Event::HostOrderAnswered(m.clone(), HostReply::Done));
     }
     // They have come; the first jobs are done, and the next ones on their way.
     let mut hosts: Vec<_> = (0..4).map(|n| host(n, SERVICE, Some(0))).collect();
@@ -142,15 +142,15 @@
 /// one small job 40 s before.
 fn moved_after_little(turn_any: bool) -> usize {
     let mut world = HostWorld::new(1);
-    world.sched.policy.need.turn_any = turn_any;
-    world.sched.policy.need.turn_least = 0.01;
-    world.sched.policy.need.turn_first = 3.0;
+    world.sched.policy.need.surge_from_other_services = turn_any;
+    world.sched.policy.need.surge_min_share = 0.01;
+    world.sched.policy.need.first_surge_pool_factor = 3.0;
     let mut hosts: Vec<_> = (0..4).map(|n| host(n, SERVICE, Some(0))).collect();
     hosts.extend((4..40).map(|n| host(n, "spare", None)));
     world.list(hosts);
     world.at(1000);
     world.sched.wall = 60_000;
-    world.sched.restore(7, Some(work(1, 20_000)), None);
+    world.sched.restore_job(7, Some(work(1, 20_000)), None);
     world.sched.restore_demand();
     world.sched.handle(Event::Cancelled(7, Owner::PUBLIC));
     hand_in(&mut world, 4, 4);
--- a/tests/testsuite/job_records.rs
+++ b/tests/testsuite/job_records.rs
@@ -11,7 +11,7 @@
 use workswood_core::jobs::job::{TaskRecord, WorkerId};
 use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
-    JobRecord, JobSpec, JobStatus, Outcome, OverRecord, Owner, Repeat, ShownJob, StepSpec,
+    JobRecord, JobSpec, JobStatus, JobStatusUpdate, Outcome, OverRecord, Owner, Repeat, StepSpec,
 };
 use workswood_test_support::job_world::{job, step};
 
@@ -173,8 +173,8 @@
     assert!(job_spec::decode(&bytes[..bytes.len() - 1]).is_err());
 }
 
-fn shown(key: u64, queue: &str, state: Option<JobStatus>) -> ShownJob {
-    ShownJob { key, queue: queue.to_string(), owner: Owner::PUBLIC, state, timed: false }
+fn shown(key: u64, queue: &str, state: Option<JobStatus>) -> JobStatusUpdate {
+    JobStatusUpdate { key, queue: queue.to_string(), owner: Owner::PUBLIC, state, timed: false }
 }
 
 #[test]
@@ -184,7 +184,7 @@
     all.show(shown(1, "a", Some(JobStatus::Queued)));
     all.show(shown(2, "a", Some(JobStatus::Queued)));
     all.show(shown(3, "b", Some(JobStatus::Queued)));
-    all.show(ShownJob { timed: true, ..shown(4, "b", Some(JobStatus::Queued)) });
+    all.show(JobStatusUpdate { timed: true, ..shown(4, "b", Some(JobStatus::Queued)) });
     assert_eq!((all.queued("a"), all.queued("b"), all.queued("c")), (2, 1, 0));
     all.show(shown(1, "a", Some(JobStatus::Running)));
     all.show(shown(2, "a", None));
