--- a/crates/workswood-peers/src/message.rs
+++ b/crates/workswood-peers/src/message.rs
@@ -33,22 +33,22 @@
     Head(Head),
     /// Asks for idle slots.
     #[prost(message, tag = "5")]
-    SlotAsk(SlotAsk),
+    SlotRequest(SlotRequest),
     /// Lends slots; may be empty.
     #[prost(message, tag = "6")]
-    SlotLoan(SlotLoan),
+    SlotReply(SlotReply),
     /// Loans that are in use, and loans that are given back.
     #[prost(message, tag = "7")]
-    SlotState(SlotState),
+    SlotLoanUpdate(SlotLoanUpdate),
     /// Asks for the state.
     #[prost(message, tag = "8")]
-    StateAsk(StateAsk),
+    StateRequest(StateRequest),
     /// The state.
     #[prost(message, tag = "9")]
     StateReply(StateReply),
     /// Asks whether a key is known.
     #[prost(message, tag = "10")]
-    KeyAsk(KeyAsk),
+    KeyRequest(KeyRequest),
     /// Whether a key is known.
     #[prost(message, tag = "11")]
     KeyReply(KeyReply),
@@ -60,16 +60,16 @@
     Done(Done),
     /// Asks for the state of a job.
     #[prost(message, tag = "14")]
-    JobAsk(JobAsk),
+    JobStateRequest(JobStateRequest),
     /// The state of a job.
     #[prost(message, tag = "15")]
-    JobReply(JobReply),
+    JobStateReply(JobStateReply),
     /// Asks how many jobs of a queue have not begun.
     #[prost(message, tag = "16")]
-    PendingAsk(PendingAsk),
+    PendingJobsRequest(PendingJobsRequest),
     /// How many jobs of a queue have not begun.
     #[prost(message, tag = "17")]
-    PendingReply(PendingReply),
+    PendingJobsReply(PendingJobsReply),
     /// Asks a process to write what callers handed in into its store.
     #[prost(message, tag = "18")]
     HandIn(HandIn),
@@ -88,7 +88,7 @@
     Pong(Pong),
     /// Asks a process to call the adviser.
     #[prost(message, tag = "23")]
-    AdviceAsk(AdviceAsk),
+    AdviceRequest(AdviceRequest),
     /// What the adviser answered.
     #[prost(message, tag = "24")]
     AdviceReply(AdviceReply),
@@ -106,7 +106,7 @@
     RelayNews(RelayNews),
     /// Asks for a configuration newer than one.
     #[prost(message, tag = "29")]
-    ConfigAsk(ConfigAsk),
+    ConfigRequest(ConfigRequest),
     /// The newest configuration known.
     #[prost(message, tag = "30")]
     ConfigReply(ConfigReply),
@@ -114,7 +114,7 @@
 
 /// Asks a process to call the adviser for the lease holder.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct AdviceAsk {
+pub struct AdviceRequest {
     /// Job of the step.
     #[prost(uint64, tag = "1")]
     pub job: u64,
@@ -224,7 +224,7 @@
 /// Asks for a configuration newer than one: the store turns this host away, and what operators
 /// change is in force here too.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ConfigAsk {
+pub struct ConfigRequest {
     /// Version in force at the asking process; 0 for none.
     #[prost(uint64, tag = "1")]
     pub version: u64,
@@ -271,7 +271,7 @@
 
 /// Asks for the state of a job.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct JobAsk {
+pub struct JobStateRequest {
     /// The job.
     #[prost(uint64, tag = "1")]
     pub job: u64,
@@ -283,7 +283,7 @@
 
 /// The state of a job.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct JobReply {
+pub struct JobStateReply {
     /// Whether the answering process holds the scheduler lease and is up to date.
     #[prost(bool, tag = "1")]
     pub current: bool,
@@ -309,7 +309,7 @@
 
 /// Asks how many jobs of a queue have not begun.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct PendingAsk {
+pub struct PendingJobsRequest {
     /// The queue.
     #[prost(string, tag = "1")]
     pub queue: String,
@@ -317,7 +317,7 @@
 
 /// How many jobs of a queue have not begun.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct PendingReply {
+pub struct PendingJobsReply {
     /// Whether the answering process holds the scheduler lease and is up to date.
     #[prost(bool, tag = "1")]
     pub current: bool,
@@ -407,7 +407,7 @@
 
 /// Asks for idle slots.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct SlotAsk {
+pub struct SlotRequest {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -421,15 +421,15 @@
 
 /// Lends slots.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct SlotLoan {
+pub struct SlotReply {
     /// One entry for each slot.
     #[prost(message, repeated, tag = "1")]
-    pub loans: Vec<Lent>,
+    pub loans: Vec<LentSlot>,
 }
 
 /// One slot that is lent.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Lent {
+pub struct LentSlot {
     /// Number at the lender.
     #[prost(uint64, tag = "1")]
     pub id: u64,
@@ -440,7 +440,7 @@
 
 /// Loans that are in use, and loans that are given back.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct SlotState {
+pub struct SlotLoanUpdate {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -449,7 +449,7 @@
     pub from: String,
     /// Loans in use.
     #[prost(uint64, repeated, tag = "3")]
-    pub kept: Vec<u64>,
+    pub in_use: Vec<u64>,
     /// Loans given back.
     #[prost(uint64, repeated, tag = "4")]
     pub returned: Vec<u64>,
@@ -457,7 +457,7 @@
 
 /// Asks for the state.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct StateAsk {}
+pub struct StateRequest {}
 
 /// The state.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -469,7 +469,7 @@
 
 /// Asks whether a key is known.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct KeyAsk {
+pub struct KeyRequest {
     /// The key.
     #[prost(string, tag = "1")]
     pub key: String,
@@ -502,16 +502,18 @@
     /// What the message is for, in metrics.
     pub fn purpose(&self) -> Purpose {
         match self {
-            Msg::JobAsk(_) | Msg::JobReply(_) => "job_questions",
-            Msg::ConfigAsk(_) | Msg::ConfigReply(_) => "config_questions",
-            Msg::PendingAsk(_) | Msg::PendingReply(_) => "pending_questions",
+            Msg::JobStateRequest(_) | Msg::JobStateReply(_) => "job_questions",
+            Msg::ConfigRequest(_) | Msg::ConfigReply(_) => "config_questions",
+            Msg::PendingJobsRequest(_) | Msg::PendingJobsReply(_) => "pending_questions",
             Msg::HandIn(_) | Msg::HandInReply(_) => "hand_ins_for_peers",
-            Msg::AdviceAsk(_) | Msg::AdviceReply(_) => "advice_for_peers",
+            Msg::AdviceRequest(_) | Msg::AdviceReply(_) => "advice_for_peers",
             Msg::RelayOpen(_) | Msg::RelayReady(_) | Msg::RelayOrders(_) => "relay_orders",
             Msg::RelayNews(_) => "relay_news",
             Msg::Beats(_) | Msg::Head(_) | Msg::Ping(_) | Msg::Pong(_) | Msg::Hello(_) => "heartbeats",
-            Msg::SlotAsk(_) | Msg::SlotLoan(_) | Msg::SlotState(_) => "slots",
-            Msg::StateAsk(_) | Msg::StateReply(_) | Msg::KeyAsk(_) | Msg::KeyReply(_) => "state_questions",
+            Msg::SlotRequest(_) | Msg::SlotReply(_) | Msg::SlotLoanUpdate(_) => "slots",
+            Msg::StateRequest(_) | Msg::StateReply(_) | Msg::KeyRequest(_) | Msg::KeyReply(_) => {
+                "state_questions"
+            }
             Msg::Leaving(_) | Msg::Done(_) | Msg::Release(_) => "other_messages",
         }
     }
--- a/src/workswood/ops/entry/follower.rs
+++ b/src/workswood/ops/entry/follower.rs
@@ -8,7 +8,7 @@
 use workswood_core::invariant;
 use workswood_core::record::{Duty, Envelope};
 use workswood_core::route::RouteTable;
-use workswood_peers::{Msg, StateAsk};
+use workswood_peers::{Msg, StateRequest};
 use workswood_platform::{Error, LogRecord};
 
 use super::lanes;
@@ -85,8 +85,9 @@
 
 async fn from_peers(node: &Node) -> Option<State> {
     let links: Vec<_> = node.links.lock().values().cloned().collect();
-    let ask =
-        |l: workswood_peers::Link| async move { l.call(Msg::StateAsk(StateAsk {}), STATE_TIMEOUT).await };
+    let ask = |l: workswood_peers::Link| async move {
+        l.call(Msg::StateRequest(StateRequest {}), STATE_TIMEOUT).await
+    };
     let answers = futures::future::join_all(links.into_iter().map(ask)).await;
     let states = answers.into_iter().flatten().filter_map(|m| match m {
         Msg::StateReply(r) if !r.text.is_empty() => State::from_text(&r.text),
--- a/src/workswood/ops/entry/gossip.rs
+++ b/src/workswood/ops/entry/gossip.rs
@@ -8,8 +8,8 @@
 use workswood_core::member::Beat;
 use workswood_core::route::{Loan, Want};
 use workswood_peers::{
-    Beat as WireBeat, Beats, Handler, KeyAsk, KeyReply, Leaving, Lent, Link, Msg, Open, SlotAsk, SlotLoan,
-    SlotState, StateReply,
+    Beat as WireBeat, Beats, Handler, KeyReply, KeyRequest, Leaving, LentSlot, Link, Msg, Open,
+    SlotLoanUpdate, SlotReply, SlotRequest, StateReply,
 };
 use workswood_traffic::Traffic;
 
@@ -144,24 +144,27 @@
                 node.grown.notify_one();
             }
         }
-        Msg::SlotAsk(ask) => return Some(Msg::SlotLoan(lend(node, &ask))),
-        Msg::SlotState(s) => loans_told(node, &s),
-        Msg::StateAsk(_) => {
+        Msg::SlotRequest(ask) => return Some(Msg::SlotReply(lend(node, &ask))),
+        Msg::SlotLoanUpdate(s) => loans_told(node, &s),
+        Msg::StateRequest(_) => {
             let text = if node.is(&node.ready) { node.state.read().text() } else { String::new() };
             return Some(Msg::StateReply(StateReply { text }));
         }
-        Msg::KeyAsk(KeyAsk { key }) => {
+        Msg::KeyRequest(KeyRequest { key }) => {
             let r = keys::reply(node, &key);
             return Some(Msg::KeyReply(KeyReply { known: r.known, roster: r.roster }));
         }
         Msg::Leaving(Leaving { instances }) => lanes::close(node, &instances),
         // Answers, and questions that only processes that run jobs are asked.
-        Msg::Hello(_) | Msg::SlotLoan(_) | Msg::StateReply(_) | Msg::KeyReply(_) | Msg::Done(_) => {}
-        Msg::JobAsk(_) | Msg::JobReply(_) | Msg::PendingAsk(_) | Msg::PendingReply(_) => {}
+        Msg::Hello(_) | Msg::SlotReply(_) | Msg::StateReply(_) | Msg::KeyReply(_) | Msg::Done(_) => {}
+        Msg::JobStateRequest(_)
+        | Msg::JobStateReply(_)
+        | Msg::PendingJobsRequest(_)
+        | Msg::PendingJobsReply(_) => {}
         Msg::HandIn(_) | Msg::HandInReply(_) | Msg::Release(_) => {}
         // Answered where the connection is served.
         Msg::Ping(_) | Msg::Pong(_) => {}
-        Msg::AdviceAsk(_) | Msg::AdviceReply(_) | Msg::ConfigAsk(_) | Msg::ConfigReply(_) => {}
+        Msg::AdviceRequest(_) | Msg::AdviceReply(_) | Msg::ConfigRequest(_) | Msg::ConfigReply(_) => {}
         Msg::RelayOpen(_) | Msg::RelayReady(_) | Msg::RelayOrders(_) | Msg::RelayNews(_) => {}
     }
     None
@@ -190,14 +193,14 @@
     }
 }
 
-fn lend(node: &Arc<Node>, ask: &SlotAsk) -> SlotLoan {
+fn lend(node: &Arc<Node>, ask: &SlotRequest) -> SlotReply {
     let lane = node.lanes.read().get(&ask.service).cloned();
     let loans = lane.map(|l| l.lend(node.now(), &ask.from, Want { slots: ask.slots })).unwrap_or_default();
-    let wire = |l: &Loan| Lent { id: l.id, endpoint: l.endpoint.clone() };
-    SlotLoan { loans: loans.iter().map(wire).collect() }
+    let wire = |l: &Loan| LentSlot { id: l.id, endpoint: l.endpoint.clone() };
+    SlotReply { loans: loans.iter().map(wire).collect() }
 }
 
-fn loans_told(node: &Arc<Node>, s: &SlotState) {
+fn loans_told(node: &Arc<Node>, s: &SlotLoanUpdate) {
     let lane = node.lanes.read().get(&s.service).cloned();
     if let Some(lane) = lane {
         lane.loans_told(node, s);
--- a/src/workswood/ops/entry/keys.rs
+++ b/src/workswood/ops/entry/keys.rs
@@ -16,7 +16,7 @@
 use workswood_core::ids::{RequestKey, UnixMs};
 use workswood_core::keyed::{self, AfterClaim, Given, HOLD, Inquiry, Told};
 use workswood_core::record::{End as KeyEnd, Record};
-use workswood_peers::{KeyAsk, Msg};
+use workswood_peers::{KeyRequest, Msg};
 
 use super::lanes;
 use super::node::Node;
@@ -234,7 +234,7 @@
     let began = node.now();
     let mut inquiry = Inquiry::new(&node.id, reply(node, key));
     while let Some(id) = inquiry.ask() {
-        let ask = Msg::KeyAsk(KeyAsk { key: key.to_string() });
+        let ask = Msg::KeyRequest(KeyRequest { key: key.to_string() });
         let answer = match node.link_to(id) {
             Some(link) => link.call(ask, ASK_TIMEOUT).await,
             None => None,
--- a/src/workswood/ops/entry/lanes.rs
+++ b/src/workswood/ops/entry/lanes.rs
@@ -10,7 +10,7 @@
 use workswood_core::fleet::Class;
 use workswood_core::ids::{InstanceId, ServiceId};
 use workswood_core::route::{Action, Dispatcher, Limits, Loan, Outcome, RouteTable, Ticket, Want};
-use workswood_peers::{Msg, SlotAsk, SlotState};
+use workswood_peers::{Msg, SlotLoanUpdate, SlotRequest};
 
 use super::node::Node;
 use crate::util::logs::DECISION;
@@ -82,9 +82,9 @@
     }
 
     /// Takes in what a borrower says of its loans.
-    pub fn loans_told(&self, node: &Node, s: &SlotState) {
+    pub fn loans_told(&self, node: &Node, s: &SlotLoanUpdate) {
         self.with(node, |d, now| {
-            d.confirmed(now, &s.from, &s.kept);
+            d.confirmed(now, &s.from, &s.in_use);
             s.returned.iter().flat_map(|id| d.returned(now, *id)).collect()
         });
     }
@@ -101,8 +101,13 @@
 
     fn tell_loans(&self, node: &Node, peer: &str, kept: Vec<u64>, returned: Vec<u64>) {
         if let Some(link) = node.link_to(peer) {
-            let s = SlotState { service: self.service.clone(), from: node.id.clone(), kept, returned };
-            link.send(Msg::SlotState(s));
+            let s = SlotLoanUpdate {
+                service: self.service.clone(),
+                from: node.id.clone(),
+                in_use: kept,
+                returned,
+            };
+            link.send(Msg::SlotLoanUpdate(s));
         }
     }
 
@@ -354,8 +359,10 @@
         let Some(want) = lane.want(node.now()) else { return };
         let peer = &peers[(i + turn) % peers.len()];
         let Some(link) = node.link_to(peer) else { continue };
-        let ask = SlotAsk { service: lane.service.clone(), slots: want.slots, from: node.id.clone() };
-        let Some(Msg::SlotLoan(loan)) = link.call(Msg::SlotAsk(ask), ASK_TIMEOUT).await else { continue };
+        let ask = SlotRequest { service: lane.service.clone(), slots: want.slots, from: node.id.clone() };
+        let Some(Msg::SlotReply(loan)) = link.call(Msg::SlotRequest(ask), ASK_TIMEOUT).await else {
+            continue;
+        };
         let loans: Vec<Loan> = loan
             .loans
             .into_iter()
--- a/src/workswood/ops/jobs/advice.rs
+++ b/src/workswood/ops/jobs/advice.rs
@@ -57,7 +57,7 @@
 async fn ask_by_helper(node: &Node, n: usize, call: &AdviceCall) -> AdviceReply {
     let own = node.settings.peers.to_string();
     let Some(address) = node.peers.others(&own).into_iter().nth(n) else { return AdviceReply::NotSent };
-    let msg = Msg::AdviceAsk(wire::AdviceAsk {
+    let msg = Msg::AdviceRequest(wire::AdviceRequest {
         job: call.step.job,
         round: call.step.round,
         step: u32::from(call.step.step),
@@ -72,7 +72,7 @@
 }
 
 /// Makes a call for the lease holder.
-pub async fn ask_for(node: &Node, asked: wire::AdviceAsk) -> wire::AdviceReply {
+pub async fn ask_for(node: &Node, asked: wire::AdviceRequest) -> wire::AdviceReply {
     let Ok(step) = u16::try_from(asked.step) else {
         return write(AdviceReply::Refused);
     };
--- a/src/workswood/ops/jobs/ask.rs
+++ b/src/workswood/ops/jobs/ask.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use workswood_core::jobs::{JobKey, Outcome, Owner, Shown};
-use workswood_peers::{JobAsk, JobReply, JobState, Msg, PendingAsk, PendingReply};
+use workswood_peers::{JobState, JobStateReply, JobStateRequest, Msg, PendingJobsReply, PendingJobsRequest};
 
 use super::node::{Holder, Leading, Node};
 
@@ -65,10 +65,10 @@
     if let Some(l) = node.leading.load_full() {
         return own_job(node, &l, job, Some(owner));
     }
-    let ask = JobAsk { job, owner: Some(owner.number()) };
-    let speaks = |msg: &Msg| matches!(msg, Msg::JobReply(r) if r.current);
-    match call(node, Msg::JobAsk(ask), speaks, || format!("job job={job:016x}")).await {
-        Some(Msg::JobReply(r)) if r.current => match r.state {
+    let ask = JobStateRequest { job, owner: Some(owner.number()) };
+    let speaks = |msg: &Msg| matches!(msg, Msg::JobStateReply(r) if r.current);
+    match call(node, Msg::JobStateRequest(ask), speaks, || format!("job job={job:016x}")).await {
+        Some(Msg::JobStateReply(r)) if r.current => match r.state {
             Some(s) => JobState::try_from(s).map_or(Told::Unreachable, |s| Told::Known(shown(s))),
             None => Told::Unknown,
         },
@@ -81,10 +81,10 @@
     if let Some(l) = node.leading.load_full() {
         return own_pending(node, &l, queue);
     }
-    let ask = Msg::PendingAsk(PendingAsk { queue: queue.to_string() });
-    let speaks = |msg: &Msg| matches!(msg, Msg::PendingReply(r) if r.current);
+    let ask = Msg::PendingJobsRequest(PendingJobsRequest { queue: queue.to_string() });
+    let speaks = |msg: &Msg| matches!(msg, Msg::PendingJobsReply(r) if r.current);
     match call(node, ask, speaks, || format!("pending queue={queue}")).await {
-        Some(Msg::PendingReply(r)) if r.current => Told::Known(r.pending),
+        Some(Msg::PendingJobsReply(r)) if r.current => Told::Known(r.pending),
         _ => Told::Unreachable,
     }
 }
@@ -133,7 +133,7 @@
 }
 
 /// Answers a process that asks for the state of a job.
-pub fn answer_job(node: &Node, ask: &JobAsk) -> JobReply {
+pub fn answer_job(node: &Node, ask: &JobStateRequest) -> JobStateReply {
     let l = node.leading.load_full();
     let asks = ask.owner.map(Owner::from_number);
     let (current, state) = match l.map_or(Told::Unreachable, |l| own_job(node, &l, ask.job, asks)) {
@@ -141,17 +141,17 @@
         Told::Unknown => (true, None),
         Told::Unreachable => (false, None),
     };
-    JobReply { current, state }
+    JobStateReply { current, state }
 }
 
 /// Answers a process that asks for the jobs of a queue that have not begun.
-pub fn answer_pending(node: &Node, ask: &PendingAsk) -> PendingReply {
+pub fn answer_pending(node: &Node, ask: &PendingJobsRequest) -> PendingJobsReply {
     let l = node.leading.load_full();
     let (current, pending) = match l.map_or(Told::Unreachable, |l| own_pending(node, &l, &ask.queue)) {
         Told::Known(n) => (true, n),
         Told::Unknown | Told::Unreachable => (false, 0),
     };
-    PendingReply { current, pending }
+    PendingJobsReply { current, pending }
 }
 
 fn state(s: Shown) -> JobState {
--- a/src/workswood/ops/jobs/help.rs
+++ b/src/workswood/ops/jobs/help.rs
@@ -11,8 +11,8 @@
 use futures::FutureExt;
 use futures::future::join_all;
 use workswood_peers::{
-    CallError, ConfigAsk, ConfigReply, Evacuated, HandIn, HandInOutcome, HandInReply, Handler, InboxRecord,
-    LeaseHolder, Msg, Release,
+    CallError, ConfigReply, ConfigRequest, Evacuated, HandIn, HandInOutcome, HandInReply, Handler,
+    InboxRecord, LeaseHolder, Msg, Release,
 };
 use workswood_platform::jobs::{Guard, KeyedRecord, Topic};
 
@@ -38,12 +38,12 @@
 
 async fn answer(node: &Node, msg: Msg) -> Option<Msg> {
     match msg {
-        Msg::JobAsk(ask) => Some(Msg::JobReply(ask::answer_job(node, &ask))),
-        Msg::PendingAsk(ask) => Some(Msg::PendingReply(ask::answer_pending(node, &ask))),
+        Msg::JobStateRequest(ask) => Some(Msg::JobStateReply(ask::answer_job(node, &ask))),
+        Msg::PendingJobsRequest(ask) => Some(Msg::PendingJobsReply(ask::answer_pending(node, &ask))),
         Msg::HandIn(asked) => Some(Msg::HandInReply(store_for(node, asked).await)),
-        Msg::AdviceAsk(asked) => Some(Msg::AdviceReply(advice::ask_for(node, asked).await)),
+        Msg::AdviceRequest(asked) => Some(Msg::AdviceReply(advice::ask_for(node, asked).await)),
         Msg::Release(asked) => release_for(node, asked).await,
-        Msg::ConfigAsk(asked) => Some(Msg::ConfigReply(newer_config(node, &asked))),
+        Msg::ConfigRequest(asked) => Some(Msg::ConfigReply(newer_config(node, &asked))),
         _ => None,
     }
 }
@@ -146,7 +146,7 @@
 }
 
 /// What operators wrote last, if it is newer than what the asking process has.
-fn newer_config(node: &Node, asked: &ConfigAsk) -> ConfigReply {
+fn newer_config(node: &Node, asked: &ConfigRequest) -> ConfigReply {
     let known = node.config.load().as_ref().map_or(0, |c| c.version);
     let newer = node.config_text.load_full().filter(|_| known > asked.version);
     let evacuated = node.operators.are_known().then(|| evacuated(node));
@@ -177,7 +177,7 @@
 pub async fn newer_wishes(node: &Node, version: u64) -> Wishes {
     let asked = node.now();
     let ask = |address: String| async move {
-        let msg = Msg::ConfigAsk(ConfigAsk { version });
+        let msg = Msg::ConfigRequest(ConfigRequest { version });
         match node.peers.call(&node.id, &address, msg, HELP_TIMEOUT).await {
             Ok(Msg::ConfigReply(reply)) => Some(reply),
             Ok(_) | Err(_) => None,
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -25,7 +25,7 @@
 use workswood_adapter_standin::{StoreStandin, WorkerStandin};
 use workswood_core::jobs::{Shown, ShownJob, WorkerAddress};
 use workswood_liveness::HalfOpen;
-use workswood_peers::{Done, Handler, JobAsk, Link, Msg, StateAsk, StateReply};
+use workswood_peers::{Done, Handler, JobStateRequest, Link, Msg, StateReply, StateRequest};
 use workswood_platform::jobs::{Guard, JobPlatform, KeyedRecord, StoreError, Topic, WorkerClock};
 use workswood_test_support::cut::{Cut, Fault};
 use workswood_test_support::job_node::settings;
@@ -134,7 +134,7 @@
     );
     // A dozen pieces, of which none is late by itself.
     cut.set(Fault::Slow(Duration::from_millis(60)));
-    let answer = link.ask(Msg::StateAsk(StateAsk {}), SOON).await;
+    let answer = link.ask(Msg::StateRequest(StateRequest {}), SOON).await;
     assert!(matches!(answer, Ok(Msg::StateReply(_))), "bytes come all the time");
 }
 
@@ -187,7 +187,14 @@
     let store = Arc::new(TurnStore::new(Duration::from_millis(2), &[]));
     let (_holder, cut) = holder(&store).await;
     let node = Node::new(settings("entry-1"), store);
-    let ask = || node.peers.call(&node.id, &cut.address, Msg::JobAsk(JobAsk { job: 1, owner: None }), LONG);
+    let ask = || {
+        node.peers.call(
+            &node.id,
+            &cut.address,
+            Msg::JobStateRequest(JobStateRequest { job: 1, owner: None }),
+            LONG,
+        )
+    };
     assert!(ask().await.is_ok());
     cut.set(Fault::HalfOpen);
     let lost = timeout(SOON, ask()).await.expect("the connection is given up before the call's time is over");
