--- a/crates/workswood-peers/src/message.rs
+++ b/crates/workswood-peers/src/message.rs
@@ -57,7 +57,7 @@
     Leaving(Leaving),
     /// Nothing to say.
     #[prost(message, tag = "13")]
-    Done(Done),
+    Ack(Ack),
     /// Asks for the state of a job.
     #[prost(message, tag = "14")]
     JobStateRequest(JobStateRequest),
@@ -72,14 +72,14 @@
     PendingJobsReply(PendingJobsReply),
     /// Asks a process to write what callers handed in into its store.
     #[prost(message, tag = "18")]
-    HandIn(HandIn),
+    InboxAppendRequest(InboxAppendRequest),
     /// What became of it.
     #[prost(message, tag = "19")]
-    HandInReply(HandInReply),
+    InboxAppendReply(InboxAppendReply),
     /// Asks a process to give back a scheduler lease for its holder, which the
     /// store turns away.
     #[prost(message, tag = "20")]
-    Release(Release),
+    LeaseReleaseRequest(LeaseReleaseRequest),
     /// Asks whether the connection still passes bytes.
     #[prost(message, tag = "21")]
     Ping(Ping),
@@ -129,7 +129,7 @@
     pub workers: Vec<String>,
     /// How long the adviser's answer is waited for, in milliseconds.
     #[prost(uint32, tag = "5")]
-    pub within_ms: u32,
+    pub timeout_ms: u32,
 }
 
 /// What came of a call to the adviser.
@@ -140,7 +140,7 @@
     pub outcome: i32,
     /// Workers that may run the step, with their tickets.
     #[prost(message, repeated, tag = "2")]
-    pub good: Vec<AdviceTicket>,
+    pub suitable: Vec<AdviceTicket>,
     /// How long the tickets hold, in milliseconds, if it says so.
     #[prost(uint64, optional, tag = "3")]
     pub valid_ms: Option<u64>,
@@ -174,13 +174,13 @@
 
 /// Asks a process to write what callers handed in into its store.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct HandIn {
+pub struct InboxAppendRequest {
     /// The records.
     #[prost(message, repeated, tag = "1")]
     pub records: Vec<InboxRecord>,
     /// How long the asking process waits for the answer, in milliseconds.
     #[prost(uint32, tag = "2")]
-    pub within_ms: u32,
+    pub timeout_ms: u32,
 }
 
 /// A record of the inbox.
@@ -196,7 +196,7 @@
 
 /// What became of records, in the order in which they were sent.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct HandInReply {
+pub struct InboxAppendReply {
     /// An outcome for each record.
     #[prost(enumeration = "HandInOutcome", repeated, tag = "1")]
     pub outcomes: Vec<i32>,
@@ -215,7 +215,7 @@
 
 /// Asks a process to give back a scheduler lease for its holder.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Release {
+pub struct LeaseReleaseRequest {
     /// The record of the lease that says so.
     #[prost(bytes = "bytes", tag = "1")]
     pub record: bytes::Bytes,
@@ -238,7 +238,7 @@
     pub record: bytes::Bytes,
     /// Missing if the process has not read it, or is of a version that does not.
     #[prost(message, optional, tag = "2")]
-    pub evacuated: Option<Evacuated>,
+    pub evacuated: Option<EvacuatedDataCentres>,
     /// Who holds the scheduler lease, as far as the process knows.
     #[prost(message, optional, tag = "3")]
     pub holder: Option<LeaseHolder>,
@@ -249,10 +249,10 @@
 pub struct LeaseHolder {
     /// Its incarnation.
     #[prost(string, tag = "1")]
-    pub id: String,
+    pub incarnation: String,
     /// Its peer listener.
     #[prost(string, tag = "2")]
-    pub peers: String,
+    pub peer_address: String,
     /// Its term.
     #[prost(uint64, tag = "3")]
     pub term: u64,
@@ -260,7 +260,7 @@
 
 /// Data centres that operators have evacuated.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Evacuated {
+pub struct EvacuatedDataCentres {
     /// All of them.
     #[prost(string, repeated, tag = "1")]
     pub data_centres: Vec<String>,
@@ -286,7 +286,7 @@
 pub struct JobStateReply {
     /// Whether the answering process holds the scheduler lease and is up to date.
     #[prost(bool, tag = "1")]
-    pub current: bool,
+    pub authoritative: bool,
     /// The state; unset if no such job is known.
     #[prost(enumeration = "JobState", optional, tag = "2")]
     pub state: Option<i32>,
@@ -320,7 +320,7 @@
 pub struct PendingJobsReply {
     /// Whether the answering process holds the scheduler lease and is up to date.
     #[prost(bool, tag = "1")]
-    pub current: bool,
+    pub authoritative: bool,
     /// How many.
     #[prost(uint64, tag = "2")]
     pub pending: u64,
@@ -496,7 +496,7 @@
 
 /// Nothing to say.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Done {}
+pub struct Ack {}
 
 impl Msg {
     /// What the message is for, in metrics.
@@ -505,7 +505,7 @@
             Msg::JobStateRequest(_) | Msg::JobStateReply(_) => "job_questions",
             Msg::ConfigRequest(_) | Msg::ConfigReply(_) => "config_questions",
             Msg::PendingJobsRequest(_) | Msg::PendingJobsReply(_) => "pending_questions",
-            Msg::HandIn(_) | Msg::HandInReply(_) => "hand_ins_for_peers",
+            Msg::InboxAppendRequest(_) | Msg::InboxAppendReply(_) => "hand_ins_for_peers",
             Msg::AdviceRequest(_) | Msg::AdviceReply(_) => "advice_for_peers",
             Msg::RelayOpen(_) | Msg::RelayReady(_) | Msg::RelayOrders(_) => "relay_orders",
             Msg::RelayNews(_) => "relay_news",
@@ -514,7 +514,7 @@
             Msg::StateRequest(_) | Msg::StateReply(_) | Msg::KeyRequest(_) | Msg::KeyReply(_) => {
                 "state_questions"
             }
-            Msg::Leaving(_) | Msg::Done(_) | Msg::Release(_) => "other_messages",
+            Msg::Leaving(_) | Msg::Ack(_) | Msg::LeaseReleaseRequest(_) => "other_messages",
         }
     }
 }
--- a/src/workswood/ops/entry/gossip.rs
+++ b/src/workswood/ops/entry/gossip.rs
@@ -156,12 +156,12 @@
         }
         Msg::Leaving(Leaving { instances }) => lanes::close(node, &instances),
         // Answers, and questions that only processes that run jobs are asked.
-        Msg::Hello(_) | Msg::SlotReply(_) | Msg::StateReply(_) | Msg::KeyReply(_) | Msg::Done(_) => {}
+        Msg::Hello(_) | Msg::SlotReply(_) | Msg::StateReply(_) | Msg::KeyReply(_) | Msg::Ack(_) => {}
         Msg::JobStateRequest(_)
         | Msg::JobStateReply(_)
         | Msg::PendingJobsRequest(_)
         | Msg::PendingJobsReply(_) => {}
-        Msg::HandIn(_) | Msg::HandInReply(_) | Msg::Release(_) => {}
+        Msg::InboxAppendRequest(_) | Msg::InboxAppendReply(_) | Msg::LeaseReleaseRequest(_) => {}
         // Answered where the connection is served.
         Msg::Ping(_) | Msg::Pong(_) => {}
         Msg::AdviceRequest(_) | Msg::AdviceReply(_) | Msg::ConfigRequest(_) | Msg::ConfigReply(_) => {}
--- a/src/workswood/ops/jobs/advice.rs
+++ b/src/workswood/ops/jobs/advice.rs
@@ -62,7 +62,7 @@
         round: call.step.round,
         step: u32::from(call.step.step),
         workers: call.workers.iter().map(|id| id.to_string()).collect(),
-        within_ms: call.patience.as_millis() as u32,
+        timeout_ms: call.patience.as_millis() as u32,
     });
     match node.peers.call(&node.id, &address, msg, call.patience + HELP_SLACK).await {
         Ok(Msg::AdviceReply(reply)) => read(reply),
@@ -78,7 +78,7 @@
     };
     let step = StepId { job: asked.job, round: asked.round, step };
     let workers: Vec<WorkerId> = asked.workers.iter().map(|id| id.as_str().into()).collect();
-    let patience = Duration::from_millis(u64::from(asked.within_ms));
+    let patience = Duration::from_millis(u64::from(asked.timeout_ms));
     let reply = node.platform.advise(step, &workers, patience).await;
     node.metrics.advice.with_label_values(&[label(&reply)]).inc();
     log::info!("event=helped_advice step={step} outcome={} workers={}", label(&reply), workers.len());
@@ -103,13 +103,13 @@
     };
     wire::AdviceReply {
         outcome: outcome as i32,
-        good: answer.good.into_iter().map(row).collect(),
+        suitable: answer.good.into_iter().map(row).collect(),
         valid_ms: answer.valid.map(|v| v.as_millis() as u64),
     }
 }
 
 fn read(reply: wire::AdviceReply) -> AdviceReply {
-    let good = reply.good.into_iter().map(|t| (t.worker.into(), t.ticket.into())).collect();
+    let good = reply.suitable.into_iter().map(|t| (t.worker.into(), t.ticket.into())).collect();
     let valid = reply.valid_ms.map(Duration::from_millis);
     match AdviceOutcome::try_from(reply.outcome).unwrap_or(AdviceOutcome::NoAnswer) {
         AdviceOutcome::Answered => AdviceReply::Answered(Advice { good, valid }),
--- a/src/workswood/ops/jobs/ask.rs
+++ b/src/workswood/ops/jobs/ask.rs
@@ -66,9 +66,9 @@
         return own_job(node, &l, job, Some(owner));
     }
     let ask = JobStateRequest { job, owner: Some(owner.number()) };
-    let speaks = |msg: &Msg| matches!(msg, Msg::JobStateReply(r) if r.current);
+    let speaks = |msg: &Msg| matches!(msg, Msg::JobStateReply(r) if r.authoritative);
     match call(node, Msg::JobStateRequest(ask), speaks, || format!("job job={job:016x}")).await {
-        Some(Msg::JobStateReply(r)) if r.current => match r.state {
+        Some(Msg::JobStateReply(r)) if r.authoritative => match r.state {
             Some(s) => JobState::try_from(s).map_or(Told::Unreachable, |s| Told::Known(shown(s))),
             None => Told::Unknown,
         },
@@ -82,9 +82,9 @@
         return own_pending(node, &l, queue);
     }
     let ask = Msg::PendingJobsRequest(PendingJobsRequest { queue: queue.to_string() });
-    let speaks = |msg: &Msg| matches!(msg, Msg::PendingJobsReply(r) if r.current);
+    let speaks = |msg: &Msg| matches!(msg, Msg::PendingJobsReply(r) if r.authoritative);
     match call(node, ask, speaks, || format!("pending queue={queue}")).await {
-        Some(Msg::PendingJobsReply(r)) if r.current => Told::Known(r.pending),
+        Some(Msg::PendingJobsReply(r)) if r.authoritative => Told::Known(r.pending),
         _ => Told::Unreachable,
     }
 }
@@ -141,7 +141,7 @@
         Told::Unknown => (true, None),
         Told::Unreachable => (false, None),
     };
-    JobStateReply { current, state }
+    JobStateReply { authoritative: current, state }
 }
 
 /// Answers a process that asks for the jobs of a queue that have not begun.
@@ -151,7 +151,7 @@
         Told::Known(n) => (true, n),
         Told::Unknown | Told::Unreachable => (false, 0),
     };
-    PendingJobsReply { current, pending }
+    PendingJobsReply { authoritative: current, pending }
 }
 
 fn state(s: Shown) -> JobState {
--- a/src/workswood/ops/jobs/help.rs
+++ b/src/workswood/ops/jobs/help.rs
@@ -11,8 +11,8 @@
 use futures::FutureExt;
 use futures::future::join_all;
 use workswood_peers::{
-    CallError, ConfigReply, ConfigRequest, Evacuated, HandIn, HandInOutcome, HandInReply, Handler,
-    InboxRecord, LeaseHolder, Msg, Release,
+    CallError, ConfigReply, ConfigRequest, EvacuatedDataCentres, HandInOutcome, Handler, InboxAppendReply,
+    InboxAppendRequest, InboxRecord, LeaseHolder, LeaseReleaseRequest, Msg,
 };
 use workswood_platform::jobs::{Guard, KeyedRecord, Topic};
 
@@ -40,9 +40,9 @@
     match msg {
         Msg::JobStateRequest(ask) => Some(Msg::JobStateReply(ask::answer_job(node, &ask))),
         Msg::PendingJobsRequest(ask) => Some(Msg::PendingJobsReply(ask::answer_pending(node, &ask))),
-        Msg::HandIn(asked) => Some(Msg::HandInReply(store_for(node, asked).await)),
+        Msg::InboxAppendRequest(asked) => Some(Msg::InboxAppendReply(store_for(node, asked).await)),
         Msg::AdviceRequest(asked) => Some(Msg::AdviceReply(advice::ask_for(node, asked).await)),
-        Msg::Release(asked) => release_for(node, asked).await,
+        Msg::LeaseReleaseRequest(asked) => release_for(node, asked).await,
         Msg::ConfigRequest(asked) => Some(Msg::ConfigReply(newer_config(node, &asked))),
         _ => None,
     }
@@ -51,18 +51,18 @@
 /// Writes what another process was handed in. While the store turns this host
 /// away too it says so at once: with the store away for all, each would wait for
 /// the others.
-async fn store_for(node: &Node, asked: HandIn) -> HandInReply {
+async fn store_for(node: &Node, asked: InboxAppendRequest) -> InboxAppendReply {
     if node.inbox.fails(node.now()) {
-        return HandInReply { outcomes: vec![HandInOutcome::NotStored as i32; asked.records.len()] };
+        return InboxAppendReply { outcomes: vec![HandInOutcome::NotStored as i32; asked.records.len()] };
     }
-    let within = Duration::from_millis(u64::from(asked.within_ms));
+    let within = Duration::from_millis(u64::from(asked.timeout_ms));
     let store = |rec: InboxRecord| {
         let rec = KeyedRecord { key: rec.key, value: Some(rec.value) };
         node.inbox.store_here(rec, within)
     };
     let stored = join_all(asked.records.into_iter().map(store)).await;
     log::info!("event=helped_hand_in records={} stored={}", stored.len(), count(&stored));
-    HandInReply { outcomes: stored.into_iter().map(|s| outcome(s) as i32).collect() }
+    InboxAppendReply { outcomes: stored.into_iter().map(|s| outcome(s) as i32).collect() }
 }
 
 fn count(stored: &[Stored]) -> usize {
@@ -85,8 +85,8 @@
         let wire =
             |r: &KeyedRecord| InboxRecord { key: r.key.clone(), value: r.value.clone().unwrap_or_default() };
         let records = records.iter().map(wire).collect();
-        let within_ms = (HELP_TIMEOUT * 3 / 4).as_millis() as u32;
-        let msg = Msg::HandIn(HandIn { records, within_ms });
+        let timeout_ms = (HELP_TIMEOUT * 3 / 4).as_millis() as u32;
+        let msg = Msg::InboxAppendRequest(InboxAppendRequest { records, timeout_ms });
         let reply = node.peers.call(&node.id, &address, msg, HELP_TIMEOUT).await;
         take_reply(&mut told, reply);
         if told.iter().all(|s| *s == Stored::Yes) {
@@ -101,7 +101,7 @@
 /// only a helper that stored it changes that.
 fn take_reply(told: &mut [Stored], reply: Result<Msg, CallError>) {
     let outcomes = match reply {
-        Ok(Msg::HandInReply(r)) => r.outcomes,
+        Ok(Msg::InboxAppendReply(r)) => r.outcomes,
         Err(CallError::NotSent) => return,
         Ok(_) | Err(CallError::NoAnswer) => Vec::new(),
     };
@@ -131,12 +131,12 @@
 
 /// Writes for another process that it gives the scheduler lease back; answers
 /// once that is stored.
-async fn release_for(node: &Node, asked: Release) -> Option<Msg> {
+async fn release_for(node: &Node, asked: LeaseReleaseRequest) -> Option<Msg> {
     let rec = KeyedRecord { key: lease::KEY.to_string(), value: Some(asked.record) };
     match node.platform.append(Topic::Lease, vec![rec], Guard::None).await {
         Ok(_) => {
             log::info!("event=helped_release");
-            Some(Msg::Done(workswood_peers::Done {}))
+            Some(Msg::Ack(workswood_peers::Ack {}))
         }
         Err(e) => {
             log::warn!("event=help_failed what=release error=\"{e}\"");
@@ -151,15 +151,19 @@
     let newer = node.config_text.load_full().filter(|_| known > asked.version);
     let evacuated = node.operators.are_known().then(|| evacuated(node));
     let holder = node.holder.load_full().filter(|h| !h.released);
-    let holder = holder.map(|h| LeaseHolder { id: h.id.clone(), peers: h.peers.clone(), term: h.term });
+    let holder = holder.map(|h| LeaseHolder {
+        incarnation: h.id.clone(),
+        peer_address: h.peers.clone(),
+        term: h.term,
+    });
     ConfigReply { record: newer.map(|text| Bytes::clone(&text)).unwrap_or_default(), evacuated, holder }
 }
 
 /// Which data centres are evacuated, as this process knows.
-fn evacuated(node: &Node) -> Evacuated {
+fn evacuated(node: &Node) -> EvacuatedDataCentres {
     let known = node.operators.evacuations();
     let age_ms = node.operators.age(node.now()).as_millis() as u64;
-    Evacuated { data_centres: known.data_centres.iter().cloned().collect(), age_ms }
+    EvacuatedDataCentres { data_centres: known.data_centres.iter().cloned().collect(), age_ms }
 }
 
 /// What operators wrote, as other processes tell.
@@ -189,7 +193,12 @@
         if !reply.record.is_empty() {
             wishes.configs.push(reply.record);
         }
-        let holder = reply.holder.map(|h| Holder { id: h.id, peers: h.peers, term: h.term, released: false });
+        let holder = reply.holder.map(|h| Holder {
+            id: h.incarnation,
+            peers: h.peer_address,
+            term: h.term,
+            released: false,
+        });
         wishes.holder = wishes.holder.into_iter().chain(holder).max_by_key(|h| h.term);
         wishes.evacuations.extend(reply.evacuated.map(|e| Evacuations {
             data_centres: e.data_centres.into_iter().collect(),
@@ -206,7 +215,7 @@
 pub async fn release(node: &Node, term: u64) -> bool {
     let record = LeaseRecord::of(node, term, true).keyed().value.unwrap_or_default();
     for address in helpers(node) {
-        let msg = Msg::Release(Release { record: record.clone() });
+        let msg = Msg::LeaseReleaseRequest(LeaseReleaseRequest { record: record.clone() });
         if node.peers.call(&node.id, &address, msg, HELP_TIMEOUT).await.is_ok() {
             return true;
         }
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -25,7 +25,7 @@
 use workswood_adapter_standin::{StoreStandin, WorkerStandin};
 use workswood_core::jobs::{Shown, ShownJob, WorkerAddress};
 use workswood_liveness::HalfOpen;
-use workswood_peers::{Done, Handler, JobStateRequest, Link, Msg, StateReply, StateRequest};
+use workswood_peers::{Ack, Handler, JobStateRequest, Link, Msg, StateReply, StateRequest};
 use workswood_platform::jobs::{Guard, JobPlatform, KeyedRecord, StoreError, Topic, WorkerClock};
 use workswood_test_support::cut::{Cut, Fault};
 use workswood_test_support::job_node::settings;
@@ -248,7 +248,7 @@
         HalfOpen::default(),
         Traffic::default(),
     );
-    let beat = || link.send(Msg::Done(Done {}));
+    let beat = || link.send(Msg::Ack(Ack {}));
     beat();
     assert!(timeout(SOON, heard.recv()).await.is_ok_and(|m| m.is_some()));
     cut.set(Fault::HalfOpen);
