--- a/crates/workswood-peers/src/message.rs
+++ b/crates/workswood-peers/src/message.rs
@@ -27,10 +27,10 @@
     Hello(Hello),
     /// Heartbeat.
     #[prost(message, tag = "3")]
-    Beats(Beats),
+    Heartbeat(Heartbeat),
     /// The log has grown.
     #[prost(message, tag = "4")]
-    Head(Head),
+    LogHead(LogHead),
     /// Asks for idle slots.
     #[prost(message, tag = "5")]
     SlotRequest(SlotRequest),
@@ -54,7 +54,7 @@
     KeyReply(KeyReply),
     /// Endpoints that take no new work.
     #[prost(message, tag = "12")]
-    Leaving(Leaving),
+    DrainingEndpoints(DrainingEndpoints),
     /// Nothing to say.
     #[prost(message, tag = "13")]
     Ack(Ack),
@@ -351,7 +351,7 @@
 
 /// What a process says of itself or of another.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Beat {
+pub struct EntryState {
     /// Address of its peer listener.
     #[prost(string, tag = "1")]
     pub address: String,
@@ -363,10 +363,10 @@
     pub data_centre: String,
     /// Counts up.
     #[prost(uint64, tag = "4")]
-    pub number: u64,
+    pub sequence: u64,
     /// Next offset that it folds.
     #[prost(uint64, tag = "5")]
-    pub next: u64,
+    pub next_offset: u64,
     /// Whether it is stopping.
     #[prost(bool, tag = "6")]
     pub stopping: bool,
@@ -374,21 +374,21 @@
 
 /// Heartbeat with what the sender knows of some others.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Beats {
+pub struct Heartbeat {
     /// The sender's own beat.
     #[prost(message, optional, tag = "1")]
-    pub own: Option<Beat>,
+    pub own: Option<EntryState>,
     /// Beats of some others.
     #[prost(message, repeated, tag = "2")]
-    pub others: Vec<Beat>,
+    pub others: Vec<EntryState>,
     /// Instances that the sender has requests open on, if it is asked to tell.
     #[prost(message, repeated, tag = "3")]
-    pub open: Vec<Open>,
+    pub open_requests: Vec<OpenRequests>,
 }
 
 /// Requests open on an instance.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Open {
+pub struct OpenRequests {
     /// The instance.
     #[prost(string, tag = "1")]
     pub instance: String,
@@ -399,7 +399,7 @@
 
 /// The log has grown.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Head {
+pub struct LogHead {
     /// An offset that is in the log.
     #[prost(uint64, tag = "1")]
     pub offset: u64,
@@ -488,7 +488,7 @@
 
 /// Endpoints that take no new work.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Leaving {
+pub struct DrainingEndpoints {
     /// Instances that are leaving.
     #[prost(string, repeated, tag = "1")]
     pub instances: Vec<String>,
@@ -509,12 +509,12 @@
             Msg::AdviceRequest(_) | Msg::AdviceReply(_) => "advice_for_peers",
             Msg::RelayOpen(_) | Msg::RelayReady(_) | Msg::RelayOrders(_) => "relay_orders",
             Msg::RelayNews(_) => "relay_news",
-            Msg::Beats(_) | Msg::Head(_) | Msg::Ping(_) | Msg::Pong(_) | Msg::Hello(_) => "heartbeats",
+            Msg::Heartbeat(_) | Msg::LogHead(_) | Msg::Ping(_) | Msg::Pong(_) | Msg::Hello(_) => "heartbeats",
             Msg::SlotRequest(_) | Msg::SlotReply(_) | Msg::SlotLoanUpdate(_) => "slots",
             Msg::StateRequest(_) | Msg::StateReply(_) | Msg::KeyRequest(_) | Msg::KeyReply(_) => {
                 "state_questions"
             }
-            Msg::Leaving(_) | Msg::Ack(_) | Msg::LeaseReleaseRequest(_) => "other_messages",
+            Msg::DrainingEndpoints(_) | Msg::Ack(_) | Msg::LeaseReleaseRequest(_) => "other_messages",
         }
     }
 }
--- a/src/workswood/ops/entry/appender.rs
+++ b/src/workswood/ops/entry/appender.rs
@@ -13,7 +13,7 @@
 use workswood_core::fold::{Verdict, Void};
 use workswood_core::ids::Offset;
 use workswood_core::record::{End, Envelope, FORMAT, Record};
-use workswood_peers::{Head, Msg};
+use workswood_peers::{LogHead, Msg};
 use workswood_platform::Error;
 
 use super::node::Node;
@@ -233,7 +233,7 @@
 fn tell(node: &Node, offset: Offset) {
     node.grown.notify_one();
     for link in node.links.lock().values() {
-        link.send(Msg::Head(Head { offset }));
+        link.send(Msg::LogHead(LogHead { offset }));
     }
 }
 
--- a/src/workswood/ops/entry/gossip.rs
+++ b/src/workswood/ops/entry/gossip.rs
@@ -8,8 +8,8 @@
 use workswood_core::member::Beat;
 use workswood_core::route::{Loan, Want};
 use workswood_peers::{
-    Beat as WireBeat, Beats, Handler, KeyReply, KeyRequest, Leaving, LentSlot, Link, Msg, Open,
-    SlotLoanUpdate, SlotReply, SlotRequest, StateReply,
+    DrainingEndpoints, EntryState, Handler, Heartbeat, KeyReply, KeyRequest, LentSlot, Link, Msg,
+    OpenRequests, SlotLoanUpdate, SlotReply, SlotRequest, StateReply,
 };
 use workswood_traffic::Traffic;
 
@@ -25,24 +25,24 @@
 const LIST_EVERY: u64 = 120;
 const LIST_ALONE: u64 = 4;
 
-fn to_wire(b: &Beat) -> WireBeat {
-    WireBeat {
+fn to_wire(b: &Beat) -> EntryState {
+    EntryState {
         address: b.address.clone(),
         id: b.id.clone(),
         data_centre: b.data_centre.clone(),
-        number: b.number,
-        next: b.next,
+        sequence: b.number,
+        next_offset: b.next,
         stopping: b.stopping,
     }
 }
 
-fn from_wire(b: WireBeat) -> Beat {
+fn from_wire(b: EntryState) -> Beat {
     Beat {
         address: b.address,
         id: b.id,
         data_centre: b.data_centre,
-        number: b.number,
-        next: b.next,
+        number: b.sequence,
+        next: b.next_offset,
         stopping: b.stopping,
     }
 }
@@ -76,9 +76,13 @@
         (members.sample(number, SAMPLE), contacts)
     };
     let open = open_requests(node);
-    let beats = Beats { own: Some(to_wire(&own)), others: others.iter().map(to_wire).collect(), open };
+    let beats = Heartbeat {
+        own: Some(to_wire(&own)),
+        others: others.iter().map(to_wire).collect(),
+        open_requests: open,
+    };
     for link in links(node, &contacts, seeds) {
-        link.send(Msg::Beats(beats.clone()));
+        link.send(Msg::Heartbeat(beats.clone()));
     }
 }
 
@@ -94,7 +98,7 @@
 }
 
 /// Requests open on instances whose hosts are draining.
-fn open_requests(node: &Node) -> Vec<Open> {
+fn open_requests(node: &Node) -> Vec<OpenRequests> {
     let draining: Vec<String> = {
         let state = node.state.read();
         let hosts = state.hosts.iter().filter(|(_, h)| h.away()).map(|(id, _)| id);
@@ -102,7 +106,7 @@
     };
     lanes::open_on(node, &draining)
         .into_iter()
-        .map(|(instance, requests)| Open { instance, requests })
+        .map(|(instance, requests)| OpenRequests { instance, requests })
         .collect()
 }
 
@@ -138,8 +142,8 @@
 
 fn answer(node: &Arc<Node>, msg: Msg) -> Option<Msg> {
     match msg {
-        Msg::Beats(b) => hear(node, b),
-        Msg::Head(h) => {
+        Msg::Heartbeat(b) => hear(node, b),
+        Msg::LogHead(h) => {
             if h.offset >= node.state.read().next {
                 node.grown.notify_one();
             }
@@ -154,7 +158,7 @@
             let r = keys::reply(node, &key);
             return Some(Msg::KeyReply(KeyReply { known: r.known, roster: r.roster }));
         }
-        Msg::Leaving(Leaving { instances }) => lanes::close(node, &instances),
+        Msg::DrainingEndpoints(DrainingEndpoints { instances }) => lanes::close(node, &instances),
         // Answers, and questions that only processes that run jobs are asked.
         Msg::Hello(_) | Msg::SlotReply(_) | Msg::StateReply(_) | Msg::KeyReply(_) | Msg::Ack(_) => {}
         Msg::JobStateRequest(_)
@@ -170,14 +174,14 @@
     None
 }
 
-fn hear(node: &Arc<Node>, b: Beats) {
+fn hear(node: &Arc<Node>, b: Heartbeat) {
     let (now, here) = (node.now(), node.state.read().next);
     // The state is never locked while the members are.
     let mut members = node.members.lock();
     if let Some(own) = b.own {
-        let view = PeerView { open: b.open.into_iter().map(|o| (o.instance, o.requests)).collect() };
+        let view = PeerView { open: b.open_requests.into_iter().map(|o| (o.instance, o.requests)).collect() };
         node.peer_views.lock().insert(own.address.clone(), view);
-        let next = own.next;
+        let next = own.next_offset;
         let id = own.id.clone();
         if members.heard(now, from_wire(own), true) {
             log::info!("event=member id={id} liveness=alive");
@@ -210,7 +214,7 @@
 /// Tells all peers that endpoints take no new work.
 pub fn tell_leaving(node: &Node, instances: Vec<String>) {
     log::info!("event=endpoint_leaving instances={} reason=own_answer", instances.join(","));
-    let msg = Msg::Leaving(Leaving { instances });
+    let msg = Msg::DrainingEndpoints(DrainingEndpoints { instances });
     for link in node.links.lock().values() {
         link.send(msg.clone());
     }
