--- a/crates/workswood-peers/src/message.rs
+++ b/crates/workswood-peers/src/message.rs
@@ -2,7 +2,7 @@
 
 use workswood_traffic::Purpose;
 
-use crate::relay::{RelayNews, RelayOpen, RelayOrders, RelayReady};
+use crate::relay::{RelayOpen, RelayOrders, RelayReady, RelayUpdate};
 
 /// One frame.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -103,7 +103,7 @@
     RelayOrders(RelayOrders),
     /// What a relay has to tell of workers.
     #[prost(message, tag = "28")]
-    RelayNews(RelayNews),
+    RelayUpdate(RelayUpdate),
     /// Asks for a configuration newer than one.
     #[prost(message, tag = "29")]
     ConfigRequest(ConfigRequest),
@@ -508,7 +508,7 @@
             Msg::InboxAppendRequest(_) | Msg::InboxAppendReply(_) => "hand_ins_for_peers",
             Msg::AdviceRequest(_) | Msg::AdviceReply(_) => "advice_for_peers",
             Msg::RelayOpen(_) | Msg::RelayReady(_) | Msg::RelayOrders(_) => "relay_orders",
-            Msg::RelayNews(_) => "relay_news",
+            Msg::RelayUpdate(_) => "relay_news",
             Msg::Heartbeat(_) | Msg::LogHead(_) | Msg::Ping(_) | Msg::Pong(_) | Msg::Hello(_) => "heartbeats",
             Msg::SlotRequest(_) | Msg::SlotReply(_) | Msg::SlotLoanUpdate(_) => "slots",
             Msg::StateRequest(_) | Msg::StateReply(_) | Msg::KeyRequest(_) | Msg::KeyReply(_) => {
--- a/crates/workswood-peers/src/relay.rs
+++ b/crates/workswood-peers/src/relay.rs
@@ -1,8 +1,8 @@
 //! Messages between the lease holder and the hosts that attend workers for it.
 //!
 //! The holder opens a connection with a [`RelayOpen`]; the relay answers with a
-//! [`RelayReady`]. Then [`RelayOrders`] go one way and [`RelayNews`] the other. A worker
-//! goes by a number that the holder gives it with each [`Attend`] and never gives again
+//! [`RelayReady`]. Then [`RelayOrders`] go one way and [`RelayUpdate`] the other. A worker
+//! goes by a number that the holder gives it with each [`AssignWorker`] and never gives again
 //! on the same connection.
 
 /// Opens a connection to a relay.
@@ -28,7 +28,7 @@
 pub struct RelayOrders {
     /// Answers a heartbeat, if it does.
     #[prost(message, optional, tag = "1")]
-    pub grant: Option<Grant>,
+    pub grant: Option<LeaseGrant>,
     /// Orders.
     #[prost(message, repeated, tag = "2")]
     pub orders: Vec<RelayOrder>,
@@ -36,13 +36,13 @@
 
 /// The right to extend leases of workers.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct Grant {
+pub struct LeaseGrant {
     /// The heartbeat that it answers.
     #[prost(uint64, tag = "1")]
-    pub beat: u64,
+    pub heartbeat: u64,
     /// How long from when that was sent, in milliseconds.
     #[prost(uint32, tag = "2")]
-    pub ms: u32,
+    pub duration_ms: u32,
 }
 
 /// One order.
@@ -61,30 +61,30 @@
 pub enum Order {
     /// Attend it.
     #[prost(message, tag = "2")]
-    Attend(Attend),
+    Assign(AssignWorker),
     /// Attend it no longer.
     #[prost(message, tag = "3")]
-    Leave(Leave),
+    Unassign(Empty),
     /// Let it forget its ends up to this number: they are on record.
     #[prost(uint64, tag = "4")]
-    Forget(u64),
+    AckEnds(u64),
     /// Tell figures of all that runs there with each look, or no longer.
     #[prost(bool, tag = "5")]
-    Figures(bool),
+    ReportLoad(bool),
     /// Start a task.
     #[prost(message, tag = "6")]
     Start(StartTask),
     /// Stop a task.
     #[prost(message, tag = "7")]
-    Stop(Run),
+    Stop(TaskRun),
     /// Let a task work at a share.
     #[prost(message, tag = "8")]
-    Pace(PaceTask),
+    Throttle(ThrottleTask),
 }
 
 /// A worker to attend.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Attend {
+pub struct AssignWorker {
     /// The name it goes by.
     #[prost(string, tag = "1")]
     pub name: String,
@@ -104,11 +104,11 @@
 
 /// Nothing to say.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct Leave {}
+pub struct Empty {}
 
 /// A run of a task.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct Run {
+pub struct TaskRun {
     /// The job.
     #[prost(fixed64, tag = "1")]
     pub job: u64,
@@ -131,10 +131,10 @@
 pub struct StartTask {
     /// The run.
     #[prost(message, optional, tag = "1")]
-    pub run: Option<Run>,
+    pub run: Option<TaskRun>,
     /// Text that is passed to it; empty if it is that of the order before.
     #[prost(string, optional, tag = "2")]
-    pub text: Option<String>,
+    pub spec: Option<String>,
     /// Checkpoint to go on from; empty for none.
     #[prost(string, tag = "3")]
     pub checkpoint: String,
@@ -145,10 +145,10 @@
 
 /// A task whose pace changes.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct PaceTask {
+pub struct ThrottleTask {
     /// The run.
     #[prost(message, optional, tag = "1")]
-    pub run: Option<Run>,
+    pub run: Option<TaskRun>,
     /// Share of its full pace.
     #[prost(uint32, tag = "2")]
     pub percent: u32,
@@ -156,21 +156,21 @@
 
 /// What a relay has to tell, in the order of its coming.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct RelayNews {
+pub struct RelayUpdate {
     /// Number of the heartbeat that this is.
     #[prost(uint64, tag = "1")]
-    pub beat: u64,
+    pub heartbeat: u64,
     /// Whether the relay is about to stop.
     #[prost(bool, tag = "2")]
-    pub leaving: bool,
+    pub stopping: bool,
     /// News of workers.
     #[prost(message, repeated, tag = "3")]
-    pub news: Vec<WorkerNews>,
+    pub updates: Vec<WorkerUpdate>,
 }
 
 /// News of one worker.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct WorkerNews {
+pub struct WorkerUpdate {
     /// Number of the worker.
     #[prost(uint32, tag = "1")]
     pub worker: u32,
@@ -183,7 +183,7 @@
     pub restarted_at: Option<u64>,
     /// What is new.
     #[prost(oneof = "News", tags = "2, 3, 4, 5, 6, 7, 8")]
-    pub news: Option<News>,
+    pub event: Option<News>,
 }
 
 /// What is new of a worker.
@@ -191,20 +191,20 @@
 pub enum News {
     /// It answered a look.
     #[prost(message, tag = "2")]
-    Reported(Reported),
+    Reported(StatusReport),
     /// Its answer to a look is late.
     #[prost(message, tag = "3")]
-    Doubted(Leave),
+    ReplyLate(Empty),
     /// It did not answer; its lease lasts so many milliseconds at most if it is not
     /// extended.
     #[prost(uint32, tag = "4")]
     Unanswered(u32),
     /// Its address is answered by another life.
     #[prost(message, tag = "5")]
-    LifeOver(Leave),
+    IncarnationEnded(Empty),
     /// It knows a higher token.
     #[prost(message, tag = "6")]
-    Fenced(Leave),
+    Fenced(Empty),
     /// The outcome of a start.
     #[prost(message, tag = "7")]
     Started(StartedTask),
@@ -215,16 +215,16 @@
 
 /// What a worker listed that is new.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Reported {
+pub struct StatusReport {
     /// Whether it is all that runs.
     #[prost(bool, tag = "1")]
-    pub whole: bool,
+    pub complete: bool,
     /// Runs.
     #[prost(message, repeated, tag = "2")]
     pub running: Vec<RunningTask>,
     /// Runs that are over although no end is listed.
     #[prost(message, repeated, tag = "3")]
-    pub gone: Vec<Run>,
+    pub vanished: Vec<TaskRun>,
     /// Ends.
     #[prost(message, repeated, tag = "4")]
     pub ended: Vec<EndedTask>,
@@ -235,7 +235,7 @@
 pub struct RunningTask {
     /// The run.
     #[prost(message, optional, tag = "1")]
-    pub run: Option<Run>,
+    pub run: Option<TaskRun>,
     /// Latest checkpoint.
     #[prost(string, tag = "2")]
     pub checkpoint: String,
@@ -244,10 +244,10 @@
     pub percent: u32,
     /// Figure of the last half second.
     #[prost(uint64, tag = "4")]
-    pub figure: u64,
+    pub load: u64,
     /// How long its progress has stood still, in milliseconds.
     #[prost(uint32, tag = "5")]
-    pub still_ms: u32,
+    pub stalled_ms: u32,
 }
 
 /// An end that is listed.
@@ -255,13 +255,13 @@
 pub struct EndedTask {
     /// The run.
     #[prost(message, optional, tag = "1")]
-    pub run: Option<Run>,
+    pub run: Option<TaskRun>,
     /// Number of the end.
     #[prost(uint64, tag = "2")]
     pub number: u64,
     /// How it ended.
     #[prost(enumeration = "EndedHow", tag = "3")]
-    pub how: i32,
+    pub reason: i32,
     /// Latest checkpoint.
     #[prost(string, tag = "4")]
     pub checkpoint: String,
@@ -290,7 +290,7 @@
 pub struct StartedTask {
     /// The run.
     #[prost(message, optional, tag = "1")]
-    pub run: Option<Run>,
+    pub run: Option<TaskRun>,
     /// What came of it.
     #[prost(enumeration = "StartOutcome", tag = "2")]
     pub outcome: i32,
@@ -323,8 +323,8 @@
 pub struct StoppedTask {
     /// The run.
     #[prost(message, optional, tag = "1")]
-    pub run: Option<Run>,
+    pub run: Option<TaskRun>,
     /// Whether the worker has taken it.
     #[prost(bool, tag = "2")]
-    pub taken: bool,
+    pub accepted: bool,
 }
--- a/src/workswood/ops/entry/gossip.rs
+++ b/src/workswood/ops/entry/gossip.rs
@@ -169,7 +169,7 @@
         // Answered where the connection is served.
         Msg::Ping(_) | Msg::Pong(_) => {}
         Msg::AdviceRequest(_) | Msg::AdviceReply(_) | Msg::ConfigRequest(_) | Msg::ConfigReply(_) => {}
-        Msg::RelayOpen(_) | Msg::RelayReady(_) | Msg::RelayOrders(_) | Msg::RelayNews(_) => {}
+        Msg::RelayOpen(_) | Msg::RelayReady(_) | Msg::RelayOrders(_) | Msg::RelayUpdate(_) => {}
     }
     None
 }
--- a/src/workswood/ops/jobs/relay/serve.rs
+++ b/src/workswood/ops/jobs/relay/serve.rs
@@ -112,10 +112,10 @@
         let msg = node.lag.timeout(HOLDER_SILENT, rx.next()).await.ok_or(Closed)??;
         let Msg::RelayOrders(frame) = msg else { return Err(Closed) };
         if let Some(g) = frame.grant
-            && let Some(sent) = beats.answered(g.beat)
+            && let Some(sent) = beats.answered(g.heartbeat)
         {
             // Counted from before the holder granted it.
-            grant.extend(sent + Duration::from_millis(u64::from(g.ms)));
+            grant.extend(sent + Duration::from_millis(u64::from(g.duration_ms)));
         }
         let orders = form::read_orders(frame.orders).ok_or(Closed)?;
         orders.into_iter().for_each(|(number, order)| relay.take(number, order));
@@ -144,8 +144,8 @@
             beats.sent(beat, now);
             due = now + BEAT_EVERY;
         }
-        let frame = wire::RelayNews { beat: number, leaving: left, news: form::write_news(news) };
-        tx.send(Msg::RelayNews(frame)).await?;
+        let frame = wire::RelayUpdate { heartbeat: number, stopping: left, updates: form::write_news(news) };
+        tx.send(Msg::RelayUpdate(frame)).await?;
     }
 }
 
--- a/src/workswood/ops/jobs/relay/wire.rs
+++ b/src/workswood/ops/jobs/relay/wire.rs
@@ -11,12 +11,12 @@
 
 use super::order::{Number, Order, StartTask, What};
 
-fn run(task: TaskId, attempt: u32) -> wire::Run {
+fn run(task: TaskId, attempt: u32) -> wire::TaskRun {
     let TaskId { job, round, step, index } = task;
-    wire::Run { job, round, step: u32::from(step), index, attempt }
+    wire::TaskRun { job, round, step: u32::from(step), index, attempt }
 }
 
-fn task(run: &wire::Run) -> Option<(TaskId, u32)> {
+fn task(run: &wire::TaskRun) -> Option<(TaskId, u32)> {
     let step = u16::try_from(run.step).ok()?;
     Some((TaskId { job: run.job, round: run.round, step, index: run.index }, run.attempt))
 }
@@ -32,7 +32,7 @@
                 text_before = Some(s.text.clone());
                 wire::Order::Start(wire::StartTask {
                     run: Some(run(s.task, s.attempt)),
-                    text,
+                    spec: text,
                     checkpoint: s.checkpoint,
                     ticket: s.ticket.map(|t| t.to_string()),
                 })
@@ -51,20 +51,20 @@
             let started = worker.id.started();
             let (name, address, data_centre) =
                 (worker.id.name().to_string(), worker.address, worker.data_centre);
-            wire::Order::Attend(wire::Attend { name, address, token, data_centre, started })
+            wire::Order::Assign(wire::AssignWorker { name, address, token, data_centre, started })
         }
-        Order::Leave => wire::Order::Leave(wire::Leave {}),
-        Order::Forget(end) => wire::Order::Forget(end),
-        Order::Figures(wanted) => wire::Order::Figures(wanted),
+        Order::Leave => wire::Order::Unassign(wire::Empty {}),
+        Order::Forget(end) => wire::Order::AckEnds(end),
+        Order::Figures(wanted) => wire::Order::ReportLoad(wanted),
         Order::Start(s) => wire::Order::Start(wire::StartTask {
             run: Some(run(s.task, s.attempt)),
-            text: Some(s.text.to_string()),
+            spec: Some(s.text.to_string()),
             checkpoint: s.checkpoint,
             ticket: s.ticket.map(|t| t.to_string()),
         }),
         Order::Stop { task, attempt } => wire::Order::Stop(run(task, attempt)),
         Order::Pace { task, attempt, percent } => {
-            wire::Order::Pace(wire::PaceTask { run: Some(run(task, attempt)), percent })
+            wire::Order::Throttle(wire::ThrottleTask { run: Some(run(task, attempt)), percent })
         }
     }
 }
@@ -74,7 +74,7 @@
     let mut text: Arc<str> = "".into();
     let read = |o: wire::RelayOrder| {
         let order = match o.order? {
-            wire::Order::Attend(a) => Order::Attend {
+            wire::Order::Assign(a) => Order::Attend {
                 worker: WorkerAddress {
                     id: WorkerId::life(&a.name, a.started),
                     address: a.address,
@@ -82,11 +82,11 @@
                 },
                 token: a.token,
             },
-            wire::Order::Leave(_) => Order::Leave,
-            wire::Order::Forget(end) => Order::Forget(end),
-            wire::Order::Figures(wanted) => Order::Figures(wanted),
+            wire::Order::Unassign(_) => Order::Leave,
+            wire::Order::AckEnds(end) => Order::Forget(end),
+            wire::Order::ReportLoad(wanted) => Order::Figures(wanted),
             wire::Order::Start(s) => {
-                if let Some(fresh) = s.text {
+                if let Some(fresh) = s.spec {
                     text = fresh.into();
                 }
                 let (task, attempt) = task(&s.run?)?;
@@ -103,7 +103,7 @@
                 let (task, attempt) = task(&run)?;
                 Order::Stop { task, attempt }
             }
-            wire::Order::Pace(p) => {
+            wire::Order::Throttle(p) => {
                 let (task, attempt) = task(&p.run?)?;
                 Order::Pace { task, attempt, percent: p.percent }
             }
@@ -114,14 +114,14 @@
 }
 
 /// News as a message says them.
-pub fn write_news(news: Vec<(Number, What)>) -> Vec<wire::WorkerNews> {
+pub fn write_news(news: Vec<(Number, What)>) -> Vec<wire::WorkerUpdate> {
     let write = |(worker, what): (Number, What)| {
         let silent_ms = silence(&what).map(|d| d.as_millis() as u64);
         let restarted_at = match &what {
             What::Restarted(started, _) => Some(*started),
             _ => None,
         };
-        wire::WorkerNews { worker, silent_ms, restarted_at, news: Some(write_what(what)) }
+        wire::WorkerUpdate { worker, silent_ms, restarted_at, event: Some(write_what(what)) }
     };
     news.into_iter().map(write).collect()
 }
@@ -139,11 +139,11 @@
 fn write_what(what: What) -> wire::News {
     match what {
         What::Reported(report) => wire::News::Reported(write_report(report)),
-        What::Doubted => wire::News::Doubted(wire::Leave {}),
+        What::Doubted => wire::News::ReplyLate(wire::Empty {}),
         What::Unanswered { leased, .. } => wire::News::Unanswered(millis_up(leased)),
         // Versions before this one know of no restart: to them it is another life.
-        What::LifeOver(_) | What::Restarted(..) => wire::News::LifeOver(wire::Leave {}),
-        What::Fenced => wire::News::Fenced(wire::Leave {}),
+        What::LifeOver(_) | What::Restarted(..) => wire::News::IncarnationEnded(wire::Empty {}),
+        What::Fenced => wire::News::Fenced(wire::Empty {}),
         What::Started { task, attempt, reply } => {
             let outcome = outcome(reply) as i32;
             wire::News::Started(wire::StartedTask { run: Some(run(task, attempt)), outcome })
@@ -151,7 +151,7 @@
         // A worker that knows a higher token says so to the next look, too.
         What::Stopped { task, attempt, reply } => wire::News::Stopped(wire::StoppedTask {
             run: Some(run(task, attempt)),
-            taken: reply == StopReply::Taken,
+            accepted: reply == StopReply::Taken,
         }),
     }
 }
@@ -161,39 +161,39 @@
     u32::try_from(d.as_millis() + 1).unwrap_or(u32::MAX)
 }
 
-fn write_report(report: Report) -> wire::Reported {
+fn write_report(report: Report) -> wire::StatusReport {
     let running = report.running.into_iter().map(|r| wire::RunningTask {
         run: Some(run(r.task, r.attempt)),
         checkpoint: r.checkpoint,
         percent: r.percent,
-        figure: r.figure,
-        still_ms: r.still.as_millis() as u32,
+        load: r.figure,
+        stalled_ms: r.still.as_millis() as u32,
     });
     let ended = report.ended.into_iter().map(|e| wire::EndedTask {
         run: Some(run(e.task, e.attempt)),
         number: e.number,
-        how: how(e.kind) as i32,
+        reason: how(e.kind) as i32,
         checkpoint: e.checkpoint,
     });
-    wire::Reported {
-        whole: report.whole,
+    wire::StatusReport {
+        complete: report.whole,
         running: running.collect(),
-        gone: report.gone.into_iter().map(|(task, attempt)| run(task, attempt)).collect(),
+        vanished: report.gone.into_iter().map(|(task, attempt)| run(task, attempt)).collect(),
         ended: ended.collect(),
     }
 }
 
 /// What is new, as a message says it; `None` if it can't be read.
-pub fn read_news(news: wire::WorkerNews) -> Option<(Number, What)> {
+pub fn read_news(news: wire::WorkerUpdate) -> Option<(Number, What)> {
     // Versions before this one did not tell; then it counts as heard just now.
     let silent = Duration::from_millis(news.silent_ms.unwrap_or(0));
-    let what = match news.news? {
+    let what = match news.event? {
         wire::News::Reported(report) => What::Reported(read_report(report)?),
-        wire::News::Doubted(_) => What::Doubted,
+        wire::News::ReplyLate(_) => What::Doubted,
         wire::News::Unanswered(ms) => {
             What::Unanswered { leased: Duration::from_millis(u64::from(ms)), silent }
         }
-        wire::News::LifeOver(_) => match news.restarted_at {
+        wire::News::IncarnationEnded(_) => match news.restarted_at {
             Some(started) => What::Restarted(started, silent),
             None => What::LifeOver(silent),
         },
@@ -204,7 +204,7 @@
             What::Started { task, attempt, reply }
         }
         wire::News::Stopped(s) => {
-            let reply = if s.taken { StopReply::Taken } else { StopReply::NoAnswer };
+            let reply = if s.accepted { StopReply::Taken } else { StopReply::NoAnswer };
             let (task, attempt) = task(&s.run?)?;
             What::Stopped { task, attempt, reply }
         }
@@ -212,28 +212,28 @@
     Some((news.worker, what))
 }
 
-fn read_report(report: wire::Reported) -> Option<Report> {
+fn read_report(report: wire::StatusReport) -> Option<Report> {
     let running = report.running.into_iter().map(|r| {
         let (task, attempt) = task(&r.run?)?;
-        let still = Duration::from_millis(u64::from(r.still_ms));
+        let still = Duration::from_millis(u64::from(r.stalled_ms));
         Some(ReportedRun {
             task,
             attempt,
             checkpoint: r.checkpoint,
             percent: r.percent,
-            figure: r.figure,
+            figure: r.load,
             still,
         })
     });
     let ended = report.ended.into_iter().map(|e| {
         let (task, attempt) = task(&e.run?)?;
-        let kind = kind(wire::EndedHow::try_from(e.how).ok()?);
+        let kind = kind(wire::EndedHow::try_from(e.reason).ok()?);
         Some(ReportedEnd { number: e.number, task, attempt, kind, checkpoint: e.checkpoint })
     });
     Some(Report {
-        whole: report.whole,
+        whole: report.complete,
         running: running.collect::<Option<_>>()?,
-        gone: report.gone.iter().map(task).collect::<Option<_>>()?,
+        gone: report.vanished.iter().map(task).collect::<Option<_>>()?,
         ended: ended.collect::<Option<_>>()?,
     })
 }
--- a/src/workswood/ops/jobs/sessions.rs
+++ b/src/workswood/ops/jobs/sessions.rs
@@ -257,19 +257,19 @@
         let mut left = false;
         loop {
             let frame = match self.node.lag.timeout(RELAY_SILENT, news.next()).await {
-                Some(Ok(Msg::RelayNews(frame))) => frame,
+                Some(Ok(Msg::RelayUpdate(frame))) => frame,
                 Some(Ok(_) | Err(Closed)) => return End::Broken,
                 None => return End::Silent,
             };
-            if frame.beat != 0 {
+            if frame.heartbeat != 0 {
                 self.tell(Event::RelayHeard(self.host.clone()));
                 // Whoever sends it has ended if this fails.
-                let _ = tx.send(self.grant(frame.beat));
+                let _ = tx.send(self.grant(frame.heartbeat));
             }
-            for item in frame.news {
+            for item in frame.updates {
                 self.take(item);
             }
-            if frame.leaving && !std::mem::replace(&mut left, true) {
+            if frame.stopping && !std::mem::replace(&mut left, true) {
                 self.tell(Event::RelayLeaving(self.host.clone()));
             }
         }
@@ -280,11 +280,11 @@
         let until = self.l.grant.end();
         let left = until.saturating_sub(self.node.now());
         self.granted.fetch_max(until.as_millis() as u64, Ordering::AcqRel);
-        let grant = wire::Grant { beat, ms: left.as_millis() as u32 };
+        let grant = wire::LeaseGrant { heartbeat: beat, duration_ms: left.as_millis() as u32 };
         wire::RelayOrders { grant: Some(grant), orders: Vec::new() }
     }
 
-    fn take(&self, item: wire::WorkerNews) {
+    fn take(&self, item: wire::WorkerUpdate) {
         let number = item.worker;
         let Some((id, token)) = self.names.lock().get(&number).cloned() else { return };
         match form::read_news(item) {
--- a/tests/testsuite/restarted_workers.rs
+++ b/tests/testsuite/restarted_workers.rs
@@ -270,7 +270,7 @@
     };
     let order = Order::Attend { worker, token: 7 };
     let written = wire::write_orders(vec![(1, order.clone())]);
-    let Some(workswood_peers::relay::Order::Attend(a)) = written[0].order.clone() else { panic!("an order") };
+    let Some(workswood_peers::relay::Order::Assign(a)) = written[0].order.clone() else { panic!("an order") };
     assert_eq!(a.name, "w", "calls name the worker only");
     assert_eq!(wire::read_orders(written), Some(vec![(1, order)]));
     let what = What::Restarted(30, Duration::from_millis(400));
