--- a/crates/workswood-peers/src/lib.rs
+++ b/crates/workswood-peers/src/lib.rs
@@ -18,7 +18,7 @@
 pub use duplex::{Closed, DuplexRx, DuplexTx, connect};
 pub use link::{CallError, Link};
 pub use message::*;
-pub use server::{Handler, StreamHandler, serve, serve_streams};
+pub use server::{Handler, RelayHandler, serve, serve_with_relay};
 
 /// Largest frame; a state of the target's size fits.
-pub const MAX_FRAME: usize = 64 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
--- a/crates/workswood-peers/src/link.rs
+++ b/crates/workswood-peers/src/link.rs
@@ -71,12 +71,12 @@
 
     /// Asks the peer; `None` if no answer comes in time.
     pub async fn call(&self, msg: Msg, timeout: Duration) -> Option<Msg> {
-        self.ask(msg, timeout).await.ok()
+        self.try_call(msg, timeout).await.ok()
     }
 
     /// Asks the peer; tells whether a question without an answer was sent. It is
     /// given up before its time if the connection breaks or goes silent.
-    pub async fn ask(&self, msg: Msg, timeout: Duration) -> Result<Msg, CallError> {
+    pub async fn try_call(&self, msg: Msg, timeout: Duration) -> Result<Msg, CallError> {
         let call = self.next.fetch_add(1, Ordering::Relaxed);
         let answer = self.calls.wait_for(call);
         let asked = Asked { calls: &self.calls, call };
@@ -90,7 +90,7 @@
     }
 
     /// Whether this and another are clones of one link.
-    pub fn is_same(&self, other: &Link) -> bool {
+    pub fn is_clone_of(&self, other: &Link) -> bool {
         Arc::ptr_eq(&self.next, &other.next)
     }
 
--- a/crates/workswood-peers/src/server.rs
+++ b/crates/workswood-peers/src/server.rs
@@ -14,7 +14,7 @@
 
 use crate::duplex::{self, DuplexRx, DuplexTx, Frames};
 use crate::relay::RelayOpen;
-use crate::{Frame, MAX_FRAME, Msg, Pong};
+use crate::{Frame, MAX_FRAME_BYTES, Msg, Pong};
 
 /// Version of the protocol.
 pub(crate) const VERSION: u32 = 1;
@@ -26,7 +26,7 @@
 pub type Handler = Arc<dyn Fn(Msg) -> BoxFuture<'static, Option<Msg>> + Send + Sync>;
 
 pub(crate) fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME).new_codec()
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
 pub(crate) fn encode(call: u64, msg: Msg) -> bytes::Bytes {
@@ -38,14 +38,14 @@
 }
 
 /// Takes a connection over that a lease holder opened to a relay.
-pub type StreamHandler = Arc<dyn Fn(RelayOpen, DuplexTx, DuplexRx) -> BoxFuture<'static, ()> + Send + Sync>;
+pub type RelayHandler = Arc<dyn Fn(RelayOpen, DuplexTx, DuplexRx) -> BoxFuture<'static, ()> + Send + Sync>;
 
 /// What a listener does with what comes in.
 #[derive(Clone)]
 struct Served {
     token: String,
     handler: Handler,
-    streams: Option<StreamHandler>,
+    streams: Option<RelayHandler>,
     traffic: Traffic,
 }
 
@@ -56,11 +56,11 @@
 
 /// Likewise, and lets lease holders use this process as a relay. What goes over the
 /// connections is counted.
-pub async fn serve_streams(
+pub async fn serve_with_relay(
     listener: TcpListener,
     token: String,
     handler: Handler,
-    streams: StreamHandler,
+    streams: RelayHandler,
     traffic: Traffic,
 ) {
     accept(listener, Served { token, handler, streams: Some(streams), traffic }).await;
--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -103,7 +103,7 @@
     let (stop_callers, stopped) = channel::channel(false);
     tokio::spawn(probe::readiness(readiness, node.clone()));
     tokio::spawn(probe::metrics(metrics, node.clone()));
-    tokio::spawn(workswood_peers::serve_streams(
+    tokio::spawn(workswood_peers::serve_with_relay(
         peer_listener,
         peers::TOKEN.to_string(),
         help::handler(node.clone()),
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -116,7 +116,7 @@
         timeout: Duration,
     ) -> Result<Msg, CallError> {
         let link = self.link(from, address);
-        let answer = link.ask(msg, timeout).await;
+        let answer = link.try_call(msg, timeout).await;
         if answer.is_err() {
             self.give_up(address, &link);
         }
@@ -126,7 +126,7 @@
     /// Gives a link up, unless another one took its place already.
     fn give_up(&self, address: &str, link: &Link) {
         let mut links = self.links.lock();
-        if links.get(address).is_some_and(|kept| kept.link.is_same(link)) {
+        if links.get(address).is_some_and(|kept| kept.link.is_clone_of(link)) {
             links.remove(address);
         }
     }
--- a/src/workswood/ops/jobs/relay/serve.rs
+++ b/src/workswood/ops/jobs/relay/serve.rs
@@ -12,7 +12,7 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 use workswood_peers::relay as wire;
-use workswood_peers::{Closed, DuplexRx, DuplexTx, Msg, StreamHandler};
+use workswood_peers::{Closed, DuplexRx, DuplexTx, Msg, RelayHandler};
 
 use super::{Grant, Outbox, Relay, Sink, wire as form};
 use crate::ops::jobs::node::Node;
@@ -32,7 +32,7 @@
 pub type Session = (u64, u64);
 
 /// Takes connections of lease holders over.
-pub fn handler(node: Arc<Node>) -> StreamHandler {
+pub fn handler(node: Arc<Node>) -> RelayHandler {
     Arc::new(move |open, tx, rx| serve(node.clone(), open, tx, rx).boxed())
 }
 
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -134,7 +134,7 @@
     );
     // A dozen pieces, of which none is late by itself.
     cut.set(Fault::Slow(Duration::from_millis(60)));
-    let answer = link.ask(Msg::StateRequest(StateRequest {}), SOON).await;
+    let answer = link.try_call(Msg::StateRequest(StateRequest {}), SOON).await;
     assert!(matches!(answer, Ok(Msg::StateReply(_))), "bytes come all the time");
 }
 
