--- a/crates/workswood-peers/src/relay.rs
+++ b/crates/workswood-peers/src/relay.rs
@@ -1,74 +1,75 @@
-//! Messages between the lease holder and the hosts that attend workers for it.
+//! Messages between the lease holder and the relays, which are entries that poll and
+//! command workers on its behalf.
 //!
-//! The holder opens a connection with a [`RelayOpen`]; the relay answers with a
-//! [`RelayReady`]. Then [`RelayOrders`] go one way and [`RelayUpdate`] the other. A worker
-//! goes by a number that the holder gives it with each [`AssignWorker`] and never gives again
-//! on the same connection.
+//! The holder opens a session with a [`RelayOpen`], and the relay replies with a
+//! [`RelayReady`]. Then the holder sends [`RelayOrders`] and the relay sends
+//! [`RelayUpdate`]s. Messages identify a worker by a number that the holder chooses with
+//! each [`AssignWorker`] and does not reuse on the same connection.
 
-/// Opens a connection to a relay.
+/// Opens a session with a relay.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RelayOpen {
-    /// Term of the holder.
+    /// Term of the scheduler lease.
     #[prost(uint64, tag = "1")]
     pub term: u64,
-    /// Counts the holder's connections to this relay.
+    /// Number of the session; later sessions of the same holder have higher numbers.
     #[prost(uint64, tag = "2")]
     pub session: u64,
-    /// Host of the holder.
+    /// Name of the entry that holds the lease.
     #[prost(string, tag = "3")]
     pub holder: String,
 }
 
-/// The relay takes orders.
+/// Tells that the relay accepts orders.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RelayReady {}
 
-/// What the holder wants done, in this order.
+/// Orders of the lease holder, to be carried out in sequence.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RelayOrders {
-    /// Answers a heartbeat, if it does.
+    /// The reply to a heartbeat, if the message is one.
     #[prost(message, optional, tag = "1")]
     pub grant: Option<LeaseGrant>,
-    /// Orders.
+    /// The orders.
     #[prost(message, repeated, tag = "2")]
     pub orders: Vec<RelayOrder>,
 }
 
-/// The right to extend leases of workers.
+/// Permission to extend the leases of workers for some time.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct LeaseGrant {
-    /// The heartbeat that it answers.
+    /// Number of the heartbeat that it answers.
     #[prost(uint64, tag = "1")]
     pub heartbeat: u64,
-    /// How long from when that was sent, in milliseconds.
+    /// How long it holds from the time when the heartbeat was sent, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub duration_ms: u32,
 }
 
-/// One order.
+/// An order about one worker.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RelayOrder {
     /// Number of the worker.
     #[prost(uint32, tag = "1")]
     pub worker: u32,
-    /// What is to be done.
+    /// The order.
     #[prost(oneof = "Order", tags = "2, 3, 4, 5, 6, 7, 8")]
     pub order: Option<Order>,
 }
 
-/// What is to be done with a worker.
+/// What a relay has to do with a worker.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Order {
-    /// Attend it.
+    /// Start to poll the worker.
     #[prost(message, tag = "2")]
     Assign(AssignWorker),
-    /// Attend it no longer.
+    /// Stop polling the worker.
     #[prost(message, tag = "3")]
     Unassign(Empty),
-    /// Let it forget its ends up to this number: they are on record.
+    /// Acknowledge the ended tasks up to this number to the worker: they are recorded.
     #[prost(uint64, tag = "4")]
     AckEnds(u64),
-    /// Tell figures of all that runs there with each look, or no longer.
+    /// Whether to report the load of all running tasks after each poll.
     #[prost(bool, tag = "5")]
     ReportLoad(bool),
     /// Start a task.
@@ -77,51 +78,51 @@
     /// Stop a task.
     #[prost(message, tag = "7")]
     Stop(TaskRun),
-    /// Let a task work at a share.
+    /// Limit the pace of a task.
     #[prost(message, tag = "8")]
     Throttle(ThrottleTask),
 }
 
-/// A worker to attend.
+/// A worker that the relay is to poll.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AssignWorker {
-    /// The name it goes by.
+    /// Name of the worker.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// IP address and port of its listener.
+    /// IP address and port of the worker.
     #[prost(string, tag = "2")]
     pub address: String,
-    /// Token that its orders carry.
+    /// Fencing token of the orders to the worker.
     #[prost(uint64, tag = "3")]
     pub token: u64,
-    /// Where it stands; empty if the holder does not say.
+    /// Data centre of the worker; empty if the holder does not send it.
     #[prost(string, tag = "4")]
     pub data_centre: String,
-    /// When this life of it has started, in milliseconds since 1970, where it tells.
+    /// Start time of this incarnation of the worker, in milliseconds since 1970, if known.
     #[prost(uint64, optional, tag = "5")]
     pub started: Option<u64>,
 }
 
-/// Nothing to say.
+/// An empty message.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct Empty {}
 
-/// A run of a task.
+/// One attempt to run a task.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct TaskRun {
     /// The job.
     #[prost(fixed64, tag = "1")]
     pub job: u64,
-    /// Its round.
+    /// The round of the job.
     #[prost(uint32, tag = "2")]
     pub round: u32,
-    /// Its step.
+    /// The step of the job.
     #[prost(uint32, tag = "3")]
     pub step: u32,
-    /// Number of the task within the step.
+    /// Index of the task within the step.
     #[prost(uint32, tag = "4")]
     pub index: u32,
-    /// Number of the try.
+    /// Number of the attempt.
     #[prost(uint32, tag = "5")]
     pub attempt: u32,
 }
@@ -132,105 +133,106 @@
     /// The run.
     #[prost(message, optional, tag = "1")]
     pub run: Option<TaskRun>,
-    /// Text that is passed to it; empty if it is that of the order before.
+    /// Specification of the job, which is passed to the task; unset if it is that of the
+    /// previous start in the same message.
     #[prost(string, optional, tag = "2")]
     pub spec: Option<String>,
-    /// Checkpoint to go on from; empty for none.
+    /// Checkpoint to resume from; empty for none.
     #[prost(string, tag = "3")]
     pub checkpoint: String,
-    /// Ticket of the adviser.
+    /// Ticket from the adviser.
     #[prost(string, optional, tag = "4")]
     pub ticket: Option<String>,
 }
 
-/// A task whose pace changes.
+/// Limits the pace of a task.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct ThrottleTask {
     /// The run.
     #[prost(message, optional, tag = "1")]
     pub run: Option<TaskRun>,
-    /// Share of its full pace.
+    /// Allowed share of the full pace, in percent.
     #[prost(uint32, tag = "2")]
     pub percent: u32,
 }
 
-/// What a relay has to tell, in the order of its coming.
+/// A heartbeat of a relay, or events of workers, or both.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RelayUpdate {
-    /// Number of the heartbeat that this is.
+    /// Number of the heartbeat; 0 if the message is none.
     #[prost(uint64, tag = "1")]
     pub heartbeat: u64,
-    /// Whether the relay is about to stop.
+    /// Whether the relay is shutting down.
     #[prost(bool, tag = "2")]
     pub stopping: bool,
-    /// News of workers.
+    /// Events of workers, in the order in which they occurred.
     #[prost(message, repeated, tag = "3")]
     pub updates: Vec<WorkerUpdate>,
 }
 
-/// News of one worker.
+/// An event of one worker.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WorkerUpdate {
     /// Number of the worker.
     #[prost(uint32, tag = "1")]
     pub worker: u32,
-    /// How long ago it last answered, in milliseconds, where it answers no more.
+    /// How long ago the worker last answered, in milliseconds, if it no longer answers.
     #[prost(uint64, optional, tag = "9")]
     pub silent_ms: Option<u64>,
-    /// When it has started again under its name, in milliseconds since 1970, where its life is over
-    /// by that.
+    /// Start time of the next incarnation, in milliseconds since 1970, if this one ended by a
+    /// restart of the worker.
     #[prost(uint64, optional, tag = "10")]
     pub restarted_at: Option<u64>,
-    /// What is new.
+    /// The event.
     #[prost(oneof = "News", tags = "2, 3, 4, 5, 6, 7, 8")]
     pub event: Option<News>,
 }
 
-/// What is new of a worker.
+/// What has happened to a worker.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum News {
-    /// It answered a look.
+    /// It answered a poll.
     #[prost(message, tag = "2")]
     Reported(StatusReport),
-    /// Its answer to a look is late.
+    /// Its reply to a poll is late.
     #[prost(message, tag = "3")]
     ReplyLate(Empty),
-    /// It did not answer; its lease lasts so many milliseconds at most if it is not
-    /// extended.
+    /// It did not answer a poll. Unless extended, its lease lasts at most this many
+    /// milliseconds.
     #[prost(uint32, tag = "4")]
     Unanswered(u32),
-    /// Its address is answered by another life.
+    /// Another incarnation answers at its address.
     #[prost(message, tag = "5")]
     IncarnationEnded(Empty),
-    /// It knows a higher token.
+    /// It has seen a higher fencing token.
     #[prost(message, tag = "6")]
     Fenced(Empty),
-    /// The outcome of a start.
+    /// The outcome of a start order.
     #[prost(message, tag = "7")]
     Started(StartedTask),
-    /// The outcome of a stop.
+    /// The outcome of a stop order.
     #[prost(message, tag = "8")]
     Stopped(StoppedTask),
 }
 
-/// What a worker listed that is new.
+/// What has changed in the list of tasks that a worker reports.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StatusReport {
-    /// Whether it is all that runs.
+    /// Whether `running` lists all running tasks.
     #[prost(bool, tag = "1")]
     pub complete: bool,
-    /// Runs.
+    /// Running tasks.
     #[prost(message, repeated, tag = "2")]
     pub running: Vec<RunningTask>,
-    /// Runs that are over although no end is listed.
+    /// Tasks that no longer run although the worker lists no end of them.
     #[prost(message, repeated, tag = "3")]
     pub vanished: Vec<TaskRun>,
-    /// Ends.
+    /// Tasks that have ended.
     #[prost(message, repeated, tag = "4")]
     pub ended: Vec<EndedTask>,
 }
 
-/// A run that is listed.
+/// A running task, as the worker lists it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RunningTask {
     /// The run.
@@ -239,27 +241,28 @@
     /// Latest checkpoint.
     #[prost(string, tag = "2")]
     pub checkpoint: String,
-    /// Share of the work that is done.
+    /// Share of the work that is done, in percent.
     #[prost(uint32, tag = "3")]
     pub percent: u32,
-    /// Figure of the last half second.
+    /// Load figure of the worker for the last half second: slow replies in milliseconds, or
+    /// processor use.
     #[prost(uint64, tag = "4")]
     pub load: u64,
-    /// How long its progress has stood still, in milliseconds.
+    /// How long it has made no progress, in milliseconds.
     #[prost(uint32, tag = "5")]
     pub stalled_ms: u32,
 }
 
-/// An end that is listed.
+/// A task that has ended, as the worker lists it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EndedTask {
     /// The run.
     #[prost(message, optional, tag = "1")]
     pub run: Option<TaskRun>,
-    /// Number of the end.
+    /// Number that the worker gave this end; later ends have higher numbers.
     #[prost(uint64, tag = "2")]
     pub number: u64,
-    /// How it ended.
+    /// Why it ended.
     #[prost(enumeration = "EndedHow", tag = "3")]
     pub reason: i32,
     /// Latest checkpoint.
@@ -267,64 +270,65 @@
     pub checkpoint: String,
 }
 
-/// How a run ended.
+/// Why a run of a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum EndedHow {
-    /// The task is done.
+    /// The task completed its work.
     Done = 0,
-    /// It failed.
+    /// The task failed.
     Failed = 1,
-    /// It was stopped.
+    /// The task was stopped by an order.
     Stopped = 2,
-    /// The lease lapsed.
+    /// The lease of the worker expired.
     Lapsed = 3,
     /// Another member of its gang ended.
     Broken = 4,
-    /// It waited in vain for the other members of its gang.
+    /// The other members of its gang did not start in time.
     Alone = 5,
 }
 
-/// The outcome of a start.
+/// The outcome of a start order.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct StartedTask {
     /// The run.
     #[prost(message, optional, tag = "1")]
     pub run: Option<TaskRun>,
-    /// What came of it.
+    /// Whether the task was started.
     #[prost(enumeration = "StartOutcome", tag = "2")]
     pub outcome: i32,
 }
 
-/// What came of a start.
+/// Whether a task was started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum StartOutcome {
-    /// It runs, or ran.
+    /// The task runs, or has run.
     Taken = 0,
-    /// Refused; the worker has done nothing.
+    /// The worker refused the order and did nothing.
     Refused = 1,
-    /// Its ticket did not hold; the worker has done nothing.
+    /// The ticket was not valid; the worker did nothing.
     Ticket = 2,
-    /// The worker is not well and has done nothing.
+    /// The worker is unhealthy or overloaded and did nothing.
     Unwell = 3,
-    /// Refused in the end, but an earlier try had no answer.
+    /// The worker refused the last attempt, but an earlier one had no reply and may have
+    /// started the task.
     Unsure = 4,
-    /// No answer.
+    /// No reply came.
     NoAnswer = 5,
     /// Nothing was sent.
     NotSent = 6,
-    /// The worker knows a higher token.
+    /// The worker has seen a higher fencing token.
     Deposed = 7,
 }
 
-/// The outcome of a stop.
+/// The outcome of a stop order.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct StoppedTask {
     /// The run.
     #[prost(message, optional, tag = "1")]
     pub run: Option<TaskRun>,
-    /// Whether the worker has taken it.
+    /// Whether the worker accepted the order.
     #[prost(bool, tag = "2")]
     pub accepted: bool,
 }
