--- a/crates/workswood-peers/src/counted.rs
+++ b/crates/workswood-peers/src/counting_stream.rs
@@ -1,4 +1,4 @@
-//! A connection that counts the bytes that come.
+//! A TCP stream that counts the bytes read from it.
 
 use std::io;
 use std::pin::Pin;
@@ -9,21 +9,21 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection; bytes that come are counted before they make a whole message.
-pub(crate) struct Counted {
+/// A TCP stream that counts bytes as they are read, also those of an incomplete frame.
+pub(crate) struct CountingStream {
     stream: TcpStream,
-    read: Arc<AtomicU64>,
+    bytes_read: Arc<AtomicU64>,
 }
 
-impl Counted {
-    /// A connection, and the count of bytes that have come on it.
-    pub(crate) fn new(stream: TcpStream) -> (Counted, Arc<AtomicU64>) {
-        let read = Arc::new(AtomicU64::new(0));
-        (Counted { stream, read: read.clone() }, read)
+impl CountingStream {
+    /// Wraps a stream; also returns the shared count of the bytes read from it.
+    pub(crate) fn new(stream: TcpStream) -> (CountingStream, Arc<AtomicU64>) {
+        let bytes_read = Arc::new(AtomicU64::new(0));
+        (CountingStream { stream, bytes_read: bytes_read.clone() }, bytes_read)
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -31,12 +31,12 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let res = Pin::new(&mut self.stream).poll_read(cx, buf);
-        self.read.fetch_add((buf.filled().len() - before) as u64, Ordering::Relaxed);
+        self.bytes_read.fetch_add((buf.filled().len() - before) as u64, Ordering::Relaxed);
         res
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
--- a/crates/workswood-peers/src/duplex.rs
+++ b/crates/workswood-peers/src/duplex.rs
@@ -1,4 +1,4 @@
-//! A connection on which both sides send when they have something to say.
+//! A connection on which both sides send messages at any time.
 
 use std::time::Duration;
 
@@ -10,59 +10,64 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 use workswood_traffic::Traffic;
 
-use crate::server::{VERSION, codec, encode};
+use crate::server::{PROTOCOL_VERSION, codec, encode};
 use crate::{Frame, Hello, Msg};
 
-/// Frames over one connection.
-pub(crate) type Frames = Framed<TcpStream, LengthDelimitedCodec>;
+/// A TCP connection that carries length-delimited frames.
+pub(crate) type FramedTcp = Framed<TcpStream, LengthDelimitedCodec>;
 
 /// The sending half of a connection.
 pub struct DuplexTx {
-    sink: SplitSink<Frames, Bytes>,
+    sink: SplitSink<FramedTcp, Bytes>,
     traffic: Traffic,
 }
 
 /// The receiving half of a connection.
 pub struct DuplexRx {
-    stream: SplitStream<Frames>,
+    stream: SplitStream<FramedTcp>,
     traffic: Traffic,
 }
 
-/// The connection is of no use any more.
+/// The connection is closed, or can no longer be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Closed;
 
-/// Connects to a peer, within a time; `from` is our incarnation and `first` tells what
-/// the connection is for. What goes over it is counted.
+/// Connects to a peer within a timeout. `incarnation` is that of the calling entry, and
+/// `first` is the message that tells the peer what the connection is for. All messages
+/// are counted in `traffic`.
 pub async fn connect(
     address: &str,
     token: &str,
-    from: &str,
+    incarnation: &str,
     first: Msg,
-    within: Duration,
+    timeout: Duration,
     traffic: Traffic,
 ) -> Result<(DuplexTx, DuplexRx), Closed> {
     let connecting = async {
         let stream = TcpStream::connect(address).await.map_err(|_| Closed)?;
-        // Without it, small messages would only wait for each other.
+        // Nagle's algorithm would delay small messages.
         let _ = stream.set_nodelay(true);
-        let (mut tx, rx) = halves(Framed::new(stream, codec()), traffic);
-        let hello = Hello { version: VERSION, token: token.to_string(), from: from.to_string() };
+        let (mut tx, rx) = split(Framed::new(stream, codec()), traffic);
+        let hello = Hello {
+            version: PROTOCOL_VERSION,
+            token: token.to_string(),
+            incarnation: incarnation.to_string(),
+        };
         tx.send(Msg::Hello(hello)).await?;
         tx.send(first).await?;
         Ok((tx, rx))
     };
-    tokio::time::timeout(within, connecting).await.unwrap_or(Err(Closed))
+    tokio::time::timeout(timeout, connecting).await.unwrap_or(Err(Closed))
 }
 
-/// The two halves of a connection.
-pub(crate) fn halves(frames: Frames, traffic: Traffic) -> (DuplexTx, DuplexRx) {
-    let (sink, stream) = frames.split();
+/// Splits a connection into its sending and its receiving half.
+pub(crate) fn split(framed: FramedTcp, traffic: Traffic) -> (DuplexTx, DuplexRx) {
+    let (sink, stream) = framed.split();
     (DuplexTx { sink, traffic: traffic.clone() }, DuplexRx { stream, traffic })
 }
 
 impl DuplexTx {
-    /// Sends a message; waits while the peer takes no more.
+    /// Sends a message; waits while the peer's receive window is full.
     pub async fn send(&mut self, msg: Msg) -> Result<(), Closed> {
         let purpose = msg.purpose();
         let buf = encode(0, msg);
@@ -72,7 +77,7 @@
 }
 
 impl DuplexRx {
-    /// The next message.
+    /// Waits for the next message.
     pub async fn next(&mut self) -> Result<Msg, Closed> {
         let Some(Ok(buf)) = self.stream.next().await else { return Err(Closed) };
         let len = buf.len();
--- a/crates/workswood-peers/src/lib.rs
+++ b/crates/workswood-peers/src/lib.rs
@@ -1,15 +1,15 @@
-//! Messages between the processes of workswood.
+//! Messages between the entries of workswood.
 //!
-//! Every process listens for its peers and keeps one connection to each peer
-//! it talks to. A connection begins with a [`Hello`] that carries the token;
-//! then frames of [`Frame`] go both ways, each with the length in front. A
-//! frame with a `call` number other than 0 is a question or its answer. A connection that
-//! a [`relay::RelayOpen`] follows belongs to a relay from then on: both sides send when
-//! they have something to say.
+//! Every entry listens for its peers and keeps one connection to each peer it talks to.
+//! A connection begins with a [`Hello`] that carries the shared token. After that each
+//! side sends [`Frame`]s, each preceded by its length. A frame with a `call` number other
+//! than 0 is a request or the reply to it. A connection on which [`relay::RelayOpen`]
+//! follows the [`Hello`] is a relay connection: both sides send messages at any time, and
+//! none of them has a call number.
 
-mod counted;
+mod connection;
+mod counting_stream;
 mod duplex;
-mod exchange;
 mod link;
 mod message;
 pub mod relay;
@@ -20,5 +20,5 @@
 pub use message::*;
 pub use server::{Handler, RelayHandler, serve, serve_with_relay};
 
-/// Largest frame; a state of the target's size fits.
+/// Longest frame that is accepted.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
--- a/crates/workswood-peers/src/link.rs
+++ b/crates/workswood-peers/src/link.rs
@@ -1,5 +1,5 @@
-//! The connecting side: one connection to one peer, made again when it breaks or
-//! goes silent.
+//! The connecting side: a link to one peer, which reconnects when its connection breaks
+//! or goes silent.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,190 +12,199 @@
 use workswood_liveness::HalfOpen;
 use workswood_traffic::Traffic;
 
-use crate::exchange::{End, Exchange};
+use crate::connection::{ConnectionDriver, ConnectionEnd};
 use crate::{Hello, Msg};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-const RECONNECT_AFTER: Duration = Duration::from_millis(200);
-/// Longest pause after connections on which nothing was heard.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-const QUEUE: usize = 256;
-
-/// A question that waits for its answer.
-struct Waiting {
+/// Delay before the first reconnection; later delays grow by this much.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(2);
+/// Number of messages that wait to be sent over one link.
+const SEND_QUEUE_LEN: usize = 256;
+
+/// A call that waits for its reply.
+struct PendingCall {
     tx: oneshot::Sender<Result<Msg, CallError>>,
-    /// Whether it is on its way, or may be.
+    /// Whether the request was sent, or is being sent.
     sent: bool,
 }
 
-/// Questions that wait for their answers, by number.
+/// Calls that wait for their replies, by call number.
 #[derive(Clone, Default)]
-pub(crate) struct Calls(Arc<Mutex<HashMap<u64, Waiting>>>);
+pub(crate) struct PendingCalls(Arc<Mutex<HashMap<u64, PendingCall>>>);
 
-/// Why a question has no answer.
+/// Why a call has no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// It was not sent, and will not be.
+    /// The request was not sent, and will not be.
     NotSent,
-    /// It may have reached the peer.
+    /// The request may have reached the peer.
     NoAnswer,
 }
 
-/// A connection to one peer. Dropping the last clone closes it.
+/// A link to one peer. Clones share one connection, which closes when the last of them
+/// is dropped.
 #[derive(Clone)]
 pub struct Link {
     tx: mpsc::Sender<(u64, Msg)>,
-    calls: Calls,
-    next: Arc<AtomicU64>,
-    sent: Arc<AtomicU64>,
+    calls: PendingCalls,
+    next_call: Arc<AtomicU64>,
+    bytes_sent: Arc<AtomicU64>,
 }
 
 impl Link {
-    /// Keeps a connection to a peer; `from` is our incarnation. What it finds out of
-    /// connections, and what goes over them, is shared with others.
-    pub fn open(address: String, token: String, from: String, half_open: HalfOpen, traffic: Traffic) -> Link {
-        let (tx, rx) = mpsc::channel(QUEUE);
-        let calls = Calls::default();
-        let sent = Arc::new(AtomicU64::new(0));
-        let hello = Hello { version: crate::server::VERSION, token, from };
-        let (calls_here, sent_here) = (calls.clone(), sent.clone());
-        let exchange = Exchange::new(rx, calls_here, sent_here, half_open, hello, traffic);
-        tokio::spawn(run(address, exchange));
-        Link { tx, calls, next: Arc::new(AtomicU64::new(1)), sent }
-    }
-
-    /// Sends a message without an answer; dropped if the peer is behind.
+    /// Opens a link and keeps it connected to a peer; `incarnation` is that of the calling
+    /// entry. Connections found half-open are reported to `half_open`, and all messages are
+    /// counted in `traffic`.
+    pub fn open(
+        address: String,
+        token: String,
+        incarnation: String,
+        half_open: HalfOpen,
+        traffic: Traffic,
+    ) -> Link {
+        let (tx, rx) = mpsc::channel(SEND_QUEUE_LEN);
+        let calls = PendingCalls::default();
+        let bytes_sent = Arc::new(AtomicU64::new(0));
+        let hello = Hello { version: crate::server::PROTOCOL_VERSION, token, incarnation };
+        let driver = ConnectionDriver::new(rx, calls.clone(), bytes_sent.clone(), half_open, hello, traffic);
+        tokio::spawn(run(address, driver));
+        Link { tx, calls, next_call: Arc::new(AtomicU64::new(1)), bytes_sent }
+    }
+
+    /// Sends a message that has no reply; drops it if the send queue is full.
     pub fn send(&self, msg: Msg) {
         let _ = self.tx.try_send((0, msg));
     }
 
-    /// Asks the peer; `None` if no answer comes in time.
+    /// Sends a request and waits for the reply; `None` if there is none in time.
     pub async fn call(&self, msg: Msg, timeout: Duration) -> Option<Msg> {
         self.try_call(msg, timeout).await.ok()
     }
 
-    /// Asks the peer; tells whether a question without an answer was sent. It is
-    /// given up before its time if the connection breaks or goes silent.
+    /// Like [`Link::call`], and tells whether a request without a reply was sent. The call
+    /// fails before its timeout if the connection breaks or goes silent.
     pub async fn try_call(&self, msg: Msg, timeout: Duration) -> Result<Msg, CallError> {
-        let call = self.next.fetch_add(1, Ordering::Relaxed);
-        let answer = self.calls.wait_for(call);
-        let asked = Asked { calls: &self.calls, call };
-        // A queue that is full takes nothing, and the question is not sent.
+        let call = self.next_call.fetch_add(1, Ordering::Relaxed);
+        let reply = self.calls.register(call);
+        let guard = CallGuard { calls: &self.calls, call };
+        // If the queue is full, the request is not sent.
         let _ = self.tx.try_send((call, msg));
-        match tokio::time::timeout(timeout, answer).await {
-            Ok(Ok(answer)) => answer,
-            // Once it is out of the list, it is not sent any more.
-            Ok(Err(_)) | Err(_) => Err(asked.give_up()),
+        match tokio::time::timeout(timeout, reply).await {
+            Ok(Ok(reply)) => reply,
+            // A call that is no longer pending is not sent any more.
+            Ok(Err(_)) | Err(_) => Err(guard.give_up()),
         }
     }
 
     /// Whether this and another are clones of one link.
     pub fn is_clone_of(&self, other: &Link) -> bool {
-        Arc::ptr_eq(&self.next, &other.next)
+        Arc::ptr_eq(&self.next_call, &other.next_call)
     }
 
     /// Bytes sent so far.
     pub fn bytes_sent(&self) -> u64 {
-        self.sent.load(Ordering::Relaxed)
+        self.bytes_sent.load(Ordering::Relaxed)
     }
 }
 
-/// A question whose caller waits. It is taken out when its caller no longer does.
-struct Asked<'a> {
-    calls: &'a Calls,
+/// Removes a pending call when its caller stops waiting.
+struct CallGuard<'a> {
+    calls: &'a PendingCalls,
     call: u64,
 }
 
-impl Asked<'_> {
-    /// Takes the question out; tells how it counts.
+impl CallGuard<'_> {
+    /// Removes the call and returns why it has no reply.
     fn give_up(self) -> CallError {
-        self.calls.take(self.call).map_or(CallError::NoAnswer, |w| w.why())
+        self.calls.take(self.call).map_or(CallError::NoAnswer, |c| c.error())
     }
 }
 
-impl Drop for Asked<'_> {
+impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
         self.calls.take(self.call);
     }
 }
 
-impl Calls {
-    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<u64, Waiting>> {
+impl PendingCalls {
+    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<u64, PendingCall>> {
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    fn wait_for(&self, call: u64) -> oneshot::Receiver<Result<Msg, CallError>> {
+    fn register(&self, call: u64) -> oneshot::Receiver<Result<Msg, CallError>> {
         let (tx, rx) = oneshot::channel();
-        self.lock().insert(call, Waiting { tx, sent: false });
+        self.lock().insert(call, PendingCall { tx, sent: false });
         rx
     }
 
-    fn take(&self, call: u64) -> Option<Waiting> {
+    fn take(&self, call: u64) -> Option<PendingCall> {
         self.lock().remove(&call)
     }
 
-    /// Whether a message is still to be sent; a question whose caller has given up is
-    /// not. Notes that it is.
-    pub(crate) fn is_wanted(&self, call: u64) -> bool {
+    /// Marks a call as sent. Returns whether its message is still to be sent, which is not
+    /// so once the caller has given up. Messages without a reply, whose number is 0, are
+    /// always sent.
+    pub(crate) fn mark_sent(&self, call: u64) -> bool {
         if call == 0 {
             return true;
         }
         let mut calls = self.lock();
-        let waiting = calls.get_mut(&call);
-        waiting.map(|w| w.sent = true).is_some()
+        let pending = calls.get_mut(&call);
+        pending.map(|c| c.sent = true).is_some()
     }
 
-    /// Whether a question was sent whose answer has not come.
+    /// Whether any request was sent whose reply has not arrived.
     pub(crate) fn is_any_sent(&self) -> bool {
-        self.lock().values().any(|w| w.sent)
+        self.lock().values().any(|c| c.sent)
     }
 
-    /// Hands an answer to who waits for it.
-    pub(crate) fn answer(&self, call: u64, msg: Msg) {
-        if let Some(w) = self.take(call) {
-            // Who has given up meanwhile needs no answer.
-            let _ = w.tx.send(Ok(msg));
+    /// Hands a reply to the caller that waits for it.
+    pub(crate) fn complete(&self, call: u64, msg: Msg) {
+        if let Some(c) = self.take(call) {
+            // Sending fails if the caller has given up meanwhile.
+            let _ = c.tx.send(Ok(msg));
         }
     }
 
-    /// Tells all who wait that no answer will come.
-    fn fail(&self) {
-        let waiting: Vec<Waiting> = self.lock().drain().map(|(_, w)| w).collect();
-        for w in waiting {
-            let why = w.why();
-            let _ = w.tx.send(Err(why));
+    /// Ends all pending calls with an error.
+    fn fail_all(&self) {
+        let pending: Vec<PendingCall> = self.lock().drain().map(|(_, c)| c).collect();
+        for c in pending {
+            let error = c.error();
+            let _ = c.tx.send(Err(error));
         }
     }
 }
 
-impl Waiting {
-    /// What it means that no answer comes.
-    fn why(&self) -> CallError {
+impl PendingCall {
+    /// The error that a missing reply means for this call.
+    fn error(&self) -> CallError {
         if self.sent { CallError::NoAnswer } else { CallError::NotSent }
     }
 }
 
-/// Keeps a connection until the link is no longer wanted.
-async fn run(address: String, mut exchange: Exchange) {
-    let mut failed = 0;
+/// Keeps a connection open until all clones of the link are dropped.
+async fn run(address: String, mut driver: ConnectionDriver) {
+    let mut failed_attempts = 0;
     loop {
-        let begun = Instant::now();
+        let started = Instant::now();
         let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&address)).await;
         let end = match connect {
-            Ok(Ok(stream)) => exchange.run(stream, begun.elapsed(), &address).await,
-            Ok(Err(_)) | Err(_) => End::Broken,
+            Ok(Ok(stream)) => driver.run(stream, started.elapsed(), &address).await,
+            Ok(Err(_)) | Err(_) => ConnectionEnd::Broken,
         };
-        // What waits now is old news by the time the peer is back.
-        exchange.drop_queue();
-        exchange.calls.fail();
-        if end == End::Unwanted || exchange.rx.is_closed() {
+        // Queued messages would be out of date once the peer is back.
+        driver.clear_queue();
+        driver.calls.fail_all();
+        if end == ConnectionEnd::LinkDropped || driver.rx.is_closed() {
             return;
         }
-        // After a connection that worked, the next one is made at once unless the peer
-        // broke it off.
-        failed = if exchange.take_heard() { 0 } else { failed + 1 };
-        if end == End::Broken || failed > 1 {
-            tokio::time::sleep((RECONNECT_AFTER * failed.max(1)).min(LONGEST_PAUSE)).await;
+        // After a connection on which the peer was heard, reconnect at once unless the
+        // connection broke.
+        failed_attempts = if driver.take_received_any() { 0 } else { failed_attempts + 1 };
+        if end == ConnectionEnd::Broken || failed_attempts > 1 {
+            tokio::time::sleep((RECONNECT_DELAY * failed_attempts.max(1)).min(MAX_RECONNECT_DELAY)).await;
         }
     }
 }
--- a/crates/workswood-peers/src/message.rs
+++ b/crates/workswood-peers/src/message.rs
@@ -1,13 +1,14 @@
-//! The messages, as `prost` types.
+//! The messages between entries, as `prost` types.
 
 use workswood_traffic::Purpose;
 
 use crate::relay::{RelayOpen, RelayOrders, RelayReady, RelayUpdate};
 
-/// One frame.
+/// A message with the number of the call that it belongs to.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Frame {
-    /// Number of the question; 0 for a message without an answer.
+    /// Number of the call, the same in the request and its reply; 0 for a message without a
+    /// reply.
     #[prost(uint64, tag = "1")]
     pub call: u64,
     /// The message.
@@ -19,43 +20,43 @@
     pub msg: Option<Msg>,
 }
 
-/// A message of any kind.
+/// Any message.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Msg {
-    /// Opens a connection.
+    /// Opens a connection and authenticates the sender.
     #[prost(message, tag = "2")]
     Hello(Hello),
-    /// Heartbeat.
+    /// A heartbeat of an entry.
     #[prost(message, tag = "3")]
     Heartbeat(Heartbeat),
     /// The log has grown.
     #[prost(message, tag = "4")]
     LogHead(LogHead),
-    /// Asks for idle slots.
+    /// Asks to borrow idle slots of a service.
     #[prost(message, tag = "5")]
     SlotRequest(SlotRequest),
-    /// Lends slots; may be empty.
+    /// Lends slots; the list may be empty.
     #[prost(message, tag = "6")]
     SlotReply(SlotReply),
-    /// Loans that are in use, and loans that are given back.
+    /// Tells which lent slots are in use and which are returned.
     #[prost(message, tag = "7")]
     SlotLoanUpdate(SlotLoanUpdate),
-    /// Asks for the state.
+    /// Asks for the state folded from the log.
     #[prost(message, tag = "8")]
     StateRequest(StateRequest),
-    /// The state.
+    /// The state folded from the log.
     #[prost(message, tag = "9")]
     StateReply(StateReply),
-    /// Asks whether a key is known.
+    /// Asks whether the key of a request is known.
     #[prost(message, tag = "10")]
     KeyRequest(KeyRequest),
-    /// Whether a key is known.
+    /// Whether the key of a request is known.
     #[prost(message, tag = "11")]
     KeyReply(KeyReply),
-    /// Endpoints that take no new work.
+    /// Tells which endpoints accept no new requests.
     #[prost(message, tag = "12")]
     DrainingEndpoints(DrainingEndpoints),
-    /// Nothing to say.
+    /// An empty message that acknowledges a request.
     #[prost(message, tag = "13")]
     Ack(Ack),
     /// Asks for the state of a job.
@@ -64,196 +65,197 @@
     /// The state of a job.
     #[prost(message, tag = "15")]
     JobStateReply(JobStateReply),
-    /// Asks how many jobs of a queue have not begun.
+    /// Asks how many jobs of a queue have not started.
     #[prost(message, tag = "16")]
     PendingJobsRequest(PendingJobsRequest),
-    /// How many jobs of a queue have not begun.
+    /// How many jobs of a queue have not started.
     #[prost(message, tag = "17")]
     PendingJobsReply(PendingJobsReply),
-    /// Asks a process to write what callers handed in into its store.
+    /// Asks an entry to append records to the inbox in the store.
     #[prost(message, tag = "18")]
     InboxAppendRequest(InboxAppendRequest),
-    /// What became of it.
+    /// Whether each of the records was appended.
     #[prost(message, tag = "19")]
     InboxAppendReply(InboxAppendReply),
-    /// Asks a process to give back a scheduler lease for its holder, which the
-    /// store turns away.
+    /// Asks an entry to release the scheduler lease for its holder, which the store
+    /// refuses to serve.
     #[prost(message, tag = "20")]
     LeaseReleaseRequest(LeaseReleaseRequest),
-    /// Asks whether the connection still passes bytes.
+    /// Checks whether the connection still works.
     #[prost(message, tag = "21")]
     Ping(Ping),
-    /// Says that it does.
+    /// The reply to a ping.
     #[prost(message, tag = "22")]
     Pong(Pong),
-    /// Asks a process to call the adviser.
+    /// Asks an entry to call the adviser.
     #[prost(message, tag = "23")]
     AdviceRequest(AdviceRequest),
-    /// What the adviser answered.
+    /// The result of a call to the adviser.
     #[prost(message, tag = "24")]
     AdviceReply(AdviceReply),
-    /// Opens a connection to a relay.
+    /// Opens a session with a relay.
     #[prost(message, tag = "25")]
     RelayOpen(RelayOpen),
-    /// The relay takes orders.
+    /// Tells that the relay accepts orders.
     #[prost(message, tag = "26")]
     RelayReady(RelayReady),
-    /// What the lease holder wants done with workers.
+    /// Orders of the lease holder to a relay.
     #[prost(message, tag = "27")]
     RelayOrders(RelayOrders),
-    /// What a relay has to tell of workers.
+    /// Heartbeats and worker events from a relay.
     #[prost(message, tag = "28")]
     RelayUpdate(RelayUpdate),
-    /// Asks for a configuration newer than one.
+    /// Asks for a newer configuration.
     #[prost(message, tag = "29")]
     ConfigRequest(ConfigRequest),
-    /// The newest configuration known.
+    /// The newest configuration that the entry knows.
     #[prost(message, tag = "30")]
     ConfigReply(ConfigReply),
 }
 
-/// Asks a process to call the adviser for the lease holder.
+/// Asks an entry to call the adviser for the lease holder.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AdviceRequest {
-    /// Job of the step.
+    /// The job that the step belongs to.
     #[prost(uint64, tag = "1")]
     pub job: u64,
-    /// Round of the job.
+    /// The round of the job.
     #[prost(uint32, tag = "2")]
     pub round: u32,
-    /// Number of the step.
+    /// The number of the step.
     #[prost(uint32, tag = "3")]
     pub step: u32,
-    /// Workers to ask about.
+    /// The workers to ask the adviser about.
     #[prost(string, repeated, tag = "4")]
     pub workers: Vec<String>,
-    /// How long the adviser's answer is waited for, in milliseconds.
+    /// Longest wait for the adviser's reply, in milliseconds.
     #[prost(uint32, tag = "5")]
     pub timeout_ms: u32,
 }
 
-/// What came of a call to the adviser.
+/// The result of a call to the adviser.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AdviceReply {
-    /// Its outcome.
+    /// Whether the adviser replied.
     #[prost(enumeration = "AdviceOutcome", tag = "1")]
     pub outcome: i32,
     /// Workers that may run the step, with their tickets.
     #[prost(message, repeated, tag = "2")]
     pub suitable: Vec<AdviceTicket>,
-    /// How long the tickets hold, in milliseconds, if it says so.
+    /// How long the tickets are valid, in milliseconds, if the adviser says so.
     #[prost(uint64, optional, tag = "3")]
     pub valid_ms: Option<u64>,
 }
 
-/// A worker that may run a step.
+/// A worker that may run a step, with its ticket.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AdviceTicket {
     /// The worker.
     #[prost(string, tag = "1")]
     pub worker: String,
-    /// Its ticket.
+    /// The ticket that the worker requires to start a task of the step.
     #[prost(string, tag = "2")]
     pub ticket: String,
 }
 
-/// What came of a call to the adviser.
+/// The outcome of a call to the adviser.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 pub enum AdviceOutcome {
-    /// No answer; it may be at work on it.
+    /// No reply came; the adviser may still be processing the call.
     NoAnswer = 0,
-    /// It answered.
+    /// The adviser replied.
     Answered = 1,
-    /// It has too many calls waiting.
+    /// The adviser has too many calls waiting.
     Busy = 2,
-    /// It refused the call, or its answer can't be read.
+    /// The adviser refused the call, or its reply can't be decoded.
     Refused = 3,
     /// Nothing was sent.
     NotSent = 4,
 }
 
-/// Asks a process to write what callers handed in into its store.
+/// Asks an entry to append records to the inbox in the store.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct InboxAppendRequest {
     /// The records.
     #[prost(message, repeated, tag = "1")]
     pub records: Vec<InboxRecord>,
-    /// How long the asking process waits for the answer, in milliseconds.
+    /// How long the requesting entry waits for the reply, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub timeout_ms: u32,
 }
 
-/// A record of the inbox.
+/// A record to be appended to the inbox.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct InboxRecord {
-    /// Its key.
+    /// The key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Its value.
+    /// The value.
     #[prost(bytes = "bytes", tag = "2")]
     pub value: bytes::Bytes,
 }
 
-/// What became of records, in the order in which they were sent.
+/// Whether records were appended to the inbox.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct InboxAppendReply {
-    /// An outcome for each record.
+    /// The outcomes of the records, in the order of the request.
     #[prost(enumeration = "HandInOutcome", repeated, tag = "1")]
     pub outcomes: Vec<i32>,
 }
 
-/// What became of a record.
+/// The outcome of an append to the inbox.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 pub enum HandInOutcome {
-    /// It may be stored, or may come to be.
+    /// The record may have been stored, or may be stored later.
     Unknown = 0,
-    /// It is stored.
+    /// The record is stored.
     Stored = 1,
-    /// It is not, and will not be.
+    /// The record is not stored, and will not be.
     NotStored = 2,
 }
 
-/// Asks a process to give back a scheduler lease for its holder.
+/// Asks an entry to release the scheduler lease for its holder.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LeaseReleaseRequest {
-    /// The record of the lease that says so.
+    /// The lease record that marks the lease as released.
     #[prost(bytes = "bytes", tag = "1")]
     pub record: bytes::Bytes,
 }
 
-/// Asks for a configuration newer than one: the store turns this host away, and what operators
-/// change is in force here too.
+/// Asks for a newer configuration. An entry that the store refuses to serve learns the changes
+/// of operators this way.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ConfigRequest {
-    /// Version in force at the asking process; 0 for none.
+    /// Version that is in force at the requesting entry; 0 for none.
     #[prost(uint64, tag = "1")]
     pub version: u64,
 }
 
-/// The newest configuration that a process knows, as operators wrote it.
+/// The newest configuration that an entry knows, and what else operators have set.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ConfigReply {
-    /// Empty if it is not newer.
+    /// The configuration as operators wrote it; empty if it is not newer.
     #[prost(bytes = "bytes", tag = "1")]
     pub record: bytes::Bytes,
-    /// Missing if the process has not read it, or is of a version that does not.
+    /// The evacuated data centres; unset if the entry has not read them, or if its version
+    /// does not support the field.
     #[prost(message, optional, tag = "2")]
     pub evacuated: Option<EvacuatedDataCentres>,
-    /// Who holds the scheduler lease, as far as the process knows.
+    /// The holder of the scheduler lease, if the entry knows it.
     #[prost(message, optional, tag = "3")]
     pub holder: Option<LeaseHolder>,
 }
 
-/// Who holds the scheduler lease.
+/// The holder of the scheduler lease.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LeaseHolder {
     /// Its incarnation.
     #[prost(string, tag = "1")]
     pub incarnation: String,
-    /// Its peer listener.
+    /// Address of its peer listener.
     #[prost(string, tag = "2")]
     pub peer_address: String,
-    /// Its term.
+    /// The term of the lease.
     #[prost(uint64, tag = "3")]
     pub term: u64,
 }
@@ -261,10 +263,10 @@
 /// Data centres that operators have evacuated.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EvacuatedDataCentres {
-    /// All of them.
+    /// The names of all evacuated data centres.
     #[prost(string, repeated, tag = "1")]
     pub data_centres: Vec<String>,
-    /// How long ago that was read, in milliseconds.
+    /// How long ago the list was read from the store, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub age_ms: u64,
 }
@@ -275,16 +277,16 @@
     /// The job.
     #[prost(uint64, tag = "1")]
     pub job: u64,
-    /// Number of the owner whose key the caller has; 0 for nobody. Processes of versions before
-    /// this one don't say.
+    /// Number of the owner whose key the caller presented; 0 for none. Unset by entries whose
+    /// version does not support the field.
     #[prost(fixed64, optional, tag = "2")]
     pub owner: Option<u64>,
 }
 
-/// The state of a job.
+/// The reply to a [`JobStateRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct JobStateReply {
-    /// Whether the answering process holds the scheduler lease and is up to date.
+    /// Whether the answering entry holds the scheduler lease and is up to date.
     #[prost(bool, tag = "1")]
     pub authoritative: bool,
     /// The state; unset if no such job is known.
@@ -292,22 +294,22 @@
     pub state: Option<i32>,
 }
 
-/// State of a job between processes.
+/// The state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 pub enum JobState {
-    /// No task has begun.
+    /// No task has started.
     Queued = 0,
-    /// Some task has begun.
+    /// At least one task has started.
     Running = 1,
     /// All tasks are done.
     Completed = 2,
-    /// A task failed too often.
+    /// A task has failed too often.
     Failed = 3,
-    /// The caller cancelled it.
+    /// The caller has cancelled the job.
     Canceled = 4,
 }
 
-/// Asks how many jobs of a queue have not begun.
+/// Asks how many jobs of a queue have not started.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PendingJobsRequest {
     /// The queue.
@@ -315,41 +317,42 @@
     pub queue: String,
 }
 
-/// How many jobs of a queue have not begun.
+/// The reply to a [`PendingJobsRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PendingJobsReply {
-    /// Whether the answering process holds the scheduler lease and is up to date.
+    /// Whether the answering entry holds the scheduler lease and is up to date.
     #[prost(bool, tag = "1")]
     pub authoritative: bool,
-    /// How many.
+    /// Number of jobs that have not started.
     #[prost(uint64, tag = "2")]
     pub pending: u64,
 }
 
-/// A question that is answered at once, whatever else the process does. A process of
-/// a version that does not know it closes the connection, which is then made again.
+/// Checks whether a connection works. It is answered at once, ahead of other requests in
+/// progress. An entry whose version does not support pings closes the connection, and the
+/// sender reconnects.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Ping {}
 
-/// Its answer.
+/// The reply to a [`Ping`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Pong {}
 
-/// Opens a connection.
+/// Opens a connection and authenticates the sender.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Hello {
-    /// Version of this protocol.
+    /// Version of the protocol.
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    /// The token that all processes share.
+    /// The token that all entries share.
     #[prost(string, tag = "2")]
     pub token: String,
-    /// Incarnation of the process that connects.
+    /// Incarnation of the connecting entry.
     #[prost(string, tag = "3")]
-    pub from: String,
+    pub incarnation: String,
 }
 
-/// What a process says of itself or of another.
+/// The state of an entry, as a heartbeat reports it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EntryState {
     /// Address of its peer listener.
@@ -358,87 +361,87 @@
     /// Its incarnation.
     #[prost(string, tag = "2")]
     pub id: String,
-    /// Its data centre.
+    /// The data centre that it runs in.
     #[prost(string, tag = "3")]
     pub data_centre: String,
-    /// Counts up.
+    /// Sequence number of the heartbeat of that entry.
     #[prost(uint64, tag = "4")]
     pub sequence: u64,
-    /// Next offset that it folds.
+    /// Offset of the next log record that it folds into its state.
     #[prost(uint64, tag = "5")]
     pub next_offset: u64,
-    /// Whether it is stopping.
+    /// Whether it is shutting down.
     #[prost(bool, tag = "6")]
     pub stopping: bool,
 }
 
-/// Heartbeat with what the sender knows of some others.
+/// A heartbeat, with what the sender knows of some other entries.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Heartbeat {
-    /// The sender's own beat.
+    /// The state of the sender.
     #[prost(message, optional, tag = "1")]
     pub own: Option<EntryState>,
-    /// Beats of some others.
+    /// The states of some other entries, as the sender knows them.
     #[prost(message, repeated, tag = "2")]
     pub others: Vec<EntryState>,
-    /// Instances that the sender has requests open on, if it is asked to tell.
+    /// Requests that the sender has open on instances whose hosts are draining.
     #[prost(message, repeated, tag = "3")]
     pub open_requests: Vec<OpenRequests>,
 }
 
-/// Requests open on an instance.
+/// Number of requests that an entry has open on an instance.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct OpenRequests {
     /// The instance.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// How many.
+    /// Number of open requests.
     #[prost(uint32, tag = "2")]
     pub requests: u32,
 }
 
-/// The log has grown.
+/// Tells that the log has grown.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LogHead {
-    /// An offset that is in the log.
+    /// Offset of a record that is in the log.
     #[prost(uint64, tag = "1")]
     pub offset: u64,
 }
 
-/// Asks for idle slots.
+/// Asks to borrow idle slots of a service.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SlotRequest {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// How many.
+    /// Number of slots wanted.
     #[prost(uint32, tag = "2")]
     pub slots: u32,
-    /// Incarnation of the process that asks.
+    /// Incarnation of the requesting entry.
     #[prost(string, tag = "3")]
     pub from: String,
 }
 
-/// Lends slots.
+/// The reply to a [`SlotRequest`]; lends slots.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SlotReply {
-    /// One entry for each slot.
+    /// The lent slots; may be empty.
     #[prost(message, repeated, tag = "1")]
     pub loans: Vec<LentSlot>,
 }
 
-/// One slot that is lent.
+/// A slot that is lent to another entry.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LentSlot {
-    /// Number at the lender.
+    /// Number of the loan, which the lender assigns.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// The endpoint.
+    /// The endpoint that the slot belongs to.
     #[prost(string, tag = "2")]
     pub endpoint: String,
 }
 
-/// Loans that are in use, and loans that are given back.
+/// Tells the lender which loans are in use and which are returned.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SlotLoanUpdate {
     /// The service.
@@ -447,27 +450,27 @@
     /// Incarnation of the borrower.
     #[prost(string, tag = "2")]
     pub from: String,
-    /// Loans in use.
+    /// Numbers of the loans in use.
     #[prost(uint64, repeated, tag = "3")]
     pub in_use: Vec<u64>,
-    /// Loans given back.
+    /// Numbers of the loans that are returned.
     #[prost(uint64, repeated, tag = "4")]
     pub returned: Vec<u64>,
 }
 
-/// Asks for the state.
+/// Asks for the state that the entry has folded from the log.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StateRequest {}
 
-/// The state.
+/// The reply to a [`StateRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StateReply {
-    /// Its text; empty if there is none.
+    /// The state as text; empty if the entry has none yet.
     #[prost(string, tag = "1")]
     pub text: String,
 }
 
-/// Asks whether a key is known.
+/// Asks whether the key of a request is known.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct KeyRequest {
     /// The key.
@@ -475,31 +478,31 @@
     pub key: String,
 }
 
-/// Whether a key is known.
+/// The reply to a [`KeyRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct KeyReply {
-    /// Whether the key is claimed, or a claim is on its way.
+    /// Whether the key is claimed, or a claim of it is being written.
     #[prost(bool, tag = "1")]
     pub known: bool,
-    /// Roster that the answering process has folded.
+    /// Incarnations in the roster that the answering entry has folded from the log.
     #[prost(string, repeated, tag = "2")]
     pub roster: Vec<String>,
 }
 
-/// Endpoints that take no new work.
+/// Tells which endpoints accept no new requests.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DrainingEndpoints {
-    /// Instances that are leaving.
+    /// The instances of those endpoints.
     #[prost(string, repeated, tag = "1")]
     pub instances: Vec<String>,
 }
 
-/// Nothing to say.
+/// An empty message that acknowledges a request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Ack {}
 
 impl Msg {
-    /// What the message is for, in metrics.
+    /// The purpose under which metrics count the message.
     pub fn purpose(&self) -> Purpose {
         match self {
             Msg::JobStateRequest(_) | Msg::JobStateReply(_) => "job_questions",
--- a/crates/workswood-peers/src/server.rs
+++ b/crates/workswood-peers/src/server.rs
@@ -1,4 +1,4 @@
-//! The listening side.
+//! The listening side of connections between entries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,17 +12,20 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 use workswood_traffic::Traffic;
 
-use crate::duplex::{self, DuplexRx, DuplexTx, Frames};
+use crate::duplex::{self, DuplexRx, DuplexTx, FramedTcp};
 use crate::relay::RelayOpen;
 use crate::{Frame, MAX_FRAME_BYTES, Msg, Pong};
 
 /// Version of the protocol.
-pub(crate) const VERSION: u32 = 1;
+pub(crate) const PROTOCOL_VERSION: u32 = 1;
+/// Longest wait for the [`Hello`](crate::Hello) of a new connection.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection without any frame for this long is closed.
-const SILENCE: Duration = Duration::from_secs(30);
+/// A connection on which no frame arrives for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Number of encoded replies that wait to be written to one connection.
+const REPLY_QUEUE_LEN: usize = 256;
 
-/// Answers a message; `None` when there is no answer.
+/// Handles a message and returns the reply, or `None` if there is no reply.
 pub type Handler = Arc<dyn Fn(Msg) -> BoxFuture<'static, Option<Msg>> + Send + Sync>;
 
 pub(crate) fn codec() -> LengthDelimitedCodec {
@@ -37,40 +40,42 @@
     buf.freeze()
 }
 
-/// Takes a connection over that a lease holder opened to a relay.
+/// Serves a connection that a lease holder has opened to use this entry as a relay.
 pub type RelayHandler = Arc<dyn Fn(RelayOpen, DuplexTx, DuplexRx) -> BoxFuture<'static, ()> + Send + Sync>;
 
-/// What a listener does with what comes in.
+/// What all connections of a listener share.
 #[derive(Clone)]
-struct Served {
+struct ServerContext {
     token: String,
     handler: Handler,
-    streams: Option<RelayHandler>,
+    /// `None` if this entry does not serve as a relay.
+    relay_handler: Option<RelayHandler>,
     traffic: Traffic,
 }
 
-/// Serves peers on a listener until the task is dropped.
+/// Serves peers on a listener until the future is dropped.
 pub async fn serve(listener: TcpListener, token: String, handler: Handler) {
-    accept(listener, Served { token, handler, streams: None, traffic: Traffic::default() }).await;
+    accept(listener, ServerContext { token, handler, relay_handler: None, traffic: Traffic::default() })
+        .await;
 }
 
-/// Likewise, and lets lease holders use this process as a relay. What goes over the
-/// connections is counted.
+/// Like [`serve`], and also serves lease holders that use this entry as a relay. All
+/// messages are counted in `traffic`.
 pub async fn serve_with_relay(
     listener: TcpListener,
     token: String,
     handler: Handler,
-    streams: RelayHandler,
+    relay_handler: RelayHandler,
     traffic: Traffic,
 ) {
-    accept(listener, Served { token, handler, streams: Some(streams), traffic }).await;
+    accept(listener, ServerContext { token, handler, relay_handler: Some(relay_handler), traffic }).await;
 }
 
-async fn accept(listener: TcpListener, served: Served) {
+async fn accept(listener: TcpListener, server: ServerContext) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(connection(stream, served.clone()));
+                tokio::spawn(serve_connection(stream, server.clone()));
             }
             Err(e) => {
                 log::warn!("event=peer_accept_failed error={e:?}");
@@ -80,35 +85,36 @@
     }
 }
 
-async fn connection(stream: TcpStream, served: Served) {
+async fn serve_connection(stream: TcpStream, server: ServerContext) {
     let _ = stream.set_nodelay(true);
     let mut framed = Framed::new(stream, codec());
     let hello = tokio::time::timeout(HELLO_TIMEOUT, framed.next()).await;
     let Ok(Some(Ok(buf))) = hello else { return };
-    let known = matches!(
+    let authenticated = matches!(
         Frame::decode(buf),
         Ok(Frame { msg: Some(Msg::Hello(h)), .. })
-            if h.version == VERSION && bool::from(h.token.as_bytes().ct_eq(served.token.as_bytes()))
+            if h.version == PROTOCOL_VERSION && bool::from(h.token.as_bytes().ct_eq(server.token.as_bytes()))
     );
-    if !known {
+    if !authenticated {
         log::warn!("event=peer_refused reason=bad_token code=225");
         return;
     }
-    let Ok(Some(Ok(first))) = tokio::time::timeout(SILENCE, framed.next()).await else { return };
-    if let Some(streams) = &served.streams
+    let Ok(Some(Ok(first))) = tokio::time::timeout(IDLE_TIMEOUT, framed.next()).await else { return };
+    if let Some(relay_handler) = &server.relay_handler
         && let Ok(Frame { msg: Some(Msg::RelayOpen(open)), .. }) = Frame::decode(first.clone())
     {
-        let (tx, rx) = duplex::halves(framed, served.traffic);
-        streams(open, tx, rx).await;
+        let (tx, rx) = duplex::split(framed, server.traffic);
+        relay_handler(open, tx, rx).await;
         return;
     }
-    answer_all(framed, first, served).await;
+    serve_messages(framed, first, server).await;
 }
 
-/// Answers one message after the other, each when its answer is ready.
-async fn answer_all(framed: Frames, first: BytesMut, served: Served) {
+/// Handles the messages of a connection concurrently. Replies are sent in the order in
+/// which they become ready.
+async fn serve_messages(framed: FramedTcp, first: BytesMut, server: ServerContext) {
     let (mut sink, mut stream) = framed.split();
-    let (tx, mut rx) = tokio::sync::mpsc::channel::<bytes::Bytes>(256);
+    let (tx, mut rx) = tokio::sync::mpsc::channel::<bytes::Bytes>(REPLY_QUEUE_LEN);
     let writer = tokio::spawn(async move {
         while let Some(b) = rx.recv().await {
             if sink.send(b).await.is_err() {
@@ -120,25 +126,25 @@
     while let Ok(Some(Ok(buf))) = next {
         let len = buf.len();
         let Ok(Frame { call, msg: Some(msg) }) = Frame::decode(buf) else { break };
-        served.traffic.note(msg.purpose(), 0, len);
+        server.traffic.note(msg.purpose(), 0, len);
         if let Msg::Ping(_) = msg {
-            // With a full queue there are answers on their way, which tell as much.
+            // If the queue is full, the queued replies show the peer that the connection works.
             let _ = tx.try_send(encode(call, Msg::Pong(Pong {})));
         } else {
-            let (answer, tx, traffic) = ((served.handler)(msg), tx.clone(), served.traffic.clone());
+            let (reply, tx, traffic) = ((server.handler)(msg), tx.clone(), server.traffic.clone());
             tokio::spawn(async move {
-                if let Some(msg) = answer.await
+                if let Some(msg) = reply.await
                     && call != 0
                 {
                     let purpose = msg.purpose();
                     let buf = encode(call, msg);
                     traffic.note(purpose, buf.len(), 0);
-                    // The connection has ended if nobody takes it.
+                    // Sending fails only if the connection has ended.
                     let _ = tx.send(buf).await;
                 }
             });
         }
-        next = tokio::time::timeout(SILENCE, stream.next()).await;
+        next = tokio::time::timeout(IDLE_TIMEOUT, stream.next()).await;
     }
     writer.abort();
 }
