--- a/crates/workswood-http/src/attempt.rs
+++ b/crates/workswood-http/src/attempt.rs
@@ -97,7 +97,7 @@
 
     /// Notes how long an answer took that needed no waiting.
     pub fn took(&self, took: Duration) {
-        self.peer.patience.note(took);
+        self.peer.patience.record(took);
     }
 
     /// The time after which an answer is late that needs no waiting.
--- a/crates/workswood-http/src/pool.rs
+++ b/crates/workswood-http/src/pool.rs
@@ -11,7 +11,7 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 use tokio::time::Instant;
-use workswood_liveness::{HalfOpen, Patience};
+use workswood_liveness::{AdaptiveTimeout, HalfOpen};
 
 use crate::attempt::{Attempt, Over};
 
@@ -55,7 +55,7 @@
     pub(crate) now: Mutex<Now<B>>,
     /// Attempts with a lower number went over connections that are suspect.
     pub(crate) suspect_below: watch::Sender<u64>,
-    pub(crate) patience: Patience,
+    pub(crate) patience: AdaptiveTimeout,
 }
 
 /// The connections to an address that are used now.
@@ -123,7 +123,7 @@
             address: address.to_string(),
             now: Mutex::new(now),
             suspect_below: watch::Sender::new(0),
-            patience: Patience::new(LATE_TIMES, LATE_NOT_BEFORE),
+            patience: AdaptiveTimeout::new(LATE_TIMES, LATE_NOT_BEFORE),
         }
     }
 
--- a/crates/workswood-liveness/src/patience.rs
+++ b/crates/workswood-liveness/src/adaptive_timeout.rs
@@ -13,25 +13,25 @@
 /// would rise each time a connection goes silent, so that the next one is noticed
 /// later.
 #[derive(Debug)]
-pub struct Patience {
+pub struct AdaptiveTimeout {
     mean_us: AtomicU64,
     times: f64,
     not_before: Duration,
 }
 
-impl Patience {
+impl AdaptiveTimeout {
     /// An answer is late after this many times the mean, but not before a time.
-    pub const fn new(times: f64, not_before: Duration) -> Patience {
-        Patience { mean_us: AtomicU64::new(0), times, not_before }
+    pub const fn new(times: f64, not_before: Duration) -> AdaptiveTimeout {
+        AdaptiveTimeout { mean_us: AtomicU64::new(0), times, not_before }
     }
 
     /// Likewise, with a mean to begin with.
-    pub const fn beginning_with(self, mean: Duration) -> Patience {
-        Patience { mean_us: AtomicU64::new(mean.as_micros() as u64), ..self }
+    pub const fn with_initial_mean(self, mean: Duration) -> AdaptiveTimeout {
+        AdaptiveTimeout { mean_us: AtomicU64::new(mean.as_micros() as u64), ..self }
     }
 
     /// Notes how long an answer took.
-    pub fn note(&self, took: Duration) {
+    pub fn record(&self, took: Duration) {
         let before = self.mean_us.load(Ordering::Relaxed) as f64;
         let mean = before + (took.as_micros() as f64 - before) * NEWEST;
         self.mean_us.store(mean as u64, Ordering::Relaxed);
--- a/crates/workswood-liveness/src/lib.rs
+++ b/crates/workswood-liveness/src/lib.rs
@@ -3,14 +3,14 @@
 //! A connection may be half-open: a firewall or a host on its way has forgotten it,
 //! nothing passes any more and nobody closes it. Only an answer that does not come
 //! tells, and each connection by itself would cost one call its whole time. So
-//! * [`Patience`] says when an answer is late, by how long answers take,
+//! * [`AdaptiveTimeout`] says when an answer is late, by how long answers take,
 //! * [`Lag`] says how late the process itself is, which is not counted against others, and
 //! * [`HalfOpen`] tells all users of connections what one of them has found out.
 
+mod adaptive_timeout;
 mod half_open;
 mod lag;
-mod patience;
 
+pub use adaptive_timeout::AdaptiveTimeout;
 pub use half_open::{Finding, HalfOpen, Suspicion};
 pub use lag::Lag;
-pub use patience::Patience;
--- a/crates/workswood-peers/src/connection.rs
+++ b/crates/workswood-peers/src/connection.rs
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
-use workswood_liveness::{Finding, HalfOpen, Patience};
+use workswood_liveness::{AdaptiveTimeout, Finding, HalfOpen};
 use workswood_traffic::Traffic;
 
 use crate::counting_stream::CountingStream;
@@ -73,7 +73,7 @@
     /// When a ping was sent, if nothing was received since.
     pinged_at: Option<Instant>,
     /// How long a pong may take.
-    pong_timeout: Patience,
+    pong_timeout: AdaptiveTimeout,
     /// Bytes received when the monitor last looked.
     bytes_read: u64,
 }
@@ -81,7 +81,8 @@
 impl ReceiveMonitor {
     /// A monitor of a new connection. The time that connecting took is one round trip.
     fn new(connected_in: Duration) -> ReceiveMonitor {
-        let pong_timeout = Patience::new(PONG_MEAN_MULTIPLE, MIN_PONG_TIMEOUT).beginning_with(connected_in);
+        let pong_timeout =
+            AdaptiveTimeout::new(PONG_MEAN_MULTIPLE, MIN_PONG_TIMEOUT).with_initial_mean(connected_in);
         ReceiveMonitor { deadline: None, waiting_since: None, pinged_at: None, pong_timeout, bytes_read: 0 }
     }
 
@@ -99,7 +100,7 @@
     fn on_received(&mut self, more_expected: bool) {
         let now = Instant::now();
         if let Some(at) = self.pinged_at.take() {
-            self.pong_timeout.note(now - at);
+            self.pong_timeout.record(now - at);
         }
         self.deadline = more_expected.then(|| now + PING_AFTER_CALL);
         self.waiting_since = more_expected.then_some(now);
--- a/src/workswood/ops/jobs/inbox.rs
+++ b/src/workswood/ops/jobs/inbox.rs
@@ -27,7 +27,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinSet;
 use workswood_core::jobs::{JobKey, Owner};
-use workswood_liveness::Patience;
+use workswood_liveness::AdaptiveTimeout;
 use workswood_platform::jobs::{Guard, KeyedRecord, Part, StoreError, Topic};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -118,7 +118,7 @@
     tx: mpsc::Sender<Waiting>,
     rx: Mutex<Option<mpsc::Receiver<Waiting>>>,
     /// How long appends take.
-    patience: Patience,
+    patience: AdaptiveTimeout,
     /// Appends from here that are on their way.
     on_the_way: AtomicUsize,
     /// Whether the last append from here failed or hung.
@@ -133,7 +133,7 @@
         Inbox {
             tx,
             rx: Mutex::new(Some(rx)),
-            patience: Patience::new(HANGS_TIMES, HANGS_NOT_BEFORE),
+            patience: AdaptiveTimeout::new(HANGS_TIMES, HANGS_NOT_BEFORE),
             on_the_way: AtomicUsize::new(0),
             failing: AtomicBool::new(false),
             failed_at: AtomicU64::new(0),
@@ -353,7 +353,7 @@
     let res = node.platform.append(Topic::Inbox(part), records, Guard::None).await;
     match res {
         Ok(_) => {
-            node.inbox.patience.note(node.now() - begun);
+            node.inbox.patience.record(node.now() - begun);
             node.store_is_up();
             node.inbox.failing.store(false, Ordering::Relaxed);
             Own::Done
--- a/src/workswood/ops/jobs/relay/look.rs
+++ b/src/workswood/ops/jobs/relay/look.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use workswood_core::jobs::Listing;
-use workswood_liveness::Patience;
+use workswood_liveness::AdaptiveTimeout;
 use workswood_platform::jobs::{WorkerClock, WorkerError};
 
 use super::Shared;
@@ -33,7 +33,7 @@
 
 /// Looks at a worker until the link is closed.
 pub async fn run(shared: Arc<Shared>, link: Arc<WorkerLink>) {
-    let patience = Patience::new(LATE_TIMES, LATE_NOT_BEFORE).beginning_with(LOOK_WAIT);
+    let patience = AdaptiveTimeout::new(LATE_TIMES, LATE_NOT_BEFORE).with_initial_mean(LOOK_WAIT);
     let mut looker = Looker { shared, link, patience, told: false, answered: None, forgotten: 0 };
     while !looker.link.is_closed() {
         if !looker.look().await {
@@ -47,7 +47,7 @@
     shared: Arc<Shared>,
     link: Arc<WorkerLink>,
     /// When a look at this worker is late.
-    patience: Patience,
+    patience: AdaptiveTimeout,
     /// Whether it was told that the worker answers.
     told: bool,
     /// When the last look was sent, if it was answered.
@@ -167,7 +167,7 @@
         let now = self.now();
         self.answered = Some(sent);
         self.forgotten = self.forgotten.max(forget);
-        self.patience.note(now - begun);
+        self.patience.record(now - begun);
         self.link.answered(clock, now);
         let last = listing.ended.iter().map(|e| e.number).max().unwrap_or(0);
         let report = self.link.follow.lock().listed(listing, sent, now);
--- a/tests/testsuite/connection_suspicion.rs
+++ b/tests/testsuite/connection_suspicion.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tokio::time::Instant;
-use workswood_liveness::{Finding, HalfOpen, Patience, Suspicion};
+use workswood_liveness::{AdaptiveTimeout, Finding, HalfOpen, Suspicion};
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -51,10 +51,10 @@
 }
 
 #[test]
-fn patience_by_answers() {
-    let p = Patience::new(4.0, ms(150));
-    p.note(ms(4));
+fn timeout_follows_latencies() {
+    let p = AdaptiveTimeout::new(4.0, ms(150));
+    p.record(ms(4));
     assert_eq!(p.late_after(), ms(150), "not before a time");
-    (0..20).for_each(|_| p.note(ms(300)));
+    (0..20).for_each(|_| p.record(ms(300)));
     assert!(p.late_after() > ms(1100) && p.late_after() < ms(1200), "{:?}", p.late_after());
 }
