--- a/crates/workswood-liveness/src/lib.rs
+++ b/crates/workswood-liveness/src/lib.rs
@@ -4,13 +4,13 @@
 //! nothing passes any more and nobody closes it. Only an answer that does not come
 //! tells, and each connection by itself would cost one call its whole time. So
 //! * [`AdaptiveTimeout`] says when an answer is late, by how long answers take,
-//! * [`Lag`] says how late the process itself is, which is not counted against others, and
+//! * [`TimerLag`] says how late the process itself is, which is not counted against others, and
 //! * [`HalfOpen`] tells all users of connections what one of them has found out.
 
 mod adaptive_timeout;
 mod half_open;
-mod lag;
+mod timer_lag;
 
 pub use adaptive_timeout::AdaptiveTimeout;
 pub use half_open::{Finding, HalfOpen, Suspicion};
-pub use lag::Lag;
+pub use timer_lag::TimerLag;
--- a/crates/workswood-liveness/src/lag.rs
+++ b/crates/workswood-liveness/src/timer_lag.rs
@@ -20,22 +20,22 @@
 
 /// Knows how long this process has stood still. Clones share it.
 #[derive(Clone, Debug, Default)]
-pub struct Lag {
+pub struct TimerLag {
     total_us: Arc<AtomicU64>,
 }
 
-impl Lag {
+impl TimerLag {
     /// Watches how late timers fire, for ever.
-    pub async fn watch(self) {
+    pub async fn measure(self) {
         loop {
             let due = Instant::now() + EVERY;
             tokio::time::sleep_until(due).await;
-            self.note(due.elapsed());
+            self.record(due.elapsed());
         }
     }
 
     /// Notes that a timer fired late by so much.
-    pub fn note(&self, late: Duration) {
+    pub fn record(&self, late: Duration) {
         let counted = late.saturating_sub(SLACK);
         self.total_us.fetch_add(counted.as_micros() as u64, Ordering::Relaxed);
     }
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{Notify, mpsc, watch};
 use workswood_core::ids::{Incarnation, Term, UnixMs};
 use workswood_core::jobs::{Event, SchedConfig, Wave};
-use workswood_liveness::{HalfOpen, Lag};
+use workswood_liveness::{HalfOpen, TimerLag};
 use workswood_platform::jobs::JobPlatform;
 use workswood_traffic::Traffic;
 
@@ -115,7 +115,7 @@
     /// What goes over its link.
     pub traffic: Traffic,
     /// How late this process itself is.
-    pub lag: Lag,
+    pub lag: TimerLag,
     /// The newest session of a lease holder that it serves as a relay.
     pub relay_session: watch::Sender<Session>,
     /// Its metrics.
@@ -164,7 +164,7 @@
             inbox: Inbox::default(),
             half_open,
             traffic,
-            lag: Lag::default(),
+            lag: TimerLag::default(),
             relay_session: watch::Sender::new((0, 0)),
             metrics: JobMetrics::default(),
             stopping: watch::Sender::new(false),
--- a/src/workswood/ops/jobs/relay/serve.rs
+++ b/src/workswood/ops/jobs/relay/serve.rs
@@ -66,7 +66,7 @@
         _ = take_orders(&node, rx, &mut relay, &grant, &beats) => "holder_gone",
         _ = send_news(&node, tx, &outbox, &beats) => "connection_broken",
         _ = other.wait_for(|s| *s > session) => "replaced",
-        () = node.lag.clone().watch() => "never",
+        () = node.lag.clone().measure() => "never",
     };
     log::info!(
         "event=relay_session_ended holder={} term={} reason={why} workers={}",
--- a/src/workswood/ops/jobs/sessions.rs
+++ b/src/workswood/ops/jobs/sessions.rs
@@ -62,7 +62,7 @@
     pub(super) fn new(node: Arc<Node>, l: Arc<Leading>, tasks: &mut JoinSet<()>) -> Sessions {
         let own = Relay::new(node.clone(), l.grant.clone(), Sink::Here(l.tx.clone()));
         tasks.spawn(beat(node.settings.name.clone(), l.clone()));
-        tasks.spawn(node.lag.clone().watch());
+        tasks.spawn(node.lag.clone().measure());
         let (sessions, attended) = (HashMap::new(), HashMap::new());
         Sessions { node, l, own, sessions, attended, next: 0, opened: 0 }
     }
