--- a/crates/workswood-endpoints/src/lib.rs
+++ b/crates/workswood-endpoints/src/lib.rs
@@ -13,7 +13,7 @@
 use hyper::{Request, Response};
 use snafu::Snafu;
 use workswood_http::{Limits, Pool};
-use workswood_liveness::HalfOpen;
+use workswood_liveness::HalfOpenDetector;
 
 /// Bounds of connections to endpoints.
 const LIMITS: Limits = Limits {
@@ -69,7 +69,7 @@
 impl EndpointClient {
     /// A client without connections yet. It drops idle ones when others have found
     /// that connections have gone silent.
-    pub fn new(half_open: HalfOpen) -> EndpointClient {
+    pub fn new(half_open: HalfOpenDetector) -> EndpointClient {
         EndpointClient { pool: Pool::new(LIMITS, half_open) }
     }
 
--- a/crates/workswood-http/src/attempt.rs
+++ b/crates/workswood-http/src/attempt.rs
@@ -9,7 +9,7 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::client::legacy::{Client, Error};
 use tokio::time::Instant;
-use workswood_liveness::Finding;
+use workswood_liveness::HalfOpenConnection;
 
 use crate::pool::{Peer, Pool};
 
@@ -86,7 +86,7 @@
         tokio::select! {
             // The sender lives as long as the peer.
             _ = below.wait_for(|n| self.over.number < *n) => {}
-            () = self.pool.half_open().suspected(self.over.opened) => {}
+            () = self.pool.half_open().until_suspect(self.over.opened) => {}
         }
     }
 
@@ -131,7 +131,7 @@
 
     fn tell_silent(&self, suspect_below: u64, silent_since: Instant) {
         self.peer.suspect_below.send_modify(|below| *below = suspect_below.max(*below));
-        self.pool.half_open().found(Finding { address: self.peer.address.clone(), silent_since });
+        self.pool.half_open().report(HalfOpenConnection { address: self.peer.address.clone(), silent_since });
     }
 
     fn renew(&self, doubted: Option<Instant>) {
--- a/crates/workswood-http/src/client.rs
+++ b/crates/workswood-http/src/client.rs
@@ -10,7 +10,7 @@
 use hyper::header::{CONTENT_TYPE, HeaderName};
 use hyper::{Method, Request, StatusCode};
 use tokio::time::Instant;
-use workswood_liveness::HalfOpen;
+use workswood_liveness::HalfOpenDetector;
 use workswood_traffic::{Purpose, Traffic};
 
 use crate::attempt::Attempt;
@@ -120,7 +120,12 @@
 impl HttpClient {
     /// A client without connections that reads answers up to a size. What it finds
     /// out of connections, and what goes over them, is shared with others.
-    pub fn new(limits: Limits, most_bytes: usize, half_open: HalfOpen, traffic: Traffic) -> HttpClient {
+    pub fn new(
+        limits: Limits,
+        most_bytes: usize,
+        half_open: HalfOpenDetector,
+        traffic: Traffic,
+    ) -> HttpClient {
         HttpClient { pool: Pool::new(limits, half_open), most_bytes, traffic }
     }
 
--- a/crates/workswood-http/src/pool.rs
+++ b/crates/workswood-http/src/pool.rs
@@ -11,7 +11,7 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 use tokio::time::Instant;
-use workswood_liveness::{AdaptiveTimeout, HalfOpen};
+use workswood_liveness::{AdaptiveTimeout, HalfOpenDetector};
 
 use crate::attempt::{Attempt, Over};
 
@@ -45,7 +45,7 @@
 struct Shared<B> {
     connector: HttpConnector,
     limits: Limits,
-    half_open: HalfOpen,
+    half_open: HalfOpenDetector,
     peers: Mutex<HashMap<String, Arc<Peer<B>>>>,
 }
 
@@ -78,7 +78,7 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     /// A pool without connections; what it finds out is shared with others.
-    pub fn new(limits: Limits, half_open: HalfOpen) -> Pool<B> {
+    pub fn new(limits: Limits, half_open: HalfOpenDetector) -> Pool<B> {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(limits.connect));
@@ -100,7 +100,7 @@
         Attempt::new(self.clone(), peer, over, waits)
     }
 
-    pub(crate) fn half_open(&self) -> &HalfOpen {
+    pub(crate) fn half_open(&self) -> &HalfOpenDetector {
         &self.shared.half_open
     }
 
--- a/crates/workswood-liveness/src/half_open.rs
+++ b/crates/workswood-liveness/src/half_open_detector.rs
@@ -19,7 +19,7 @@
 
 /// A connection that was found half-open.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Finding {
+pub struct HalfOpenConnection {
     /// The address it led to.
     pub address: String,
     /// When the call was sent on it that had no answer.
@@ -28,15 +28,15 @@
 
 /// Decides whether findings concern single addresses or this host.
 #[derive(Debug, Default)]
-pub struct Suspicion {
-    last: Option<(Finding, Instant)>,
+pub struct HalfOpenCorrelator {
+    last: Option<(HalfOpenConnection, Instant)>,
     raised: Option<Instant>,
 }
 
-impl Suspicion {
+impl HalfOpenCorrelator {
     /// Takes a finding in. Returns the moment before which a connection was opened that
     /// is suspect now, to whatever address it leads; none if only this address is.
-    pub fn found(&mut self, f: Finding, now: Instant) -> Option<Instant> {
+    pub fn report(&mut self, f: HalfOpenConnection, now: Instant) -> Option<Instant> {
         let since = f.silent_since;
         let before = self.last.replace((f.clone(), now));
         let (other, _) = before.filter(|(o, at)| o.address != f.address && now < *at + WINDOW)?;
@@ -50,7 +50,7 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    suspicion: Mutex<Suspicion>,
+    suspicion: Mutex<HalfOpenCorrelator>,
     /// Connections that were opened before this are suspect.
     suspect_before: watch::Sender<Option<Instant>>,
     found: AtomicU64,
@@ -59,20 +59,20 @@
 /// Tells all users of a process's connections when they become suspect. Clones
 /// share it.
 #[derive(Clone, Debug, Default)]
-pub struct HalfOpen {
+pub struct HalfOpenDetector {
     inner: Arc<Inner>,
 }
 
-impl HalfOpen {
+impl HalfOpenDetector {
     /// Takes in that a connection was half-open: a call on it had no answer, and one on
     /// a new connection had.
-    pub fn found(&self, f: Finding) {
+    pub fn report(&self, f: HalfOpenConnection) {
         self.inner.found.fetch_add(1, Ordering::Relaxed);
         let now = Instant::now();
         let silent_ms = (now - f.silent_since).as_millis();
         log::info!("event=connection_half_open address={} silent_ms={silent_ms}", f.address);
         let address = f.address.clone();
-        if let Some(before) = self.inner.suspicion.lock().found(f, now) {
+        if let Some(before) = self.inner.suspicion.lock().report(f, now) {
             let ago = (now - before).as_millis();
             log::warn!("event=connections_suspected opened_before_ms={ago} by={address}");
             self.inner.suspect_before.send_replace(Some(before));
@@ -85,7 +85,7 @@
     }
 
     /// Waits until a connection that was opened then is suspect.
-    pub async fn suspected(&self, opened: Instant) {
+    pub async fn until_suspect(&self, opened: Instant) {
         let mut before = self.inner.suspect_before.subscribe();
         // The sender lives as long as this.
         let _ = before.wait_for(|b| b.is_some_and(|before| opened < before)).await;
--- a/crates/workswood-peers/src/connection.rs
+++ b/crates/workswood-peers/src/connection.rs
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
-use workswood_liveness::{AdaptiveTimeout, Finding, HalfOpen};
+use workswood_liveness::{AdaptiveTimeout, HalfOpenConnection, HalfOpenDetector};
 use workswood_traffic::Traffic;
 
 use crate::counting_stream::CountingStream;
@@ -53,7 +53,7 @@
     pub(crate) rx: mpsc::Receiver<(u64, Msg)>,
     pub(crate) calls: PendingCalls,
     bytes_sent: Arc<AtomicU64>,
-    half_open: HalfOpen,
+    half_open: HalfOpenDetector,
     traffic: Traffic,
     hello: Hello,
     /// Since when the previous connection was silent, if it ended for that reason.
@@ -127,7 +127,7 @@
         rx: mpsc::Receiver<(u64, Msg)>,
         calls: PendingCalls,
         bytes_sent: Arc<AtomicU64>,
-        half_open: HalfOpen,
+        half_open: HalfOpenDetector,
         hello: Hello,
         traffic: Traffic,
     ) -> ConnectionDriver {
@@ -188,7 +188,7 @@
                     self.received_any = true;
                     monitor.on_received(self.calls.is_any_sent());
                     if let Some(silent_since) = self.silent_since.take() {
-                        half_open.found(Finding { address: address.to_string(), silent_since });
+                        half_open.report(HalfOpenConnection { address: address.to_string(), silent_since });
                     }
                 }
                 () = monitor.until_deadline() => {
@@ -202,7 +202,7 @@
                         return ConnectionEnd::Broken;
                     }
                 }
-                () = half_open.suspected(opened_at) => return ConnectionEnd::Suspect,
+                () = half_open.until_suspect(opened_at) => return ConnectionEnd::Suspect,
             }
         }
     }
--- a/crates/workswood-peers/src/link.rs
+++ b/crates/workswood-peers/src/link.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
-use workswood_liveness::HalfOpen;
+use workswood_liveness::HalfOpenDetector;
 use workswood_traffic::Traffic;
 
 use crate::connection::{ConnectionDriver, ConnectionEnd};
@@ -60,7 +60,7 @@
         address: String,
         token: String,
         incarnation: String,
-        half_open: HalfOpen,
+        half_open: HalfOpenDetector,
         traffic: Traffic,
     ) -> Link {
         let (tx, rx) = mpsc::channel(SEND_QUEUE_LEN);
--- a/crates/workswood-platform/src/http.rs
+++ b/crates/workswood-platform/src/http.rs
@@ -12,7 +12,7 @@
 use workswood_core::ids::Offset;
 use workswood_core::plan::{Act, Seen};
 use workswood_http::{Answer, Call, Failure, HttpClient, Limits, Repeat};
-use workswood_liveness::HalfOpen;
+use workswood_liveness::HalfOpenDetector;
 use workswood_traffic::Traffic;
 
 use crate::{CALL_TIMEOUT, Error, GarbledSnafu, Platform, ReadReply};
@@ -45,12 +45,12 @@
 impl HttpPlatform {
     /// A client of the platform at an IP address and port.
     pub fn new(address: &str) -> HttpPlatform {
-        HttpPlatform::sharing(address, HalfOpen::default())
+        HttpPlatform::sharing(address, HalfOpenDetector::default())
     }
 
     /// A client that shares what is found out of connections with the process's other
     /// clients.
-    pub fn sharing(address: &str, half_open: HalfOpen) -> HttpPlatform {
+    pub fn sharing(address: &str, half_open: HalfOpenDetector) -> HttpPlatform {
         let http = HttpClient::new(LIMITS, MOST_BYTES, half_open, Traffic::default());
         HttpPlatform { address: address.to_string(), http }
     }
--- a/src/workswood/ops/entry/mod.rs
+++ b/src/workswood/ops/entry/mod.rs
@@ -31,7 +31,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
-use workswood_liveness::HalfOpen;
+use workswood_liveness::HalfOpenDetector;
 use workswood_platform::HttpPlatform;
 
 pub use node::Node;
@@ -61,7 +61,7 @@
         let callers = listen(&mut settings.callers).await?;
         let operators = listen(&mut settings.operators).await?;
         let peers = listen(&mut settings.peers).await?;
-        let half_open = HalfOpen::default();
+        let half_open = HalfOpenDetector::default();
         let platform = HttpPlatform::sharing(&settings.platform.to_string(), half_open.clone());
         let (node, appends) = Node::new(settings, tokens, Arc::new(platform), half_open);
         log::info!(
--- a/src/workswood/ops/entry/node.rs
+++ b/src/workswood/ops/entry/node.rs
@@ -14,7 +14,7 @@
 use workswood_core::member::Members;
 use workswood_core::route::RouteTable;
 use workswood_endpoints::EndpointClient;
-use workswood_liveness::HalfOpen;
+use workswood_liveness::HalfOpenDetector;
 use workswood_peers::Link;
 use workswood_platform::Platform;
 
@@ -42,7 +42,7 @@
     /// The platform.
     pub platform: Arc<dyn Platform>,
     /// What has been found out of connections to the platform, peers and endpoints.
-    pub half_open: HalfOpen,
+    pub half_open: HalfOpenDetector,
     /// Client of all endpoints.
     pub endpoints: EndpointClient,
     /// The folded state.
@@ -103,7 +103,7 @@
         settings: Settings,
         tokens: Tokens,
         platform: Arc<dyn Platform>,
-        half_open: HalfOpen,
+        half_open: HalfOpenDetector,
     ) -> (Arc<Node>, mpsc::Receiver<Job>) {
         let (tx, rx) = mpsc::channel(8 * 1024);
         let node = Node {
--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -54,7 +54,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch as channel;
 use workswood_adapter::{Addresses, PlatformClient};
-use workswood_liveness::HalfOpen;
+use workswood_liveness::HalfOpenDetector;
 use workswood_platform::jobs::JobPlatform;
 use workswood_traffic::Traffic;
 
@@ -86,7 +86,7 @@
         machines: settings.hosts.clone(),
         adviser: settings.adviser().map(str::to_string),
     };
-    let (half_open, traffic) = (HalfOpen::default(), Traffic::default());
+    let (half_open, traffic) = (HalfOpenDetector::default(), Traffic::default());
     let platform: Arc<dyn JobPlatform> =
         Arc::new(PlatformClient::sharing(addresses, half_open.clone(), traffic.clone()));
     let clock = Clock::of_host();
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{Notify, mpsc, watch};
 use workswood_core::ids::{Incarnation, Term, UnixMs};
 use workswood_core::jobs::{Event, SchedConfig, Wave};
-use workswood_liveness::{HalfOpen, TimerLag};
+use workswood_liveness::{HalfOpenDetector, TimerLag};
 use workswood_platform::jobs::JobPlatform;
 use workswood_traffic::Traffic;
 
@@ -111,7 +111,7 @@
     /// Where callers' jobs and cancels wait to be stored.
     pub inbox: Inbox,
     /// What its tasks have found out of their connections.
-    pub half_open: HalfOpen,
+    pub half_open: HalfOpenDetector,
     /// What goes over its link.
     pub traffic: Traffic,
     /// How late this process itself is.
@@ -137,7 +137,13 @@
 impl Node {
     /// A process that has not read anything yet, on the clock of the runtime.
     pub fn new(settings: JobSettings, platform: Arc<dyn JobPlatform>) -> Node {
-        Node::sharing(settings, platform, Clock::of_runtime(), HalfOpen::default(), Traffic::default())
+        Node::sharing(
+            settings,
+            platform,
+            Clock::of_runtime(),
+            HalfOpenDetector::default(),
+            Traffic::default(),
+        )
     }
 
     /// Likewise, on this clock; what the platform's client finds out of connections, and what
@@ -146,7 +152,7 @@
         settings: JobSettings,
         platform: Arc<dyn JobPlatform>,
         clock: Clock,
-        half_open: HalfOpen,
+        half_open: HalfOpenDetector,
         traffic: Traffic,
     ) -> Node {
         let operators = Operators::new(settings.news_wait());
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -16,7 +16,7 @@
 use workswood_core::ids::{DataCentre, Offset, UnixMs};
 use workswood_core::jobs::RelayEntry;
 use workswood_core::jobs::claim::{self, Entry, Strength};
-use workswood_liveness::HalfOpen;
+use workswood_liveness::HalfOpenDetector;
 use workswood_peers::{CallError, Link, Msg};
 use workswood_platform::jobs::{Guard, KeyedRecord, StoreError, Topic};
 use workswood_traffic::Traffic;
@@ -82,7 +82,7 @@
     /// Has the records read soon.
     wanted: Notify,
     links: Mutex<HashMap<String, Kept>>,
-    half_open: HalfOpen,
+    half_open: HalfOpenDetector,
     traffic: Traffic,
     /// Whose turn it is to be asked for help.
     turn: AtomicUsize,
@@ -102,7 +102,7 @@
 impl Peers {
     /// Connections to nobody yet; what is found out of them, and what goes over them, is
     /// shared with others.
-    pub fn sharing(half_open: HalfOpen, traffic: Traffic) -> Peers {
+    pub fn sharing(half_open: HalfOpenDetector, traffic: Traffic) -> Peers {
         Peers { half_open, traffic, ..Peers::default() }
     }
 
