--- a/crates/workswood-http/src/client.rs
+++ b/crates/workswood-http/src/client.rs
@@ -21,22 +21,22 @@
 
 /// Whether a call may be done twice, and how.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// It is sent once.
     #[default]
     Never,
     /// If its answer is late, or its connection breaks or becomes suspect, the same is
     /// sent over a new connection.
-    Same,
+    Resend,
     /// Likewise, but with a late answer only once a cheap read over the new connection was answered: the
     /// call takes its turn at the peer, and sent twice it would take two.
-    Probed {
+    ResendAfterProbe {
         /// Path and query of the read.
         path: String,
     },
-    /// Like [`Repeat::Same`]; the call may wait for its answer, and what is sent again
+    /// Like [`RetryPolicy::Resend`]; the call may wait for its answer, and what is sent again
     /// is a request for an answer at once.
-    Waits {
+    LongPoll {
         /// Longest time that the call asks to wait.
         wait: Duration,
         /// Path and query of the second request.
@@ -60,24 +60,24 @@
     /// Its body; empty for none.
     pub body: Bytes,
     /// Whether it may be done twice.
-    pub repeat: Repeat,
+    pub retry: RetryPolicy,
     /// What it is for.
     pub purpose: Purpose,
 }
 
 /// A whole answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// Its status.
     pub status: StatusCode,
     /// Its body.
     pub body: Bytes,
     /// Whether the call was sent before, and what came of that is not known. Then a
     /// refusal says nothing of the call: the copy sent first may be carried out.
-    pub repeated: bool,
+    pub retried: bool,
 }
 
-impl Answer {
+impl Response {
     /// Whether the peer has dealt with the call. One that is busy turns a copy away
     /// while the first waits for its turn.
     fn is_final(&self) -> bool {
@@ -87,7 +87,7 @@
 
 /// Why there is no whole answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum CallError {
     /// No connection was made; nothing was sent.
     NotSent(String),
     /// Something may have been sent.
@@ -110,7 +110,7 @@
 
 /// How the first attempt at a call went.
 enum First {
-    Ended(Result<Answer, Failure>),
+    Ended(Result<Response, CallError>),
     /// Its answer is late.
     Late,
     /// Its connection has become suspect.
@@ -130,23 +130,25 @@
     }
 
     /// Makes a call. A connection whose answer did not come in time is closed.
-    pub async fn call(&self, call: &Call<'_>, timeout: Duration) -> Result<Answer, Failure> {
+    pub async fn call(&self, call: &Call<'_>, timeout: Duration) -> Result<Response, CallError> {
         let until = Instant::now() + timeout;
-        match call.repeat {
-            Repeat::Never => self.once(call, until).await,
-            Repeat::Same | Repeat::Probed { .. } | Repeat::Waits { .. } => self.repeatable(call, until).await,
+        match call.retry {
+            RetryPolicy::Never => self.once(call, until).await,
+            RetryPolicy::Resend | RetryPolicy::ResendAfterProbe { .. } | RetryPolicy::LongPoll { .. } => {
+                self.repeatable(call, until).await
+            }
         }
     }
 
     /// Makes a call that is sent once.
-    async fn once(&self, call: &Call<'_>, until: Instant) -> Result<Answer, Failure> {
+    async fn once(&self, call: &Call<'_>, until: Instant) -> Result<Response, CallError> {
         let attempt = self.pool.attempt(call.address, Duration::ZERO);
         let req = request(call, call.path, &call.body)?;
         tokio::select! {
             res = self.exchange(call, &attempt, req, false) => res,
             () = attempt.suspected() => {
                 attempt.abandon();
-                Err(Failure::NoAnswer("the connection went silent".to_string()))
+                Err(CallError::NoAnswer("the connection went silent".to_string()))
             }
             // Dropped without an end, the attempt counts as unanswered.
             () = attempt.overdue(until) => Err(timed_out()),
@@ -154,7 +156,7 @@
     }
 
     /// Makes a call that may be sent twice.
-    async fn repeatable(&self, call: &Call<'_>, until: Instant) -> Result<Answer, Failure> {
+    async fn repeatable(&self, call: &Call<'_>, until: Instant) -> Result<Response, CallError> {
         let first = self.pool.attempt(call.address, call.waits());
         let req = request(call, call.path, &call.body)?;
         let mut sent = pin!(self.exchange(call, &first, req, call.is_quick()));
@@ -164,7 +166,7 @@
             () = first.overdue(until.min(first.late_at())) => First::Late,
         };
         match end {
-            First::Ended(Err(Failure::NoAnswer(_))) => self.again(call, until).await,
+            First::Ended(Err(CallError::NoAnswer(_))) => self.again(call, until).await,
             First::Ended(res) => res,
             First::Suspected => {
                 first.abandon();
@@ -178,11 +180,11 @@
                     res = &mut again => res,
                     res = &mut sent => return match res {
                         // With a copy on its way, "not sent" would not be true.
-                        Err(e) if matches!(e, Failure::NoAnswer(_)) || copied.load(Ordering::Relaxed) => again.await,
+                        Err(e) if matches!(e, CallError::NoAnswer(_)) || copied.load(Ordering::Relaxed) => again.await,
                         res => res,
                     },
                 };
-                if copy.as_ref().is_ok_and(Answer::is_final) {
+                if copy.as_ref().is_ok_and(Response::is_final) {
                     first.abandon();
                     return copy;
                 }
@@ -203,8 +205,8 @@
         first: &Attempt<Full<Bytes>>,
         copied: &AtomicBool,
         until: Instant,
-    ) -> Result<Answer, Failure> {
-        if let Repeat::Probed { path } = &call.repeat
+    ) -> Result<Response, CallError> {
+        if let RetryPolicy::ResendAfterProbe { path } = &call.retry
             && !self.is_quick(call, path, first.late_after(), until).await
         {
             // Only the first one can be answered.
@@ -213,7 +215,7 @@
         }
         copied.store(true, Ordering::Relaxed);
         let res = self.again(call, until).await;
-        if res.as_ref().is_ok_and(Answer::is_final) {
+        if res.as_ref().is_ok_and(Response::is_final) {
             first.was_silent();
         }
         res
@@ -229,7 +231,7 @@
             path,
             headers: &[],
             body: Bytes::new(),
-            repeat: Repeat::Never,
+            retry: RetryPolicy::Never,
             purpose: call.purpose,
         };
         let begun = Instant::now();
@@ -241,19 +243,21 @@
     }
 
     /// Sends what may be done twice over a connection that is not suspect.
-    async fn again(&self, call: &Call<'_>, until: Instant) -> Result<Answer, Failure> {
-        let (path, body) = match &call.repeat {
-            Repeat::Waits { path, body, .. } => (path.as_str(), body),
-            Repeat::Never | Repeat::Same | Repeat::Probed { .. } => (call.path, &call.body),
+    async fn again(&self, call: &Call<'_>, until: Instant) -> Result<Response, CallError> {
+        let (path, body) = match &call.retry {
+            RetryPolicy::LongPoll { path, body, .. } => (path.as_str(), body),
+            RetryPolicy::Never | RetryPolicy::Resend | RetryPolicy::ResendAfterProbe { .. } => {
+                (call.path, &call.body)
+            }
         };
         let second = self.pool.attempt(call.address, Duration::ZERO);
         let req = request(call, path, body)?;
         let begun = Instant::now();
         tokio::select! {
             res = self.exchange(call, &second, req, false) => match res {
-                Ok(answer) => Ok(Answer { repeated: true, ..answer }),
+                Ok(answer) => Ok(Response { retried: true, ..answer }),
                 // What was sent first may have arrived.
-                Err(e) => Err(Failure::NoAnswer(text_of(e))),
+                Err(e) => Err(CallError::NoAnswer(text_of(e))),
             },
             () = second.overdue(until) => {
                 // The connection was new: the peer needs at least this long.
@@ -271,7 +275,7 @@
         attempt: &Attempt<Full<Bytes>>,
         req: Request<Full<Bytes>>,
         quick: bool,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<Response, CallError> {
         let begun = Instant::now();
         let res = self.send(attempt, req).await;
         let received = res.as_ref().map_or(0, |a| HEAD + a.body.len());
@@ -292,48 +296,52 @@
         &self,
         attempt: &Attempt<Full<Bytes>>,
         req: Request<Full<Bytes>>,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<Response, CallError> {
         let res = attempt.send(req).await.map_err(|e| {
-            if e.is_connect() { Failure::NotSent(e.to_string()) } else { Failure::NoAnswer(e.to_string()) }
+            if e.is_connect() {
+                CallError::NotSent(e.to_string())
+            } else {
+                CallError::NoAnswer(e.to_string())
+            }
         })?;
         let status = res.status();
         let body = read_body(Limited::new(res.into_body(), self.most_bytes)).await?;
-        Ok(Answer { status, body, repeated: false })
+        Ok(Response { status, body, retried: false })
     }
 }
 
 impl Call<'_> {
     /// How long its answer may wait for something to happen.
     fn waits(&self) -> Duration {
-        match &self.repeat {
-            Repeat::Never | Repeat::Same | Repeat::Probed { .. } => Duration::ZERO,
-            Repeat::Waits { wait, .. } => *wait,
+        match &self.retry {
+            RetryPolicy::Never | RetryPolicy::Resend | RetryPolicy::ResendAfterProbe { .. } => Duration::ZERO,
+            RetryPolicy::LongPoll { wait, .. } => *wait,
         }
     }
 
     /// Whether the time that its answer takes is the peer's own.
     fn is_quick(&self) -> bool {
-        match self.repeat {
-            Repeat::Same | Repeat::Probed { .. } => true,
-            Repeat::Never | Repeat::Waits { .. } => false,
+        match self.retry {
+            RetryPolicy::Resend | RetryPolicy::ResendAfterProbe { .. } => true,
+            RetryPolicy::Never | RetryPolicy::LongPoll { .. } => false,
         }
     }
 }
 
 /// Reads a body as long as some of it comes.
-async fn read_body(mut body: Limited<Incoming>) -> Result<Bytes, Failure> {
+async fn read_body(mut body: Limited<Incoming>) -> Result<Bytes, CallError> {
     let mut whole = BytesMut::new();
     loop {
         let frame = tokio::time::timeout(BODY_SILENT, body.frame()).await;
         match frame.map_err(|_| timed_out())? {
             Some(Ok(frame)) => whole.extend(frame.into_data().ok()),
-            Some(Err(e)) => return Err(Failure::NoAnswer(e.to_string())),
+            Some(Err(e)) => return Err(CallError::NoAnswer(e.to_string())),
             None => return Ok(whole.freeze()),
         }
     }
 }
 
-fn request(call: &Call<'_>, path: &str, body: &Bytes) -> Result<Request<Full<Bytes>>, Failure> {
+fn request(call: &Call<'_>, path: &str, body: &Bytes) -> Result<Request<Full<Bytes>>, CallError> {
     let uri = format!("http://{}{path}", call.address);
     let mut req = Request::builder().method(call.method.clone()).uri(uri);
     if !body.is_empty() {
@@ -342,15 +350,15 @@
     for (name, value) in call.headers {
         req = req.header(HeaderName::from_static(name), value);
     }
-    req.body(Full::new(body.clone())).map_err(|e| Failure::NotSent(e.to_string()))
+    req.body(Full::new(body.clone())).map_err(|e| CallError::NotSent(e.to_string()))
 }
 
-fn timed_out() -> Failure {
-    Failure::NoAnswer("timed out".to_string())
+fn timed_out() -> CallError {
+    CallError::NoAnswer("timed out".to_string())
 }
 
-fn text_of(f: Failure) -> String {
+fn text_of(f: CallError) -> String {
     match f {
-        Failure::NotSent(text) | Failure::NoAnswer(text) => text,
+        CallError::NotSent(text) | CallError::NoAnswer(text) => text,
     }
 }
--- a/crates/workswood-http/src/lib.rs
+++ b/crates/workswood-http/src/lib.rs
@@ -9,5 +9,5 @@
 mod pool;
 
 pub use attempt::Attempt;
-pub use client::{Answer, Call, Failure, Header, HttpClient, Repeat};
+pub use client::{Call, CallError, Header, HttpClient, Response, RetryPolicy};
 pub use pool::{Limits, Pool};
--- a/crates/workswood-platform/src/http.rs
+++ b/crates/workswood-platform/src/http.rs
@@ -11,7 +11,7 @@
 use snafu::ResultExt;
 use workswood_core::ids::Offset;
 use workswood_core::plan::{Act, Seen};
-use workswood_http::{Answer, Call, Failure, HttpClient, Limits, Repeat};
+use workswood_http::{Call, CallError, HttpClient, Limits, Response, RetryPolicy};
 use workswood_liveness::HalfOpenDetector;
 use workswood_traffic::Traffic;
 
@@ -57,13 +57,13 @@
 
     /// Reads something; a read may be done twice.
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
-        self.call(Method::GET, path, String::new(), Repeat::Same).await
+        self.call(Method::GET, path, String::new(), RetryPolicy::Resend).await
     }
 
     /// Has something done. It is sent once: the log takes a copy of a record as another
     /// record, and a copy of an act may be refused because the act was done.
     async fn post<T: DeserializeOwned>(&self, path: &str, body: String) -> Result<T, Error> {
-        self.call(Method::POST, path, body, Repeat::Never).await
+        self.call(Method::POST, path, body, RetryPolicy::Never).await
     }
 
     async fn call<T: DeserializeOwned>(
@@ -71,33 +71,33 @@
         method: Method,
         path: &str,
         body: String,
-        repeat: Repeat,
+        retry: RetryPolicy,
     ) -> Result<T, Error> {
         let body = Bytes::from(body);
         let call =
-            Call { method, address: &self.address, path, headers: &[], body, repeat, purpose: "platform" };
+            Call { method, address: &self.address, path, headers: &[], body, retry, purpose: "platform" };
         let answer = self.http.call(&call, CALL_TIMEOUT).await.map_err(|f| self.failed(f))?;
         read(&answer)
     }
 
-    fn failed(&self, f: Failure) -> Error {
+    fn failed(&self, f: CallError) -> Error {
         match f {
-            Failure::NotSent(text) => {
+            CallError::NotSent(text) => {
                 log::debug!("event=platform_unreachable address={} error={text:?}", self.address);
                 Error::Unreachable { address: self.address.clone() }
             }
-            Failure::NoAnswer(text) => Error::NoAnswer { text },
+            CallError::NoAnswer(text) => Error::NoAnswer { text },
         }
     }
 }
 
 /// What an answer says.
-fn read<T: DeserializeOwned>(a: &Answer) -> Result<T, Error> {
+fn read<T: DeserializeOwned>(a: &Response) -> Result<T, Error> {
     if a.status.is_success() {
         return serde_json::from_slice(&a.body).context(GarbledSnafu);
     }
     // What was sent first may have had its effect although the copy is refused.
-    if a.status.is_server_error() || a.repeated {
+    if a.status.is_server_error() || a.retried {
         return Err(Error::NoAnswer { text: a.status.to_string() });
     }
     let text = String::from_utf8_lossy(&a.body).into_owned();
