--- a/crates/workswood-endpoints/src/lib.rs
+++ b/crates/workswood-endpoints/src/lib.rs
@@ -12,16 +12,16 @@
 use hyper::body::{Body, Frame, Incoming};
 use hyper::{Request, Response};
 use snafu::Snafu;
-use workswood_http::{Limits, Pool};
+use workswood_http::{Pool, PoolLimits};
 use workswood_liveness::HalfOpenDetector;
 
 /// Bounds of connections to endpoints.
-const LIMITS: Limits = Limits {
-    connect: Duration::from_millis(500),
-    idle: Duration::from_secs(5),
+const LIMITS: PoolLimits = PoolLimits {
+    connect_timeout: Duration::from_millis(500),
+    idle_timeout: Duration::from_secs(5),
     // With the slots that an entry host holds, all entry hosts together stay under
     // an endpoint's limit.
-    most_idle: 3,
+    max_idle_per_address: 3,
 };
 
 /// A body sent to an endpoint or taken from one.
--- a/crates/workswood-http/src/client.rs
+++ b/crates/workswood-http/src/client.rs
@@ -14,7 +14,7 @@
 use workswood_traffic::{Purpose, Traffic};
 
 use crate::attempt::Attempt;
-use crate::pool::{Limits, Pool};
+use crate::pool::{Pool, PoolLimits};
 
 /// A header of a call: name in lower case, and value.
 pub type Header = (&'static str, String);
@@ -121,7 +121,7 @@
     /// A client without connections that reads answers up to a size. What it finds
     /// out of connections, and what goes over them, is shared with others.
     pub fn new(
-        limits: Limits,
+        limits: PoolLimits,
         most_bytes: usize,
         half_open: HalfOpenDetector,
         traffic: Traffic,
--- a/crates/workswood-http/src/lib.rs
+++ b/crates/workswood-http/src/lib.rs
@@ -10,4 +10,4 @@
 
 pub use attempt::Attempt;
 pub use client::{Call, CallError, Header, HttpClient, Response, RetryPolicy};
-pub use pool::{Limits, Pool};
+pub use pool::{Pool, PoolLimits};
--- a/crates/workswood-http/src/pool.rs
+++ b/crates/workswood-http/src/pool.rs
@@ -22,13 +22,13 @@
 
 /// Bounds of a pool.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct PoolLimits {
     /// Longest wait for a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// How long an idle connection, and what is known of its address, is kept.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Idle connections kept to one address.
-    pub most_idle: usize,
+    pub max_idle_per_address: usize,
 }
 
 /// Connections to many addresses. Clones share them.
@@ -44,7 +44,7 @@
 
 struct Shared<B> {
     connector: HttpConnector,
-    limits: Limits,
+    limits: PoolLimits,
     half_open: HalfOpenDetector,
     peers: Mutex<HashMap<String, Arc<Peer<B>>>>,
 }
@@ -78,10 +78,10 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     /// A pool without connections; what it finds out is shared with others.
-    pub fn new(limits: Limits, half_open: HalfOpenDetector) -> Pool<B> {
+    pub fn new(limits: PoolLimits, half_open: HalfOpenDetector) -> Pool<B> {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(limits.connect));
+        connector.set_connect_timeout(Some(limits.connect_timeout));
         let shared = Shared { connector, limits, half_open, peers: Mutex::default() };
         Pool { shared: Arc::new(shared) }
     }
@@ -109,7 +109,7 @@
         if let Some(p) = peers.get(address) {
             return p.clone();
         }
-        let idle = self.shared.limits.idle;
+        let idle = self.shared.limits.idle_timeout;
         let now = Instant::now();
         peers.retain(|_, p| now < p.now.lock().used + idle);
         let peer = Arc::new(self.new_peer(address, now));
@@ -132,8 +132,8 @@
         let limits = &self.shared.limits;
         Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(limits.idle)
-            .pool_max_idle_per_host(limits.most_idle)
+            .pool_idle_timeout(limits.idle_timeout)
+            .pool_max_idle_per_host(limits.max_idle_per_address)
             .build(self.shared.connector.clone())
     }
 }
--- a/crates/workswood-platform/src/http.rs
+++ b/crates/workswood-platform/src/http.rs
@@ -11,21 +11,21 @@
 use snafu::ResultExt;
 use workswood_core::ids::Offset;
 use workswood_core::plan::{Act, Seen};
-use workswood_http::{Call, CallError, HttpClient, Limits, Response, RetryPolicy};
+use workswood_http::{Call, CallError, HttpClient, PoolLimits, Response, RetryPolicy};
 use workswood_liveness::HalfOpenDetector;
 use workswood_traffic::Traffic;
 
 use crate::{CALL_TIMEOUT, Error, GarbledSnafu, Platform, ReadReply};
 
 /// Bounds of connections to the platform.
-const LIMITS: Limits = Limits {
+const LIMITS: PoolLimits = PoolLimits {
     // A dead port refuses at once; a cut link says nothing. Half of a call's time, so that
     // the call ends by saying that nothing was sent.
-    connect: Duration::from_millis(500),
+    connect_timeout: Duration::from_millis(500),
     // Longer than any gap between reads of the log.
-    idle: Duration::from_secs(30),
+    idle_timeout: Duration::from_secs(30),
     // One each for the reads of the log, its appends, and the planner's lists and acts.
-    most_idle: 3,
+    max_idle_per_address: 3,
 };
 /// Largest answer that is read. A read of the log brings 512 records of about 1 MiB at
 /// most, and as text within JSON they are up to twice as long.
