--- a/crates/workswood-platform/src/jobs.rs
+++ b/crates/workswood-platform/src/jobs.rs
@@ -16,7 +16,7 @@
 };
 
 /// One of the streams that a topic is divided into.
-pub type Part = u16;
+pub type Partition = u16;
 
 /// A stream of records in the platform's store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -24,7 +24,7 @@
     /// Who holds the scheduler lease.
     Lease,
     /// Jobs and cancels, as entries accepted them; divided into parts.
-    Inbox(Part),
+    Inbox(Partition),
     /// State of the scheduler.
     State,
     /// What operators write.
--- a/src/workswood/ops/job_status/mod.rs
+++ b/src/workswood/ops/job_status/mod.rs
@@ -14,7 +14,7 @@
 use snafu::ResultExt;
 use workswood_adapter::{Addresses, PlatformClient};
 use workswood_core::jobs::Host;
-use workswood_platform::jobs::{JobPlatform, KeyedRecord, Part, StoreError, Topic};
+use workswood_platform::jobs::{JobPlatform, KeyedRecord, Partition, StoreError, Topic};
 
 pub use sum::{HolderStatus, JobsStatus, PoolStatus, QueueStatus, WaveStatus, sum};
 pub use text::text;
@@ -56,12 +56,12 @@
     let addresses =
         Addresses { store: settings.store.clone(), machines: settings.hosts.clone(), adviser: None };
     let platform = PlatformClient::new(addresses);
-    let parts: Vec<Part> = inbox::parts(settings.store_parts).collect();
+    let parts: Vec<Partition> = inbox::parts(settings.store_parts).collect();
     let seen = read(&platform, &parts).await.context(StoreSnafu { address: &settings.store })?;
     Ok(sum(&platform, &seen))
 }
 
-async fn read(platform: &PlatformClient, parts: &[Part]) -> std::result::Result<Seen, StoreError> {
+async fn read(platform: &PlatformClient, parts: &[Partition]) -> std::result::Result<Seen, StoreError> {
     let lease = platform.newest(Topic::Lease).await?;
     let renewed = async { platform.tail(Topic::Lease, lease.next, RENEWAL_WAIT).await };
     let inbox = try_join_all(parts.iter().map(|p| platform.newest(Topic::Inbox(*p))));
--- a/src/workswood/ops/jobs/feeds.rs
+++ b/src/workswood/ops/jobs/feeds.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use workswood_core::ids::Offset;
 use workswood_core::jobs::Event;
-use workswood_platform::jobs::{Guard, KeyedRecord, Part, StoreError, Topic};
+use workswood_platform::jobs::{Guard, KeyedRecord, Partition, StoreError, Topic};
 
 use super::follow::topic;
 use super::load::{inbox_event, note_kept};
@@ -37,7 +37,7 @@
 
     /// Notes that a part was read to its end; returns when all parts were at the
     /// earliest.
-    fn note(&self, part: Part, at: Duration) -> Duration {
+    fn note(&self, part: Partition, at: Duration) -> Duration {
         let mut read_at = self.read_at.lock();
         if let Some(mine) = read_at.get_mut(usize::from(part)) {
             *mine = at;
@@ -51,7 +51,7 @@
     node: Arc<Node>,
     l: Arc<Leading>,
     progress: Arc<InboxProgress>,
-    part: Part,
+    part: Partition,
     mut next: Offset,
 ) {
     let topic = Topic::Inbox(part);
@@ -87,7 +87,7 @@
     }
 }
 
-fn hand_over(l: &Leading, part: Part, records: &[KeyedRecord]) {
+fn hand_over(l: &Leading, part: Partition, records: &[KeyedRecord]) {
     for rec in records {
         note_kept(&mut l.kept.lock(), part, rec);
         if let Some(ev) = inbox_event(rec) {
--- a/src/workswood/ops/jobs/inbox.rs
+++ b/src/workswood/ops/jobs/inbox.rs
@@ -28,7 +28,7 @@
 use tokio::task::JoinSet;
 use workswood_core::jobs::{JobKey, Owner};
 use workswood_liveness::AdaptiveTimeout;
-use workswood_platform::jobs::{Guard, KeyedRecord, Part, StoreError, Topic};
+use workswood_platform::jobs::{Guard, KeyedRecord, Partition, StoreError, Topic};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::help;
@@ -60,7 +60,7 @@
 const FAILS_FOR: Duration = Duration::from_millis(1000);
 /// Parts of the inbox that are used. Each is read by the lease holder all the
 /// time, about one call a second; with twelve, 32 hosts wait for two others.
-const MOST_PARTS: Part = 12;
+const MOST_PARTS: Partition = 12;
 
 /// Whether a record is in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -142,14 +142,14 @@
 }
 
 /// The parts of the inbox, of a store whose topics have so many.
-pub fn parts(of_store: Part) -> impl Iterator<Item = Part> + Clone {
+pub fn parts(of_store: Partition) -> impl Iterator<Item = Partition> + Clone {
     0..of_store.clamp(1, MOST_PARTS)
 }
 
 /// The part that a host writes into.
-pub fn part_of(host: &str, of_store: Part) -> Part {
+pub fn part_of(host: &str, of_store: Partition) -> Partition {
     let count = u64::from(of_store.clamp(1, MOST_PARTS));
-    (xxh3_64(host.as_bytes()) % count) as Part
+    (xxh3_64(host.as_bytes()) % count) as Partition
 }
 
 /// Which parts of the inbox hold which keys; what has to be dropped there once a
@@ -159,24 +159,24 @@
 
 impl Kept {
     /// Notes that a part holds a key.
-    pub fn note(&mut self, part: Part, key: InboxKey) {
+    pub fn note(&mut self, part: Partition, key: InboxKey) {
         *self.0.entry(key).or_insert(0) |= 1 << part;
     }
 
     /// Whether a part holds a key.
-    pub fn holds(&self, part: Part, key: InboxKey) -> bool {
+    pub fn holds(&self, part: Partition, key: InboxKey) -> bool {
         self.0.get(&key).is_some_and(|parts| parts & (1 << part) != 0)
     }
 
     /// Keys of a job that a part holds, whoever wrote them.
-    pub fn keys_of(&self, part: Part, job: JobKey) -> Vec<InboxKey> {
+    pub fn keys_of(&self, part: Partition, job: JobKey) -> Vec<InboxKey> {
         let first = InboxKey { job, owner: Owner::PUBLIC, what: InboxItem::Job };
         let of_job = self.0.range(first..).take_while(|(key, _)| key.job == job);
         of_job.filter(|(_, parts)| **parts & (1 << part) != 0).map(|(key, _)| *key).collect()
     }
 
     /// Notes that a part holds a key no longer.
-    pub fn dropped(&mut self, part: Part, key: InboxKey) {
+    pub fn dropped(&mut self, part: Partition, key: InboxKey) {
         let Some(parts) = self.0.get_mut(&key) else { return };
         *parts &= !(1 << part);
         if *parts == 0 {
@@ -268,7 +268,7 @@
 }
 
 /// Sends records in one append; returns those that are to be sent again.
-async fn append(node: Arc<Node>, part: Part, mut batch: Vec<Waiting>) -> Vec<Waiting> {
+async fn append(node: Arc<Node>, part: Partition, mut batch: Vec<Waiting>) -> Vec<Waiting> {
     node.inbox.on_the_way.fetch_add(1, Ordering::Relaxed);
     let tried = try_append(&node, part, &batch).await;
     node.inbox.on_the_way.fetch_sub(1, Ordering::Relaxed);
@@ -310,7 +310,7 @@
 }
 
 /// Sends an append, and asks for help with it if it is refused or hangs.
-async fn try_append(node: &Node, part: Part, batch: &[Waiting]) -> Tried {
+async fn try_append(node: &Node, part: Partition, batch: &[Waiting]) -> Tried {
     if !node.settings.policy.calls.help {
         return Tried { own: append_here(node, part, batch).await, helped: vec![None; batch.len()] };
     }
@@ -344,7 +344,7 @@
 }
 
 /// Sends an append from here, unless the store has been silent.
-async fn append_here(node: &Node, part: Part, batch: &[Waiting]) -> Own {
+async fn append_here(node: &Node, part: Partition, batch: &[Waiting]) -> Own {
     if node.store_silence() > STORE_SILENT {
         return Own::Refused;
     }
--- a/src/workswood/ops/jobs/load.rs
+++ b/src/workswood/ops/jobs/load.rs
@@ -8,7 +8,7 @@
 use workswood_core::ids::{HostId, Offset};
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{Event, JobKey, JobRecord, JobSpec, Scheduler, WaveRecord, WorkerRecord};
-use workswood_platform::jobs::{Guard, KeyedRecord, Newest, Part, StoreError, Topic};
+use workswood_platform::jobs::{Guard, KeyedRecord, Newest, Partition, StoreError, Topic};
 
 use super::inbox::{self, Kept};
 use super::limits::limits;
@@ -21,7 +21,7 @@
     /// The scheduler.
     pub sched: Scheduler,
     /// Where to go on reading each part of the inbox.
-    pub inbox_next: Vec<(Part, Offset)>,
+    pub inbox_next: Vec<(Partition, Offset)>,
     /// Where the inbox holds what is known.
     pub kept: Kept,
 }
@@ -32,12 +32,12 @@
     node.platform.append(Topic::State, Vec::new(), Guard::Term(term, 0)).await?;
     let fenced = node.now();
     // Nobody else writes state from here on, so these need no order.
-    let parts: Vec<Part> = inbox::parts(node.settings.store_parts).collect();
+    let parts: Vec<Partition> = inbox::parts(node.settings.store_parts).collect();
     let inbox = try_join_all(parts.iter().map(|p| node.platform.newest(Topic::Inbox(*p))));
     let (inbox, state) = tokio::try_join!(inbox, node.platform.newest(Topic::State))?;
     node.store_is_up();
     let read = node.now();
-    let inbox: Vec<(Part, Newest)> = parts.into_iter().zip(inbox).collect();
+    let inbox: Vec<(Partition, Newest)> = parts.into_iter().zip(inbox).collect();
     let inbox_next = inbox.iter().map(|(part, n)| (*part, n.next)).collect();
     let mut kept = Kept::default();
     for (part, n) in &inbox {
@@ -154,7 +154,7 @@
 }
 
 /// Notes whether the inbox holds the key of a record.
-pub fn note_kept(kept: &mut Kept, part: Part, rec: &KeyedRecord) {
+pub fn note_kept(kept: &mut Kept, part: Partition, rec: &KeyedRecord) {
     match (inbox_key(&rec.key), &rec.value) {
         (Some(key), Some(_)) => kept.note(part, key),
         (Some(key), None) => kept.dropped(part, key),
