--- a/crates/workswood-platform/src/jobs.rs
+++ b/crates/workswood-platform/src/jobs.rs
@@ -102,7 +102,7 @@
 
 /// What an operator wrote.
 #[derive(Clone, Debug)]
-pub enum OperatorItem {
+pub enum OperatorRecord {
     /// What is to be in force.
     Config(SchedConfig),
     /// A maintenance wave.
@@ -112,7 +112,7 @@
         /// Which.
         data_centre: DataCentre,
         /// Whether nothing may begin there from now on.
-        wanted: bool,
+        evacuated: bool,
     },
 }
 
@@ -174,11 +174,11 @@
     fn tail(&self, topic: Topic, from: Offset, wait: Duration) -> BoxFuture<'_, Result<Tail, StoreError>>;
 
     /// Reads what an operator wrote; `None` if it concerns nobody here.
-    fn operator_item(&self, rec: &KeyedRecord) -> Result<Option<OperatorItem>, String>;
+    fn parse_operator_record(&self, rec: &KeyedRecord) -> Result<Option<OperatorRecord>, String>;
     /// Reads what a worker wrote.
-    fn worker_info(&self, rec: &KeyedRecord) -> Result<WorkerInfo, String>;
+    fn parse_worker_info(&self, rec: &KeyedRecord) -> Result<WorkerInfo, String>;
     /// What operators are told of a wave.
-    fn wave_status(&self, number: u64, complete: bool) -> KeyedRecord;
+    fn wave_status_record(&self, number: u64, complete: bool) -> KeyedRecord;
 
     /// Looks at a worker: shows it our token, tells it which ends to forget,
     /// extends its lease if `lease_end` is given, and waits for an end.
--- a/crates/workswood-test-support/src/turn_store.rs
+++ b/crates/workswood-test-support/src/turn_store.rs
@@ -16,7 +16,7 @@
     AdviceReply, Host, HostReply, Listing, ReportedRun, StepId, TaskId, WorkerAddress, WorkerInfo,
 };
 use workswood_platform::jobs::{
-    Guard, JobPlatform, KeyedRecord, LatestRecords, OperatorItem, StartOrder, StoreError, Tail, Topic,
+    Guard, JobPlatform, KeyedRecord, LatestRecords, OperatorRecord, StartOrder, StoreError, Tail, Topic,
     WorkerClock, WorkerError,
 };
 
@@ -208,15 +208,15 @@
         async move { Ok(self.lease_from(from, wait).await) }.boxed()
     }
 
-    fn operator_item(&self, _: &KeyedRecord) -> Result<Option<OperatorItem>, String> {
+    fn parse_operator_record(&self, _: &KeyedRecord) -> Result<Option<OperatorRecord>, String> {
         Ok(None)
     }
 
-    fn worker_info(&self, _: &KeyedRecord) -> Result<WorkerInfo, String> {
+    fn parse_worker_info(&self, _: &KeyedRecord) -> Result<WorkerInfo, String> {
         Err("no workers here".to_string())
     }
 
-    fn wave_status(&self, number: u64, _: bool) -> KeyedRecord {
+    fn wave_status_record(&self, number: u64, _: bool) -> KeyedRecord {
         KeyedRecord { key: number.to_string(), value: None }
     }
 
--- a/src/workswood/ops/job_status/sum.rs
+++ b/src/workswood/ops/job_status/sum.rs
@@ -8,7 +8,7 @@
 use workswood_core::jobs::{
     Host, HostState, JobKey, JobRecord, JobSpec, Outcome, SchedConfig, Wave, WaveRecord,
 };
-use workswood_platform::jobs::{JobPlatform, KeyedRecord, OperatorItem};
+use workswood_platform::jobs::{JobPlatform, KeyedRecord, OperatorRecord};
 
 use super::Seen;
 use crate::ops::jobs::record::{InboxItem, InboxKey, inbox_key};
@@ -185,13 +185,13 @@
     fn items(&mut self, platform: &dyn JobPlatform, records: &[KeyedRecord]) -> Wishes {
         let mut wishes = Wishes::default();
         for rec in records {
-            match platform.operator_item(rec) {
-                Ok(Some(OperatorItem::Config(c))) => wishes.cfg = c,
-                Ok(Some(OperatorItem::Wave(w))) => wishes.waves.push(w),
-                Ok(Some(OperatorItem::Evacuation { data_centre, wanted: true })) => {
+            match platform.parse_operator_record(rec) {
+                Ok(Some(OperatorRecord::Config(c))) => wishes.cfg = c,
+                Ok(Some(OperatorRecord::Wave(w))) => wishes.waves.push(w),
+                Ok(Some(OperatorRecord::Evacuation { data_centre, evacuated: true })) => {
                     wishes.evacuated.insert(data_centre);
                 }
-                Ok(Some(OperatorItem::Evacuation { wanted: false, .. })) => {}
+                Ok(Some(OperatorRecord::Evacuation { evacuated: false, .. })) => {}
                 Ok(None) => {}
                 Err(_) => self.unread += 1,
             }
@@ -220,7 +220,7 @@
     let workspaces = workspaces(&cfg, &handed_in, &jobs);
     let pools = pools(&mut reader, platform, &cfg, seen);
     let wave = |w: Wave| {
-        let told = seen.published.contains(&platform.wave_status(w.number, true));
+        let told = seen.published.contains(&platform.wave_status_record(w.number, true));
         wave_status(&w, progress.get(&w.number).cloned().unwrap_or_default(), told)
     };
     JobsStatus {
@@ -345,7 +345,7 @@
         all.entry(m.pool.clone()).or_default().count(m);
     }
     for rec in &seen.workers {
-        let Ok(w) = platform.worker_info(rec) else {
+        let Ok(w) = platform.parse_worker_info(rec) else {
             reader.unread += 1;
             continue;
         };
--- a/src/workswood/ops/jobs/feeds.rs
+++ b/src/workswood/ops/jobs/feeds.rs
@@ -101,7 +101,7 @@
     let mut list = WorkerList::default();
     let n = node.clone();
     topic(node, Topic::Workers, move |heard| {
-        for ev in list.take(heard, |rec| n.platform.worker_info(rec)) {
+        for ev in list.take(heard, |rec| n.platform.parse_worker_info(rec)) {
             let _ = l.tx.send(ev);
         }
     })
@@ -128,7 +128,7 @@
             if told.get(&n) == Some(&complete) {
                 continue;
             }
-            let rec = node.platform.wave_status(n, complete);
+            let rec = node.platform.wave_status_record(n, complete);
             match node.platform.append(Topic::Status, vec![rec], Guard::None).await {
                 Ok(_) => {
                     log::info!("event=wave_published wave={n} complete={complete}");
--- a/src/workswood/ops/jobs/follow.rs
+++ b/src/workswood/ops/jobs/follow.rs
@@ -7,7 +7,7 @@
 
 use workswood_core::ids::DataCentre;
 use workswood_core::jobs::Event;
-use workswood_platform::jobs::{KeyedRecord, OperatorItem, StoreError, Topic};
+use workswood_platform::jobs::{KeyedRecord, OperatorRecord, StoreError, Topic};
 
 use super::help;
 use super::node::Node;
@@ -153,8 +153,8 @@
 
 /// Takes in what operators wrote; evacuations are only noted.
 fn take_item(node: &Node, rec: &KeyedRecord, evacuated: &mut BTreeSet<DataCentre>) {
-    match node.platform.operator_item(rec) {
-        Ok(Some(OperatorItem::Config(cfg))) => {
+    match node.platform.parse_operator_record(rec) {
+        Ok(Some(OperatorRecord::Config(cfg))) => {
             let now = node.config.load().as_ref().map_or(0, |c| c.version);
             // Versions never go back, whatever order records are read in.
             if cfg.version <= now {
@@ -165,12 +165,14 @@
             node.configure(cfg.clone(), rec.value.clone().unwrap_or_default());
             node.tell_scheduler(Event::Config(cfg));
         }
-        Ok(Some(OperatorItem::Wave(wave))) => {
+        Ok(Some(OperatorRecord::Wave(wave))) => {
             node.waves.lock().insert(wave.number, wave.clone());
             node.tell_scheduler(Event::Wave(wave, None));
         }
-        Ok(Some(OperatorItem::Evacuation { data_centre, wanted: true })) => _ = evacuated.insert(data_centre),
-        Ok(Some(OperatorItem::Evacuation { data_centre, wanted: false })) => {
+        Ok(Some(OperatorRecord::Evacuation { data_centre, evacuated: true })) => {
+            _ = evacuated.insert(data_centre)
+        }
+        Ok(Some(OperatorRecord::Evacuation { data_centre, evacuated: false })) => {
             _ = evacuated.remove(&data_centre)
         }
         Ok(None) => {}
--- a/tests/testsuite/advice_protocol.rs
+++ b/tests/testsuite/advice_protocol.rs
@@ -13,7 +13,7 @@
 use workswood_adapter_standin::{AdviserStandin, WorkerStandin};
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{Advice, AdviceConfig, AdviceReply, Event, StepId, TaskId, WorkerAddress};
-use workswood_platform::jobs::{JobPlatform, KeyedRecord, OperatorItem, StartOrder, WorkerError};
+use workswood_platform::jobs::{JobPlatform, KeyedRecord, OperatorRecord, StartOrder, WorkerError};
 use workswood_test_support::job_node::settings;
 
 const STEP: StepId = StepId { job: 0x5c0e_7a21_d94b_36f8, round: 0, step: 1 };
@@ -49,8 +49,8 @@
 fn queue_tells_of_its_advice() {
     let read = |text: String| {
         let rec = KeyedRecord { key: "config".to_string(), value: Some(text.into()) };
-        match client(None).operator_item(&rec) {
-            Ok(Some(OperatorItem::Config(c))) => c.queues["q"].advice,
+        match client(None).parse_operator_record(&rec) {
+            Ok(Some(OperatorRecord::Config(c))) => c.queues["q"].advice,
             other => panic!("no configuration but {other:?}"),
         }
     };
@@ -99,7 +99,7 @@
     w.require(&a.tickets);
     let value = Some(w.entry("desk", "m-1").into());
     let info = c
-        .worker_info(&KeyedRecord { key: "i-1".to_string(), value })
+        .parse_worker_info(&KeyedRecord { key: "i-1".to_string(), value })
         .expect("the entry is read")
         .reached_at();
     let (clock, _) = c.look(&info, 7, 0, None, Duration::ZERO).await.expect("it is looked at");
--- a/tests/testsuite/foreign_entries.rs
+++ b/tests/testsuite/foreign_entries.rs
@@ -28,7 +28,7 @@
 
 fn is_read(value: &[u8]) -> bool {
     let value = Some(value.to_vec().into());
-    client("127.0.0.1:9").worker_info(&KeyedRecord { key: "i-1".to_string(), value }).is_ok()
+    client("127.0.0.1:9").parse_worker_info(&KeyedRecord { key: "i-1".to_string(), value }).is_ok()
 }
 
 #[test]
@@ -125,8 +125,9 @@
     store.enter_raw(b"i-2", b"\xff\xfe\x00");
     store.enter_worker("i-3", &good);
     let tail = c.tail(Topic::Workers, 0, Duration::ZERO).await.expect("the others are read");
-    let read =
-        |key: &str, records: &[KeyedRecord]| records.iter().any(|r| r.key == key && c.worker_info(r).is_ok());
+    let read = |key: &str, records: &[KeyedRecord]| {
+        records.iter().any(|r| r.key == key && c.parse_worker_info(r).is_ok())
+    };
     assert!(read("i-1", &tail.records) && read("i-3", &tail.records), "{:?}", tail.records);
     assert!(!read("i-2", &tail.records));
     // The one that has no readable name counts all the same.
@@ -171,7 +172,7 @@
     let c = client("127.0.0.1:9");
     let rec = |value: &str| KeyedRecord { key: "i-1".to_string(), value: Some(value.to_string().into()) };
     let mut list = WorkerList::default();
-    let mut take = |value: &str| list.take(Heard::Changes(vec![rec(value)]), |r| c.worker_info(r));
+    let mut take = |value: &str| list.take(Heard::Changes(vec![rec(value)]), |r| c.parse_worker_info(r));
     let good = entry().to_string();
     assert!(matches!(take(&good)[..], [Event::WorkerListed(_)]));
     assert!(matches!(take("{")[..], [Event::WorkerUnlisted(_)]));
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -152,7 +152,7 @@
         let w = WorkerStandin::start(&id, LONG).await;
         let cut = Cut::start(&w.address.to_string()).await;
         let value = Some(w.entry("desk", "m-1").into());
-        let info = c.worker_info(&KeyedRecord { key: id, value }).expect("the entry is read");
+        let info = c.parse_worker_info(&KeyedRecord { key: id, value }).expect("the entry is read");
         let mut info = info.reached_at();
         info.address = cut.address.clone();
         look(&c, &info, Duration::ZERO).await;
--- a/tests/testsuite/worker_protocol.rs
+++ b/tests/testsuite/worker_protocol.rs
@@ -17,7 +17,7 @@
 
 fn info(c: &PlatformClient, w: &WorkerStandin, id: &str) -> WorkerInfo {
     let value = Some(w.entry("desk", "m-1").into());
-    c.worker_info(&KeyedRecord { key: id.to_string(), value }).expect("the entry is read")
+    c.parse_worker_info(&KeyedRecord { key: id.to_string(), value }).expect("the entry is read")
 }
 
 fn order(attempt: u32, lease_end: Duration) -> StartOrder {
