--- a/crates/workswood-platform/src/jobs.rs
+++ b/crates/workswood-platform/src/jobs.rs
@@ -156,7 +156,7 @@
     /// End of the worker's lease, on its clock.
     pub lease_end: WorkerClock,
     /// How long an answer is waited for.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// What running jobs needs of a platform.
@@ -182,7 +182,7 @@
 
     /// Looks at a worker: shows it our token, tells it which ends to forget,
     /// extends its lease if `lease_end` is given, and waits for an end.
-    fn look<'a>(
+    fn poll_worker<'a>(
         &'a self,
         worker: &'a WorkerAddress,
         token: Term,
@@ -191,14 +191,14 @@
         wait: Duration,
     ) -> BoxFuture<'a, Result<(WorkerClock, Listing), WorkerError>>;
     /// Starts a task.
-    fn start<'a>(
+    fn start_task<'a>(
         &'a self,
         worker: &'a WorkerAddress,
         token: Term,
         order: StartOrder,
     ) -> BoxFuture<'a, Result<(), WorkerError>>;
     /// Stops a task.
-    fn stop<'a>(
+    fn stop_task<'a>(
         &'a self,
         worker: &'a WorkerAddress,
         token: Term,
@@ -206,7 +206,7 @@
         attempt: u32,
     ) -> BoxFuture<'a, Result<(), WorkerError>>;
     /// Lets a task work at a share, in percent.
-    fn pace<'a>(
+    fn throttle_task<'a>(
         &'a self,
         worker: &'a WorkerAddress,
         token: Term,
@@ -224,9 +224,9 @@
     ) -> BoxFuture<'a, AdviceReply>;
 
     /// Lists all hosts.
-    fn hosts(&self) -> BoxFuture<'_, Result<Vec<Host>, StoreError>>;
+    fn list_hosts(&self) -> BoxFuture<'_, Result<Vec<Host>, StoreError>>;
     /// Maintains a host as part of a wave.
-    fn upkeep(&self, holder: &str, token: Term, host: HostId, wave: u64) -> BoxFuture<'_, HostReply>;
+    fn maintain_host(&self, holder: &str, token: Term, host: HostId, wave: u64) -> BoxFuture<'_, HostReply>;
     /// Gives a host to another pool.
     fn move_host(&self, holder: &str, token: Term, host: HostId, pool: ServiceId)
     -> BoxFuture<'_, HostReply>;
--- a/crates/workswood-test-support/src/turn_store.rs
+++ b/crates/workswood-test-support/src/turn_store.rs
@@ -220,7 +220,7 @@
         KeyedRecord { key: number.to_string(), value: None }
     }
 
-    fn look<'a>(
+    fn poll_worker<'a>(
         &'a self,
         _: &'a WorkerAddress,
         _: Term,
@@ -245,7 +245,7 @@
         .boxed()
     }
 
-    fn start<'a>(
+    fn start_task<'a>(
         &'a self,
         _: &'a WorkerAddress,
         _: Term,
@@ -255,7 +255,7 @@
         nobody()
     }
 
-    fn stop<'a>(
+    fn stop_task<'a>(
         &'a self,
         _: &'a WorkerAddress,
         _: Term,
@@ -265,7 +265,7 @@
         nobody()
     }
 
-    fn pace<'a>(
+    fn throttle_task<'a>(
         &'a self,
         _: &'a WorkerAddress,
         _: Term,
@@ -280,11 +280,11 @@
         async { AdviceReply::NotSent }.boxed()
     }
 
-    fn hosts(&self) -> BoxFuture<'_, Result<Vec<Host>, StoreError>> {
+    fn list_hosts(&self) -> BoxFuture<'_, Result<Vec<Host>, StoreError>> {
         away()
     }
 
-    fn upkeep(&self, _: &str, _: Term, _: HostId, _: u64) -> BoxFuture<'_, HostReply> {
+    fn maintain_host(&self, _: &str, _: Term, _: HostId, _: u64) -> BoxFuture<'_, HostReply> {
         *self.orders.lock() += 1;
         async { HostReply::Later }.boxed()
     }
--- a/src/workswood/ops/job_status/mod.rs
+++ b/src/workswood/ops/job_status/mod.rs
@@ -74,7 +74,7 @@
         platform.latest(Topic::Status),
     )?;
     // The store may do without the host service; the rest is told all the same.
-    let hosts = platform.hosts().await.map_err(why_unknown);
+    let hosts = platform.list_hosts().await.map_err(why_unknown);
     Ok(Seen {
         at: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64,
         lease: lease.records.into_iter().next_back(),
--- a/src/workswood/ops/jobs/feeds.rs
+++ b/src/workswood/ops/jobs/feeds.rs
@@ -111,7 +111,7 @@
 /// Reads the list of hosts once and hands it to the scheduler.
 pub(super) async fn read_hosts(node: Arc<Node>, l: Arc<Leading>) {
     let asked = node.now();
-    match node.platform.hosts().await {
+    match node.platform.list_hosts().await {
         Ok(list) => {
             let _ = l.tx.send(Event::Hosts(list, asked));
         }
--- a/src/workswood/ops/jobs/host_orders.rs
+++ b/src/workswood/ops/jobs/host_orders.rs
@@ -33,7 +33,7 @@
     }
     let (holder, host) = (&node.settings.name, host.clone());
     match order {
-        HostOrder::Upkeep(wave) => node.platform.upkeep(holder, l.term, host, wave).await,
+        HostOrder::Upkeep(wave) => node.platform.maintain_host(holder, l.term, host, wave).await,
         HostOrder::Move(pool) => node.platform.move_host(holder, l.term, host, pool).await,
     }
 }
--- a/src/workswood/ops/jobs/relay/look.rs
+++ b/src/workswood/ops/jobs/relay/look.rs
@@ -148,7 +148,7 @@
         let lease_end = lease_end.filter(|_| self.link.may_lease_until(sent + times.span()));
         let wait = if lease_end.is_some() { wait } else { Duration::ZERO };
         let platform = &self.shared.node.platform;
-        let look = platform.look(&self.link.worker, self.link.token, forget, lease_end, wait);
+        let look = platform.poll_worker(&self.link.worker, self.link.token, forget, lease_end, wait);
         let (clock, listing) = look.await?;
         Ok(Seen { sent, forget, clock, listing })
     }
--- a/src/workswood/ops/jobs/relay/send.rs
+++ b/src/workswood/ops/jobs/relay/send.rs
@@ -55,9 +55,9 @@
             checkpoint: s.checkpoint.clone(),
             ticket: s.ticket.clone(),
             lease_end,
-            patience,
+            timeout: patience,
         };
-        match shared.node.platform.start(&link.worker, link.token, order).await {
+        match shared.node.platform.start_task(&link.worker, link.token, order).await {
             Ok(()) => return StartReply::Taken,
             Err(WorkerError::Fenced) => return StartReply::Deposed,
             Err(WorkerError::OtherLife) => {
@@ -101,7 +101,7 @@
     percent: u32,
 ) {
     let _lane = link.lanes.acquire().await;
-    let res = shared.node.platform.pace(&link.worker, link.token, task, attempt, percent).await;
+    let res = shared.node.platform.throttle_task(&link.worker, link.token, task, attempt, percent).await;
     if let Err(e) = res {
         // The next look shows the figures again.
         log::warn!("event=pace_not_taken worker={} task={task} error={e:?}", link.worker.id);
@@ -112,7 +112,7 @@
     let _lane = link.lanes.acquire().await;
     let mut reply = StopReply::NoAnswer;
     for _ in 0..STOP_TRIES {
-        reply = match shared.node.platform.stop(&link.worker, link.token, task, attempt).await {
+        reply = match shared.node.platform.stop_task(&link.worker, link.token, task, attempt).await {
             Ok(()) => StopReply::Taken,
             Err(WorkerError::Fenced) => StopReply::Deposed,
             Err(e) => {
--- a/tests/testsuite/advice_protocol.rs
+++ b/tests/testsuite/advice_protocol.rs
@@ -102,7 +102,7 @@
         .parse_worker_info(&KeyedRecord { key: "i-1".to_string(), value })
         .expect("the entry is read")
         .reached_at();
-    let (clock, _) = c.look(&info, 7, 0, None, Duration::ZERO).await.expect("it is looked at");
+    let (clock, _) = c.poll_worker(&info, 7, 0, None, Duration::ZERO).await.expect("it is looked at");
     let start = async |info: &WorkerAddress, attempt: u32, index: u32, ticket: Option<Arc<str>>| {
         let task = TaskId { job: STEP.job, round: 0, step: 1, index };
         let order = StartOrder {
@@ -112,9 +112,9 @@
             checkpoint: String::new(),
             ticket,
             lease_end: clock + LONG,
-            patience: LONG,
+            timeout: LONG,
         };
-        c.start(info, 7, order).await
+        c.start_task(info, 7, order).await
     };
     assert_eq!(start(&info, 1, 0, None).await, Err(WorkerError::Ticket));
     assert_eq!(start(&info, 1, 0, Some("t-0".into())).await, Err(WorkerError::Ticket));
--- a/tests/testsuite/store_protocol.rs
+++ b/tests/testsuite/store_protocol.rs
@@ -150,7 +150,7 @@
     let hosts = MachinesStandin::start("desk", &["m-1", "m-2", "m-3", "m-4", "m-5"]).await;
     let address = hosts.address.to_string();
     let c = PlatformClient::new(Addresses { store: address.clone(), machines: address, adviser: None });
-    let list = c.hosts().await.expect("all pages are read");
+    let list = c.list_hosts().await.expect("all pages are read");
     let names: Vec<&str> = list.iter().map(|m| m.name.as_str()).collect();
     assert_eq!(names, ["m-1", "m-2", "m-3", "m-4", "m-5"]);
 }
--- a/tests/testsuite/worker_protocol.rs
+++ b/tests/testsuite/worker_protocol.rs
@@ -28,7 +28,7 @@
         checkpoint: String::new(),
         ticket: None,
         lease_end,
-        patience: Duration::from_millis(600),
+        timeout: Duration::from_millis(600),
     }
 }
 
@@ -40,16 +40,17 @@
     assert_eq!((info.service.as_str(), info.host.as_str()), ("desk", "m-1"));
     assert_eq!(info.capacity.cpu_millis, 4000);
     let (clock, first) =
-        c.look(&info.reached_at(), 7, 0, None, Duration::ZERO).await.expect("it is looked at");
+        c.poll_worker(&info.reached_at(), 7, 0, None, Duration::ZERO).await.expect("it is looked at");
     assert!(first.running.is_empty() && first.ended.is_empty());
     let end = clock + Duration::from_secs(5);
-    c.start(&info.reached_at(), 7, order(2, end)).await.expect("it starts");
+    c.start_task(&info.reached_at(), 7, order(2, end)).await.expect("it starts");
     assert_eq!(w.starts(), [("5c0e7a21d94b36f8.0.1.17".to_string(), 2)]);
     let wait = Duration::from_millis(1000);
-    let (_, report) = c.look(&info.reached_at(), 7, 0, Some(end), wait).await.expect("it ends");
+    let (_, report) = c.poll_worker(&info.reached_at(), 7, 0, Some(end), wait).await.expect("it ends");
     let e = &report.ended[0];
     assert_eq!((e.number, e.task, e.attempt, e.kind), (1, TASK, 2, EndKind::Done));
-    let (_, report) = c.look(&info.reached_at(), 7, 1, Some(end), Duration::ZERO).await.expect("it forgets");
+    let (_, report) =
+        c.poll_worker(&info.reached_at(), 7, 1, Some(end), Duration::ZERO).await.expect("it forgets");
     assert!(report.ended.is_empty());
 }
 
@@ -58,19 +59,20 @@
     let w = WorkerStandin::start("i-1", Duration::from_secs(5)).await;
     let c = client();
     let mine = info(&c, &w, "i-1");
-    let (clock, _) = c.look(&mine.reached_at(), 7, 0, None, Duration::ZERO).await.expect("it is looked at");
-    let fenced = c.look(&mine.reached_at(), 6, 0, None, Duration::ZERO).await;
+    let (clock, _) =
+        c.poll_worker(&mine.reached_at(), 7, 0, None, Duration::ZERO).await.expect("it is looked at");
+    let fenced = c.poll_worker(&mine.reached_at(), 6, 0, None, Duration::ZERO).await;
     assert_eq!(fenced.err(), Some(WorkerError::Fenced));
     let other = info(&c, &w, "i-2");
-    let life = c.look(&other.reached_at(), 7, 0, None, Duration::ZERO).await;
+    let life = c.poll_worker(&other.reached_at(), 7, 0, None, Duration::ZERO).await;
     assert_eq!(life.err(), Some(WorkerError::OtherLife));
     // A lease end that has passed, as a holder sends that was paused.
-    let late = c.start(&mine.reached_at(), 7, order(1, clock)).await;
+    let late = c.start_task(&mine.reached_at(), 7, order(1, clock)).await;
     assert_eq!(late, Err(WorkerError::Refused));
     w.faults(|f| f.lose_starts = 1);
     let end = clock + Duration::from_secs(5);
-    assert_eq!(c.start(&mine.reached_at(), 7, order(1, end)).await, Err(WorkerError::NoAnswer));
-    assert_eq!(c.start(&mine.reached_at(), 7, order(1, end)).await, Ok(()));
+    assert_eq!(c.start_task(&mine.reached_at(), 7, order(1, end)).await, Err(WorkerError::NoAnswer));
+    assert_eq!(c.start_task(&mine.reached_at(), 7, order(1, end)).await, Ok(()));
     assert_eq!(w.starts().len(), 1, "a repeated start is one start");
 }
 
@@ -79,17 +81,18 @@
     let w = WorkerStandin::start("i-1", Duration::from_millis(5)).await;
     let c = client();
     let info = info(&c, &w, "i-1");
-    let (clock, _) = c.look(&info.reached_at(), 7, 0, None, Duration::ZERO).await.expect("it is looked at");
+    let (clock, _) =
+        c.poll_worker(&info.reached_at(), 7, 0, None, Duration::ZERO).await.expect("it is looked at");
     let end = clock + Duration::from_secs(5);
-    c.start(&info.reached_at(), 7, order(1, end)).await.expect("it starts");
+    c.start_task(&info.reached_at(), 7, order(1, end)).await.expect("it starts");
     let wait = Duration::from_millis(1000);
-    c.look(&info.reached_at(), 7, 0, Some(end), wait).await.expect("it ends");
-    c.look(&info.reached_at(), 7, 1, Some(end), Duration::ZERO).await.expect("the end is forgotten");
-    let late = c.start(&info.reached_at(), 7, order(1, end)).await;
+    c.poll_worker(&info.reached_at(), 7, 0, Some(end), wait).await.expect("it ends");
+    c.poll_worker(&info.reached_at(), 7, 1, Some(end), Duration::ZERO).await.expect("the end is forgotten");
+    let late = c.start_task(&info.reached_at(), 7, order(1, end)).await;
     assert_eq!(late, Err(WorkerError::Refused), "a try that arrives after the run has ended");
-    c.stop(&info.reached_at(), 7, TASK, 3).await.expect("it is stopped before it is there");
-    assert_eq!(c.start(&info.reached_at(), 7, order(3, end)).await, Err(WorkerError::Refused));
-    assert_eq!(c.start(&info.reached_at(), 7, order(4, end)).await, Ok(()));
+    c.stop_task(&info.reached_at(), 7, TASK, 3).await.expect("it is stopped before it is there");
+    assert_eq!(c.start_task(&info.reached_at(), 7, order(3, end)).await, Err(WorkerError::Refused));
+    assert_eq!(c.start_task(&info.reached_at(), 7, order(4, end)).await, Ok(()));
     assert_eq!(w.starts().len(), 2);
 }
 
@@ -102,7 +105,8 @@
     w.restart(1000);
     let first = info(&c, &w, "i-1").reached_at();
     assert_eq!((first.id.name(), first.id.started()), ("i-1", Some(1000)));
-    let look = async |worker: WorkerAddress| c.look(&worker, 7, 0, None, Duration::ZERO).await.map(|_| ());
+    let look =
+        async |worker: WorkerAddress| c.poll_worker(&worker, 7, 0, None, Duration::ZERO).await.map(|_| ());
     assert_eq!(look(first.clone()).await, Ok(()));
     w.restart(2000);
     assert_eq!(look(first.clone()).await, Err(WorkerError::Restarted(2000)));
@@ -119,6 +123,6 @@
     let w = WorkerStandin::start("i-1", Duration::from_secs(5)).await;
     let mut gone = info(&c, &w, "i-1");
     gone.address = "127.0.0.1:1".to_string();
-    let res = c.look(&gone.reached_at(), 1, 0, None, Duration::ZERO).await;
+    let res = c.poll_worker(&gone.reached_at(), 1, 0, None, Duration::ZERO).await;
     assert_eq!(res.err(), Some(WorkerError::NotSent));
 }
