--- a/crates/workswood-http/src/client.rs
+++ b/crates/workswood-http/src/client.rs
@@ -279,7 +279,7 @@
         let begun = Instant::now();
         let res = self.send(attempt, req).await;
         let received = res.as_ref().map_or(0, |a| HEAD + a.body.len());
-        self.traffic.note(call.purpose, HEAD + call.path.len() + call.body.len(), received);
+        self.traffic.record(call.purpose, HEAD + call.path.len() + call.body.len(), received);
         match &res {
             Ok(_) => {
                 if quick {
--- a/crates/workswood-peers/src/connection.rs
+++ b/crates/workswood-peers/src/connection.rs
@@ -183,7 +183,7 @@
                     let Ok(Frame { call, msg: Some(msg) }) = Frame::decode(buf) else {
                         return ConnectionEnd::Broken;
                     };
-                    self.traffic.note(msg.purpose(), 0, len);
+                    self.traffic.record(msg.purpose(), 0, len);
                     self.calls.complete(call, msg);
                     self.received_any = true;
                     monitor.on_received(self.calls.is_any_sent());
@@ -225,7 +225,7 @@
         let purpose = msg.purpose();
         let buf = encode(call, msg);
         let len = buf.len();
-        self.traffic.note(purpose, len, 0);
+        self.traffic.record(purpose, len, 0);
         // Each frame has a length prefix of 4 bytes.
         self.bytes_sent.fetch_add(len as u64 + 4, Ordering::Relaxed);
         match tokio::time::timeout(WRITE_TIMEOUT, framed.send(buf)).await {
--- a/crates/workswood-peers/src/duplex.rs
+++ b/crates/workswood-peers/src/duplex.rs
@@ -71,7 +71,7 @@
     pub async fn send(&mut self, msg: Msg) -> Result<(), Closed> {
         let purpose = msg.purpose();
         let buf = encode(0, msg);
-        self.traffic.note(purpose, buf.len(), 0);
+        self.traffic.record(purpose, buf.len(), 0);
         self.sink.send(buf).await.map_err(|_| Closed)
     }
 }
@@ -83,7 +83,7 @@
         let len = buf.len();
         match Frame::decode(buf) {
             Ok(Frame { msg: Some(msg), .. }) => {
-                self.traffic.note(msg.purpose(), 0, len);
+                self.traffic.record(msg.purpose(), 0, len);
                 Ok(msg)
             }
             Ok(Frame { msg: None, .. }) | Err(_) => Err(Closed),
--- a/crates/workswood-peers/src/server.rs
+++ b/crates/workswood-peers/src/server.rs
@@ -126,7 +126,7 @@
     while let Ok(Some(Ok(buf))) = next {
         let len = buf.len();
         let Ok(Frame { call, msg: Some(msg) }) = Frame::decode(buf) else { break };
-        server.traffic.note(msg.purpose(), 0, len);
+        server.traffic.record(msg.purpose(), 0, len);
         if let Msg::Ping(_) = msg {
             // If the queue is full, the queued replies show the peer that the connection works.
             let _ = tx.try_send(encode(call, Msg::Pong(Pong {})));
@@ -138,7 +138,7 @@
                 {
                     let purpose = msg.purpose();
                     let buf = encode(call, msg);
-                    traffic.note(purpose, buf.len(), 0);
+                    traffic.record(purpose, buf.len(), 0);
                     // Sending fails only if the connection has ended.
                     let _ = tx.send(buf).await;
                 }
--- a/crates/workswood-traffic/src/lib.rs
+++ b/crates/workswood-traffic/src/lib.rs
@@ -12,7 +12,7 @@
 
 /// What went over the link for one purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Amount {
+pub struct TrafficTotals {
     /// Calls or messages.
     pub count: u64,
     /// Bytes sent, without those of the layers below.
@@ -24,12 +24,12 @@
 /// What went over the link of a process so far. Clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
-    by_purpose: Arc<Mutex<BTreeMap<Purpose, Amount>>>,
+    by_purpose: Arc<Mutex<BTreeMap<Purpose, TrafficTotals>>>,
 }
 
 impl Traffic {
     /// Notes a call or message with its bytes.
-    pub fn note(&self, purpose: Purpose, sent: usize, received: usize) {
+    pub fn record(&self, purpose: Purpose, sent: usize, received: usize) {
         let mut all = self.by_purpose.lock();
         let amount = all.entry(purpose).or_default();
         amount.count += 1;
@@ -38,7 +38,7 @@
     }
 
     /// All amounts so far, by purpose.
-    pub fn amounts(&self) -> Vec<(Purpose, Amount)> {
+    pub fn totals(&self) -> Vec<(Purpose, TrafficTotals)> {
         self.by_purpose.lock().iter().map(|(purpose, amount)| (*purpose, *amount)).collect()
     }
 }
--- a/src/workswood/ops/jobs/usage.rs
+++ b/src/workswood/ops/jobs/usage.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood_traffic::{Amount, Purpose};
+use workswood_traffic::{Purpose, TrafficTotals};
 
 use super::node::Node;
 
@@ -16,13 +16,13 @@
 
 /// Tells it for ever.
 pub async fn run(node: Arc<Node>) {
-    let mut before: BTreeMap<Purpose, Amount> = BTreeMap::new();
+    let mut before: BTreeMap<Purpose, TrafficTotals> = BTreeMap::new();
     let mut still = Duration::ZERO;
     loop {
         tokio::time::sleep(EVERY).await;
         let leads = node.leading.load().is_some();
         let relayed = node.metrics.relayed_workers.get();
-        let now: BTreeMap<Purpose, Amount> = node.traffic.amounts().into_iter().collect();
+        let now: BTreeMap<Purpose, TrafficTotals> = node.traffic.totals().into_iter().collect();
         let total = node.lag.total();
         if leads || relayed > 0 {
             let text = line(&before, &now);
@@ -36,9 +36,9 @@
 }
 
 /// What went over the link meanwhile, in kB a second.
-fn line(before: &BTreeMap<Purpose, Amount>, now: &BTreeMap<Purpose, Amount>) -> String {
+fn line(before: &BTreeMap<Purpose, TrafficTotals>, now: &BTreeMap<Purpose, TrafficTotals>) -> String {
     let kb_s = |bytes: u64| bytes as f64 / 1000.0 / EVERY.as_secs_f64();
-    let since = |(purpose, a): (&Purpose, &Amount)| {
+    let since = |(purpose, a): (&Purpose, &TrafficTotals)| {
         let b = before.get(purpose).copied().unwrap_or_default();
         (a.sent - b.sent, a.received - b.received, *purpose)
     };
--- a/src/workswood/util/job_metrics.rs
+++ b/src/workswood/util/job_metrics.rs
@@ -177,7 +177,7 @@
 impl JobMetrics {
     /// Takes in what went over the link so far.
     pub fn set_traffic(&self, traffic: &Traffic) {
-        for (purpose, amount) in traffic.amounts() {
+        for (purpose, amount) in traffic.totals() {
             self.bytes.with_label_values(&[purpose, "sent"]).set(amount.sent as i64);
             self.bytes.with_label_values(&[purpose, "received"]).set(amount.received as i64);
             self.calls.with_label_values(&[purpose]).set(amount.count as i64);
