--- a/crates/workswood-platform/src/http.rs
+++ b/crates/workswood-platform/src/http.rs
@@ -45,12 +45,12 @@
 impl HttpPlatform {
     /// A client of the platform at an IP address and port.
     pub fn new(address: &str) -> HttpPlatform {
-        HttpPlatform::sharing(address, HalfOpenDetector::default())
+        HttpPlatform::with_half_open_detector(address, HalfOpenDetector::default())
     }
 
     /// A client that shares what is found out of connections with the process's other
     /// clients.
-    pub fn sharing(address: &str, half_open: HalfOpenDetector) -> HttpPlatform {
+    pub fn with_half_open_detector(address: &str, half_open: HalfOpenDetector) -> HttpPlatform {
         let http = HttpClient::new(LIMITS, MOST_BYTES, half_open, Traffic::default());
         HttpPlatform { address: address.to_string(), http }
     }
--- a/src/workswood/ops/entry/mod.rs
+++ b/src/workswood/ops/entry/mod.rs
@@ -62,7 +62,8 @@
         let operators = listen(&mut settings.operators).await?;
         let peers = listen(&mut settings.peers).await?;
         let half_open = HalfOpenDetector::default();
-        let platform = HttpPlatform::sharing(&settings.platform.to_string(), half_open.clone());
+        let platform =
+            HttpPlatform::with_half_open_detector(&settings.platform.to_string(), half_open.clone());
         let (node, appends) = Node::new(settings, tokens, Arc::new(platform), half_open);
         log::info!(
             "event=entry_started id={} name={} data_centre={} callers={} operators={} peers={}",
