--- a/crates/workswood-liveness/src/half_open_detector.rs
+++ b/crates/workswood-liveness/src/half_open_detector.rs
@@ -1,4 +1,4 @@
-//! What one user of connections finds out, told to all.
+//! Shares between all users of connections which ones may be half-open.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,91 +8,95 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Two addresses whose connections were found half-open within this time have
-/// something in common, which is this host's way to them. Longer than between two
-/// calls to a worker, shorter than between two workers that are lost by chance.
-const WINDOW: Duration = Duration::from_secs(1);
-/// Time for which connections are left alone after many of them were suspected. With
-/// workers that lose orders, each lost one looks like a half-open connection; opening
-/// new ones and asking again is then done once in this time.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Half-open connections to two addresses within this time point to a common cause, which
+/// is the network path of this process. Longer than the time between two calls to a worker,
+/// and shorter than that between two independent failures.
+const CORRELATION_WINDOW: Duration = Duration::from_secs(1);
+/// Shortest time between two suspicions against all connections. Workers that lose orders
+/// look like half-open connections; the limit bounds how often they make all connections
+/// reopen.
+const SUSPICION_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A connection that was found half-open.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HalfOpenConnection {
-    /// The address it led to.
+    /// The peer's address.
     pub address: String,
-    /// When the call was sent on it that had no answer.
+    /// When the call without a reply was sent over it.
     pub silent_since: Instant,
 }
 
-/// Decides whether findings concern single addresses or this host.
+/// Decides from reports of half-open connections whether only single addresses are
+/// affected, or the network path of this process.
 #[derive(Debug, Default)]
 pub struct HalfOpenCorrelator {
+    /// The last report and when it was made.
     last: Option<(HalfOpenConnection, Instant)>,
-    raised: Option<Instant>,
+    /// When all older connections were last declared suspect.
+    suspected_at: Option<Instant>,
 }
 
 impl HalfOpenCorrelator {
-    /// Takes a finding in. Returns the moment before which a connection was opened that
-    /// is suspect now, to whatever address it leads; none if only this address is.
-    pub fn report(&mut self, f: HalfOpenConnection, now: Instant) -> Option<Instant> {
-        let since = f.silent_since;
-        let before = self.last.replace((f.clone(), now));
-        let (other, _) = before.filter(|(o, at)| o.address != f.address && now < *at + WINDOW)?;
-        if self.raised.is_some_and(|at| now < at + PAUSE) {
+    /// Takes in a report. Returns a time if connections to all addresses are suspect that
+    /// were opened before it, or `None` if only this address is.
+    pub fn report(&mut self, conn: HalfOpenConnection, now: Instant) -> Option<Instant> {
+        let since = conn.silent_since;
+        let previous = self.last.replace((conn.clone(), now));
+        let (other, _) =
+            previous.filter(|(o, at)| o.address != conn.address && now < *at + CORRELATION_WINDOW)?;
+        if self.suspected_at.is_some_and(|at| now < at + SUSPICION_INTERVAL) {
             return None;
         }
-        self.raised = Some(now);
+        self.suspected_at = Some(now);
         Some(since.min(other.silent_since))
     }
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    suspicion: Mutex<HalfOpenCorrelator>,
-    /// Connections that were opened before this are suspect.
+    correlator: Mutex<HalfOpenCorrelator>,
+    /// Connections that were opened before this time are suspect.
     suspect_before: watch::Sender<Option<Instant>>,
-    found: AtomicU64,
+    reports: AtomicU64,
 }
 
-/// Tells all users of a process's connections when they become suspect. Clones
-/// share it.
+/// Collects reports of half-open connections, and tells all users of connections which
+/// other ones are suspect. Clones share the reports.
 #[derive(Clone, Debug, Default)]
 pub struct HalfOpenDetector {
     inner: Arc<Inner>,
 }
 
 impl HalfOpenDetector {
-    /// Takes in that a connection was half-open: a call on it had no answer, and one on
-    /// a new connection had.
-    pub fn report(&self, f: HalfOpenConnection) {
-        self.inner.found.fetch_add(1, Ordering::Relaxed);
+    /// Reports that a connection was half-open: a call over it had no reply, and a call
+    /// over a new connection to the same address had one.
+    pub fn report(&self, conn: HalfOpenConnection) {
+        self.inner.reports.fetch_add(1, Ordering::Relaxed);
         let now = Instant::now();
-        let silent_ms = (now - f.silent_since).as_millis();
-        log::info!("event=connection_half_open address={} silent_ms={silent_ms}", f.address);
-        let address = f.address.clone();
-        if let Some(before) = self.inner.suspicion.lock().report(f, now) {
+        let silent_ms = (now - conn.silent_since).as_millis();
+        log::info!("event=connection_half_open address={} silent_ms={silent_ms}", conn.address);
+        let address = conn.address.clone();
+        if let Some(before) = self.inner.correlator.lock().report(conn, now) {
             let ago = (now - before).as_millis();
             log::warn!("event=connections_suspected opened_before_ms={ago} by={address}");
             self.inner.suspect_before.send_replace(Some(before));
         }
     }
 
-    /// Whether a connection that was opened then is suspect.
-    pub fn is_suspect(&self, opened: Instant) -> bool {
-        self.inner.suspect_before.borrow().is_some_and(|before| opened < before)
+    /// Whether a connection that was opened at a time is suspect.
+    pub fn is_suspect(&self, opened_at: Instant) -> bool {
+        self.inner.suspect_before.borrow().is_some_and(|before| opened_at < before)
     }
 
-    /// Waits until a connection that was opened then is suspect.
-    pub async fn until_suspect(&self, opened: Instant) {
-        let mut before = self.inner.suspect_before.subscribe();
-        // The sender lives as long as this.
-        let _ = before.wait_for(|b| b.is_some_and(|before| opened < before)).await;
+    /// Waits until a connection that was opened at a time is suspect.
+    pub async fn until_suspect(&self, opened_at: Instant) {
+        let mut suspect_before = self.inner.suspect_before.subscribe();
+        // Waiting can't fail: `self` keeps the sender alive.
+        let _ = suspect_before.wait_for(|b| b.is_some_and(|before| opened_at < before)).await;
     }
 
-    /// Half-open connections found so far.
+    /// Number of half-open connections reported so far.
     pub fn count(&self) -> u64 {
-        self.inner.found.load(Ordering::Relaxed)
+        self.inner.reports.load(Ordering::Relaxed)
     }
 }
--- a/crates/workswood-liveness/src/lib.rs
+++ b/crates/workswood-liveness/src/lib.rs
@@ -1,10 +1,12 @@
-//! Whether connections still pass bytes, as a process finds out.
+//! Detection of connections that no longer pass bytes.
 //!
-//! A connection may be half-open: a firewall or a host on its way has forgotten it,
-//! nothing passes any more and nobody closes it. Only an answer that does not come
-//! tells, and each connection by itself would cost one call its whole time. So
-//! * [`AdaptiveTimeout`] says when an answer is late, by how long answers take,
-//! * [`TimerLag`] says how late the process itself is, which is not counted against others, and
+//! A connection is half-open if a firewall or a host on the path has dropped its state:
+//! nothing passes any more, and neither side sees it close. Only a missing reply reveals
+//! this, and if each connection were judged by itself, each would cost one call its whole
+//! timeout. Therefore
+//! * [`AdaptiveTimeout`] tells when a reply is late, from how long earlier replies took,
+//! * [`TimerLag`] measures delays of this process itself, which are not counted against
+//!   its peers, and
 //! * [`HalfOpenDetector`] tells all users of connections what one of them has found out.
 
 mod adaptive_timeout;
