--- a/crates/workswood-http/src/attempt.rs
+++ b/crates/workswood-http/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a call, and what its end says of connections.
+//! One attempt at a call, and what its outcome says about connections.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,19 +11,19 @@
 use tokio::time::Instant;
 use workswood_liveness::HalfOpenConnection;
 
-use crate::pool::{Peer, Pool};
+use crate::pool::{Destination, Pool};
 
-/// The connections that an attempt goes over.
-pub(crate) struct Over<B> {
+/// The client whose connections an attempt uses.
+pub(crate) struct AttemptClient<B> {
     pub(crate) client: Client<HttpConnector, B>,
-    /// Number of the client.
-    pub(crate) number: u64,
-    /// When the first of its connections may have been opened.
-    pub(crate) opened: Instant,
+    /// Number of this client among those of the address.
+    pub(crate) generation: u64,
+    /// Earliest time at which one of its connections can have been opened.
+    pub(crate) opened_at: Instant,
 }
 
-/// One attempt at a call. Dropped before its end is told, when its caller no longer
-/// waits, it counts as one without an answer if the answer was due.
+/// One attempt at a call. An attempt that is dropped before its outcome was reported, as
+/// when its caller stops waiting, counts as unanswered if its response was late.
 pub struct Attempt<B>
 where
     B: Body + Send + Unpin + 'static,
@@ -31,16 +31,16 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     pool: Pool<B>,
-    peer: Arc<Peer<B>>,
-    over: Over<B>,
-    begun: Instant,
-    /// When its answer is late. Until then nothing is wrong with a connection on which
-    /// nothing comes: a call that waits for something to happen says nothing of it.
+    destination: Arc<Destination<B>>,
+    client: AttemptClient<B>,
+    started_at: Instant,
+    /// When its response is late. Before that, a missing response says nothing about the
+    /// connection, since the peer may hold it back.
     late_at: Instant,
-    /// Whether its end was told.
-    told: AtomicBool,
-    /// Whether its answer has begun to come.
-    coming: AtomicBool,
+    /// Whether its outcome was reported.
+    concluded: AtomicBool,
+    /// Whether the head of its response has arrived.
+    response_started: AtomicBool,
 }
 
 impl<B> Attempt<B>
@@ -49,103 +49,110 @@
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    pub(crate) fn new(pool: Pool<B>, peer: Arc<Peer<B>>, over: Over<B>, waits: Duration) -> Attempt<B> {
-        let begun = Instant::now();
-        let late_at = begun + waits + peer.patience.late_after();
+    pub(crate) fn new(
+        pool: Pool<B>,
+        destination: Arc<Destination<B>>,
+        client: AttemptClient<B>,
+        wait: Duration,
+    ) -> Attempt<B> {
+        let started_at = Instant::now();
+        let late_at = started_at + wait + destination.response_timeout.late_after();
         Attempt {
             pool,
-            peer,
-            over,
-            begun,
+            destination,
+            client,
+            started_at,
             late_at,
-            told: AtomicBool::new(false),
-            coming: AtomicBool::new(false),
+            concluded: AtomicBool::new(false),
+            response_started: AtomicBool::new(false),
         }
     }
 
-    /// Sends the request; returns with the head of the answer.
+    /// Sends the request; returns with the head of the response.
     pub async fn send(&self, req: Request<B>) -> Result<Response<Incoming>, Error> {
-        let res = self.over.client.request(req).await;
-        self.coming.store(res.is_ok(), Ordering::Relaxed);
+        let res = self.client.client.request(req).await;
+        self.response_started.store(res.is_ok(), Ordering::Relaxed);
         res
     }
 
-    /// Waits until a time, or for ever if the answer has begun to come by then: how long
-    /// the rest of it takes depends on its size and on the link, and whoever reads it
-    /// gives it up when nothing comes any more.
-    pub async fn overdue(&self, at: Instant) {
+    /// Waits until a time, or forever if the response has started to arrive by then. How
+    /// long the rest takes depends on its size and on the network, and whoever reads it
+    /// gives up when nothing more arrives.
+    pub async fn until_overdue(&self, at: Instant) {
         tokio::time::sleep_until(at).await;
-        if self.coming.load(Ordering::Relaxed) {
+        if self.response_started.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Waits until the connection of this attempt has become suspect.
-    pub async fn suspected(&self) {
-        let mut below = self.peer.suspect_below.subscribe();
+    /// Waits until the connection of this attempt is suspect.
+    pub async fn until_suspect(&self) {
+        let mut below = self.destination.suspect_below.subscribe();
         tokio::select! {
-            // The sender lives as long as the peer.
-            _ = below.wait_for(|n| self.over.number < *n) => {}
-            () = self.pool.half_open().until_suspect(self.over.opened) => {}
+            // Waiting can't fail: `self.destination` keeps the sender alive.
+            _ = below.wait_for(|n| self.client.generation < *n) => {}
+            () = self.pool.half_open().until_suspect(self.client.opened_at) => {}
         }
     }
 
-    /// When its answer is late.
+    /// When the response is late.
     pub fn late_at(&self) -> Instant {
         self.late_at
     }
 
-    /// Notes how long an answer took that needed no waiting.
-    pub fn took(&self, took: Duration) {
-        self.peer.patience.record(took);
+    /// Records the latency of a response that the peer did not hold back.
+    pub fn record_latency(&self, latency: Duration) {
+        self.destination.response_timeout.record(latency);
     }
 
-    /// The time after which an answer is late that needs no waiting.
+    /// The time after which a response that is not held back is late.
     pub fn late_after(&self) -> Duration {
-        self.peer.patience.late_after()
+        self.destination.response_timeout.late_after()
     }
 
-    /// Has the next attempt open a new connection: this one's may be at fault.
-    pub fn distrust(&self) {
-        self.renew(None);
+    /// Makes the next attempt open a new connection, since the one of this attempt may be
+    /// half-open.
+    pub fn renew_connection(&self) {
+        self.replace_client(None);
     }
 
-    /// Tells that the connection of this attempt was half-open: it had no answer, and a
-    /// new one had. All that are as old may be.
-    pub fn was_silent(&self) {
-        self.tell_silent(self.over.number + 1, self.begun);
+    /// Reports that the connection of this attempt was half-open: it had no response, and a
+    /// new connection had one. Other connections of the same generation become suspect.
+    pub fn report_half_open(&self) {
+        self.report_silent(self.client.generation + 1, self.started_at);
     }
 
-    /// Ends the attempt: it was answered, in whatever way. If an earlier one was given
-    /// up unanswered, its connection was half-open.
+    /// Concludes the attempt with any response. If an earlier attempt was given up without
+    /// a response, this shows that its connection was half-open.
     pub fn answered(&self) {
-        self.told.store(true, Ordering::Relaxed);
-        let mut now = self.peer.now.lock();
-        if now.number != self.over.number {
+        self.concluded.store(true, Ordering::Relaxed);
+        let mut current = self.destination.current.lock();
+        if current.generation != self.client.generation {
             return;
         }
-        let Some(silent_since) = now.doubted.take() else { return };
-        drop(now);
-        self.tell_silent(self.over.number, silent_since);
+        let Some(silent_since) = current.unanswered_since.take() else { return };
+        drop(current);
+        self.report_silent(self.client.generation, silent_since);
     }
 
-    fn tell_silent(&self, suspect_below: u64, silent_since: Instant) {
-        self.peer.suspect_below.send_modify(|below| *below = suspect_below.max(*below));
-        self.pool.half_open().report(HalfOpenConnection { address: self.peer.address.clone(), silent_since });
+    fn report_silent(&self, suspect_below: u64, silent_since: Instant) {
+        self.destination.suspect_below.send_modify(|below| *below = suspect_below.max(*below));
+        let address = self.destination.address.clone();
+        self.pool.half_open().report(HalfOpenConnection { address, silent_since });
     }
 
-    fn renew(&self, doubted: Option<Instant>) {
-        let mut now = self.peer.now.lock();
-        if now.number == self.over.number {
-            now.renew(self.pool.client());
-            now.doubted = doubted;
+    fn replace_client(&self, unanswered_since: Option<Instant>) {
+        let mut current = self.destination.current.lock();
+        if current.generation == self.client.generation {
+            current.replace(self.pool.new_client());
+            current.unanswered_since = unanswered_since;
         }
     }
 
-    /// Ends the attempt without a verdict: another one was faster, or the connection
-    /// broke.
+    /// Concludes the attempt without a verdict on its connection: another attempt was
+    /// faster, or the connection broke.
     pub fn abandon(&self) {
-        self.told.store(true, Ordering::Relaxed);
+        self.concluded.store(true, Ordering::Relaxed);
     }
 }
 
@@ -156,9 +163,10 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     fn drop(&mut self) {
-        let silent = !self.told.load(Ordering::Relaxed) && !self.coming.load(Ordering::Relaxed);
+        let silent =
+            !self.concluded.load(Ordering::Relaxed) && !self.response_started.load(Ordering::Relaxed);
         if silent && Instant::now() >= self.late_at {
-            self.renew(Some(self.begun));
+            self.replace_client(Some(self.started_at));
         }
     }
 }
--- a/crates/workswood-http/src/client.rs
+++ b/crates/workswood-http/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls whose answers are held whole.
+//! Calls whose responses are read into memory.
 
 use std::pin::pin;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,25 +19,26 @@
 /// A header of a call: name in lower case, and value.
 pub type Header = (&'static str, String);
 
-/// Whether a call may be done twice, and how.
+/// Whether and how a call may be sent a second time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// It is sent once.
+    /// The call is sent once.
     #[default]
     Never,
-    /// If its answer is late, or its connection breaks or becomes suspect, the same is
-    /// sent over a new connection.
+    /// If the response is late, or the connection breaks or becomes suspect, the same
+    /// request is sent over a new connection.
     Resend,
-    /// Likewise, but with a late answer only once a cheap read over the new connection was answered: the
-    /// call takes its turn at the peer, and sent twice it would take two.
+    /// Like [`RetryPolicy::Resend`], but after a late response only if the peer quickly
+    /// answers a cheap read over the new connection. The peer queues such calls, and a call
+    /// that is sent twice would take two places in its queue.
     ResendAfterProbe {
         /// Path and query of the read.
         path: String,
     },
-    /// Like [`RetryPolicy::Resend`]; the call may wait for its answer, and what is sent again
-    /// is a request for an answer at once.
+    /// Like [`RetryPolicy::Resend`], for a call whose response the peer may hold back. The
+    /// second request asks for a response at once.
     LongPoll {
-        /// Longest time that the call asks to wait.
+        /// Longest time for which the call asks the peer to hold the response back.
         wait: Duration,
         /// Path and query of the second request.
         path: String,
@@ -46,186 +47,194 @@
     },
 }
 
-/// A call.
+/// A call to be made.
 #[derive(Clone, Debug)]
 pub struct Call<'a> {
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Where to: IP address and port.
+    /// IP address and port of the peer.
     pub address: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// Further headers.
+    /// Additional headers.
     pub headers: &'a [Header],
-    /// Its body; empty for none.
+    /// The body; empty for none.
     pub body: Bytes,
-    /// Whether it may be done twice.
+    /// Whether and how the call may be sent a second time.
     pub retry: RetryPolicy,
-    /// What it is for.
+    /// The purpose under which the traffic is counted.
     pub purpose: Purpose,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub struct Response {
-    /// Its status.
+    /// The status.
     pub status: StatusCode,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// Whether the call was sent before, and what came of that is not known. Then a
-    /// refusal says nothing of the call: the copy sent first may be carried out.
+    /// Whether this is the response to the second request, and the outcome of the first is
+    /// not known. A refusal then proves nothing: the first request may still be carried out.
     pub retried: bool,
 }
 
 impl Response {
-    /// Whether the peer has dealt with the call. One that is busy turns a copy away
-    /// while the first waits for its turn.
+    /// Whether the peer has processed the call. A busy peer rejects the second request while
+    /// the first still waits in its queue.
     fn is_final(&self) -> bool {
         self.status != StatusCode::TOO_MANY_REQUESTS && !self.status.is_server_error()
     }
 }
 
-/// Why there is no whole answer.
+/// Why a call has no complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallError {
     /// No connection was made; nothing was sent.
     NotSent(String),
-    /// Something may have been sent.
+    /// The request may have been sent.
     NoAnswer(String),
 }
 
-/// A client of many addresses. Clones share its connections.
+/// A client for many addresses. Clones share its connections.
 #[derive(Clone)]
 pub struct HttpClient {
     pool: Pool<Full<Bytes>>,
-    most_bytes: usize,
+    max_body_bytes: usize,
     traffic: Traffic,
 }
 
-/// An answer of which nothing has come for this long is given up. On the slowest link, 2
-/// Mbit/s, a dozen answers that share it get some 16 KB each meanwhile.
-const BODY_SILENT: Duration = Duration::from_millis(1000);
-/// Bytes of the head of a request, or of an answer, as the platform's parts send them.
-const HEAD: usize = 160;
+/// A response of which no more arrives for this long is given up. On a slow link that many
+/// responses share, each still receives some bytes in this time.
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Estimated size in bytes of the head of a request or response, for counting traffic.
+const ESTIMATED_HEAD_BYTES: usize = 160;
 
 /// How the first attempt at a call went.
-enum First {
+enum FirstAttempt {
     Ended(Result<Response, CallError>),
-    /// Its answer is late.
+    /// Its response is late.
     Late,
     /// Its connection has become suspect.
-    Suspected,
+    Suspect,
 }
 
 impl HttpClient {
-    /// A client without connections that reads answers up to a size. What it finds
-    /// out of connections, and what goes over them, is shared with others.
+    /// Creates a client without connections that accepts responses up to a size. Half-open
+    /// connections are reported to `half_open`, and all calls are counted in `traffic`.
     pub fn new(
         limits: PoolLimits,
-        most_bytes: usize,
+        max_body_bytes: usize,
         half_open: HalfOpenDetector,
         traffic: Traffic,
     ) -> HttpClient {
-        HttpClient { pool: Pool::new(limits, half_open), most_bytes, traffic }
+        HttpClient { pool: Pool::new(limits, half_open), max_body_bytes, traffic }
     }
 
-    /// Makes a call. A connection whose answer did not come in time is closed.
+    /// Makes a call. A connection whose response did not arrive in time is closed.
     pub async fn call(&self, call: &Call<'_>, timeout: Duration) -> Result<Response, CallError> {
-        let until = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         match call.retry {
-            RetryPolicy::Never => self.once(call, until).await,
+            RetryPolicy::Never => self.call_once(call, deadline).await,
             RetryPolicy::Resend | RetryPolicy::ResendAfterProbe { .. } | RetryPolicy::LongPoll { .. } => {
-                self.repeatable(call, until).await
+                self.call_with_retry(call, deadline).await
             }
         }
     }
 
     /// Makes a call that is sent once.
-    async fn once(&self, call: &Call<'_>, until: Instant) -> Result<Response, CallError> {
+    async fn call_once(&self, call: &Call<'_>, deadline: Instant) -> Result<Response, CallError> {
         let attempt = self.pool.attempt(call.address, Duration::ZERO);
         let req = request(call, call.path, &call.body)?;
         tokio::select! {
             res = self.exchange(call, &attempt, req, false) => res,
-            () = attempt.suspected() => {
+            () = attempt.until_suspect() => {
                 attempt.abandon();
                 Err(CallError::NoAnswer("the connection went silent".to_string()))
             }
-            // Dropped without an end, the attempt counts as unanswered.
-            () = attempt.overdue(until) => Err(timed_out()),
+            // The attempt is dropped without being concluded, so it counts as unanswered.
+            () = attempt.until_overdue(deadline) => Err(timed_out()),
         }
     }
 
     /// Makes a call that may be sent twice.
-    async fn repeatable(&self, call: &Call<'_>, until: Instant) -> Result<Response, CallError> {
-        let first = self.pool.attempt(call.address, call.waits());
+    async fn call_with_retry(&self, call: &Call<'_>, deadline: Instant) -> Result<Response, CallError> {
+        let first = self.pool.attempt(call.address, call.wait());
         let req = request(call, call.path, &call.body)?;
-        let mut sent = pin!(self.exchange(call, &first, req, call.is_quick()));
+        let mut sent = pin!(self.exchange(call, &first, req, call.measures_latency()));
         let end = tokio::select! {
-            res = &mut sent => First::Ended(res),
-            () = first.suspected() => First::Suspected,
-            () = first.overdue(until.min(first.late_at())) => First::Late,
+            res = &mut sent => FirstAttempt::Ended(res),
+            () = first.until_suspect() => FirstAttempt::Suspect,
+            () = first.until_overdue(deadline.min(first.late_at())) => FirstAttempt::Late,
         };
         match end {
-            First::Ended(Err(CallError::NoAnswer(_))) => self.again(call, until).await,
-            First::Ended(res) => res,
-            First::Suspected => {
+            FirstAttempt::Ended(Err(CallError::NoAnswer(_))) => self.resend(call, deadline).await,
+            FirstAttempt::Ended(res) => res,
+            FirstAttempt::Suspect => {
                 first.abandon();
-                self.again(call, until).await
+                self.resend(call, deadline).await
             }
-            First::Late => {
-                first.distrust();
-                let copied = AtomicBool::new(false);
-                let mut again = pin!(self.again_if_silent(call, &first, &copied, until));
-                let copy = tokio::select! {
-                    res = &mut again => res,
+            FirstAttempt::Late => {
+                first.renew_connection();
+                let resent = AtomicBool::new(false);
+                let mut retry = pin!(self.resend_late(call, &first, &resent, deadline));
+                let second = tokio::select! {
+                    res = &mut retry => res,
                     res = &mut sent => return match res {
-                        // With a copy on its way, "not sent" would not be true.
-                        Err(e) if matches!(e, CallError::NoAnswer(_)) || copied.load(Ordering::Relaxed) => again.await,
+                        // The second request may have been sent, so `NotSent` would be wrong.
+                        Err(e) if matches!(e, CallError::NoAnswer(_)) || resent.load(Ordering::Relaxed) => {
+                            retry.await
+                        }
                         res => res,
                     },
                 };
-                if copy.as_ref().is_ok_and(Response::is_final) {
+                if second.as_ref().is_ok_and(Response::is_final) {
                     first.abandon();
-                    return copy;
+                    return second;
                 }
-                // What became of the copy says nothing of the first.
+                // The outcome of the second request says nothing about the first.
                 tokio::select! {
-                    res = sent => res.or(copy),
-                    () = first.overdue(until) => copy,
+                    res = sent => res.or(second),
+                    () = first.until_overdue(deadline) => second,
                 }
             }
         }
     }
 
-    /// Sends a call again whose answer is late, and tells if the connection was at
-    /// fault.
-    async fn again_if_silent(
+    /// Sends a call again whose response is late, and reports the first connection if it
+    /// was half-open.
+    async fn resend_late(
         &self,
         call: &Call<'_>,
         first: &Attempt<Full<Bytes>>,
-        copied: &AtomicBool,
-        until: Instant,
+        resent: &AtomicBool,
+        deadline: Instant,
     ) -> Result<Response, CallError> {
         if let RetryPolicy::ResendAfterProbe { path } = &call.retry
-            && !self.is_quick(call, path, first.late_after(), until).await
+            && !self.is_peer_quick(call, path, first.late_after(), deadline).await
         {
-            // Only the first one can be answered.
-            tokio::time::sleep_until(until).await;
+            // Nothing is sent again, so only the first request can have a response.
+            tokio::time::sleep_until(deadline).await;
             return Err(timed_out());
         }
-        copied.store(true, Ordering::Relaxed);
-        let res = self.again(call, until).await;
+        resent.store(true, Ordering::Relaxed);
+        let res = self.resend(call, deadline).await;
         if res.as_ref().is_ok_and(Response::is_final) {
-            first.was_silent();
+            first.report_half_open();
         }
         res
     }
 
-    /// Whether a cheap read over a new connection is answered so soon that the peer is
-    /// not slow: in half of the time after which an answer is late.
-    async fn is_quick(&self, call: &Call<'_>, path: &str, late_after: Duration, until: Instant) -> bool {
+    /// Probes over a new connection whether the peer responds quickly, which is in half of
+    /// the time after which a response is late.
+    async fn is_peer_quick(
+        &self,
+        call: &Call<'_>,
+        path: &str,
+        late_after: Duration,
+        deadline: Instant,
+    ) -> bool {
         let address = call.address;
-        let read = Call {
+        let probe = Call {
             method: Method::GET,
             address,
             path,
@@ -234,16 +243,16 @@
             retry: RetryPolicy::Never,
             purpose: call.purpose,
         };
-        let begun = Instant::now();
-        let Ok(req) = request(&read, path, &read.body) else { return false };
+        let started = Instant::now();
+        let Ok(req) = request(&probe, path, &probe.body) else { return false };
         let attempt = self.pool.attempt(address, Duration::ZERO);
-        let res = tokio::time::timeout_at(until, self.exchange(&read, &attempt, req, true)).await;
+        let res = tokio::time::timeout_at(deadline, self.exchange(&probe, &attempt, req, true)).await;
         attempt.abandon();
-        matches!(res, Ok(Ok(_))) && begun.elapsed() < late_after / 2
+        matches!(res, Ok(Ok(_))) && started.elapsed() < late_after / 2
     }
 
-    /// Sends what may be done twice over a connection that is not suspect.
-    async fn again(&self, call: &Call<'_>, until: Instant) -> Result<Response, CallError> {
+    /// Sends the second request of a call, over a connection that is not suspect.
+    async fn resend(&self, call: &Call<'_>, deadline: Instant) -> Result<Response, CallError> {
         let (path, body) = match &call.retry {
             RetryPolicy::LongPoll { path, body, .. } => (path.as_str(), body),
             RetryPolicy::Never | RetryPolicy::Resend | RetryPolicy::ResendAfterProbe { .. } => {
@@ -252,38 +261,39 @@
         };
         let second = self.pool.attempt(call.address, Duration::ZERO);
         let req = request(call, path, body)?;
-        let begun = Instant::now();
+        let started = Instant::now();
         tokio::select! {
             res = self.exchange(call, &second, req, false) => match res {
-                Ok(answer) => Ok(Response { retried: true, ..answer }),
-                // What was sent first may have arrived.
+                Ok(response) => Ok(Response { retried: true, ..response }),
+                // The first request may have arrived, so `NotSent` would be wrong.
                 Err(e) => Err(CallError::NoAnswer(text_of(e))),
             },
-            () = second.overdue(until) => {
-                // The connection was new: the peer needs at least this long.
-                second.took(begun.elapsed());
+            () = second.until_overdue(deadline) => {
+                // The connection was new, so the peer needs at least this long.
+                second.record_latency(started.elapsed());
                 Err(timed_out())
             }
         }
     }
 
-    /// Sends a request and tells the attempt how it ended; `quick` if the time that the
-    /// answer takes is the peer's own.
+    /// Sends a request and concludes the attempt. `measures_latency` tells whether the peer
+    /// responds as soon as it can, so that the latency is recorded.
     async fn exchange(
         &self,
         call: &Call<'_>,
         attempt: &Attempt<Full<Bytes>>,
         req: Request<Full<Bytes>>,
-        quick: bool,
+        measures_latency: bool,
     ) -> Result<Response, CallError> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let res = self.send(attempt, req).await;
-        let received = res.as_ref().map_or(0, |a| HEAD + a.body.len());
-        self.traffic.record(call.purpose, HEAD + call.path.len() + call.body.len(), received);
+        let sent = ESTIMATED_HEAD_BYTES + call.path.len() + call.body.len();
+        let received = res.as_ref().map_or(0, |r| ESTIMATED_HEAD_BYTES + r.body.len());
+        self.traffic.record(call.purpose, sent, received);
         match &res {
             Ok(_) => {
-                if quick {
-                    attempt.took(begun.elapsed());
+                if measures_latency {
+                    attempt.record_latency(started.elapsed());
                 }
                 attempt.answered();
             }
@@ -305,22 +315,22 @@
             }
         })?;
         let status = res.status();
-        let body = read_body(Limited::new(res.into_body(), self.most_bytes)).await?;
+        let body = read_body(Limited::new(res.into_body(), self.max_body_bytes)).await?;
         Ok(Response { status, body, retried: false })
     }
 }
 
 impl Call<'_> {
-    /// How long its answer may wait for something to happen.
-    fn waits(&self) -> Duration {
+    /// How long the peer may hold the response back.
+    fn wait(&self) -> Duration {
         match &self.retry {
             RetryPolicy::Never | RetryPolicy::Resend | RetryPolicy::ResendAfterProbe { .. } => Duration::ZERO,
             RetryPolicy::LongPoll { wait, .. } => *wait,
         }
     }
 
-    /// Whether the time that its answer takes is the peer's own.
-    fn is_quick(&self) -> bool {
+    /// Whether the peer responds as soon as it can, so that its latency is recorded.
+    fn measures_latency(&self) -> bool {
         match self.retry {
             RetryPolicy::Resend | RetryPolicy::ResendAfterProbe { .. } => true,
             RetryPolicy::Never | RetryPolicy::LongPoll { .. } => false,
@@ -328,11 +338,11 @@
     }
 }
 
-/// Reads a body as long as some of it comes.
+/// Reads a body to its end, as long as parts of it keep arriving.
 async fn read_body(mut body: Limited<Incoming>) -> Result<Bytes, CallError> {
     let mut whole = BytesMut::new();
     loop {
-        let frame = tokio::time::timeout(BODY_SILENT, body.frame()).await;
+        let frame = tokio::time::timeout(BODY_IDLE_TIMEOUT, body.frame()).await;
         match frame.map_err(|_| timed_out())? {
             Some(Ok(frame)) => whole.extend(frame.into_data().ok()),
             Some(Err(e)) => return Err(CallError::NoAnswer(e.to_string())),
@@ -357,8 +367,8 @@
     CallError::NoAnswer("timed out".to_string())
 }
 
-fn text_of(f: CallError) -> String {
-    match f {
+fn text_of(e: CallError) -> String {
+    match e {
         CallError::NotSent(text) | CallError::NoAnswer(text) => text,
     }
 }
--- a/crates/workswood-http/src/lib.rs
+++ b/crates/workswood-http/src/lib.rs
@@ -1,8 +1,8 @@
 //! HTTP calls with limits on time and size, over connections that may go silent.
 //!
-//! * [`HttpClient`] makes calls whose answers are held whole; what may be done twice
-//!   is sent again over a new connection when its answer is late.
-//! * [`Pool`] keeps connections by address, and forgets those that are suspect.
+//! * [`HttpClient`] makes calls and reads their responses into memory. A call that may be
+//!   sent twice is sent again over a new connection when its response is late.
+//! * [`Pool`] keeps connections by address, and drops those that are suspect.
 
 mod attempt;
 mod client;
--- a/crates/workswood-http/src/pool.rs
+++ b/crates/workswood-http/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections by address, and which of them are not to be trusted.
+//! Connections by address, and which of them are suspect.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,21 +13,21 @@
 use tokio::time::Instant;
 use workswood_liveness::{AdaptiveTimeout, HalfOpenDetector};
 
-use crate::attempt::{Attempt, Over};
+use crate::attempt::{Attempt, AttemptClient};
 
-/// A call without an answer for this many times the mean of its address is late,
-const LATE_TIMES: f64 = 4.0;
-/// but not before this time: answers of a busy host come some ten milliseconds late.
-const LATE_NOT_BEFORE: Duration = Duration::from_millis(150);
+/// A response is late after this many times the mean latency of its address.
+const LATE_MEAN_MULTIPLE: f64 = 4.0;
+/// A response is never late before this time, since busy peers respond with some delay.
+const MIN_LATE_AFTER: Duration = Duration::from_millis(150);
 
-/// Bounds of a pool.
+/// Limits of a connection pool.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
     /// Longest wait for a connection.
     pub connect_timeout: Duration,
-    /// How long an idle connection, and what is known of its address, is kept.
+    /// How long an idle connection is kept, and what is known of an unused address.
     pub idle_timeout: Duration,
-    /// Idle connections kept to one address.
+    /// Largest number of idle connections that are kept to one address.
     pub max_idle_per_address: usize,
 }
 
@@ -46,29 +46,29 @@
     connector: HttpConnector,
     limits: PoolLimits,
     half_open: HalfOpenDetector,
-    peers: Mutex<HashMap<String, Arc<Peer<B>>>>,
+    destinations: Mutex<HashMap<String, Arc<Destination<B>>>>,
 }
 
-/// What is known of one address.
-pub(crate) struct Peer<B> {
+/// The connections to one address, and how long its responses take.
+pub(crate) struct Destination<B> {
     pub(crate) address: String,
-    pub(crate) now: Mutex<Now<B>>,
-    /// Attempts with a lower number went over connections that are suspect.
+    pub(crate) current: Mutex<CurrentClient<B>>,
+    /// Attempts of a client generation below this one used suspect connections.
     pub(crate) suspect_below: watch::Sender<u64>,
-    pub(crate) patience: AdaptiveTimeout,
+    pub(crate) response_timeout: AdaptiveTimeout,
 }
 
-/// The connections to an address that are used now.
-pub(crate) struct Now<B> {
+/// The client whose connections new attempts use.
+pub(crate) struct CurrentClient<B> {
     pub(crate) client: Client<HttpConnector, B>,
-    /// Counts the clients of this address.
-    pub(crate) number: u64,
-    /// When the first of its connections may have been opened.
-    opened: Instant,
-    /// When a call was sent over an earlier connection that had no answer, if none
-    /// over a present one has had one since.
-    pub(crate) doubted: Option<Instant>,
-    used: Instant,
+    /// Number of this client among those of the address.
+    pub(crate) generation: u64,
+    /// Earliest time at which one of its connections can have been opened.
+    opened_at: Instant,
+    /// When a call was sent over the previous client that had no response. Cleared once a
+    /// call over this client has one.
+    pub(crate) unanswered_since: Option<Instant>,
+    last_used: Instant,
 }
 
 impl<B> Pool<B>
@@ -77,58 +77,69 @@
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    /// A pool without connections; what it finds out is shared with others.
+    /// Creates a pool without connections. Half-open connections are reported to
+    /// `half_open`, and those that it declares suspect are dropped.
     pub fn new(limits: PoolLimits, half_open: HalfOpenDetector) -> Pool<B> {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(limits.connect_timeout));
-        let shared = Shared { connector, limits, half_open, peers: Mutex::default() };
+        let shared = Shared { connector, limits, half_open, destinations: Mutex::default() };
         Pool { shared: Arc::new(shared) }
     }
 
-    /// Begins an attempt at a call to an address, which may let its answer wait for
-    /// some time.
-    pub fn attempt(&self, address: &str, waits: Duration) -> Attempt<B> {
-        let peer = self.peer(address);
-        let mut now = peer.now.lock();
-        if self.half_open().is_suspect(now.opened) {
-            now.renew(self.client());
+    /// Starts an attempt at a call to an address. `wait` is how long the peer may hold the
+    /// response back, as in a long poll.
+    pub fn attempt(&self, address: &str, wait: Duration) -> Attempt<B> {
+        let destination = self.destination(address);
+        let mut current = destination.current.lock();
+        if self.half_open().is_suspect(current.opened_at) {
+            current.replace(self.new_client());
         }
-        now.used = Instant::now();
-        let over = Over { client: now.client.clone(), number: now.number, opened: now.opened };
-        drop(now);
-        Attempt::new(self.clone(), peer, over, waits)
+        current.last_used = Instant::now();
+        let client = AttemptClient {
+            client: current.client.clone(),
+            generation: current.generation,
+            opened_at: current.opened_at,
+        };
+        drop(current);
+        Attempt::new(self.clone(), destination, client, wait)
     }
 
     pub(crate) fn half_open(&self) -> &HalfOpenDetector {
         &self.shared.half_open
     }
 
-    fn peer(&self, address: &str) -> Arc<Peer<B>> {
-        let mut peers = self.shared.peers.lock();
-        if let Some(p) = peers.get(address) {
-            return p.clone();
+    fn destination(&self, address: &str) -> Arc<Destination<B>> {
+        let mut destinations = self.shared.destinations.lock();
+        if let Some(d) = destinations.get(address) {
+            return d.clone();
         }
-        let idle = self.shared.limits.idle_timeout;
+        let idle_timeout = self.shared.limits.idle_timeout;
         let now = Instant::now();
-        peers.retain(|_, p| now < p.now.lock().used + idle);
-        let peer = Arc::new(self.new_peer(address, now));
-        peers.insert(address.to_string(), peer.clone());
-        peer
+        destinations.retain(|_, d| now < d.current.lock().last_used + idle_timeout);
+        let destination = Arc::new(self.new_destination(address, now));
+        destinations.insert(address.to_string(), destination.clone());
+        destination
     }
 
-    fn new_peer(&self, address: &str, used: Instant) -> Peer<B> {
-        let now = Now { client: self.client(), number: 1, opened: used, doubted: None, used };
-        Peer {
+    fn new_destination(&self, address: &str, now: Instant) -> Destination<B> {
+        let current = CurrentClient {
+            client: self.new_client(),
+            generation: 1,
+            opened_at: now,
+            unanswered_since: None,
+            last_used: now,
+        };
+        Destination {
             address: address.to_string(),
-            now: Mutex::new(now),
+            current: Mutex::new(current),
             suspect_below: watch::Sender::new(0),
-            patience: AdaptiveTimeout::new(LATE_TIMES, LATE_NOT_BEFORE),
+            response_timeout: AdaptiveTimeout::new(LATE_MEAN_MULTIPLE, MIN_LATE_AFTER),
         }
     }
 
-    /// A client without connections.
-    pub(crate) fn client(&self) -> Client<HttpConnector, B> {
+    /// Creates a client that has no connections yet.
+    pub(crate) fn new_client(&self) -> Client<HttpConnector, B> {
         let limits = &self.shared.limits;
         Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
@@ -138,12 +149,13 @@
     }
 }
 
-impl<B> Now<B> {
-    /// Uses new connections from here on; idle ones are closed.
-    pub(crate) fn renew(&mut self, client: Client<HttpConnector, B>) {
+impl<B> CurrentClient<B> {
+    /// Replaces the client, so that new attempts open new connections. Idle connections of
+    /// the previous client are closed.
+    pub(crate) fn replace(&mut self, client: Client<HttpConnector, B>) {
         self.client = client;
-        self.number += 1;
-        self.opened = Instant::now();
-        self.doubted = None;
+        self.generation += 1;
+        self.opened_at = Instant::now();
+        self.unanswered_since = None;
     }
 }
