--- a/crates/workswood-platform/src/http.rs
+++ b/crates/workswood-platform/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP.
+//! The client of a platform over HTTP.
 
 use std::time::Duration;
 
@@ -17,19 +17,19 @@
 
 use crate::{CALL_TIMEOUT, Error, GarbledSnafu, Platform, ReadReply};
 
-/// Bounds of connections to the platform.
+/// Limits of the connections to the platform.
 const LIMITS: PoolLimits = PoolLimits {
-    // A dead port refuses at once; a cut link says nothing. Half of a call's time, so that
-    // the call ends by saying that nothing was sent.
+    // Shorter than the timeout of a call, so that a call over a network that drops packets
+    // fails with `NotSent`.
     connect_timeout: Duration::from_millis(500),
     // Longer than any gap between reads of the log.
     idle_timeout: Duration::from_secs(30),
-    // One each for the reads of the log, its appends, and the planner's lists and acts.
+    // One each for reads of the log, appends to it, and the lists and acts of the planner.
     max_idle_per_address: 3,
 };
-/// Largest answer that is read. A read of the log brings 512 records of about 1 MiB at
-/// most, and as text within JSON they are up to twice as long.
-const MOST_BYTES: usize = 1024 * 1024 * 1024;
+/// Largest body of a response. A read of the log returns up to 512 records of about 1 MiB,
+/// and JSON escapes may double their length.
+const MAX_BODY_BYTES: usize = 1024 * 1024 * 1024;
 
 /// Client of a platform that speaks JSON over HTTP/1.1.
 pub struct HttpPlatform {
@@ -38,30 +38,30 @@
 }
 
 #[derive(Deserialize)]
-struct Appended {
+struct AppendReply {
     offset: Offset,
 }
 
 impl HttpPlatform {
-    /// A client of the platform at an IP address and port.
+    /// Creates a client of the platform at an IP address and port.
     pub fn new(address: &str) -> HttpPlatform {
         HttpPlatform::with_half_open_detector(address, HalfOpenDetector::default())
     }
 
-    /// A client that shares what is found out of connections with the process's other
-    /// clients.
+    /// Creates a client that shares a detector of half-open connections with the other
+    /// clients of the process.
     pub fn with_half_open_detector(address: &str, half_open: HalfOpenDetector) -> HttpPlatform {
-        let http = HttpClient::new(LIMITS, MOST_BYTES, half_open, Traffic::default());
+        let http = HttpClient::new(LIMITS, MAX_BODY_BYTES, half_open, Traffic::default());
         HttpPlatform { address: address.to_string(), http }
     }
 
-    /// Reads something; a read may be done twice.
+    /// Reads a resource. The request may be sent twice.
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         self.call(Method::GET, path, String::new(), RetryPolicy::Resend).await
     }
 
-    /// Has something done. It is sent once: the log takes a copy of a record as another
-    /// record, and a copy of an act may be refused because the act was done.
+    /// Changes something. The request is sent once: the log would store a second copy of a
+    /// record, and the second copy of an act may be refused because the act is done already.
     async fn post<T: DeserializeOwned>(&self, path: &str, body: String) -> Result<T, Error> {
         self.call(Method::POST, path, body, RetryPolicy::Never).await
     }
@@ -76,12 +76,12 @@
         let body = Bytes::from(body);
         let call =
             Call { method, address: &self.address, path, headers: &[], body, retry, purpose: "platform" };
-        let answer = self.http.call(&call, CALL_TIMEOUT).await.map_err(|f| self.failed(f))?;
-        read(&answer)
+        let response = self.http.call(&call, CALL_TIMEOUT).await.map_err(|e| self.call_failed(e))?;
+        decode(&response)
     }
 
-    fn failed(&self, f: CallError) -> Error {
-        match f {
+    fn call_failed(&self, e: CallError) -> Error {
+        match e {
             CallError::NotSent(text) => {
                 log::debug!("event=platform_unreachable address={} error={text:?}", self.address);
                 Error::Unreachable { address: self.address.clone() }
@@ -91,24 +91,24 @@
     }
 }
 
-/// What an answer says.
-fn read<T: DeserializeOwned>(a: &Response) -> Result<T, Error> {
-    if a.status.is_success() {
-        return serde_json::from_slice(&a.body).context(GarbledSnafu);
+/// Decodes a response, or returns why the call failed.
+fn decode<T: DeserializeOwned>(response: &Response) -> Result<T, Error> {
+    if response.status.is_success() {
+        return serde_json::from_slice(&response.body).context(GarbledSnafu);
     }
-    // What was sent first may have had its effect although the copy is refused.
-    if a.status.is_server_error() || a.retried {
-        return Err(Error::NoAnswer { text: a.status.to_string() });
+    // If the second request was refused, the first may still have taken effect.
+    if response.status.is_server_error() || response.retried {
+        return Err(Error::NoAnswer { text: response.status.to_string() });
     }
-    let text = String::from_utf8_lossy(&a.body).into_owned();
-    Err(Error::Refused { status: a.status.as_u16(), text })
+    let text = String::from_utf8_lossy(&response.body).into_owned();
+    Err(Error::Refused { status: response.status.as_u16(), text })
 }
 
 impl Platform for HttpPlatform {
     fn append(&self, body: String) -> BoxFuture<'_, Result<Offset, Error>> {
         async move {
-            let a: Appended = self.post("/log", body).await?;
-            Ok(a.offset)
+            let reply: AppendReply = self.post("/log", body).await?;
+            Ok(reply.offset)
         }
         .boxed()
     }
--- a/crates/workswood-platform/src/jobs.rs
+++ b/crates/workswood-platform/src/jobs.rs
@@ -1,7 +1,7 @@
-//! What running jobs needs of a platform: a keyed store, workers, hosts.
+//! What running jobs needs of a platform: a keyed store, workers, hosts and the adviser.
 //!
-//! [`JobPlatform`] is the edge. Its implementations decode what a platform
-//! says into the types of the core; nothing else knows a platform's words.
+//! Implementations of [`JobPlatform`] translate between the protocol of a platform and the
+//! types of `workswood_core`; nothing else depends on the protocol.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,46 +15,46 @@
     AdviceReply, Host, HostReply, Listing, SchedConfig, StepId, TaskId, Wave, WorkerAddress, WorkerInfo,
 };
 
-/// One of the streams that a topic is divided into.
+/// Number of a partition of a topic.
 pub type Partition = u16;
 
-/// A stream of records in the platform's store.
+/// A topic of records in the platform's store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Topic {
-    /// Who holds the scheduler lease.
+    /// The scheduler lease.
     Lease,
-    /// Jobs and cancels, as entries accepted them; divided into parts.
+    /// Jobs and cancellations, as entries accepted them; divided into partitions.
     Inbox(Partition),
-    /// State of the scheduler.
+    /// The state of the scheduler.
     State,
-    /// What operators write.
+    /// Records that operators write: the configuration, waves and evacuations.
     Operators,
-    /// What workers say of themselves.
+    /// Registrations of workers.
     Workers,
-    /// What operators read.
+    /// Status records for operators.
     Status,
-    /// Where the processes of the system reach each other.
+    /// Addresses of the peer listeners of entries.
     Peers,
 }
 
-/// A record: the newest of each key is kept for good.
+/// A record with a key. The store keeps the latest record of each key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyedRecord {
-    /// Its key.
+    /// The key.
     pub key: String,
-    /// Its value; `None` drops the key.
+    /// The value; `None` deletes the key.
     pub value: Option<Bytes>,
 }
 
-/// What must hold for an append to be done.
+/// The precondition of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
-    /// Nothing.
+    /// None.
     None,
-    /// The stream must end there.
+    /// The topic must end at this offset.
     EndsAt(Offset),
-    /// No writer of a higher term may have been seen. Appends of one term are
-    /// numbered; one that is sent again gets its first answer.
+    /// No append of a higher term may have been seen. The second value numbers the appends
+    /// of the term; an append that is sent again gets the response to the first request.
     Term(Term, u64),
 }
 
@@ -62,142 +62,143 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum StoreError {
-    /// Nothing was done; it may be tried again.
-    #[snafu(display("the store refused for now: {text}"))]
+    /// Nothing was done; the call may be retried.
+    #[snafu(display("the store refused the call for now: {text}"))]
     NotDone {
-        /// What it said.
+        /// The reason that the store gave.
         text: String,
     },
-    /// No answer; it may have been done, or may be done later.
-    #[snafu(display("no answer from the store: {text}"))]
+    /// No response came; the call may have been carried out, or may be carried out later.
+    #[snafu(display("no response from the store: {text}"))]
     Unknown {
         /// What went wrong.
         text: String,
     },
-    /// The guard did not hold; nothing was done.
-    #[snafu(display("another writer was first"))]
+    /// The precondition did not hold, since another writer was first; nothing was done.
+    #[snafu(display("another writer has appended to the store before"))]
     GuardFailed,
-    /// The records asked for are gone; the store keeps later ones.
-    #[snafu(display("records are gone"))]
+    /// The store no longer keeps the requested records; it keeps later ones.
+    #[snafu(display("the store no longer keeps the requested records"))]
     RecordsGone,
 }
 
-/// The newest record of every key.
+/// The latest record of every key of a topic.
 #[derive(Clone, Debug, Default)]
 pub struct LatestRecords {
-    /// The records; several pages that were read one after another.
+    /// The records. They are read page by page and are no consistent snapshot.
     pub records: Vec<KeyedRecord>,
-    /// Where to go on reading so that nothing is missed.
+    /// Offset from which to continue reading so that no change is missed.
     pub next: Offset,
 }
 
-/// Records from some offset on.
+/// Records of a topic from some offset on.
 #[derive(Clone, Debug, Default)]
 pub struct Tail {
     /// The records.
     pub records: Vec<KeyedRecord>,
-    /// Where to go on reading.
+    /// Offset from which to continue reading.
     pub next: Offset,
 }
 
-/// What an operator wrote.
+/// A record that an operator wrote.
 #[derive(Clone, Debug)]
 pub enum OperatorRecord {
-    /// What is to be in force.
+    /// The configuration that is to be in force.
     Config(SchedConfig),
     /// A maintenance wave.
     Wave(Wave),
-    /// A data centre is to be evacuated, or is taken back.
+    /// A data centre is evacuated, or put back into use.
     Evacuation {
-        /// Which.
+        /// The data centre.
         data_centre: DataCentre,
-        /// Whether nothing may begin there from now on.
+        /// Whether the data centre is evacuated, so that no task may start there.
         evacuated: bool,
     },
 }
 
-/// Why a call to a worker had no effect that we know of.
+/// Why a call to a worker failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerError {
-    /// The worker knows a higher token.
+    /// The worker has seen a higher fencing token.
     Fenced,
-    /// It refused: too late, too old, or no room.
+    /// The worker refused the order: it was too late or outdated, or there was no room.
     Refused,
-    /// Its ticket was missing or had ended.
+    /// The ticket was missing or had expired.
     Ticket,
-    /// It is not well and has done nothing.
+    /// The worker is unhealthy or overloaded and did nothing.
     Unwell,
-    /// The address belongs to another life.
+    /// Another worker, or another incarnation of the worker, answers at the address.
     OtherLife,
-    /// The worker has started again under its name, at this time of day in milliseconds.
+    /// The worker has restarted under the same name, at this time.
     Restarted(UnixMs),
     /// No connection was made; nothing was sent.
     NotSent,
-    /// No answer.
+    /// No response came; the call may have been carried out.
     NoAnswer,
 }
 
-/// A worker's clock when it answered.
+/// Time on the clock of a worker.
 pub type WorkerClock = Duration;
 
-/// A start of a task.
+/// An order to start a task.
 #[derive(Clone, Debug)]
 pub struct StartOrder {
     /// The task.
     pub task: TaskId,
-    /// Number of the try.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// Text of its job.
+    /// Specification of the job, which is passed to the task.
     pub text: Arc<str>,
-    /// Checkpoint to go on from; empty for none.
+    /// Checkpoint to resume from; empty for none.
     pub checkpoint: String,
-    /// Ticket of the adviser.
+    /// Ticket from the adviser.
     pub ticket: Option<Arc<str>>,
-    /// End of the worker's lease, on its clock.
+    /// End of the worker's lease, on the clock of the worker.
     pub lease_end: WorkerClock,
-    /// How long an answer is waited for.
+    /// Longest wait for the response.
     pub timeout: Duration,
 }
 
 /// What running jobs needs of a platform.
 pub trait JobPlatform: Send + Sync + 'static {
-    /// Appends records, all or none; returns where the first one stands.
+    /// Appends all records or none; returns the offset of the first one.
     fn append(
         &self,
         topic: Topic,
         records: Vec<KeyedRecord>,
         guard: Guard,
     ) -> BoxFuture<'_, Result<Offset, StoreError>>;
-    /// Reads the newest record of every key.
+    /// Reads the latest record of every key.
     fn latest(&self, topic: Topic) -> BoxFuture<'_, Result<LatestRecords, StoreError>>;
-    /// Reads records from an offset on; waits for one for some time.
+    /// Reads records from an offset on; waits up to `wait` for the first one.
     fn tail(&self, topic: Topic, from: Offset, wait: Duration) -> BoxFuture<'_, Result<Tail, StoreError>>;
 
-    /// Reads what an operator wrote; `None` if it concerns nobody here.
+    /// Parses a record that an operator wrote; `None` if it does not concern this program.
     fn parse_operator_record(&self, rec: &KeyedRecord) -> Result<Option<OperatorRecord>, String>;
-    /// Reads what a worker wrote.
+    /// Parses the registration of a worker.
     fn parse_worker_info(&self, rec: &KeyedRecord) -> Result<WorkerInfo, String>;
-    /// What operators are told of a wave.
+    /// Builds the status record of a wave for operators.
     fn wave_status_record(&self, number: u64, complete: bool) -> KeyedRecord;
 
-    /// Looks at a worker: shows it our token, tells it which ends to forget,
-    /// extends its lease if `lease_end` is given, and waits for an end.
+    /// Polls a worker: presents the fencing token, acknowledges the ended tasks numbered up
+    /// to `acked_end`, extends the lease if `lease_end` is given, and waits up to `wait` for
+    /// a task to end. Returns the clock of the worker and the tasks that it lists.
     fn poll_worker<'a>(
         &'a self,
         worker: &'a WorkerAddress,
         token: Term,
-        forget: u64,
+        acked_end: u64,
         lease_end: Option<WorkerClock>,
         wait: Duration,
     ) -> BoxFuture<'a, Result<(WorkerClock, Listing), WorkerError>>;
-    /// Starts a task.
+    /// Starts a task on a worker.
     fn start_task<'a>(
         &'a self,
         worker: &'a WorkerAddress,
         token: Term,
         order: StartOrder,
     ) -> BoxFuture<'a, Result<(), WorkerError>>;
-    /// Stops a task.
+    /// Stops a task on a worker.
     fn stop_task<'a>(
         &'a self,
         worker: &'a WorkerAddress,
@@ -205,7 +206,7 @@
         task: TaskId,
         attempt: u32,
     ) -> BoxFuture<'a, Result<(), WorkerError>>;
-    /// Lets a task work at a share, in percent.
+    /// Limits the pace of a task to a percentage of its full pace.
     fn throttle_task<'a>(
         &'a self,
         worker: &'a WorkerAddress,
@@ -220,14 +221,14 @@
         &'a self,
         step: StepId,
         workers: &'a [WorkerId],
-        patience: Duration,
+        timeout: Duration,
     ) -> BoxFuture<'a, AdviceReply>;
 
     /// Lists all hosts.
     fn list_hosts(&self) -> BoxFuture<'_, Result<Vec<Host>, StoreError>>;
-    /// Maintains a host as part of a wave.
+    /// Orders the maintenance of a host as part of a wave.
     fn maintain_host(&self, holder: &str, token: Term, host: HostId, wave: u64) -> BoxFuture<'_, HostReply>;
-    /// Gives a host to another pool.
+    /// Moves a host to another pool.
     fn move_host(&self, holder: &str, token: Term, host: HostId, pool: ServiceId)
     -> BoxFuture<'_, HostReply>;
 }
--- a/crates/workswood-platform/src/lib.rs
+++ b/crates/workswood-platform/src/lib.rs
@@ -1,10 +1,10 @@
 //! The platform: its log, its list of hosts, and acts on hosts and tasks.
 //!
-//! The platform's real interface is not known yet. Everything the rest of the
-//! program needs of it is the trait [`Platform`]; another protocol is another
-//! implementation of it. [`HttpPlatform`] speaks JSON over HTTP/1.1:
+//! The rest of the program uses the platform only through the trait [`Platform`], and
+//! through [`jobs::JobPlatform`] for running jobs. [`HttpPlatform`] implements the former
+//! with JSON over HTTP/1.1:
 //!
-//! | call | answer |
+//! | request | response |
 //! |---|---|
 //! | `POST /log` with one record as body | `{"offset": n}` |
 //! | `GET /log?from=N&max=M` | [`ReadReply`] |
@@ -24,10 +24,10 @@
 
 pub use http::HttpPlatform;
 
-/// Longest wait for an answer of the platform.
+/// Longest wait for a response of the platform.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a call failed.
+/// Why a call to the platform failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
@@ -42,24 +42,24 @@
     Refused {
         /// HTTP status.
         status: u16,
-        /// What it said.
+        /// Body of the response.
         text: String,
     },
-    /// No whole answer came; the call may have had its effect.
-    #[snafu(display("no answer from the platform: {text}"))]
+    /// No complete response arrived; the call may have taken effect.
+    #[snafu(display("no response from the platform: {text}"))]
     NoAnswer {
         /// What went wrong.
         text: String,
     },
-    /// The answer can't be read; the call may have had its effect.
-    #[snafu(display("answer of the platform can't be read"))]
+    /// The response can't be decoded; the call may have taken effect.
+    #[snafu(display("can't decode the response of the platform"))]
     Garbled {
         /// The reason.
         source: serde_json::Error,
     },
 }
 
-/// One record read back from the log.
+/// A record of the log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LogRecord {
     /// Its offset.
@@ -68,14 +68,14 @@
     pub body: String,
 }
 
-/// Part of the log.
+/// A section of the log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReadReply {
-    /// Oldest offset that is still kept.
+    /// Lowest offset that the platform still keeps.
     pub first: Offset,
-    /// Offset that the next record will get.
+    /// Offset that the next appended record will get.
     pub head: Offset,
-    /// Records in offset order.
+    /// The records, in order of their offsets.
     pub records: Vec<LogRecord>,
 }
 
@@ -85,8 +85,8 @@
     fn append(&self, body: String) -> BoxFuture<'_, Result<Offset, Error>>;
     /// Reads up to `max` records from an offset on.
     fn read(&self, from: Offset, max: usize) -> BoxFuture<'_, Result<ReadReply, Error>>;
-    /// Reads the list of hosts, which lags.
+    /// Reads the list of hosts, which may be out of date.
     fn hosts(&self) -> BoxFuture<'_, Result<Seen, Error>>;
-    /// Acts on a host or task.
+    /// Carries out an act on a host or task.
     fn act(&self, act: &Act) -> BoxFuture<'_, Result<(), Error>>;
 }
