--- a/crates/workswood-peers/src/message.rs
+++ b/crates/workswood-peers/src/message.rs
@@ -360,7 +360,7 @@
     pub address: String,
     /// Its incarnation.
     #[prost(string, tag = "2")]
-    pub id: String,
+    pub incarnation: String,
     /// The data centre that it runs in.
     #[prost(string, tag = "3")]
     pub data_centre: String,
@@ -380,7 +380,7 @@
 pub struct Heartbeat {
     /// The state of the sender.
     #[prost(message, optional, tag = "1")]
-    pub own: Option<EntryState>,
+    pub sender: Option<EntryState>,
     /// The states of some other entries, as the sender knows them.
     #[prost(message, repeated, tag = "2")]
     pub others: Vec<EntryState>,
@@ -417,9 +417,9 @@
     /// Number of slots wanted.
     #[prost(uint32, tag = "2")]
     pub slots: u32,
-    /// Incarnation of the requesting entry.
+    /// Incarnation of the entry that borrows.
     #[prost(string, tag = "3")]
-    pub from: String,
+    pub borrower: String,
 }
 
 /// The reply to a [`SlotRequest`]; lends slots.
@@ -449,7 +449,7 @@
     pub service: String,
     /// Incarnation of the borrower.
     #[prost(string, tag = "2")]
-    pub from: String,
+    pub borrower: String,
     /// Numbers of the loans in use.
     #[prost(uint64, repeated, tag = "3")]
     pub in_use: Vec<u64>,
--- a/src/workswood/ops/entry/gossip.rs
+++ b/src/workswood/ops/entry/gossip.rs
@@ -28,7 +28,7 @@
 fn to_wire(b: &Beat) -> EntryState {
     EntryState {
         address: b.address.clone(),
-        id: b.id.clone(),
+        incarnation: b.id.clone(),
         data_centre: b.data_centre.clone(),
         sequence: b.number,
         next_offset: b.next,
@@ -39,7 +39,7 @@
 fn from_wire(b: EntryState) -> Beat {
     Beat {
         address: b.address,
-        id: b.id,
+        id: b.incarnation,
         data_centre: b.data_centre,
         number: b.sequence,
         next: b.next_offset,
@@ -77,7 +77,7 @@
     };
     let open = open_requests(node);
     let beats = Heartbeat {
-        own: Some(to_wire(&own)),
+        sender: Some(to_wire(&own)),
         others: others.iter().map(to_wire).collect(),
         open_requests: open,
     };
@@ -178,11 +178,11 @@
     let (now, here) = (node.now(), node.state.read().next);
     // The state is never locked while the members are.
     let mut members = node.members.lock();
-    if let Some(own) = b.own {
+    if let Some(own) = b.sender {
         let view = PeerView { open: b.open_requests.into_iter().map(|o| (o.instance, o.requests)).collect() };
         node.peer_views.lock().insert(own.address.clone(), view);
         let next = own.next_offset;
-        let id = own.id.clone();
+        let id = own.incarnation.clone();
         if members.heard(now, from_wire(own), true) {
             log::info!("event=member id={id} liveness=alive");
         }
@@ -199,7 +199,8 @@
 
 fn lend(node: &Arc<Node>, ask: &SlotRequest) -> SlotReply {
     let lane = node.lanes.read().get(&ask.service).cloned();
-    let loans = lane.map(|l| l.lend(node.now(), &ask.from, Want { slots: ask.slots })).unwrap_or_default();
+    let loans =
+        lane.map(|l| l.lend(node.now(), &ask.borrower, Want { slots: ask.slots })).unwrap_or_default();
     let wire = |l: &Loan| LentSlot { id: l.id, endpoint: l.endpoint.clone() };
     SlotReply { loans: loans.iter().map(wire).collect() }
 }
--- a/src/workswood/ops/entry/lanes.rs
+++ b/src/workswood/ops/entry/lanes.rs
@@ -84,7 +84,7 @@
     /// Takes in what a borrower says of its loans.
     pub fn loans_told(&self, node: &Node, s: &SlotLoanUpdate) {
         self.with(node, |d, now| {
-            d.confirmed(now, &s.from, &s.in_use);
+            d.confirmed(now, &s.borrower, &s.in_use);
             s.returned.iter().flat_map(|id| d.returned(now, *id)).collect()
         });
     }
@@ -103,7 +103,7 @@
         if let Some(link) = node.link_to(peer) {
             let s = SlotLoanUpdate {
                 service: self.service.clone(),
-                from: node.id.clone(),
+                borrower: node.id.clone(),
                 in_use: kept,
                 returned,
             };
@@ -359,7 +359,7 @@
         let Some(want) = lane.want(node.now()) else { return };
         let peer = &peers[(i + turn) % peers.len()];
         let Some(link) = node.link_to(peer) else { continue };
-        let ask = SlotRequest { service: lane.service.clone(), slots: want.slots, from: node.id.clone() };
+        let ask = SlotRequest { service: lane.service.clone(), slots: want.slots, borrower: node.id.clone() };
         let Some(Msg::SlotReply(loan)) = link.call(Msg::SlotRequest(ask), ASK_TIMEOUT).await else {
             continue;
         };
