--- a/crates/workswood-peers/src/relay.rs
+++ b/crates/workswood-peers/src/relay.rs
@@ -66,7 +66,7 @@
     /// Stop polling the worker.
     #[prost(message, tag = "3")]
     Unassign(Empty),
-    /// Acknowledge the ended tasks up to this number to the worker: they are recorded.
+    /// Acknowledge to the worker the ended tasks up to this number, which are recorded.
     #[prost(uint64, tag = "4")]
     AckEnds(u64),
     /// Whether to report the load of all running tasks after each poll.
--- a/crates/workswood-platform/src/jobs.rs
+++ b/crates/workswood-platform/src/jobs.rs
@@ -49,7 +49,7 @@
 /// The precondition of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
-    /// None.
+    /// No precondition.
     None,
     /// The topic must end at this offset.
     EndsAt(Offset),
@@ -148,7 +148,7 @@
     /// Number of the attempt.
     pub attempt: u32,
     /// Specification of the job, which is passed to the task.
-    pub text: Arc<str>,
+    pub spec: Arc<str>,
     /// Checkpoint to resume from; empty for none.
     pub checkpoint: String,
     /// Ticket from the adviser.
--- a/src/workswood/ops/jobs/relay/send.rs
+++ b/src/workswood/ops/jobs/relay/send.rs
@@ -51,7 +51,7 @@
         let order = StartOrder {
             task: s.task,
             attempt: s.attempt,
-            text: s.text.clone(),
+            spec: s.text.clone(),
             checkpoint: s.checkpoint.clone(),
             ticket: s.ticket.clone(),
             lease_end,
--- a/tests/testsuite/advice_protocol.rs
+++ b/tests/testsuite/advice_protocol.rs
@@ -108,7 +108,7 @@
         let order = StartOrder {
             task,
             attempt,
-            text: "text".into(),
+            spec: "text".into(),
             checkpoint: String::new(),
             ticket,
             lease_end: clock + LONG,
--- a/tests/testsuite/worker_protocol.rs
+++ b/tests/testsuite/worker_protocol.rs
@@ -24,7 +24,7 @@
     StartOrder {
         task: TASK,
         attempt,
-        text: "text".into(),
+        spec: "text".into(),
         checkpoint: String::new(),
         ticket: None,
         lease_end,
