--- a/crates/workswood-liveness/src/adaptive_timeout.rs
+++ b/crates/workswood-liveness/src/adaptive_timeout.rs
@@ -6,7 +6,7 @@
 /// Weight of the newest latency in the moving average.
 const NEWEST_WEIGHT: f64 = 0.3;
 
-/// Tells when a reply is late: after a multiple of the mean latency of earlier replies.
+/// Decides when a reply is late: after a multiple of the mean latency of earlier replies.
 ///
 /// Latencies should be recorded of calls that were answered, and of calls that timed out
 /// over a new connection. How long any other unanswered call took says only how long its
--- a/crates/workswood-liveness/src/half_open_detector.rs
+++ b/crates/workswood-liveness/src/half_open_detector.rs
@@ -8,8 +8,8 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Half-open connections to two addresses within this time point to a common cause, which
-/// is the network path of this process. Longer than the time between two calls to a worker,
+/// Half-open connections to two addresses within this time point to a common cause, the
+/// network path of the local machine. Longer than the time between two calls to a worker,
 /// and shorter than that between two independent failures.
 const CORRELATION_WINDOW: Duration = Duration::from_secs(1);
 /// Shortest time between two suspicions against all connections. Workers that lose orders
@@ -27,7 +27,7 @@
 }
 
 /// Decides from reports of half-open connections whether only single addresses are
-/// affected, or the network path of this process.
+/// affected, or the network path of the local machine.
 #[derive(Debug, Default)]
 pub struct HalfOpenCorrelator {
     /// The last report and when it was made.
--- a/crates/workswood-liveness/src/lib.rs
+++ b/crates/workswood-liveness/src/lib.rs
@@ -1,13 +1,13 @@
 //! Detection of connections that no longer pass bytes.
 //!
-//! A connection is half-open if a firewall or a host on the path has dropped its state:
+//! A connection is half-open if a firewall or another device on the path has dropped its state:
 //! nothing passes any more, and neither side sees it close. Only a missing reply reveals
 //! this, and if each connection were judged by itself, each would cost one call its whole
 //! timeout. Therefore
-//! * [`AdaptiveTimeout`] tells when a reply is late, from how long earlier replies took,
+//! * [`AdaptiveTimeout`] decides when a reply is late, from how long earlier replies took,
 //! * [`TimerLag`] measures delays of this process itself, which are not counted against
 //!   its peers, and
-//! * [`HalfOpenDetector`] tells all users of connections what one of them has found out.
+//! * [`HalfOpenDetector`] shares what one user of connections has found out with all others.
 
 mod adaptive_timeout;
 mod half_open_detector;
--- a/crates/workswood-peers/src/connection.rs
+++ b/crates/workswood-peers/src/connection.rs
@@ -64,7 +64,7 @@
 
 type FramedStream = Framed<CountingStream, LengthDelimitedCodec>;
 
-/// Tracks when a connection has to be heard, and whether it was.
+/// Tracks by when something has to be received on a connection.
 struct ReceiveMonitor {
     /// When the connection counts as silent unless something is received before.
     deadline: Option<Instant>,
@@ -74,7 +74,7 @@
     pinged_at: Option<Instant>,
     /// How long a pong may take.
     pong_timeout: AdaptiveTimeout,
-    /// Bytes received when the monitor last looked.
+    /// Bytes received at the last check.
     bytes_read: u64,
 }
 
--- a/crates/workswood-peers/src/link.rs
+++ b/crates/workswood-peers/src/link.rs
@@ -82,7 +82,7 @@
         self.try_call(msg, timeout).await.ok()
     }
 
-    /// Like [`Link::call`], and tells whether a request without a reply was sent. The call
+    /// Like [`Link::call`], but the error says whether the request was sent. The call
     /// fails before its timeout if the connection breaks or goes silent.
     pub async fn try_call(&self, msg: Msg, timeout: Duration) -> Result<Msg, CallError> {
         let call = self.next_call.fetch_add(1, Ordering::Relaxed);
@@ -200,8 +200,8 @@
         if end == ConnectionEnd::LinkDropped || driver.rx.is_closed() {
             return;
         }
-        // After a connection on which the peer was heard, reconnect at once unless the
-        // connection broke.
+        // After a connection on which something was received, reconnect at once unless
+        // the connection broke.
         failed_attempts = if driver.take_received_any() { 0 } else { failed_attempts + 1 };
         if end == ConnectionEnd::Broken || failed_attempts > 1 {
             tokio::time::sleep((RECONNECT_DELAY * failed_attempts.max(1)).min(MAX_RECONNECT_DELAY)).await;
--- a/crates/workswood-peers/src/message.rs
+++ b/crates/workswood-peers/src/message.rs
@@ -29,7 +29,7 @@
     /// A heartbeat of an entry.
     #[prost(message, tag = "3")]
     Heartbeat(Heartbeat),
-    /// The log has grown.
+    /// Reports that the log has grown.
     #[prost(message, tag = "4")]
     LogHead(LogHead),
     /// Asks to borrow idle slots of a service.
@@ -38,7 +38,7 @@
     /// Lends slots; the list may be empty.
     #[prost(message, tag = "6")]
     SlotReply(SlotReply),
-    /// Tells which lent slots are in use and which are returned.
+    /// Reports which lent slots are in use and which are returned.
     #[prost(message, tag = "7")]
     SlotLoanUpdate(SlotLoanUpdate),
     /// Asks for the state folded from the log.
@@ -53,7 +53,7 @@
     /// Whether the key of a request is known.
     #[prost(message, tag = "11")]
     KeyReply(KeyReply),
-    /// Tells which endpoints accept no new requests.
+    /// Reports which endpoints accept no new requests.
     #[prost(message, tag = "12")]
     DrainingEndpoints(DrainingEndpoints),
     /// An empty message that acknowledges a request.
@@ -96,7 +96,7 @@
     /// Opens a session with a relay.
     #[prost(message, tag = "25")]
     RelayOpen(RelayOpen),
-    /// Tells that the relay accepts orders.
+    /// Confirms that the relay accepts orders.
     #[prost(message, tag = "26")]
     RelayReady(RelayReady),
     /// Orders of the lease holder to a relay.
@@ -400,7 +400,7 @@
     pub requests: u32,
 }
 
-/// Tells that the log has grown.
+/// Reports that the log has grown.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LogHead {
     /// Offset of a record that is in the log.
@@ -441,7 +441,7 @@
     pub endpoint: String,
 }
 
-/// Tells the lender which loans are in use and which are returned.
+/// Reports to the lender which loans are in use and which are returned.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SlotLoanUpdate {
     /// The service.
@@ -489,7 +489,7 @@
     pub roster: Vec<String>,
 }
 
-/// Tells which endpoints accept no new requests.
+/// Reports which endpoints accept no new requests.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DrainingEndpoints {
     /// The instances of those endpoints.
--- a/crates/workswood-peers/src/relay.rs
+++ b/crates/workswood-peers/src/relay.rs
@@ -20,7 +20,7 @@
     pub holder: String,
 }
 
-/// Tells that the relay accepts orders.
+/// Confirms that the relay accepts orders.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RelayReady {}
 
@@ -41,7 +41,7 @@
     /// Number of the heartbeat that it answers.
     #[prost(uint64, tag = "1")]
     pub heartbeat: u64,
-    /// How long it holds from the time when the heartbeat was sent, in milliseconds.
+    /// How long it is valid from the time when the heartbeat was sent, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub duration_ms: u32,
 }
