--- a/crates/workswood-test-support/src/cut.rs
+++ b/crates/workswood-test-support/src/cut.rs
@@ -28,7 +28,7 @@
     AnswersHeld,
     /// Passes nothing more on the connections that are open now, and never closes
     /// them; new ones pass.
-    HalfOpenDetector,
+    HalfOpen,
     /// Lets each chunk pass after this time.
     Slow(Duration),
 }
@@ -101,7 +101,7 @@
 async fn ended(fault: &mut watch::Receiver<Fault>) -> bool {
     while fault.changed().await.is_ok() {
         match *fault.borrow_and_update() {
-            Fault::HalfOpenDetector => return true,
+            Fault::HalfOpen => return true,
             Fault::Closed | Fault::Broken => return false,
             Fault::None | Fault::Silent | Fault::AnswersHeld | Fault::Slow(_) => {}
         }
--- a/tests/testsuite/entry_silence.rs
+++ b/tests/testsuite/entry_silence.rs
@@ -37,7 +37,7 @@
     let (_platform, cut) = log().await;
     let c = HttpPlatform::new(&cut.address);
     warm_up(&c).await;
-    cut.set(Fault::HalfOpenDetector);
+    cut.set(Fault::HalfOpen);
     let mut failed = Vec::new();
     for n in 0..IDLE {
         if let Err(e) = c.read(0, 1).await {
@@ -45,7 +45,7 @@
         }
     }
     assert!(failed.is_empty(), "{failed:?}");
-    cut.set(Fault::HalfOpenDetector);
+    cut.set(Fault::HalfOpen);
     c.hosts().await.expect("the list is answered");
 }
 
@@ -54,7 +54,7 @@
     let (platform, cut) = log().await;
     let c = HttpPlatform::new(&cut.address);
     warm_up(&c).await;
-    cut.set(Fault::HalfOpenDetector);
+    cut.set(Fault::HalfOpen);
     let (lost, read) = tokio::join!(c.append("a".to_string()), c.read(0, 1));
     read.expect("the read is answered");
     let ended_early = matches!(&lost, Err(Error::NoAnswer { text }) if text != "timed out");
@@ -84,7 +84,7 @@
     let entry = Entry::start(settings, tokens).await.expect("an entry starts");
     let node = entry.node.clone();
     until("the entry is ready", || node.is(&node.ready)).await;
-    cut.set(Fault::HalfOpenDetector);
+    cut.set(Fault::HalfOpen);
     until("the entry finds out", || node.half_open.count() > 0).await;
     assert!(node.is(&node.log_up), "one silent connection is no outage");
 }
--- a/tests/testsuite/fault_soak.rs
+++ b/tests/testsuite/fault_soak.rs
@@ -226,13 +226,13 @@
                 return;
             }
             8 => {
-                println!("event=fault fault=StoreRelay({n}) relay={:?}", Fault::HalfOpenDetector);
-                self.entries[n].store.set(Fault::HalfOpenDetector);
+                println!("event=fault fault=StoreRelay({n}) relay={:?}", Fault::HalfOpen);
+                self.entries[n].store.set(Fault::HalfOpen);
                 return;
             }
             9 => {
-                println!("event=fault fault=WorkerRelay({w}) relay={:?}", Fault::HalfOpenDetector);
-                self.world.lives[w].relay.set(Fault::HalfOpenDetector);
+                println!("event=fault fault=WorkerRelay({w}) relay={:?}", Fault::HalfOpen);
+                self.world.lives[w].relay.set(Fault::HalfOpen);
                 return;
             }
             _ => {
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -58,11 +58,11 @@
     let cut = Cut::start(&store.address.to_string()).await;
     let c = client(&cut.address);
     warm_up(&c).await;
-    cut.set(Fault::HalfOpenDetector);
+    cut.set(Fault::HalfOpen);
     c.append(Topic::State, vec![rec("a")], Guard::Term(3, 1)).await.expect("a state append is answered");
-    cut.set(Fault::HalfOpenDetector);
+    cut.set(Fault::HalfOpen);
     c.append(Topic::Inbox(0), vec![rec("b")], Guard::None).await.expect("an inbox append is answered");
-    cut.set(Fault::HalfOpenDetector);
+    cut.set(Fault::HalfOpen);
     let tail = c.tail(Topic::State, 0, Duration::ZERO).await.expect("a read is answered");
     assert_eq!(tail.records.len(), 1, "an append that was sent twice is done once");
 
@@ -72,7 +72,7 @@
     let waiting = c.tail(Topic::State, tail.next, LONG);
     let found_out = async {
         store.calls_reach(store.calls() + 1).await;
-        cut.set(Fault::HalfOpenDetector);
+        cut.set(Fault::HalfOpen);
         c.append(Topic::State, vec![rec("c")], Guard::Term(3, 2)).await
     };
     let both = timeout(SOON, async { tokio::join!(waiting, found_out) }).await;
@@ -88,7 +88,7 @@
     let c = client(&cut.address);
     warm_up(&c).await;
     store.faults(|f| f.down = true);
-    cut.set(Fault::HalfOpenDetector);
+    cut.set(Fault::HalfOpen);
     let refused = c.append(Topic::Inbox(0), vec![rec("a")], Guard::None).await;
     assert!(
         matches!(refused, Err(StoreError::Unknown { .. })),
@@ -164,7 +164,7 @@
     let waiting = look(&c, &infos[2], LONG);
     let found_out = async {
         workers[2].looks_reach(2).await;
-        cuts.iter().for_each(|cut| cut.set(Fault::HalfOpenDetector));
+        cuts.iter().for_each(|cut| cut.set(Fault::HalfOpen));
         // Each is answered over a new connection, and tells that the one before was at
         // fault.
         tokio::join!(look(&c, &infos[0], Duration::ZERO), look(&c, &infos[1], Duration::ZERO));
@@ -196,7 +196,7 @@
         )
     };
     assert!(ask().await.is_ok());
-    cut.set(Fault::HalfOpenDetector);
+    cut.set(Fault::HalfOpen);
     let lost = timeout(SOON, ask()).await.expect("the connection is given up before the call's time is over");
     assert!(lost.is_err(), "whether the question arrived is not known");
     assert!(timeout(SOON, ask()).await.is_ok_and(|r| r.is_ok()), "the next one goes over a new connection");
@@ -227,7 +227,7 @@
             Told::Known(Shown::Running),
             "each question is answered"
         );
-        cut.set(Fault::HalfOpenDetector);
+        cut.set(Fault::HalfOpen);
     }
 }
 
@@ -251,7 +251,7 @@
     let beat = || link.send(Msg::Ack(Ack {}));
     beat();
     assert!(timeout(SOON, heard.recv()).await.is_ok_and(|m| m.is_some()));
-    cut.set(Fault::HalfOpenDetector);
+    cut.set(Fault::HalfOpen);
     let again = async {
         let mut beats = tokio::time::interval(Duration::from_millis(50));
         loop {
