--- a/crates/workswood-endpoints/src/lib.rs
+++ b/crates/workswood-endpoints/src/lib.rs
@@ -12,16 +12,16 @@
 use hyper::body::{Body, Frame, Incoming};
 use hyper::{Request, Response};
 use snafu::Snafu;
-use workswood_http::{Limits, Pool};
-use workswood_liveness::HalfOpen;
+use workswood_http::{Pool, PoolLimits};
+use workswood_liveness::HalfOpenDetector;
 
 /// Limits of the connection pool.
-const LIMITS: Limits = Limits {
-    connect: Duration::from_millis(500),
-    idle: Duration::from_secs(5),
+const LIMITS: PoolLimits = PoolLimits {
+    connect_timeout: Duration::from_millis(500),
+    idle_timeout: Duration::from_secs(5),
     // Small enough that, together with the connections in use, those of all entry hosts stay below
     // the connection limit of an endpoint.
-    most_idle: 3,
+    max_idle_per_address: 3,
 };
 
 /// Body of a request to an endpoint or of its response.
@@ -69,7 +69,7 @@
 impl EndpointClient {
     /// Creates a client. It drops its idle connections when any user of `half_open` has found half-open
     /// connections.
-    pub fn new(half_open: HalfOpen) -> EndpointClient {
+    pub fn new(half_open: HalfOpenDetector) -> EndpointClient {
         EndpointClient { pool: Pool::new(LIMITS, half_open) }
     }
 
--- a/crates/workswood-liveness/src/lib.rs
+++ b/crates/workswood-liveness/src/lib.rs
@@ -1,16 +1,18 @@
-//! Whether connections still pass bytes, as a process finds out.
+//! Detection of connections that no longer pass bytes.
 //!
-//! A connection may be half-open: a firewall or a host on its way has forgotten it,
-//! nothing passes any more and nobody closes it. Only an answer that does not come
-//! tells, and each connection by itself would cost one call its whole time. So
-//! * [`Patience`] says when an answer is late, by how long answers take,
-//! * [`Lag`] says how late the process itself is, which is not counted against others, and
-//! * [`HalfOpen`] tells all users of connections what one of them has found out.
+//! A connection is half-open if a firewall or another device on the path has dropped its state:
+//! nothing passes any more, and neither side sees it close. Only a missing reply reveals
+//! this, and if each connection were judged by itself, each would cost one call its whole
+//! timeout. Therefore
+//! * [`AdaptiveTimeout`] decides when a reply is late, from how long earlier replies took,
+//! * [`TimerLag`] measures delays of this process itself, which are not counted against
+//!   its peers, and
+//! * [`HalfOpenDetector`] shares what one user of connections has found out with all others.
 
-mod half_open;
-mod lag;
-mod patience;
+mod adaptive_timeout;
+mod half_open_detector;
+mod timer_lag;
 
-pub use half_open::{Finding, HalfOpen, Suspicion};
-pub use lag::Lag;
-pub use patience::Patience;
+pub use adaptive_timeout::AdaptiveTimeout;
+pub use half_open_detector::{HalfOpenConnection, HalfOpenCorrelator, HalfOpenDetector};
+pub use timer_lag::TimerLag;
--- a/crates/workswood-test-support/src/turn_store.rs
+++ b/crates/workswood-test-support/src/turn_store.rs
@@ -16,8 +16,8 @@
     AdviceReply, Host, HostReply, Listing, ReportedRun, StepId, TaskId, WorkerAddress, WorkerInfo,
 };
 use workswood_platform::jobs::{
-    Guard, JobPlatform, KeyedRecord, Newest, OperatorItem, StartOrder, StoreError, Tail, Topic, WorkerClock,
-    WorkerError,
+    Guard, JobPlatform, KeyedRecord, LatestRecords, OperatorRecord, StartOrder, StoreError, Tail, Topic,
+    WorkerClock, WorkerError,
 };
 
 /// What becomes of an append.
@@ -184,7 +184,7 @@
         {
             let end = lease.len() as Offset;
             if matches!(guard, Guard::EndsAt(at) if at != end) {
-                return async { Err(StoreError::Overtaken) }.boxed();
+                return async { Err(StoreError::GuardFailed) }.boxed();
             }
             lease.extend(records);
             return async move { Ok(end) }.boxed();
@@ -192,12 +192,12 @@
         self.take(topic, records).boxed()
     }
 
-    fn newest(&self, topic: Topic) -> BoxFuture<'_, Result<Newest, StoreError>> {
+    fn latest(&self, topic: Topic) -> BoxFuture<'_, Result<LatestRecords, StoreError>> {
         let lease = self.lease.lock().clone().filter(|_| topic == Topic::Lease);
         let Some(records) = lease else { return away() };
         *self.lease_reads.lock() += 1;
         let next = records.len() as Offset;
-        async move { Ok(Newest { records: records.into_iter().next_back().into_iter().collect(), next }) }
+        async move { Ok(LatestRecords { records: records.into_iter().next_back().into_iter().collect(), next }) }
             .boxed()
     }
 
@@ -208,19 +208,19 @@
         async move { Ok(self.lease_from(from, wait).await) }.boxed()
     }
 
-    fn operator_item(&self, _: &KeyedRecord) -> Result<Option<OperatorItem>, String> {
+    fn parse_operator_record(&self, _: &KeyedRecord) -> Result<Option<OperatorRecord>, String> {
         Ok(None)
     }
 
-    fn worker_info(&self, _: &KeyedRecord) -> Result<WorkerInfo, String> {
+    fn parse_worker_info(&self, _: &KeyedRecord) -> Result<WorkerInfo, String> {
         Err("no workers here".to_string())
     }
 
-    fn wave_status(&self, number: u64, _: bool) -> KeyedRecord {
+    fn wave_status_record(&self, number: u64, _: bool) -> KeyedRecord {
         KeyedRecord { key: number.to_string(), value: None }
     }
 
-    fn look<'a>(
+    fn poll_worker<'a>(
         &'a self,
         _: &'a WorkerAddress,
         _: Term,
@@ -245,7 +245,7 @@
         .boxed()
     }
 
-    fn start<'a>(
+    fn start_task<'a>(
         &'a self,
         _: &'a WorkerAddress,
         _: Term,
@@ -255,7 +255,7 @@
         nobody()
     }
 
-    fn stop<'a>(
+    fn stop_task<'a>(
         &'a self,
         _: &'a WorkerAddress,
         _: Term,
@@ -265,7 +265,7 @@
         nobody()
     }
 
-    fn pace<'a>(
+    fn throttle_task<'a>(
         &'a self,
         _: &'a WorkerAddress,
         _: Term,
@@ -280,11 +280,11 @@
         async { AdviceReply::NotSent }.boxed()
     }
 
-    fn hosts(&self) -> BoxFuture<'_, Result<Vec<Host>, StoreError>> {
+    fn list_hosts(&self) -> BoxFuture<'_, Result<Vec<Host>, StoreError>> {
         away()
     }
 
-    fn upkeep(&self, _: &str, _: Term, _: HostId, _: u64) -> BoxFuture<'_, HostReply> {
+    fn maintain_host(&self, _: &str, _: Term, _: HostId, _: u64) -> BoxFuture<'_, HostReply> {
         *self.orders.lock() += 1;
         async { HostReply::Later }.boxed()
     }
--- a/src/workswood/ops/entry/dispatch.rs
+++ b/src/workswood/ops/entry/dispatch.rs
@@ -13,7 +13,7 @@
 use workswood_core::route::{
     Action, Dispatcher, DispatcherConfig, Loan, Outcome, RequestId, RouteTable, SlotDemand,
 };
-use workswood_peers::{Msg, SlotAsk, SlotState};
+use workswood_peers::{Msg, SlotLoanUpdate, SlotRequest as PeerSlotRequest};
 
 use super::node::Node;
 use crate::util::logs::DECISION;
@@ -85,9 +85,9 @@
     }
 
     /// Applies a borrower's report on the loans that it keeps and returns.
-    pub fn update_loans(&self, node: &Node, report: &SlotState) {
+    pub fn update_loans(&self, node: &Node, report: &SlotLoanUpdate) {
         self.apply(node, |d, now| {
-            d.loans_confirmed(now, &report.from, &report.kept);
+            d.loans_confirmed(now, &report.borrower, &report.in_use);
             report.returned.iter().flat_map(|id| d.loan_returned(now, *id)).collect()
         });
     }
@@ -105,8 +105,13 @@
     /// Reports to a lender which of its loans are kept and which are returned.
     fn report_loans(&self, node: &Node, peer: &str, kept: Vec<u64>, returned: Vec<u64>) {
         if let Some(link) = node.link_to(peer) {
-            let report = SlotState { service: self.service.clone(), from: node.id.clone(), kept, returned };
-            link.send(Msg::SlotState(report));
+            let report = SlotLoanUpdate {
+                service: self.service.clone(),
+                borrower: node.id.clone(),
+                in_use: kept,
+                returned,
+            };
+            link.send(Msg::SlotLoanUpdate(report));
         }
     }
 
@@ -364,9 +369,13 @@
         let Some(want) = dispatcher.wanted_slots(node.now()) else { return };
         let peer = &peers[(i + turn) % peers.len()];
         let Some(link) = node.link_to(peer) else { continue };
-        let request =
-            SlotAsk { service: dispatcher.service.clone(), slots: want.slots, from: node.id.clone() };
-        let Some(Msg::SlotLoan(reply)) = link.call(Msg::SlotAsk(request), LOAN_REQUEST_TIMEOUT).await else {
+        let request = PeerSlotRequest {
+            service: dispatcher.service.clone(),
+            slots: want.slots,
+            borrower: node.id.clone(),
+        };
+        let Some(Msg::SlotReply(reply)) = link.call(Msg::SlotRequest(request), LOAN_REQUEST_TIMEOUT).await
+        else {
             continue;
         };
         let loans: Vec<Loan> = reply
--- a/src/workswood/ops/entry/keyed_requests.rs
+++ b/src/workswood/ops/entry/keyed_requests.rs
@@ -18,7 +18,7 @@
 };
 use workswood_core::ids::{IdempotencyKey, UnixMs};
 use workswood_core::record::{AttemptOutcome, Record};
-use workswood_peers::{KeyAsk, Msg};
+use workswood_peers::{KeyRequest, Msg};
 
 use super::dispatch;
 use super::node::Node;
@@ -257,7 +257,7 @@
     let started_at = node.now();
     let mut inquiry = ClaimInquiry::new(&node.id, key_status(node, key));
     while let Some(id) = inquiry.next_to_ask() {
-        let request = Msg::KeyAsk(KeyAsk { key: key.to_string() });
+        let request = Msg::KeyRequest(KeyRequest { key: key.to_string() });
         let answer = match node.link_to(id) {
             Some(link) => link.call(request, KEY_STATUS_TIMEOUT).await,
             None => None,
--- a/src/workswood/ops/entry/log_appender.rs
+++ b/src/workswood/ops/entry/log_appender.rs
@@ -13,7 +13,7 @@
 use workswood_core::fold::{RecordResult, Rejection};
 use workswood_core::ids::Offset;
 use workswood_core::record::{AttemptOutcome, Envelope, FORMAT_VERSION, Record};
-use workswood_peers::{Head, Msg};
+use workswood_peers::{LogHead, Msg};
 use workswood_platform::Error;
 
 use super::node::Node;
@@ -249,7 +249,7 @@
 fn announce_head(node: &Node, offset: Offset) {
     node.log_grown.notify_one();
     for link in node.links.lock().values() {
-        link.send(Msg::Head(Head { offset }));
+        link.send(Msg::LogHead(LogHead { offset }));
     }
 }
 
--- a/src/workswood/ops/entry/log_reader.rs
+++ b/src/workswood/ops/entry/log_reader.rs
@@ -8,7 +8,7 @@
 use workswood_core::invariant;
 use workswood_core::record::{Envelope, Role};
 use workswood_core::route::RouteTable;
-use workswood_peers::{Msg, StateAsk};
+use workswood_peers::{Msg, StateRequest};
 use workswood_platform::{Error, LogRecord};
 
 use super::dispatch;
@@ -88,7 +88,7 @@
 async fn fetch_peer_state(node: &Node) -> Option<State> {
     let links: Vec<_> = node.links.lock().values().cloned().collect();
     let request_state = |link: workswood_peers::Link| async move {
-        link.call(Msg::StateAsk(StateAsk {}), PEER_STATE_TIMEOUT).await
+        link.call(Msg::StateRequest(StateRequest {}), PEER_STATE_TIMEOUT).await
     };
     let answers = futures::future::join_all(links.into_iter().map(request_state)).await;
     let states = answers.into_iter().flatten().filter_map(|msg| match msg {
--- a/src/workswood/ops/entry/mod.rs
+++ b/src/workswood/ops/entry/mod.rs
@@ -33,7 +33,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
-use workswood_liveness::HalfOpen;
+use workswood_liveness::HalfOpenDetector;
 use workswood_platform::HttpPlatform;
 
 pub use node::Node;
@@ -63,8 +63,9 @@
         let caller_listener = listen(&mut settings.callers).await?;
         let operator_listener = listen(&mut settings.operators).await?;
         let peer_listener = listen(&mut settings.peers).await?;
-        let half_open = HalfOpen::default();
-        let platform = HttpPlatform::sharing(&settings.platform.to_string(), half_open.clone());
+        let half_open = HalfOpenDetector::default();
+        let platform =
+            HttpPlatform::with_half_open_detector(&settings.platform.to_string(), half_open.clone());
         let (node, append_requests) = Node::new(settings, tokens, Arc::new(platform), half_open);
         log::info!(
             "event=entry_started id={} name={} data_centre={} callers={} operators={} peers={}",
--- a/src/workswood/ops/entry/node.rs
+++ b/src/workswood/ops/entry/node.rs
@@ -14,7 +14,7 @@
 use workswood_core::membership::Members;
 use workswood_core::route::RouteTable;
 use workswood_endpoints::EndpointClient;
-use workswood_liveness::HalfOpen;
+use workswood_liveness::HalfOpenDetector;
 use workswood_peers::Link;
 use workswood_platform::Platform;
 
@@ -42,7 +42,7 @@
     /// Client of the platform.
     pub platform: Arc<dyn Platform>,
     /// Detector of half-open connections, shared by the clients of the platform, peers and endpoints.
-    pub half_open: HalfOpen,
+    pub half_open: HalfOpenDetector,
     /// Client of all endpoints.
     pub endpoints: EndpointClient,
     /// State folded from the log.
@@ -102,7 +102,7 @@
         settings: Settings,
         tokens: Tokens,
         platform: Arc<dyn Platform>,
-        half_open: HalfOpen,
+        half_open: HalfOpenDetector,
     ) -> (Arc<Node>, mpsc::Receiver<AppendRequest>) {
         let (tx, rx) = mpsc::channel(8 * 1024);
         let node = Node {
--- a/src/workswood/ops/entry/peers.rs
+++ b/src/workswood/ops/entry/peers.rs
@@ -8,8 +8,8 @@
 use workswood_core::membership::Heartbeat;
 use workswood_core::route::{Loan, SlotDemand};
 use workswood_peers::{
-    Beat as WireBeat, Beats, Handler, KeyAsk, KeyReply, Leaving, Lent, Link, Msg, Open, SlotAsk, SlotLoan,
-    SlotState, StateReply,
+    DrainingEndpoints, EntryState, Handler, Heartbeat as HeartbeatMessage, KeyReply, KeyRequest, LentSlot,
+    Link, Msg, OpenRequests, SlotLoanUpdate, SlotReply, SlotRequest, StateReply,
 };
 use workswood_traffic::Traffic;
 
@@ -25,24 +25,24 @@
 /// The same while no other entry process is known.
 const HEARTBEATS_PER_LISTING_ALONE: u64 = 4;
 
-fn to_wire(beat: &Heartbeat) -> WireBeat {
-    WireBeat {
+fn to_wire(beat: &Heartbeat) -> EntryState {
+    EntryState {
         address: beat.address.clone(),
-        id: beat.id.clone(),
+        incarnation: beat.id.clone(),
         data_centre: beat.data_centre.clone(),
-        number: beat.seq,
-        next: beat.next_offset,
+        sequence: beat.seq,
+        next_offset: beat.next_offset,
         stopping: beat.stopping,
     }
 }
 
-fn from_wire(beat: WireBeat) -> Heartbeat {
+fn from_wire(beat: EntryState) -> Heartbeat {
     Heartbeat {
         address: beat.address,
-        id: beat.id,
+        id: beat.incarnation,
         data_centre: beat.data_centre,
-        seq: beat.number,
-        next_offset: beat.next,
+        seq: beat.sequence,
+        next_offset: beat.next_offset,
         stopping: beat.stopping,
     }
 }
@@ -81,9 +81,13 @@
         (members.sample_heartbeats(number, MEMBERS_PER_HEARTBEAT), contacts)
     };
     let open = open_on_draining(node);
-    let beats = Beats { own: Some(to_wire(&own)), others: others.iter().map(to_wire).collect(), open };
+    let beats = HeartbeatMessage {
+        sender: Some(to_wire(&own)),
+        others: others.iter().map(to_wire).collect(),
+        open_requests: open,
+    };
     for link in update_links(node, &contacts, seeds) {
-        link.send(Msg::Beats(beats.clone()));
+        link.send(Msg::Heartbeat(beats.clone()));
     }
 }
 
@@ -99,7 +103,7 @@
 }
 
 /// Number of open requests on each instance whose host is draining.
-fn open_on_draining(node: &Node) -> Vec<Open> {
+fn open_on_draining(node: &Node) -> Vec<OpenRequests> {
     let instances: Vec<String> = {
         let state = node.state.read();
         let hosts = state.hosts.iter().filter(|(_, h)| h.out_of_service()).map(|(id, _)| id);
@@ -107,7 +111,7 @@
     };
     dispatch::in_flight_to(node, &instances)
         .into_iter()
-        .map(|(instance, requests)| Open { instance, requests })
+        .map(|(instance, requests)| OpenRequests { instance, requests })
         .collect()
 }
 
@@ -145,46 +149,52 @@
 /// Handles a message of a peer and returns the answer, if it needs one.
 fn handle(node: &Arc<Node>, msg: Msg) -> Option<Msg> {
     match msg {
-        Msg::Beats(beats) => receive_heartbeat(node, beats),
-        Msg::Head(head) => {
+        Msg::Heartbeat(beats) => receive_heartbeat(node, beats),
+        Msg::LogHead(head) => {
             if head.offset >= node.state.read().next_offset {
                 node.log_grown.notify_one();
             }
         }
-        Msg::SlotAsk(request) => return Some(Msg::SlotLoan(lend_slots(node, &request))),
-        Msg::SlotState(report) => update_loans(node, &report),
-        Msg::StateAsk(_) => {
+        Msg::SlotRequest(request) => return Some(Msg::SlotReply(lend_slots(node, &request))),
+        Msg::SlotLoanUpdate(report) => update_loans(node, &report),
+        Msg::StateRequest(_) => {
             let text = if node.is_set(&node.ready) { node.state.read().text() } else { String::new() };
             return Some(Msg::StateReply(StateReply { text }));
         }
-        Msg::KeyAsk(KeyAsk { key }) => {
+        Msg::KeyRequest(KeyRequest { key }) => {
             let status = keyed_requests::key_status(node, &key);
             return Some(Msg::KeyReply(KeyReply { known: status.known, roster: status.roster }));
         }
-        Msg::Leaving(Leaving { instances }) => dispatch::close_endpoints(node, &instances),
+        Msg::DrainingEndpoints(DrainingEndpoints { instances }) => {
+            dispatch::close_endpoints(node, &instances)
+        }
         // Answers to calls, and messages that only processes that run jobs get.
-        Msg::Hello(_) | Msg::SlotLoan(_) | Msg::StateReply(_) | Msg::KeyReply(_) | Msg::Done(_) => {}
-        Msg::JobAsk(_) | Msg::JobReply(_) | Msg::PendingAsk(_) | Msg::PendingReply(_) => {}
-        Msg::HandIn(_) | Msg::HandInReply(_) | Msg::Release(_) => {}
+        Msg::Hello(_) | Msg::SlotReply(_) | Msg::StateReply(_) | Msg::KeyReply(_) | Msg::Ack(_) => {}
+        Msg::JobStateRequest(_)
+        | Msg::JobStateReply(_)
+        | Msg::PendingJobsRequest(_)
+        | Msg::PendingJobsReply(_) => {}
+        Msg::InboxAppendRequest(_) | Msg::InboxAppendReply(_) | Msg::LeaseReleaseRequest(_) => {}
         // Handled by the connection itself.
         Msg::Ping(_) | Msg::Pong(_) => {}
-        Msg::AdviceAsk(_) | Msg::AdviceReply(_) | Msg::ConfigAsk(_) | Msg::ConfigReply(_) => {}
-        Msg::RelayOpen(_) | Msg::RelayReady(_) | Msg::RelayOrders(_) | Msg::RelayNews(_) => {}
+        Msg::AdviceRequest(_) | Msg::AdviceReply(_) | Msg::ConfigRequest(_) | Msg::ConfigReply(_) => {}
+        Msg::RelayOpen(_) | Msg::RelayReady(_) | Msg::RelayOrders(_) | Msg::RelayUpdate(_) => {}
     }
     None
 }
 
 /// Updates the members from the heartbeat of a peer.
-fn receive_heartbeat(node: &Arc<Node>, beats: Beats) {
+fn receive_heartbeat(node: &Arc<Node>, beats: HeartbeatMessage) {
     let (now, own_next) = (node.now(), node.state.read().next_offset);
     // The state must not be locked while the members are, so it was read before.
     let mut members = node.members.lock();
-    if let Some(sender) = beats.own {
-        let report =
-            PeerReport { open_requests: beats.open.into_iter().map(|o| (o.instance, o.requests)).collect() };
+    if let Some(sender) = beats.sender {
+        let report = PeerReport {
+            open_requests: beats.open_requests.into_iter().map(|o| (o.instance, o.requests)).collect(),
+        };
         node.peer_reports.lock().insert(sender.address.clone(), report);
-        let next = sender.next;
-        let id = sender.id.clone();
+        let next = sender.next_offset;
+        let id = sender.incarnation.clone();
         if members.record_heartbeat(now, from_wire(sender), true) {
             log::info!("event=member id={id} liveness=alive");
         }
@@ -200,16 +210,16 @@
 }
 
 /// Lends idle slots of a service to a peer.
-fn lend_slots(node: &Arc<Node>, request: &SlotAsk) -> SlotLoan {
+fn lend_slots(node: &Arc<Node>, request: &SlotRequest) -> SlotReply {
     let dispatcher = node.dispatchers.read().get(&request.service).cloned();
     let loans = dispatcher
-        .map(|d| d.lend(node.now(), &request.from, SlotDemand { slots: request.slots }))
+        .map(|d| d.lend(node.now(), &request.borrower, SlotDemand { slots: request.slots }))
         .unwrap_or_default();
-    let to_lent = |loan: &Loan| Lent { id: loan.id, endpoint: loan.endpoint.clone() };
-    SlotLoan { loans: loans.iter().map(to_lent).collect() }
+    let to_lent = |loan: &Loan| LentSlot { id: loan.id, endpoint: loan.endpoint.clone() };
+    SlotReply { loans: loans.iter().map(to_lent).collect() }
 }
 
-fn update_loans(node: &Arc<Node>, report: &SlotState) {
+fn update_loans(node: &Arc<Node>, report: &SlotLoanUpdate) {
     let dispatcher = node.dispatchers.read().get(&report.service).cloned();
     if let Some(dispatcher) = dispatcher {
         dispatcher.update_loans(node, report);
@@ -219,7 +229,7 @@
 /// Tells all linked peers that endpoints accept no new requests.
 pub fn announce_leaving(node: &Node, instances: Vec<String>) {
     log::info!("event=endpoint_leaving instances={} reason=own_answer", instances.join(","));
-    let msg = Msg::Leaving(Leaving { instances });
+    let msg = Msg::DrainingEndpoints(DrainingEndpoints { instances });
     for link in node.links.lock().values() {
         link.send(msg.clone());
     }
--- a/src/workswood/ops/job_status/mod.rs
+++ b/src/workswood/ops/job_status/mod.rs
@@ -14,7 +14,7 @@
 use snafu::ResultExt;
 use workswood_adapter::{Addresses, PlatformClient};
 use workswood_core::jobs::Host;
-use workswood_platform::jobs::{JobPlatform, KeyedRecord, Part, StoreError, Topic};
+use workswood_platform::jobs::{JobPlatform, KeyedRecord, Partition, StoreError, Topic};
 
 pub use sum::{HolderStatus, JobsStatus, PoolStatus, QueueStatus, WaveStatus, sum};
 pub use text::text;
@@ -56,25 +56,25 @@
     let addresses =
         Addresses { store: settings.store.clone(), machines: settings.hosts.clone(), adviser: None };
     let platform = PlatformClient::new(addresses);
-    let parts: Vec<Part> = inbox::parts(settings.store_parts).collect();
+    let parts: Vec<Partition> = inbox::parts(settings.store_parts).collect();
     let seen = read(&platform, &parts).await.context(StoreSnafu { address: &settings.store })?;
     Ok(sum(&platform, &seen))
 }
 
-async fn read(platform: &PlatformClient, parts: &[Part]) -> std::result::Result<Seen, StoreError> {
-    let lease = platform.newest(Topic::Lease).await?;
+async fn read(platform: &PlatformClient, parts: &[Partition]) -> std::result::Result<Seen, StoreError> {
+    let lease = platform.latest(Topic::Lease).await?;
     let renewed = async { platform.tail(Topic::Lease, lease.next, RENEWAL_WAIT).await };
-    let inbox = try_join_all(parts.iter().map(|p| platform.newest(Topic::Inbox(*p))));
+    let inbox = try_join_all(parts.iter().map(|p| platform.latest(Topic::Inbox(*p))));
     let (renewed, inbox, state, operators, workers, published) = tokio::try_join!(
         renewed,
         inbox,
-        platform.newest(Topic::State),
-        platform.newest(Topic::Operators),
-        platform.newest(Topic::Workers),
-        platform.newest(Topic::Status),
+        platform.latest(Topic::State),
+        platform.latest(Topic::Operators),
+        platform.latest(Topic::Workers),
+        platform.latest(Topic::Status),
     )?;
     // The store may do without the host service; the rest is told all the same.
-    let hosts = platform.hosts().await.map_err(why_unknown);
+    let hosts = platform.list_hosts().await.map_err(why_unknown);
     Ok(Seen {
         at: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64,
         lease: lease.records.into_iter().next_back(),
@@ -93,6 +93,6 @@
     match e {
         StoreError::NotDone { text } => format!("refused: {text}"),
         StoreError::Unknown { text } => format!("no answer: {text}"),
-        StoreError::Overtaken | StoreError::Gone => e.to_string(),
+        StoreError::GuardFailed | StoreError::RecordsGone => e.to_string(),
     }
 }
--- a/src/workswood/ops/jobs/feeds.rs
+++ b/src/workswood/ops/jobs/feeds.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use workswood_core::ids::Offset;
 use workswood_core::jobs::Event;
-use workswood_platform::jobs::{Guard, KeyedRecord, Part, StoreError, Topic};
+use workswood_platform::jobs::{Guard, KeyedRecord, Partition, StoreError, Topic};
 
 use super::follow::topic;
 use super::load::{inbox_event, note_kept};
@@ -37,7 +37,7 @@
 
     /// Notes that a part was read to its end; returns when all parts were at the
     /// earliest.
-    fn note(&self, part: Part, at: Duration) -> Duration {
+    fn note(&self, part: Partition, at: Duration) -> Duration {
         let mut read_at = self.read_at.lock();
         if let Some(mine) = read_at.get_mut(usize::from(part)) {
             *mine = at;
@@ -51,7 +51,7 @@
     node: Arc<Node>,
     l: Arc<Leading>,
     progress: Arc<InboxProgress>,
-    part: Part,
+    part: Partition,
     mut next: Offset,
 ) {
     let topic = Topic::Inbox(part);
@@ -68,7 +68,7 @@
                 let all = progress.note(part, node.now());
                 let _ = l.tx.send(Event::InboxRead(all));
             }
-            Err(StoreError::Gone) => match node.platform.newest(topic).await {
+            Err(StoreError::RecordsGone) => match node.platform.latest(topic).await {
                 Ok(n) => {
                     next = n.next;
                     hand_over(&l, part, &n.records);
@@ -87,7 +87,7 @@
     }
 }
 
-fn hand_over(l: &Leading, part: Part, records: &[KeyedRecord]) {
+fn hand_over(l: &Leading, part: Partition, records: &[KeyedRecord]) {
     for rec in records {
         note_kept(&mut l.kept.lock(), part, rec);
         if let Some(ev) = inbox_event(rec) {
@@ -101,7 +101,7 @@
     let mut list = WorkerList::default();
     let n = node.clone();
     topic(node, Topic::Workers, move |heard| {
-        for ev in list.take(heard, |rec| n.platform.worker_info(rec)) {
+        for ev in list.take(heard, |rec| n.platform.parse_worker_info(rec)) {
             let _ = l.tx.send(ev);
         }
     })
@@ -111,7 +111,7 @@
 /// Reads the list of hosts once and hands it to the scheduler.
 pub(super) async fn read_hosts(node: Arc<Node>, l: Arc<Leading>) {
     let asked = node.now();
-    match node.platform.hosts().await {
+    match node.platform.list_hosts().await {
         Ok(list) => {
             let _ = l.tx.send(Event::HostsListed(list, asked));
         }
@@ -128,7 +128,7 @@
             if told.get(&n) == Some(&complete) {
                 continue;
             }
-            let rec = node.platform.wave_status(n, complete);
+            let rec = node.platform.wave_status_record(n, complete);
             match node.platform.append(Topic::Status, vec![rec], Guard::None).await {
                 Ok(_) => {
                     log::info!("event=wave_published wave={n} complete={complete}");
--- a/src/workswood/ops/jobs/follow.rs
+++ b/src/workswood/ops/jobs/follow.rs
@@ -7,7 +7,7 @@
 
 use workswood_core::ids::DataCentre;
 use workswood_core::jobs::Event;
-use workswood_platform::jobs::{KeyedRecord, OperatorItem, StoreError, Topic};
+use workswood_platform::jobs::{KeyedRecord, OperatorRecord, StoreError, Topic};
 
 use super::help;
 use super::node::Node;
@@ -61,7 +61,7 @@
     let mut failures = 0;
     loop {
         let res = match next {
-            None => node.platform.newest(topic).await.map(|n| (Heard::Reset(n.records), n.next)),
+            None => node.platform.latest(topic).await.map(|n| (Heard::Reset(n.records), n.next)),
             Some(from) => {
                 // After a failure the answer is wanted at once: a read that waits
                 // for a record tells only after its wait that the store is back.
@@ -82,7 +82,7 @@
                     tokio::time::sleep(WORKERS_GAP).await;
                 }
             }
-            Err(StoreError::Gone) => next = None,
+            Err(StoreError::RecordsGone) => next = None,
             Err(e) => {
                 if failures == 0 {
                     log::warn!("event=dependency_lost dependency=store topic={topic:?} error=\"{e}\"");
@@ -153,8 +153,8 @@
 
 /// Takes in what operators wrote; evacuations are only noted.
 fn take_item(node: &Node, rec: &KeyedRecord, evacuated: &mut BTreeSet<DataCentre>) {
-    match node.platform.operator_item(rec) {
-        Ok(Some(OperatorItem::Config(cfg))) => {
+    match node.platform.parse_operator_record(rec) {
+        Ok(Some(OperatorRecord::Config(cfg))) => {
             let now = node.config.load().as_ref().map_or(0, |c| c.version);
             // Versions never go back, whatever order records are read in.
             if cfg.version <= now {
@@ -165,12 +165,14 @@
             node.configure(cfg.clone(), rec.value.clone().unwrap_or_default());
             node.tell_scheduler(Event::ConfigChanged(cfg));
         }
-        Ok(Some(OperatorItem::Wave(wave))) => {
+        Ok(Some(OperatorRecord::Wave(wave))) => {
             node.waves.lock().insert(wave.number, wave.clone());
             node.tell_scheduler(Event::WaveRequested(wave, None));
         }
-        Ok(Some(OperatorItem::Evacuation { data_centre, wanted: true })) => _ = evacuated.insert(data_centre),
-        Ok(Some(OperatorItem::Evacuation { data_centre, wanted: false })) => {
+        Ok(Some(OperatorRecord::Evacuation { data_centre, evacuated: true })) => {
+            _ = evacuated.insert(data_centre)
+        }
+        Ok(Some(OperatorRecord::Evacuation { data_centre, evacuated: false })) => {
             _ = evacuated.remove(&data_centre)
         }
         Ok(None) => {}
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -16,7 +16,7 @@
 use workswood_core::ids::{DataCentre, Offset, UnixMs};
 use workswood_core::jobs::RelayEntry;
 use workswood_core::jobs::claim::{self, Entry, Strength};
-use workswood_liveness::HalfOpen;
+use workswood_liveness::HalfOpenDetector;
 use workswood_peers::{CallError, Link, Msg};
 use workswood_platform::jobs::{Guard, KeyedRecord, StoreError, Topic};
 use workswood_traffic::Traffic;
@@ -82,7 +82,7 @@
     /// Has the records read soon.
     wanted: Notify,
     links: Mutex<HashMap<String, Kept>>,
-    half_open: HalfOpen,
+    half_open: HalfOpenDetector,
     traffic: Traffic,
     /// Whose turn it is to be asked for help.
     turn: AtomicUsize,
@@ -102,7 +102,7 @@
 impl Peers {
     /// Connections to nobody yet; what is found out of them, and what goes over them, is
     /// shared with others.
-    pub fn sharing(half_open: HalfOpen, traffic: Traffic) -> Peers {
+    pub fn sharing(half_open: HalfOpenDetector, traffic: Traffic) -> Peers {
         Peers { half_open, traffic, ..Peers::default() }
     }
 
@@ -116,7 +116,7 @@
         timeout: Duration,
     ) -> Result<Msg, CallError> {
         let link = self.link(from, address);
-        let answer = link.ask(msg, timeout).await;
+        let answer = link.try_call(msg, timeout).await;
         if answer.is_err() {
             self.give_up(address, &link);
         }
@@ -126,7 +126,7 @@
     /// Gives a link up, unless another one took its place already.
     fn give_up(&self, address: &str, link: &Link) {
         let mut links = self.links.lock();
-        if links.get(address).is_some_and(|kept| kept.link.is_same(link)) {
+        if links.get(address).is_some_and(|kept| kept.link.is_clone_of(link)) {
             links.remove(address);
         }
     }
@@ -303,7 +303,7 @@
 async fn read(node: &Node, known: &mut Records) -> Result<(), StoreError> {
     let news = match known.next {
         Some(from) => match node.platform.tail(Topic::Peers, from, Duration::ZERO).await {
-            Err(StoreError::Gone) => None,
+            Err(StoreError::RecordsGone) => None,
             tail => Some(tail?),
         },
         None => None,
@@ -311,7 +311,7 @@
     let (records, next) = match news {
         Some(tail) => (tail.records, tail.next),
         None => {
-            let newest = node.platform.newest(Topic::Peers).await?;
+            let newest = node.platform.latest(Topic::Peers).await?;
             known.by_entry.clear();
             (newest.records, newest.next)
         }
--- a/src/workswood/ops/jobs/relay/serve.rs
+++ b/src/workswood/ops/jobs/relay/serve.rs
@@ -12,7 +12,7 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 use workswood_peers::relay as wire;
-use workswood_peers::{Closed, DuplexRx, DuplexTx, Msg, StreamHandler};
+use workswood_peers::{Closed, DuplexRx, DuplexTx, Msg, RelayHandler};
 
 use super::{Grant, Outbox, Relay, Sink, wire as form};
 use crate::ops::jobs::node::Node;
@@ -32,7 +32,7 @@
 pub type Session = (u64, u64);
 
 /// Takes connections of lease holders over.
-pub fn handler(node: Arc<Node>) -> StreamHandler {
+pub fn handler(node: Arc<Node>) -> RelayHandler {
     Arc::new(move |open, tx, rx| serve(node.clone(), open, tx, rx).boxed())
 }
 
@@ -66,7 +66,7 @@
         _ = take_orders(&node, rx, &mut relay, &grant, &beats) => "holder_gone",
         _ = send_news(&node, tx, &outbox, &beats) => "connection_broken",
         _ = other.wait_for(|s| *s > session) => "replaced",
-        () = node.lag.clone().watch() => "never",
+        () = node.lag.clone().measure() => "never",
     };
     log::info!(
         "event=relay_session_ended holder={} term={} reason={why} workers={}",
@@ -112,10 +112,10 @@
         let msg = node.lag.timeout(HOLDER_SILENT, rx.next()).await.ok_or(Closed)??;
         let Msg::RelayOrders(frame) = msg else { return Err(Closed) };
         if let Some(g) = frame.grant
-            && let Some(sent) = beats.answered(g.beat)
+            && let Some(sent) = beats.answered(g.heartbeat)
         {
             // Counted from before the holder granted it.
-            grant.extend(sent + Duration::from_millis(u64::from(g.ms)));
+            grant.extend(sent + Duration::from_millis(u64::from(g.duration_ms)));
         }
         let orders = form::read_orders(frame.orders).ok_or(Closed)?;
         orders.into_iter().for_each(|(number, order)| relay.take(number, order));
@@ -144,8 +144,8 @@
             beats.sent(beat, now);
             due = now + BEAT_EVERY;
         }
-        let frame = wire::RelayNews { beat: number, leaving: left, news: form::write_news(news) };
-        tx.send(Msg::RelayNews(frame)).await?;
+        let frame = wire::RelayUpdate { heartbeat: number, stopping: left, updates: form::write_news(news) };
+        tx.send(Msg::RelayUpdate(frame)).await?;
     }
 }
 
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -24,8 +24,8 @@
 use workswood_adapter::{Addresses, PlatformClient};
 use workswood_adapter_standin::{StoreStandin, WorkerStandin};
 use workswood_core::jobs::{JobStatus, JobStatusUpdate, WorkerAddress};
-use workswood_liveness::HalfOpen;
-use workswood_peers::{Done, Handler, JobAsk, Link, Msg, StateAsk, StateReply};
+use workswood_liveness::HalfOpenDetector;
+use workswood_peers::{Ack, Handler, JobStateRequest, Link, Msg, StateReply, StateRequest};
 use workswood_platform::jobs::{Guard, JobPlatform, KeyedRecord, StoreError, Topic, WorkerClock};
 use workswood_test_support::cut::{Cut, Fault};
 use workswood_test_support::job_node::settings;
@@ -48,7 +48,7 @@
 
 /// Leaves several idle connections to the store behind.
 async fn warm_up(c: &PlatformClient) {
-    let reads = (0..3).map(|_| c.newest(Topic::Operators));
+    let reads = (0..3).map(|_| c.latest(Topic::Operators));
     futures::future::try_join_all(reads).await.expect("the store answers");
 }
 
@@ -106,7 +106,7 @@
     let calls = store.calls();
     // The first request is answered late, and whatever comes after it is turned away.
     store.faults(|f| f.slow = Duration::from_millis(400));
-    let read = c.newest(Topic::Operators);
+    let read = c.latest(Topic::Operators);
     let turn_away = async {
         store.calls_reach(calls + 1).await;
         store.faults(|f| (f.slow, f.down) = (Duration::ZERO, true));
@@ -129,18 +129,18 @@
         cut.address.clone(),
         String::new(),
         "entry-1".to_string(),
-        HalfOpen::default(),
+        HalfOpenDetector::default(),
         Traffic::default(),
     );
     // A dozen pieces, of which none is late by itself.
     cut.set(Fault::Slow(Duration::from_millis(60)));
-    let answer = link.ask(Msg::StateAsk(StateAsk {}), SOON).await;
+    let answer = link.try_call(Msg::StateRequest(StateRequest {}), SOON).await;
     assert!(matches!(answer, Ok(Msg::StateReply(_))), "bytes come all the time");
 }
 
 async fn look(c: &PlatformClient, w: &WorkerAddress, wait: Duration) -> WorkerClock {
     let lease_end = (wait > Duration::ZERO).then_some(LONG);
-    c.look(w, 7, 0, lease_end, wait).await.expect("the worker answers").0
+    c.poll_worker(w, 7, 0, lease_end, wait).await.expect("the worker answers").0
 }
 
 #[tokio::test]
@@ -152,7 +152,7 @@
         let w = WorkerStandin::start(&id, LONG).await;
         let cut = Cut::start(&w.address.to_string()).await;
         let value = Some(w.entry("desk", "m-1").into());
-        let info = c.worker_info(&KeyedRecord { key: id, value }).expect("the entry is read");
+        let info = c.parse_worker_info(&KeyedRecord { key: id, value }).expect("the entry is read");
         let mut info = info.worker_address();
         info.address = cut.address.clone();
         look(&c, &info, Duration::ZERO).await;
@@ -187,7 +187,14 @@
     let store = Arc::new(TurnStore::new(Duration::from_millis(2), &[]));
     let (_holder, cut) = holder(&store).await;
     let node = Node::new(settings("entry-1"), store);
-    let ask = || node.peers.call(&node.id, &cut.address, Msg::JobAsk(JobAsk { job: 1, owner: None }), LONG);
+    let ask = || {
+        node.peers.call(
+            &node.id,
+            &cut.address,
+            Msg::JobStateRequest(JobStateRequest { job: 1, owner: None }),
+            LONG,
+        )
+    };
     assert!(ask().await.is_ok());
     cut.set(Fault::HalfOpen);
     let lost = timeout(SOON, ask()).await.expect("the connection is given up before the call's time is over");
@@ -238,10 +245,10 @@
         cut.address.clone(),
         String::new(),
         "entry-1".to_string(),
-        HalfOpen::default(),
+        HalfOpenDetector::default(),
         Traffic::default(),
     );
-    let beat = || link.send(Msg::Done(Done {}));
+    let beat = || link.send(Msg::Ack(Ack {}));
     beat();
     assert!(timeout(SOON, heard.recv()).await.is_ok_and(|m| m.is_some()));
     cut.set(Fault::HalfOpen);
