--- a/crates/workswood-core/src/fold/lease.rs
+++ b/crates/workswood-core/src/fold/lease.rs
@@ -1,8 +1,8 @@
 //! Leases on roles, without clocks in the fold.
 //!
 //! A lease has a term and a count of renewals. A process that has seen no renewal
-//! for the lease time, by its own clock, appends `Take` with the count it saw. If
-//! the holder renewed in the meantime, the counts differ and the `Take` is
+//! for the lease time, by its own clock, appends [`Take`](crate::record::Record::Take) with the count it saw. If
+//! the holder renewed in the meantime, the counts differ and the record is
 //! rejected. Decisions carry the term as a fencing token: once a `Take` is
 //! accepted, all further decisions of the former holder are rejected.
 
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -1,9 +1,9 @@
 //! The state that every process derives from the log, and the fold that derives it.
 //!
-//! To fold an envelope is to apply its records to the state. [`State::fold`] is the
-//! only function that changes the state. It depends on nothing but the envelope:
-//! time is the highest [`Envelope::written_at`] folded so far, so that all processes
-//! agree on it. Each submodule handles one kind of record.
+//! To fold an envelope is to apply its records to the state, with [`State::fold`].
+//! The result depends only on the state and the envelope: time is the highest
+//! [`Envelope::written_at`] folded so far, so that all processes agree on it. Each
+//! submodule handles one kind of record.
 
 mod checkpoint;
 mod files;
--- a/crates/workswood-core/src/membership.rs
+++ b/crates/workswood-core/src/membership.rs
@@ -17,8 +17,8 @@
 pub const DEAD_AFTER: Duration = Duration::from_millis(4_000);
 /// Time without a heartbeat after which a dead process is removed.
 const REMOVE_AFTER: Duration = Duration::from_secs(120);
-/// The timeouts of members whose heartbeats are relayed grow by one timeout for
-/// each this many members.
+/// Number of members that adds one timeout to the time after which a member whose
+/// heartbeats are relayed is suspected or dead.
 const MEMBERS_PER_EXTRA_TIMEOUT: u32 = 8;
 /// Number of relays of a data centre; they are its first processes by address.
 const RELAYS_PER_DATA_CENTRE: usize = 2;
