--- a/crates/workswood-core/src/jobs/pool_planning.rs
+++ b/crates/workswood-core/src/jobs/pool_planning.rs
@@ -141,8 +141,8 @@
         Pool { need, have: count.hosts_in(service) as f64 }
     }
 
-    /// Whether a host's pool can spare it. A host of a data centre that is being evacuated is not
-    /// counted.
+    /// Whether a host's pool can spare it. A host that is turned off, or whose data centre is being
+    /// evacuated, can always be spared.
     pub(super) fn can_spare(&self, count: &PoolCount, host: &HostId) -> bool {
         let Some(host) = self.hosts.get(host) else { return false };
         if !self.stands_open(host) || self.config.services.get(&host.pool).is_some_and(|s| s.spare) {
