--- a/src/workswood/ops/entry/keyed_requests.rs
+++ b/src/workswood/ops/entry/keyed_requests.rs
@@ -85,7 +85,7 @@
 }
 
 impl ClaimGuard {
-    /// Waits until this process may claim the key, which it may not do for [`HOLD`] after it told a peer
+    /// Waits until this process may claim the key, which it may not do for [`CLAIM_HOLD`] after it told a peer
     /// that it does not know the key. Returns `None` if that is after the deadline.
     pub async fn begin(node: &Arc<Node>, key: &str, deadline: Duration) -> Option<ClaimGuard> {
         loop {
@@ -269,6 +269,6 @@
             _ => None,
         });
     }
-    // Peers that answered refrain from claiming the key only for `HOLD`.
+    // Peers that answered refrain from claiming the key only for `CLAIM_HOLD`.
     inquiry.never_claimed() && node.now() - started_at < CLAIM_HOLD / 2
 }
