--- a/crates/workswood-core/src/jobs/advice.rs
+++ b/crates/workswood-core/src/jobs/advice.rs
@@ -165,7 +165,7 @@
 
     /// Notes a job whose queue has advice.
     pub(super) fn watch_advised(&mut self, key: JobKey) {
-        let open = self.jobs.get(&key).is_some_and(|j| j.open());
+        let open = self.jobs.get(&key).is_some_and(|j| j.is_open());
         if open && self.advice_of(key).is_some() {
             self.advice.jobs.insert(key);
         }
--- a/crates/workswood-core/src/jobs/advice_need.rs
+++ b/crates/workswood-core/src/jobs/advice_need.rs
@@ -112,7 +112,7 @@
 
     /// How long until a step opens all whose earlier steps are done or at work.
     fn opens_in(&self, job: &Job, id: &StepId) -> Option<Duration> {
-        if job.step_open(id.round, id.step) {
+        if job.is_step_ready(id.round, id.step) {
             return None;
         }
         let mut longest = Duration::ZERO;
--- a/crates/workswood-core/src/jobs/crash.rs
+++ b/crates/workswood-core/src/jobs/crash.rs
@@ -327,7 +327,7 @@
     /// A run was lost with a worker that crashed; `part` explains that, for so many runs.
     fn take_lost(&mut self, id: &WorkerId, l: &Lost, part: Part, alike: usize) {
         let rate = self.rate_without(&l.task);
-        let Some(job) = self.jobs.get_mut(&l.task.job).filter(|j| j.open()) else { return };
+        let Some(job) = self.jobs.get_mut(&l.task.job).filter(|j| j.is_open()) else { return };
         let Some(task) = job.task_mut(&l.task).filter(|t| !t.done) else { return };
         let policy = &self.policy.crashes;
         let sure = policy.sure_after(self.crash_rate.found_lately(self.now));
@@ -374,7 +374,7 @@
             t.given_up = true;
         }
         self.dirty.insert(task.job);
-        if job.nothing_left() {
+        if job.all_done_or_given_up() {
             self.end_job(task.job, Outcome::Failed);
         }
     }
--- a/crates/workswood-core/src/jobs/ends.rs
+++ b/crates/workswood-core/src/jobs/ends.rs
@@ -59,7 +59,7 @@
     fn run_listed(&mut self, id: &WorkerId, listed: &ReportedRun) {
         let now = self.now;
         let job = self.jobs.get_mut(&listed.task.job);
-        let wanted = job.as_ref().is_some_and(|j| j.open());
+        let wanted = job.as_ref().is_some_and(|j| j.is_open());
         let Some((run, done)) = job.and_then(|j| update_run(j, id, listed, now)) else {
             self.stray_run(id, listed, wanted);
             return;
@@ -202,7 +202,7 @@
                 t.done = true;
             }
         }
-        let step_done = job.step_done(task_id.round, task_id.step);
+        let step_done = job.is_step_done(task_id.round, task_id.step);
         for m in &members {
             self.unqueue(m);
             self.stop_runs(m);
@@ -237,7 +237,7 @@
     /// fails in two places is at fault itself.
     pub(super) fn blame(&mut self, id: &WorkerId, task_id: &TaskId) {
         let Some(job) = self.jobs.get_mut(&task_id.job) else { return };
-        match job.blamed.clone() {
+        match job.blamed_worker.clone() {
             Some(first) if first == *id => return,
             Some(first) => {
                 if let Some(mut w) = self.workers.get_mut(&first) {
@@ -245,7 +245,7 @@
                 }
                 return;
             }
-            None => job.blamed = Some(id.clone()),
+            None => job.blamed_worker = Some(id.clone()),
         }
         let now = self.now;
         let Some(mut w) = self.workers.get_mut(id) else { return };
--- a/crates/workswood-core/src/jobs/evict.rs
+++ b/crates/workswood-core/src/jobs/evict.rs
@@ -44,7 +44,7 @@
             return true;
         }
         let Some(step) = job.step(id) else { return true };
-        job.others_away(id, |run| self.is_at_work(run)) < step.max_unavailable
+        job.other_tasks_not_running(id, |run| self.is_at_work(run)) < step.max_unavailable
     }
 
     /// Whether a task goes on although its job has ended: one that we have ended ourselves still
--- a/crates/workswood-core/src/jobs/job.rs
+++ b/crates/workswood-core/src/jobs/job.rs
@@ -170,15 +170,15 @@
     /// How it ended.
     pub outcome: Option<Outcome>,
     /// When it ended, on the scheduler's clock.
-    pub ended: Duration,
+    pub ended_at: Duration,
     /// Whether any task has begun.
-    pub begun: bool,
+    pub started: bool,
     /// Whether it came beyond what its workspace may count on.
-    pub excess: bool,
+    pub over_rate: bool,
     /// Most processor room, in thousandths of a core, that its workspace may have at work; 0 for no limit.
-    pub most_cpu: u64,
+    pub max_cpu_millis: u64,
     /// First worker that a task of it failed on.
-    pub blamed: Option<WorkerId>,
+    pub blamed_worker: Option<WorkerId>,
     /// Rounds that are due, by number.
     pub rounds: Vec<Round>,
     /// What was last told of it.
@@ -193,11 +193,11 @@
             spec,
             cancelled: false,
             outcome: None,
-            ended: Duration::ZERO,
-            begun: false,
-            excess: false,
-            most_cpu: 0,
-            blamed: None,
+            ended_at: Duration::ZERO,
+            started: false,
+            over_rate: false,
+            max_cpu_millis: 0,
+            blamed_worker: None,
             rounds: Vec::new(),
             published_status: None,
         }
@@ -227,20 +227,20 @@
     }
 
     /// Whether a step of a round has all its tasks done.
-    pub fn step_done(&self, round: u32, step: u16) -> bool {
+    pub fn is_step_done(&self, round: u32, step: u16) -> bool {
         let r = self.rounds.get(round as usize);
         r.and_then(|r| r.get(usize::from(step))).is_some_and(|tasks| tasks.iter().all(|t| t.done))
     }
 
     /// Whether a step may run: all that it waits for is done.
-    pub fn step_open(&self, round: u32, step: u16) -> bool {
+    pub fn is_step_ready(&self, round: u32, step: u16) -> bool {
         let after = self.spec.steps.get(usize::from(step)).map(|s| s.after.as_slice());
-        after.is_some_and(|after| after.iter().all(|a| self.step_done(round, *a)))
+        after.is_some_and(|after| after.iter().all(|a| self.is_step_done(round, *a)))
     }
 
     /// How many tasks of a step, other than `id`, have no run that is at work
     /// by `at_work`.
-    pub fn others_away(&self, id: &TaskId, at_work: impl Fn(&Run) -> bool) -> u32 {
+    pub fn other_tasks_not_running(&self, id: &TaskId, at_work: impl Fn(&Run) -> bool) -> u32 {
         let step = self.rounds.get(id.round as usize).and_then(|r| r.get(usize::from(id.step)));
         let tasks = step.map(Vec::as_slice).unwrap_or_default().iter().enumerate();
         let others = tasks.filter(|(n, _)| *n != id.index as usize);
@@ -248,7 +248,7 @@
     }
 
     /// Whether no task of it is left but those that are done or given up.
-    pub fn nothing_left(&self) -> bool {
+    pub fn all_done_or_given_up(&self) -> bool {
         self.rounds.iter().flatten().flatten().all(|t| t.done || t.given_up)
     }
 
@@ -259,22 +259,22 @@
     }
 
     /// Whether nothing of it may run anywhere.
-    pub fn at_rest(&self) -> bool {
+    pub fn has_no_runs(&self) -> bool {
         self.rounds.iter().flatten().flatten().all(|t| t.runs.is_empty())
     }
 
     /// Whether tasks may still be started.
-    pub fn open(&self) -> bool {
+    pub fn is_open(&self) -> bool {
         !self.cancelled && self.outcome.is_none()
     }
 
     /// In how many waves a step runs, being wider than its workspace may run at once.
-    pub fn waves(&self, step: &StepSpec) -> u32 {
-        if self.most_cpu == 0 {
+    pub fn sequential_batches(&self, step: &StepSpec) -> u32 {
+        if self.max_cpu_millis == 0 {
             return 1;
         }
         let wide = u64::from(step.count).saturating_mul(step.resources.cpu_millis);
-        u32::try_from(wide.div_ceil(self.most_cpu)).unwrap_or(u32::MAX).clamp(1, step.count.max(1))
+        u32::try_from(wide.div_ceil(self.max_cpu_millis)).unwrap_or(u32::MAX).clamp(1, step.count.max(1))
     }
 
     /// Names of all steps of opened rounds.
@@ -311,7 +311,7 @@
     pub fn status(&self) -> JobStatus {
         match self.outcome {
             Some(o) => JobStatus::Ended(o),
-            None if self.begun => JobStatus::Running,
+            None if self.started => JobStatus::Running,
             None => JobStatus::Queued,
         }
     }
@@ -332,7 +332,7 @@
         JobRecord {
             cancelled: self.cancelled,
             outcome: self.outcome,
-            begun: self.begun,
+            started: self.started,
             rounds: self.rounds.iter().map(|r| r.iter().map(step).collect()).collect(),
             over: None,
         }
@@ -343,8 +343,8 @@
         let mut job = Job::new(key, spec);
         job.cancelled = rec.cancelled;
         job.outcome = rec.outcome;
-        job.begun = rec.begun;
-        job.ended = now;
+        job.started = rec.started;
+        job.ended_at = now;
         let step = |tasks: Vec<TaskRecord>| tasks.into_iter().map(|t| t.restore(now)).collect();
         job.rounds = rec.rounds.into_iter().map(|r| r.into_iter().map(step).collect()).collect();
         job
@@ -362,28 +362,28 @@
     pub outcome: Option<Outcome>,
     /// Whether any task has begun.
     #[serde(default, rename = "b")]
-    pub begun: bool,
+    pub started: bool,
     /// Tasks by round and step; none of a job that is over.
     #[serde(default, rename = "r")]
     pub rounds: Vec<Vec<Vec<TaskRecord>>>,
     /// What is kept of a job that is over. Then its spec is stored no longer.
     #[serde(skip)]
-    pub over: Option<OverRecord>,
+    pub over: Option<FinishedJobRecord>,
 }
 
 /// What is kept of a job that has ended and runs nowhere.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct OverRecord {
+pub struct FinishedJobRecord {
     /// The queue that it was handed in to.
     pub queue: QueueId,
     /// The service whose workers ran it.
     pub service: ServiceId,
     /// When an entry accepted it.
-    pub accepted: UnixMs,
+    pub accepted_at: UnixMs,
     /// Its work, if it was one that ends by itself, in core-milliseconds.
-    pub work: Option<u64>,
+    pub work_core_ms: Option<u64>,
     /// Room that holds any of its tasks: a start may be carried out late.
-    pub room: Resources,
+    pub max_task_resources: Resources,
     /// Whose it was.
     pub owner: Owner,
 }
--- a/crates/workswood-core/src/jobs/known.rs
+++ b/crates/workswood-core/src/jobs/known.rs
@@ -8,7 +8,7 @@
 use std::ops::Index;
 use std::time::Duration;
 
-use super::job::{Job, JobStatus, Outcome, OverRecord};
+use super::job::{FinishedJobRecord, Job, JobStatus, Outcome};
 use super::map::Map;
 use super::spec::{JobKey, TaskId};
 use super::workspace::Owner;
@@ -34,7 +34,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// What is on record of it.
-    pub record: OverRecord,
+    pub record: FinishedJobRecord,
 }
 
 impl Index<&JobKey> for Jobs {
@@ -90,7 +90,7 @@
     /// What a task takes; at most that, if its job is over.
     pub fn held_by(&self, task: &TaskId) -> Option<Reservation> {
         let over = |over: &OverJob| {
-            let (room, owner) = (over.record.room, over.record.owner);
+            let (room, owner) = (over.record.max_task_resources, over.record.owner);
             Reservation { resources: room, charged: room, owner }
         };
         match self.by_key.get(&task.job) {
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -86,7 +86,7 @@
 pub use config::{AdviceConfig, QueueConfig, SchedConfig, ServiceConfig};
 pub use follow::Follow;
 pub use host::{Host, HostReply, HostState};
-pub use job::{Job, JobRecord, JobStatus, Outcome, OverRecord, Phase, Run, Task};
+pub use job::{FinishedJobRecord, Job, JobRecord, JobStatus, Outcome, Phase, Run, Task};
 pub use policy::Policy;
 pub use relays::{RelayEntry, RelayPolicy};
 pub use sched::Scheduler;
--- a/crates/workswood-core/src/jobs/need.rs
+++ b/crates/workswood-core/src/jobs/need.rs
@@ -118,7 +118,7 @@
 
     /// Hosts that lasting tasks need because only so many may share one.
     fn hosts_apart(&self, service: &ServiceId) -> u32 {
-        let jobs = self.jobs.lasting(service).filter(|j| j.open());
+        let jobs = self.jobs.lasting(service).filter(|j| j.is_open());
         let steps = jobs.flat_map(|j| &j.spec.steps).filter(|s| s.long_running && s.max_per_worker > 0);
         steps.map(|s| s.count.div_ceil(s.max_per_worker)).max().unwrap_or(0)
     }
@@ -142,8 +142,8 @@
                 Some((j.spec.service.clone(), ago, self.work_of(j)?))
             })
             .chain(self.jobs.over().filter_map(|over| {
-                let ago = Duration::from_millis(self.wall.saturating_sub(over.record.accepted));
-                Some((over.record.service.clone(), ago, over.record.work?))
+                let ago = Duration::from_millis(self.wall.saturating_sub(over.record.accepted_at));
+                Some((over.record.service.clone(), ago, over.record.work_core_ms?))
             }))
             .collect();
         let (now, window) = (self.now, self.policy.need.arrivals);
--- a/crates/workswood-core/src/jobs/place.rs
+++ b/crates/workswood-core/src/jobs/place.rs
@@ -265,7 +265,7 @@
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
         let spec = job.spec.clone();
         let step = &spec.steps[usize::from(id.step)];
-        let safe = job.open() && job.step_open(id.round, id.step);
+        let safe = job.is_open() && job.is_step_ready(id.round, id.step);
         let Some(task) = job.task_mut(id) else { return };
         let alone = step.speculative || task.runs.is_empty();
         if !invariant::check(safe && alone && !task.done, || format!("start of {id} is not due")) {
@@ -277,7 +277,7 @@
         let run = Run::new(worker.clone(), attempt, Phase::Starting, now);
         task.runs.push(Run { trial_quarantine: trial, placed_at: Some(now), ..run });
         let checkpoint = task.checkpoint.clone();
-        job.begun = true;
+        job.started = true;
         self.dirty.insert(id.job);
         if let Some(mut w) = self.workers.get_mut(worker) {
             let held = spec.reservation(step);
--- a/crates/workswood-core/src/jobs/queue_order.rs
+++ b/crates/workswood-core/src/jobs/queue_order.rs
@@ -155,7 +155,7 @@
     let spec = &job.spec;
     let took = |n: usize| {
         let step = &spec.steps[n];
-        known.expect(&spec.queue, step.estimate, policy) * job.waves(step)
+        known.expect(&spec.queue, step.estimate, policy) * job.sequential_batches(step)
     };
     let lasting = spec.steps.get(usize::from(id.step)).is_some_and(|s| s.long_running);
     let begin = spec.accepted_at.max(spec.round_due_at(id.round));
@@ -183,7 +183,7 @@
         Timeliness::InTime => remaining_work(spec, usize::from(id.step), &took),
         Timeliness::Late | Timeliness::Worthless => begin,
     };
-    let (excess, owner) = (job.excess, spec.owner());
+    let (excess, owner) = (job.over_rate, spec.owner());
     let place = QueuePosition {
         priority: spec.priority,
         timeliness: standing,
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -11,7 +11,7 @@
 use super::fair_share::SubmissionRates;
 use super::handover::OrderMarks;
 use super::host::Host;
-use super::job::{Job, JobRecord, JobStatus, Outcome, OverRecord, Phase, Task, WorkerId};
+use super::job::{FinishedJobRecord, Job, JobRecord, JobStatus, Outcome, Phase, Task, WorkerId};
 use super::known::{Jobs, OverJob};
 use super::map::Map;
 use super::notes::Notes;
@@ -221,9 +221,9 @@
             // what is asked for, and must not be begun anew.
             self.notes.push(format_args!("event=job_changed job={key:016x} outcome=Failed"));
             job.outcome = Some(Outcome::Failed);
-            job.ended = now;
+            job.ended_at = now;
         }
-        job.most_cpu = self.config.workspaces.limit(job.spec.owner()).cpu_millis;
+        job.max_cpu_millis = self.config.workspaces.limit(job.spec.owner()).cpu_millis;
         self.suspect_inherited(&mut job);
         let bound = self.inherited_lease_end();
         let mut places = BTreeSet::new();
@@ -247,7 +247,7 @@
         self.dirty.insert(key);
     }
 
-    fn restore_over(&mut self, key: JobKey, outcome: Outcome, record: OverRecord, in_inbox: bool) {
+    fn restore_over(&mut self, key: JobKey, outcome: Outcome, record: FinishedJobRecord, in_inbox: bool) {
         let (queue, owner, state) = (record.queue.clone(), record.owner, Some(JobStatus::Ended(outcome)));
         self.jobs.set_over(key, OverJob { outcome, record }, self.now);
         self.shown.push(ShownJob { key, queue, owner, state, timed: false });
@@ -311,7 +311,7 @@
         let excess =
             self.shares.exceeds_rate(owner, self.config.workspaces.jobs_per_s(owner), spec.accepted_at);
         let most_cpu = self.config.workspaces.limit(owner).cpu_millis;
-        self.jobs.insert(Job { excess, most_cpu, ..Job::new(key, spec) });
+        self.jobs.insert(Job { over_rate: excess, max_cpu_millis: most_cpu, ..Job::new(key, spec) });
         self.watch_advised(key);
         self.dirty.insert(key);
         self.open_due_rounds(key);
@@ -368,7 +368,7 @@
     pub(super) fn open_due_rounds(&mut self, key: JobKey) {
         let ahead = self.wall + self.limits.early.as_millis() as u64;
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        while job.open() && (job.rounds.len() as u32) < job.spec.round_count() {
+        while job.is_open() && (job.rounds.len() as u32) < job.spec.round_count() {
             if job.spec.round_due_at(job.rounds.len() as u32) > ahead {
                 break;
             }
@@ -387,10 +387,10 @@
     /// Queues all tasks of a job that may be started now.
     pub(super) fn queue_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(&key) else { return };
-        if !job.open() {
+        if !job.is_open() {
             return;
         }
-        let open = job.step_ids().filter(|id| job.step_open(id.round, id.step));
+        let open = job.step_ids().filter(|id| job.is_step_ready(id.round, id.step));
         let waiting: Vec<(StepId, Vec<u32>)> = open.map(|id| (id, job.idle_tasks(&id))).collect();
         for (step, tasks) in waiting {
             self.enqueue(step, tasks);
@@ -402,7 +402,7 @@
     pub(super) fn queue_task(&mut self, id: &TaskId) {
         let Some(job) = self.jobs.get(&id.job) else { return };
         let idle = job.task(id).is_some_and(Task::is_idle);
-        if !job.open() || !idle || !job.step_open(id.round, id.step) {
+        if !job.is_open() || !idle || !job.is_step_ready(id.round, id.step) {
             return;
         }
         self.enqueue(id.step_id(), vec![id.index]);
@@ -456,7 +456,7 @@
             }
         }
         job.outcome = Some(outcome);
-        job.ended = self.now;
+        job.ended_at = self.now;
         self.notes.push(format_args!(
             "event=job_ended job={key:016x} outcome={outcome:?} age_ms={}",
             self.wall.saturating_sub(job.spec.accepted_at)
@@ -475,7 +475,7 @@
 
     /// Shows a job as completed once nothing of it is open.
     pub(super) fn finish_if_done(&mut self, key: JobKey) {
-        let done = self.jobs.get(&key).is_some_and(|j| j.open() && j.all_done());
+        let done = self.jobs.get(&key).is_some_and(|j| j.is_open() && j.all_done());
         if done {
             self.end_job(key, Outcome::Completed);
         }
@@ -539,22 +539,23 @@
             let (queue, timed) = (job.spec.queue.clone(), job.spec.repeat.is_some());
             batch.shown.push(ShownJob { key, queue, owner: job.spec.owner(), state, timed });
         }
-        let Some(outcome) = job.outcome.filter(|_| job.at_rest()) else {
+        let Some(outcome) = job.outcome.filter(|_| job.has_no_runs()) else {
             batch.records.push(Record::Job(key, job.record()));
             return;
         };
-        let (cancelled, begun, spec) = (job.cancelled, job.begun, job.spec.clone());
+        let (cancelled, begun, spec) = (job.cancelled, job.started, job.spec.clone());
         let work = self.jobs.get(&key).and_then(|j| self.work_of(j));
-        let record = OverRecord {
+        let record = FinishedJobRecord {
             queue: spec.queue.clone(),
             service: spec.service.clone(),
-            accepted: spec.accepted_at,
-            work,
-            room: spec.max_task_resources(),
+            accepted_at: spec.accepted_at,
+            work_core_ms: work,
+            max_task_resources: spec.max_task_resources(),
             owner: spec.owner(),
         };
         let over = Some(record.clone());
-        let stored = JobRecord { cancelled, begun, outcome: Some(outcome), over, ..JobRecord::default() };
+        let stored =
+            JobRecord { cancelled, started: begun, outcome: Some(outcome), over, ..JobRecord::default() };
         batch.records.push(Record::Job(key, stored));
         self.jobs.set_over(key, OverJob { outcome, record }, self.now);
         self.over.push(key);
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/settle.rs
@@ -241,7 +241,7 @@
             self.ticket_turned_down(id, &task);
         }
         let job = self.jobs.get(&task.job);
-        let wanted = job.is_some_and(|j| j.open() && j.task(&task).is_some_and(|t| !t.done));
+        let wanted = job.is_some_and(|j| j.is_open() && j.task(&task).is_some_and(|t| !t.done));
         let Some(run) = self.run_mut(id, &task, attempt) else { return };
         match reply {
             StartReply::Taken if wanted => {
--- a/crates/workswood-core/src/jobs/trials.rs
+++ b/crates/workswood-core/src/jobs/trials.rs
@@ -110,7 +110,7 @@
     }
 
     fn place_trial(&mut self, service: &ServiceId, id: &TaskId) -> Placed {
-        let idle = self.jobs.get(&id.job).filter(|j| j.open());
+        let idle = self.jobs.get(&id.job).filter(|j| j.is_open());
         let idle = idle.and_then(|j| j.task(id)).is_some_and(Task::is_idle);
         let idle = idle && self.wants_trial(id);
         let Some(step) = self.jobs.get(&id.job).and_then(|j| j.step(id)).filter(|_| idle) else {
--- a/src/workswood/ops/job_status/sum.rs
+++ b/src/workswood/ops/job_status/sum.rs
@@ -318,7 +318,7 @@
     }
 
     fn count(&mut self, spec: &JobSpec, rec: Option<&JobRecord>, now: UnixMs) {
-        if rec.is_none_or(|r| r.outcome.is_none() && !r.begun) {
+        if rec.is_none_or(|r| r.outcome.is_none() && !r.started) {
             self.longest_wait_ms = self.longest_wait_ms.max(now.saturating_sub(spec.accepted_at));
         }
         let Some(rec) = rec else {
@@ -327,7 +327,7 @@
         };
         self.count_end(rec.outcome);
         if rec.outcome.is_none() {
-            let begun = if rec.begun { &mut self.running } else { &mut self.queued };
+            let begun = if rec.started { &mut self.running } else { &mut self.queued };
             *begun += 1;
             let tasks = || rec.rounds.iter().flatten().flatten();
             self.tasks_running += tasks().filter(|t| !t.done && !t.runs.is_empty()).count();
--- a/src/workswood/ops/jobs/job_state.rs
+++ b/src/workswood/ops/jobs/job_state.rs
@@ -12,7 +12,7 @@
 use workswood_core::jobs::crash::{Crash, Evidence};
 use workswood_core::jobs::job::{TaskRecord, WorkerId};
 use workswood_core::jobs::spec::Resources;
-use workswood_core::jobs::{JobRecord, Outcome, OverRecord, Owner};
+use workswood_core::jobs::{FinishedJobRecord, JobRecord, Outcome, Owner};
 
 /// First byte of a record that a version before this one wrote.
 const JSON: u8 = b'{';
@@ -139,18 +139,18 @@
     }
     let state = JobState {
         cancelled: rec.cancelled,
-        begun: rec.begun,
+        begun: rec.started,
         ended: rec.outcome.map(|o| ended(o) as i32),
         workers: numbers.0.into_iter().map(|id| id.to_string()).collect(),
         rounds,
         over: rec.over.clone().map(|o| OverState {
             queue: o.queue,
             service: o.service,
-            accepted: o.accepted,
-            work: o.work,
-            cpu_millis: o.room.cpu_millis,
-            mem_mb: o.room.mem_mb,
-            gpus: o.room.gpus,
+            accepted: o.accepted_at,
+            work: o.work_core_ms,
+            cpu_millis: o.max_task_resources.cpu_millis,
+            mem_mb: o.max_task_resources.mem_mb,
+            gpus: o.max_task_resources.gpus,
             owner: o.owner.number(),
         }),
     };
@@ -205,14 +205,14 @@
     Ok(JobRecord {
         cancelled: state.cancelled,
         outcome: state.ended.map(outcome).transpose()?,
-        begun: state.begun,
+        started: state.begun,
         rounds: state.rounds.into_iter().map(round).collect::<Result<_, _>>()?,
-        over: state.over.map(|o| OverRecord {
+        over: state.over.map(|o| FinishedJobRecord {
             queue: o.queue,
             service: o.service,
-            accepted: o.accepted,
-            work: o.work,
-            room: Resources { cpu_millis: o.cpu_millis, mem_mb: o.mem_mb, gpus: o.gpus },
+            accepted_at: o.accepted,
+            work_core_ms: o.work,
+            max_task_resources: Resources { cpu_millis: o.cpu_millis, mem_mb: o.mem_mb, gpus: o.gpus },
             owner: Owner::from_number(o.owner),
         }),
     })
--- a/tests/testsuite/job_records.rs
+++ b/tests/testsuite/job_records.rs
@@ -11,7 +11,7 @@
 use workswood_core::jobs::job::{TaskRecord, WorkerId};
 use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
-    JobRecord, JobSpec, JobStatus, Outcome, OverRecord, Owner, Repeat, ShownJob, StepSpec,
+    FinishedJobRecord, JobRecord, JobSpec, JobStatus, Outcome, Owner, Repeat, ShownJob, StepSpec,
 };
 use workswood_test_support::job_world::{job, step};
 
@@ -60,16 +60,20 @@
     }
     let outcome =
         *u.choose(&[None, Some(Outcome::Completed), Some(Outcome::Failed), Some(Outcome::Canceled)])?;
-    let over = OverRecord {
+    let over = FinishedJobRecord {
         queue: "desk".to_string(),
         service: "till".to_string(),
-        accepted: u.arbitrary()?,
-        work: u.arbitrary()?,
-        room: Resources { cpu_millis: u.arbitrary()?, mem_mb: u.arbitrary()?, gpus: u.arbitrary()? },
+        accepted_at: u.arbitrary()?,
+        work_core_ms: u.arbitrary()?,
+        max_task_resources: Resources {
+            cpu_millis: u.arbitrary()?,
+            mem_mb: u.arbitrary()?,
+            gpus: u.arbitrary()?,
+        },
         owner: Owner::from_number(u.arbitrary()?),
     };
     let over = outcome.is_some().then_some(over);
-    Ok(JobRecord { cancelled: u.arbitrary()?, outcome, begun: u.arbitrary()?, rounds, over })
+    Ok(JobRecord { cancelled: u.arbitrary()?, outcome, started: u.arbitrary()?, rounds, over })
 }
 
 #[test]
@@ -88,7 +92,7 @@
 fn earlier_version_read() {
     let text = r#"{"x":false,"o":null,"b":true,"r":[[[{"d":true},{"a":2,"w":[["i-1",2]],"f":[1]}]]]}"#;
     let rec = decode(text.as_bytes()).expect("JSON of the version before");
-    assert!(rec.begun && rec.rounds[0][0][0].done);
+    assert!(rec.started && rec.rounds[0][0][0].done);
     assert_eq!(rec.rounds[0][0][1].runs, [("i-1".into(), 2)].into());
     assert_eq!(rec.rounds[0][0][1].failed_attempts.iter().copied().collect::<Vec<_>>(), [1]);
 }
@@ -107,7 +111,7 @@
     let id = |n: u32| WorkerId::from(format!("i-29451fa6c{}", n % 3));
     let run = |n: u32| TaskRecord { latest_attempt: 1, runs: [(id(n), 1)].into(), ..TaskRecord::default() };
     let tasks: Vec<TaskRecord> = (0..13).map(run).collect();
-    let rec = JobRecord { begun: true, rounds: vec![vec![tasks]], ..JobRecord::default() };
+    let rec = JobRecord { started: true, rounds: vec![vec![tasks]], ..JobRecord::default() };
     let (now, before) = (encode(&rec).len(), serde_json::to_vec(&rec).expect("JSON").len());
     assert!(now <= 100 && before > 400, "{now} bytes, {before} as JSON");
 }
--- a/tests/testsuite/over_jobs.rs
+++ b/tests/testsuite/over_jobs.rs
@@ -17,7 +17,7 @@
 use workswood_core::jobs::known::{Jobs, OverJob};
 use workswood_core::jobs::types::Record;
 use workswood_core::jobs::{
-    Batch, Event, Job, JobRecord, JobSpec, JobStatus, Outcome, OverRecord, Owner, Scheduler,
+    Batch, Event, FinishedJobRecord, Job, JobRecord, JobSpec, JobStatus, Outcome, Owner, Scheduler,
 };
 use workswood_test_support::host_world::limits;
 use workswood_test_support::job_world::{QUEUE, SERVICE, config, job, step};
@@ -62,7 +62,7 @@
     let rec = recorded(&batch, 1).expect("it changed");
     assert!(rec.rounds.is_empty());
     let over = rec.over.expect("it is over");
-    assert_eq!((over.queue.as_str(), over.service.as_str(), over.accepted), (QUEUE, SERVICE, 50_000));
+    assert_eq!((over.queue.as_str(), over.service.as_str(), over.accepted_at), (QUEUE, SERVICE, 50_000));
     assert_eq!(recorded(&batch, 2).expect("it is new").over, None);
     assert!(s.take_batch().over.is_empty(), "it is told once");
 }
@@ -108,7 +108,7 @@
 
 #[test]
 fn forgotten_in_order() {
-    let over = || OverJob { outcome: Outcome::Completed, record: OverRecord::default() };
+    let over = || OverJob { outcome: Outcome::Completed, record: FinishedJobRecord::default() };
     let mut jobs = Jobs::default();
     jobs.insert(Job::new(3, spec()));
     (1..=3).for_each(|n| jobs.set_over(n, over(), Duration::from_secs(n)));
--- a/tests/testsuite/restarted_workers.rs
+++ b/tests/testsuite/restarted_workers.rs
@@ -87,7 +87,7 @@
     let done = ReportedEnd { number: 1, task, attempt: 1, kind: EndKind::Done, checkpoint: String::new() };
     world.answers(&life(20).id, Listing { running: vec![], ended: vec![done] });
     world.tick();
-    assert!(world.sched.jobs.is_over(&1) || world.sched.jobs.get(&1).is_some_and(|j| !j.open()));
+    assert!(world.sched.jobs.is_over(&1) || world.sched.jobs.get(&1).is_some_and(|j| !j.is_open()));
 }
 
 /// Likewise, and its end is in the first answer already.
@@ -125,7 +125,7 @@
     world.sched.handle(Event::Restarted(life(10).id, 20, Duration::ZERO));
     assert!(!world.sched.deposed && !world.sched.workers.contains_key(&life(10).id));
     assert!(world.sched.workers.get(&life(20).id).is_some_and(|w| w.listed && w.reachable));
-    assert!(world.sched.jobs.get(&1).is_some_and(|j| j.open()), "its task is not done");
+    assert!(world.sched.jobs.get(&1).is_some_and(|j| j.is_open()), "its task is not done");
 }
 
 /// An answer of a life comes after its worker has started once more.
--- a/tests/testsuite/workspace_limits.rs
+++ b/tests/testsuite/workspace_limits.rs
@@ -247,7 +247,7 @@
     let spec = Arc::new(of("north", 8));
     let dues = |most_cpu| {
         let mut j = Job::new(1, spec.clone());
-        j.most_cpu = most_cpu;
+        j.max_cpu_millis = most_cpu;
         j.open_round();
         let id = StepId { job: 1, round: 0, step: 0 };
         queue_position(
@@ -271,9 +271,9 @@
     submit(&mut world, 1, of("north", 1));
     assert_eq!(submit(&mut world, 1, of("south", 5)).len(), 0, "the number is taken");
     world.sched.handle(Event::Cancelled(1, Owner::of_workspace(Some("south"))));
-    assert!(world.sched.jobs[&1].open());
+    assert!(world.sched.jobs[&1].is_open());
     world.sched.handle(Event::Cancelled(2, Owner::of_workspace(Some("south"))));
     assert_eq!(submit(&mut world, 2, of("north", 1)).len(), 1, "a cancel that came early was not its own");
     world.sched.handle(Event::Cancelled(1, Owner::of_workspace(Some("north"))));
-    assert!(!world.sched.jobs[&1].open());
+    assert!(!world.sched.jobs[&1].is_open());
 }
