--- a/crates/workswood-core/src/jobs/claim.rs
+++ b/crates/workswood-core/src/jobs/lease_claim.rs
@@ -13,7 +13,7 @@
 use crate::ids::{Incarnation, Term};
 
 /// Workers that an entry can look after as holder.
-pub type Strength = u32;
+pub type EntryCapacity = u32;
 
 /// Workers that one core can look after, looks, starts and decisions together.
 const WORKERS_PER_CORE: f64 = 2400.0;
@@ -22,33 +22,33 @@
 const WORKERS_PER_MBPS: f64 = 35.0;
 /// An entry that can look after as many workers claims at once: with relays, a
 /// holder need not look after more by itself.
-const ENOUGH: Strength = 450;
+const SUFFICIENT_CAPACITY: EntryCapacity = 450;
 /// How long an entry waits before a claim that could carry no worker at all; less
 /// than it takes to notice that a holder is gone.
-const LONGEST_DELAY: Duration = Duration::from_millis(1500);
+const MAX_CLAIM_DELAY: Duration = Duration::from_millis(1500);
 /// A holder that has not renewed for this long is taken to be gone: three
 /// renewals and an answer that was lost.
-pub const EXPIRES: Duration = Duration::from_millis(1800);
+pub const LEASE_EXPIRES_AFTER: Duration = Duration::from_millis(1800);
 /// A holder is replaced by one that can carry this many times as much.
-const FAR_STRONGER: Strength = 2;
+const TAKEOVER_FACTOR: EntryCapacity = 2;
 /// How long holder and candidate must have been there before that: an entry that
 /// restarts again and again must not take the lease each time.
-const SETTLED: Duration = Duration::from_secs(4);
+const MIN_AGE_FOR_TAKEOVER: Duration = Duration::from_secs(4);
 
 /// Entries of each data centre that hear of each renewal: one may be lost with the holder.
-const HEARS_HERE: usize = 2;
+const MIN_LISTENERS_PER_DATA_CENTRE: usize = 2;
 /// Entries that do at least, where data centres are few.
-const HEARS: usize = 8;
+const MIN_LISTENERS: usize = 8;
 
 /// Workers that an entry can look after with this many cores and a link of this
 /// many Mbit/s.
-pub fn strength(cores: f64, link_mbps: f64) -> Strength {
-    (cores * WORKERS_PER_CORE).min(link_mbps * WORKERS_PER_MBPS) as Strength
+pub fn entry_capacity(cores: f64, link_mbps: f64) -> EntryCapacity {
+    (cores * WORKERS_PER_CORE).min(link_mbps * WORKERS_PER_MBPS) as EntryCapacity
 }
 
 /// The holder, as a candidate knows it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HolderSeen {
+pub struct ObservedHolder {
     /// Its incarnation.
     pub id: Incarnation,
     /// Name of its entry.
@@ -58,7 +58,7 @@
     /// Whether it gave the lease back.
     pub released: bool,
     /// What it can carry; `None` if it does not say.
-    pub strength: Option<Strength>,
+    pub capacity: Option<EntryCapacity>,
 }
 
 /// A process that may claim the lease.
@@ -69,25 +69,25 @@
     /// Name of its entry.
     pub name: String,
     /// What it can carry.
-    pub strength: Strength,
+    pub capacity: EntryCapacity,
     /// Latest term that was led here.
-    pub led: Term,
+    pub last_led_term: Term,
 }
 
 /// How long ago things happened.
 #[derive(Clone, Copy, Debug)]
-pub struct Ages {
+pub struct ClaimTimes {
     /// Since the holder was last heard of, or could not have been heard of.
-    pub heard: Duration,
+    pub since_heard: Duration,
     /// Since this holder's term was first seen.
-    pub term: Duration,
+    pub since_term_seen: Duration,
     /// Since the candidate started.
-    pub up: Duration,
+    pub uptime: Duration,
 }
 
 /// Why the lease may be claimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum ClaimReason {
     /// Nobody ever held it.
     NeverHeld,
     /// The holder gave it back.
@@ -102,23 +102,23 @@
     FarStronger,
 }
 
-impl Reason {
+impl ClaimReason {
     /// Its name in logs.
     pub fn label(self) -> &'static str {
         match self {
-            Reason::NeverHeld => "never_held",
-            Reason::Released => "released",
-            Reason::OwnFormerLife => "own_former_life",
-            Reason::GivenUpHere => "given_up_here",
-            Reason::Expired => "expired",
-            Reason::FarStronger => "far_stronger",
+            ClaimReason::NeverHeld => "never_held",
+            ClaimReason::Released => "released",
+            ClaimReason::OwnFormerLife => "own_former_life",
+            ClaimReason::GivenUpHere => "given_up_here",
+            ClaimReason::Expired => "expired",
+            ClaimReason::FarStronger => "far_stronger",
         }
     }
 }
 
 /// A part of a time that is the same for an entry whenever it is worked out: what all do now and then, they
 /// do not do at once.
-pub fn spread(name: &str, most: Duration) -> Duration {
+pub fn stable_jitter(name: &str, most: Duration) -> Duration {
     most.mul_f64(xxh3_64(name.as_bytes()) as f64 / u64::MAX as f64)
 }
 
@@ -130,60 +130,61 @@
     /// Where it stands.
     pub data_centre: &'a str,
     /// What it can carry.
-    pub strength: Strength,
+    pub capacity: EntryCapacity,
 }
 
 /// Whether an entry is one of those that hear of each renewal of the lease, and claim it as soon as it
 /// expires: the strongest of each data centre, and of all. If all of them are lost, others find out
 /// later; the rest would be woken for nothing.
-pub fn hears_renewals<'a>(own: &str, entries: impl Iterator<Item = Entry<'a>> + Clone) -> bool {
+pub fn listens_for_renewals<'a>(own: &str, entries: impl Iterator<Item = Entry<'a>> + Clone) -> bool {
     let Some(own) = entries.clone().find(|h| h.name == own) else { return true };
-    let stronger = |h: &Entry<'_>| (h.strength, h.name) > (own.strength, own.name);
+    let stronger = |h: &Entry<'_>| (h.capacity, h.name) > (own.capacity, own.name);
     let before = entries.filter(stronger);
     let here = before.clone().filter(|h| h.data_centre == own.data_centre).count();
-    here < HEARS_HERE || before.count() < HEARS
+    here < MIN_LISTENERS_PER_DATA_CENTRE || before.count() < MIN_LISTENERS
 }
 
 impl Candidate {
     /// How long this entry lets stronger ones claim a free lease first.
-    fn delay(&self) -> Duration {
-        let lacking = 1.0 - f64::from(self.strength.min(ENOUGH)) / f64::from(ENOUGH);
-        LONGEST_DELAY.mul_f64(lacking)
+    fn claim_delay(&self) -> Duration {
+        let lacking =
+            1.0 - f64::from(self.capacity.min(SUFFICIENT_CAPACITY)) / f64::from(SUFFICIENT_CAPACITY);
+        MAX_CLAIM_DELAY.mul_f64(lacking)
     }
 
     /// Why this process, which does not lead now, may claim the lease.
-    pub fn reason_to_claim(&self, holder: Option<&HolderSeen>, ages: Ages) -> Option<Reason> {
-        let delay = self.delay();
-        let waited = ages.heard >= delay;
-        let Some(holder) = holder else { return waited.then_some(Reason::NeverHeld) };
-        let free = self.reason_free(holder).filter(|_| waited);
+    pub fn claim_reason(&self, holder: Option<&ObservedHolder>, ages: ClaimTimes) -> Option<ClaimReason> {
+        let delay = self.claim_delay();
+        let waited = ages.since_heard >= delay;
+        let Some(holder) = holder else { return waited.then_some(ClaimReason::NeverHeld) };
+        let free = self.free_reason(holder).filter(|_| waited);
         if free.is_some() {
             return free;
         }
-        if ages.heard > EXPIRES + delay {
-            return Some(Reason::Expired);
+        if ages.since_heard > LEASE_EXPIRES_AFTER + delay {
+            return Some(ClaimReason::Expired);
         }
-        self.replaces(holder, ages).then_some(Reason::FarStronger)
+        self.should_take_over(holder, ages).then_some(ClaimReason::FarStronger)
     }
 
     /// Why the lease is free though its holder may have been heard of just now.
-    fn reason_free(&self, holder: &HolderSeen) -> Option<Reason> {
+    fn free_reason(&self, holder: &ObservedHolder) -> Option<ClaimReason> {
         if holder.released {
-            Some(Reason::Released)
+            Some(ClaimReason::Released)
         } else if holder.name == self.name && holder.id != self.id {
-            Some(Reason::OwnFormerLife)
-        } else if holder.id == self.id && self.led >= holder.term {
-            Some(Reason::GivenUpHere)
+            Some(ClaimReason::OwnFormerLife)
+        } else if holder.id == self.id && self.last_led_term >= holder.term {
+            Some(ClaimReason::GivenUpHere)
         } else {
             None
         }
     }
 
     /// Whether this process takes the lease from a holder that renews it.
-    fn replaces(&self, holder: &HolderSeen, ages: Ages) -> bool {
+    fn should_take_over(&self, holder: &ObservedHolder, ages: ClaimTimes) -> bool {
         let other = holder.id != self.id;
-        let weaker = holder.strength.is_some_and(|s| s.saturating_mul(FAR_STRONGER) <= self.strength);
-        let settled = ages.term >= SETTLED && ages.up >= SETTLED;
+        let weaker = holder.capacity.is_some_and(|s| s.saturating_mul(TAKEOVER_FACTOR) <= self.capacity);
+        let settled = ages.since_term_seen >= MIN_AGE_FOR_TAKEOVER && ages.uptime >= MIN_AGE_FOR_TAKEOVER;
         other && weaker && settled
     }
 }
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -32,7 +32,7 @@
 //!   tries those that are suspected.
 //! * [`advice`] asks ahead which workers may run a step, where only some may:
 //!   `advice_need` says which steps want it, [`advice_batch`] whom to ask about.
-//! * [`claim`] decides which process runs the scheduler.
+//! * [`lease_claim`] decides which process runs the scheduler.
 //! * [`wave`] decides which host is maintained next, and [`upkeep`] orders it down.
 //! * [`handover`] keeps a new holder off hosts that were just ordered.
 //! * [`policy`] holds what these decisions are tuned by.
@@ -42,7 +42,6 @@
 pub mod advice;
 pub mod advice_batch;
 mod advice_need;
-pub mod claim;
 pub mod config;
 pub mod crash;
 pub mod crash_rate;
@@ -56,6 +55,7 @@
 pub mod host;
 pub mod job;
 pub mod known;
+pub mod lease_claim;
 mod lives;
 pub mod map;
 pub mod moves;
--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -21,8 +21,8 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::claim::Strength;
 use super::job::Phase;
+use super::lease_claim::EntryCapacity;
 use super::sched::Scheduler;
 use super::types::{Action, News, StopReply};
 use super::worker_id::WorkerId;
@@ -64,7 +64,7 @@
     /// Where it stands.
     pub data_centre: DataCentre,
     /// Workers that it could look after as lease holder.
-    pub strength: Strength,
+    pub strength: EntryCapacity,
 }
 
 /// An entry that is one.
@@ -145,7 +145,7 @@
         self.relay_room(self.strength)
     }
 
-    fn relay_room(&self, strength: Strength) -> usize {
+    fn relay_room(&self, strength: EntryCapacity) -> usize {
         let policy = &self.policy.relays;
         ((f64::from(strength) * policy.share) as usize).clamp(1, policy.most_workers)
     }
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -5,7 +5,6 @@
 use std::time::Duration;
 
 use super::advice::AdviceState;
-use super::claim::Strength;
 use super::config::SchedConfig;
 use super::crash_rate::CrashRate;
 use super::fair_share::SubmissionRates;
@@ -13,6 +12,7 @@
 use super::host::Host;
 use super::job::{FinishedJobRecord, Job, JobRecord, JobStatus, Outcome, Phase, Task, WorkerId};
 use super::known::{Jobs, OverJob};
+use super::lease_claim::EntryCapacity;
 use super::map::Map;
 use super::notes::Notes;
 use super::policy::Policy;
@@ -46,7 +46,7 @@
     /// Name of the entry that holds the lease.
     pub holder: String,
     /// Workers that this entry can look after.
-    pub strength: Strength,
+    pub strength: EntryCapacity,
     /// Bounds.
     pub limits: Limits,
     /// What decisions are tuned by.
@@ -144,7 +144,7 @@
             since,
             token,
             holder: String::new(),
-            strength: Strength::MAX,
+            strength: EntryCapacity::MAX,
             limits,
             policy: Policy::default(),
             config: Arc::default(),
--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -12,7 +12,9 @@
 
 use serde::{Deserialize, Serialize};
 use workswood_core::ids::{Incarnation, Offset, Term};
-use workswood_core::jobs::claim::{Ages, Candidate, EXPIRES, HolderSeen, Reason, Strength, spread};
+use workswood_core::jobs::lease_claim::{
+    Candidate, ClaimReason, ClaimTimes, EntryCapacity, LEASE_EXPIRES_AFTER, ObservedHolder, stable_jitter,
+};
 use workswood_platform::jobs::{Guard, KeyedRecord, StoreError, Tail, Topic};
 
 use super::follow::pause_after;
@@ -48,7 +50,7 @@
     pub released: bool,
     /// Workers that it can look after.
     #[serde(default)]
-    pub strength: Option<Strength>,
+    pub strength: Option<EntryCapacity>,
 }
 
 impl LeaseRecord {
@@ -65,13 +67,13 @@
     }
 
     /// The holder, as other processes know it.
-    fn holder_seen(&self) -> HolderSeen {
-        HolderSeen {
+    fn holder_seen(&self) -> ObservedHolder {
+        ObservedHolder {
             id: self.id.clone(),
             name: self.name.clone(),
             term: self.term,
             released: self.released,
-            strength: self.strength,
+            capacity: self.strength,
         }
     }
 
@@ -87,7 +89,7 @@
     /// Offset of the first record that was not read yet.
     next: Offset,
     /// The holder, once one is known.
-    holder: Option<HolderSeen>,
+    holder: Option<ObservedHolder>,
     /// When the holder was last heard of, or could not have been heard of.
     heard: Duration,
     /// When the holder's term was first seen.
@@ -111,7 +113,7 @@
         if self.holder.as_ref().is_none_or(|h| h.released) {
             return SHORTEST_READ;
         }
-        EXPIRES.saturating_sub(now - self.heard).clamp(SHORTEST_READ, LONGEST_READ)
+        LEASE_EXPIRES_AFTER.saturating_sub(now - self.heard).clamp(SHORTEST_READ, LONGEST_READ)
     }
 
     /// Whether this process hears of each renewal now.
@@ -122,16 +124,17 @@
     }
 
     /// Why this process, which does not lead now, may claim the lease.
-    fn reason_to_claim(&self, node: &Node) -> Option<Reason> {
+    fn reason_to_claim(&self, node: &Node) -> Option<ClaimReason> {
         let candidate = Candidate {
             id: node.id.clone(),
             name: node.settings.name.clone(),
-            strength: node.settings.strength(),
-            led: self.led,
+            capacity: node.settings.strength(),
+            last_led_term: self.led,
         };
         let now = node.now();
-        let ages = Ages { heard: now - self.heard, term: now - self.term_seen, up: now };
-        candidate.reason_to_claim(self.holder.as_ref(), ages)
+        let ages =
+            ClaimTimes { since_heard: now - self.heard, since_term_seen: now - self.term_seen, uptime: now };
+        candidate.claim_reason(self.holder.as_ref(), ages)
     }
 }
 
@@ -188,7 +191,7 @@
 /// Looks after some time, or in doubt at once, whether the lease was renewed since the last look.
 async fn look(node: &Node, v: &mut View) {
     node.store_is_asked(false);
-    let every = LOOK_EVERY + spread(&node.settings.name, LOOK_SPREAD);
+    let every = LOOK_EVERY + stable_jitter(&node.settings.name, LOOK_SPREAD);
     let doubted = tokio::time::timeout(every, node.doubt.notified()).await.is_ok();
     let res = newest(node).await;
     let now = node.now();
@@ -200,7 +203,7 @@
                 take(node, v, tail);
             } else if !doubted {
                 log::info!("event=lease_not_renewed_since_look");
-                v.heard = now.saturating_sub(EXPIRES);
+                v.heard = now.saturating_sub(LEASE_EXPIRES_AFTER);
                 v.awaits_renewal = true;
             }
         }
@@ -269,14 +272,14 @@
     v.holder = Some(seen);
 }
 
-fn log_holder(seen: &HolderSeen) {
+fn log_holder(seen: &ObservedHolder) {
     log::info!(
         "event=lease_holder name={} id={} term={} released={} strength={}",
         seen.name,
         seen.id,
         seen.term,
         seen.released,
-        seen.strength.unwrap_or_default()
+        seen.capacity.unwrap_or_default()
     );
 }
 
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 use workswood_core::ids::{DataCentre, Offset, UnixMs};
 use workswood_core::jobs::RelayEntry;
-use workswood_core::jobs::claim::{self, Entry, Strength};
+use workswood_core::jobs::lease_claim::{self, Entry, EntryCapacity};
 use workswood_liveness::HalfOpen;
 use workswood_peers::{CallError, Link, Msg};
 use workswood_platform::jobs::{Guard, KeyedRecord, StoreError, Topic};
@@ -57,7 +57,7 @@
     data_centre: DataCentre,
     /// Workers that it could look after as lease holder.
     #[serde(default)]
-    strength: Strength,
+    strength: EntryCapacity,
 }
 
 /// The other processes, as they were last read.
@@ -90,7 +90,7 @@
 
 impl PeerRecord {
     fn as_entry<'a>(&'a self, name: &'a str) -> Entry<'a> {
-        Entry { name, data_centre: &self.data_centre, strength: self.strength }
+        Entry { name, data_centre: &self.data_centre, capacity: self.strength }
     }
 
     /// Whether it says the same as another, written at any time.
@@ -168,7 +168,7 @@
     }
 
     /// Notes where the process of an entry listens for its peers, and how many workers it could look after.
-    pub fn know(&self, entry: &str, peers: &str, strength: Strength) {
+    pub fn know(&self, entry: &str, peers: &str, strength: EntryCapacity) {
         let rec = PeerRecord { peers: peers.to_string(), at: 0, data_centre: DataCentre::new(), strength };
         self.roster.lock().by_entry.insert(entry.to_string(), rec);
     }
@@ -204,7 +204,7 @@
     pub fn hears_renewals(&self, own: &str) -> bool {
         let roster = self.roster.lock();
         let entries = roster.by_entry.iter().map(|(name, rec)| rec.as_entry(name));
-        claim::hears_renewals(own, entries)
+        lease_claim::listens_for_renewals(own, entries)
     }
 
     /// Takes in the records as they were read.
--- a/src/workswood/util/job_settings.rs
+++ b/src/workswood/util/job_settings.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use workswood_core::ids::DataCentre;
 use workswood_core::jobs::Policy;
-use workswood_core::jobs::claim::{self, Strength};
+use workswood_core::jobs::lease_claim::{self, EntryCapacity};
 
 use super::errors::Result;
 use super::settings::read_checked;
@@ -164,8 +164,8 @@
     }
 
     /// Workers that this entry can look after as lease holder.
-    pub fn strength(&self) -> Strength {
-        claim::strength(self.cores, self.link_mbps)
+    pub fn strength(&self) -> EntryCapacity {
+        lease_claim::entry_capacity(self.cores, self.link_mbps)
     }
 
     /// How long an entry that does not lead waits for news on one connection. What comes on a connection
