--- a/crates/workswood-core/src/jobs/advice.rs
+++ b/crates/workswood-core/src/jobs/advice.rs
@@ -248,7 +248,7 @@
             return;
         }
         let Some(cfg) = self.advice_of(step.job).copied() else { return };
-        let valid = answer.valid.unwrap_or(cfg.valid);
+        let valid = answer.valid.unwrap_or(cfg.ticket_lifetime);
         let margin = self.policy.advice.margin.min(valid / 5);
         // An answer may have been late on its way, so that its tickets are as old. Were
         // they always taken to be, a slow adviser's would never be used.
@@ -290,7 +290,7 @@
             let failures = self.advice.common_failures();
             let entry = &mut self.advice.lanes[lane];
             let before = entry.busy_until.saturating_sub(self.now);
-            let work = before + cfg.decide + cfg.each * workers.len() as u32;
+            let work = before + cfg.base_call_time + cfg.time_per_worker * workers.len() as u32;
             let patience = entry.patience(work, failures);
             entry.call = Some(Call { step, due: self.now + work });
             self.actions.push(Action::Advise { lane, step, workers, patience });
--- a/crates/workswood-core/src/jobs/advice_batch.rs
+++ b/crates/workswood-core/src/jobs/advice_batch.rs
@@ -51,10 +51,10 @@
 /// Most workers that a call names: beyond this the time of the call itself is a
 /// small part, and answers come later.
 fn most_ids(cfg: &AdviceConfig) -> usize {
-    if cfg.each.is_zero() {
+    if cfg.time_per_worker.is_zero() {
         return MOST_IDS as usize;
     }
-    let full = cfg.decide.mul_f64(FULL_CALL).div_duration_f64(cfg.each) as u32;
+    let full = cfg.base_call_time.mul_f64(FULL_CALL).div_duration_f64(cfg.time_per_worker) as u32;
     full.clamp(LEAST_IDS, MOST_IDS) as usize
 }
 
@@ -66,7 +66,7 @@
     let mut short = Short::new(need);
     let mut batch = Vec::new();
     for c in candidates.iter().take(most_ids(cfg)) {
-        if short.likelihood() * cfg.decide.as_secs_f64() <= cfg.each.as_secs_f64() {
+        if short.likelihood() * cfg.base_call_time.as_secs_f64() <= cfg.time_per_worker.as_secs_f64() {
             break;
         }
         short.add(c.fits, if c.good { 1.0 } else { share });
--- a/crates/workswood-core/src/jobs/advice_need.rs
+++ b/crates/workswood-core/src/jobs/advice_need.rs
@@ -98,7 +98,7 @@
             for round in 0..job.rounds.len() as u32 {
                 for step in 0..job.spec.steps.len() as u16 {
                     let id = StepId { job: *key, round, step };
-                    let opens = self.opens_in(job, &id).filter(|left| *left <= cfg.valid / 2);
+                    let opens = self.opens_in(job, &id).filter(|left| *left <= cfg.ticket_lifetime / 2);
                     let Some(left) = opens else { continue };
                     let task = |index| TaskId { job: *key, round, step, index };
                     let tasks = (0..job.spec.steps[usize::from(step)].count).map(task).collect();
@@ -159,7 +159,7 @@
         let others = self.may_be_good(workers, &wanted.step);
         let wish = Wish { job, spec, wanted, others };
         // What ends before another answer would be there is asked for now.
-        let ahead = (cfg.decide + cfg.each * USUAL_IDS).min(cfg.valid / 4);
+        let ahead = (cfg.base_call_time + cfg.time_per_worker * USUAL_IDS).min(cfg.ticket_lifetime / 4);
         let holds_until = wanted.opens + ahead;
         let mut covered = 0;
         let mut candidates = Vec::new();
--- a/crates/workswood-core/src/jobs/config.rs
+++ b/crates/workswood-core/src/jobs/config.rs
@@ -13,21 +13,21 @@
     /// Its name.
     pub name: QueueId,
     /// Host name that callers use.
-    pub host: String,
+    pub host_name: String,
     /// Start of the paths that belong to it.
     pub path_prefix: String,
     /// Service whose workers run its jobs.
     pub service: ServiceId,
     /// Whether only workspaces may use it, with a key of theirs.
-    pub keyed: bool,
+    pub requires_key: bool,
     /// 0 is the most urgent.
     pub priority: u32,
     /// How many failed runs a task may have.
     pub max_attempts: u32,
     /// A job is owed within this multiple of its longest chain of work,
-    pub stretch: f64,
+    pub deadline_factor: f64,
     /// plus this much.
-    pub target: Duration,
+    pub deadline_offset: Duration,
     /// How the adviser works that knows which workers may run its steps; `None`
     /// if all may.
     pub advice: Option<AdviceConfig>,
@@ -37,11 +37,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdviceConfig {
     /// Time of a call.
-    pub decide: Duration,
+    pub base_call_time: Duration,
     /// Time of a call for each worker that it names.
-    pub each: Duration,
+    pub time_per_worker: Duration,
     /// How long a ticket holds.
-    pub valid: Duration,
+    pub ticket_lifetime: Duration,
 }
 
 /// A service: a pool of workers.
@@ -51,7 +51,7 @@
     pub name: ServiceId,
     /// Whether its workers refuse what does not fit. The scheduler does not read
     /// it: it places only what fits.
-    pub guards_room: bool,
+    pub enforces_capacity: bool,
     /// Whether its hosts are off and unpaid.
     pub spare: bool,
 }
@@ -76,7 +76,7 @@
     pub fn route(&self, host: &str, path: &str) -> Option<&QueueConfig> {
         self.queues
             .values()
-            .filter(|q| q.host == host && path.starts_with(&q.path_prefix))
+            .filter(|q| q.host_name == host && path.starts_with(&q.path_prefix))
             .max_by_key(|q| q.path_prefix.len())
     }
 }
--- a/crates/workswood-core/src/jobs/queue_order.rs
+++ b/crates/workswood-core/src/jobs/queue_order.rs
@@ -198,7 +198,7 @@
 
 /// The time that a job is owed within, from when it was handed in.
 fn allowed_time(spec: &JobSpec, queue: Option<&QueueConfig>, took: &dyn Fn(usize) -> Duration) -> Duration {
-    let (stretch, target) = queue.map_or((1.0, Duration::ZERO), |q| (q.stretch, q.target));
+    let (stretch, target) = queue.map_or((1.0, Duration::ZERO), |q| (q.deadline_factor, q.deadline_offset));
     critical_path(spec, took).mul_f64(stretch) + target
 }
 
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -302,8 +302,11 @@
             }
             return;
         }
-        let (stretch, target) =
-            self.config.queues.get(&spec.queue).map_or((1.0, 0), |q| (q.stretch, q.target.as_millis()));
+        let (stretch, target) = self
+            .config
+            .queues
+            .get(&spec.queue)
+            .map_or((1.0, 0), |q| (q.deadline_factor, q.deadline_offset.as_millis()));
         self.notes.push(format_args!(
             "event=job_known job={key:016x} queue={} stretch={stretch} target_ms={target}",
             spec.queue
--- a/crates/workswood-test-support/src/host_world.rs
+++ b/crates/workswood-test-support/src/host_world.rs
@@ -99,9 +99,9 @@
     /// A scheduler that knows this many workers, each idle in its first life.
     pub fn new(workers: usize) -> HostWorld {
         let mut cfg = config();
-        let spare = ServiceConfig { name: SPARE.to_string(), guards_room: true, spare: true };
+        let spare = ServiceConfig { name: SPARE.to_string(), enforces_capacity: true, spare: true };
         cfg.services.insert(SPARE.to_string(), spare);
-        let other = ServiceConfig { name: OTHER.to_string(), guards_room: true, spare: false };
+        let other = ServiceConfig { name: OTHER.to_string(), enforces_capacity: true, spare: false };
         cfg.services.insert(OTHER.to_string(), other);
         let mut world = HostWorld {
             sched: Scheduler::new(1, limits(), Duration::ZERO, 0),
--- a/crates/workswood-test-support/src/job_world/adviser.rs
+++ b/crates/workswood-test-support/src/job_world/adviser.rs
@@ -9,9 +9,9 @@
 
 /// How it works.
 pub const ADVICE: AdviceConfig = AdviceConfig {
-    decide: Duration::from_millis(200),
-    each: Duration::from_millis(5),
-    valid: Duration::from_millis(1500),
+    base_call_time: Duration::from_millis(200),
+    time_per_worker: Duration::from_millis(5),
+    ticket_lifetime: Duration::from_millis(1500),
 };
 /// One of so many places may not run a step.
 const ONE_BAD_OF: u64 = 3;
@@ -24,7 +24,7 @@
 
 /// A ticket that is made now.
 pub fn ticket(step: &StepId, worker: &WorkerId, now: Duration) -> Arc<str> {
-    format!("{step}|{worker}|{}", (now + ADVICE.valid).as_millis()).as_str().into()
+    format!("{step}|{worker}|{}", (now + ADVICE.ticket_lifetime).as_millis()).as_str().into()
 }
 
 /// Whether a ticket lets a life of a worker start a task of a step now.
--- a/crates/workswood-test-support/src/job_world/holder.rs
+++ b/crates/workswood-test-support/src/job_world/holder.rs
@@ -332,13 +332,13 @@
 
     /// Carries a call to the adviser out, unless it is lost.
     fn advise(&mut self, n: usize, lane: usize, step: StepId, asked: Vec<WorkerId>, patience: Duration) {
-        let takes = ADVICE.decide + ADVICE.each * asked.len() as u32;
+        let takes = ADVICE.base_call_time + ADVICE.time_per_worker * asked.len() as u32;
         let place = |id: &&WorkerId| self.workers.iter().position(|w| w.id == **id);
         let good = asked.iter().filter(|id| place(id).is_some_and(|at| may_run(&step, at)));
         let made = self.now + takes;
         let good: Vec<(WorkerId, Arc<str>)> =
             good.map(|id| (id.clone(), adviser::ticket(&step, id, made))).collect();
-        let answer = AdviceReply::Answered(Advice { good, valid: Some(ADVICE.valid) });
+        let answer = AdviceReply::Answered(Advice { good, valid: Some(ADVICE.ticket_lifetime) });
         let (reply, wait) = match (self.luck.fate(), self.luck.below(8)) {
             (Fate::Fine, _) => (answer, takes),
             (_, 0 | 1) => (AdviceReply::Busy, STEP),
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -148,17 +148,17 @@
 pub fn config() -> SchedConfig {
     let queue = QueueConfig {
         name: QUEUE.to_string(),
-        host: "desk.example".to_string(),
+        host_name: "desk.example".to_string(),
         path_prefix: "/desk/".to_string(),
         service: SERVICE.to_string(),
-        keyed: false,
+        requires_key: false,
         priority: 0,
         max_attempts: ATTEMPTS,
-        stretch: 1.6,
-        target: Duration::from_millis(600),
+        deadline_factor: 1.6,
+        deadline_offset: Duration::from_millis(600),
         advice: None,
     };
-    let service = ServiceConfig { name: SERVICE.to_string(), guards_room: true, spare: false };
+    let service = ServiceConfig { name: SERVICE.to_string(), enforces_capacity: true, spare: false };
     SchedConfig {
         version: 1,
         queues: [(QUEUE.to_string(), queue)].into(),
--- a/src/workswood/ops/bench/pools.rs
+++ b/src/workswood/ops/bench/pools.rs
@@ -153,19 +153,19 @@
 
 fn config() -> SchedConfig {
     let service =
-        |name: &str| ServiceConfig { name: name.to_string(), guards_room: true, spare: name == SPARE };
+        |name: &str| ServiceConfig { name: name.to_string(), enforces_capacity: true, spare: name == SPARE };
     let names = WORKING.into_iter().chain([SPARE]);
     let services = names.map(|n| (n.to_string(), service(n))).collect();
     let queue = QueueConfig {
         name: QUEUE.to_string(),
-        host: String::new(),
+        host_name: String::new(),
         path_prefix: String::new(),
         service: WORKING[0].to_string(),
-        keyed: false,
+        requires_key: false,
         priority: 0,
         max_attempts: 3,
-        stretch: 4.0,
-        target: Duration::from_secs(5),
+        deadline_factor: 4.0,
+        deadline_offset: Duration::from_secs(5),
         advice: None,
     };
     let queues = [(QUEUE.to_string(), queue)].into();
--- a/src/workswood/ops/jobs/front.rs
+++ b/src/workswood/ops/jobs/front.rs
@@ -103,7 +103,7 @@
     queue: &QueueConfig,
     req: &Request<Incoming>,
 ) -> Result<Option<WorkspaceId>, KeyRefusal> {
-    if !queue.keyed {
+    if !queue.requires_key {
         return Ok(None);
     }
     let key = bearer(req.headers()).ok_or(KeyRefusal::Missing)?;
--- a/src/workswood/ops/model/deployment.rs
+++ b/src/workswood/ops/model/deployment.rs
@@ -66,18 +66,18 @@
 /// Queues and services of a spec.
 pub fn config(spec: &ModelSpec) -> SchedConfig {
     let service = |name: &str, spare: bool| {
-        (name.to_string(), ServiceConfig { name: name.to_string(), guards_room: true, spare })
+        (name.to_string(), ServiceConfig { name: name.to_string(), enforces_capacity: true, spare })
     };
     let queue = |s: &ServiceSpec| QueueConfig {
         name: s.name.clone(),
-        host: "model".to_string(),
+        host_name: "model".to_string(),
         path_prefix: format!("/{}", s.name),
         service: s.name.clone(),
-        keyed: false,
+        requires_key: false,
         priority: 0,
         max_attempts: MAX_ATTEMPTS,
-        stretch: s.stretch,
-        target: s.target,
+        deadline_factor: s.stretch,
+        deadline_offset: s.target,
         advice: None,
     };
     SchedConfig {
--- a/tests/testsuite/advice_batches.rs
+++ b/tests/testsuite/advice_batches.rs
@@ -14,7 +14,7 @@
 
 /// A call takes 300 ms and 2 ms a worker.
 fn cfg() -> AdviceConfig {
-    AdviceConfig { decide: ms(300), each: ms(2), valid: ms(3000) }
+    AdviceConfig { base_call_time: ms(300), time_per_worker: ms(2), ticket_lifetime: ms(3000) }
 }
 
 fn candidates(count: usize, fits: u32, good: bool) -> Vec<Candidate> {
@@ -40,11 +40,12 @@
 
 #[test]
 fn dear_workers_are_few() {
-    let dear = AdviceConfig { decide: ms(20), each: ms(10), valid: ms(3000) };
+    let dear = AdviceConfig { base_call_time: ms(20), time_per_worker: ms(10), ticket_lifetime: ms(3000) };
     assert_eq!(choose_batch(&candidates(100, 1, false), 1, 0.5, &dear).len(), 1);
     let large = choose_batch(&candidates(100, 1, false), 90, 0.5, &dear).len();
     assert_eq!(large, 30, "the first answers come soon");
-    let free = AdviceConfig { decide: ms(20), each: Duration::ZERO, valid: ms(3000) };
+    let free =
+        AdviceConfig { base_call_time: ms(20), time_per_worker: Duration::ZERO, ticket_lifetime: ms(3000) };
     assert_eq!(choose_batch(&candidates(200, 1, false), 90, 0.5, &free).len(), 100);
 }
 
--- a/tests/testsuite/advice_protocol.rs
+++ b/tests/testsuite/advice_protocol.rs
@@ -54,12 +54,12 @@
             other => panic!("no configuration but {other:?}"),
         }
     };
-    let want = AdviceConfig { decide: ms(300), each: ms(2), valid: ms(3000) };
+    let want = AdviceConfig { base_call_time: ms(300), time_per_worker: ms(2), ticket_lifetime: ms(3000) };
     assert_eq!(read(advised_config("desk", 1, 300, 2, 3000)), Some(want));
     assert_eq!(read(workswood_adapter_standin::caller::config("desk", 1)), None);
     // Numbers may have fractions, and a field may be missing.
     let odd = advised_config("desk", 1, 300, 2, 3000).replace("\"each_ms\":2", "\"each_ms\":0.25");
-    assert_eq!(read(odd).map(|a| a.each), Some(Duration::from_micros(250)));
+    assert_eq!(read(odd).map(|a| a.time_per_worker), Some(Duration::from_micros(250)));
 }
 
 #[tokio::test]
--- a/tests/testsuite/advice_tickets.rs
+++ b/tests/testsuite/advice_tickets.rs
@@ -22,7 +22,7 @@
 }
 
 fn cfg() -> AdviceConfig {
-    AdviceConfig { decide: ms(100), each: ms(5), valid: ms(3000) }
+    AdviceConfig { base_call_time: ms(100), time_per_worker: ms(5), ticket_lifetime: ms(3000) }
 }
 
 /// A world whose job 1 of this many tasks waits, and the workers asked about.
