--- a/crates/workswood-core/src/jobs/fair_share.rs
+++ b/crates/workswood-core/src/jobs/fair_share.rs
@@ -1,7 +1,7 @@
 //! Who sends more than its share, and whose turn it is when all is full.
 
-use super::map::Map;
 use super::spec::Resources;
+use super::stable_map::StableMap;
 use super::workspace::Owner;
 use crate::ids::UnixMs;
 
@@ -18,7 +18,7 @@
 
 /// What each owner has sent lately, against its share.
 #[derive(Clone, Debug, Default)]
-pub struct SubmissionRates(Map<Owner, TokenBucket>);
+pub struct SubmissionRates(StableMap<Owner, TokenBucket>);
 
 impl SubmissionRates {
     /// Takes in a job that was accepted at a time; `weight` is its owner's share in jobs a second.
--- a/crates/workswood-core/src/jobs/follow.rs
+++ b/crates/workswood-core/src/jobs/follow.rs
@@ -8,8 +8,8 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use super::map::Map;
 use super::spec::TaskId;
+use super::stable_map::StableMap;
 use super::types::StartReply;
 use super::worker::{Listing, Report, ReportedRun};
 
@@ -43,7 +43,7 @@
 /// Follows one worker from when one began to look at it.
 #[derive(Debug, Default)]
 pub struct Follow {
-    runs: Map<RunKey, Followed>,
+    runs: StableMap<RunKey, Followed>,
     /// Whether a whole report was made.
     begun: bool,
     /// Highest number of an end that was told.
--- a/crates/workswood-core/src/jobs/known.rs
+++ b/crates/workswood-core/src/jobs/known.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use super::job::{FinishedJobRecord, Job, JobStatus, Outcome};
-use super::map::Map;
 use super::spec::{JobKey, TaskId};
+use super::stable_map::StableMap;
 use super::workspace::Owner;
 use super::workspace_usage::Reservation;
 use crate::ids::ServiceId;
@@ -22,7 +22,7 @@
     /// Jobs whose rounds have times of their own; some of them may have ended.
     timed: BTreeSet<JobKey>,
     /// Jobs with tasks that last, by service; likewise.
-    lasting: Map<ServiceId, BTreeSet<JobKey>>,
+    lasting: StableMap<ServiceId, BTreeSet<JobKey>>,
     over: BTreeMap<JobKey, OverJob>,
     /// When jobs became over, in that order.
     over_since: VecDeque<(Duration, JobKey)>,
--- a/crates/workswood-core/src/jobs/notes.rs
+++ b/crates/workswood-core/src/jobs/log_lines.rs
@@ -4,11 +4,11 @@
 
 /// Lines for the log, in one buffer: there are two for each task.
 #[derive(Debug, Default)]
-pub struct Notes {
+pub struct LogLines {
     text: String,
 }
 
-impl Notes {
+impl LogLines {
     /// Adds a line.
     pub fn push(&mut self, line: Arguments<'_>) {
         // A string takes whatever is written to it.
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -21,7 +21,7 @@
 //! * [`worker`] holds what is known of one worker, its room and its lease;
 //!   [`worker_id`] is its name, and [`workers`] holds all of them.
 //! * [`host`] holds what is known of one host.
-//! * [`map`] is a map whose order is the same in every run.
+//! * [`stable_map`] is a map whose order is the same in every run.
 //! * [`queue_order`] decides which waiting task is next, and [`task_queue`] keeps them.
 //! * [`relays`] decides which entry speaks with which workers, and [`follow`] what is new
 //!   in what a worker lists.
@@ -57,10 +57,9 @@
 pub mod known;
 pub mod lease_claim;
 mod lives;
-pub mod map;
+mod log_lines;
 pub mod moves;
 pub mod need;
-mod notes;
 pub mod pacing;
 pub mod place;
 pub mod policy;
@@ -71,6 +70,7 @@
 pub mod sched;
 pub mod settle;
 pub mod spec;
+pub mod stable_map;
 pub mod task_queue;
 pub mod trials;
 pub mod types;
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -13,13 +13,13 @@
 use super::job::{FinishedJobRecord, Job, JobRecord, JobStatus, Outcome, Phase, Task, WorkerId};
 use super::known::{Jobs, OverJob};
 use super::lease_claim::EntryCapacity;
-use super::map::Map;
-use super::notes::Notes;
+use super::log_lines::LogLines;
 use super::policy::Policy;
 use super::pools::PoolState;
 use super::queue_order::{TaskDurations, queue_position};
 use super::relays::Relays;
 use super::spec::{JobKey, JobSpec, QueueId, StepId, TaskId};
+use super::stable_map::StableMap;
 use super::task_queue::TaskQueue;
 use super::types::{Action, Batch, Event, Limits, Record, ShownJob, lease_span};
 use super::wave::WaveState;
@@ -62,9 +62,9 @@
     /// Who speaks with them.
     pub(super) relays: Relays,
     /// Tasks that wait for a worker, by service.
-    pub(super) ready: Map<ServiceId, TaskQueue>,
+    pub(super) ready: StableMap<ServiceId, TaskQueue>,
     /// Those of them that wait for a trial, by since when they are suspected.
-    pub(super) trials: Map<ServiceId, BTreeSet<(Duration, TaskId)>>,
+    pub(super) trials: StableMap<ServiceId, BTreeSet<(Duration, TaskId)>>,
     /// Data centres in which nothing begins.
     pub(super) evacuated: BTreeSet<DataCentre>,
     /// Processor room of all hosts on which work may begin, in thousandths of a core, as they were
@@ -77,7 +77,7 @@
     /// How long tasks take.
     pub(super) durations: TaskDurations,
     /// Hosts, as last listed.
-    pub hosts: Map<HostId, Host>,
+    pub hosts: StableMap<HostId, Host>,
     /// When that list was asked for.
     pub(super) hosts_asked: Duration,
     /// Hosts that were ordered about lately.
@@ -119,7 +119,7 @@
     /// Cancels of jobs that are not known yet.
     early_cancels: BTreeSet<(JobKey, Owner)>,
     /// Decisions worth a log line, drained by the process.
-    pub notes: Notes,
+    pub notes: LogLines,
     /// What is counted for metrics, since this term began.
     pub tally: Tally,
 }
@@ -152,14 +152,14 @@
             workers: Workers::default(),
             unnamed: BTreeMap::new(),
             relays: Relays::default(),
-            ready: Map::default(),
-            trials: Map::default(),
+            ready: StableMap::default(),
+            trials: StableMap::default(),
             evacuated: BTreeSet::new(),
             fleet_cpu: 0,
             shares: SubmissionRates::default(),
             crash_rate: CrashRate::default(),
             durations: TaskDurations::default(),
-            hosts: Map::default(),
+            hosts: StableMap::default(),
             hosts_asked: Duration::ZERO,
             marks: OrderMarks::default(),
             waves: BTreeMap::new(),
@@ -180,7 +180,7 @@
             place_again: BTreeSet::new(),
             inbox_read: Duration::ZERO,
             early_cancels: BTreeSet::new(),
-            notes: Notes::default(),
+            notes: LogLines::default(),
             tally: Tally::default(),
         }
     }
--- a/crates/workswood-core/src/jobs/map.rs
+++ b/crates/workswood-core/src/jobs/stable_map.rs
@@ -11,7 +11,7 @@
 ///
 /// For keys that the platform or this system gave. What callers name is kept in
 /// trees, lest one picks many that collide.
-pub type Map<K, V> = HashMap<K, V, BuildHasherDefault<FxHasher>>;
+pub type StableMap<K, V> = HashMap<K, V, BuildHasherDefault<FxHasher>>;
 
 /// A set whose order is the same in every run; likewise.
-pub type Set<K> = HashSet<K, BuildHasherDefault<FxHasher>>;
+pub type StableSet<K> = HashSet<K, BuildHasherDefault<FxHasher>>;
--- a/crates/workswood-core/src/jobs/wave.rs
+++ b/crates/workswood-core/src/jobs/wave.rs
@@ -12,10 +12,10 @@
 
 use super::host::{Host, HostState};
 use super::job::WorkerId;
-use super::map::{Map, Set};
 use super::policy::WavePolicy;
 use super::pool_count::works;
 use super::sched::Scheduler;
+use super::stable_map::{StableMap, StableSet};
 use crate::ids::{HostId, ServiceId};
 
 /// A host that is off is listed as under maintenance within this time
@@ -113,7 +113,7 @@
 
     /// Takes in which hosts a list shows; returns whether some count as taken
     /// away now that did not before, or the other way round.
-    fn note_absent(&mut self, hosts: &Map<HostId, Host>, asked: Duration) -> bool {
+    fn note_absent(&mut self, hosts: &StableMap<HostId, Host>, asked: Duration) -> bool {
         let before = self.gone.len();
         let absent = self.wave.hosts.iter().filter(|m| !hosts.contains_key(*m));
         let absent = absent.map(|m| (m.clone(), self.absent.get(m).copied().unwrap_or(asked)));
@@ -255,7 +255,7 @@
     }
 
     /// Hosts that get no new work: they move, or a wave takes them.
-    pub(super) fn taken_hosts(&self) -> Set<&HostId> {
+    pub(super) fn taken_hosts(&self) -> StableSet<&HostId> {
         let waves = self.waves.values().filter(|w| !w.complete()).flat_map(WaveState::taken);
         self.pools.moving.keys().chain(waves).collect()
     }
--- a/crates/workswood-core/src/jobs/worker.rs
+++ b/crates/workswood-core/src/jobs/worker.rs
@@ -9,8 +9,8 @@
 
 use super::crash::Lost;
 use super::job::WorkerId;
-use super::map::Map;
 use super::spec::{Resources, StepId, StepSpec, TaskId};
+use super::stable_map::StableMap;
 use super::trials::Quarantine;
 use super::workspace_usage::{Reservation, UsageChange};
 use crate::ids::{DataCentre, HostId, ServiceId};
@@ -206,7 +206,7 @@
     /// When everything on it must have ended if we stop extending its lease.
     pub lease_end: Duration,
     /// Runs that may exist there, with what each takes.
-    pub runs: Map<(TaskId, u32), Reservation>,
+    pub runs: StableMap<(TaskId, u32), Reservation>,
     /// What began or ended since the accounts of workspaces were told.
     pub(super) changes: Vec<UsageChange>,
     /// Tasks of these runs that last.
@@ -269,7 +269,7 @@
             heard: Duration::ZERO,
             silent_for: Duration::ZERO,
             lease_end,
-            runs: Map::default(),
+            runs: StableMap::default(),
             changes: Vec::new(),
             lasting: BTreeSet::new(),
             fills: BTreeSet::new(),
--- a/crates/workswood-core/src/jobs/workers.rs
+++ b/crates/workswood-core/src/jobs/workers.rs
@@ -9,8 +9,8 @@
 use std::ops::{Deref, DerefMut};
 use std::sync::Arc;
 
-use super::map::Map;
 use super::spec::Resources;
+use super::stable_map::StableMap;
 use super::worker::{Worker, WorkerInfo};
 use super::worker_id::WorkerId;
 use super::workspace_usage::{UsageChange, WorkspaceUsage};
@@ -50,11 +50,11 @@
 
 #[derive(Debug, Default)]
 struct Index {
-    pools: Map<ServiceId, Pool>,
-    by_host: Map<HostId, Vec<WorkerId>>,
-    by_data_centre: Map<DataCentre, usize>,
+    pools: StableMap<ServiceId, Pool>,
+    by_host: StableMap<HostId, Vec<WorkerId>>,
+    by_data_centre: StableMap<DataCentre, usize>,
     /// Lives by the name of their worker.
-    by_name: Map<String, Vec<WorkerId>>,
+    by_name: StableMap<String, Vec<WorkerId>>,
     silent: BTreeSet<WorkerId>,
     leaving: BTreeSet<WorkerId>,
     accounts: WorkspaceUsage,
@@ -63,7 +63,7 @@
 /// All lives of workers that are known.
 #[derive(Debug, Default)]
 pub struct Workers {
-    by_id: Map<WorkerId, Entry>,
+    by_id: StableMap<WorkerId, Entry>,
     index: Index,
 }
 
--- a/crates/workswood-core/src/jobs/workspace_usage.rs
+++ b/crates/workswood-core/src/jobs/workspace_usage.rs
@@ -5,8 +5,8 @@
 //! and not answered, what an earlier lease holder ordered, and what a worker may run
 //! that is cut off.
 
-use super::map::Map;
 use super::spec::Resources;
+use super::stable_map::StableMap;
 use super::workspace::Owner;
 
 /// Room that a run takes of its worker, and that is charged to its workspace.
@@ -39,7 +39,7 @@
 
 /// What each owner has at work.
 #[derive(Clone, Debug, Default)]
-pub struct WorkspaceUsage(Map<Owner, Resources>);
+pub struct WorkspaceUsage(StableMap<Owner, Resources>);
 
 impl WorkspaceUsage {
     /// Takes a change in.
