--- a/crates/workswood-core/src/jobs/lives.rs
+++ b/crates/workswood-core/src/jobs/lives.rs
@@ -23,7 +23,7 @@
 impl Scheduler {
     /// An answer shows that a worker has started again at a time; when its life before last answered.
     pub(super) fn restarted(&mut self, id: &WorkerId, started: UnixMs, heard: Duration) {
-        self.note_last_heard(id, heard);
+        self.record_last_heard(id, heard);
         let Some(info) = self.workers.get(id).map(|w| w.info.clone()) else { return };
         let later = WorkerId::life(id.name(), Some(started));
         // The answer may be older than what is known by now.
@@ -76,7 +76,7 @@
             self.notes.push(format_args!("event=worker_restarted worker={later} before={id} runs={runs}"));
             self.stop_attending(&id);
             if runs == 0 {
-                self.life_over(&id, LifeEnd::OtherLife);
+                self.end_incarnation(&id, LifeEnd::OtherLife);
             }
         }
     }
@@ -103,7 +103,7 @@
             for (task, attempt) in &listed {
                 self.carry_over(&id, later, task, *attempt);
             }
-            self.life_over(&id, LifeEnd::OtherLife);
+            self.end_incarnation(&id, LifeEnd::OtherLife);
         }
     }
 
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -26,7 +26,7 @@
 //! * [`relays`] decides which entry speaks with which workers, and [`follow`] what is new
 //!   in what a worker lists.
 //! * [`types`] holds the events that go in and the batches that come out.
-//! * [`sched`] takes events in; [`ends`], [`settle`], [`place`], [`pacing`] and
+//! * [`sched`] takes events in; [`worker_reports`], [`worker_events`], [`place`], [`pacing`] and
 //!   [`evict`] are its decisions.
 //! * [`crash`] tells which task crashes its workers, against [`crash_rate`], and [`trials`]
 //!   tries those that are suspected.
@@ -46,7 +46,6 @@
 pub mod crash;
 pub mod crash_rate;
 pub mod demand;
-pub mod ends;
 mod evacuation;
 pub mod evict;
 pub mod fair_share;
@@ -68,7 +67,6 @@
 pub mod queue_order;
 pub mod relays;
 pub mod sched;
-pub mod settle;
 pub mod spec;
 pub mod stable_map;
 pub mod task_queue;
@@ -77,7 +75,9 @@
 pub mod upkeep;
 pub mod wave;
 pub mod worker;
+pub mod worker_events;
 pub mod worker_id;
+pub mod worker_reports;
 pub mod workers;
 pub mod workspace;
 pub mod workspace_usage;
--- a/crates/workswood-core/src/jobs/moves.rs
+++ b/crates/workswood-core/src/jobs/moves.rs
@@ -161,7 +161,7 @@
             enter_pool(m, to);
         }
         if let Some(id) = worker {
-            self.life_over(&id, LifeEnd::Moved);
+            self.end_incarnation(&id, LifeEnd::Moved);
         }
     }
 }
--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -352,12 +352,12 @@
             w.heard = w.heard.max(heard);
         }
         match news {
-            News::Reported(report) => self.reported(id, &report),
-            News::Doubted => self.doubt(id),
-            News::Unanswered { lease_end, .. } => self.unanswered(id, lease_end),
+            News::Reported(report) => self.handle_report(id, &report),
+            News::Doubted => self.mark_answer_late(id),
+            News::Unanswered { lease_end, .. } => self.mark_unreachable(id, lease_end),
             News::Fenced => self.depose(id),
-            News::Started(task, attempt, reply) => self.started(id, task, attempt, reply),
-            News::Stopped(task, attempt, reply) => self.stopped(id, task, attempt, reply),
+            News::Started(task, attempt, reply) => self.handle_start_reply(id, task, attempt, reply),
+            News::Stopped(task, attempt, reply) => self.handle_stop_reply(id, task, attempt, reply),
         }
     }
 
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -275,7 +275,7 @@
             Event::Evacuated(data_centres) => self.set_evacuated(data_centres),
             Event::WorkerListed(info) => self.worker_listed(info),
             Event::WorkerUnlisted(id) => self.worker_unlisted(&id),
-            Event::LifeOver(id, heard) => self.other_life_answered(&id, heard),
+            Event::LifeOver(id, heard) => self.handle_other_incarnation(&id, heard),
             Event::Restarted(id, started, heard) => self.restarted(&id, started, heard),
             Event::Relayed(id, token, news) => self.relayed(&id, token, news),
             Event::Advised(a) => self.advised(a),
@@ -509,10 +509,10 @@
         }
         let wall = self.wall;
         self.ready.values_mut().for_each(|w| w.downgrade_overdue(wall));
-        self.settle_lapsed();
+        self.settle_expired_leases();
         if self.now >= self.slow_checked + SLOW_EVERY {
             self.slow_checked = self.now;
-            self.settle_slow();
+            self.stop_stalled_runs();
             self.clear_proven();
         }
         self.evict_leaving();
--- a/crates/workswood-core/src/jobs/upkeep.rs
+++ b/crates/workswood-core/src/jobs/upkeep.rs
@@ -132,7 +132,7 @@
         let life = w.record.ordered.get(host).cloned().flatten();
         self.dirty_waves.insert(n);
         if let Some(life) = life {
-            self.life_over(&life.as_str().into(), LifeEnd::Upkeep);
+            self.end_incarnation(&life.as_str().into(), LifeEnd::Upkeep);
         }
     }
 }
--- a/crates/workswood-core/src/jobs/wave.rs
+++ b/crates/workswood-core/src/jobs/wave.rs
@@ -199,7 +199,7 @@
         self.measure_fleet();
         self.correct_list();
         self.note_declared();
-        self.end_listed_over(asked);
+        self.end_incarnations_by_host_list(asked);
         self.finish_hosts(asked);
     }
 
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/worker_events.rs
@@ -18,15 +18,15 @@
 use super::worker::{Worker, WorkerInfo};
 
 /// A stop without an effect is sent again after this time.
-const STOP_AGAIN: Duration = Duration::from_millis(1000);
+const STOP_RETRY_AFTER: Duration = Duration::from_millis(1000);
 
 /// Worker, task and number of a run.
-type RunName = (WorkerId, TaskId, u32);
+type WorkerRun = (WorkerId, TaskId, u32);
 
 /// How long a run was known to be on its worker, in milliseconds, for the log.
-struct Ran(Option<Duration>);
+struct RuntimeMs(Option<Duration>);
 
-impl fmt::Display for Ran {
+impl fmt::Display for RuntimeMs {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(ran) => write!(f, "{}", ran.as_millis()),
@@ -37,7 +37,7 @@
 
 /// Looks that may be under way when a stop is taken; the stop is sent again
 /// only after as many looks without an effect.
-const LOOKS_AFTER_STOP: u32 = 4;
+const PROBES_AFTER_STOP: u32 = 4;
 
 impl Scheduler {
     /// Takes a worker in that is listed, new or changed.
@@ -90,7 +90,7 @@
     /// down or off, or has another life. The list of workers does not tell: entries
     /// linger, and may be written late by a life that is over. `asked` is when
     /// the list was asked for; what was known before can't be newer than it.
-    pub(super) fn end_listed_over(&mut self, asked: Duration) {
+    pub(super) fn end_incarnations_by_host_list(&mut self, asked: Duration) {
         let spare = self.spare_pool();
         let over = |id: &WorkerId, w: &Worker| {
             let Some(info) = &w.info else { return false };
@@ -107,7 +107,7 @@
         let over: Vec<WorkerId> =
             self.workers.iter().filter(|(id, w)| over(id, w)).map(|(id, _)| id.clone()).collect();
         for id in over {
-            self.life_over(&id, LifeEnd::NotOnHost);
+            self.end_incarnation(&id, LifeEnd::NotOnHost);
         }
     }
 
@@ -119,20 +119,20 @@
         w.unlisted_at = Some(self.now);
         self.notes.push(format_args!("event=worker_unlisted worker={id} runs={}", w.runs.len()));
         drop(w);
-        self.drop_if_idle(id);
+        self.forget_if_idle(id);
     }
 
     /// Forgets a worker that is neither listed nor runs anything.
-    fn drop_if_idle(&mut self, id: &WorkerId) {
+    fn forget_if_idle(&mut self, id: &WorkerId) {
         let idle = self.workers.get(id).is_some_and(|w| !w.listed && w.runs.is_empty());
         if idle {
             self.take_crash(id, LifeEnd::Gone);
-            self.drop_worker(id);
+            self.forget_worker(id);
         }
     }
 
     /// Forgets a worker; returns whether it was known.
-    fn drop_worker(&mut self, id: &WorkerId) -> bool {
+    fn forget_worker(&mut self, id: &WorkerId) -> bool {
         let Some(w) = self.workers.remove(id) else { return false };
         self.dirty_workers.insert(id.clone());
         self.unattend(id, w.relay);
@@ -140,7 +140,7 @@
     }
 
     /// A worker did not answer a look.
-    pub(super) fn unanswered(&mut self, id: &WorkerId, lease_end: Duration) {
+    pub(super) fn mark_unreachable(&mut self, id: &WorkerId, lease_end: Duration) {
         let Some(mut w) = self.workers.get_mut(id) else { return };
         if w.reachable {
             w.silent_for = self.now.saturating_sub(w.heard);
@@ -155,20 +155,20 @@
     }
 
     /// The answer of a worker is late.
-    pub(super) fn doubt(&mut self, id: &WorkerId) {
+    pub(super) fn mark_answer_late(&mut self, id: &WorkerId) {
         if let Some(mut w) = self.workers.get_mut(id) {
             w.doubted = true;
         }
     }
 
     /// A worker's address is answered by another life.
-    pub(super) fn other_life_answered(&mut self, id: &WorkerId, heard: Duration) {
-        self.note_last_heard(id, heard);
-        self.life_over(id, LifeEnd::OtherLife);
+    pub(super) fn handle_other_incarnation(&mut self, id: &WorkerId, heard: Duration) {
+        self.record_last_heard(id, heard);
+        self.end_incarnation(id, LifeEnd::OtherLife);
     }
 
     /// Notes when a life last answered that is over.
-    pub(super) fn note_last_heard(&mut self, id: &WorkerId, heard: Duration) {
+    pub(super) fn record_last_heard(&mut self, id: &WorkerId, heard: Duration) {
         if let Some(mut w) = self.workers.get_mut(id) {
             w.heard = w.heard.max(heard);
             if w.reachable {
@@ -178,14 +178,14 @@
     }
 
     /// A life of a worker is over: nothing runs there.
-    pub(super) fn life_over(&mut self, id: &WorkerId, end: LifeEnd) {
+    pub(super) fn end_incarnation(&mut self, id: &WorkerId, end: LifeEnd) {
         let why = end.label();
         self.take_crash(id, end);
         let lost = self.workers.get(id).map_or(0, |w| w.runs.len());
         self.tally.lives_lost += u64::from(lost > 0);
         self.tally.runs_lost += lost as u64;
-        self.settle_all(id, why);
-        if self.drop_worker(id) {
+        self.settle_all_runs(id, why);
+        if self.forget_worker(id) {
             self.notes.push(format_args!("event=worker_life_over worker={id} runs={lost} reason={why}"));
         }
     }
@@ -195,14 +195,14 @@
         self.workers.get(id).map(|w| w.runs.keys().copied().collect()).unwrap_or_default()
     }
 
-    fn settle_all(&mut self, id: &WorkerId, why: &str) {
+    fn settle_all_runs(&mut self, id: &WorkerId, why: &str) {
         for (task, attempt) in self.runs_on(id) {
-            self.settle(id, &task, attempt, why);
+            self.settle_run(id, &task, attempt, why);
         }
     }
 
     /// A run is over without an end of its own.
-    pub(super) fn settle(&mut self, id: &WorkerId, task_id: &TaskId, attempt: u32, why: &str) {
+    pub(super) fn settle_run(&mut self, id: &WorkerId, task_id: &TaskId, attempt: u32, why: &str) {
         let heard = self.workers.get_mut(id).map_or(Duration::ZERO, |mut w| {
             w.release(*task_id, attempt);
             w.heard
@@ -212,7 +212,7 @@
         let Some(run) = run.map(|n| task.runs.remove(n)) else { return };
         self.notes.push(format_args!(
             "event=run_settled worker={id} task={task_id} attempt={attempt} ran_ms={} reason={why}",
-            Ran(run.known_runtime(heard))
+            RuntimeMs(run.known_runtime(heard))
         ));
         self.dirty.insert(task_id.job);
         self.queue_task(task_id);
@@ -229,7 +229,13 @@
     }
 
     /// The outcome of a start.
-    pub(super) fn started(&mut self, id: &WorkerId, task: TaskId, attempt: u32, reply: StartReply) {
+    pub(super) fn handle_start_reply(
+        &mut self,
+        id: &WorkerId,
+        task: TaskId,
+        attempt: u32,
+        reply: StartReply,
+    ) {
         let now = self.now;
         if reply != StartReply::Taken {
             self.notes.push(format_args!(
@@ -258,7 +264,7 @@
                 }
             }
             StartReply::Refused | StartReply::Ticket | StartReply::Unwell | StartReply::NotSent => {
-                self.settle(id, &task, attempt, "start_refused");
+                self.settle_run(id, &task, attempt, "start_refused");
             }
             StartReply::Deposed => self.depose(id),
         }
@@ -284,7 +290,7 @@
     }
 
     /// The outcome of a stop.
-    pub(super) fn stopped(&mut self, id: &WorkerId, task: TaskId, attempt: u32, reply: StopReply) {
+    pub(super) fn handle_stop_reply(&mut self, id: &WorkerId, task: TaskId, attempt: u32, reply: StopReply) {
         let now = self.now;
         match reply {
             StopReply::Taken => {
@@ -305,7 +311,7 @@
     }
 
     /// Settles what ran on workers whose lease has ended.
-    pub(super) fn settle_lapsed(&mut self) {
+    pub(super) fn settle_expired_leases(&mut self) {
         let now = self.now;
         let lapsed = self.workers.silent().filter(|(_, w)| w.lease_end < now);
         let lapsed: Vec<WorkerId> = lapsed.map(|(id, _)| id.clone()).collect();
@@ -315,19 +321,19 @@
                 let starting = self.run_mut(&id, &task, attempt).is_some_and(|r| r.phase == Phase::Starting);
                 if !starting {
                     self.take_lapsed(&id, &task, attempt);
-                    self.settle(&id, &task, attempt, "lease_ended");
+                    self.settle_run(&id, &task, attempt, "lease_ended");
                 }
             }
-            self.drop_if_idle(&id);
+            self.forget_if_idle(&id);
         }
     }
 
     /// Sends stops again that had no effect, and stops runs that stand still.
-    pub(super) fn settle_slow(&mut self) {
-        let (mut stops, stuck) = self.slow_runs();
+    pub(super) fn stop_stalled_runs(&mut self) {
+        let (mut stops, stuck) = self.stalled_runs();
         for (id, task, attempt) in stuck {
             self.notes.push(format_args!("event=run_stuck worker={id} task={task} attempt={attempt}"));
-            self.blame(&id, &task);
+            self.record_fault(&id, &task);
             if let Some(t) = self.jobs.get_mut(&task.job).and_then(|j| j.task_mut(&task)) {
                 t.avoid_worker = Some(id.clone());
             }
@@ -343,7 +349,7 @@
     }
 
     /// Runs whose stop had no effect, and runs that stand still.
-    fn slow_runs(&self) -> (Vec<RunName>, Vec<RunName>) {
+    fn stalled_runs(&self) -> (Vec<WorkerRun>, Vec<WorkerRun>) {
         let mut stops = Vec::new();
         let mut stuck = Vec::new();
         for (id, w) in self.workers.iter().filter(|(_, w)| w.reachable) {
@@ -351,14 +357,14 @@
                 let Some(step) = self.jobs.get(&task.job).and_then(|j| j.step(task)) else { continue };
                 let Some(run) = self.run(id, task, *attempt) else { continue };
                 match run.phase {
-                    Phase::Stopping if run.phase_since + STOP_AGAIN < self.now => {
+                    Phase::Stopping if run.phase_since + STOP_RETRY_AFTER < self.now => {
                         stops.push((id.clone(), *task, *attempt));
                     }
                     // Taken; a look that is sent later settles it.
-                    Phase::Stopped if run.phase_since + STOP_AGAIN * LOOKS_AFTER_STOP < self.now => {
+                    Phase::Stopped if run.phase_since + STOP_RETRY_AFTER * PROBES_AFTER_STOP < self.now => {
                         stops.push((id.clone(), *task, *attempt));
                     }
-                    Phase::Running if self.stands_still(step, run) => {
+                    Phase::Running if self.is_stalled(step, run) => {
                         stuck.push((id.clone(), *task, *attempt));
                     }
                     _ => {}
@@ -371,7 +377,7 @@
     /// Whether a run makes no progress although its worker answers. Members of a
     /// gang wait for each other, and a lasting task past its warm-up has no more
     /// progress to make.
-    fn stands_still(&self, step: &StepSpec, run: &Run) -> bool {
+    fn is_stalled(&self, step: &StepSpec, run: &Run) -> bool {
         let Some(since) = run.stalled_since else { return false };
         let policy = &self.policy.health;
         // Progress is told in whole percent: a long task shows none for a while.
--- a/crates/workswood-core/src/jobs/ends.rs
+++ b/crates/workswood-core/src/jobs/worker_reports.rs
@@ -11,22 +11,22 @@
 
 impl Scheduler {
     /// Takes the answer of a worker in.
-    pub(super) fn reported(&mut self, id: &WorkerId, report: &Report) {
+    pub(super) fn handle_report(&mut self, id: &WorkerId, report: &Report) {
         if report.whole {
             self.settle_earlier_lives(id, report);
         }
-        self.answered(id);
-        self.take_ends(id, &report.ended);
+        self.mark_reachable(id);
+        self.handle_ends(id, &report.ended);
         for run in &report.running {
-            self.run_listed(id, run);
+            self.update_listed_run(id, run);
         }
-        self.settle_missing(id, report);
+        self.settle_unlisted_runs(id, report);
         self.want_figures(id);
         self.pace_best_effort_tasks(id);
     }
 
     /// Notes that a worker answered, and so knows our token.
-    fn answered(&mut self, id: &WorkerId) {
+    fn mark_reachable(&mut self, id: &WorkerId) {
         let Some(mut w) = self.workers.get_mut(id) else { return };
         let back = !w.reachable || !w.fenced;
         w.doubted = false;
@@ -40,12 +40,12 @@
     }
 
     /// Takes in the ends that are not on record yet.
-    fn take_ends(&mut self, id: &WorkerId, ended: &[ReportedEnd]) {
+    fn handle_ends(&mut self, id: &WorkerId, ended: &[ReportedEnd]) {
         let known = self.workers.get(id).map_or(0, |w| w.recorded_ends);
         let mut last = known;
         for end in ended.iter().filter(|e| e.number > known) {
             last = last.max(end.number);
-            self.run_ended(id, end);
+            self.handle_end(id, end);
         }
         if let Some(mut w) = self.workers.get_mut(id) {
             w.recorded_ends = last;
@@ -56,12 +56,12 @@
     }
 
     /// Takes in that a worker lists a run; one that is not wanted is stopped.
-    fn run_listed(&mut self, id: &WorkerId, listed: &ReportedRun) {
+    fn update_listed_run(&mut self, id: &WorkerId, listed: &ReportedRun) {
         let now = self.now;
         let job = self.jobs.get_mut(&listed.task.job);
         let wanted = job.as_ref().is_some_and(|j| j.is_open());
         let Some((run, done)) = job.and_then(|j| update_run(j, id, listed, now)) else {
-            self.stray_run(id, listed, wanted);
+            self.handle_unknown_run(id, listed, wanted);
             return;
         };
         let (runs, evicted) = (run.phase == Phase::Running, run.evicted);
@@ -79,8 +79,8 @@
 
     /// Takes a run back in that is not known, or stops it; until it has ended, it takes its
     /// room: a worker that doesn't guard that would be filled beyond it.
-    fn stray_run(&mut self, id: &WorkerId, listed: &ReportedRun, wanted: bool) {
-        if wanted && self.adopt(id, listed) {
+    fn handle_unknown_run(&mut self, id: &WorkerId, listed: &ReportedRun, wanted: bool) {
+        if wanted && self.adopt_run(id, listed) {
             return;
         }
         self.notes.push(format_args!(
@@ -97,7 +97,7 @@
 
     /// Takes a run back in that was taken to be over, if nothing else runs
     /// the task.
-    fn adopt(&mut self, id: &WorkerId, listed: &ReportedRun) -> bool {
+    fn adopt_run(&mut self, id: &WorkerId, listed: &ReportedRun) -> bool {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&listed.task.job) else { return false };
         let spec = job.spec.clone();
@@ -124,9 +124,9 @@
 
     /// Settles runs that are over without an end. A whole report lists all there is: the
     /// token that its look carried keeps earlier starts out, and none was sent since.
-    fn settle_missing(&mut self, id: &WorkerId, report: &Report) {
+    fn settle_unlisted_runs(&mut self, id: &WorkerId, report: &Report) {
         for (task, attempt) in &report.gone {
-            self.settle(id, task, *attempt, "not_listed");
+            self.settle_run(id, task, *attempt, "not_listed");
         }
         if !report.whole {
             return;
@@ -137,12 +137,12 @@
             w.runs.keys().filter(|k| !listed.contains(k)).copied().collect();
         missing.sort_unstable();
         for (task, attempt) in missing {
-            self.settle(id, &task, attempt, "not_listed");
+            self.settle_run(id, &task, attempt, "not_listed");
         }
     }
 
     /// Takes one end in.
-    fn run_ended(&mut self, id: &WorkerId, end: &ReportedEnd) {
+    fn handle_end(&mut self, id: &WorkerId, end: &ReportedEnd) {
         let (now, task_id) = (self.now, end.task);
         let info = self.workers.get_mut(id).and_then(|mut w| {
             w.release(task_id, end.attempt);
@@ -175,15 +175,15 @@
         }
         self.dirty.insert(task_id.job);
         match end.kind {
-            EndKind::Done => self.task_done(id, &task_id, step.gang, step.long_running),
-            EndKind::Failed => self.task_failed(id, &task_id, end.attempt, step.long_running),
+            EndKind::Done => self.complete_task(id, &task_id, step.gang, step.long_running),
+            EndKind::Failed => self.record_failure(id, &task_id, end.attempt, step.long_running),
             EndKind::Stopped | EndKind::Lapsed | EndKind::Broken | EndKind::Alone => {}
         }
         self.queue_task(&task_id);
     }
 
     /// A task is done, and with it all members of its gang.
-    fn task_done(&mut self, id: &WorkerId, task_id: &TaskId, gang: bool, lasting: bool) {
+    fn complete_task(&mut self, id: &WorkerId, task_id: &TaskId, gang: bool, lasting: bool) {
         if let Some(mut w) = self.workers.get_mut(id) {
             w.faults = 0;
         }
@@ -213,7 +213,7 @@
     }
 
     /// A run of a task failed; too many of them end the job.
-    fn task_failed(&mut self, id: &WorkerId, task_id: &TaskId, attempt: u32, lasting: bool) {
+    fn record_failure(&mut self, id: &WorkerId, task_id: &TaskId, attempt: u32, lasting: bool) {
         let Some(job) = self.jobs.get_mut(&task_id.job) else { return };
         let most = job.spec.max_attempts.max(1);
         let gang = job.step(task_id).is_some_and(|s| s.gang);
@@ -227,7 +227,7 @@
             let step = job.rounds.get(task_id.round as usize).and_then(|r| r.get(usize::from(task_id.step)));
             failed = step.map_or(failed, |tasks| tasks.iter().map(|t| t.failed_attempts.len() as u32).sum());
         }
-        self.blame(id, task_id);
+        self.record_fault(id, task_id);
         if !lasting && failed >= most {
             self.end_job(task_id.job, Outcome::Failed);
         }
@@ -235,7 +235,7 @@
 
     /// Decides whether a fault was the worker's or the job's: a job that
     /// fails in two places is at fault itself.
-    pub(super) fn blame(&mut self, id: &WorkerId, task_id: &TaskId) {
+    pub(super) fn record_fault(&mut self, id: &WorkerId, task_id: &TaskId) {
         let Some(job) = self.jobs.get_mut(&task_id.job) else { return };
         match job.blamed_worker.clone() {
             Some(first) if first == *id => return,
