--- a/crates/workswood-core/src/jobs/job.rs
+++ b/crates/workswood-core/src/jobs/job.rs
@@ -14,17 +14,17 @@
 pub use super::worker_id::WorkerId;
 use crate::ids::{ServiceId, UnixMs};
 
-/// Pace of a task that nothing holds back, in percent.
+/// Pace of a task that is not throttled, in percent of full speed.
 pub const FULL_PACE_PERCENT: u32 = 100;
 
-/// What callers are told of a job.
+/// The status of a job as shown to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStatus {
-    /// No task has begun.
+    /// No task has started.
     Queued,
-    /// Some task has begun.
+    /// At least one task has started.
     Running,
-    /// It ended as told by the outcome.
+    /// The job has ended with this outcome.
     Ended(Outcome),
 }
 
@@ -33,61 +33,61 @@
 pub enum Outcome {
     /// All tasks are done.
     Completed,
-    /// A task failed too often.
+    /// A task has used up its attempts.
     Failed,
-    /// The caller cancelled it.
+    /// The caller cancelled the job.
     Canceled,
 }
 
-/// How far a run has come, as far as we know.
+/// The phase of a run, as far as the scheduler knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// On record or about to be; the worker has not answered the start.
+    /// The start is recorded or about to be; the worker has not answered it yet.
     Starting,
-    /// Known from a predecessor's records; the worker has not been asked yet.
+    /// Known from the records of an earlier lease holder; the worker has not reported it yet.
     Inherited,
-    /// The worker runs it.
+    /// The worker is running it.
     Running,
     /// The worker has been told to stop it, or is about to be.
     Stopping,
-    /// The worker has taken the stop; its next report settles the run.
+    /// The worker has accepted the stop; its next report settles the run.
     Stopped,
 }
 
-/// One try of a task on one worker.
+/// One attempt to run a task on one worker.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Where.
+    /// The worker that runs it.
     pub worker: WorkerId,
-    /// Number of the try; rises from 1 over the life of the task.
+    /// Number of the attempt; counts up from 1 over all runs of the task.
     pub attempt: u32,
-    /// How far it has come.
+    /// The current phase.
     pub phase: Phase,
     /// When `phase` last changed.
     pub phase_since: Duration,
-    /// When this lease holder decided to start it; `None` if an earlier one did.
+    /// When this lease holder placed the run; `None` if an earlier one did.
     pub placed_at: Option<Duration>,
-    /// When it was first known to be there: its worker took the start, or listed it.
+    /// When the worker first confirmed the run, by accepting the start or by listing it.
     pub confirmed_at: Option<Duration>,
-    /// Latest share of the work done, in percent.
+    /// Latest reported progress, in percent.
     pub progress_percent: u32,
-    /// When `percent` last rose, as far as it was told.
+    /// When `progress_percent` last rose, according to the worker.
     pub progressed_at: Duration,
-    /// Since when it stands still, if it does.
+    /// Since when the run has made no progress; `None` while it does.
     pub stalled_since: Option<Duration>,
-    /// Rough figure of the worker: slow answers in ms, or processor use.
+    /// Load metric reported by the worker: latency of slow answers in milliseconds, or processor
+    /// use.
     pub load_metric: u64,
-    /// Pace that we asked for, in percent.
+    /// Pace that the scheduler asked for, in percent of full speed.
     pub pace_percent: u32,
-    /// Whether our own order ends it, or one of a predecessor, for the
-    /// availability budget.
+    /// Whether this or an earlier lease holder evicts it; counts against the availability budget.
     pub evicted: bool,
-    /// How long nothing else begins beside it, if it is a trial of a suspected task.
+    /// For a trial of a suspected task: how long no other task may start on the worker.
     pub trial_quarantine: Option<Duration>,
 }
 
 impl Run {
-    /// A run that is about to be started.
+    /// Creates a run that enters `phase` at `now`.
     pub fn new(worker: WorkerId, attempt: u32, phase: Phase, now: Duration) -> Run {
         Run {
             worker,
@@ -106,87 +106,89 @@
         }
     }
 
-    /// How long it was known to be there when its worker was last heard; `None` if that
-    /// was never known.
-    pub fn known_runtime(&self, heard: Duration) -> Option<Duration> {
-        self.confirmed_at.map(|at| heard.saturating_sub(at))
+    /// Time from the confirmation of the run to `last_heard`, when its worker last answered; `None`
+    /// if the run was never confirmed.
+    pub fn known_runtime(&self, last_heard: Duration) -> Option<Duration> {
+        self.confirmed_at.map(|at| last_heard.saturating_sub(at))
     }
 
-    /// Changes the phase.
+    /// Sets the phase and the time of its change.
     pub fn set_phase(&mut self, phase: Phase, now: Duration) {
         self.phase = phase;
         self.phase_since = now;
     }
 
-    /// Whether a lasting task was past its warm-up when its worker was last heard.
+    /// Whether a long-running task had finished its warm-up when its worker last reported.
     pub fn is_warmed_up(&self) -> bool {
         self.phase == Phase::Running && self.progress_percent >= 100
     }
 }
 
-/// A task of a job.
+/// The state of one task of a job.
 #[derive(Clone, Debug, Default)]
 pub struct Task {
     /// Whether it is done.
     pub done: bool,
-    /// Numbers of its runs that failed. An end may be listed again after a
-    /// change of the lease holder, and must count once.
+    /// Attempts that failed. A set, because a worker may report an end again to a new lease holder,
+    /// and each failure must count once.
     pub failed_attempts: BTreeSet<u32>,
-    /// Workers that have crashed under it.
+    /// Crashes of workers while they ran this task.
     pub crashes: Crashes,
-    /// Whether it is never started again, since it crashes its workers; its job goes on.
+    /// Whether it is never started again because it crashes its workers; the job continues without
+    /// it.
     pub given_up: bool,
-    /// Why it is started as a trial only, if it is.
+    /// Why the task is started only as a trial; `None` if it is not suspected.
     pub suspicion: Option<Suspicion>,
-    /// Number of its latest run.
+    /// Number of the latest attempt; 0 if the task was never started.
     pub latest_attempt: u32,
-    /// Latest checkpoint; empty for none.
+    /// Latest checkpoint; empty if there is none.
     pub checkpoint: String,
-    /// Runs that may exist.
+    /// Runs that may exist on some worker.
     pub runs: Vec<Run>,
-    /// Worker of the latest failed or stuck run, to be avoided.
+    /// Worker of the latest failed or stuck run; the next run is placed elsewhere if possible.
     pub avoid_worker: Option<WorkerId>,
 }
 
 impl Task {
-    /// Whether it is to be started, as far as only itself is concerned.
+    /// Whether the task is neither done, given up nor running. Does not look at the state of its
+    /// job or step.
     pub fn is_idle(&self) -> bool {
         !self.done && !self.given_up && self.runs.is_empty()
     }
 }
 
-/// One round of a job: its steps and their tasks.
+/// One round of a job: the tasks of each step.
 pub type Round = Vec<Vec<Task>>;
 
-/// A job and all that is known of its tasks.
+/// A job and the state of its tasks.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Its number.
+    /// Key of the job.
     pub key: JobKey,
-    /// What was asked for.
+    /// The spec as submitted.
     pub spec: Arc<JobSpec>,
-    /// Whether the caller cancelled it.
+    /// Whether the caller cancelled the job.
     pub cancelled: bool,
-    /// How it ended.
+    /// How the job ended; `None` while it is open.
     pub outcome: Option<Outcome>,
-    /// When it ended, on the scheduler's clock.
+    /// When the job ended, on the scheduler's clock.
     pub ended_at: Duration,
-    /// Whether any task has begun.
+    /// Whether any task has started.
     pub started: bool,
-    /// Whether it came beyond what its workspace may count on.
+    /// Whether it was submitted beyond the guaranteed rate of its workspace.
     pub over_rate: bool,
-    /// Most processor room, in thousandths of a core, that its workspace may have at work; 0 for no limit.
+    /// CPU limit of its workspace, in thousandths of a core; 0 for no limit.
     pub max_cpu_millis: u64,
-    /// First worker that a task of it failed on.
+    /// First worker on which a task of this job failed.
     pub blamed_worker: Option<WorkerId>,
-    /// Rounds that are due, by number.
+    /// Rounds opened so far, by number.
     pub rounds: Vec<Round>,
-    /// What was last told of it.
+    /// The status that was last published to callers.
     pub(super) published_status: Option<JobStatus>,
 }
 
 impl Job {
-    /// A job that was just handed in.
+    /// Creates a newly submitted job with no rounds.
     pub fn new(key: JobKey, spec: Arc<JobSpec>) -> Job {
         Job {
             key,
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Adds the next round.
+    /// Opens the next round with fresh tasks.
     pub fn open_round(&mut self) {
         let steps = self.spec.steps.iter();
         self.rounds.push(steps.map(|s| vec![Task::default(); s.count as usize]).collect());
@@ -214,78 +216,80 @@
         self.spec.steps.get(usize::from(id.step))
     }
 
-    /// A task.
+    /// Looks up a task by ID.
     pub fn task(&self, id: &TaskId) -> Option<&Task> {
         let step = self.rounds.get(id.round as usize)?.get(usize::from(id.step))?;
         step.get(id.index as usize)
     }
 
-    /// A task, to change.
+    /// Looks up a task by ID, mutably.
     pub fn task_mut(&mut self, id: &TaskId) -> Option<&mut Task> {
         let step = self.rounds.get_mut(id.round as usize)?.get_mut(usize::from(id.step))?;
         step.get_mut(id.index as usize)
     }
 
-    /// Whether a step of a round has all its tasks done.
+    /// Whether all tasks of a step are done in the given round.
     pub fn is_step_done(&self, round: u32, step: u16) -> bool {
         let r = self.rounds.get(round as usize);
         r.and_then(|r| r.get(usize::from(step))).is_some_and(|tasks| tasks.iter().all(|t| t.done))
     }
 
-    /// Whether a step may run: all that it waits for is done.
+    /// Whether all steps that a step depends on are done in the given round.
     pub fn is_step_ready(&self, round: u32, step: u16) -> bool {
         let after = self.spec.steps.get(usize::from(step)).map(|s| s.after.as_slice());
         after.is_some_and(|after| after.iter().all(|a| self.is_step_done(round, *a)))
     }
 
-    /// How many tasks of a step, other than `id`, have no run that is at work
-    /// by `at_work`.
-    pub fn other_tasks_not_running(&self, id: &TaskId, at_work: impl Fn(&Run) -> bool) -> u32 {
+    /// Number of tasks of the step of `id`, other than `id` itself, that have no run for which
+    /// `is_running` holds.
+    pub fn other_tasks_not_running(&self, id: &TaskId, is_running: impl Fn(&Run) -> bool) -> u32 {
         let step = self.rounds.get(id.round as usize).and_then(|r| r.get(usize::from(id.step)));
         let tasks = step.map(Vec::as_slice).unwrap_or_default().iter().enumerate();
         let others = tasks.filter(|(n, _)| *n != id.index as usize);
-        others.filter(|(_, t)| !t.runs.iter().any(&at_work)).count() as u32
+        others.filter(|(_, t)| !t.runs.iter().any(&is_running)).count() as u32
     }
 
-    /// Whether no task of it is left but those that are done or given up.
+    /// Whether every task of the opened rounds is done or given up.
     pub fn all_done_or_given_up(&self) -> bool {
         self.rounds.iter().flatten().flatten().all(|t| t.done || t.given_up)
     }
 
-    /// Whether every task of every round is done.
+    /// Whether all rounds were opened and all their tasks are done.
     pub fn all_done(&self) -> bool {
-        let opened = self.rounds.len() as u32 == self.spec.round_count();
-        opened && self.rounds.iter().flatten().flatten().all(|t| t.done)
+        let all_opened = self.rounds.len() as u32 == self.spec.round_count();
+        all_opened && self.rounds.iter().flatten().flatten().all(|t| t.done)
     }
 
-    /// Whether nothing of it may run anywhere.
+    /// Whether no run of the job may exist anywhere.
     pub fn has_no_runs(&self) -> bool {
         self.rounds.iter().flatten().flatten().all(|t| t.runs.is_empty())
     }
 
-    /// Whether tasks may still be started.
+    /// Whether tasks of the job may still be started.
     pub fn is_open(&self) -> bool {
         !self.cancelled && self.outcome.is_none()
     }
 
-    /// In how many waves a step runs, being wider than its workspace may run at once.
+    /// In how many batches a step has to run one after the other, because the CPU limit of its
+    /// workspace does not admit all of its tasks at once.
     pub fn sequential_batches(&self, step: &StepSpec) -> u32 {
         if self.max_cpu_millis == 0 {
             return 1;
         }
-        let wide = u64::from(step.count).saturating_mul(step.resources.cpu_millis);
-        u32::try_from(wide.div_ceil(self.max_cpu_millis)).unwrap_or(u32::MAX).clamp(1, step.count.max(1))
+        let step_cpu_millis = u64::from(step.count).saturating_mul(step.resources.cpu_millis);
+        u32::try_from(step_cpu_millis.div_ceil(self.max_cpu_millis))
+            .unwrap_or(u32::MAX)
+            .clamp(1, step.count.max(1))
     }
 
-    /// Names of all steps of opened rounds.
+    /// IDs of all steps of opened rounds.
     pub fn step_ids(&self) -> impl Iterator<Item = StepId> {
         let steps = self.spec.steps.len() as u16;
         let rounds = 0..self.rounds.len() as u32;
         rounds.flat_map(move |round| (0..steps).map(move |step| StepId { job: self.key, round, step }))
     }
 
-    /// Numbers of the tasks of a step that are to be started: they are neither done nor given
-    /// up, and run nowhere.
+    /// Indexes of the tasks of a step that are neither done, given up nor running.
     pub fn idle_tasks(&self, id: &StepId) -> Vec<u32> {
         let step = self.rounds.get(id.round as usize).and_then(|r| r.get(usize::from(id.step)));
         let tasks = step.map(Vec::as_slice).unwrap_or_default().iter().enumerate();
@@ -293,7 +297,7 @@
         idle.map(|(index, _)| index as u32).collect()
     }
 
-    /// Names of all tasks of opened rounds.
+    /// IDs of all tasks of opened rounds.
     pub fn task_ids(&self) -> Vec<TaskId> {
         let mut ids = Vec::new();
         for (round, steps) in self.rounds.iter().enumerate() {
@@ -307,7 +311,7 @@
         ids
     }
 
-    /// What callers are told once the present state is on record.
+    /// The status to show to callers once the current state is recorded.
     pub fn status(&self) -> JobStatus {
         match self.outcome {
             Some(o) => JobStatus::Ended(o),
@@ -316,7 +320,7 @@
         }
     }
 
-    /// The stored form.
+    /// Converts the job to its stored form.
     pub fn record(&self) -> JobRecord {
         let task = |t: &Task| TaskRecord {
             done: t.done,
@@ -338,7 +342,7 @@
         }
     }
 
-    /// The job as a predecessor left it.
+    /// Restores a job from the record that an earlier lease holder stored.
     pub fn restore(key: JobKey, spec: Arc<JobSpec>, rec: JobRecord, now: Duration) -> Job {
         let mut job = Job::new(key, spec);
         job.cancelled = rec.cancelled;
@@ -351,80 +355,80 @@
     }
 }
 
-/// The stored form of a job's state; its spec is stored apart, once.
+/// The stored form of a job's state. The spec is stored separately.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Whether the caller cancelled it.
+    /// Whether the caller cancelled the job.
     #[serde(default, rename = "x")]
     pub cancelled: bool,
-    /// How it ended.
+    /// How the job ended; `None` while it is open.
     #[serde(default, rename = "o")]
     pub outcome: Option<Outcome>,
-    /// Whether any task has begun.
+    /// Whether any task has started.
     #[serde(default, rename = "b")]
     pub started: bool,
-    /// Tasks by round and step; none of a job that is over.
+    /// Tasks by round and step; empty for a finished job.
     #[serde(default, rename = "r")]
     pub rounds: Vec<Vec<Vec<TaskRecord>>>,
-    /// What is kept of a job that is over. Then its spec is stored no longer.
+    /// What is kept of a finished job, whose spec is no longer stored.
     #[serde(skip)]
     pub over: Option<FinishedJobRecord>,
 }
 
-/// What is kept of a job that has ended and runs nowhere.
+/// What is kept of a job that has ended and has no runs left.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FinishedJobRecord {
-    /// The queue that it was handed in to.
+    /// The queue that it was submitted to.
     pub queue: QueueId,
-    /// The service whose workers ran it.
+    /// The service whose workers ran its tasks.
     pub service: ServiceId,
-    /// When an entry accepted it.
+    /// When an entry accepted the job.
     pub accepted_at: UnixMs,
-    /// Its work, if it was one that ends by itself, in core-milliseconds.
+    /// Estimated work in core-milliseconds; `None` for a long-running job.
     pub work_core_ms: Option<u64>,
-    /// Room that holds any of its tasks: a start may be carried out late.
+    /// The least resources that hold any one of its tasks: a start that was sent earlier may still
+    /// take effect on a worker.
     pub max_task_resources: Resources,
-    /// Whose it was.
+    /// The owner of the job.
     pub owner: Owner,
 }
 
 impl JobRecord {
-    /// Whether the record belongs to a job with these steps.
+    /// Whether the record has the same steps and task counts as `spec`.
     pub fn fits(&self, spec: &JobSpec) -> bool {
-        let alike = |round: &Vec<Vec<TaskRecord>>| {
+        let same_shape = |round: &Vec<Vec<TaskRecord>>| {
             let counts = spec.steps.iter().map(|s| s.count as usize);
             round.len() == spec.steps.len() && round.iter().map(Vec::len).eq(counts)
         };
-        self.rounds.iter().all(alike)
+        self.rounds.iter().all(same_shape)
     }
 }
 
-/// The stored form of a task.
+/// The stored form of a task's state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskRecord {
     /// Whether it is done.
     #[serde(default, rename = "d", skip_serializing_if = "is_false")]
     pub done: bool,
-    /// Numbers of its runs that failed.
+    /// Attempts that failed.
     #[serde(default, rename = "f", skip_serializing_if = "BTreeSet::is_empty")]
     pub failed_attempts: BTreeSet<u32>,
-    /// Workers that have crashed under it.
+    /// Crashes of workers while they ran this task.
     #[serde(default, rename = "k", skip_serializing_if = "Crashes::is_empty")]
     pub crashes: Crashes,
     /// Whether it is never started again.
     #[serde(default, rename = "g", skip_serializing_if = "is_false")]
     pub given_up: bool,
-    /// Number of its latest run.
+    /// Number of the latest attempt; 0 if the task was never started.
     #[serde(default, rename = "a", skip_serializing_if = "is_zero")]
     pub latest_attempt: u32,
-    /// Latest checkpoint.
+    /// Latest checkpoint; empty if there is none.
     #[serde(default, rename = "c", skip_serializing_if = "String::is_empty")]
     pub checkpoint: String,
     /// Worker and attempt of each run that may exist.
     #[serde(default, rename = "w", skip_serializing_if = "SmallVec::is_empty")]
     pub runs: SmallVec<[(WorkerId, u32); 1]>,
-    /// Attempts of those runs that are ended by our own order. Their workers
-    /// list them until they have stopped.
+    /// Attempts that were evicted and that their workers may still list.
     #[serde(default, rename = "e", skip_serializing_if = "BTreeSet::is_empty")]
     pub evicted_attempts: BTreeSet<u32>,
 }
