--- a/crates/workswood-core/src/jobs/queue_order.rs
+++ b/crates/workswood-core/src/jobs/queue_order.rs
@@ -1,11 +1,10 @@
-//! In which order waiting tasks get a worker.
+//! The order in which waiting tasks are placed on workers.
 //!
-//! A job is owed within a multiple of its longest chain of work plus a fixed
-//! time; done later it is worth little, and much later nothing. A queue that
-//! serves jobs in the order of their coming makes every job late once it is
-//! behind. So tasks whose job can still be in time go first; among them those
-//! that must begin first. Jobs that are late anyway get what is left over, in the
-//! order of their coming.
+//! The deadline of a job is a multiple of its critical path plus a fixed time. A job that misses it
+//! is worth little, and much later it is worth nothing. First come, first served would make every
+//! job late once a queue has a backlog. So tasks whose job can still be in time go first, earliest
+//! start deadline first; late jobs take the remaining resources in the order in which they were
+//! submitted.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -17,73 +16,73 @@
 use super::workspace::Owner;
 use crate::ids::UnixMs;
 
-/// Guess for a step without an estimate, before any task has ended.
+/// Estimate for a task whose step has none, until enough tasks of the queue have ended.
 const DEFAULT_ESTIMATE: Duration = Duration::from_millis(1000);
 
-/// How well a job stands against the time it is owed.
+/// Whether a job can still meet its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timeliness {
-    /// It can be in time.
+    /// The job can finish by its deadline.
     InTime,
-    /// It will be late, but not worthless.
+    /// The job will miss its deadline, but its result is still worth something.
     Late,
-    /// It will be worth nothing.
+    /// The job will finish so late that its result is worth nothing.
     Worthless,
 }
 
-/// Place of a step's waiting tasks in their queue: the least goes first.
+/// Position of a step's waiting tasks in their queue; the smallest is placed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuePosition {
-    /// Urgency of the queue; 0 is the most urgent.
+    /// Priority of the queue; 0 is the most urgent.
     pub priority: u32,
-    /// Standing of the job when it was last looked at.
+    /// Timeliness of the job when the position was computed.
     pub timeliness: Timeliness,
-    /// Whether it is beyond what its workspace may count on.
+    /// Whether the job was submitted beyond the guaranteed rate of its workspace.
     pub over_rate: bool,
-    /// In time: when the step's tasks must begin.
-    /// Later: when the job was handed in.
+    /// Sort key for [`QueueOrder::EarliestDeadline`]: the latest start that is in time, or when the
+    /// job became available if it is late.
     pub order_key: u64,
-    /// The step.
+    /// The step whose tasks wait.
     pub step: StepId,
-    /// Whose it is.
+    /// The owner of the job.
     pub owner: Owner,
-    /// In time: work of the step and of those after it, in core-milliseconds.
-    /// Later: when the job was handed in.
+    /// Sort key for [`QueueOrder::LeastWork`]: work of this step and of later ones in
+    /// core-milliseconds, or when the job became available if it is late.
     pub work_key: u64,
 }
 
-/// Which of two places that stand alike goes first.
+/// How positions of equal priority and timeliness are ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueOrder {
-    /// That which must begin first.
+    /// The step with the earliest start deadline goes first.
     EarliestDeadline,
-    /// That of which the least work is left.
+    /// The step with the least remaining work goes first.
     LeastWork,
 }
 
 impl QueuePosition {
-    /// Its rank among places that stand alike; the least goes first.
-    pub fn sort_key(&self, rank: QueueOrder) -> u64 {
-        match rank {
+    /// The sort key for `order`; the smallest goes first.
+    pub fn sort_key(&self, order: QueueOrder) -> u64 {
+        match order {
             QueueOrder::EarliestDeadline => self.order_key,
             QueueOrder::LeastWork => self.work_key,
         }
     }
 }
 
-/// When the standing of a job gets worse.
+/// The latest start times of a step's tasks.
 #[derive(Clone, Copy, Debug)]
 pub struct StartDeadlines {
-    /// When the job was handed in, or its round was due.
+    /// When the job was submitted or its round was due, whichever is later.
     pub available_at: UnixMs,
-    /// A task must begin by then for its job to be in time.
+    /// Latest start at which the job can still be in time.
     pub in_time_until: UnixMs,
-    /// A task must begin by then for its job to be worth anything.
+    /// Latest start at which the result of the job is still worth something.
     pub worthwhile_until: UnixMs,
 }
 
 impl StartDeadlines {
-    /// The standing at a time.
+    /// The timeliness of a task that starts at `now`.
     pub fn timeliness_at(&self, now: UnixMs) -> Timeliness {
         if now <= self.in_time_until {
             Timeliness::InTime
@@ -95,120 +94,126 @@
     }
 }
 
-/// How long tasks of each queue have taken lately.
+/// Moving average of how long the tasks of each queue take.
 #[derive(Debug, Default)]
 pub struct TaskDurations {
     by_queue: HashMap<QueueId, (u32, f64)>,
 }
 
 impl TaskDurations {
-    /// Takes in how long a task took that is done.
-    pub fn observe(&mut self, queue: &str, took: Duration, policy: &OrderPolicy) {
-        let ms = took.as_secs_f64() * 1000.0;
+    /// Records how long a completed task took.
+    pub fn observe(&mut self, queue: &str, duration: Duration, policy: &OrderPolicy) {
+        let ms = duration.as_secs_f64() * 1000.0;
         let (n, mean) = self.by_queue.entry(queue.to_string()).or_insert((0, ms));
         *n += 1;
         let weight = policy.newest.max(1.0 / f64::from(*n));
         *mean += (ms - *mean) * weight;
     }
 
-    /// How long a task with this estimate will take: between what the caller
-    /// guessed and what the queue has shown, since both are far off at times.
+    /// Expected duration of a task with this estimate: the geometric mean of the caller's estimate
+    /// and the average of the queue, since either can be far off.
     pub fn expect(&self, queue: &str, estimate: Duration, policy: &OrderPolicy) -> Duration {
-        let guess = if estimate.is_zero() { DEFAULT_ESTIMATE } else { estimate };
+        let estimate = if estimate.is_zero() { DEFAULT_ESTIMATE } else { estimate };
         match self.by_queue.get(queue) {
             Some((n, mean)) if *n >= policy.enough_ends => {
-                let guess = guess.as_secs_f64() * 1000.0;
-                Duration::from_secs_f64((guess * mean).sqrt() / 1000.0)
+                let estimate_ms = estimate.as_secs_f64() * 1000.0;
+                Duration::from_secs_f64((estimate_ms * mean).sqrt() / 1000.0)
             }
-            _ => guess,
+            _ => estimate,
         }
     }
 }
 
-/// Longest chain of work from a step on, that step included.
-pub fn critical_path_from(spec: &JobSpec, step: usize, took: &dyn Fn(usize) -> Duration) -> Duration {
-    // Steps wait only for earlier ones, so one pass from the end is enough.
-    let mut chains = vec![Duration::ZERO; spec.steps.len()];
+/// Length of the critical path that begins with `step`, including that step.
+pub fn critical_path_from(spec: &JobSpec, step: usize, duration: &dyn Fn(usize) -> Duration) -> Duration {
+    // Steps depend only on earlier ones, so one pass from the end is enough.
+    let mut lengths = vec![Duration::ZERO; spec.steps.len()];
     for n in (0..spec.steps.len()).rev() {
-        let behind = spec.steps.iter().enumerate().skip(n + 1);
-        let behind = behind.filter(|(_, s)| s.after.iter().any(|a| usize::from(*a) == n));
-        let longest = behind.map(|(m, _)| chains[m]).max().unwrap_or_default();
-        chains[n] = took(n) + longest;
+        let dependents = spec.steps.iter().enumerate().skip(n + 1);
+        let dependents = dependents.filter(|(_, s)| s.after.iter().any(|a| usize::from(*a) == n));
+        let longest = dependents.map(|(m, _)| lengths[m]).max().unwrap_or_default();
+        lengths[n] = duration(n) + longest;
     }
-    chains.get(step).copied().unwrap_or_default()
+    lengths.get(step).copied().unwrap_or_default()
 }
 
-/// Longest chain of work of a whole job.
-pub fn critical_path(spec: &JobSpec, took: &dyn Fn(usize) -> Duration) -> Duration {
-    (0..spec.steps.len()).map(|n| critical_path_from(spec, n, took)).max().unwrap_or_default()
+/// Length of the critical path of a whole job.
+pub fn critical_path(spec: &JobSpec, duration: &dyn Fn(usize) -> Duration) -> Duration {
+    (0..spec.steps.len()).map(|n| critical_path_from(spec, n, duration)).max().unwrap_or_default()
 }
 
-/// Where the tasks of a step stand, and when they will stand worse.
+/// Computes the queue position of a step's tasks, and the deadlines at which it gets worse.
 pub fn queue_position(
     job: &Job,
     id: &StepId,
     queue: Option<&QueueConfig>,
-    known: &TaskDurations,
+    durations: &TaskDurations,
     policy: &OrderPolicy,
     now: UnixMs,
 ) -> (QueuePosition, StartDeadlines) {
     let spec = &job.spec;
-    let took = |n: usize| {
+    let duration = |n: usize| {
         let step = &spec.steps[n];
-        known.expect(&spec.queue, step.estimate, policy) * job.sequential_batches(step)
+        durations.expect(&spec.queue, step.estimate, policy) * job.sequential_batches(step)
     };
-    let lasting = spec.steps.get(usize::from(id.step)).is_some_and(|s| s.long_running);
-    let begin = spec.accepted_at.max(spec.round_due_at(id.round));
-    let owed = allowed_time(spec, queue, &took);
-    let left = critical_path_from(spec, usize::from(id.step), &took).as_millis() as u64;
-    let end = begin + owed.as_millis() as u64;
-    let end_late = begin + owed.mul_f64(policy.late_until).as_millis() as u64;
-    let dues = if lasting {
-        StartDeadlines { available_at: begin, in_time_until: UnixMs::MAX, worthwhile_until: UnixMs::MAX }
+    let long_running = spec.steps.get(usize::from(id.step)).is_some_and(|s| s.long_running);
+    let available_at = spec.accepted_at.max(spec.round_due_at(id.round));
+    let allowed = allowed_time(spec, queue, &duration);
+    let path_left = critical_path_from(spec, usize::from(id.step), &duration).as_millis() as u64;
+    let deadline = available_at + allowed.as_millis() as u64;
+    let worthless_at = available_at + allowed.mul_f64(policy.late_until).as_millis() as u64;
+    let deadlines = if long_running {
+        StartDeadlines { available_at, in_time_until: UnixMs::MAX, worthwhile_until: UnixMs::MAX }
     } else {
         StartDeadlines {
-            available_at: begin,
-            in_time_until: end.saturating_sub(left),
-            worthwhile_until: end_late.saturating_sub(left),
+            available_at,
+            in_time_until: deadline.saturating_sub(path_left),
+            worthwhile_until: worthless_at.saturating_sub(path_left),
         }
     };
-    let standing = dues.timeliness_at(now);
-    let rank = match standing {
-        _ if lasting => 0,
-        Timeliness::InTime => dues.in_time_until,
-        Timeliness::Late | Timeliness::Worthless => begin,
+    let timeliness = deadlines.timeliness_at(now);
+    let order_key = match timeliness {
+        _ if long_running => 0,
+        Timeliness::InTime => deadlines.in_time_until,
+        Timeliness::Late | Timeliness::Worthless => available_at,
     };
-    let work = match standing {
-        _ if lasting => 0,
-        Timeliness::InTime => remaining_work(spec, usize::from(id.step), &took),
-        Timeliness::Late | Timeliness::Worthless => begin,
+    let work_key = match timeliness {
+        _ if long_running => 0,
+        Timeliness::InTime => remaining_work(spec, usize::from(id.step), &duration),
+        Timeliness::Late | Timeliness::Worthless => available_at,
     };
-    let (excess, owner) = (job.over_rate, spec.owner());
-    let place = QueuePosition {
+    let (over_rate, owner) = (job.over_rate, spec.owner());
+    let position = QueuePosition {
         priority: spec.priority,
-        timeliness: standing,
-        over_rate: excess,
-        order_key: rank,
+        timeliness,
+        over_rate,
+        order_key,
         step: *id,
         owner,
-        work_key: work,
+        work_key,
     };
-    (place, dues)
+    (position, deadlines)
 }
 
-/// The time that a job is owed within, from when it was handed in.
-fn allowed_time(spec: &JobSpec, queue: Option<&QueueConfig>, took: &dyn Fn(usize) -> Duration) -> Duration {
-    let (stretch, target) = queue.map_or((1.0, Duration::ZERO), |q| (q.deadline_factor, q.deadline_offset));
-    critical_path(spec, took).mul_f64(stretch) + target
+/// Time from the submission of a job to its deadline.
+fn allowed_time(
+    spec: &JobSpec,
+    queue: Option<&QueueConfig>,
+    duration: &dyn Fn(usize) -> Duration,
+) -> Duration {
+    let (factor, offset) = queue.map_or((1.0, Duration::ZERO), |q| (q.deadline_factor, q.deadline_offset));
+    critical_path(spec, duration).mul_f64(factor) + offset
 }
 
 /// Work of one round of a job, in core-milliseconds.
-pub fn round_work(spec: &JobSpec, took: &dyn Fn(usize) -> Duration) -> u64 {
-    remaining_work(spec, 0, took)
+pub fn round_work(spec: &JobSpec, duration: &dyn Fn(usize) -> Duration) -> u64 {
+    remaining_work(spec, 0, duration)
 }
 
-/// Work of a step and those that come after it, in core-milliseconds.
-fn remaining_work(spec: &JobSpec, step: usize, took: &dyn Fn(usize) -> Duration) -> u64 {
+/// Work of a step and of all later steps, in core-milliseconds.
+fn remaining_work(spec: &JobSpec, step: usize, duration: &dyn Fn(usize) -> Duration) -> u64 {
     let steps = spec.steps.iter().enumerate().skip(step);
-    steps.map(|(n, s)| u64::from(s.count) * s.resources.cpu_millis * took(n).as_millis() as u64 / 1000).sum()
+    steps
+        .map(|(n, s)| u64::from(s.count) * s.resources.cpu_millis * duration(n).as_millis() as u64 / 1000)
+        .sum()
 }
