--- a/crates/workswood-core/src/jobs/task_queue.rs
+++ b/crates/workswood-core/src/jobs/task_queue.rs
@@ -1,8 +1,8 @@
-//! Tasks of one service that wait for a worker, by steps.
+//! The queue of tasks of one service that wait for a worker.
 //!
-//! Tasks of a step are alike: they ask for the same room and stand alike. So a step
-//! has one place in the queue however many of its tasks wait, and what all of them
-//! ask for is a sum that is kept.
+//! Tasks of one step request the same resources and have the same deadline, so a step takes a
+//! single position in the queue, and the totals of all waiting tasks are kept up to date as steps
+//! change.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,28 +18,27 @@
 struct WaitingStep {
     position: QueuePosition,
     deadlines: StartDeadlines,
-    /// Room that each task asks for.
-    room: Resources,
-    /// Numbers of the tasks.
+    /// Resources that each task requests.
+    resources: Resources,
+    /// Indexes of the waiting tasks.
     tasks: BTreeSet<u32>,
 }
 
-/// What waiting tasks ask for.
+/// Number and total resources of waiting tasks.
 #[derive(Clone, Copy, Debug, Default)]
 struct TaskTotals {
     tasks: usize,
-    room: Resources,
+    resources: Resources,
 }
 
-/// A place, in the order of the work that is left.
+/// A position ordered by remaining work instead of by deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ByRemainingWork(QueuePosition);
 
 impl ByRemainingWork {
     fn key(&self) -> impl Ord {
-        let QueuePosition { priority, timeliness: standing, over_rate: excess, work_key: work, step, .. } =
-            self.0;
-        (priority, standing, excess, work, step)
+        let QueuePosition { priority, timeliness, over_rate, work_key, step, .. } = self.0;
+        (priority, timeliness, over_rate, work_key, step)
     }
 }
 
@@ -64,72 +63,73 @@
     late: TaskTotals,
 }
 
-/// Tasks of one service that wait for a worker.
+/// Tasks of one service that wait for a worker, grouped by step.
 #[derive(Debug, Default)]
 pub struct TaskQueue {
     by_position: BTreeSet<QueuePosition>,
     by_owner: BTreeMap<Owner, OwnerQueue>,
     steps: BTreeMap<StepId, WaitingStep>,
-    /// When steps stand worse.
+    /// The last moment at which each step keeps its timeliness.
     downgrade_at: BTreeSet<(UnixMs, StepId)>,
 }
 
 impl TaskQueue {
-    /// Adds tasks of a step, which all take this place; each asks for so much room.
+    /// Adds tasks of a step and moves the whole step to `position`. Each task requests `resources`.
     pub fn insert(
         &mut self,
-        place: QueuePosition,
-        dues: StartDeadlines,
-        room: Resources,
+        position: QueuePosition,
+        deadlines: StartDeadlines,
+        resources: Resources,
         tasks: impl IntoIterator<Item = u32>,
     ) {
-        let before = self.take_step(&place.step);
-        let mut all = before.map(|s| s.tasks).unwrap_or_default();
+        let earlier = self.take_step(&position.step);
+        let mut all = earlier.map(|s| s.tasks).unwrap_or_default();
         all.extend(tasks);
-        self.put_step(WaitingStep { position: place, deadlines: dues, room, tasks: all });
+        self.put_step(WaitingStep { position, deadlines, resources, tasks: all });
     }
 
-    /// Takes a task out.
+    /// Removes a task.
     pub fn remove(&mut self, task: &TaskId) {
         let step = task.step_id();
         let Some(s) = self.steps.get_mut(&step) else { return };
         if !s.tasks.remove(&task.index) {
             return;
         }
-        let (place, room, empty) = (s.position, s.room, s.tasks.is_empty());
-        if let Some(queue) = self.by_owner.get_mut(&place.owner) {
-            queue.totals_mut(place.timeliness).remove(1, &room);
+        let (position, resources, empty) = (s.position, s.resources, s.tasks.is_empty());
+        if let Some(queue) = self.by_owner.get_mut(&position.owner) {
+            queue.totals_mut(position.timeliness).remove(1, &resources);
         }
         if empty {
             self.take_step(&step);
         }
     }
 
-    /// Takes all tasks of a step out.
+    /// Removes all tasks of a step.
     pub fn remove_step(&mut self, step: &StepId) {
         self.take_step(step);
     }
 
-    /// Whether nothing waits.
+    /// Whether no task waits.
     pub fn is_empty(&self) -> bool {
         self.by_position.is_empty()
     }
 
-    /// How many tasks wait.
+    /// Number of waiting tasks.
     pub fn count(&self) -> usize {
         self.by_owner.values().map(|q| q.in_time.tasks + q.late.tasks).sum()
     }
 
-    /// Room that is waited for: by tasks whose job can be in time, and by others.
+    /// Resources requested by tasks whose job can still be in time, and by all others.
     pub fn requested(&self) -> (Resources, Resources) {
         self.requested_within(|_| None)
     }
 
-    /// Likewise, of each owner no more than what it may still use, if that is limited.
+    /// Like [`TaskQueue::requested`], but counts for each owner at most what it may still use;
+    /// `left` is `None` for an owner without a limit.
     pub fn requested_within(&self, left: impl Fn(Owner) -> Option<Resources>) -> (Resources, Resources) {
         let (mut in_time, mut late) = (Resources::default(), Resources::default());
         for (owner, queue) in &self.by_owner {
-            let (first, second) = (queue.in_time.room, queue.late.room);
+            let (first, second) = (queue.in_time.resources, queue.late.resources);
             let Some(left) = left(*owner) else {
                 in_time.add(&first);
                 late.add(&second);
@@ -142,55 +142,56 @@
         (in_time, late)
     }
 
-    /// Places of steps in their order.
+    /// Positions of all steps, most urgent first.
     pub fn positions(&self) -> impl Iterator<Item = &QueuePosition> {
         self.by_position.iter()
     }
 
-    /// The step that comes after a place, or the first one.
-    pub fn next_after(&self, place: Option<&QueuePosition>) -> Option<QueuePosition> {
-        let from = place.map_or(Bound::Unbounded, Bound::Excluded);
+    /// The position that follows `position`, or the first one.
+    pub fn next_after(&self, position: Option<&QueuePosition>) -> Option<QueuePosition> {
+        let from = position.map_or(Bound::Unbounded, Bound::Excluded);
         self.by_position.range((from, Bound::Unbounded)).next().copied()
     }
 
-    /// The step of an owner that comes after a place in an order, or its first one.
+    /// The position of the owner's step that follows `position` in the given order, or its first
+    /// one.
     pub fn next_of_owner(
         &self,
         owner: Owner,
-        place: Option<&QueuePosition>,
-        rank: QueueOrder,
+        position: Option<&QueuePosition>,
+        order: QueueOrder,
     ) -> Option<QueuePosition> {
         let queue = self.by_owner.get(&owner)?;
-        match rank {
+        match order {
             QueueOrder::EarliestDeadline => {
-                let from = place.map_or(Bound::Unbounded, Bound::Excluded);
+                let from = position.map_or(Bound::Unbounded, Bound::Excluded);
                 queue.by_position.range((from, Bound::Unbounded)).next().copied()
             }
             QueueOrder::LeastWork => {
-                let from = place.map_or(Bound::Unbounded, |p| Bound::Excluded(ByRemainingWork(*p)));
+                let from = position.map_or(Bound::Unbounded, |p| Bound::Excluded(ByRemainingWork(*p)));
                 queue.by_work.range((from, Bound::Unbounded)).next().map(|p| p.0)
             }
         }
     }
 
-    /// Owners of what waits.
+    /// Owners that have waiting tasks.
     pub fn owners(&self) -> impl Iterator<Item = Owner> {
         self.by_owner.keys().copied()
     }
 
-    /// Waiting tasks of a step, the first by number first.
+    /// Waiting tasks of a step, by index.
     pub fn tasks_of(&self, step: &StepId) -> impl Iterator<Item = TaskId> {
         let tasks = self.steps.get(step).into_iter().flat_map(|s| &s.tasks);
         tasks.map(|index| step.task(*index))
     }
 
-    /// Moves steps back that stand worse by now.
+    /// Moves steps whose timeliness has become worse to their new position.
     pub fn downgrade_overdue(&mut self, now: UnixMs) {
         while let Some((_, step)) = self.downgrade_at.first().copied().filter(|(at, _)| *at < now) {
             let Some(mut s) = self.take_step(&step) else { return };
-            let (standing, begin) = (s.deadlines.timeliness_at(now), s.deadlines.available_at);
+            let (timeliness, available_at) = (s.deadlines.timeliness_at(now), s.deadlines.available_at);
             s.position =
-                QueuePosition { timeliness: standing, order_key: begin, work_key: begin, ..s.position };
+                QueuePosition { timeliness, order_key: available_at, work_key: available_at, ..s.position };
             self.put_step(s);
         }
     }
@@ -204,7 +205,7 @@
         let queue = self.by_owner.entry(s.position.owner).or_default();
         queue.by_position.insert(s.position);
         queue.by_work.insert(ByRemainingWork(s.position));
-        queue.totals_mut(s.position.timeliness).add(s.tasks.len(), &s.room);
+        queue.totals_mut(s.position.timeliness).add(s.tasks.len(), &s.resources);
         self.steps.insert(s.position.step, s);
     }
 
@@ -217,7 +218,7 @@
         if let Some(queue) = self.by_owner.get_mut(&s.position.owner) {
             queue.by_position.remove(&s.position);
             queue.by_work.remove(&ByRemainingWork(s.position));
-            queue.totals_mut(s.position.timeliness).remove(s.tasks.len(), &s.room);
+            queue.totals_mut(s.position.timeliness).remove(s.tasks.len(), &s.resources);
             if queue.by_position.is_empty() {
                 self.by_owner.remove(&s.position.owner);
             }
@@ -227,8 +228,8 @@
 }
 
 impl OwnerQueue {
-    fn totals_mut(&mut self, standing: Timeliness) -> &mut TaskTotals {
-        match standing {
+    fn totals_mut(&mut self, timeliness: Timeliness) -> &mut TaskTotals {
+        match timeliness {
             Timeliness::InTime => &mut self.in_time,
             Timeliness::Late | Timeliness::Worthless => &mut self.late,
         }
@@ -236,7 +237,7 @@
 }
 
 impl WaitingStep {
-    /// The last moment at which it stands as it does.
+    /// The last moment at which the step keeps its timeliness.
     fn downgrade_at(&self) -> Option<UnixMs> {
         match self.position.timeliness {
             Timeliness::InTime => Some(self.deadlines.in_time_until),
@@ -247,13 +248,13 @@
 }
 
 impl TaskTotals {
-    fn add(&mut self, tasks: usize, room: &Resources) {
+    fn add(&mut self, tasks: usize, resources: &Resources) {
         self.tasks += tasks;
-        self.room.add(&room.times(tasks as u64));
+        self.resources.add(&resources.times(tasks as u64));
     }
 
-    fn remove(&mut self, tasks: usize, room: &Resources) {
+    fn remove(&mut self, tasks: usize, resources: &Resources) {
         self.tasks -= tasks;
-        self.room = self.room.minus(&room.times(tasks as u64));
+        self.resources = self.resources.minus(&resources.times(tasks as u64));
     }
 }
