--- a/crates/workswood-core/src/jobs/spec.rs
+++ b/crates/workswood-core/src/jobs/spec.rs
@@ -1,4 +1,4 @@
-//! What callers ask for.
+//! The specification of a job as its caller submits it, and its validation.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,38 +11,39 @@
 use super::workspace_usage::Reservation;
 use crate::ids::{Rack, ServiceId, UnixMs, WorkspaceId};
 
-/// Number of a job, chosen by its caller; shown as 16 hex digits.
+/// Key of a job, chosen by its caller; written as 16 hex digits.
 pub type JobKey = u64;
 /// Name of a queue.
 pub type QueueId = String;
 
-/// Most tasks of one round of a job. Bounds the memory a single job can take.
+/// Most tasks of one round of a job. Bounds the memory that a single job takes.
 pub const MAX_TASKS_PER_ROUND: u64 = 10_000;
-/// Most tasks of all rounds of a job: its state is one record of the store,
-/// which takes 256 KB, and a task takes about ten bytes of it.
+/// Most tasks of all rounds of a job together, so that the state of the job fits into one record of
+/// the store, which holds 256 KB.
 pub const MAX_TASKS: u64 = 20_000;
-/// Longest estimate of a task. Times are reckoned in milliseconds with factors
-/// of up to some thousands, and must not overflow.
+/// Longest estimate of a task. Keeps times in milliseconds from overflowing when they are
+/// multiplied.
 pub const MAX_ESTIMATE: Duration = Duration::from_secs(30 * 24 * 3600);
 /// Most steps of a job; step numbers are stored in 16 bits.
 pub const MAX_STEPS: usize = 1_000;
 
-/// Amounts of each kind of resource: what a task asks for, or what a worker has.
+/// Amounts of processor, memory and accelerators: the request of a task, or the capacity of a
+/// worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Thousandths of a core.
+    /// Processor, in thousandths of a core.
     #[serde(default, rename = "c")]
     pub cpu_millis: u64,
     /// Memory in MB.
     #[serde(default, rename = "m")]
     pub mem_mb: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(default, rename = "g")]
     pub gpus: u64,
 }
 
 impl Resources {
-    /// Whether `other` fits in here.
+    /// Whether `other` fits into these resources.
     pub fn contains(&self, other: &Resources) -> bool {
         other.cpu_millis <= self.cpu_millis && other.mem_mb <= self.mem_mb && other.gpus <= self.gpus
     }
@@ -54,7 +55,7 @@
         self.gpus += other.gpus;
     }
 
-    /// The least room that holds both.
+    /// The larger amount of each kind.
     pub fn max(&self, other: &Resources) -> Resources {
         Resources {
             cpu_millis: self.cpu_millis.max(other.cpu_millis),
@@ -63,7 +64,7 @@
         }
     }
 
-    /// What both hold.
+    /// The smaller amount of each kind.
     pub fn min(&self, other: &Resources) -> Resources {
         Resources {
             cpu_millis: self.cpu_millis.min(other.cpu_millis),
@@ -72,13 +73,13 @@
         }
     }
 
-    /// This room so many times.
+    /// Each amount multiplied by `count`.
     pub fn times(&self, count: u64) -> Resources {
         let times = |n: u64| n.saturating_mul(count);
         Resources { cpu_millis: times(self.cpu_millis), mem_mb: times(self.mem_mb), gpus: times(self.gpus) }
     }
 
-    /// What is left after taking `other` out; nothing goes below zero.
+    /// Each amount less that of `other`, but not below zero.
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
             cpu_millis: self.cpu_millis.saturating_sub(other.cpu_millis),
@@ -88,128 +89,126 @@
     }
 }
 
-/// One step of a job: `count` like tasks.
+/// One step of a job: `count` identical tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StepSpec {
-    /// How many tasks.
+    /// Number of tasks.
     pub count: u32,
-    /// Room that each task asks for.
+    /// Resources that each task requests.
     #[serde(rename = "room")]
     pub resources: Resources,
-    /// Rough guess of how long a task takes.
+    /// The caller's rough estimate of how long a task takes; zero for none.
     #[serde(default)]
     pub estimate: Duration,
-    /// Numbers of the steps that must be done before.
+    /// Numbers of the steps that must be done before this one starts.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub after: Vec<u16>,
-    /// Whether progress survives a stop.
+    /// Whether a task continues from its latest checkpoint after a stop.
     #[serde(default)]
     pub checkpointing: bool,
     /// Whether all tasks must run at the same time.
     #[serde(default)]
     pub gang: bool,
-    /// Whether the tasks are faster together in one rack. The scheduler does not
-    /// read it yet.
+    /// Whether the tasks run faster within one rack. The scheduler ignores it.
     #[serde(default)]
     pub same_rack: bool,
-    /// Label that the worker must carry.
+    /// Label that a worker must have to run the tasks.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub label: Option<String>,
-    /// Rack that holds the data.
+    /// Rack that holds the input data; workers in it are preferred.
     #[serde(default, rename = "near", skip_serializing_if = "Option::is_none")]
     pub data_rack: Option<Rack>,
-    /// Most tasks of the step on one worker; 0 for no limit.
+    /// Most tasks of the step on one worker at a time; 0 for no limit.
     #[serde(default, rename = "most_per_worker")]
     pub max_per_worker: u32,
-    /// Whether copies of a task may run at the same time. The scheduler begins
-    /// none by itself yet.
+    /// Whether several runs of a task may exist at the same time. The scheduler starts no such
+    /// copies.
     #[serde(default)]
     pub speculative: bool,
     /// Whether the tasks run until the job is cancelled.
     #[serde(default, rename = "lasting")]
     pub long_running: bool,
-    /// What the tasks run; tasks of one image behave alike. The scheduler does
-    /// not read it yet.
+    /// Image that the tasks run. The scheduler ignores it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub image: Option<String>,
-    /// Bound on the slow answers of a lasting task that serves users.
+    /// Latency target of a long-running task that serves users.
     #[serde(default, rename = "target", skip_serializing_if = "Option::is_none")]
     pub latency_target: Option<Duration>,
-    /// Whether the tasks live on processor time that others leave unused.
+    /// Whether the tasks run only on processor time that other tasks leave unused.
     #[serde(default, rename = "fills")]
     pub best_effort: bool,
-    /// How many tasks of a lasting step may be away at once by our doing.
+    /// How many tasks of a long-running step the scheduler may make unavailable at once.
     #[serde(default, rename = "may_miss")]
     pub max_unavailable: u32,
 }
 
 impl StepSpec {
-    /// The room that a task takes from a worker's capacity.
+    /// Resources that a task reserves on its worker. A best-effort task reserves no processor.
     pub fn reserved_resources(&self) -> Resources {
         if self.best_effort { Resources { cpu_millis: 0, ..self.resources } } else { self.resources }
     }
 }
 
-/// When the steps of a job run again and again.
+/// Schedule of a job whose steps run in several rounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Repeat {
-    /// How many rounds.
+    /// Number of rounds.
     pub count: u32,
     /// When the first round is due.
     #[serde(rename = "start")]
     pub first_due_at: UnixMs,
-    /// Time between the starts of two rounds.
+    /// Time between the due times of two rounds.
     #[serde(rename = "every")]
     pub interval: Duration,
 }
 
-/// A job as handed in.
+/// A job as submitted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The queue it was handed in to.
+    /// The queue that the job was submitted to.
     pub queue: QueueId,
-    /// The service whose workers run it.
+    /// The service whose workers run its tasks.
     pub service: ServiceId,
-    /// The workspace whose it is; none if its queue is open to all.
+    /// The workspace that owns the job; `None` if its queue is open to all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub workspace: Option<WorkspaceId>,
-    /// Urgency of its queue when it was accepted; 0 is the most urgent.
+    /// Priority of its queue when the job was accepted; 0 is the most urgent.
     #[serde(default)]
     pub priority: u32,
-    /// How many failed runs a task may have.
+    /// Number of failed runs of a task, or of a gang together, that fails the job.
     pub max_attempts: u32,
-    /// Text that is passed to every task.
+    /// Input that is passed to every task.
     pub text: Arc<str>,
-    /// Its steps.
+    /// The steps of the job; each may depend on earlier ones.
     pub steps: Vec<StepSpec>,
-    /// Rounds, if it has any.
+    /// Schedule of the rounds; `None` for a job that runs once.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeat: Option<Repeat>,
-    /// When an entry accepted it.
+    /// When an entry accepted the job.
     #[serde(rename = "accepted")]
     pub accepted_at: UnixMs,
 }
 
 impl JobSpec {
-    /// Whose it is.
+    /// The owner of the job.
     pub fn owner(&self) -> Owner {
         Owner::of_workspace(self.workspace.as_deref())
     }
 
-    /// What a task of one of its steps takes of a worker, and of its workspace's limit.
+    /// Resources that a task of `step` reserves on its worker and is charged for.
     pub fn reservation(&self, step: &StepSpec) -> Reservation {
         Reservation { resources: step.reserved_resources(), charged: step.resources, owner: self.owner() }
     }
 
-    /// Room that holds any of its tasks.
+    /// The least resources that hold any one of its tasks.
     pub fn max_task_resources(&self) -> Resources {
         self.steps
             .iter()
             .map(StepSpec::reserved_resources)
-            .fold(Resources::default(), |most, room| most.max(&room))
+            .fold(Resources::default(), |largest, resources| largest.max(&resources))
     }
 
-    /// Checks what the scheduler relies on.
+    /// Checks the bounds and dependencies that the scheduler relies on.
     pub fn validate(&self) -> Result<(), String> {
         if self.steps.is_empty() {
             return Err("a job needs at least one step".to_string());
@@ -238,12 +237,12 @@
         Ok(())
     }
 
-    /// How many rounds the job has.
+    /// Number of rounds; at least 1.
     pub fn round_count(&self) -> u32 {
         self.repeat.map_or(1, |r| r.count.max(1))
     }
 
-    /// When a round is due.
+    /// When a round is due; 0 for a job without a schedule.
     pub fn round_due_at(&self, round: u32) -> UnixMs {
         self.repeat.map_or(0, |r| r.first_due_at + u64::from(round) * r.interval.as_millis() as u64)
     }
@@ -254,30 +253,30 @@
     }
 }
 
-/// Name of a task.
+/// ID of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
-    /// Its job.
+    /// The job.
     pub job: JobKey,
     /// Round of the job.
     pub round: u32,
     /// Step of the job.
     pub step: u16,
-    /// Number within the step.
+    /// Index of the task within its step.
     pub index: u32,
 }
 
 impl TaskId {
-    /// The step that it belongs to, in its round.
+    /// The step that the task belongs to, in its round.
     pub fn step_id(&self) -> StepId {
         StepId { job: self.job, round: self.round, step: self.step }
     }
 }
 
-/// Name of a step in one round of its job.
+/// ID of a step in one round of its job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StepId {
-    /// Its job.
+    /// The job.
     pub job: JobKey,
     /// Round of the job.
     pub round: u32,
@@ -286,7 +285,7 @@
 }
 
 impl StepId {
-    /// A task of the step, by its number.
+    /// The task of this step with the given index.
     pub fn task(&self, index: u32) -> TaskId {
         TaskId { job: self.job, round: self.round, step: self.step, index }
     }
@@ -319,12 +318,12 @@
     }
 }
 
-/// Reads the 16 hex digits of a job.
+/// Parses a job key from its 16 hex digits.
 pub fn parse_job_key(s: &str) -> Option<JobKey> {
     if s.len() != 16 { None } else { u64::from_str_radix(s, 16).ok() }
 }
 
-/// The 16 hex digits of a job.
+/// Formats a job key as 16 hex digits.
 pub fn format_job_key(job: JobKey) -> String {
     format!("{job:016x}")
 }
