--- a/crates/workswood-core/src/jobs/fair_share.rs
+++ b/crates/workswood-core/src/jobs/fair_share.rs
@@ -1,49 +1,49 @@
-//! Who sends more than its share, and whose turn it is when all is full.
+//! Fair shares of workspaces: which jobs exceed the guaranteed rate, and how owners compare when
+//! resources are short.
 
 use super::spec::Resources;
 use super::stable_map::StableMap;
 use super::workspace::Owner;
 use crate::ids::UnixMs;
 
-/// Jobs may come so much ahead of a workspace's rate: callers send in gusts of some hundred
-/// milliseconds, and a share is declared in jobs a second.
+/// Burst allowance in seconds of the guaranteed rate: callers submit jobs in short bursts.
 const BURST_S: f64 = 1.0;
 
-/// Jobs that an owner may still send, and when that was.
+/// Token bucket with one token for each job that the owner may submit.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
     tokens: f64,
     refilled_at: UnixMs,
 }
 
-/// What each owner has sent lately, against its share.
+/// Submission rate of each owner against its guaranteed rate.
 #[derive(Clone, Debug, Default)]
 pub struct SubmissionRates(StableMap<Owner, TokenBucket>);
 
 impl SubmissionRates {
-    /// Takes in a job that was accepted at a time; `weight` is its owner's share in jobs a second.
-    /// Returns whether it is beyond that share.
-    pub fn exceeds_rate(&mut self, owner: Owner, weight: Option<f64>, at: UnixMs) -> bool {
-        let Some(weight) = weight.filter(|w| *w > 0.0) else { return false };
-        let most = (weight * BURST_S).max(1.0);
-        let bucket = self.0.entry(owner).or_insert(TokenBucket { tokens: most, refilled_at: at });
-        let passed = at.saturating_sub(bucket.refilled_at) as f64 / 1000.0;
-        bucket.tokens = (bucket.tokens + passed * weight).min(most);
+    /// Records a job that was accepted at `at`, and returns whether it exceeds the guaranteed rate
+    /// of its owner, `jobs_per_s`. Without a rate, no job does.
+    pub fn exceeds_rate(&mut self, owner: Owner, jobs_per_s: Option<f64>, at: UnixMs) -> bool {
+        let Some(jobs_per_s) = jobs_per_s.filter(|rate| *rate > 0.0) else { return false };
+        let max_tokens = (jobs_per_s * BURST_S).max(1.0);
+        let bucket = self.0.entry(owner).or_insert(TokenBucket { tokens: max_tokens, refilled_at: at });
+        let elapsed_s = at.saturating_sub(bucket.refilled_at) as f64 / 1000.0;
+        bucket.tokens = (bucket.tokens + elapsed_s * jobs_per_s).min(max_tokens);
         bucket.refilled_at = bucket.refilled_at.max(at);
-        let excess = bucket.tokens < 1.0;
-        if !excess {
+        let exceeds = bucket.tokens < 1.0;
+        if !exceeds {
             bucket.tokens -= 1.0;
         }
-        excess
+        exceeds
     }
 }
 
-/// What an owner has at work by its share, for comparing: the processor is what is short. What
-/// nobody owns goes first; it is not counted.
-pub fn weighted_usage(owner: Owner, at_work: &Resources, weight: Option<f64>) -> u64 {
+/// CPU in use by an owner, divided by its guaranteed rate, to compare owners by. Jobs without an
+/// owner are not counted, so they compare as the lowest.
+pub fn weighted_usage(owner: Owner, in_use: &Resources, jobs_per_s: Option<f64>) -> u64 {
     if owner.is_public() {
         return 0;
     }
-    let weight = weight.filter(|w| *w > 0.0).unwrap_or(1.0);
-    (at_work.cpu_millis as f64 / weight) as u64
+    let weight = jobs_per_s.filter(|rate| *rate > 0.0).unwrap_or(1.0);
+    (in_use.cpu_millis as f64 / weight) as u64
 }
--- a/crates/workswood-core/src/jobs/workspace.rs
+++ b/crates/workswood-core/src/jobs/workspace.rs
@@ -1,7 +1,7 @@
-//! Workspaces: teams that share the services, each known by its keys.
+//! Workspaces: teams that share the services, each identified by its API keys.
 //!
-//! Keys are secrets. They are kept as digests, are never shown, and are told from each other by
-//! their digests, so that the time it takes says nothing of how much of a guess was right.
+//! Keys are secrets, so only their digests are kept. Lookup compares digests, so that its timing
+//! does not reveal how much of a guessed key is right.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
@@ -12,48 +12,49 @@
 use super::spec::Resources;
 use crate::ids::WorkspaceId;
 
-/// Whose a job is: a number made from the name of its workspace, so that every entry and
-/// each version of the configuration come to the same one.
+/// Owner of a job: a hash of the name of its workspace, so that it is the same on every entry and
+/// in every version of the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Owner(u64);
 
 impl Owner {
-    /// Nobody's: its queue is open to all.
+    /// The owner of jobs without a workspace, whose queue is open to all.
     pub const PUBLIC: Owner = Owner(0);
 
-    /// The owner of a workspace's jobs.
+    /// The owner of a workspace's jobs; [`Owner::PUBLIC`] without a workspace.
     pub fn of_workspace(workspace: Option<&str>) -> Owner {
         workspace.map_or(Owner::PUBLIC, |name| Owner(xxh3_64(name.as_bytes()).max(1)))
     }
 
-    /// The owner with a number, as it was stored.
+    /// Restores an owner from its stored number.
     pub fn from_number(number: u64) -> Owner {
         Owner(number)
     }
 
-    /// Its number; 0 for nobody.
+    /// The number that is stored for the owner; 0 for [`Owner::PUBLIC`].
     pub fn number(self) -> u64 {
         self.0
     }
 
-    /// Whether it is nobody.
+    /// Whether this is [`Owner::PUBLIC`].
     pub fn is_public(self) -> bool {
         self == Owner::PUBLIC
     }
 }
 
-/// What operators declare of a workspace.
+/// The configuration of a workspace.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: WorkspaceId,
-    /// Jobs a second that it may count on; its share when all is full.
+    /// Guaranteed submission rate in jobs a second; also its weight for fair sharing under
+    /// overload.
     pub jobs_per_s: f64,
-    /// What it may have at work over all services; what is 0 has no limit.
+    /// Limit on the resources that it uses over all services; an amount of 0 means no limit.
     pub limit: Resources,
 }
 
-/// Keys that are in force, and whose each is.
+/// Digests of all valid API keys, with the workspace of each.
 #[derive(Clone, Default, PartialEq)]
 pub struct ApiKeys(HashMap<[u8; 32], WorkspaceId>);
 
@@ -69,19 +70,19 @@
         self.0.insert(Sha256::digest(key).into(), workspace.to_string());
     }
 
-    /// The workspace whose key this is.
+    /// The workspace that a key belongs to, if the key is valid.
     pub fn workspace(&self, key: &str) -> Option<&WorkspaceId> {
         let digest: [u8; 32] = Sha256::digest(key).into();
         self.0.get(&digest)
     }
 }
 
-/// Workspaces in force.
+/// All configured workspaces.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Workspaces {
-    /// By the owner of their jobs.
+    /// Workspaces by the owner of their jobs.
     pub by_owner: BTreeMap<Owner, Workspace>,
-    /// Their keys.
+    /// API keys of all workspaces.
     pub keys: ApiKeys,
 }
 
@@ -92,12 +93,12 @@
         self.by_owner.insert(Owner::of_workspace(Some(&workspace.name)), workspace);
     }
 
-    /// What an owner's jobs may have at work; what is 0 has no limit.
+    /// Limit on the resources that an owner uses; an amount of 0 means no limit.
     pub fn limit(&self, owner: Owner) -> Resources {
         self.by_owner.get(&owner).map(|w| w.limit).unwrap_or_default()
     }
 
-    /// Jobs a second that an owner may count on; `None` if nothing is declared.
+    /// Guaranteed submission rate of an owner in jobs a second; `None` if it is not configured.
     pub fn jobs_per_s(&self, owner: Owner) -> Option<f64> {
         self.by_owner.get(&owner).map(|w| w.jobs_per_s)
     }
--- a/crates/workswood-core/src/jobs/workspace_usage.rs
+++ b/crates/workswood-core/src/jobs/workspace_usage.rs
@@ -1,86 +1,85 @@
-//! What each workspace has at work, over all services, against what it may.
+//! Resources that each workspace uses, over all services, and the check against its limits.
 //!
-//! An account is told of each run that may exist on some worker, from when its start is decided
-//! until it is known to be over. So it counts what runs, what is being stopped, what was ordered
-//! and not answered, what an earlier lease holder ordered, and what a worker may run
-//! that is cut off.
+//! A run counts from the decision to start it until it is known to be over. So the usage includes
+//! runs that are being stopped, starts that are not answered yet, starts of an earlier lease
+//! holder, and whatever an unreachable worker may still run.
 
 use super::spec::Resources;
 use super::stable_map::StableMap;
 use super::workspace::Owner;
 
-/// Room that a run takes of its worker, and that is charged to its workspace.
+/// Resources that a run reserves on its worker, and that are charged to its workspace.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reservation {
-    /// Room that it takes of its worker's.
+    /// Resources reserved on the worker.
     pub resources: Resources,
-    /// Room that it is charged for: that of tasks which live on what others leave unused
-    /// counts in full.
+    /// Resources charged to the workspace. Best-effort tasks are charged in full.
     pub charged: Resources,
-    /// Whose it is.
+    /// The owner of the job.
     pub owner: Owner,
 }
 
 impl From<Resources> for Reservation {
-    /// A run of nobody's.
-    fn from(room: Resources) -> Reservation {
-        Reservation { resources: room, charged: room, owner: Owner::PUBLIC }
+    /// Reserves resources for a run without an owner.
+    fn from(resources: Resources) -> Reservation {
+        Reservation { resources, charged: resources, owner: Owner::PUBLIC }
     }
 }
 
-/// A run that began to exist, or is over.
+/// A change of the reservations on a worker.
 #[derive(Clone, Copy, Debug)]
 pub enum UsageChange {
-    /// It may exist from now on.
+    /// A run may exist from now on.
     Reserved(Reservation),
-    /// It is over.
+    /// A run is over.
     Released(Reservation),
 }
 
-/// What each owner has at work.
+/// Resources in use by each owner.
 #[derive(Clone, Debug, Default)]
 pub struct WorkspaceUsage(StableMap<Owner, Resources>);
 
 impl WorkspaceUsage {
-    /// Takes a change in.
+    /// Applies a change.
     pub fn apply(&mut self, change: UsageChange) {
         match change {
-            UsageChange::Reserved(held) if !held.owner.is_public() => {
-                self.0.entry(held.owner).or_default().add(&held.charged);
+            UsageChange::Reserved(reservation) if !reservation.owner.is_public() => {
+                self.0.entry(reservation.owner).or_default().add(&reservation.charged);
             }
-            UsageChange::Released(held) => {
-                let Some(at_work) = self.0.get_mut(&held.owner) else { return };
-                *at_work = at_work.minus(&held.charged);
+            UsageChange::Released(reservation) => {
+                let Some(in_use) = self.0.get_mut(&reservation.owner) else { return };
+                *in_use = in_use.minus(&reservation.charged);
             }
             UsageChange::Reserved(_) => {}
         }
     }
 
-    /// What an owner has at work.
+    /// Resources in use by an owner.
     pub fn in_use(&self, owner: Owner) -> Resources {
         self.0.get(&owner).copied().unwrap_or_default()
     }
 
-    /// What each owner has at work, in no order.
+    /// Resources in use by each owner, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (Owner, Resources)> {
-        self.0.iter().map(|(owner, room)| (*owner, *room))
+        self.0.iter().map(|(owner, resources)| (*owner, *resources))
     }
 }
 
-/// Whether one more task may begin of an owner that has so much at work.
+/// Whether an owner that uses `in_use` may start one more task under its limit.
 ///
-/// One that is under half of its limit is not kept from it by the size of a task: a task
-/// larger than the limit would never begin.
-pub fn within_limit(at_work: &Resources, limit: &Resources, task: &Resources) -> bool {
-    let within = |used: u64, most: u64, more: u64| most == 0 || used + more <= most || used * 2 < most;
-    within(at_work.cpu_millis, limit.cpu_millis, task.cpu_millis)
-        && within(at_work.mem_mb, limit.mem_mb, task.mem_mb)
-        && within(at_work.gpus, limit.gpus, task.gpus)
+/// An owner that uses less than half of its limit may start a task of any size; otherwise a task
+/// larger than the limit could never start.
+pub fn within_limit(in_use: &Resources, limit: &Resources, task: &Resources) -> bool {
+    let within =
+        |used: u64, limit: u64, requested: u64| limit == 0 || used + requested <= limit || used * 2 < limit;
+    within(in_use.cpu_millis, limit.cpu_millis, task.cpu_millis)
+        && within(in_use.mem_mb, limit.mem_mb, task.mem_mb)
+        && within(in_use.gpus, limit.gpus, task.gpus)
 }
 
-/// The largest share of its limit that an owner uses of any kind of room; 0 without a limit.
-pub fn limit_utilization(at_work: &Resources, limit: &Resources) -> f64 {
-    let share = |used: u64, most: u64| if most == 0 { 0.0 } else { used as f64 / most as f64 };
-    let cpu = share(at_work.cpu_millis, limit.cpu_millis);
-    cpu.max(share(at_work.mem_mb, limit.mem_mb)).max(share(at_work.gpus, limit.gpus))
+/// The highest fraction of its limit that an owner uses of any kind of resource; 0 without a limit.
+pub fn limit_utilization(in_use: &Resources, limit: &Resources) -> f64 {
+    let fraction = |used: u64, limit: u64| if limit == 0 { 0.0 } else { used as f64 / limit as f64 };
+    let cpu = fraction(in_use.cpu_millis, limit.cpu_millis);
+    cpu.max(fraction(in_use.mem_mb, limit.mem_mb)).max(fraction(in_use.gpus, limit.gpus))
 }
