--- a/crates/workswood-core/src/jobs/pacing.rs
+++ b/crates/workswood-core/src/jobs/pacing.rs
@@ -1,9 +1,8 @@
-//! How tasks that serve users and tasks that fill share a worker.
+//! Throttling of best-effort tasks that share a worker with tasks that have a latency target.
 //!
-//! What fills slows what serves, by amounts that are known only from the
-//! rough figures of the latest look. Filling tasks are slowed down quickly
-//! when a figure comes near its target, and sped up step by step when all
-//! figures are far below.
+//! Best-effort tasks slow their neighbours down, by an amount that shows only in the latency that
+//! the worker reports. They are throttled quickly when a latency comes near its target, and sped up
+//! step by step when all latencies are far below theirs.
 
 use super::job::{FULL_PACE_PERCENT, Phase, Run, WorkerId};
 use super::policy::PacePolicy;
@@ -12,15 +11,15 @@
 use super::types::Action;
 
 impl Scheduler {
-    /// Sets the pace of the filling tasks of a worker after a look.
+    /// Sets the pace of the best-effort tasks of a worker after a report.
     pub(super) fn pace_best_effort_tasks(&mut self, id: &WorkerId) {
         let Some(w) = self.workers.get(id) else { return };
         if w.fills.is_empty() {
             return;
         }
         let load = w.serves.iter().filter_map(|t| self.latency_load(id, t)).fold(0.0, f64::max);
-        let fills: Vec<TaskId> = w.fills.iter().copied().collect();
-        for task in fills {
+        let best_effort: Vec<TaskId> = w.fills.iter().copied().collect();
+        for task in best_effort {
             let Some(t) = self.jobs.get_mut(&task.job).and_then(|j| j.task_mut(&task)) else { continue };
             let running = |r: &&mut Run| r.worker == *id && r.phase == Phase::Running;
             let Some(run) = t.runs.iter_mut().find(running) else { continue };
@@ -36,7 +35,7 @@
         }
     }
 
-    /// The figure of a serving task as a share of its target.
+    /// Reported latency of a task as a fraction of its target.
     fn latency_load(&self, id: &WorkerId, task: &TaskId) -> Option<f64> {
         let job = self.jobs.get(&task.job)?;
         let target = job.step(task)?.latency_target?.as_millis().max(1) as f64;
@@ -45,15 +44,16 @@
     }
 }
 
-/// The next pace of a filling task, from the largest load of a neighbour.
+/// The next pace of a best-effort task, in percent, from the highest latency load among its
+/// neighbours.
 fn next_pace(pace: u32, load: f64, policy: &PacePolicy) -> u32 {
     if load > 1.0 {
-        let less = pace / 3;
-        return if less < policy.least { 0 } else { less };
+        let reduced = pace / 3;
+        return if reduced < policy.least { 0 } else { reduced };
     }
     if load > policy.danger {
-        let less = pace * 2 / 3;
-        return if less < policy.least { 0 } else { less };
+        let reduced = pace * 2 / 3;
+        return if reduced < policy.least { 0 } else { reduced };
     }
     if load < policy.ease { (pace + policy.step).min(FULL_PACE_PERCENT) } else { pace }
 }
