--- a/crates/workswood-core/src/jobs/config.rs
+++ b/crates/workswood-core/src/jobs/config.rs
@@ -1,4 +1,4 @@
-//! Queues and services in force.
+//! The configuration of queues, services and workspaces.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,72 +7,72 @@
 use super::workspace::Workspaces;
 use crate::ids::ServiceId;
 
-/// A queue that callers hand jobs in to.
+/// A queue that callers submit jobs to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueueConfig {
-    /// Its name.
+    /// Name of the queue.
     pub name: QueueId,
-    /// Host name that callers use.
+    /// Host name of requests that belong to the queue.
     pub host_name: String,
-    /// Start of the paths that belong to it.
+    /// Path prefix of requests that belong to the queue.
     pub path_prefix: String,
     /// Service whose workers run its jobs.
     pub service: ServiceId,
-    /// Whether only workspaces may use it, with a key of theirs.
+    /// Whether requests need the API key of a workspace.
     pub requires_key: bool,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// How many failed runs a task may have.
+    /// Number of failed runs of a task, or of a gang together, that fails the job.
     pub max_attempts: u32,
-    /// A job is owed within this multiple of its longest chain of work,
+    /// The deadline of a job is this multiple of its critical path, plus [`Self::deadline_offset`].
     pub deadline_factor: f64,
-    /// plus this much.
+    /// Fixed part of the time until the deadline of a job.
     pub deadline_offset: Duration,
-    /// How the adviser works that knows which workers may run its steps; `None`
-    /// if all may.
+    /// The adviser that decides which workers may run its steps; `None` if all may.
     pub advice: Option<AdviceConfig>,
 }
 
-/// What asking the adviser about a step takes, and how long its tickets hold.
+/// Timing of calls to the adviser and validity of its tickets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdviceConfig {
-    /// Time of a call.
+    /// Fixed duration of a call.
     pub base_call_time: Duration,
-    /// Time of a call for each worker that it names.
+    /// Additional duration for each worker that the call names.
     pub time_per_worker: Duration,
-    /// How long a ticket holds.
+    /// How long a ticket is valid.
     pub ticket_lifetime: Duration,
 }
 
 /// A service: a pool of workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceConfig {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceId,
-    /// Whether its workers refuse what does not fit. The scheduler does not read
-    /// it: it places only what fits.
+    /// Whether its workers refuse tasks that exceed their capacity. The scheduler ignores it, since
+    /// it places only what fits.
     pub enforces_capacity: bool,
-    /// Whether its hosts are off and unpaid.
+    /// Whether its hosts are kept off as spare hosts, at no cost.
     pub spare: bool,
 }
 
-/// What is in force.
+/// The configuration in force.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SchedConfig {
-    /// Version; higher is newer.
+    /// Version number; a higher one is newer.
     pub version: u64,
     /// Queues by name.
     pub queues: BTreeMap<QueueId, QueueConfig>,
     /// Services by name.
     pub services: BTreeMap<ServiceId, ServiceConfig>,
-    /// Workspaces, and their keys.
+    /// Workspaces and their API keys.
     pub workspaces: Workspaces,
-    /// Most bytes of a request's body.
+    /// Largest request body, in bytes.
     pub max_body_bytes: usize,
 }
 
 impl SchedConfig {
-    /// The queue of a request: the longest path prefix of its host name.
+    /// The queue that a request belongs to: the one with the longest matching path prefix for its
+    /// host name.
     pub fn route(&self, host: &str, path: &str) -> Option<&QueueConfig> {
         self.queues
             .values()
