--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -5,7 +5,7 @@
 //! more than that offset, so it rises with every claim. The holder renews by
 //! appends that are refused once a higher term has been seen. Everybody reads
 //! the topic; nobody trusts the answer to its own claim, which may be lost.
-//! When a process claims is decided by [`workswood_core::jobs::claim`].
+//! When a process claims is decided by [`workswood_core::jobs::lease_claim`].
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/tests/testsuite/lease_claims.rs
+++ b/tests/testsuite/lease_claims.rs
@@ -53,7 +53,7 @@
 fn former_life_at_once() {
     let before = ObservedHolder { id: "former".into(), ..held_by(&large()) };
     let moment = ages(MS, MS);
-    assert_eq!(large().claim_reason(Some(&before), moment), Some(ClaimReason::OwnFormerLife));
+    assert_eq!(large().claim_reason(Some(&before), moment), Some(ClaimReason::OwnEarlierIncarnation));
 }
 
 #[test]
@@ -62,7 +62,7 @@
     let renewed = |up: Duration| ages(100 * MS, up);
     assert_eq!(large().claim_reason(Some(&holder), renewed(3000 * MS)), None, "not settled yet");
     let settled = renewed(5000 * MS);
-    assert_eq!(large().claim_reason(Some(&holder), settled), Some(ClaimReason::FarStronger));
+    assert_eq!(large().claim_reason(Some(&holder), settled), Some(ClaimReason::MuchHigherCapacity));
     assert_eq!(small().claim_reason(Some(&held_by(&large())), settled), None);
     let alike = ObservedHolder { id: "c".into(), name: "other".into(), ..held_by(&large()) };
     assert_eq!(large().claim_reason(Some(&alike), settled), None, "alike entries leave each other alone");
