--- a/crates/workswood-core/src/jobs/worker_reports.rs
+++ b/crates/workswood-core/src/jobs/worker_reports.rs
@@ -1,4 +1,4 @@
-//! What a worker's report tells of runs: which go on and which have ended.
+//! Handling of worker reports: which runs continue, and which have ended and how.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use super::worker::{EndKind, Report, ReportedEnd, ReportedRun, Worker};
 
 impl Scheduler {
-    /// Takes the answer of a worker in.
+    /// Handles a report of a worker.
     pub(super) fn handle_report(&mut self, id: &WorkerId, report: &Report) {
         if report.whole {
             self.settle_earlier_lives(id, report);
@@ -25,21 +25,21 @@
         self.pace_best_effort_tasks(id);
     }
 
-    /// Notes that a worker answered, and so knows our token.
+    /// Marks a worker as reachable. Its answer shows that it knows the token of this scheduler.
     fn mark_reachable(&mut self, id: &WorkerId) {
         let Some(mut w) = self.workers.get_mut(id) else { return };
-        let back = !w.reachable || !w.fenced;
+        let was_unreachable = !w.reachable || !w.fenced;
         w.doubted = false;
         w.lapsed.clear();
         w.reachable = true;
         w.fenced = true;
-        if back {
+        if was_unreachable {
             self.place_again.extend(w.info.as_ref().map(|i| i.service.clone()));
             self.notes.push(format_args!("event=worker_reached worker={id} token={}", self.token));
         }
     }
 
-    /// Takes in the ends that are not on record yet.
+    /// Handles the reported ends that are not recorded yet.
     fn handle_ends(&mut self, id: &WorkerId, ended: &[ReportedEnd]) {
         let known = self.workers.get(id).map_or(0, |w| w.recorded_ends);
         let mut last = known;
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes in that a worker lists a run; one that is not wanted is stopped.
+    /// Updates a run that a worker lists, and stops it if it is no longer wanted.
     fn update_listed_run(&mut self, id: &WorkerId, listed: &ReportedRun) {
         let now = self.now;
         let job = self.jobs.get_mut(&listed.task.job);
@@ -64,21 +64,21 @@
             self.handle_unknown_run(id, listed, wanted);
             return;
         };
-        let (runs, evicted) = (run.phase == Phase::Running, run.evicted);
-        let stays = wanted && !done || self.outlives_job(&listed.task);
-        if runs && !stays {
+        let (is_running, evicted) = (run.phase == Phase::Running, run.evicted);
+        let keeps_running = wanted && !done || self.outlives_job(&listed.task);
+        if is_running && !keeps_running {
             if let Some(run) = self.run_mut(id, &listed.task, listed.attempt) {
                 run.set_phase(Phase::Stopping, now);
             }
             self.actions.push(Action::Stop(id.clone(), listed.task, listed.attempt));
-        } else if runs && evicted {
+        } else if is_running && evicted {
             self.inherited_evictions.insert((id.clone(), listed.task, listed.attempt));
             self.evict_inherited();
         }
     }
 
-    /// Takes a run back in that is not known, or stops it; until it has ended, it takes its
-    /// room: a worker that doesn't guard that would be filled beyond it.
+    /// Adopts a run that is not known, or stops it. Until it has ended, its resources stay
+    /// reserved, so that a worker that does not check its capacity is not overfilled.
     fn handle_unknown_run(&mut self, id: &WorkerId, listed: &ReportedRun, wanted: bool) {
         if wanted && self.adopt_run(id, listed) {
             return;
@@ -87,16 +87,16 @@
             "event=stray_run worker={id} task={} attempt={}",
             listed.task, listed.attempt
         ));
-        if let Some(held) = self.jobs.held_by(&listed.task)
+        if let Some(reservation) = self.jobs.held_by(&listed.task)
             && let Some(mut w) = self.workers.get_mut(id)
         {
-            w.take(listed.task, listed.attempt, held);
+            w.take(listed.task, listed.attempt, reservation);
         }
         self.actions.push(Action::Stop(id.clone(), listed.task, listed.attempt));
     }
 
-    /// Takes a run back in that was taken to be over, if nothing else runs
-    /// the task.
+    /// Takes back a run that was believed to be over, if its task has no other run. Returns whether
+    /// it did.
     fn adopt_run(&mut self, id: &WorkerId, listed: &ReportedRun) -> bool {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&listed.task.job) else { return false };
@@ -122,8 +122,8 @@
         true
     }
 
-    /// Settles runs that are over without an end. A whole report lists all there is: the
-    /// token that its look carried keeps earlier starts out, and none was sent since.
+    /// Settles runs that a worker no longer has, without a reported end. A whole report lists every
+    /// run: the token of its probe fences off earlier starts, and no start was sent since.
     fn settle_unlisted_runs(&mut self, id: &WorkerId, report: &Report) {
         for (task, attempt) in &report.gone {
             self.settle_run(id, task, *attempt, "not_listed");
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Takes one end in.
+    /// Handles the end of one run.
     fn handle_end(&mut self, id: &WorkerId, end: &ReportedEnd) {
         let (now, task_id) = (self.now, end.task);
         let info = self.workers.get_mut(id).and_then(|mut w| {
@@ -169,7 +169,7 @@
         if let Some(run) = run.filter(|r| end.kind == EndKind::Done && r.phase == Phase::Running) {
             self.durations.observe(&spec.queue, now.saturating_sub(run.phase_since), &self.policy.order);
         }
-        // An end that is listed again may be older than the checkpoint we have.
+        // An end that is reported again may be older than the known checkpoint.
         if known && step.checkpointing && !end.checkpoint.is_empty() {
             task.checkpoint.clone_from(&end.checkpoint);
         }
@@ -182,12 +182,12 @@
         self.queue_task(&task_id);
     }
 
-    /// A task is done, and with it all members of its gang.
-    fn complete_task(&mut self, id: &WorkerId, task_id: &TaskId, gang: bool, lasting: bool) {
+    /// Marks a task as done, or all members of its gang.
+    fn complete_task(&mut self, id: &WorkerId, task_id: &TaskId, gang: bool, long_running: bool) {
         if let Some(mut w) = self.workers.get_mut(id) {
             w.faults = 0;
         }
-        if lasting {
+        if long_running {
             return;
         }
         let Some(job) = self.jobs.get_mut(&task_id.job) else { return };
@@ -212,10 +212,10 @@
         }
     }
 
-    /// A run of a task failed; too many of them end the job.
-    fn record_failure(&mut self, id: &WorkerId, task_id: &TaskId, attempt: u32, lasting: bool) {
+    /// Records a failed run of a task; fails the job when its attempts are used up.
+    fn record_failure(&mut self, id: &WorkerId, task_id: &TaskId, attempt: u32, long_running: bool) {
         let Some(job) = self.jobs.get_mut(&task_id.job) else { return };
-        let most = job.spec.max_attempts.max(1);
+        let max_attempts = job.spec.max_attempts.max(1);
         let gang = job.step(task_id).is_some_and(|s| s.gang);
         let Some(task) = job.task_mut(task_id) else { return };
         if !task.failed_attempts.insert(attempt) {
@@ -228,13 +228,13 @@
             failed = step.map_or(failed, |tasks| tasks.iter().map(|t| t.failed_attempts.len() as u32).sum());
         }
         self.record_fault(id, task_id);
-        if !lasting && failed >= most {
+        if !long_running && failed >= max_attempts {
             self.end_job(task_id.job, Outcome::Failed);
         }
     }
 
-    /// Decides whether a fault was the worker's or the job's: a job that
-    /// fails in two places is at fault itself.
+    /// Attributes a fault to the worker or to the job: a job that fails on two workers is at fault
+    /// itself, and the first worker is cleared.
     pub(super) fn record_fault(&mut self, id: &WorkerId, task_id: &TaskId) {
         let Some(job) = self.jobs.get_mut(&task_id.job) else { return };
         match job.blamed_worker.clone() {
@@ -262,7 +262,8 @@
         self.notes.push(format_args!("event=worker_shunned worker={id} faults={faults}"));
     }
 
-    /// Whether few enough workers of the service are shunned for one more.
+    /// Whether one more worker of the same service may be shunned without exceeding the allowed
+    /// fraction.
     fn may_shun(&self, id: &WorkerId) -> bool {
         let service = self.workers.get(id).and_then(|w| w.info.as_ref()).map(|i| &i.service);
         let same = |w: &&Worker| w.listed && w.info.as_ref().map(|i| &i.service) == service;
@@ -272,8 +273,8 @@
     }
 }
 
-/// Brings a known run up to what its worker lists; returns it, and whether its
-/// task is done.
+/// Updates a known run from the listing of its worker. Returns the run, and whether its task is
+/// done.
 fn update_run<'a>(
     job: &'a mut Job,
     id: &WorkerId,
