--- a/crates/workswood-core/src/jobs/worker_events.rs
+++ b/crates/workswood-core/src/jobs/worker_events.rs
@@ -1,9 +1,10 @@
-//! Which runs are over although no end was reported.
+//! Handling of worker events other than reports: listing, unreachability, replies to starts and
+//! stops, ends of incarnations and of leases; and settling of the runs that these end.
 //!
-//! A task may be started again only when its earlier run can't be at work any
-//! more. That is known in four ways: the worker refused the start and has had
-//! no earlier try of it; a report that was asked for later does not list it;
-//! that life of the worker is over; or the worker's lease has ended.
+//! A task may be started again only when its earlier run cannot be executing any more. This is
+//! known when the worker refused the start and accepted no earlier try of it, when a later report
+//! does not list the run, when that incarnation of the worker is over, or when the lease of the
+//! worker has expired.
 
 use std::fmt;
 use std::sync::Arc;
@@ -17,30 +18,30 @@
 use super::types::{Action, StartReply, StopReply};
 use super::worker::{Worker, WorkerInfo};
 
-/// A stop without an effect is sent again after this time.
+/// A stop that had no effect is sent again after this time.
 const STOP_RETRY_AFTER: Duration = Duration::from_millis(1000);
 
-/// Worker, task and number of a run.
+/// Worker, task and attempt of a run.
 type WorkerRun = (WorkerId, TaskId, u32);
 
-/// How long a run was known to be on its worker, in milliseconds, for the log.
+/// Formats the known runtime of a run in milliseconds, or `unknown`, for the log.
 struct RuntimeMs(Option<Duration>);
 
 impl fmt::Display for RuntimeMs {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Some(ran) => write!(f, "{}", ran.as_millis()),
+            Some(runtime) => write!(f, "{}", runtime.as_millis()),
             None => f.write_str("unknown"),
         }
     }
 }
 
-/// Looks that may be under way when a stop is taken; the stop is sent again
-/// only after as many looks without an effect.
-const PROBES_AFTER_STOP: u32 = 4;
+/// A stop that the worker accepted is sent again only after this many times [`STOP_RETRY_AFTER`],
+/// since probes that were sent before it may still list the run.
+const ACCEPTED_STOP_RETRY_FACTOR: u32 = 4;
 
 impl Scheduler {
-    /// Takes a worker in that is listed, new or changed.
+    /// Handles a worker in the worker list that is new or changed.
     pub(super) fn worker_listed(&mut self, info: WorkerInfo) {
         let id = info.id.clone();
         if self.has_later_life(&id) {
@@ -59,17 +60,18 @@
         let mut w = self.workers.get_or_insert_with(&id, || Worker::unknown(now, now));
         w.cordoned = cordoned;
         w.evacuated = evacuated;
-        let fresh = w.info.is_none() || !w.listed;
-        let draining = info.draining && !w.info.as_ref().is_some_and(|i| i.draining);
+        let newly_listed = w.info.is_none() || !w.listed;
+        let starts_draining = info.draining && !w.info.as_ref().is_some_and(|i| i.draining);
         let recorded = w.info.as_ref().is_some_and(|i| i.record() == info.record());
-        // One that is on record, or was not listed for a while, may be attended already.
-        let attended = w.info.as_ref().is_some_and(|i| i.address == info.address);
+        // A worker that is recorded, or was missing from the list for a while, may have a relay
+        // already.
+        let has_relay = w.info.as_ref().is_some_and(|i| i.address == info.address);
         self.place_again.insert(info.service.clone());
         w.info = Some(Arc::new(info.clone()));
         w.listed = true;
         w.unlisted_at = None;
         drop(w);
-        if fresh {
+        if newly_listed {
             self.notes.push(format_args!(
                 "event=worker_listed worker={id} service={} address={} machine={}",
                 info.service, info.address, info.host
@@ -77,41 +79,41 @@
             if !recorded {
                 self.dirty_workers.insert(id.clone());
             }
-            if !attended {
+            if !has_relay {
                 self.attend(&id);
             }
-        } else if draining {
+        } else if starts_draining {
             self.notes.push(format_args!("event=worker_draining worker={id} service={}", info.service));
         }
         self.note_life(&id);
     }
 
-    /// Ends lives that a list of hosts shows to be over: their host is
-    /// down or off, or has another life. The list of workers does not tell: entries
-    /// linger, and may be written late by a life that is over. `asked` is when
-    /// the list was asked for; what was known before can't be newer than it.
-    pub(super) fn end_incarnations_by_host_list(&mut self, asked: Duration) {
+    /// Ends incarnations whose host, according to the host list, is down or off or runs another
+    /// worker. The worker list does not show this: its records outlive the incarnation, which may
+    /// even write them late. `requested_at` is when the host list was requested; only incarnations
+    /// known before that are ended.
+    pub(super) fn end_incarnations_by_host_list(&mut self, requested_at: Duration) {
         let spare = self.spare_pool();
-        let over = |id: &WorkerId, w: &Worker| {
+        let is_over = |id: &WorkerId, w: &Worker| {
             let Some(info) = &w.info else { return false };
-            let Some(m) = self.hosts.get(&info.host) else { return false };
-            let other = match (m.state, &m.worker) {
-                // The list names workers, not their lives.
+            let Some(host) = self.hosts.get(&info.host) else { return false };
+            let superseded = match (host.state, &host.worker) {
+                // The host list names workers, not their incarnations.
                 (HostState::Up, Some(listed)) => listed.name() != id.name(),
                 (HostState::Down, None) => true,
-                (HostState::Up, None) => spare.as_ref() == Some(&m.pool),
+                (HostState::Up, None) => spare.as_ref() == Some(&host.pool),
                 _ => false,
             };
-            other && !w.reachable && w.known_since < asked
+            superseded && !w.reachable && w.known_since < requested_at
         };
-        let over: Vec<WorkerId> =
-            self.workers.iter().filter(|(id, w)| over(id, w)).map(|(id, _)| id.clone()).collect();
-        for id in over {
+        let ended: Vec<WorkerId> =
+            self.workers.iter().filter(|(id, w)| is_over(id, w)).map(|(id, _)| id.clone()).collect();
+        for id in ended {
             self.end_incarnation(&id, LifeEnd::NotOnHost);
         }
     }
 
-    /// A worker is no longer listed. It may live on, cut off from the store.
+    /// Handles a worker that is no longer listed. It may still run, cut off from the store.
     pub(super) fn worker_unlisted(&mut self, id: &WorkerId) {
         self.unnamed.remove(id);
         let Some(mut w) = self.workers.get_mut(id) else { return };
@@ -122,7 +124,7 @@
         self.forget_if_idle(id);
     }
 
-    /// Forgets a worker that is neither listed nor runs anything.
+    /// Forgets a worker that is neither listed nor has any runs.
     fn forget_if_idle(&mut self, id: &WorkerId) {
         let idle = self.workers.get(id).is_some_and(|w| !w.listed && w.runs.is_empty());
         if idle {
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Forgets a worker; returns whether it was known.
+    /// Forgets a worker. Returns whether it was known.
     fn forget_worker(&mut self, id: &WorkerId) -> bool {
         let Some(w) = self.workers.remove(id) else { return false };
         self.dirty_workers.insert(id.clone());
@@ -139,7 +141,7 @@
         true
     }
 
-    /// A worker did not answer a look.
+    /// Marks a worker that did not answer a probe as unreachable.
     pub(super) fn mark_unreachable(&mut self, id: &WorkerId, lease_end: Duration) {
         let Some(mut w) = self.workers.get_mut(id) else { return };
         if w.reachable {
@@ -154,20 +156,20 @@
         w.lease_end = w.lease_end.max(lease_end);
     }
 
-    /// The answer of a worker is late.
+    /// Marks that the answer of a worker is late.
     pub(super) fn mark_answer_late(&mut self, id: &WorkerId) {
         if let Some(mut w) = self.workers.get_mut(id) {
             w.doubted = true;
         }
     }
 
-    /// A worker's address is answered by another life.
+    /// Handles that another incarnation answers at the address of a worker.
     pub(super) fn handle_other_incarnation(&mut self, id: &WorkerId, heard: Duration) {
         self.record_last_heard(id, heard);
         self.end_incarnation(id, LifeEnd::OtherLife);
     }
 
-    /// Notes when a life last answered that is over.
+    /// Records when an incarnation that is over last answered.
     pub(super) fn record_last_heard(&mut self, id: &WorkerId, heard: Duration) {
         if let Some(mut w) = self.workers.get_mut(id) {
             w.heard = w.heard.max(heard);
@@ -177,16 +179,16 @@
         }
     }
 
-    /// A life of a worker is over: nothing runs there.
+    /// Ends an incarnation of a worker: none of its runs exists any more.
     pub(super) fn end_incarnation(&mut self, id: &WorkerId, end: LifeEnd) {
-        let why = end.label();
+        let reason = end.label();
         self.take_crash(id, end);
         let lost = self.workers.get(id).map_or(0, |w| w.runs.len());
         self.tally.lives_lost += u64::from(lost > 0);
         self.tally.runs_lost += lost as u64;
-        self.settle_all_runs(id, why);
+        self.settle_all_runs(id, reason);
         if self.forget_worker(id) {
-            self.notes.push(format_args!("event=worker_life_over worker={id} runs={lost} reason={why}"));
+            self.notes.push(format_args!("event=worker_life_over worker={id} runs={lost} reason={reason}"));
         }
     }
 
@@ -195,14 +197,15 @@
         self.workers.get(id).map(|w| w.runs.keys().copied().collect()).unwrap_or_default()
     }
 
-    fn settle_all_runs(&mut self, id: &WorkerId, why: &str) {
+    fn settle_all_runs(&mut self, id: &WorkerId, reason: &str) {
         for (task, attempt) in self.runs_on(id) {
-            self.settle_run(id, &task, attempt, why);
+            self.settle_run(id, &task, attempt, reason);
         }
     }
 
-    /// A run is over without an end of its own.
-    pub(super) fn settle_run(&mut self, id: &WorkerId, task_id: &TaskId, attempt: u32, why: &str) {
+    /// Settles a run that is over without a reported end: releases its resources and queues its
+    /// task again.
+    pub(super) fn settle_run(&mut self, id: &WorkerId, task_id: &TaskId, attempt: u32, reason: &str) {
         let heard = self.workers.get_mut(id).map_or(Duration::ZERO, |mut w| {
             w.release(*task_id, attempt);
             w.heard
@@ -211,7 +214,7 @@
         let run = task.runs.iter().position(|r| r.worker == *id && r.attempt == attempt);
         let Some(run) = run.map(|n| task.runs.remove(n)) else { return };
         self.notes.push(format_args!(
-            "event=run_settled worker={id} task={task_id} attempt={attempt} ran_ms={} reason={why}",
+            "event=run_settled worker={id} task={task_id} attempt={attempt} ran_ms={} reason={reason}",
             RuntimeMs(run.known_runtime(heard))
         ));
         self.dirty.insert(task_id.job);
@@ -228,7 +231,7 @@
         t.runs.iter_mut().find(|r| r.worker == *id && r.attempt == attempt)
     }
 
-    /// The outcome of a start.
+    /// Handles the reply to a start.
     pub(super) fn handle_start_reply(
         &mut self,
         id: &WorkerId,
@@ -270,11 +273,11 @@
         }
     }
 
-    /// Keeps new work away for a while from a worker that refused a start.
+    /// Shuns a worker for a while after it refused a start.
     fn shun_after_refusal(&mut self, id: &WorkerId, reply: StartReply) {
         let shun_for = match reply {
             StartReply::Unwell => self.policy.health.unwell_for,
-            // Its room is not what we think: a look will tell.
+            // Its free resources differ from what is known here; the next report will show them.
             StartReply::Refused => self.policy.health.refused_for,
             StartReply::Taken
             | StartReply::Ticket
@@ -289,7 +292,7 @@
         }
     }
 
-    /// The outcome of a stop.
+    /// Handles the reply to a stop.
     pub(super) fn handle_stop_reply(&mut self, id: &WorkerId, task: TaskId, attempt: u32, reply: StopReply) {
         let now = self.now;
         match reply {
@@ -300,7 +303,7 @@
                     run.set_phase(Phase::Stopped, now);
                 }
             }
-            // Sent again by `settle_slow`, unless nothing is known of the run.
+            // The stop of a known run is retried by `stop_stalled_runs`.
             StopReply::NoAnswer => {
                 if self.workers.contains_key(id) && self.run_mut(id, &task, attempt).is_none() {
                     self.actions.push(Action::Stop(id.clone(), task, attempt));
@@ -310,14 +313,14 @@
         }
     }
 
-    /// Settles what ran on workers whose lease has ended.
+    /// Settles the runs of workers whose lease has expired.
     pub(super) fn settle_expired_leases(&mut self) {
         let now = self.now;
-        let lapsed = self.workers.silent().filter(|(_, w)| w.lease_end < now);
-        let lapsed: Vec<WorkerId> = lapsed.map(|(id, _)| id.clone()).collect();
-        for id in lapsed {
+        let expired = self.workers.silent().filter(|(_, w)| w.lease_end < now);
+        let expired: Vec<WorkerId> = expired.map(|(id, _)| id.clone()).collect();
+        for id in expired {
             for (task, attempt) in self.runs_on(&id) {
-                // The outcome of a start on its way brings a later end of the lease.
+                // The reply to a start that is still under way may extend the lease.
                 let starting = self.run_mut(&id, &task, attempt).is_some_and(|r| r.phase == Phase::Starting);
                 if !starting {
                     self.take_lapsed(&id, &task, attempt);
@@ -328,10 +331,10 @@
         }
     }
 
-    /// Sends stops again that had no effect, and stops runs that stand still.
+    /// Sends stops again that had no effect, and stops runs that make no progress.
     pub(super) fn stop_stalled_runs(&mut self) {
-        let (mut stops, stuck) = self.stalled_runs();
-        for (id, task, attempt) in stuck {
+        let (mut stops, stalled) = self.stalled_runs();
+        for (id, task, attempt) in stalled {
             self.notes.push(format_args!("event=run_stuck worker={id} task={task} attempt={attempt}"));
             self.record_fault(&id, &task);
             if let Some(t) = self.jobs.get_mut(&task.job).and_then(|j| j.task_mut(&task)) {
@@ -348,10 +351,10 @@
         }
     }
 
-    /// Runs whose stop had no effect, and runs that stand still.
+    /// Runs whose stop had no effect, and runs that make no progress.
     fn stalled_runs(&self) -> (Vec<WorkerRun>, Vec<WorkerRun>) {
         let mut stops = Vec::new();
-        let mut stuck = Vec::new();
+        let mut stalled = Vec::new();
         for (id, w) in self.workers.iter().filter(|(_, w)| w.reachable) {
             for (task, attempt) in w.runs.keys() {
                 let Some(step) = self.jobs.get(&task.job).and_then(|j| j.step(task)) else { continue };
@@ -360,28 +363,30 @@
                     Phase::Stopping if run.phase_since + STOP_RETRY_AFTER < self.now => {
                         stops.push((id.clone(), *task, *attempt));
                     }
-                    // Taken; a look that is sent later settles it.
-                    Phase::Stopped if run.phase_since + STOP_RETRY_AFTER * PROBES_AFTER_STOP < self.now => {
+                    // The stop was accepted; a later report settles the run.
+                    Phase::Stopped
+                        if run.phase_since + STOP_RETRY_AFTER * ACCEPTED_STOP_RETRY_FACTOR < self.now =>
+                    {
                         stops.push((id.clone(), *task, *attempt));
                     }
                     Phase::Running if self.is_stalled(step, run) => {
-                        stuck.push((id.clone(), *task, *attempt));
+                        stalled.push((id.clone(), *task, *attempt));
                     }
                     _ => {}
                 }
             }
         }
-        (stops, stuck)
+        (stops, stalled)
     }
 
-    /// Whether a run makes no progress although its worker answers. Members of a
-    /// gang wait for each other, and a lasting task past its warm-up has no more
-    /// progress to make.
+    /// Whether a run makes no progress although its worker answers. Members of a gang may wait for
+    /// each other, a throttled task may be slow, and a long-running task has no progress to make
+    /// after its warm-up.
     fn is_stalled(&self, step: &StepSpec, run: &Run) -> bool {
-        let Some(since) = run.stalled_since else { return false };
+        let Some(stalled_since) = run.stalled_since else { return false };
         let policy = &self.policy.health;
-        // Progress is told in whole percent: a long task shows none for a while.
-        let limit = since + policy.stuck_after + step.estimate.mul_f64(policy.stuck_share);
+        // Progress is reported in whole percent, so a long task shows none for a while.
+        let limit = stalled_since + policy.stuck_after + step.estimate.mul_f64(policy.stuck_share);
         let slowed = run.pace_percent < FULL_PACE_PERCENT;
         let working = slowed || step.long_running && run.progress_percent >= 100;
         limit < self.now && !working && !step.gang
