--- a/crates/workswood-core/src/jobs/stable_map.rs
+++ b/crates/workswood-core/src/jobs/stable_map.rs
@@ -1,17 +1,17 @@
-//! Maps whose order is the same in every run.
+//! Maps and sets whose iteration order is the same in every process.
 
 use std::collections::{HashMap, HashSet};
 use std::hash::BuildHasherDefault;
 
 use rustc_hash::FxHasher;
 
-/// A map that lists its entries in an order that follows from what was put in
-/// and taken out. The standard map draws an order of its own in each process;
-/// where two choices are as good, the same events would decide differently.
+/// A hash map whose iteration order depends only on the insertions and removals. The standard map
+/// is seeded at random in each process, so the same events could lead to different decisions where
+/// two choices are equally good.
 ///
-/// For keys that the platform or this system gave. What callers name is kept in
-/// trees, lest one picks many that collide.
+/// Use it only for keys from the platform or from this system. Keys that callers choose belong in a
+/// `BTreeMap`, because a caller could choose many that collide.
 pub type StableMap<K, V> = HashMap<K, V, BuildHasherDefault<FxHasher>>;
 
-/// A set whose order is the same in every run; likewise.
+/// A hash set with the same properties as [`StableMap`].
 pub type StableSet<K> = HashSet<K, BuildHasherDefault<FxHasher>>;
