--- a/crates/workswood-core/src/jobs/advice_need.rs
+++ b/crates/workswood-core/src/jobs/advice_need.rs
@@ -116,7 +116,7 @@
             return None;
         }
         let mut longest = Duration::ZERO;
-        for before in &job.spec.steps[usize::from(id.step)].after {
+        for before in &job.spec.steps[usize::from(id.step)].depends_on {
             let expected = self.durations.expect(
                 &job.spec.queue,
                 job.spec.steps[usize::from(*before)].estimate,
--- a/crates/workswood-core/src/jobs/job.rs
+++ b/crates/workswood-core/src/jobs/job.rs
@@ -236,8 +236,8 @@
 
     /// Whether all steps that a step depends on are done in the given round.
     pub fn is_step_ready(&self, round: u32, step: u16) -> bool {
-        let after = self.spec.steps.get(usize::from(step)).map(|s| s.after.as_slice());
-        after.is_some_and(|after| after.iter().all(|a| self.is_step_done(round, *a)))
+        let depends_on = self.spec.steps.get(usize::from(step)).map(|s| s.depends_on.as_slice());
+        depends_on.is_some_and(|steps| steps.iter().all(|s| self.is_step_done(round, *s)))
     }
 
     /// Number of tasks of the step of `id`, other than `id` itself, that have no run for which
@@ -395,7 +395,7 @@
 
 impl JobRecord {
     /// Whether the record has the same steps and task counts as `spec`.
-    pub fn fits(&self, spec: &JobSpec) -> bool {
+    pub fn matches_spec(&self, spec: &JobSpec) -> bool {
         let same_shape = |round: &Vec<Vec<TaskRecord>>| {
             let counts = spec.steps.iter().map(|s| s.count as usize);
             round.len() == spec.steps.len() && round.iter().map(Vec::len).eq(counts)
--- a/crates/workswood-core/src/jobs/place.rs
+++ b/crates/workswood-core/src/jobs/place.rs
@@ -98,7 +98,7 @@
             mem_mb: open(limit.mem_mb),
             gpus: open(limit.gpus),
         };
-        (limit != Resources::default()).then(|| most.minus(&self.workers.accounts().in_use(owner)))
+        (limit != Resources::default()).then(|| most.saturating_sub(&self.workers.accounts().in_use(owner)))
     }
 
     /// Whether tasks of a step run until their job is cancelled; one that has no place
@@ -299,7 +299,7 @@
             token: self.worker_token(w.map_or(0, |w| w.relays)),
             task: *id,
             attempt,
-            text: Arc::clone(&spec.text),
+            text: Arc::clone(&spec.task_input),
             checkpoint,
             ticket,
         });
--- a/crates/workswood-core/src/jobs/queue_order.rs
+++ b/crates/workswood-core/src/jobs/queue_order.rs
@@ -41,7 +41,7 @@
     pub over_rate: bool,
     /// Sort key for [`QueueOrder::EarliestDeadline`]: the latest start that is in time, or when the
     /// job became available if it is late.
-    pub order_key: u64,
+    pub deadline_key: u64,
     /// The step whose tasks wait.
     pub step: StepId,
     /// The owner of the job.
@@ -64,7 +64,7 @@
     /// The sort key for `order`; the smallest goes first.
     pub fn sort_key(&self, order: QueueOrder) -> u64 {
         match order {
-            QueueOrder::EarliestDeadline => self.order_key,
+            QueueOrder::EarliestDeadline => self.deadline_key,
             QueueOrder::LeastWork => self.work_key,
         }
     }
@@ -130,7 +130,7 @@
     let mut lengths = vec![Duration::ZERO; spec.steps.len()];
     for n in (0..spec.steps.len()).rev() {
         let dependents = spec.steps.iter().enumerate().skip(n + 1);
-        let dependents = dependents.filter(|(_, s)| s.after.iter().any(|a| usize::from(*a) == n));
+        let dependents = dependents.filter(|(_, s)| s.depends_on.iter().any(|a| usize::from(*a) == n));
         let longest = dependents.map(|(m, _)| lengths[m]).max().unwrap_or_default();
         lengths[n] = duration(n) + longest;
     }
@@ -172,7 +172,7 @@
         }
     };
     let timeliness = deadlines.timeliness_at(now);
-    let order_key = match timeliness {
+    let deadline_key = match timeliness {
         _ if long_running => 0,
         Timeliness::InTime => deadlines.in_time_until,
         Timeliness::Late | Timeliness::Worthless => available_at,
@@ -187,7 +187,7 @@
         priority: spec.priority,
         timeliness,
         over_rate,
-        order_key,
+        deadline_key,
         step: *id,
         owner,
         work_key,
--- a/crates/workswood-core/src/jobs/sched.rs
+++ b/crates/workswood-core/src/jobs/sched.rs
@@ -211,7 +211,7 @@
 
     fn restore_open(&mut self, key: JobKey, spec: Arc<JobSpec>, rec: Option<JobRecord>) {
         let now = self.now;
-        let fits = rec.as_ref().is_none_or(|rec| rec.fits(&spec));
+        let fits = rec.as_ref().is_none_or(|rec| rec.matches_spec(&spec));
         let mut job = match rec {
             Some(rec) if fits => Job::restore(key, spec, rec, now),
             _ => Job::new(key, spec),
--- a/crates/workswood-core/src/jobs/spec.rs
+++ b/crates/workswood-core/src/jobs/spec.rs
@@ -80,7 +80,7 @@
     }
 
     /// Each amount less that of `other`, but not below zero.
-    pub fn minus(&self, other: &Resources) -> Resources {
+    pub fn saturating_sub(&self, other: &Resources) -> Resources {
         Resources {
             cpu_millis: self.cpu_millis.saturating_sub(other.cpu_millis),
             mem_mb: self.mem_mb.saturating_sub(other.mem_mb),
@@ -101,8 +101,8 @@
     #[serde(default)]
     pub estimate: Duration,
     /// Numbers of the steps that must be done before this one starts.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub after: Vec<u16>,
+    #[serde(default, rename = "after", skip_serializing_if = "Vec::is_empty")]
+    pub depends_on: Vec<u16>,
     /// Whether a task continues from its latest checkpoint after a stop.
     #[serde(default)]
     pub checkpointing: bool,
@@ -178,7 +178,8 @@
     /// Number of failed runs of a task, or of a gang together, that fails the job.
     pub max_attempts: u32,
     /// Input that is passed to every task.
-    pub text: Arc<str>,
+    #[serde(rename = "text")]
+    pub task_input: Arc<str>,
     /// The steps of the job; each may depend on earlier ones.
     pub steps: Vec<StepSpec>,
     /// Schedule of the rounds; `None` for a job that runs once.
@@ -230,7 +231,7 @@
             return Err(format!("a job may have {MAX_TASKS_PER_ROUND} tasks at most"));
         }
         for (n, s) in self.steps.iter().enumerate() {
-            if s.after.iter().any(|a| usize::from(*a) >= n) {
+            if s.depends_on.iter().any(|a| usize::from(*a) >= n) {
                 return Err(format!("step {n} may only wait for earlier steps"));
             }
         }
--- a/crates/workswood-core/src/jobs/task_queue.rs
+++ b/crates/workswood-core/src/jobs/task_queue.rs
@@ -137,7 +137,7 @@
             };
             let first = first.min(&left);
             in_time.add(&first);
-            late.add(&second.min(&left.minus(&first)));
+            late.add(&second.min(&left.saturating_sub(&first)));
         }
         (in_time, late)
     }
@@ -190,8 +190,12 @@
         while let Some((_, step)) = self.downgrade_at.first().copied().filter(|(at, _)| *at < now) {
             let Some(mut s) = self.take_step(&step) else { return };
             let (timeliness, available_at) = (s.deadlines.timeliness_at(now), s.deadlines.available_at);
-            s.position =
-                QueuePosition { timeliness, order_key: available_at, work_key: available_at, ..s.position };
+            s.position = QueuePosition {
+                timeliness,
+                deadline_key: available_at,
+                work_key: available_at,
+                ..s.position
+            };
             self.put_step(s);
         }
     }
@@ -255,6 +259,6 @@
 
     fn remove(&mut self, tasks: usize, resources: &Resources) {
         self.tasks -= tasks;
-        self.resources = self.resources.minus(&resources.times(tasks as u64));
+        self.resources = self.resources.saturating_sub(&resources.times(tasks as u64));
     }
 }
--- a/crates/workswood-core/src/jobs/worker.rs
+++ b/crates/workswood-core/src/jobs/worker.rs
@@ -322,7 +322,7 @@
 
     /// Room that is free.
     pub fn free(&self) -> Resources {
-        self.info.as_ref().map(|i| i.capacity.minus(&self.used)).unwrap_or_default()
+        self.info.as_ref().map(|i| i.capacity.saturating_sub(&self.used)).unwrap_or_default()
     }
 
     /// Takes room for a run.
@@ -350,7 +350,7 @@
     /// Gives the room of a run back.
     pub fn release(&mut self, task: TaskId, attempt: u32) {
         if let Some(held) = self.runs.remove(&(task, attempt)) {
-            self.used = self.used.minus(&held.resources);
+            self.used = self.used.saturating_sub(&held.resources);
             self.changes.push(UsageChange::Released(held));
         }
         if self.quarantine.is_some_and(|q| q.trial == Some((task, attempt))) {
--- a/crates/workswood-core/src/jobs/workers.rs
+++ b/crates/workswood-core/src/jobs/workers.rs
@@ -248,7 +248,7 @@
         let Some(pool) = kept.info.as_ref().and_then(|i| self.pools.get_mut(&i.service)) else { return };
         let used = if w.evacuated { Resources::default() } else { w.used };
         if kept.used != used {
-            pool.used = pool.used.minus(&kept.used);
+            pool.used = pool.used.saturating_sub(&kept.used);
             pool.used.add(&used);
             kept.used = used;
         }
@@ -288,7 +288,7 @@
         }
         self.leaving.remove(id);
         let Some(pool) = self.pools.get_mut(&info.service) else { return };
-        pool.used = pool.used.minus(&std::mem::take(&mut kept.used));
+        pool.used = pool.used.saturating_sub(&std::mem::take(&mut kept.used));
         pool.remove_taker(id, kept.taker.take());
         if kept.listed {
             pool.remove_capacity(&info.capacity);
--- a/crates/workswood-core/src/jobs/workspace_usage.rs
+++ b/crates/workswood-core/src/jobs/workspace_usage.rs
@@ -48,7 +48,7 @@
             }
             UsageChange::Released(reservation) => {
                 let Some(in_use) = self.0.get_mut(&reservation.owner) else { return };
-                *in_use = in_use.minus(&reservation.charged);
+                *in_use = in_use.saturating_sub(&reservation.charged);
             }
             UsageChange::Reserved(_) => {}
         }
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -176,7 +176,7 @@
         workspace: None,
         priority: 0,
         max_attempts: ATTEMPTS,
-        text: "text".into(),
+        task_input: "text".into(),
         steps,
         repeat: None,
         accepted_at: accepted,
@@ -187,7 +187,7 @@
 pub fn step(count: u32, after: Vec<u16>) -> StepSpec {
     StepSpec {
         count,
-        after,
+        depends_on: after,
         resources: Resources { cpu_millis: 1000, mem_mb: 100, gpus: 0 },
         estimate: Duration::from_millis(500),
         ..StepSpec::default()
--- a/crates/workswood-test-support/src/job_world/oracle.rs
+++ b/crates/workswood-test-support/src/job_world/oracle.rs
@@ -57,7 +57,7 @@
                         wrong.push("TWICE: started after its end was noted");
                     }
                 }
-                let before = step.after.iter().flat_map(|s| {
+                let before = step.depends_on.iter().flat_map(|s| {
                     let count = spec.steps[usize::from(*s)].count;
                     (0..count).map(|index| TaskId { step: *s, index, ..task })
                 });
--- a/src/workswood/ops/bench/pools.rs
+++ b/src/workswood/ops/bench/pools.rs
@@ -100,7 +100,7 @@
                 workspace: None,
                 priority: 0,
                 max_attempts: 3,
-                text: "".into(),
+                task_input: "".into(),
                 steps: vec![step.clone()],
                 repeat: None,
                 accepted_at: self.sched.wall,
--- a/src/workswood/ops/jobs/front.rs
+++ b/src/workswood/ops/jobs/front.rs
@@ -207,7 +207,7 @@
         workspace,
         priority: queue.priority,
         max_attempts: queue.max_attempts,
-        text: handed.text.into(),
+        task_input: handed.text.into(),
         steps: handed.steps,
         repeat: handed.repeat,
         accepted_at: node.wall(),
--- a/src/workswood/ops/model/bound.rs
+++ b/src/workswood/ops/model/bound.rs
@@ -64,7 +64,7 @@
     let mut begins: Vec<Duration> = Vec::new();
     // Steps wait only for earlier ones, so one pass is enough.
     for step in &spec.steps {
-        let ends = step.after.iter().map(|a| begins[usize::from(*a)] + takes[usize::from(*a)]);
+        let ends = step.depends_on.iter().map(|a| begins[usize::from(*a)] + takes[usize::from(*a)]);
         begins.push(ends.max().unwrap_or_default());
     }
     begins
--- a/src/workswood/ops/model/load.rs
+++ b/src/workswood/ops/model/load.rs
@@ -175,7 +175,7 @@
             count: tasks,
             resources: Resources { cpu_millis, mem_mb: TASK_MEM_MB, gpus: 0 },
             estimate: time.mul_f64(draw.factor(ESTIMATE_OFF)),
-            after: if n == 0 { Vec::new() } else { vec![n as u16 - 1] },
+            depends_on: if n == 0 { Vec::new() } else { vec![n as u16 - 1] },
             ..StepSpec::default()
         });
         takes.push(time);
@@ -200,7 +200,7 @@
         workspace: None,
         priority: 0,
         max_attempts: MAX_ATTEMPTS,
-        text: "".into(),
+        task_input: "".into(),
         steps,
         repeat: None,
         accepted_at: at.as_millis() as u64,
--- a/tests/testsuite/job_limits.rs
+++ b/tests/testsuite/job_limits.rs
@@ -78,7 +78,7 @@
     begun.open_round();
     let rec = begun.record();
     let other: Arc<JobSpec> = Arc::new(job(vec![step(1, vec![])], 0));
-    assert!(!rec.fits(&other));
+    assert!(!rec.matches_spec(&other));
     let mut s = scheduler();
     s.restore(5, Some(other), Some(rec));
     let shown = s.take_batch().shown;
--- a/tests/testsuite/queue_order.rs
+++ b/tests/testsuite/queue_order.rs
@@ -59,7 +59,7 @@
     assert!(first_place(&large, 200) < first_place(&small, 200), "it must begin 0.1 s earlier");
     let long = opened(3, job(vec![step(1, vec![]), step(1, vec![0])], 0));
     assert!(first_place(&small, 200) < first_place(&long, 200), "two steps are owed 0.8 s later");
-    assert_eq!(first_place(&long, 200).order_key, 2 * 800 + 600 - 2 * 500);
+    assert_eq!(first_place(&long, 200).deadline_key, 2 * 800 + 600 - 2 * 500);
 }
 
 #[test]
