--- a/crates/workswood-core/src/jobs/advice.rs
+++ b/crates/workswood-core/src/jobs/advice.rs
@@ -164,7 +164,7 @@
 
     /// Tracks a job if its queue needs advice.
     pub(super) fn track_advised_job(&mut self, key: JobKey) {
-        let open = self.jobs.get(&key).is_some_and(|j| j.open());
+        let open = self.jobs.get(&key).is_some_and(|j| j.is_open());
         if open && self.advice_config(key).is_some() {
             self.advice.jobs.insert(key);
         }
@@ -247,7 +247,7 @@
             return;
         }
         let Some(cfg) = self.advice_config(step.job).copied() else { return };
-        let valid = answer.valid_for.unwrap_or(cfg.valid);
+        let valid = answer.valid_for.unwrap_or(cfg.ticket_lifetime);
         let margin = self.policy.advice.ticket_margin.min(valid / 5);
         // The delay may have been on the way back, so the tickets count as older. The deduction is
         // bounded, since otherwise the tickets of a slow adviser would never be used.
@@ -293,7 +293,7 @@
             let failures = self.advice.min_failures();
             let channel = &mut self.advice.channels[n];
             let before = channel.adviser_busy_until.saturating_sub(self.now);
-            let work = before + cfg.decide + cfg.each * workers.len() as u32;
+            let work = before + cfg.base_call_time + cfg.time_per_worker * workers.len() as u32;
             let timeout = channel.timeout(work, failures);
             channel.call = Some(Call { step, due: self.now + work });
             self.actions.push(Action::Advise { channel: n, step, workers, timeout });
--- a/crates/workswood-core/src/jobs/advice_batch.rs
+++ b/crates/workswood-core/src/jobs/advice_batch.rs
@@ -51,10 +51,10 @@
 /// Largest number of workers that a call names: beyond it the fixed time of the call is a small
 /// part, and the answer comes later.
 fn max_ids(cfg: &AdviceConfig) -> usize {
-    if cfg.each.is_zero() {
+    if cfg.time_per_worker.is_zero() {
         return MAX_IDS as usize;
     }
-    let full = cfg.decide.mul_f64(FULL_CALL_RATIO).div_duration_f64(cfg.each) as u32;
+    let full = cfg.base_call_time.mul_f64(FULL_CALL_RATIO).div_duration_f64(cfg.time_per_worker) as u32;
     full.clamp(MIN_FULL_CALL_IDS, MAX_IDS) as usize
 }
 
@@ -66,7 +66,7 @@
     let mut shortfall = Shortfall::new(need);
     let mut batch = Vec::new();
     for c in candidates.iter().take(max_ids(cfg)) {
-        if shortfall.probability() * cfg.decide.as_secs_f64() <= cfg.each.as_secs_f64() {
+        if shortfall.probability() * cfg.base_call_time.as_secs_f64() <= cfg.time_per_worker.as_secs_f64() {
             break;
         }
         shortfall.add(c.fits, if c.good { 1.0 } else { share });
--- a/crates/workswood-core/src/jobs/advice_candidates.rs
+++ b/crates/workswood-core/src/jobs/advice_candidates.rs
@@ -99,7 +99,7 @@
             for round in 0..job.rounds.len() as u32 {
                 for step in 0..job.spec.steps.len() as u16 {
                     let id = StepId { job: *key, round, step };
-                    let opens = self.time_to_open(job, &id).filter(|left| *left <= cfg.valid / 2);
+                    let opens = self.time_to_open(job, &id).filter(|left| *left <= cfg.ticket_lifetime / 2);
                     let Some(left) = opens else { continue };
                     let task = |index| TaskId { job: *key, round, step, index };
                     let tasks = (0..job.spec.steps[usize::from(step)].count).map(task).collect();
@@ -114,11 +114,11 @@
     /// Time until a step opens; `None` if it is open, or some earlier task is neither done nor
     /// running.
     fn time_to_open(&self, job: &Job, id: &StepId) -> Option<Duration> {
-        if job.step_open(id.round, id.step) {
+        if job.is_step_ready(id.round, id.step) {
             return None;
         }
         let mut longest = Duration::ZERO;
-        for before in &job.spec.steps[usize::from(id.step)].after {
+        for before in &job.spec.steps[usize::from(id.step)].depends_on {
             let expected = self.durations.expect(
                 &job.spec.queue,
                 job.spec.steps[usize::from(*before)].estimate,
@@ -161,7 +161,8 @@
         let others = self.count_possible_workers(workers, &request.step);
         let context = RequestContext { job, spec, request, possible_workers: others };
         // Tickets that end before another answer would arrive are renewed now.
-        let ahead = (cfg.decide + cfg.each * TYPICAL_CALL_IDS).min(cfg.valid / 4);
+        let ahead =
+            (cfg.base_call_time + cfg.time_per_worker * TYPICAL_CALL_IDS).min(cfg.ticket_lifetime / 4);
         let holds_until = request.opens_at + ahead;
         let mut covered = 0;
         let mut candidates = Vec::new();
--- a/crates/workswood-core/src/jobs/crash_attribution.rs
+++ b/crates/workswood-core/src/jobs/crash_attribution.rs
@@ -351,7 +351,7 @@
     /// number of lost runs with that role.
     fn attribute_lost_run(&mut self, id: &WorkerId, run: &LostRun, role: RunRole, same_role: usize) {
         let rate = self.background_crash_rate(&run.task);
-        let Some(job) = self.jobs.get_mut(&run.task.job).filter(|j| j.open()) else { return };
+        let Some(job) = self.jobs.get_mut(&run.task.job).filter(|j| j.is_open()) else { return };
         let Some(task) = job.task_mut(&run.task).filter(|t| !t.done) else { return };
         let policy = &self.policy.crashes;
         let threshold = policy.give_up_threshold_after(self.crash_rate.recent_culprits(self.now));
@@ -401,7 +401,7 @@
             t.given_up = true;
         }
         self.dirty_jobs.insert(task.job);
-        if job.nothing_left() {
+        if job.all_done_or_given_up() {
             self.end_job(task.job, Outcome::Failed);
         }
     }
--- a/crates/workswood-core/src/jobs/eviction.rs
+++ b/crates/workswood-core/src/jobs/eviction.rs
@@ -44,7 +44,7 @@
             return true;
         }
         let Some(step) = job.step(id) else { return true };
-        job.others_away(id, |run| self.counts_as_available(run)) < step.max_unavailable
+        job.other_tasks_not_running(id, |run| self.counts_as_available(run)) < step.max_unavailable
     }
 
     /// Whether a task goes on although its job has ended. Running tasks of a long-running step
--- a/crates/workswood-core/src/jobs/job_table.rs
+++ b/crates/workswood-core/src/jobs/job_table.rs
@@ -8,9 +8,9 @@
 use std::ops::Index;
 use std::time::Duration;
 
-use super::job::{Job, JobStatus, Outcome, OverRecord};
-use super::map::Map;
+use super::job::{FinishedJobRecord, Job, JobStatus, Outcome};
 use super::spec::{JobKey, TaskId};
+use super::stable_map::StableMap;
 use super::workspace::Owner;
 use super::workspace_usage::Reservation;
 use crate::ids::ServiceId;
@@ -23,7 +23,7 @@
     /// Repeating jobs that have not been reported as ended.
     repeating: BTreeSet<JobKey>,
     /// Jobs with long-running tasks that have not been reported as ended, by service.
-    long_running: Map<ServiceId, BTreeSet<JobKey>>,
+    long_running: StableMap<ServiceId, BTreeSet<JobKey>>,
     archived: BTreeMap<JobKey, ArchivedJob>,
     /// When jobs were archived, in that order.
     archive_order: VecDeque<(Duration, JobKey)>,
@@ -35,7 +35,7 @@
     /// How the job ended.
     pub outcome: Outcome,
     /// What is on record of the job.
-    pub record: OverRecord,
+    pub record: FinishedJobRecord,
 }
 
 impl Index<&JobKey> for JobTable {
@@ -92,7 +92,7 @@
     /// Resources of a task; for an archived job, an upper bound of them.
     pub fn held_by(&self, task: &TaskId) -> Option<Reservation> {
         let archived = |archived: &ArchivedJob| {
-            let (room, owner) = (archived.record.room, archived.record.owner);
+            let (room, owner) = (archived.record.max_task_resources, archived.record.owner);
             Reservation { resources: room, charged: room, owner }
         };
         match self.by_key.get(&task.job) {
--- a/crates/workswood-core/src/jobs/maintenance_orders.rs
+++ b/crates/workswood-core/src/jobs/maintenance_orders.rs
@@ -136,7 +136,7 @@
         let life = wave.record.ordered.get(host).cloned().flatten();
         self.dirty_waves.insert(number);
         if let Some(life) = life {
-            self.life_over(&life.as_str().into(), IncarnationEnd::Maintenance);
+            self.end_incarnation(&life.as_str().into(), IncarnationEnd::Maintenance);
         }
     }
 }
--- a/crates/workswood-core/src/jobs/maintenance_waves.rs
+++ b/crates/workswood-core/src/jobs/maintenance_waves.rs
@@ -12,10 +12,10 @@
 
 use super::host::{Host, HostState};
 use super::job::WorkerId;
-use super::map::{Map, Set};
 use super::policy::WavePolicy;
 use super::pool_count::is_working;
 use super::scheduler::Scheduler;
+use super::stable_map::{StableMap, StableSet};
 use crate::ids::{HostId, ServiceId};
 
 /// Time within which the list shows a confirmed maintenance of a host that is turned off, if it
@@ -116,7 +116,7 @@
 
     /// Updates the hosts that are missing from the list. Returns whether the number of removed
     /// hosts changed.
-    fn update_absent(&mut self, hosts: &Map<HostId, Host>, asked: Duration) -> bool {
+    fn update_absent(&mut self, hosts: &StableMap<HostId, Host>, asked: Duration) -> bool {
         let before = self.removed.len();
         let absent = self.request.hosts.iter().filter(|host| !hosts.contains_key(*host));
         let absent = absent.map(|host| (host.clone(), self.absent_since.get(host).copied().unwrap_or(asked)));
@@ -202,7 +202,7 @@
         self.update_fleet_cpu();
         self.correct_host_list();
         self.record_declared_sizes();
-        self.end_listed_over(asked);
+        self.end_incarnations_by_host_list(asked);
         self.mark_finished_hosts(asked);
     }
 
@@ -264,7 +264,7 @@
     }
 
     /// Hosts that get no new work since they move or are in maintenance.
-    pub(super) fn hosts_to_cordon(&self) -> Set<&HostId> {
+    pub(super) fn hosts_to_cordon(&self) -> StableSet<&HostId> {
         let waves = self.waves.values().filter(|wave| !wave.is_complete()).flat_map(WaveState::occupied);
         self.pools.moves.keys().chain(waves).collect()
     }
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -23,18 +23,18 @@
 //! * [`worker`] holds the state of one worker, its capacity and its lease; [`worker_id`] is its
 //!   name, and [`worker_index`] holds all workers.
 //! * [`host`] defines hosts and replies to orders.
-//! * [`map`] is a map with the same iteration order in every run.
+//! * [`stable_map`] is a map with the same iteration order in every run.
 //! * [`queue_order`] decides which waiting task is next, and [`task_queue`] holds the waiting tasks.
 //! * [`relays`] decides which entry attends which workers, and [`run_tracker`] finds what is new in a
 //!   worker's answers.
 //! * [`types`] defines events, actions, records and batches.
-//! * [`scheduler`] handles events; [`ends`], [`settle`], [`placement`], [`pacing`] and [`eviction`] make
+//! * [`scheduler`] handles events; [`worker_reports`], [`worker_events`], [`placement`], [`pacing`] and [`eviction`] make
 //!   its decisions about tasks.
 //! * [`crash_attribution`] finds tasks that crash their workers, compared with [`crash_rate`], and [`crash_trials`]
 //!   tests suspected ones.
 //! * [`advice`] asks the adviser in advance which workers may run a step: `advice_candidates` finds
 //!   the steps and workers, [`advice_batch`] chooses those of one call.
-//! * [`claim`] decides which process runs the scheduler.
+//! * [`lease_claim`] decides which process runs the scheduler.
 //! * [`maintenance_waves`] decides which host is maintained next, and [`maintenance_orders`] orders
 //!   it down.
 //! * [`order_marks`] keeps a new lease holder from ordering hosts that were just ordered.
@@ -45,23 +45,22 @@
 pub mod advice;
 pub mod advice_batch;
 mod advice_candidates;
-pub mod claim;
 pub mod config;
 pub mod crash_attribution;
 pub mod crash_rate;
 pub mod crash_trials;
 pub mod demand_history;
-pub mod ends;
 mod evacuation;
 pub mod eviction;
 pub mod fair_share;
 pub mod host;
 pub mod job;
 pub mod job_table;
+pub mod lease_claim;
+mod log_lines;
 pub mod maintenance_orders;
 pub mod maintenance_waves;
-pub mod map;
-mod notes;
+
 pub mod order_marks;
 pub mod pacing;
 pub mod placement;
@@ -74,13 +73,15 @@
 pub mod relays;
 pub mod run_tracker;
 pub mod scheduler;
-pub mod settle;
 pub mod spec;
+pub mod stable_map;
 pub mod task_queue;
 pub mod types;
 pub mod worker;
+pub mod worker_events;
 pub mod worker_id;
 pub mod worker_index;
+pub mod worker_reports;
 mod worker_restart;
 pub mod workspace;
 pub mod workspace_usage;
@@ -88,7 +89,7 @@
 pub use advice::AdvicePolicy;
 pub use config::{AdviceConfig, QueueConfig, SchedConfig, ServiceConfig};
 pub use host::{Host, HostReply, HostState};
-pub use job::{Job, JobRecord, JobStatus, Outcome, OverRecord, Phase, Run, Task};
+pub use job::{FinishedJobRecord, Job, JobRecord, JobStatus, Outcome, Phase, Run, Task};
 pub use maintenance_waves::{Wave, WaveRecord};
 pub use policy::Policy;
 pub use relays::{RelayEntry, RelayPolicy};
--- a/crates/workswood-core/src/jobs/placement.rs
+++ b/crates/workswood-core/src/jobs/placement.rs
@@ -105,7 +105,7 @@
             mem_mb: or_unlimited(limit.mem_mb),
             gpus: or_unlimited(limit.gpus),
         };
-        (limit != Resources::default()).then(|| most.minus(&self.workers.accounts().in_use(owner)))
+        (limit != Resources::default()).then(|| most.saturating_sub(&self.workers.accounts().in_use(owner)))
     }
 
     /// Whether the tasks of a step run until their job is cancelled. They may find no worker for
@@ -277,7 +277,7 @@
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
         let spec = job.spec.clone();
         let step = &spec.steps[usize::from(id.step)];
-        let step_is_open = job.open() && job.step_open(id.round, id.step);
+        let step_is_open = job.is_open() && job.is_step_ready(id.round, id.step);
         let Some(task) = job.task_mut(id) else { return };
         let no_other_run = step.speculative || task.runs.is_empty();
         if !invariant::check(step_is_open && no_other_run && !task.done, || {
@@ -291,7 +291,7 @@
         let run = Run::new(worker.clone(), attempt, Phase::Starting, now);
         task.runs.push(Run { trial_quarantine: trial, placed_at: Some(now), ..run });
         let checkpoint = task.checkpoint.clone();
-        job.begun = true;
+        job.started = true;
         self.dirty_jobs.insert(id.job);
         if let Some(mut w) = self.workers.get_mut(worker) {
             let held = spec.reservation(step);
@@ -313,7 +313,7 @@
             token: self.worker_token(w.map_or(0, |w| w.relay_count)),
             task: *id,
             attempt,
-            text: Arc::clone(&spec.text),
+            text: Arc::clone(&spec.task_input),
             checkpoint,
             ticket,
         });
--- a/crates/workswood-core/src/jobs/pool_moves.rs
+++ b/crates/workswood-core/src/jobs/pool_moves.rs
@@ -166,7 +166,7 @@
             set_moving_to(host, to);
         }
         if let Some(id) = worker {
-            self.life_over(&id, IncarnationEnd::HostMoved);
+            self.end_incarnation(&id, IncarnationEnd::HostMoved);
         }
     }
 }
--- a/crates/workswood-core/src/jobs/pool_need.rs
+++ b/crates/workswood-core/src/jobs/pool_need.rs
@@ -126,7 +126,7 @@
 
     /// Hosts needed by lasting tasks that limit how many of them share a host.
     fn spread_hosts(&self, service: &ServiceId) -> u32 {
-        let jobs = self.jobs.long_running(service).filter(|j| j.open());
+        let jobs = self.jobs.long_running(service).filter(|j| j.is_open());
         let steps = jobs.flat_map(|j| &j.spec.steps).filter(|s| s.long_running && s.max_per_worker > 0);
         steps.map(|s| s.count.div_ceil(s.max_per_worker)).max().unwrap_or(0)
     }
@@ -150,8 +150,8 @@
                 Some((j.spec.service.clone(), ago, self.job_work(j)?))
             })
             .chain(self.jobs.archived().filter_map(|over| {
-                let ago = Duration::from_millis(self.wall.saturating_sub(over.record.accepted));
-                Some((over.record.service.clone(), ago, over.record.work?))
+                let ago = Duration::from_millis(self.wall.saturating_sub(over.record.accepted_at));
+                Some((over.record.service.clone(), ago, over.record.work_core_ms?))
             }))
             .collect();
         let (now, window) = (self.now, self.policy.need.arrival_window);
--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -21,8 +21,8 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::claim::Strength;
 use super::job::Phase;
+use super::lease_claim::EntryCapacity;
 use super::scheduler::Scheduler;
 use super::types::{Action, StopReply, WorkerUpdate};
 use super::worker_id::WorkerId;
@@ -72,7 +72,7 @@
     /// Data centre of the entry.
     pub data_centre: DataCentre,
     /// Number of workers that the entry could poll as lease holder.
-    pub strength: Strength,
+    pub strength: EntryCapacity,
 }
 
 /// An entry that is a relay.
@@ -153,7 +153,7 @@
         self.relay_capacity(self.strength)
     }
 
-    fn relay_capacity(&self, strength: Strength) -> usize {
+    fn relay_capacity(&self, strength: EntryCapacity) -> usize {
         let policy = &self.policy.relays;
         ((f64::from(strength) * policy.capacity_share) as usize).clamp(1, policy.max_workers)
     }
@@ -361,12 +361,12 @@
             w.last_heard = w.last_heard.max(heard);
         }
         match news {
-            WorkerUpdate::Reported(report) => self.reported(id, &report),
-            WorkerUpdate::ProbeLate => self.doubt(id),
-            WorkerUpdate::Unanswered { lease_end, .. } => self.unanswered(id, lease_end),
+            WorkerUpdate::Reported(report) => self.handle_report(id, &report),
+            WorkerUpdate::ProbeLate => self.mark_answer_late(id),
+            WorkerUpdate::Unanswered { lease_end, .. } => self.mark_unreachable(id, lease_end),
             WorkerUpdate::Fenced => self.note_higher_token(id),
-            WorkerUpdate::Started(task, attempt, reply) => self.started(id, task, attempt, reply),
-            WorkerUpdate::Stopped(task, attempt, reply) => self.stopped(id, task, attempt, reply),
+            WorkerUpdate::Started(task, attempt, reply) => self.handle_start_reply(id, task, attempt, reply),
+            WorkerUpdate::Stopped(task, attempt, reply) => self.handle_stop_reply(id, task, attempt, reply),
         }
     }
 
--- a/crates/workswood-core/src/jobs/run_tracker.rs
+++ b/crates/workswood-core/src/jobs/run_tracker.rs
@@ -8,8 +8,8 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use super::map::Map;
 use super::spec::TaskId;
+use super::stable_map::StableMap;
 use super::types::StartReply;
 use super::worker::{Listing, Report, ReportedRun};
 
@@ -42,7 +42,7 @@
 /// Tracks the runs of one worker from the first poll on.
 #[derive(Debug, Default)]
 pub struct RunTracker {
-    runs: Map<RunKey, TrackedRun>,
+    runs: StableMap<RunKey, TrackedRun>,
     /// Whether a full report was made.
     full_report_made: bool,
     /// Highest sequence number of an end that was reported.
--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -5,22 +5,22 @@
 use std::time::Duration;
 
 use super::advice::AdviceState;
-use super::claim::Strength;
 use super::config::SchedConfig;
 use super::crash_rate::CrashRate;
 use super::fair_share::SubmissionRates;
 use super::host::Host;
-use super::job::{Job, JobRecord, JobStatus, Outcome, OverRecord, Phase, Task, WorkerId};
+use super::job::{FinishedJobRecord, Job, JobRecord, JobStatus, Outcome, Phase, Task, WorkerId};
 use super::job_table::{ArchivedJob, JobTable};
+use super::lease_claim::EntryCapacity;
+use super::log_lines::LogLines;
 use super::maintenance_waves::WaveState;
-use super::map::Map;
-use super::notes::Notes;
 use super::order_marks::OrderMarks;
 use super::policy::Policy;
 use super::pool_planning::PoolState;
 use super::queue_order::{TaskDurations, queue_position};
 use super::relays::Relays;
 use super::spec::{JobKey, JobSpec, QueueId, StepId, TaskId};
+use super::stable_map::StableMap;
 use super::task_queue::TaskQueue;
 use super::types::{Action, Batch, Event, JobStatusUpdate, Limits, Record, lease_with_drift};
 use super::worker::{Worker, WorkerInfo, WorkerRecord};
@@ -46,7 +46,7 @@
     /// Name of the entry that holds the lease.
     pub holder: String,
     /// Number of workers that this entry can attend.
-    pub strength: Strength,
+    pub strength: EntryCapacity,
     /// Limits of the platform and of the scheduler.
     pub limits: Limits,
     /// Parameters of the decisions.
@@ -62,10 +62,10 @@
     /// Relays, and which workers each attends.
     pub(super) relays: Relays,
     /// Tasks that wait for a worker, by service.
-    pub(super) ready: Map<ServiceId, TaskQueue>,
+    pub(super) ready: StableMap<ServiceId, TaskQueue>,
     /// Of those, the tasks that wait for a trial run, each with the time since which it is
     /// suspected of crashing workers.
-    pub(super) trials: Map<ServiceId, BTreeSet<(Duration, TaskId)>>,
+    pub(super) trials: StableMap<ServiceId, BTreeSet<(Duration, TaskId)>>,
     /// Data centres that are being evacuated; no work begins there.
     pub(super) evacuated: BTreeSet<DataCentre>,
     /// Processor capacity, in thousandths of a core, of all listed hosts on which work may begin.
@@ -77,7 +77,7 @@
     /// Durations of tasks.
     pub(super) durations: TaskDurations,
     /// Hosts, as last listed.
-    pub hosts: Map<HostId, Host>,
+    pub hosts: StableMap<HostId, Host>,
     /// When that list was requested.
     pub(super) hosts_requested_at: Duration,
     /// Hosts that were ordered lately.
@@ -119,7 +119,7 @@
     /// Cancellations of jobs that are not known yet.
     early_cancels: BTreeSet<(JobKey, Owner)>,
     /// Log lines about decisions; the process drains them.
-    pub notes: Notes,
+    pub notes: LogLines,
     /// Counters for metrics since this term began.
     pub counters: SchedulerCounters,
 }
@@ -144,7 +144,7 @@
             claimed_at: since,
             token,
             holder: String::new(),
-            strength: Strength::MAX,
+            strength: EntryCapacity::MAX,
             limits,
             policy: Policy::default(),
             config: Arc::default(),
@@ -152,14 +152,14 @@
             workers: WorkerIndex::default(),
             workers_without_service: BTreeMap::new(),
             relays: Relays::default(),
-            ready: Map::default(),
-            trials: Map::default(),
+            ready: StableMap::default(),
+            trials: StableMap::default(),
             evacuated: BTreeSet::new(),
             fleet_cpu_millis: 0,
             shares: SubmissionRates::default(),
             crash_rate: CrashRate::default(),
             durations: TaskDurations::default(),
-            hosts: Map::default(),
+            hosts: StableMap::default(),
             hosts_requested_at: Duration::ZERO,
             order_marks: OrderMarks::default(),
             waves: BTreeMap::new(),
@@ -180,7 +180,7 @@
             services_to_place: BTreeSet::new(),
             inbox_read_at: Duration::ZERO,
             early_cancels: BTreeSet::new(),
-            notes: Notes::default(),
+            notes: LogLines::default(),
             counters: SchedulerCounters::default(),
         }
     }
@@ -211,7 +211,7 @@
 
     fn restore_open_job(&mut self, key: JobKey, spec: Arc<JobSpec>, rec: Option<JobRecord>) {
         let now = self.now;
-        let fits = rec.as_ref().is_none_or(|rec| rec.fits(&spec));
+        let fits = rec.as_ref().is_none_or(|rec| rec.matches_spec(&spec));
         let mut job = match rec {
             Some(rec) if fits => Job::restore(key, spec, rec, now),
             _ => Job::new(key, spec),
@@ -221,9 +221,9 @@
             // and must not be started again.
             self.notes.push(format_args!("event=job_changed job={key:016x} outcome=Failed"));
             job.outcome = Some(Outcome::Failed);
-            job.ended = now;
+            job.ended_at = now;
         }
-        job.most_cpu = self.config.workspaces.limit(job.spec.owner()).cpu_millis;
+        job.max_cpu_millis = self.config.workspaces.limit(job.spec.owner()).cpu_millis;
         self.suspect_inherited(&mut job);
         let bound = self.inherited_lease_end();
         let mut places = BTreeSet::new();
@@ -247,7 +247,13 @@
         self.dirty_jobs.insert(key);
     }
 
-    fn restore_finished_job(&mut self, key: JobKey, outcome: Outcome, record: OverRecord, in_inbox: bool) {
+    fn restore_finished_job(
+        &mut self,
+        key: JobKey,
+        outcome: Outcome,
+        record: FinishedJobRecord,
+        in_inbox: bool,
+    ) {
         let (queue, owner, state) = (record.queue.clone(), record.owner, Some(JobStatus::Ended(outcome)));
         self.jobs.archive(key, ArchivedJob { outcome, record }, self.now);
         self.status_updates.push(JobStatusUpdate { key, queue, owner, state, timed: false });
@@ -275,7 +281,7 @@
             Event::Evacuated(data_centres) => self.set_evacuated(data_centres),
             Event::WorkerListed(info) => self.worker_listed(info),
             Event::WorkerUnlisted(id) => self.worker_unlisted(&id),
-            Event::LifeOver(id, heard) => self.other_life_answered(&id, heard),
+            Event::LifeOver(id, heard) => self.handle_other_incarnation(&id, heard),
             Event::WorkerRestarted(id, started, heard) => self.worker_restarted(&id, started, heard),
             Event::WorkerUpdate(id, token, news) => self.handle_worker_news(&id, token, news),
             Event::AdviceReceived(a) => self.advice_received(a),
@@ -302,8 +308,11 @@
             }
             return;
         }
-        let (stretch, target) =
-            self.config.queues.get(&spec.queue).map_or((1.0, 0), |q| (q.stretch, q.target.as_millis()));
+        let (stretch, target) = self
+            .config
+            .queues
+            .get(&spec.queue)
+            .map_or((1.0, 0), |q| (q.deadline_factor, q.deadline_offset.as_millis()));
         self.notes.push(format_args!(
             "event=job_known job={key:016x} queue={} stretch={stretch} target_ms={target}",
             spec.queue
@@ -311,7 +320,7 @@
         let excess =
             self.shares.exceeds_rate(owner, self.config.workspaces.jobs_per_s(owner), spec.accepted_at);
         let most_cpu = self.config.workspaces.limit(owner).cpu_millis;
-        self.jobs.insert(Job { excess, most_cpu, ..Job::new(key, spec) });
+        self.jobs.insert(Job { over_rate: excess, max_cpu_millis: most_cpu, ..Job::new(key, spec) });
         self.track_advised_job(key);
         self.dirty_jobs.insert(key);
         self.open_due_rounds(key);
@@ -368,7 +377,7 @@
     pub(super) fn open_due_rounds(&mut self, key: JobKey) {
         let ahead = self.wall + self.limits.round_lead_time.as_millis() as u64;
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        while job.open() && (job.rounds.len() as u32) < job.spec.round_count() {
+        while job.is_open() && (job.rounds.len() as u32) < job.spec.round_count() {
             if job.spec.round_due_at(job.rounds.len() as u32) > ahead {
                 break;
             }
@@ -387,10 +396,10 @@
     /// Queues all tasks of a job that may be started now.
     pub(super) fn queue_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(&key) else { return };
-        if !job.open() {
+        if !job.is_open() {
             return;
         }
-        let open = job.step_ids().filter(|id| job.step_open(id.round, id.step));
+        let open = job.step_ids().filter(|id| job.is_step_ready(id.round, id.step));
         let waiting: Vec<(StepId, Vec<u32>)> = open.map(|id| (id, job.idle_tasks(&id))).collect();
         for (step, tasks) in waiting {
             self.enqueue(step, tasks);
@@ -402,7 +411,7 @@
     pub(super) fn queue_task(&mut self, id: &TaskId) {
         let Some(job) = self.jobs.get(&id.job) else { return };
         let idle = job.task(id).is_some_and(Task::is_idle);
-        if !job.open() || !idle || !job.step_open(id.round, id.step) {
+        if !job.is_open() || !idle || !job.is_step_ready(id.round, id.step) {
             return;
         }
         self.enqueue(id.step_id(), vec![id.index]);
@@ -456,7 +465,7 @@
             }
         }
         job.outcome = Some(outcome);
-        job.ended = self.now;
+        job.ended_at = self.now;
         self.notes.push(format_args!(
             "event=job_ended job={key:016x} outcome={outcome:?} age_ms={}",
             self.wall.saturating_sub(job.spec.accepted_at)
@@ -475,7 +484,7 @@
 
     /// Completes a job once all its tasks are done.
     pub(super) fn complete_if_done(&mut self, key: JobKey) {
-        let done = self.jobs.get(&key).is_some_and(|j| j.open() && j.all_done());
+        let done = self.jobs.get(&key).is_some_and(|j| j.is_open() && j.all_done());
         if done {
             self.end_job(key, Outcome::Completed);
         }
@@ -506,10 +515,10 @@
         }
         let wall = self.wall;
         self.ready.values_mut().for_each(|w| w.downgrade_overdue(wall));
-        self.settle_lapsed();
+        self.settle_expired_leases();
         if self.now >= self.stalled_checked_at + STALLED_CHECK_INTERVAL {
             self.stalled_checked_at = self.now;
-            self.settle_slow();
+            self.stop_stalled_runs();
             self.clear_proven_tasks();
         }
         self.evict_from_draining();
@@ -540,22 +549,23 @@
             let (queue, timed) = (job.spec.queue.clone(), job.spec.repeat.is_some());
             batch.status_updates.push(JobStatusUpdate { key, queue, owner: job.spec.owner(), state, timed });
         }
-        let Some(outcome) = job.outcome.filter(|_| job.at_rest()) else {
+        let Some(outcome) = job.outcome.filter(|_| job.has_no_runs()) else {
             batch.records.push(Record::Job(key, job.record()));
             return;
         };
-        let (cancelled, begun, spec) = (job.cancelled, job.begun, job.spec.clone());
+        let (cancelled, begun, spec) = (job.cancelled, job.started, job.spec.clone());
         let work = self.jobs.get(&key).and_then(|j| self.job_work(j));
-        let record = OverRecord {
+        let record = FinishedJobRecord {
             queue: spec.queue.clone(),
             service: spec.service.clone(),
-            accepted: spec.accepted_at,
-            work,
-            room: spec.max_task_resources(),
+            accepted_at: spec.accepted_at,
+            work_core_ms: work,
+            max_task_resources: spec.max_task_resources(),
             owner: spec.owner(),
         };
         let over = Some(record.clone());
-        let stored = JobRecord { cancelled, begun, outcome: Some(outcome), over, ..JobRecord::default() };
+        let stored =
+            JobRecord { cancelled, started: begun, outcome: Some(outcome), over, ..JobRecord::default() };
         batch.records.push(Record::Job(key, stored));
         self.jobs.archive(key, ArchivedJob { outcome, record }, self.now);
         self.finished_jobs.push(key);
--- a/crates/workswood-core/src/jobs/worker.rs
+++ b/crates/workswood-core/src/jobs/worker.rs
@@ -10,8 +10,8 @@
 use super::crash_attribution::LostRun;
 use super::crash_trials::Quarantine;
 use super::job::WorkerId;
-use super::map::Map;
 use super::spec::{Resources, StepId, StepSpec, TaskId};
+use super::stable_map::StableMap;
 use super::workspace_usage::{Reservation, UsageChange};
 use crate::ids::{DataCentre, HostId, ServiceId};
 
@@ -207,7 +207,7 @@
     /// When everything on the worker must have ended if its lease is no longer extended.
     pub lease_end: Duration,
     /// Runs that may exist on the worker, with the resources of each.
-    pub runs: Map<(TaskId, u32), Reservation>,
+    pub runs: StableMap<(TaskId, u32), Reservation>,
     /// Starts and ends of runs that the workspace accounts have not been told of.
     pub(super) account_changes: Vec<UsageChange>,
     /// Long-running tasks among `runs`.
@@ -271,7 +271,7 @@
             last_heard: Duration::ZERO,
             silent_for: Duration::ZERO,
             lease_end,
-            runs: Map::default(),
+            runs: StableMap::default(),
             account_changes: Vec::new(),
             long_running: BTreeSet::new(),
             best_effort: BTreeSet::new(),
@@ -324,7 +324,7 @@
 
     /// Resources that are free.
     pub fn free_room(&self) -> Resources {
-        self.info.as_ref().map(|i| i.capacity.minus(&self.used_room)).unwrap_or_default()
+        self.info.as_ref().map(|i| i.capacity.saturating_sub(&self.used_room)).unwrap_or_default()
     }
 
     /// Reserves the resources of a run.
@@ -352,7 +352,7 @@
     /// Releases the resources of a run, and ends the quarantine if the run was its trial.
     pub fn remove_run(&mut self, task: TaskId, attempt: u32) {
         if let Some(held) = self.runs.remove(&(task, attempt)) {
-            self.used_room = self.used_room.minus(&held.resources);
+            self.used_room = self.used_room.saturating_sub(&held.resources);
             self.account_changes.push(UsageChange::Released(held));
         }
         if self.quarantine.is_some_and(|q| q.trial == Some((task, attempt))) {
--- a/crates/workswood-core/src/jobs/worker_index.rs
+++ b/crates/workswood-core/src/jobs/worker_index.rs
@@ -9,8 +9,8 @@
 use std::ops::{Deref, DerefMut};
 use std::sync::Arc;
 
-use super::map::Map;
 use super::spec::Resources;
+use super::stable_map::StableMap;
 use super::worker::{Worker, WorkerInfo};
 use super::worker_id::WorkerId;
 use super::workspace_usage::{UsageChange, WorkspaceUsage};
@@ -51,11 +51,11 @@
 
 #[derive(Debug, Default)]
 struct SecondaryIndexes {
-    pools: Map<ServiceId, Pool>,
-    by_host: Map<HostId, Vec<WorkerId>>,
-    count_by_data_centre: Map<DataCentre, usize>,
+    pools: StableMap<ServiceId, Pool>,
+    by_host: StableMap<HostId, Vec<WorkerId>>,
+    count_by_data_centre: StableMap<DataCentre, usize>,
     /// Incarnations by worker name.
-    by_name: Map<String, Vec<WorkerId>>,
+    by_name: StableMap<String, Vec<WorkerId>>,
     unreachable: BTreeSet<WorkerId>,
     draining: BTreeSet<WorkerId>,
     accounts: WorkspaceUsage,
@@ -64,7 +64,7 @@
 /// All known incarnations of workers.
 #[derive(Debug, Default)]
 pub struct WorkerIndex {
-    by_id: Map<WorkerId, WorkerSlot>,
+    by_id: StableMap<WorkerId, WorkerSlot>,
     indexes: SecondaryIndexes,
 }
 
@@ -249,7 +249,7 @@
         let Some(pool) = indexed.info.as_ref().and_then(|i| self.pools.get_mut(&i.service)) else { return };
         let used = if w.evacuated { Resources::default() } else { w.used_room };
         if indexed.used != used {
-            pool.used = pool.used.minus(&indexed.used);
+            pool.used = pool.used.saturating_sub(&indexed.used);
             pool.used.add(&used);
             indexed.used = used;
         }
@@ -289,7 +289,7 @@
         }
         self.draining.remove(id);
         let Some(pool) = self.pools.get_mut(&info.service) else { return };
-        pool.used = pool.used.minus(&std::mem::take(&mut indexed.used));
+        pool.used = pool.used.saturating_sub(&std::mem::take(&mut indexed.used));
         pool.remove_available(id, indexed.available.take());
         if indexed.listed {
             pool.remove_capacity(&info.capacity);
--- a/crates/workswood-core/src/jobs/worker_restart.rs
+++ b/crates/workswood-core/src/jobs/worker_restart.rs
@@ -26,7 +26,7 @@
     /// Handles an answer that shows that the worker `id` has restarted at `started`; the earlier
     /// incarnation last answered at `heard`.
     pub(super) fn worker_restarted(&mut self, id: &WorkerId, started: UnixMs, heard: Duration) {
-        self.note_last_heard(id, heard);
+        self.record_last_heard(id, heard);
         let Some(info) = self.workers.get(id).map(|w| w.info.clone()) else { return };
         let later = WorkerId::new(id.name(), Some(started));
         // The answer may be older than what is known by now.
@@ -81,7 +81,7 @@
             self.notes.push(format_args!("event=worker_restarted worker={later} before={id} runs={runs}"));
             self.withdraw_relay(&id);
             if runs == 0 {
-                self.life_over(&id, IncarnationEnd::OtherIncarnation);
+                self.end_incarnation(&id, IncarnationEnd::OtherIncarnation);
             }
         }
     }
@@ -108,7 +108,7 @@
             for (task, attempt) in &listed {
                 self.carry_over_run(&id, later, task, *attempt);
             }
-            self.life_over(&id, IncarnationEnd::OtherIncarnation);
+            self.end_incarnation(&id, IncarnationEnd::OtherIncarnation);
         }
     }
 
--- a/src/workswood/ops/jobs/front.rs
+++ b/src/workswood/ops/jobs/front.rs
@@ -103,7 +103,7 @@
     queue: &QueueConfig,
     req: &Request<Incoming>,
 ) -> Result<Option<WorkspaceId>, KeyRefusal> {
-    if !queue.keyed {
+    if !queue.requires_key {
         return Ok(None);
     }
     let key = bearer_token(req.headers()).ok_or(KeyRefusal::Missing)?;
@@ -209,7 +209,7 @@
         workspace,
         priority: queue.priority,
         max_attempts: queue.max_attempts,
-        text: handed.text.into(),
+        task_input: handed.text.into(),
         steps: handed.steps,
         repeat: handed.repeat,
         accepted_at: node.wall(),
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -363,7 +363,7 @@
 #[test]
 fn job_state_fields() {
     let job = job_state_of("00000000000000ab");
-    assert_eq!((job.cancelled, job.begun, job.outcome), (true, true, Some(Outcome::Failed)));
+    assert_eq!((job.cancelled, job.started, job.outcome), (true, true, Some(Outcome::Failed)));
     check_tasks(&job);
     let done: Vec<bool> = job.rounds[0][1].iter().map(|t| t.done).collect();
     assert_eq!(done, (0..11).map(|n| n % 3 == 0).collect::<Vec<_>>());
@@ -376,9 +376,19 @@
     for (key, outcome, work) in ended {
         let job = job_state_of(key);
         let over = job.over.expect("it is over");
-        assert_eq!((job.outcome, over.work, over.accepted), (Some(outcome), work, 1_700_000_000_789));
+        assert_eq!(
+            (job.outcome, over.work_core_ms, over.accepted_at),
+            (Some(outcome), work, 1_700_000_000_789)
+        );
         assert_eq!((over.queue.as_str(), over.service.as_str()), ("desk", "till"));
-        assert_eq!((over.room.cpu_millis, over.room.mem_mb, over.room.gpus), (1_500, 2_048, 2));
+        assert_eq!(
+            (
+                over.max_task_resources.cpu_millis,
+                over.max_task_resources.mem_mb,
+                over.max_task_resources.gpus
+            ),
+            (1_500, 2_048, 2)
+        );
         assert_eq!(over.owner, Owner::of_workspace(Some("team-a")));
     }
 }
@@ -428,14 +438,14 @@
 fn check_spec(spec: &JobSpec) {
     assert_eq!((spec.queue.as_str(), spec.service.as_str()), ("desk", "till"));
     assert_eq!((spec.workspace.as_deref(), spec.priority, spec.max_attempts), (Some("team-a"), 5, 6));
-    assert_eq!((spec.text.as_ref(), spec.accepted_at), ("run this \"text\"", 1_700_000_000_321));
+    assert_eq!((spec.task_input.as_ref(), spec.accepted_at), ("run this \"text\"", 1_700_000_000_321));
     let repeat = spec.repeat.expect("rounds");
     assert_eq!((repeat.count, repeat.first_due_at, repeat.interval), (4, 1_700_000_060_000, millis(90_000)));
     let step = &spec.steps[2];
     assert_eq!((step.resources.cpu_millis, step.resources.mem_mb, step.resources.gpus), (500, 256, 1));
     assert_eq!((step.count, step.max_per_worker, step.max_unavailable), (3, 2, 4));
     assert_eq!(
-        (step.estimate, step.latency_target, &step.after),
+        (step.estimate, step.latency_target, &step.depends_on),
         (millis(1_250), Some(millis(350)), &vec![0, 1])
     );
     let texts = [&step.label, &step.data_rack, &step.image].map(|t| t.as_deref());
