--- a/src/workswood/ops/jobs/inbox.rs
+++ b/src/workswood/ops/jobs/inbox.rs
@@ -31,8 +31,8 @@
 use workswood_platform::jobs::{Guard, KeyedRecord, Partition, StoreError, Topic};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::help;
 use super::node::Node;
+use super::peer_requests;
 use super::record::{InboxItem, InboxKey};
 
 /// Appends on their way at a time. The store takes appends in turn, so there is
@@ -377,7 +377,7 @@
     if records.is_empty() {
         return vec![None; batch.len()];
     }
-    let mut told = help::hand_in(node, &records).await.into_iter();
+    let mut told = peer_requests::hand_in(node, &records).await.into_iter();
     batch.iter().map(|w| if w.for_peer { None } else { told.next() }).collect()
 }
 
--- a/src/workswood/ops/jobs/front.rs
+++ b/src/workswood/ops/jobs/job_api.rs
@@ -14,8 +14,8 @@
 use workswood_core::jobs::spec::parse_job_key;
 use workswood_core::jobs::{JobKey, JobSpec, Owner, QueueConfig, SchedConfig};
 
-use super::ask::{self, Told};
 use super::inbox::Stored;
+use super::job_queries::{self, Told};
 use super::node::Node;
 use super::record::{cancel_record, job_record};
 
@@ -125,7 +125,7 @@
     if req.method() != Method::GET {
         return refusal(Code::MethodUnknown, ExecutionStatus::NotRun, None);
     }
-    match ask::pending(node, &queue.name).await {
+    match job_queries::pending(node, &queue.name).await {
         Told::Known(n) => json(wire::pending_body(n)),
         Told::Unknown | Told::Unreachable => {
             refusal(Code::HolderAway, ExecutionStatus::NotRun, Some(COME_BACK))
@@ -134,7 +134,7 @@
 }
 
 async fn state(node: &Arc<Node>, job: JobKey, owner: Owner) -> Response<ReplyBody> {
-    let told = ask::job(node, job, owner).await;
+    let told = job_queries::job(node, job, owner).await;
     node.metrics.asked.with_label_values(&[told.label()]).inc();
     match told {
         Told::Known(s) => json(wire::state_body(s)),
@@ -146,7 +146,7 @@
 async fn cancel(node: &Arc<Node>, job: JobKey, owner: Owner, req: &Request<Incoming>) -> Response<ReplyBody> {
     // A job that was accepted a moment ago may not be known yet: the cancel is
     // kept in any case.
-    let unknown = ask::job(node, job, owner).await == Told::Unknown;
+    let unknown = job_queries::job(node, job, owner).await == Told::Unknown;
     let stored = node.inbox.store(cancel_record(job, owner), within(req)).await;
     if stored == Stored::Yes {
         log::info!("event=cancel_accepted job={job:016x} known={}", !unknown);
--- a/src/workswood/ops/jobs/lead.rs
+++ b/src/workswood/ops/jobs/lead.rs
@@ -16,12 +16,12 @@
 use workswood_platform::jobs::{Guard, KeyedRecord, StoreError, Topic};
 
 use super::advice::{self, AdviceCall};
-use super::feeds::{InboxProgress, publish_waves, read_hosts, read_inbox, read_workers};
 use super::host_orders::{self, HostOrder};
 use super::load::{Loaded, load};
 use super::node::{Leading, Node};
 use super::record::{inbox_drop, state_record};
 use super::renew;
+use super::scheduler_io::{InboxProgress, publish_waves, read_hosts, read_inbox, read_workers};
 use super::sessions::Sessions;
 use super::trim;
 use crate::util::logs;
--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -15,9 +15,9 @@
 use workswood_core::jobs::claim::{Ages, Candidate, EXPIRES, HolderSeen, Reason, Strength, spread};
 use workswood_platform::jobs::{Guard, KeyedRecord, StoreError, Tail, Topic};
 
-use super::follow::pause_after;
 use super::lead;
 use super::node::{Holder, Node};
+use super::topic_reader::pause_after;
 
 /// Longest time that one read waits for a record: longer than between two
 /// renewals, so that one read each is enough, and short enough to notice that the
--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -5,44 +5,44 @@
 //! lease decides where their tasks run. A [`Node`] is what the tasks of a
 //! process share:
 //!
-//! * [`front`] answers callers, [`inbox`] keeps what they hand in, and [`probe`]
+//! * [`job_api`] answers callers, [`inbox`] keeps what they hand in, and [`monitoring`]
 //!   answers the balancer;
-//! * [`follow`] keeps up with what operators write, and [`operators`] tells how old that is and what is evacuated;
+//! * [`topic_reader`] keeps up with what operators write, and [`operators`] tells how old that is and what is evacuated;
 //! * [`lease`] watches the scheduler lease and claims it;
 //! * [`lead`] runs the scheduler while this process holds the lease, with
-//!   [`load`] (a predecessor's state), [`feeds`] (what it reads), [`record`],
+//!   [`load`] (a predecessor's state), [`scheduler_io`] (what it reads), [`record`],
 //!   [`job_spec`] and [`job_state`] (the stored form), [`trim`] (takes out what is over), [`renew`] (the lease), [`sessions`] (with the relays) and
 //!   [`advice`] (calls to the adviser);
 //! * [`relay`] speaks with workers, for the lease holder here or elsewhere;
-//! * [`shown`] holds what callers may be told; [`ask`] puts callers' questions to the lease holder, and [`help`] does what
+//! * [`job_status_table`] holds what callers may be told; [`job_queries`] puts callers' questions to the lease holder, and [`peer_requests`] does what
 //!   other processes ask for, whose listeners are in [`peers`];
 //! * [`usage`] tells in the log what a busy entry is used for;
 //! * [`stop`] ends the process without cutting anything off.
 
 pub mod advice;
-pub mod ask;
-mod feeds;
-pub mod follow;
-mod front;
-pub mod help;
 pub mod host_orders;
 pub mod inbox;
+mod job_api;
+pub mod job_queries;
 pub mod job_spec;
 pub mod job_state;
+pub mod job_status_table;
 mod lead;
 pub mod lease;
 pub mod limits;
 mod load;
+mod monitoring;
 pub mod node;
 pub mod operators;
+pub mod peer_requests;
 pub mod peers;
-mod probe;
 pub mod record;
 pub mod relay;
 mod renew;
+mod scheduler_io;
 mod sessions;
-pub mod shown;
 mod stop;
+pub mod topic_reader;
 mod trim;
 mod usage;
 pub mod worker_list;
@@ -101,23 +101,23 @@
         node.settings.peers
     );
     let (stop_callers, stopped) = channel::channel(false);
-    tokio::spawn(probe::readiness(readiness, node.clone()));
-    tokio::spawn(probe::metrics(metrics, node.clone()));
+    tokio::spawn(monitoring::readiness(readiness, node.clone()));
+    tokio::spawn(monitoring::metrics(metrics, node.clone()));
     tokio::spawn(workswood_peers::serve_with_relay(
         peer_listener,
         peers::TOKEN.to_string(),
-        help::handler(node.clone()),
+        peer_requests::handler(node.clone()),
         relay::serve::handler(node.clone()),
         node.traffic.clone(),
     ));
     tokio::spawn(inbox::run(node.clone()));
-    tokio::spawn(follow::run(node.clone()));
-    tokio::spawn(follow::ask_peers(node.clone()));
+    tokio::spawn(topic_reader::run(node.clone()));
+    tokio::spawn(topic_reader::ask_peers(node.clone()));
     tokio::spawn(lease::run(node.clone()));
     tokio::spawn(peers::run(node.clone()));
     tokio::spawn(usage::run(node.clone()));
     tokio::spawn(stop::watch_reload(path));
-    let callers = tokio::spawn(workswood_callers::serve(callers, front::handler(node.clone()), stopped));
+    let callers = tokio::spawn(workswood_callers::serve(callers, job_api::handler(node.clone()), stopped));
     signals::stop().await;
     stop::run(&node, &stop_callers, callers).await;
     Ok(())
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -16,11 +16,11 @@
 use workswood_traffic::Traffic;
 
 use super::inbox::{Inbox, Kept};
+use super::job_status_table::ShownJobs;
 use super::operators::Operators;
 use super::peers::Peers;
 use super::relay::Grant;
 use super::relay::serve::Session;
-use super::shown::ShownJobs;
 use crate::util::clock::Clock;
 use crate::util::job_metrics::JobMetrics;
 use crate::util::job_settings::JobSettings;
--- a/src/workswood/ops/jobs/help.rs
+++ b/src/workswood/ops/jobs/peer_requests.rs
@@ -20,7 +20,7 @@
 use super::lease::{self, LeaseRecord};
 use super::node::{Holder, Node};
 use super::operators::Evacuations;
-use super::{advice, ask};
+use super::{advice, job_queries};
 
 /// How many other processes are asked, one after the other.
 const MOST_HELPERS: usize = 2;
@@ -38,8 +38,8 @@
 
 async fn answer(node: &Node, msg: Msg) -> Option<Msg> {
     match msg {
-        Msg::JobStateRequest(ask) => Some(Msg::JobStateReply(ask::answer_job(node, &ask))),
-        Msg::PendingJobsRequest(ask) => Some(Msg::PendingJobsReply(ask::answer_pending(node, &ask))),
+        Msg::JobStateRequest(ask) => Some(Msg::JobStateReply(job_queries::answer_job(node, &ask))),
+        Msg::PendingJobsRequest(ask) => Some(Msg::PendingJobsReply(job_queries::answer_pending(node, &ask))),
         Msg::InboxAppendRequest(asked) => Some(Msg::InboxAppendReply(store_for(node, asked).await)),
         Msg::AdviceRequest(asked) => Some(Msg::AdviceReply(advice::ask_for(node, asked).await)),
         Msg::LeaseReleaseRequest(asked) => release_for(node, asked).await,
--- a/src/workswood/ops/jobs/renew.rs
+++ b/src/workswood/ops/jobs/renew.rs
@@ -5,9 +5,9 @@
 
 use workswood_platform::jobs::{Guard, StoreError, Topic};
 
-use super::help;
 use super::lease::LeaseRecord;
 use super::node::{Leading, Node};
+use super::peer_requests;
 
 /// Time between two renewals.
 const EVERY: Duration = Duration::from_millis(450);
@@ -49,7 +49,7 @@
                 log::warn!("event=lease_not_renewed term={} error=\"{e}\"", l.term);
                 let hopeless =
                     node.now() > renewed + HOPELESS_AFTER && node.settings.policy.calls.write_for_others;
-                if hopeless && help::release(&node, l.term).await {
+                if hopeless && peer_requests::release(&node, l.term).await {
                     log::warn!("event=lease_released term={} by=helper", l.term);
                     let _ = l.end.send(true);
                     return;
--- a/src/workswood/ops/jobs/feeds.rs
+++ b/src/workswood/ops/jobs/scheduler_io.rs
@@ -14,9 +14,9 @@
 use workswood_core::jobs::Event;
 use workswood_platform::jobs::{Guard, KeyedRecord, Partition, StoreError, Topic};
 
-use super::follow::topic;
 use super::load::{inbox_event, note_kept};
 use super::node::{Leading, Node};
+use super::topic_reader::topic;
 use super::worker_list::WorkerList;
 
 /// Pause after a failed read or append.
--- a/src/workswood/ops/jobs/follow.rs
+++ b/src/workswood/ops/jobs/topic_reader.rs
@@ -9,9 +9,9 @@
 use workswood_core::jobs::Event;
 use workswood_platform::jobs::{KeyedRecord, OperatorRecord, StoreError, Topic};
 
-use super::help;
 use super::node::Node;
 use super::operators::Evacuations;
+use super::peer_requests;
 
 /// How long one read of the lease holder waits for a record: it decides for all.
 const LEADER_WAIT: Duration = Duration::from_millis(1000);
@@ -129,7 +129,7 @@
             continue;
         }
         let known = node.config.load().as_ref().map_or(0, |c| c.version);
-        let told = help::newer_wishes(&node, known).await;
+        let told = peer_requests::newer_wishes(&node, known).await;
         for value in told.configs {
             let rec = KeyedRecord { key: CONFIG.to_string(), value: Some(value) };
             take_item(&node, &rec, &mut BTreeSet::new());
--- a/src/workswood/ops/jobs/worker_list.rs
+++ b/src/workswood/ops/jobs/worker_list.rs
@@ -6,7 +6,7 @@
 use workswood_core::jobs::{Event, WorkerInfo};
 use workswood_platform::jobs::KeyedRecord;
 
-use super::follow::Heard;
+use super::topic_reader::Heard;
 
 /// Workers that are listed, by their names.
 #[derive(Debug, Default)]
--- a/tests/testsuite/advice_protocol.rs
+++ b/tests/testsuite/advice_protocol.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{mpsc, watch};
 use workswood::ops::jobs::advice::{self, AdviceCall};
 use workswood::ops::jobs::node::Leading;
-use workswood::ops::jobs::{Node, help, peers};
+use workswood::ops::jobs::{Node, peer_requests, peers};
 use workswood_adapter::{Addresses, PlatformClient};
 use workswood_adapter_standin::caller::advised_config;
 use workswood_adapter_standin::{AdviserStandin, WorkerStandin};
@@ -131,7 +131,11 @@
     let mut settings = settings(name);
     settings.peers = listener.local_addr().expect("an address");
     let node = Arc::new(Node::new(settings, Arc::new(platform)));
-    tokio::spawn(workswood_peers::serve(listener, peers::TOKEN.to_string(), help::handler(node.clone())));
+    tokio::spawn(workswood_peers::serve(
+        listener,
+        peers::TOKEN.to_string(),
+        peer_requests::handler(node.clone()),
+    ));
     node
 }
 
--- a/tests/testsuite/foreign_entries.rs
+++ b/tests/testsuite/foreign_entries.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use workswood::ops::jobs::follow::Heard;
+use workswood::ops::jobs::topic_reader::Heard;
 use workswood::ops::jobs::worker_list::WorkerList;
 use workswood_adapter::{Addresses, PlatformClient};
 use workswood_adapter_standin::StoreStandin;
--- a/tests/testsuite/job_records.rs
+++ b/tests/testsuite/job_records.rs
@@ -6,7 +6,7 @@
 use arbtest::arbtest;
 use workswood::ops::jobs::job_spec;
 use workswood::ops::jobs::job_state::{decode, encode};
-use workswood::ops::jobs::shown::ShownJobs;
+use workswood::ops::jobs::job_status_table::ShownJobs;
 use workswood_core::jobs::crash_attribution::{CrashRecord, Evidence};
 use workswood_core::jobs::job::{TaskRecord, WorkerId};
 use workswood_core::jobs::spec::Resources;
--- a/tests/testsuite/peer_help.rs
+++ b/tests/testsuite/peer_help.rs
@@ -7,7 +7,7 @@
 use workswood::ops::jobs::inbox::{self, Stored};
 use workswood::ops::jobs::node::Holder;
 use workswood::ops::jobs::operators::Evacuations;
-use workswood::ops::jobs::{Node, help, peers};
+use workswood::ops::jobs::{Node, peer_requests, peers};
 use workswood_core::jobs::SchedConfig;
 use workswood_platform::jobs::KeyedRecord;
 use workswood_test_support::job_node::settings;
@@ -23,7 +23,11 @@
     settings.peers = listener.local_addr().expect("an address");
     let node = Arc::new(Node::new(settings, store.clone()));
     tokio::spawn(inbox::run(node.clone()));
-    tokio::spawn(workswood_peers::serve(listener, peers::TOKEN.to_string(), help::handler(node.clone())));
+    tokio::spawn(workswood_peers::serve(
+        listener,
+        peers::TOKEN.to_string(),
+        peer_requests::handler(node.clone()),
+    ));
     node
 }
 
@@ -98,12 +102,12 @@
     let (away, well) = (store(&[Fate::Refused; 100]), store(&[]));
     let (a, b) = (process("entry-1", &away).await, process("entry-2", &well).await);
     tell_holder(&a, &b);
-    assert!(help::release(&a, 7).await);
+    assert!(peer_requests::release(&a, 7).await);
     assert_eq!(well.done(), [["holder"]]);
     let down = store(&[Fate::Refused; 100]);
     let c = process("entry-3", &down).await;
     tell_holder(&a, &c);
-    assert!(!help::release(&a, 7).await, "nobody can write");
+    assert!(!peer_requests::release(&a, 7).await, "nobody can write");
 }
 
 #[tokio::test]
@@ -154,9 +158,12 @@
     let (away, well) = (store(&[Fate::Refused; 100]), store(&[]));
     let (a, b) = (process("entry-1", &away).await, process("entry-2", &well).await);
     tell_holder(&a, &b);
-    assert!(help::newer_wishes(&a, 0).await.evacuations.is_empty(), "the other one has read nothing");
+    assert!(
+        peer_requests::newer_wishes(&a, 0).await.evacuations.is_empty(),
+        "the other one has read nothing"
+    );
     b.operators.evacuate(evacuated(&["north"], b.now()));
-    let told = help::newer_wishes(&a, 0).await.evacuations.remove(0);
+    let told = peer_requests::newer_wishes(&a, 0).await.evacuations.remove(0);
     assert_eq!(told.data_centres, evacuated(&["north"], Duration::ZERO).data_centres);
     assert!(told.read <= a.now(), "it is as old as the peer's reading at least");
     let read = told.read;
@@ -179,11 +186,11 @@
     let (away, well) = (store(&[Fate::Refused; 100]), store(&[]));
     let (a, b) = (process("entry-1", &away).await, process("entry-2", &well).await);
     tell_holder(&a, &b);
-    assert!(help::newer_wishes(&a, 0).await.configs.is_empty(), "the other one has none either");
+    assert!(peer_requests::newer_wishes(&a, 0).await.configs.is_empty(), "the other one has none either");
     b.configure(declared(7), "version seven".into());
-    assert_eq!(help::newer_wishes(&a, 6).await.configs, ["version seven"]);
-    assert!(help::newer_wishes(&a, 7).await.configs.is_empty(), "it is not newer");
+    assert_eq!(peer_requests::newer_wishes(&a, 6).await.configs, ["version seven"]);
+    assert!(peer_requests::newer_wishes(&a, 7).await.configs.is_empty(), "it is not newer");
     tell_holder(&b, &a);
-    let told = help::newer_wishes(&a, 7).await.holder.map(|h| (h.id, h.term));
+    let told = peer_requests::newer_wishes(&a, 7).await.holder.map(|h| (h.id, h.term));
     assert_eq!(told, Some((a.id.clone(), 7)), "who holds the lease is told, too");
 }
--- a/tests/testsuite/restarted_workers.rs
+++ b/tests/testsuite/restarted_workers.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood::ops::jobs::follow::Heard;
 use workswood::ops::jobs::relay::order::{Order, What};
 use workswood::ops::jobs::relay::wire;
+use workswood::ops::jobs::topic_reader::Heard;
 use workswood::ops::jobs::worker_list::WorkerList;
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -18,9 +18,9 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
-use workswood::ops::jobs::ask::{self, Told};
+use workswood::ops::jobs::job_queries::{self, Told};
 use workswood::ops::jobs::node::{Holder, Leading};
-use workswood::ops::jobs::{Node, help, peers};
+use workswood::ops::jobs::{Node, peer_requests, peers};
 use workswood_adapter::{Addresses, PlatformClient};
 use workswood_adapter_standin::{StoreStandin, WorkerStandin};
 use workswood_core::jobs::{JobStatus, JobStatusUpdate, WorkerAddress};
@@ -178,7 +178,11 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let cut = Cut::start(&listener.local_addr().expect("an address").to_string()).await;
     let node = Arc::new(Node::new(settings("entry-2"), store.clone()));
-    tokio::spawn(workswood_peers::serve(listener, peers::TOKEN.to_string(), help::handler(node.clone())));
+    tokio::spawn(workswood_peers::serve(
+        listener,
+        peers::TOKEN.to_string(),
+        peer_requests::handler(node.clone()),
+    ));
     (node, cut)
 }
 
@@ -223,7 +227,7 @@
     node.holder.store(Some(Arc::new(seen)));
     for _ in 0..3 {
         assert_eq!(
-            ask::job(&node, 1, workswood_core::jobs::Owner::PUBLIC).await,
+            job_queries::job(&node, 1, workswood_core::jobs::Owner::PUBLIC).await,
             Told::Known(JobStatus::Running),
             "each question is answered"
         );
