--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -17,7 +17,7 @@
 
 use super::lead;
 use super::node::{Holder, Node};
-use super::topic_reader::pause_after;
+use super::topic_reader::retry_delay;
 
 /// Longest time that one read waits for a record: longer than between two
 /// renewals, so that one read each is enough, and short enough to notice that the
@@ -179,7 +179,7 @@
                 if let Some(v) = &mut view {
                     v.heard = node.now();
                 }
-                tokio::time::sleep(pause_after(failures)).await;
+                tokio::time::sleep(retry_delay(failures)).await;
             }
         }
     }
--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -111,8 +111,8 @@
         node.traffic.clone(),
     ));
     tokio::spawn(inbox::run(node.clone()));
-    tokio::spawn(topic_reader::run(node.clone()));
-    tokio::spawn(topic_reader::ask_peers(node.clone()));
+    tokio::spawn(topic_reader::follow_operators(node.clone()));
+    tokio::spawn(topic_reader::poll_peers_when_stale(node.clone()));
     tokio::spawn(lease::run(node.clone()));
     tokio::spawn(peers::run(node.clone()));
     tokio::spawn(usage::run(node.clone()));
--- a/src/workswood/ops/jobs/scheduler_io.rs
+++ b/src/workswood/ops/jobs/scheduler_io.rs
@@ -16,7 +16,7 @@
 
 use super::load::{inbox_event, note_kept};
 use super::node::{Leading, Node};
-use super::topic_reader::topic;
+use super::topic_reader::follow_topic;
 use super::worker_list::WorkerList;
 
 /// Pause after a failed read or append.
@@ -100,7 +100,7 @@
 pub(super) async fn read_workers(node: Arc<Node>, l: Arc<Leading>) {
     let mut list = WorkerList::default();
     let n = node.clone();
-    topic(node, Topic::Workers, move |heard| {
+    follow_topic(node, Topic::Workers, move |heard| {
         for ev in list.take(heard, |rec| n.platform.parse_worker_info(rec)) {
             let _ = l.tx.send(ev);
         }
--- a/src/workswood/ops/jobs/topic_reader.rs
+++ b/src/workswood/ops/jobs/topic_reader.rs
@@ -34,7 +34,7 @@
 const LONGEST_PAUSE: Duration = Duration::from_millis(500);
 
 /// What a follower hears.
-pub enum Heard {
+pub enum TopicUpdate {
     /// All newest records; replaces what was heard before.
     Reset(Vec<KeyedRecord>),
     /// Changes, in order; may be empty when a read reached the end.
@@ -50,23 +50,23 @@
 }
 
 /// How long a process pauses after so many reads that have failed in a row.
-pub fn pause_after(failures: u32) -> Duration {
+pub fn retry_delay(failures: u32) -> Duration {
     let doubled = PAUSE.saturating_mul(2_u32.saturating_pow(failures.saturating_sub(1)));
     doubled.min(LONGEST_PAUSE)
 }
 
 /// Follows a topic for ever.
-pub async fn topic(node: Arc<Node>, topic: Topic, mut heard: impl FnMut(Heard) + Send) {
+pub async fn follow_topic(node: Arc<Node>, topic: Topic, mut heard: impl FnMut(TopicUpdate) + Send) {
     let mut next = None;
     let mut failures = 0;
     loop {
         let res = match next {
-            None => node.platform.latest(topic).await.map(|n| (Heard::Reset(n.records), n.next)),
+            None => node.platform.latest(topic).await.map(|n| (TopicUpdate::Reset(n.records), n.next)),
             Some(from) => {
                 // After a failure the answer is wanted at once: a read that waits
                 // for a record tells only after its wait that the store is back.
                 let wait = if failures > 0 { Duration::ZERO } else { read_wait(&node, topic) };
-                node.platform.tail(topic, from, wait).await.map(|t| (Heard::Changes(t.records), t.next))
+                node.platform.tail(topic, from, wait).await.map(|t| (TopicUpdate::Changes(t.records), t.next))
             }
         };
         match res {
@@ -91,23 +91,23 @@
                 if topic == Topic::Operators {
                     node.operators.reading_fails();
                 }
-                tokio::time::sleep(pause_after(failures)).await;
+                tokio::time::sleep(retry_delay(failures)).await;
             }
         }
     }
 }
 
 /// Follows what operators write.
-pub async fn run(node: Arc<Node>) {
+pub async fn follow_operators(node: Arc<Node>) {
     let n = node.clone();
     let mut evacuated = BTreeSet::new();
-    topic(node, Topic::Operators, move |heard| {
+    follow_topic(node, Topic::Operators, move |heard| {
         let records = match heard {
-            Heard::Reset(records) => {
+            TopicUpdate::Reset(records) => {
                 evacuated.clear();
                 records
             }
-            Heard::Changes(records) => records,
+            TopicUpdate::Changes(records) => records,
         };
         records.iter().for_each(|r| take_item(&n, r, &mut evacuated));
         n.operators.reading_succeeds();
@@ -120,7 +120,7 @@
 /// one away, for ever. A key that was taken away, or a limit that was lowered, is in force here too
 /// within the time that the platform allows (2 s at least), as long as any host that is asked
 /// reaches the store.
-pub async fn ask_peers(node: Arc<Node>) {
+pub async fn poll_peers_when_stale(node: Arc<Node>) {
     loop {
         tokio::time::sleep(ASK_EVERY).await;
         let age = node.operators.age(node.now());
--- a/src/workswood/ops/jobs/worker_list.rs
+++ b/src/workswood/ops/jobs/worker_list.rs
@@ -6,7 +6,7 @@
 use workswood_core::jobs::{Event, WorkerInfo};
 use workswood_platform::jobs::KeyedRecord;
 
-use super::topic_reader::Heard;
+use super::topic_reader::TopicUpdate;
 
 /// Workers that are listed, by their names.
 #[derive(Debug, Default)]
@@ -19,19 +19,19 @@
     /// that can't be read names no worker, whatever it said before.
     pub fn take(
         &mut self,
-        heard: Heard,
+        heard: TopicUpdate,
         read: impl Fn(&KeyedRecord) -> Result<WorkerInfo, String>,
     ) -> Vec<Event> {
         let mut events = Vec::new();
         let records = match heard {
-            Heard::Reset(records) => {
+            TopicUpdate::Reset(records) => {
                 let here: HashSet<&str> = records.iter().map(|r| r.key.as_str()).collect();
                 let gone: Vec<String> =
                     self.listed.keys().filter(|k| !here.contains(k.as_str())).cloned().collect();
                 events.extend(gone.iter().filter_map(|key| self.unlist(key)));
                 records
             }
-            Heard::Changes(records) => records,
+            TopicUpdate::Changes(records) => records,
         };
         for rec in &records {
             events.extend(self.take_one(rec, &read));
--- a/tests/testsuite/restarted_workers.rs
+++ b/tests/testsuite/restarted_workers.rs
@@ -5,7 +5,7 @@
 
 use workswood::ops::jobs::relay::order::{Order, What};
 use workswood::ops::jobs::relay::wire;
-use workswood::ops::jobs::topic_reader::Heard;
+use workswood::ops::jobs::topic_reader::TopicUpdate;
 use workswood::ops::jobs::worker_list::WorkerList;
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{
@@ -262,10 +262,10 @@
         };
         events.into_iter().map(text).collect()
     };
-    let heard = Heard::Changes(vec![record(10), record(20), record(10)]);
+    let heard = TopicUpdate::Changes(vec![record(10), record(20), record(10)]);
     assert_eq!(listed(list.take(heard, read)), ["listed w@10", "listed w@20"], "the last one comes late");
     let gone = KeyedRecord { key: "w".to_string(), value: None };
-    assert_eq!(listed(list.take(Heard::Changes(vec![gone]), read)), ["unlisted w@20"]);
+    assert_eq!(listed(list.take(TopicUpdate::Changes(vec![gone]), read)), ["unlisted w@20"]);
 }
 
 /// Orders and news between processes of this version, and what one of the version before reads.
