--- a/src/workswood/ops/jobs/job_queries.rs
+++ b/src/workswood/ops/jobs/job_queries.rs
@@ -46,7 +46,7 @@
 }
 
 fn own_job(node: &Node, l: &Leading, job: JobKey, asks: Option<Owner>) -> Told<JobStatus> {
-    match l.shown.read().state(job, asks) {
+    match l.shown.read().status(job, asks) {
         Some(state) => Told::Known(state),
         None if current(node, l) => Told::Unknown,
         None => Told::Unreachable,
@@ -57,7 +57,7 @@
     if !current(node, l) {
         return Told::Unreachable;
     }
-    Told::Known(l.shown.read().queued(queue))
+    Told::Known(l.shown.read().queued_jobs(queue))
 }
 
 /// Asks for the state of a job; to another owner than its own it is not known.
--- a/src/workswood/ops/jobs/lead.rs
+++ b/src/workswood/ops/jobs/lead.rs
@@ -295,7 +295,7 @@
     /// Shows callers the jobs of a stored batch.
     fn show(&self, shown: Vec<JobStatusUpdate>) {
         let mut all = self.l.shown.write();
-        shown.into_iter().for_each(|s| all.show(s));
+        shown.into_iter().for_each(|s| all.update(s));
     }
 }
 
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -16,7 +16,7 @@
 use workswood_traffic::Traffic;
 
 use super::inbox::{Inbox, Kept};
-use super::job_status_table::ShownJobs;
+use super::job_status_table::JobStatusTable;
 use super::operators::Operators;
 use super::peers::Peers;
 use super::relay::Grant;
@@ -50,7 +50,7 @@
     /// Events for the scheduler.
     pub tx: mpsc::UnboundedSender<Event>,
     /// What callers may be told.
-    pub shown: RwLock<ShownJobs>,
+    pub shown: RwLock<JobStatusTable>,
     /// All that was in the inbox at this time is in `shown`; ms since the
     /// start, 0 before the first time.
     pub inbox_read: AtomicU64,
--- a/tests/testsuite/job_records.rs
+++ b/tests/testsuite/job_records.rs
@@ -6,7 +6,7 @@
 use arbtest::arbtest;
 use workswood::ops::jobs::job_spec;
 use workswood::ops::jobs::job_state::{decode, encode};
-use workswood::ops::jobs::job_status_table::ShownJobs;
+use workswood::ops::jobs::job_status_table::JobStatusTable;
 use workswood_core::jobs::crash_attribution::{CrashRecord, Evidence};
 use workswood_core::jobs::job::{TaskRecord, WorkerId};
 use workswood_core::jobs::spec::Resources;
@@ -179,16 +179,16 @@
 
 #[test]
 fn queued_jobs_counted() {
-    let mut all = ShownJobs::default();
-    all.show(shown(1, "a", Some(JobStatus::Queued)));
-    all.show(shown(1, "a", Some(JobStatus::Queued)));
-    all.show(shown(2, "a", Some(JobStatus::Queued)));
-    all.show(shown(3, "b", Some(JobStatus::Queued)));
-    all.show(JobStatusUpdate { timed: true, ..shown(4, "b", Some(JobStatus::Queued)) });
-    assert_eq!((all.queued("a"), all.queued("b"), all.queued("c")), (2, 1, 0));
-    all.show(shown(1, "a", Some(JobStatus::Running)));
-    all.show(shown(2, "a", None));
-    assert_eq!(all.queued("a"), 0);
+    let mut all = JobStatusTable::default();
+    all.update(shown(1, "a", Some(JobStatus::Queued)));
+    all.update(shown(1, "a", Some(JobStatus::Queued)));
+    all.update(shown(2, "a", Some(JobStatus::Queued)));
+    all.update(shown(3, "b", Some(JobStatus::Queued)));
+    all.update(JobStatusUpdate { timed: true, ..shown(4, "b", Some(JobStatus::Queued)) });
+    assert_eq!((all.queued_jobs("a"), all.queued_jobs("b"), all.queued_jobs("c")), (2, 1, 0));
+    all.update(shown(1, "a", Some(JobStatus::Running)));
+    all.update(shown(2, "a", None));
+    assert_eq!(all.queued_jobs("a"), 0);
     let asks = Some(Owner::PUBLIC);
-    assert_eq!((all.state(1, asks), all.state(2, asks)), (Some(JobStatus::Running), None));
+    assert_eq!((all.status(1, asks), all.status(2, asks)), (Some(JobStatus::Running), None));
 }
