--- a/src/workswood/ops/jobs/lead.rs
+++ b/src/workswood/ops/jobs/lead.rs
@@ -21,7 +21,9 @@
 use super::node::{Leading, Node};
 use super::record::{inbox_drop, state_record};
 use super::renew;
-use super::scheduler_io::{InboxProgress, publish_waves, read_hosts, read_inbox, read_workers};
+use super::scheduler_io::{
+    InboxProgress, follow_inbox, follow_workers, list_hosts_once, publish_wave_status,
+};
 use super::sessions::Sessions;
 use super::trim;
 use crate::util::logs;
@@ -103,11 +105,11 @@
     *l.kept.lock() = loaded.kept;
     let progress = Arc::new(InboxProgress::new(loaded.inbox_next.len()));
     for (part, next) in loaded.inbox_next {
-        tasks.spawn(read_inbox(node.clone(), l.clone(), progress.clone(), part, next));
+        tasks.spawn(follow_inbox(node.clone(), l.clone(), progress.clone(), part, next));
     }
-    tasks.spawn(read_workers(node.clone(), l.clone()));
+    tasks.spawn(follow_workers(node.clone(), l.clone()));
     let (status_tx, status_rx) = watch::channel(BTreeMap::new());
-    tasks.spawn(publish_waves(node.clone(), status_rx));
+    tasks.spawn(publish_wave_status(node.clone(), status_rx));
     let (over_tx, over_rx) = mpsc::unbounded_channel();
     tasks.spawn(trim::run(node.clone(), l.clone(), over_rx));
     let mut owner = Owner {
@@ -209,7 +211,7 @@
         m.workspaces_at_work.set(at_work as i64);
         if self.sched.needs_host_list() && self.node.now() > self.hosts_read + HOSTS_EVERY {
             self.hosts_read = self.node.now();
-            tasks.spawn(read_hosts(self.node.clone(), self.l.clone()));
+            tasks.spawn(list_hosts_once(self.node.clone(), self.l.clone()));
         }
     }
 
--- a/src/workswood/ops/jobs/scheduler_io.rs
+++ b/src/workswood/ops/jobs/scheduler_io.rs
@@ -47,7 +47,7 @@
 }
 
 /// Hands jobs and cancels from a part of the inbox to the scheduler.
-pub(super) async fn read_inbox(
+pub(super) async fn follow_inbox(
     node: Arc<Node>,
     l: Arc<Leading>,
     progress: Arc<InboxProgress>,
@@ -97,7 +97,7 @@
 }
 
 /// Hands the list of workers, and its changes, to the scheduler.
-pub(super) async fn read_workers(node: Arc<Node>, l: Arc<Leading>) {
+pub(super) async fn follow_workers(node: Arc<Node>, l: Arc<Leading>) {
     let mut list = WorkerList::default();
     let n = node.clone();
     follow_topic(node, Topic::Workers, move |heard| {
@@ -109,7 +109,7 @@
 }
 
 /// Reads the list of hosts once and hands it to the scheduler.
-pub(super) async fn read_hosts(node: Arc<Node>, l: Arc<Leading>) {
+pub(super) async fn list_hosts_once(node: Arc<Node>, l: Arc<Leading>) {
     let asked = node.now();
     match node.platform.list_hosts().await {
         Ok(list) => {
@@ -120,7 +120,7 @@
 }
 
 /// Tells operators how waves stand, until each is told.
-pub(super) async fn publish_waves(node: Arc<Node>, mut wanted: watch::Receiver<BTreeMap<u64, bool>>) {
+pub(super) async fn publish_wave_status(node: Arc<Node>, mut wanted: watch::Receiver<BTreeMap<u64, bool>>) {
     let mut told: BTreeMap<u64, bool> = BTreeMap::new();
     loop {
         let now = wanted.borrow_and_update().clone();
