--- a/src/workswood/ops/jobs/inbox.rs
+++ b/src/workswood/ops/jobs/inbox.rs
@@ -142,12 +142,12 @@
 }
 
 /// The parts of the inbox, of a store whose topics have so many.
-pub fn parts(of_store: Partition) -> impl Iterator<Item = Partition> + Clone {
+pub fn partitions(of_store: Partition) -> impl Iterator<Item = Partition> + Clone {
     0..of_store.clamp(1, MOST_PARTS)
 }
 
 /// The part that a host writes into.
-pub fn part_of(host: &str, of_store: Partition) -> Partition {
+pub fn partition_of(host: &str, of_store: Partition) -> Partition {
     let count = u64::from(of_store.clamp(1, MOST_PARTS));
     (xxh3_64(host.as_bytes()) % count) as Partition
 }
@@ -155,28 +155,28 @@
 /// Which parts of the inbox hold which keys; what has to be dropped there once a
 /// job is forgotten.
 #[derive(Debug, Default)]
-pub struct Kept(BTreeMap<InboxKey, u64>);
+pub struct InboxIndex(BTreeMap<InboxKey, u64>);
 
-impl Kept {
+impl InboxIndex {
     /// Notes that a part holds a key.
-    pub fn note(&mut self, part: Partition, key: InboxKey) {
+    pub fn insert(&mut self, part: Partition, key: InboxKey) {
         *self.0.entry(key).or_insert(0) |= 1 << part;
     }
 
     /// Whether a part holds a key.
-    pub fn holds(&self, part: Partition, key: InboxKey) -> bool {
+    pub fn contains(&self, part: Partition, key: InboxKey) -> bool {
         self.0.get(&key).is_some_and(|parts| parts & (1 << part) != 0)
     }
 
     /// Keys of a job that a part holds, whoever wrote them.
-    pub fn keys_of(&self, part: Partition, job: JobKey) -> Vec<InboxKey> {
+    pub fn keys_of_job(&self, part: Partition, job: JobKey) -> Vec<InboxKey> {
         let first = InboxKey { job, owner: Owner::PUBLIC, what: InboxItem::Job };
         let of_job = self.0.range(first..).take_while(|(key, _)| key.job == job);
         of_job.filter(|(_, parts)| **parts & (1 << part) != 0).map(|(key, _)| *key).collect()
     }
 
     /// Notes that a part holds a key no longer.
-    pub fn dropped(&mut self, part: Partition, key: InboxKey) {
+    pub fn remove(&mut self, part: Partition, key: InboxKey) {
         let Some(parts) = self.0.get_mut(&key) else { return };
         *parts &= !(1 << part);
         if *parts == 0 {
@@ -194,7 +194,7 @@
     }
 
     /// Stores a record that another process asks for, without help.
-    pub async fn store_here(&self, rec: KeyedRecord, within: Duration) -> Stored {
+    pub async fn store_for_peer(&self, rec: KeyedRecord, within: Duration) -> Stored {
         self.queue(rec, within, true).await
     }
 
@@ -235,7 +235,7 @@
 /// Writes what waits, for ever.
 pub async fn run(node: Arc<Node>) {
     let Some(mut rx) = node.inbox.rx.lock().take() else { return };
-    let part = part_of(&node.settings.name, node.settings.store_parts);
+    let part = partition_of(&node.settings.name, node.settings.store_parts);
     let mut queue: Vec<Waiting> = Vec::new();
     let mut lanes: JoinSet<Vec<Waiting>> = JoinSet::new();
     let mut begun = node.now();
--- a/src/workswood/ops/jobs/load.rs
+++ b/src/workswood/ops/jobs/load.rs
@@ -10,7 +10,7 @@
 use workswood_core::jobs::{Event, JobKey, JobRecord, JobSpec, Scheduler, WaveRecord, WorkerRecord};
 use workswood_platform::jobs::{Guard, KeyedRecord, LatestRecords, Partition, StoreError, Topic};
 
-use super::inbox::{self, Kept};
+use super::inbox::{self, InboxIndex};
 use super::limits::limits;
 use super::node::Node;
 use super::record::{InboxItem, InboxKey, StateKey, inbox_key, state_key};
@@ -23,7 +23,7 @@
     /// Where to go on reading each part of the inbox.
     pub inbox_next: Vec<(Partition, Offset)>,
     /// Where the inbox holds what is known.
-    pub kept: Kept,
+    pub kept: InboxIndex,
 }
 
 /// Keeps all earlier holders from writing state, then reads it.
@@ -32,14 +32,14 @@
     node.platform.append(Topic::State, Vec::new(), Guard::Term(term, 0)).await?;
     let fenced = node.now();
     // Nobody else writes state from here on, so these need no order.
-    let parts: Vec<Partition> = inbox::parts(node.settings.store_parts).collect();
+    let parts: Vec<Partition> = inbox::partitions(node.settings.store_parts).collect();
     let inbox = try_join_all(parts.iter().map(|p| node.platform.latest(Topic::Inbox(*p))));
     let (inbox, state) = tokio::try_join!(inbox, node.platform.latest(Topic::State))?;
     node.store_is_up();
     let read = node.now();
     let inbox: Vec<(Partition, LatestRecords)> = parts.into_iter().zip(inbox).collect();
     let inbox_next = inbox.iter().map(|(part, n)| (*part, n.next)).collect();
-    let mut kept = Kept::default();
+    let mut kept = InboxIndex::default();
     for (part, n) in &inbox {
         n.records.iter().for_each(|rec| note_kept(&mut kept, *part, rec));
     }
@@ -154,10 +154,10 @@
 }
 
 /// Notes whether the inbox holds the key of a record.
-pub fn note_kept(kept: &mut Kept, part: Partition, rec: &KeyedRecord) {
+pub fn note_kept(kept: &mut InboxIndex, part: Partition, rec: &KeyedRecord) {
     match (inbox_key(&rec.key), &rec.value) {
-        (Some(key), Some(_)) => kept.note(part, key),
-        (Some(key), None) => kept.dropped(part, key),
+        (Some(key), Some(_)) => kept.insert(part, key),
+        (Some(key), None) => kept.remove(part, key),
         // Logged where it is read as an event.
         (None, _) => {}
     }
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -15,7 +15,7 @@
 use workswood_platform::jobs::JobPlatform;
 use workswood_traffic::Traffic;
 
-use super::inbox::{Inbox, Kept};
+use super::inbox::{Inbox, InboxIndex};
 use super::job_status_table::JobStatusTable;
 use super::operators::Operators;
 use super::peers::Peers;
@@ -55,7 +55,7 @@
     /// start, 0 before the first time.
     pub inbox_read: AtomicU64,
     /// Where the inbox holds what is known.
-    pub kept: Mutex<Kept>,
+    pub kept: Mutex<InboxIndex>,
     /// Until when workers' leases may be extended.
     pub grant: Grant,
     /// Turns true when the scheduler has to end.
--- a/src/workswood/ops/jobs/peer_requests.rs
+++ b/src/workswood/ops/jobs/peer_requests.rs
@@ -58,7 +58,7 @@
     let within = Duration::from_millis(u64::from(asked.timeout_ms));
     let store = |rec: InboxRecord| {
         let rec = KeyedRecord { key: rec.key, value: Some(rec.value) };
-        node.inbox.store_here(rec, within)
+        node.inbox.store_for_peer(rec, within)
     };
     let stored = join_all(asked.records.into_iter().map(store)).await;
     log::info!("event=helped_hand_in records={} stored={}", stored.len(), count(&stored));
--- a/tests/testsuite/inbox_appends.rs
+++ b/tests/testsuite/inbox_appends.rs
@@ -6,7 +6,7 @@
 
 use tokio::task::JoinSet;
 use workswood::ops::jobs::Node;
-use workswood::ops::jobs::inbox::{self, Stored, part_of};
+use workswood::ops::jobs::inbox::{self, Stored, partition_of};
 use workswood_platform::jobs::KeyedRecord;
 use workswood_test_support::job_node::settings;
 use workswood_test_support::turn_store::{Fate, TurnStore};
@@ -127,11 +127,11 @@
 
 #[test]
 fn hosts_spread_over_parts() {
-    let used: BTreeSet<_> = (0..32).map(|n| part_of(&format!("entry-{n}"), 12)).collect();
+    let used: BTreeSet<_> = (0..32).map(|n| partition_of(&format!("entry-{n}"), 12)).collect();
     assert!(used.len() >= 9, "{used:?}");
     assert!(used.iter().all(|p| *p < 12), "{used:?}");
-    assert_eq!(part_of("entry-1", 1), 0);
-    assert_eq!(inbox::parts(0).collect::<Vec<_>>(), [0], "a store has one at least");
+    assert_eq!(partition_of("entry-1", 1), 0);
+    assert_eq!(inbox::partitions(0).collect::<Vec<_>>(), [0], "a store has one at least");
 }
 
 #[tokio::test(start_paused = true)]
--- a/tests/testsuite/over_jobs.rs
+++ b/tests/testsuite/over_jobs.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood::ops::jobs::inbox::Kept;
+use workswood::ops::jobs::inbox::InboxIndex;
 use workswood::ops::jobs::record::{InboxItem, InboxKey};
 use workswood_core::jobs::job_table::{ArchivedJob, JobTable};
 use workswood_core::jobs::types::Record;
@@ -125,11 +125,11 @@
 #[test]
 fn kept_where_it_was_read() {
     let key = InboxKey { job: 7, owner: Owner::PUBLIC, what: InboxItem::Job };
-    let mut kept = Kept::default();
-    kept.note(0, key);
-    kept.note(3, key);
-    kept.dropped(0, key);
-    assert!(!kept.holds(0, key) && kept.holds(3, key), "another host wrote it as well");
-    kept.dropped(3, key);
-    assert!(!kept.holds(3, key));
+    let mut kept = InboxIndex::default();
+    kept.insert(0, key);
+    kept.insert(3, key);
+    kept.remove(0, key);
+    assert!(!kept.contains(0, key) && kept.contains(3, key), "another host wrote it as well");
+    kept.remove(3, key);
+    assert!(!kept.contains(3, key));
 }
