--- a/src/workswood/ops/jobs/advice.rs
+++ b/src/workswood/ops/jobs/advice.rs
@@ -56,7 +56,9 @@
 /// Has the n-th other process make a call.
 async fn ask_by_helper(node: &Node, n: usize, call: &AdviceCall) -> AdviceReply {
     let own = node.settings.peers.to_string();
-    let Some(address) = node.peers.others(&own).into_iter().nth(n) else { return AdviceReply::NotSent };
+    let Some(address) = node.peers.other_addresses(&own).into_iter().nth(n) else {
+        return AdviceReply::NotSent;
+    };
     let msg = Msg::AdviceRequest(wire::AdviceRequest {
         job: call.step.job,
         round: call.step.round,
--- a/src/workswood/ops/jobs/lead.rs
+++ b/src/workswood/ops/jobs/lead.rs
@@ -48,7 +48,7 @@
     let leading = Arc::new(Leading::new(term, node.now(), renew::GRACE, tx, end));
     node.leading.store(Some(leading.clone()));
     node.metrics.terms.inc();
-    node.peers.read_soon();
+    node.peers.request_read();
     log::info!("event=scheduler_started term={term}");
     tokio::spawn(supervise(node.clone(), tokio::spawn(run(node.clone(), leading, rx, ended))));
 }
@@ -199,7 +199,7 @@
     fn tick(&mut self, tasks: &mut JoinSet<()>) {
         self.clock();
         let own = self.node.settings.peers.to_string();
-        self.sched.set_advice_entries(1 + self.node.peers.others(&own).len());
+        self.sched.set_advice_entries(1 + self.node.peers.other_addresses(&own).len());
         self.know_entries();
         self.sched.handle(Event::Tick);
         let (m, tally) = (&self.node.metrics, &self.sched.counters);
@@ -217,7 +217,7 @@
 
     /// Tells the scheduler which entries may be relays.
     fn know_entries(&mut self) {
-        if let Some(entries) = self.node.peers.news_of_entries(&mut self.entries_seen) {
+        if let Some(entries) = self.node.peers.changed_relay_entries(&mut self.entries_seen) {
             self.sched.set_relay_entries(entries);
         }
     }
--- a/src/workswood/ops/jobs/peer_requests.rs
+++ b/src/workswood/ops/jobs/peer_requests.rs
@@ -120,7 +120,7 @@
     let own = node.settings.peers.to_string();
     let holder = node.holder.load_full().filter(|h| !h.released && h.id != node.id);
     let mut addresses: Vec<String> = holder.map(|h| h.peers.clone()).into_iter().collect();
-    for other in node.peers.helpers(&own, MOST_HELPERS + 1) {
+    for other in node.peers.helper_addresses(&own, MOST_HELPERS + 1) {
         if !addresses.contains(&other) {
             addresses.push(other);
         }
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -133,7 +133,7 @@
 
     /// Asks a process what can be asked twice: once more in the same time if the
     /// connection broke or went silent.
-    pub async fn call_again(
+    pub async fn call_with_retry(
         &self,
         from: &str,
         address: &str,
@@ -168,7 +168,7 @@
     }
 
     /// Notes where the process of an entry listens for its peers, and how many workers it could look after.
-    pub fn know(&self, entry: &str, peers: &str, strength: Strength) {
+    pub fn add_peer(&self, entry: &str, peers: &str, strength: Strength) {
         let rec = PeerRecord { peers: peers.to_string(), at: 0, data_centre: DataCentre::new(), strength };
         self.roster.lock().by_entry.insert(entry.to_string(), rec);
     }
@@ -179,12 +179,12 @@
     }
 
     /// Has the records read soon.
-    pub fn read_soon(&self) {
+    pub fn request_read(&self) {
         self.wanted.notify_one();
     }
 
     /// Entries that may be relays, if they changed since the list that was seen.
-    pub fn news_of_entries(&self, seen: &mut u64) -> Option<Vec<RelayEntry>> {
+    pub fn changed_relay_entries(&self, seen: &mut u64) -> Option<Vec<RelayEntry>> {
         let roster = self.roster.lock();
         if roster.version == *seen {
             return None;
@@ -217,14 +217,14 @@
     }
 
     /// All other processes by their listeners, always in the same order.
-    pub fn others(&self, own: &str) -> Vec<String> {
+    pub fn other_addresses(&self, own: &str) -> Vec<String> {
         let roster = self.roster.lock();
         roster.by_entry.values().map(|rec| &rec.peers).filter(|a| *a != own).cloned().collect()
     }
 
     /// Up to `count` other processes that may help, by their listeners; another
     /// one comes first each time.
-    pub fn helpers(&self, own: &str, count: usize) -> Vec<String> {
+    pub fn helper_addresses(&self, own: &str, count: usize) -> Vec<String> {
         let roster = self.roster.lock();
         let others: Vec<&String> =
             roster.by_entry.values().map(|rec| &rec.peers).filter(|a| *a != own).collect();
--- a/tests/testsuite/advice_protocol.rs
+++ b/tests/testsuite/advice_protocol.rs
@@ -162,7 +162,7 @@
     let helper = process("entry-2", c).await;
     assert_eq!(call(&holder, 0).await, AdviceReply::NotSent);
     assert_eq!(call(&holder, 1).await, AdviceReply::NotSent, "no other entry is known yet");
-    holder.peers.know("entry-2", &helper.settings.peers.to_string(), 600);
+    holder.peers.add_peer("entry-2", &helper.settings.peers.to_string(), 600);
     assert_eq!(answered(call(&holder, 1).await).tickets.len(), 2);
     assert_eq!(call(&holder, 2).await, AdviceReply::NotSent);
     a.faults(|f| f.busy = 1);
@@ -170,6 +170,6 @@
     a.faults(|f| f.silent = 1);
     assert_eq!(call(&holder, 1).await, AdviceReply::NoAnswer);
     assert_eq!(answered(call(&holder, 1).await).valid_for, Some(ms(700)));
-    holder.peers.know("entry-2", NOWHERE, 600);
+    holder.peers.add_peer("entry-2", NOWHERE, 600);
     assert_eq!(call(&holder, 1).await, AdviceReply::NotSent, "that entry is gone");
 }
--- a/tests/testsuite/lease_looks.rs
+++ b/tests/testsuite/lease_looks.rs
@@ -23,8 +23,8 @@
 /// A process of a fleet of 40, of which 30 can carry more, that follows the lease.
 fn process(store: &Arc<TurnStore>) -> Arc<Node> {
     let node = Arc::new(Node::new(settings("entry-40"), store.clone()));
-    (0..40).for_each(|n| node.peers.know(&format!("entry-{n}"), "127.0.0.1:9", 1000 - 10 * (n / 10)));
-    node.peers.know("entry-40", "127.0.0.1:9", 100);
+    (0..40).for_each(|n| node.peers.add_peer(&format!("entry-{n}"), "127.0.0.1:9", 1000 - 10 * (n / 10)));
+    node.peers.add_peer("entry-40", "127.0.0.1:9", 100);
     node.configure(Arc::new(SchedConfig { version: 1, ..SchedConfig::default() }), "config".into());
     node.operators.evacuate(Evacuations::default());
     tokio::spawn(lease::run(node.clone()));
