--- a/src/workswood/ops/jobs/inbox.rs
+++ b/src/workswood/ops/jobs/inbox.rs
@@ -377,7 +377,7 @@
     if records.is_empty() {
         return vec![None; batch.len()];
     }
-    let mut told = peer_requests::hand_in(node, &records).await.into_iter();
+    let mut told = peer_requests::store_records(node, &records).await.into_iter();
     batch.iter().map(|w| if w.for_peer { None } else { told.next() }).collect()
 }
 
--- a/src/workswood/ops/jobs/peer_requests.rs
+++ b/src/workswood/ops/jobs/peer_requests.rs
@@ -79,7 +79,7 @@
 
 /// Has another process write records; tells what became of each. Records that
 /// nobody could be asked for are not stored.
-pub async fn hand_in(node: &Node, records: &[KeyedRecord]) -> Vec<Stored> {
+pub async fn store_records(node: &Node, records: &[KeyedRecord]) -> Vec<Stored> {
     let mut told = vec![Stored::No; records.len()];
     for address in helpers(node) {
         let wire =
@@ -168,7 +168,7 @@
 
 /// What operators wrote, as other processes tell.
 #[derive(Default)]
-pub struct Wishes {
+pub struct PeerUpdates {
     /// Configurations, as they were written.
     pub configs: Vec<Bytes>,
     /// What is evacuated, and since when that is known, on the clock of this process.
@@ -178,7 +178,7 @@
 }
 
 /// Asks some other processes for a configuration newer than a version, and for evacuations.
-pub async fn newer_wishes(node: &Node, version: u64) -> Wishes {
+pub async fn poll_peers(node: &Node, version: u64) -> PeerUpdates {
     let asked = node.now();
     let ask = |address: String| async move {
         let msg = Msg::ConfigRequest(ConfigRequest { version });
@@ -188,10 +188,10 @@
         }
     };
     let replies = join_all(helpers(node).into_iter().map(ask)).await;
-    let mut wishes = Wishes::default();
+    let mut updates = PeerUpdates::default();
     for reply in replies.into_iter().flatten() {
         if !reply.record.is_empty() {
-            wishes.configs.push(reply.record);
+            updates.configs.push(reply.record);
         }
         let holder = reply.holder.map(|h| Holder {
             id: h.incarnation,
@@ -199,20 +199,20 @@
             term: h.term,
             released: false,
         });
-        wishes.holder = wishes.holder.into_iter().chain(holder).max_by_key(|h| h.term);
-        wishes.evacuations.extend(reply.evacuated.map(|e| Evacuations {
+        updates.holder = updates.holder.into_iter().chain(holder).max_by_key(|h| h.term);
+        updates.evacuations.extend(reply.evacuated.map(|e| Evacuations {
             data_centres: e.data_centres.into_iter().collect(),
             read: asked.saturating_sub(Duration::from_millis(e.age_ms)),
         }));
     }
-    if !wishes.configs.is_empty() {
-        log::info!("event=config_from_peer version_before={version} answers={}", wishes.configs.len());
+    if !updates.configs.is_empty() {
+        log::info!("event=config_from_peer version_before={version} answers={}", updates.configs.len());
     }
-    wishes
+    updates
 }
 
 /// Has another process give this process's lease back; returns whether it is.
-pub async fn release(node: &Node, term: u64) -> bool {
+pub async fn release_lease(node: &Node, term: u64) -> bool {
     let record = LeaseRecord::of(node, term, true).keyed().value.unwrap_or_default();
     for address in helpers(node) {
         let msg = Msg::LeaseReleaseRequest(LeaseReleaseRequest { record: record.clone() });
--- a/src/workswood/ops/jobs/renew.rs
+++ b/src/workswood/ops/jobs/renew.rs
@@ -49,7 +49,7 @@
                 log::warn!("event=lease_not_renewed term={} error=\"{e}\"", l.term);
                 let hopeless =
                     node.now() > renewed + HOPELESS_AFTER && node.settings.policy.calls.write_for_others;
-                if hopeless && peer_requests::release(&node, l.term).await {
+                if hopeless && peer_requests::release_lease(&node, l.term).await {
                     log::warn!("event=lease_released term={} by=helper", l.term);
                     let _ = l.end.send(true);
                     return;
--- a/src/workswood/ops/jobs/topic_reader.rs
+++ b/src/workswood/ops/jobs/topic_reader.rs
@@ -129,7 +129,7 @@
             continue;
         }
         let known = node.config.load().as_ref().map_or(0, |c| c.version);
-        let told = peer_requests::newer_wishes(&node, known).await;
+        let told = peer_requests::poll_peers(&node, known).await;
         for value in told.configs {
             let rec = KeyedRecord { key: CONFIG.to_string(), value: Some(value) };
             take_item(&node, &rec, &mut BTreeSet::new());
--- a/tests/testsuite/peer_help.rs
+++ b/tests/testsuite/peer_help.rs
@@ -102,12 +102,12 @@
     let (away, well) = (store(&[Fate::Refused; 100]), store(&[]));
     let (a, b) = (process("entry-1", &away).await, process("entry-2", &well).await);
     tell_holder(&a, &b);
-    assert!(peer_requests::release(&a, 7).await);
+    assert!(peer_requests::release_lease(&a, 7).await);
     assert_eq!(well.done(), [["holder"]]);
     let down = store(&[Fate::Refused; 100]);
     let c = process("entry-3", &down).await;
     tell_holder(&a, &c);
-    assert!(!peer_requests::release(&a, 7).await, "nobody can write");
+    assert!(!peer_requests::release_lease(&a, 7).await, "nobody can write");
 }
 
 #[tokio::test]
@@ -158,12 +158,9 @@
     let (away, well) = (store(&[Fate::Refused; 100]), store(&[]));
     let (a, b) = (process("entry-1", &away).await, process("entry-2", &well).await);
     tell_holder(&a, &b);
-    assert!(
-        peer_requests::newer_wishes(&a, 0).await.evacuations.is_empty(),
-        "the other one has read nothing"
-    );
+    assert!(peer_requests::poll_peers(&a, 0).await.evacuations.is_empty(), "the other one has read nothing");
     b.operators.evacuate(evacuated(&["north"], b.now()));
-    let told = peer_requests::newer_wishes(&a, 0).await.evacuations.remove(0);
+    let told = peer_requests::poll_peers(&a, 0).await.evacuations.remove(0);
     assert_eq!(told.data_centres, evacuated(&["north"], Duration::ZERO).data_centres);
     assert!(told.read <= a.now(), "it is as old as the peer's reading at least");
     let read = told.read;
@@ -186,11 +183,11 @@
     let (away, well) = (store(&[Fate::Refused; 100]), store(&[]));
     let (a, b) = (process("entry-1", &away).await, process("entry-2", &well).await);
     tell_holder(&a, &b);
-    assert!(peer_requests::newer_wishes(&a, 0).await.configs.is_empty(), "the other one has none either");
+    assert!(peer_requests::poll_peers(&a, 0).await.configs.is_empty(), "the other one has none either");
     b.configure(declared(7), "version seven".into());
-    assert_eq!(peer_requests::newer_wishes(&a, 6).await.configs, ["version seven"]);
-    assert!(peer_requests::newer_wishes(&a, 7).await.configs.is_empty(), "it is not newer");
+    assert_eq!(peer_requests::poll_peers(&a, 6).await.configs, ["version seven"]);
+    assert!(peer_requests::poll_peers(&a, 7).await.configs.is_empty(), "it is not newer");
     tell_holder(&b, &a);
-    let told = peer_requests::newer_wishes(&a, 7).await.holder.map(|h| (h.id, h.term));
+    let told = peer_requests::poll_peers(&a, 7).await.holder.map(|h| (h.id, h.term));
     assert_eq!(told, Some((a.id.clone(), 7)), "who holds the lease is told, too");
 }
