--- a/src/workswood/ops/jobs/job_api.rs
+++ b/src/workswood/ops/jobs/job_api.rs
@@ -15,7 +15,7 @@
 use workswood_core::jobs::{JobKey, JobSpec, Owner, QueueConfig, SchedConfig};
 
 use super::inbox::Stored;
-use super::job_queries::{self, Told};
+use super::job_queries::{self, Lookup};
 use super::node::Node;
 use super::record::{cancel_record, job_record};
 
@@ -125,28 +125,28 @@
     if req.method() != Method::GET {
         return refusal(Code::MethodUnknown, ExecutionStatus::NotRun, None);
     }
-    match job_queries::pending(node, &queue.name).await {
-        Told::Known(n) => json(wire::pending_body(n)),
-        Told::Unknown | Told::Unreachable => {
+    match job_queries::pending_jobs(node, &queue.name).await {
+        Lookup::Found(n) => json(wire::pending_body(n)),
+        Lookup::NotFound | Lookup::Unavailable => {
             refusal(Code::HolderAway, ExecutionStatus::NotRun, Some(COME_BACK))
         }
     }
 }
 
 async fn state(node: &Arc<Node>, job: JobKey, owner: Owner) -> Response<ReplyBody> {
-    let told = job_queries::job(node, job, owner).await;
+    let told = job_queries::job_status(node, job, owner).await;
     node.metrics.asked.with_label_values(&[told.label()]).inc();
     match told {
-        Told::Known(s) => json(wire::state_body(s)),
-        Told::Unknown => refusal(Code::JobUnknown, ExecutionStatus::NotRun, None),
-        Told::Unreachable => refusal(Code::HolderAway, ExecutionStatus::NotRun, Some(COME_BACK)),
+        Lookup::Found(s) => json(wire::state_body(s)),
+        Lookup::NotFound => refusal(Code::JobUnknown, ExecutionStatus::NotRun, None),
+        Lookup::Unavailable => refusal(Code::HolderAway, ExecutionStatus::NotRun, Some(COME_BACK)),
     }
 }
 
 async fn cancel(node: &Arc<Node>, job: JobKey, owner: Owner, req: &Request<Incoming>) -> Response<ReplyBody> {
     // A job that was accepted a moment ago may not be known yet: the cancel is
     // kept in any case.
-    let unknown = job_queries::job(node, job, owner).await == Told::Unknown;
+    let unknown = job_queries::job_status(node, job, owner).await == Lookup::NotFound;
     let stored = node.inbox.store(cancel_record(job, owner), within(req)).await;
     if stored == Stored::Yes {
         log::info!("event=cancel_accepted job={job:016x} known={}", !unknown);
--- a/src/workswood/ops/jobs/job_queries.rs
+++ b/src/workswood/ops/jobs/job_queries.rs
@@ -20,22 +20,22 @@
 
 /// Answer to a question.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Told<T> {
+pub enum Lookup<T> {
     /// The holder knows.
-    Known(T),
+    Found(T),
     /// The holder is up to date and knows of no such thing.
-    Unknown,
+    NotFound,
     /// The holder can't be asked.
-    Unreachable,
+    Unavailable,
 }
 
-impl<T> Told<T> {
+impl<T> Lookup<T> {
     /// Its label in metrics.
     pub fn label(&self) -> &'static str {
         match self {
-            Told::Known(_) => "known",
-            Told::Unknown => "unknown",
-            Told::Unreachable => "unreachable",
+            Lookup::Found(_) => "known",
+            Lookup::NotFound => "unknown",
+            Lookup::Unavailable => "unreachable",
         }
     }
 }
@@ -45,23 +45,23 @@
     read > 0 && node.now_ms() < read + INBOX_AGE.as_millis() as u64
 }
 
-fn own_job(node: &Node, l: &Leading, job: JobKey, asks: Option<Owner>) -> Told<JobStatus> {
+fn own_job(node: &Node, l: &Leading, job: JobKey, asks: Option<Owner>) -> Lookup<JobStatus> {
     match l.shown.read().status(job, asks) {
-        Some(state) => Told::Known(state),
-        None if current(node, l) => Told::Unknown,
-        None => Told::Unreachable,
+        Some(state) => Lookup::Found(state),
+        None if current(node, l) => Lookup::NotFound,
+        None => Lookup::Unavailable,
     }
 }
 
-fn own_pending(node: &Node, l: &Leading, queue: &str) -> Told<u64> {
+fn own_pending(node: &Node, l: &Leading, queue: &str) -> Lookup<u64> {
     if !current(node, l) {
-        return Told::Unreachable;
+        return Lookup::Unavailable;
     }
-    Told::Known(l.shown.read().queued_jobs(queue))
+    Lookup::Found(l.shown.read().queued_jobs(queue))
 }
 
 /// Asks for the state of a job; to another owner than its own it is not known.
-pub async fn job(node: &Arc<Node>, job: JobKey, owner: Owner) -> Told<JobStatus> {
+pub async fn job_status(node: &Arc<Node>, job: JobKey, owner: Owner) -> Lookup<JobStatus> {
     if let Some(l) = node.leading.load_full() {
         return own_job(node, &l, job, Some(owner));
     }
@@ -69,23 +69,23 @@
     let speaks = |msg: &Msg| matches!(msg, Msg::JobStateReply(r) if r.authoritative);
     match call(node, Msg::JobStateRequest(ask), speaks, || format!("job job={job:016x}")).await {
         Some(Msg::JobStateReply(r)) if r.authoritative => match r.state {
-            Some(s) => JobState::try_from(s).map_or(Told::Unreachable, |s| Told::Known(shown(s))),
-            None => Told::Unknown,
+            Some(s) => JobState::try_from(s).map_or(Lookup::Unavailable, |s| Lookup::Found(shown(s))),
+            None => Lookup::NotFound,
         },
-        _ => Told::Unreachable,
+        _ => Lookup::Unavailable,
     }
 }
 
 /// Asks how many jobs of a queue have not begun.
-pub async fn pending(node: &Arc<Node>, queue: &str) -> Told<u64> {
+pub async fn pending_jobs(node: &Arc<Node>, queue: &str) -> Lookup<u64> {
     if let Some(l) = node.leading.load_full() {
         return own_pending(node, &l, queue);
     }
     let ask = Msg::PendingJobsRequest(PendingJobsRequest { queue: queue.to_string() });
     let speaks = |msg: &Msg| matches!(msg, Msg::PendingJobsReply(r) if r.authoritative);
     match call(node, ask, speaks, || format!("pending queue={queue}")).await {
-        Some(Msg::PendingJobsReply(r)) if r.authoritative => Told::Known(r.pending),
-        _ => Told::Unreachable,
+        Some(Msg::PendingJobsReply(r)) if r.authoritative => Lookup::Found(r.pending),
+        _ => Lookup::Unavailable,
     }
 }
 
@@ -133,23 +133,23 @@
 }
 
 /// Answers a process that asks for the state of a job.
-pub fn answer_job(node: &Node, ask: &JobStateRequest) -> JobStateReply {
+pub fn answer_job_state_request(node: &Node, ask: &JobStateRequest) -> JobStateReply {
     let l = node.leading.load_full();
     let asks = ask.owner.map(Owner::from_number);
-    let (current, state) = match l.map_or(Told::Unreachable, |l| own_job(node, &l, ask.job, asks)) {
-        Told::Known(s) => (true, Some(state(s) as i32)),
-        Told::Unknown => (true, None),
-        Told::Unreachable => (false, None),
+    let (current, state) = match l.map_or(Lookup::Unavailable, |l| own_job(node, &l, ask.job, asks)) {
+        Lookup::Found(s) => (true, Some(state(s) as i32)),
+        Lookup::NotFound => (true, None),
+        Lookup::Unavailable => (false, None),
     };
     JobStateReply { authoritative: current, state }
 }
 
 /// Answers a process that asks for the jobs of a queue that have not begun.
-pub fn answer_pending(node: &Node, ask: &PendingJobsRequest) -> PendingJobsReply {
+pub fn answer_pending_jobs_request(node: &Node, ask: &PendingJobsRequest) -> PendingJobsReply {
     let l = node.leading.load_full();
-    let (current, pending) = match l.map_or(Told::Unreachable, |l| own_pending(node, &l, &ask.queue)) {
-        Told::Known(n) => (true, n),
-        Told::Unknown | Told::Unreachable => (false, 0),
+    let (current, pending) = match l.map_or(Lookup::Unavailable, |l| own_pending(node, &l, &ask.queue)) {
+        Lookup::Found(n) => (true, n),
+        Lookup::NotFound | Lookup::Unavailable => (false, 0),
     };
     PendingJobsReply { authoritative: current, pending }
 }
--- a/src/workswood/ops/jobs/peer_requests.rs
+++ b/src/workswood/ops/jobs/peer_requests.rs
@@ -38,8 +38,12 @@
 
 async fn answer(node: &Node, msg: Msg) -> Option<Msg> {
     match msg {
-        Msg::JobStateRequest(ask) => Some(Msg::JobStateReply(job_queries::answer_job(node, &ask))),
-        Msg::PendingJobsRequest(ask) => Some(Msg::PendingJobsReply(job_queries::answer_pending(node, &ask))),
+        Msg::JobStateRequest(ask) => {
+            Some(Msg::JobStateReply(job_queries::answer_job_state_request(node, &ask)))
+        }
+        Msg::PendingJobsRequest(ask) => {
+            Some(Msg::PendingJobsReply(job_queries::answer_pending_jobs_request(node, &ask)))
+        }
         Msg::InboxAppendRequest(asked) => Some(Msg::InboxAppendReply(store_for(node, asked).await)),
         Msg::AdviceRequest(asked) => Some(Msg::AdviceReply(advice::ask_for(node, asked).await)),
         Msg::LeaseReleaseRequest(asked) => release_for(node, asked).await,
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
-use workswood::ops::jobs::job_queries::{self, Told};
+use workswood::ops::jobs::job_queries::{self, Lookup};
 use workswood::ops::jobs::node::{Holder, Leading};
 use workswood::ops::jobs::{Node, peer_requests, peers};
 use workswood_adapter::{Addresses, PlatformClient};
@@ -227,8 +227,8 @@
     node.holder.store(Some(Arc::new(seen)));
     for _ in 0..3 {
         assert_eq!(
-            job_queries::job(&node, 1, workswood_core::jobs::Owner::PUBLIC).await,
-            Told::Known(JobStatus::Running),
+            job_queries::job_status(&node, 1, workswood_core::jobs::Owner::PUBLIC).await,
+            Lookup::Found(JobStatus::Running),
             "each question is answered"
         );
         cut.set(Fault::HalfOpen);
