--- a/src/workswood/ops/jobs/job_api.rs
+++ b/src/workswood/ops/jobs/job_api.rs
@@ -1,4 +1,4 @@
-//! Answers callers: hands jobs in, tells their state, cancels them.
+//! The HTTP interface for callers: submits jobs, returns their state and cancels them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,43 +19,42 @@
 use super::node::Node;
 use super::record::{cancel_record, job_record};
 
-/// When to come back after a refusal: a store or lease holder that is away is
-/// mostly back or replaced within a few seconds.
-const COME_BACK: Duration = Duration::from_secs(1);
-/// How long a caller is taken to wait that does not say.
-const WAITS_UNSAID: Duration = Duration::from_secs(3);
-/// Longest time that a caller is kept waiting: a store that needs longer for an
-/// append is as good as away.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
-/// Time kept free for the answer's way to the caller.
-const ANSWER_MARGIN: Duration = Duration::from_millis(200);
-
-/// Answers one request each.
+/// When a caller should retry after a refusal: an unreachable store or lease holder usually returns or
+/// is replaced within a few seconds.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Timeout of a caller that does not state one.
+const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Longest time that a caller is kept waiting.
+const MAX_CALLER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Part of the caller's timeout that is reserved for sending the response.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(200);
+
+/// Returns the handler of callers' requests.
 pub fn handler(node: Arc<Node>) -> Handler {
     Arc::new(move |req| {
         let node = node.clone();
-        async move { answer(&node, req).await }.boxed()
+        async move { handle(&node, req).await }.boxed()
     })
 }
 
-async fn answer(node: &Arc<Node>, req: Request<Incoming>) -> Response<ReplyBody> {
+async fn handle(node: &Arc<Node>, req: Request<Incoming>) -> Response<ReplyBody> {
     let Some(cfg) = node.config.load_full() else {
-        return refusal(Code::NotCaughtUp, ExecutionStatus::NotRun, Some(COME_BACK));
+        return refusal(Code::NotCaughtUp, ExecutionStatus::NotRun, Some(RETRY_AFTER));
     };
-    let host = host_of(&req);
+    let host_name = requested_host_name(&req);
     let path = req.uri().path().to_string();
-    let Some(queue) = cfg.route(&host, &path) else {
-        log::info!("event=no_route host={host} path={path} version={}", cfg.version);
+    let Some(queue) = cfg.route(&host_name, &path) else {
+        log::info!("event=no_route host={host_name} path={path} version={}", cfg.version);
         return refusal(Code::UnknownRoute, ExecutionStatus::NotRun, None);
     };
-    let workspace = match caller(&cfg, queue, &req) {
+    let workspace = match calling_workspace(&cfg, queue, &req) {
         Ok(workspace) => workspace,
-        Err(why) => {
-            node.metrics.keys_refused.with_label_values(&[why.label()]).inc();
+        Err(reason) => {
+            node.metrics.keys_refused.with_label_values(&[reason.label()]).inc();
             log::info!(
                 "event=key_refused code={} reason={} queue={} version={}",
                 Code::ApiKey.number(),
-                why.label(),
+                reason.label(),
                 queue.name,
                 cfg.version
             );
@@ -65,30 +64,30 @@
     let owner = Owner::of_workspace(workspace.as_deref());
     let rest = path[queue.path_prefix.len()..].trim_matches('/');
     if rest.is_empty() {
-        return pending(node, &req, queue).await;
+        return get_pending_jobs(node, &req, queue).await;
     }
     let Some(job) = parse_job_key(rest) else {
         return refusal(Code::JobMalformed, ExecutionStatus::NotRun, None);
     };
     match *req.method() {
-        Method::POST => submit(node, &cfg, queue, job, workspace, req).await,
-        Method::GET => state(node, job, owner).await,
-        Method::DELETE => cancel(node, job, owner, &req).await,
+        Method::POST => submit_job(node, &cfg, queue, job, workspace, req).await,
+        Method::GET => get_job_state(node, job, owner).await,
+        Method::DELETE => cancel_job(node, job, owner, &req).await,
         _ => refusal(Code::MethodUnknown, ExecutionStatus::NotRun, None),
     }
 }
 
-/// Why a call to a queue of workspaces is refused.
+/// Why the API key of a call is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum KeyRefusal {
-    /// It carries no key.
+    /// The call carries no key.
     Missing,
-    /// No workspace in force has that key.
+    /// No workspace of the configuration in force has that key.
     Unknown,
 }
 
 impl KeyRefusal {
-    /// Its name in the log and in metrics.
+    /// Name in logs and metrics.
     fn label(self) -> &'static str {
         match self {
             KeyRefusal::Missing => "missing",
@@ -97,8 +96,8 @@
     }
 }
 
-/// The workspace whose key a call carries; none on a queue that is open to all.
-fn caller(
+/// The workspace whose key a call carries; `None` for a queue that requires no key.
+fn calling_workspace(
     cfg: &SchedConfig,
     queue: &QueueConfig,
     req: &Request<Incoming>,
@@ -110,54 +109,63 @@
     cfg.workspaces.keys.workspace(key).cloned().map(Some).ok_or(KeyRefusal::Unknown)
 }
 
-fn host_of(req: &Request<Incoming>) -> String {
+/// The host name that a request was sent to, in lower case and without the port.
+fn requested_host_name(req: &Request<Incoming>) -> String {
     let header = req.headers().get(hyper::header::HOST).and_then(|h| h.to_str().ok());
-    let host = header.or_else(|| req.uri().host()).unwrap_or_default();
-    host.split(':').next().unwrap_or_default().to_ascii_lowercase()
+    let host_name = header.or_else(|| req.uri().host()).unwrap_or_default();
+    host_name.split(':').next().unwrap_or_default().to_ascii_lowercase()
 }
 
-fn json(body: Bytes) -> Response<ReplyBody> {
+fn json_response(body: Bytes) -> Response<ReplyBody> {
     let res = Response::builder().status(200).header("content-type", "application/json");
     res.body(full_body(body)).unwrap_or_else(|_| Response::new(full_body(Bytes::new())))
 }
 
-async fn pending(node: &Arc<Node>, req: &Request<Incoming>, queue: &QueueConfig) -> Response<ReplyBody> {
+async fn get_pending_jobs(
+    node: &Arc<Node>,
+    req: &Request<Incoming>,
+    queue: &QueueConfig,
+) -> Response<ReplyBody> {
     if req.method() != Method::GET {
         return refusal(Code::MethodUnknown, ExecutionStatus::NotRun, None);
     }
     match job_queries::pending_jobs(node, &queue.name).await {
-        Lookup::Found(n) => json(wire::pending_body(n)),
+        Lookup::Found(n) => json_response(wire::pending_body(n)),
         Lookup::NotFound | Lookup::Unavailable => {
-            refusal(Code::HolderAway, ExecutionStatus::NotRun, Some(COME_BACK))
+            refusal(Code::HolderAway, ExecutionStatus::NotRun, Some(RETRY_AFTER))
         }
     }
 }
 
-async fn state(node: &Arc<Node>, job: JobKey, owner: Owner) -> Response<ReplyBody> {
-    let told = job_queries::job_status(node, job, owner).await;
-    node.metrics.asked.with_label_values(&[told.label()]).inc();
-    match told {
-        Lookup::Found(s) => json(wire::state_body(s)),
+async fn get_job_state(node: &Arc<Node>, job: JobKey, owner: Owner) -> Response<ReplyBody> {
+    let status = job_queries::job_status(node, job, owner).await;
+    node.metrics.asked.with_label_values(&[status.label()]).inc();
+    match status {
+        Lookup::Found(s) => json_response(wire::state_body(s)),
         Lookup::NotFound => refusal(Code::JobUnknown, ExecutionStatus::NotRun, None),
-        Lookup::Unavailable => refusal(Code::HolderAway, ExecutionStatus::NotRun, Some(COME_BACK)),
+        Lookup::Unavailable => refusal(Code::HolderAway, ExecutionStatus::NotRun, Some(RETRY_AFTER)),
     }
 }
 
-async fn cancel(node: &Arc<Node>, job: JobKey, owner: Owner, req: &Request<Incoming>) -> Response<ReplyBody> {
-    // A job that was accepted a moment ago may not be known yet: the cancel is
-    // kept in any case.
+async fn cancel_job(
+    node: &Arc<Node>,
+    job: JobKey,
+    owner: Owner,
+    req: &Request<Incoming>,
+) -> Response<ReplyBody> {
+    // A job that was just accepted may not be known yet, so the cancel is stored in any case.
     let unknown = job_queries::job_status(node, job, owner).await == Lookup::NotFound;
-    let stored = node.inbox.store(cancel_record(job, owner), within(req)).await;
+    let stored = node.inbox.store(cancel_record(job, owner), caller_timeout(req)).await;
     if stored == Stored::Yes {
         log::info!("event=cancel_accepted job={job:016x} known={}", !unknown);
         if unknown {
             return refusal(Code::JobUnknown, ExecutionStatus::NotRun, None);
         }
     }
-    stored.answer()
+    stored.into_response()
 }
 
-async fn submit(
+async fn submit_job(
     node: &Arc<Node>,
     cfg: &SchedConfig,
     queue: &QueueConfig,
@@ -165,7 +173,7 @@
     workspace: Option<WorkspaceId>,
     req: Request<Incoming>,
 ) -> Response<ReplyBody> {
-    let within = within(&req);
+    let timeout = caller_timeout(&req);
     let body = match read_body(req.into_body(), cfg.max_body_bytes).await {
         Ok(b) => b,
         Err(e) => {
@@ -173,45 +181,45 @@
             return refusal(e.code(), ExecutionStatus::NotRun, None);
         }
     };
-    let spec = match read_spec(node, queue, workspace, &body) {
+    let spec = match parse_spec(node, queue, workspace, &body) {
         Ok(spec) => spec,
         Err(e) => {
             log::info!("event=job_refused job={job:016x} reason=malformed error=\"{e}\"");
             return refusal(Code::JobMalformed, ExecutionStatus::NotRun, None);
         }
     };
-    let begun = node.now();
-    let stored = node.inbox.store(job_record(job, &spec), within).await;
+    let start = node.now();
+    let stored = node.inbox.store(job_record(job, &spec), timeout).await;
     log::info!(
         "event=job_handed_in job={job:016x} queue={} workspace={} version={} stored={stored:?} took_ms={} \
          store_silence_ms={}",
         queue.name,
         spec.workspace.as_deref().unwrap_or("-"),
         cfg.version,
-        (node.now() - begun).as_millis(),
+        (node.now() - start).as_millis(),
         node.store_silence().as_millis()
     );
     node.metrics.handed_in.with_label_values(&[stored.label()]).inc();
-    node.metrics.hand_in_seconds.observe((node.now() - begun).as_secs_f64());
-    stored.answer()
+    node.metrics.hand_in_seconds.observe((node.now() - start).as_secs_f64());
+    stored.into_response()
 }
 
-fn read_spec(
+fn parse_spec(
     node: &Node,
     queue: &QueueConfig,
     workspace: Option<WorkspaceId>,
     body: &[u8],
 ) -> Result<JobSpec, String> {
-    let handed = wire::read_job(body)?;
+    let submitted = wire::read_job(body)?;
     let spec = JobSpec {
         queue: queue.name.clone(),
         service: queue.service.clone(),
         workspace,
         priority: queue.priority,
         max_attempts: queue.max_attempts,
-        text: handed.text.into(),
-        steps: handed.steps,
-        repeat: handed.repeat,
+        text: submitted.text.into(),
+        steps: submitted.steps,
+        repeat: submitted.repeat,
         accepted_at: node.wall(),
     };
     spec.validate()?;
@@ -219,16 +227,16 @@
 }
 
 impl Stored {
-    /// What the caller is told.
-    fn answer(self) -> Response<ReplyBody> {
+    /// The response to the caller.
+    fn into_response(self) -> Response<ReplyBody> {
         match self {
-            Stored::Yes => json(Bytes::from_static(b"{}")),
-            Stored::No => refusal(Code::LogUnavailable, ExecutionStatus::NotRun, Some(COME_BACK)),
-            Stored::Unknown => refusal(Code::OutcomeUnknown, ExecutionStatus::Unknown, Some(COME_BACK)),
+            Stored::Yes => json_response(Bytes::from_static(b"{}")),
+            Stored::No => refusal(Code::LogUnavailable, ExecutionStatus::NotRun, Some(RETRY_AFTER)),
+            Stored::Unknown => refusal(Code::OutcomeUnknown, ExecutionStatus::Unknown, Some(RETRY_AFTER)),
         }
     }
 
-    /// Its label in metrics.
+    /// Label in metrics.
     fn label(self) -> &'static str {
         match self {
             Stored::Yes => "accepted",
@@ -238,9 +246,10 @@
     }
 }
 
-/// How long a caller of this request may be kept waiting for its answer.
-fn within(req: &Request<Incoming>) -> Duration {
+/// How long the caller of a request may be kept waiting for the response.
+fn caller_timeout(req: &Request<Incoming>) -> Duration {
     let header = req.headers().get(wire::WAITS).and_then(|h| h.to_str().ok());
-    let waits = header.and_then(|text| text.parse().ok()).map_or(WAITS_UNSAID, Duration::from_millis);
-    waits.min(LONGEST_WAIT).saturating_sub(ANSWER_MARGIN)
+    let stated = header.and_then(|text| text.parse().ok());
+    let timeout = stated.map_or(DEFAULT_CALLER_TIMEOUT, Duration::from_millis);
+    timeout.min(MAX_CALLER_TIMEOUT).saturating_sub(RESPONSE_MARGIN)
 }
