--- a/src/workswood/ops/jobs/job_queries.rs
+++ b/src/workswood/ops/jobs/job_queries.rs
@@ -1,4 +1,4 @@
-//! Questions of callers, answered by the holder of the scheduler lease.
+//! Queries for jobs, which the holder of the scheduler lease answers.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -9,28 +9,26 @@
 
 use super::node::{Holder, Leading, Node};
 
-/// Longest wait for the holder's answer; a few times the way there and back on
-/// a busy host.
-const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long one waits for word of a later holder when the one that is known does not speak for the jobs: a
-/// read of the store on a busy host.
-const LATER_WITHIN: Duration = Duration::from_millis(300);
-/// The holder speaks for the inbox only if it read it this recently.
-const INBOX_AGE: Duration = Duration::from_millis(2500);
+/// Longest wait for the holder's reply: a few round trips on a busy network.
+const HOLDER_TIMEOUT: Duration = Duration::from_millis(700);
+/// How long to wait for a holder of a later term if the known one gives no authoritative reply.
+const NEXT_HOLDER_TIMEOUT: Duration = Duration::from_millis(300);
+/// The holder's knowledge of the inbox is authoritative only if it was read this recently.
+const MAX_INBOX_AGE: Duration = Duration::from_millis(2500);
 
-/// Answer to a question.
+/// Result of a query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lookup<T> {
-    /// The holder knows.
+    /// The holder has the value.
     Found(T),
-    /// The holder is up to date and knows of no such thing.
+    /// The holder is up to date and has no such job.
     NotFound,
-    /// The holder can't be asked.
+    /// No holder gave an authoritative reply.
     Unavailable,
 }
 
 impl<T> Lookup<T> {
-    /// Its label in metrics.
+    /// Label in metrics.
     pub fn label(&self) -> &'static str {
         match self {
             Lookup::Found(_) => "known",
@@ -40,121 +38,142 @@
     }
 }
 
-fn current(node: &Node, l: &Leading) -> bool {
-    let read = l.inbox_read.load(Ordering::Acquire);
-    read > 0 && node.now_ms() < read + INBOX_AGE.as_millis() as u64
+/// Whether everything that was in the inbox recently is known here.
+fn is_inbox_current(node: &Node, leading: &Leading) -> bool {
+    let read_at = leading.inbox_read.load(Ordering::Acquire);
+    read_at > 0 && node.now_ms() < read_at + MAX_INBOX_AGE.as_millis() as u64
 }
 
-fn own_job(node: &Node, l: &Leading, job: JobKey, asks: Option<Owner>) -> Lookup<JobStatus> {
-    match l.shown.read().status(job, asks) {
-        Some(state) => Lookup::Found(state),
-        None if current(node, l) => Lookup::NotFound,
+fn local_job_status(
+    node: &Node,
+    leading: &Leading,
+    job: JobKey,
+    requester: Option<Owner>,
+) -> Lookup<JobStatus> {
+    match leading.shown.read().status(job, requester) {
+        Some(status) => Lookup::Found(status),
+        None if is_inbox_current(node, leading) => Lookup::NotFound,
         None => Lookup::Unavailable,
     }
 }
 
-fn own_pending(node: &Node, l: &Leading, queue: &str) -> Lookup<u64> {
-    if !current(node, l) {
+fn local_pending_jobs(node: &Node, leading: &Leading, queue: &str) -> Lookup<u64> {
+    if !is_inbox_current(node, leading) {
         return Lookup::Unavailable;
     }
-    Lookup::Found(l.shown.read().queued_jobs(queue))
+    Lookup::Found(leading.shown.read().queued_jobs(queue))
 }
 
-/// Asks for the state of a job; to another owner than its own it is not known.
+/// Returns the status of a job. A job of another owner is not found.
 pub async fn job_status(node: &Arc<Node>, job: JobKey, owner: Owner) -> Lookup<JobStatus> {
-    if let Some(l) = node.leading.load_full() {
-        return own_job(node, &l, job, Some(owner));
+    if let Some(leading) = node.leading.load_full() {
+        return local_job_status(node, &leading, job, Some(owner));
     }
-    let ask = JobStateRequest { job, owner: Some(owner.number()) };
-    let speaks = |msg: &Msg| matches!(msg, Msg::JobStateReply(r) if r.authoritative);
-    match call(node, Msg::JobStateRequest(ask), speaks, || format!("job job={job:016x}")).await {
+    let request = JobStateRequest { job, owner: Some(owner.number()) };
+    let is_authoritative = |msg: &Msg| matches!(msg, Msg::JobStateReply(r) if r.authoritative);
+    match query_holder(node, Msg::JobStateRequest(request), is_authoritative, || {
+        format!("job job={job:016x}")
+    })
+    .await
+    {
         Some(Msg::JobStateReply(r)) if r.authoritative => match r.state {
-            Some(s) => JobState::try_from(s).map_or(Lookup::Unavailable, |s| Lookup::Found(shown(s))),
+            Some(s) => {
+                JobState::try_from(s).map_or(Lookup::Unavailable, |s| Lookup::Found(status_from_wire(s)))
+            }
             None => Lookup::NotFound,
         },
         _ => Lookup::Unavailable,
     }
 }
 
-/// Asks how many jobs of a queue have not begun.
+/// Returns how many jobs of a queue have not started.
 pub async fn pending_jobs(node: &Arc<Node>, queue: &str) -> Lookup<u64> {
-    if let Some(l) = node.leading.load_full() {
-        return own_pending(node, &l, queue);
+    if let Some(leading) = node.leading.load_full() {
+        return local_pending_jobs(node, &leading, queue);
     }
-    let ask = Msg::PendingJobsRequest(PendingJobsRequest { queue: queue.to_string() });
-    let speaks = |msg: &Msg| matches!(msg, Msg::PendingJobsReply(r) if r.authoritative);
-    match call(node, ask, speaks, || format!("pending queue={queue}")).await {
+    let request = Msg::PendingJobsRequest(PendingJobsRequest { queue: queue.to_string() });
+    let is_authoritative = |msg: &Msg| matches!(msg, Msg::PendingJobsReply(r) if r.authoritative);
+    match query_holder(node, request, is_authoritative, || format!("pending queue={queue}")).await {
         Some(Msg::PendingJobsReply(r)) if r.authoritative => Lookup::Found(r.pending),
         _ => Lookup::Unavailable,
     }
 }
 
-/// Asks the holder, and a later one if it does not speak for the jobs; `about` says in the log what was
-/// asked, where there is no answer.
-async fn call(
+/// Queries the known holder, and a holder of a later term if that reply is not authoritative. `describe`
+/// returns the query as text for the log, which has a line if there is no reply.
+async fn query_holder(
     node: &Arc<Node>,
     msg: Msg,
-    speaks: impl Fn(&Msg) -> bool,
-    about: impl Fn() -> String,
+    is_authoritative: impl Fn(&Msg) -> bool,
+    describe: impl Fn() -> String,
 ) -> Option<Msg> {
     let holder = node.holder.load_full();
     let term = holder.as_ref().map_or(0, |h| h.term);
     let first = match holder {
-        Some(h) => ask(node, &h, msg.clone(), &about).await,
+        Some(h) => call_once(node, &h, msg.clone(), &describe).await,
         None => None,
     };
-    if first.as_ref().is_some_and(&speaks) {
+    if first.as_ref().is_some_and(&is_authoritative) {
         return first;
     }
-    match node.later_holder(term, LATER_WITHIN).await {
-        Some(later) => ask(node, &later, msg, &about).await,
+    match node.later_holder(term, NEXT_HOLDER_TIMEOUT).await {
+        Some(later) => call_once(node, &later, msg, &describe).await,
         None => first,
     }
 }
 
-/// Asks a holder.
-async fn ask(node: &Arc<Node>, holder: &Holder, msg: Msg, about: &impl Fn() -> String) -> Option<Msg> {
+/// Sends a query to one holder; `None` if there is no reply.
+async fn call_once(
+    node: &Arc<Node>,
+    holder: &Holder,
+    msg: Msg,
+    describe: &impl Fn() -> String,
+) -> Option<Msg> {
     if holder.released || holder.id == node.id {
-        log::info!("event=question_not_asked what={} holder={} reason=no_holder", about(), holder.id);
+        log::info!("event=question_not_asked what={} holder={} reason=no_holder", describe(), holder.id);
         return None;
     }
-    let begun = node.now();
-    let answer = node.peers.call_with_retry(&node.id, &holder.peers, msg, CALL_TIMEOUT).await;
-    if let Err(e) = &answer {
-        let took = (node.now() - begun).as_millis();
+    let start = node.now();
+    let reply = node.peers.call_with_retry(&node.id, &holder.peers, msg, HOLDER_TIMEOUT).await;
+    if let Err(e) = &reply {
+        let took_ms = (node.now() - start).as_millis();
         log::info!(
-            "event=question_unanswered what={} holder={} term={} took_ms={took} error={e:?}",
-            about(),
+            "event=question_unanswered what={} holder={} term={} took_ms={took_ms} error={e:?}",
+            describe(),
             holder.id,
             holder.term
         );
     }
-    answer.ok()
+    reply.ok()
 }
 
-/// Answers a process that asks for the state of a job.
-pub fn answer_job_state_request(node: &Node, ask: &JobStateRequest) -> JobStateReply {
-    let l = node.leading.load_full();
-    let asks = ask.owner.map(Owner::from_number);
-    let (current, state) = match l.map_or(Lookup::Unavailable, |l| own_job(node, &l, ask.job, asks)) {
-        Lookup::Found(s) => (true, Some(state(s) as i32)),
+/// Answers another process's request for the state of a job.
+pub fn answer_job_state_request(node: &Node, request: &JobStateRequest) -> JobStateReply {
+    let leading = node.leading.load_full();
+    let requester = request.owner.map(Owner::from_number);
+    let status = leading
+        .map_or(Lookup::Unavailable, |leading| local_job_status(node, &leading, request.job, requester));
+    let (authoritative, state) = match status {
+        Lookup::Found(s) => (true, Some(status_to_wire(s) as i32)),
         Lookup::NotFound => (true, None),
         Lookup::Unavailable => (false, None),
     };
-    JobStateReply { authoritative: current, state }
+    JobStateReply { authoritative, state }
 }
 
-/// Answers a process that asks for the jobs of a queue that have not begun.
-pub fn answer_pending_jobs_request(node: &Node, ask: &PendingJobsRequest) -> PendingJobsReply {
-    let l = node.leading.load_full();
-    let (current, pending) = match l.map_or(Lookup::Unavailable, |l| own_pending(node, &l, &ask.queue)) {
+/// Answers another process's request for the number of jobs of a queue that have not started.
+pub fn answer_pending_jobs_request(node: &Node, request: &PendingJobsRequest) -> PendingJobsReply {
+    let leading = node.leading.load_full();
+    let count =
+        leading.map_or(Lookup::Unavailable, |leading| local_pending_jobs(node, &leading, &request.queue));
+    let (authoritative, pending) = match count {
         Lookup::Found(n) => (true, n),
         Lookup::NotFound | Lookup::Unavailable => (false, 0),
     };
-    PendingJobsReply { authoritative: current, pending }
+    PendingJobsReply { authoritative, pending }
 }
 
-fn state(s: JobStatus) -> JobState {
+fn status_to_wire(s: JobStatus) -> JobState {
     match s {
         JobStatus::Queued => JobState::Queued,
         JobStatus::Running => JobState::Running,
@@ -164,7 +183,7 @@
     }
 }
 
-fn shown(s: JobState) -> JobStatus {
+fn status_from_wire(s: JobState) -> JobStatus {
     match s {
         JobState::Queued => JobStatus::Queued,
         JobState::Running => JobStatus::Running,
