--- a/src/workswood/ops/jobs/job_status_table.rs
+++ b/src/workswood/ops/jobs/job_status_table.rs
@@ -1,46 +1,47 @@
-//! What callers may be told of jobs.
+//! The status of each job, as callers may see it.
 
 use std::collections::HashMap;
 
 use workswood_core::jobs::spec::QueueId;
 use workswood_core::jobs::{JobKey, JobStatus, JobStatusUpdate, Owner};
 
-/// What callers may be told of jobs, with what is asked of a whole queue.
+/// The status of each job, as callers may see it, and the number of queued jobs of each queue.
 #[derive(Debug, Default)]
 pub struct JobStatusTable {
-    by_key: HashMap<JobKey, JobStatusUpdate>,
-    /// Jobs that have not begun, by queue; those with times of their own apart.
+    by_job: HashMap<JobKey, JobStatusUpdate>,
+    /// Number of jobs that have not started by queue, without jobs that repeat on a schedule.
     queued: HashMap<QueueId, u64>,
 }
 
-fn counts(s: &JobStatusUpdate) -> bool {
+/// Whether a job counts as queued.
+fn is_counted(s: &JobStatusUpdate) -> bool {
     s.state == Some(JobStatus::Queued) && !s.timed
 }
 
 impl JobStatusTable {
-    /// The state of a job, if it is known and belongs to who asks; a process of a version
-    /// before this one doesn't say who does.
-    pub fn status(&self, job: JobKey, asks: Option<Owner>) -> Option<JobStatus> {
-        let shown = self.by_key.get(&job)?;
-        shown.state.filter(|_| asks.is_none_or(|owner| owner == shown.owner))
+    /// The status of a job, if it is known and belongs to the requester. Processes of the previous
+    /// version do not state the requester; `None` matches every job.
+    pub fn status(&self, job: JobKey, requester: Option<Owner>) -> Option<JobStatus> {
+        let known = self.by_job.get(&job)?;
+        known.state.filter(|_| requester.is_none_or(|owner| owner == known.owner))
     }
 
-    /// Jobs of a queue that have not begun.
+    /// Number of jobs of a queue that have not started.
     pub fn queued_jobs(&self, queue: &str) -> u64 {
         self.queued.get(queue).copied().unwrap_or(0)
     }
 
-    /// Takes in what may be told of a job; nothing of one that is forgotten.
+    /// Applies an update, which removes a job that the scheduler has forgotten.
     pub fn update(&mut self, s: JobStatusUpdate) {
-        if counts(&s) {
+        if is_counted(&s) {
             *self.queued.entry(s.queue.clone()).or_default() += 1;
         }
-        let before = match s.state {
-            Some(_) => self.by_key.insert(s.key, s),
-            None => self.by_key.remove(&s.key),
+        let previous = match s.state {
+            Some(_) => self.by_job.insert(s.key, s),
+            None => self.by_job.remove(&s.key),
         };
-        if let Some(before) = before.filter(counts)
-            && let Some(n) = self.queued.get_mut(&before.queue)
+        if let Some(previous) = previous.filter(is_counted)
+            && let Some(n) = self.queued.get_mut(&previous.queue)
         {
             *n -= 1;
         }
