--- a/src/workswood/ops/jobs/monitoring.rs
+++ b/src/workswood/ops/jobs/monitoring.rs
@@ -1,4 +1,4 @@
-//! Small listeners: whether callers may be sent here, and metrics.
+//! Listeners for the load balancer's readiness checks and for metrics.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,25 +12,24 @@
 
 use super::node::Node;
 
-/// A process that has not heard of the store for this long sends callers to
-/// others: two reads and their slack.
-const STORE_SILENT: Duration = Duration::from_millis(2500);
+/// A process is not ready if the store has been silent for longer: two reads and some slack.
+const MAX_STORE_SILENCE: Duration = Duration::from_millis(2500);
 
-/// Whether callers may be sent here.
+/// Whether the load balancer may send callers to this process.
 pub fn is_ready(node: &Node) -> bool {
-    !node.is_stopping() && node.config.load().is_some() && node.store_silence() < STORE_SILENT
+    !node.is_stopping() && node.config.load().is_some() && node.store_silence() < MAX_STORE_SILENCE
 }
 
-/// Answers the balancer for ever.
+/// Serves readiness checks of the load balancer until the task is aborted.
 pub async fn readiness(listener: TcpListener, node: Arc<Node>) {
-    let ready = |node: &Node| {
+    let respond = |node: &Node| {
         let status = if is_ready(node) { 200 } else { 503 };
         response(status, Bytes::new())
     };
-    serve(listener, node, ready).await;
+    serve(listener, node, respond).await;
 }
 
-/// Serves metrics for ever, whatever the path.
+/// Serves metrics, whatever the path, until the task is aborted.
 pub async fn metrics(listener: TcpListener, node: Arc<Node>) {
     serve(listener, node, |node| response(200, node.metrics_text().into())).await;
 }
@@ -40,11 +39,12 @@
     res.unwrap_or_else(|_| Response::new(full_body(Bytes::new())))
 }
 
-async fn serve(listener: TcpListener, node: Arc<Node>, answer: fn(&Node) -> Response<ReplyBody>) {
-    let (_keep, never) = watch::channel(false);
+async fn serve(listener: TcpListener, node: Arc<Node>, respond: fn(&Node) -> Response<ReplyBody>) {
+    // The listener would stop if the sender were dropped.
+    let (_stop, stopped) = watch::channel(false);
     let handler: workswood_callers::Handler = Arc::new(move |_| {
         let node = node.clone();
-        async move { answer(&node) }.boxed()
+        async move { respond(&node) }.boxed()
     });
-    workswood_callers::serve(listener, handler, never).await;
+    workswood_callers::serve(listener, handler, stopped).await;
 }
