--- a/src/workswood/ops/jobs/job_spec.rs
+++ b/src/workswood/ops/jobs/job_spec.rs
@@ -1,8 +1,8 @@
-//! The stored form of a job as it was handed in.
+//! The stored form of a job as it was submitted.
 //!
-//! Every job is written once by the host that took it and read once by the lease holder,
-//! and again by each new one while it is open. Versions before this one wrote JSON, which
-//! is still read.
+//! The entry that accepts a job writes the record once. The lease holder reads it, and so does each
+//! later holder until the job has finished. Records of earlier versions are JSON, which can still be
+//! decoded.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{JobSpec, Repeat, StepSpec};
 
-/// First byte of a record that a version before this one wrote.
-const JSON: u8 = b'{';
+/// First byte of a JSON record, as earlier versions wrote it.
+const JSON_FIRST_BYTE: u8 = b'{';
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct HandedIn {
+struct StoredJob {
     #[prost(string, tag = "1")]
     queue: String,
     #[prost(string, tag = "2")]
@@ -26,29 +26,29 @@
     #[prost(string, tag = "5")]
     text: String,
     #[prost(message, repeated, tag = "6")]
-    steps: Vec<Step>,
+    steps: Vec<StoredStep>,
     #[prost(message, optional, tag = "7")]
-    repeat: Option<Rounds>,
-    /// In milliseconds since 1970.
+    repeat: Option<StoredRepeat>,
+    /// In milliseconds since the Unix epoch.
     #[prost(uint64, tag = "8")]
-    accepted: u64,
-    /// None where the queue is open to all, and in records of versions before this one.
+    accepted_at: u64,
+    /// `None` if the queue requires no key, and in records of earlier versions.
     #[prost(string, optional, tag = "9")]
     workspace: Option<String>,
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-struct Rounds {
+struct StoredRepeat {
     #[prost(uint32, tag = "1")]
     count: u32,
     #[prost(uint64, tag = "2")]
-    start: u64,
+    first_due_at: u64,
     #[prost(uint64, tag = "3")]
-    every_ms: u64,
+    interval_ms: u64,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct Step {
+struct StoredStep {
     #[prost(uint32, tag = "1")]
     count: u32,
     #[prost(uint64, tag = "2")]
@@ -70,111 +70,115 @@
     #[prost(string, optional, tag = "10")]
     label: Option<String>,
     #[prost(string, optional, tag = "11")]
-    near: Option<String>,
+    data_rack: Option<String>,
     #[prost(uint32, tag = "12")]
-    most_per_worker: u32,
+    max_per_worker: u32,
     #[prost(bool, tag = "13")]
     speculative: bool,
     #[prost(bool, tag = "14")]
-    lasting: bool,
+    long_running: bool,
     #[prost(string, optional, tag = "15")]
     image: Option<String>,
     #[prost(uint64, optional, tag = "16")]
-    target_ms: Option<u64>,
+    latency_target_ms: Option<u64>,
     #[prost(bool, tag = "17")]
-    fills: bool,
+    best_effort: bool,
     #[prost(uint32, tag = "18")]
-    may_miss: u32,
+    max_unavailable: u32,
 }
 
 /// Encodes a job.
 pub fn encode(spec: &JobSpec) -> Vec<u8> {
-    let handed = HandedIn {
+    let stored = StoredJob {
         queue: spec.queue.clone(),
         service: spec.service.clone(),
         priority: spec.priority,
         max_attempts: spec.max_attempts,
         text: spec.text.to_string(),
-        steps: spec.steps.iter().map(write_step).collect(),
-        repeat: spec.repeat.map(|r| Rounds {
+        steps: spec.steps.iter().map(encode_step).collect(),
+        repeat: spec.repeat.map(|r| StoredRepeat {
             count: r.count,
-            start: r.first_due_at,
-            every_ms: millis(r.interval),
+            first_due_at: r.first_due_at,
+            interval_ms: millis(r.interval),
         }),
-        accepted: spec.accepted_at,
+        accepted_at: spec.accepted_at,
         workspace: spec.workspace.clone(),
     };
-    handed.encode_to_vec()
+    stored.encode_to_vec()
 }
 
 fn millis(d: Duration) -> u64 {
     d.as_millis() as u64
 }
 
-fn write_step(s: &StepSpec) -> Step {
-    Step {
+fn encode_step(s: &StepSpec) -> StoredStep {
+    StoredStep {
         count: s.count,
         cpu_millis: s.resources.cpu_millis,
         mem_mb: s.resources.mem_mb,
         gpus: s.resources.gpus,
         estimate_ms: millis(s.estimate),
-        after: s.after.iter().map(|a| u32::from(*a)).collect(),
+        after: s.after.iter().map(|step| u32::from(*step)).collect(),
         checkpointing: s.checkpointing,
         gang: s.gang,
         same_rack: s.same_rack,
         label: s.label.clone(),
-        near: s.data_rack.clone(),
-        most_per_worker: s.max_per_worker,
+        data_rack: s.data_rack.clone(),
+        max_per_worker: s.max_per_worker,
         speculative: s.speculative,
-        lasting: s.long_running,
+        long_running: s.long_running,
         image: s.image.clone(),
-        target_ms: s.latency_target.map(millis),
-        fills: s.best_effort,
-        may_miss: s.max_unavailable,
+        latency_target_ms: s.latency_target.map(millis),
+        best_effort: s.best_effort,
+        max_unavailable: s.max_unavailable,
     }
 }
 
-/// Decodes a job. It was checked when it was handed in.
+/// Decodes a job, without the checks that were made when it was submitted.
 pub fn decode(value: &[u8]) -> Result<JobSpec, String> {
     match value.first() {
-        Some(&JSON) => serde_json::from_slice(value).map_err(|e| e.to_string()),
-        _ => read(HandedIn::decode(value).map_err(|e| e.to_string())?),
+        Some(&JSON_FIRST_BYTE) => serde_json::from_slice(value).map_err(|e| e.to_string()),
+        _ => to_spec(StoredJob::decode(value).map_err(|e| e.to_string())?),
     }
 }
 
-fn read(handed: HandedIn) -> Result<JobSpec, String> {
-    let every = |r: Rounds| Duration::from_millis(r.every_ms);
+fn to_spec(stored: StoredJob) -> Result<JobSpec, String> {
+    let repeat = |r: StoredRepeat| Repeat {
+        count: r.count,
+        first_due_at: r.first_due_at,
+        interval: Duration::from_millis(r.interval_ms),
+    };
     Ok(JobSpec {
-        queue: handed.queue,
-        service: handed.service,
-        priority: handed.priority,
-        max_attempts: handed.max_attempts,
-        text: handed.text.into(),
-        steps: handed.steps.into_iter().map(read_step).collect::<Result<_, _>>()?,
-        repeat: handed.repeat.map(|r| Repeat { count: r.count, first_due_at: r.start, interval: every(r) }),
-        accepted_at: handed.accepted,
-        workspace: handed.workspace,
+        queue: stored.queue,
+        service: stored.service,
+        priority: stored.priority,
+        max_attempts: stored.max_attempts,
+        text: stored.text.into(),
+        steps: stored.steps.into_iter().map(decode_step).collect::<Result<_, _>>()?,
+        repeat: stored.repeat.map(repeat),
+        accepted_at: stored.accepted_at,
+        workspace: stored.workspace,
     })
 }
 
-fn read_step(s: Step) -> Result<StepSpec, String> {
+fn decode_step(s: StoredStep) -> Result<StepSpec, String> {
     let after = s.after.into_iter().map(u16::try_from).collect::<Result<_, _>>();
     Ok(StepSpec {
         count: s.count,
         resources: Resources { cpu_millis: s.cpu_millis, mem_mb: s.mem_mb, gpus: s.gpus },
         estimate: Duration::from_millis(s.estimate_ms),
-        after: after.map_err(|_| "a step waits for one that there is not".to_string())?,
+        after: after.map_err(|_| "the number of a preceding step is above 65535".to_string())?,
         checkpointing: s.checkpointing,
         gang: s.gang,
         same_rack: s.same_rack,
         label: s.label,
-        data_rack: s.near,
-        max_per_worker: s.most_per_worker,
+        data_rack: s.data_rack,
+        max_per_worker: s.max_per_worker,
         speculative: s.speculative,
-        long_running: s.lasting,
+        long_running: s.long_running,
         image: s.image,
-        latency_target: s.target_ms.map(Duration::from_millis),
-        best_effort: s.fills,
-        max_unavailable: s.may_miss,
+        latency_target: s.latency_target_ms.map(Duration::from_millis),
+        best_effort: s.best_effort,
+        max_unavailable: s.max_unavailable,
     })
 }
