--- a/src/workswood/ops/jobs/job_state.rs
+++ b/src/workswood/ops/jobs/job_state.rs
@@ -1,10 +1,10 @@
 //! The stored form of a job's state.
 //!
-//! A job is written about six times on its way, and a new lease holder reads all of
-//! them, so what is usual takes little: a bit for a task that is done, some bytes for
-//! one that runs. A job of 13 tasks takes 80 bytes while all run (800 as JSON).
+//! A job's state is written several times while it runs, and a new lease holder reads the states of all
+//! jobs. The format is therefore compact in the usual case: a bit for a task that is done, and some
+//! bytes for one that runs.
 //!
-//! Versions before this one wrote JSON, which is still read.
+//! Records of earlier versions are JSON, which can still be decoded.
 
 use std::time::Duration;
 
@@ -14,51 +14,52 @@
 use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{JobRecord, Outcome, OverRecord, Owner};
 
-/// First byte of a record that a version before this one wrote.
-const JSON: u8 = b'{';
+/// First byte of a JSON record, as earlier versions wrote it.
+const JSON_FIRST_BYTE: u8 = b'{';
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct JobState {
+struct StoredJobState {
     #[prost(bool, tag = "1")]
     cancelled: bool,
     #[prost(bool, tag = "2")]
-    begun: bool,
+    started: bool,
     #[prost(enumeration = "Ended", optional, tag = "3")]
-    ended: Option<i32>,
-    /// Workers that steps name by their places here.
+    outcome: Option<i32>,
+    /// Ids of workers; runs refer to them by index.
     #[prost(string, repeated, tag = "4")]
     workers: Vec<String>,
     #[prost(message, repeated, tag = "5")]
     rounds: Vec<RoundState>,
     #[prost(message, optional, tag = "6")]
-    over: Option<OverState>,
+    finished: Option<FinishedJobState>,
 }
 
-/// A job that has ended and runs nowhere.
+/// What is stored of a job that has ended and runs nowhere.
 #[derive(Clone, PartialEq, prost::Message)]
-struct OverState {
+struct FinishedJobState {
     #[prost(string, tag = "1")]
     queue: String,
     #[prost(string, tag = "2")]
     service: String,
-    /// When it was accepted, in milliseconds since 1970.
+    /// When the job was accepted, in milliseconds since the Unix epoch.
     #[prost(uint64, tag = "3")]
-    accepted: u64,
-    /// Its work in core-milliseconds.
+    accepted_at: u64,
+    /// Work of the job in core-milliseconds.
     #[prost(uint64, optional, tag = "4")]
     work: Option<u64>,
-    /// Room of its largest task: thousandths of a core, MB, accelerators.
+    /// Resources of the largest task: thousandths of a core, MB, accelerators.
     #[prost(uint64, tag = "5")]
     cpu_millis: u64,
     #[prost(uint64, tag = "6")]
     mem_mb: u64,
     #[prost(uint64, tag = "7")]
     gpus: u64,
-    /// Number of its owner; 0 for nobody.
+    /// Number of the owner; 0 if it has none.
     #[prost(fixed64, tag = "8")]
     owner: u64,
 }
 
+/// Stored form of [`Outcome`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 enum Ended {
@@ -75,78 +76,76 @@
 
 #[derive(Clone, PartialEq, prost::Message)]
 struct StepState {
-    /// How many tasks.
+    /// Number of tasks.
     #[prost(uint32, tag = "1")]
     count: u32,
-    /// A bit for each task, set if it is done; trailing zeros left out.
+    /// One bit per task, which is set if the task is done; trailing zero bytes are omitted.
     #[prost(bytes = "vec", tag = "2")]
     done: Vec<u8>,
-    /// Runs: three numbers each, of the task, the try and the worker.
+    /// Runs, three numbers each: the task's index, the attempt and the worker's index.
     #[prost(uint32, repeated, tag = "3")]
     runs: Vec<u32>,
-    /// Tasks of which there is more to say.
+    /// Tasks with more state than `done` and `runs` hold.
     #[prost(message, repeated, tag = "4")]
-    special: Vec<TaskState>,
+    detailed: Vec<TaskState>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 struct TaskState {
     #[prost(uint32, tag = "1")]
     index: u32,
-    /// Number of its latest try.
     #[prost(uint32, tag = "2")]
-    attempt: u32,
+    latest_attempt: u32,
     #[prost(uint32, repeated, tag = "3")]
-    failed: Vec<u32>,
+    failed_attempts: Vec<u32>,
     #[prost(string, tag = "4")]
     checkpoint: String,
     #[prost(uint32, repeated, tag = "5")]
-    evicted: Vec<u32>,
-    /// Tries under which workers crashed: two numbers each, of the try and what is known of it.
+    evicted_attempts: Vec<u32>,
+    /// Attempts during which workers crashed, two numbers each: the attempt and the evidence.
     #[prost(uint32, repeated, tag = "6")]
     crashes: Vec<u32>,
-    /// For each of them the longest time after the start, in milliseconds, and one more; 0 if that is
-    /// not known.
+    /// Longest time that each of them may have lasted, in milliseconds plus one; 0 if that is not known.
     #[prost(uint32, repeated, tag = "7")]
-    crashed_within: Vec<u32>,
-    /// Whether it is never started again.
+    crash_run_times: Vec<u32>,
+    /// Whether the task is never started again.
     #[prost(bool, tag = "8")]
     given_up: bool,
 }
 
-/// Numbers of workers within one record: those of a job are few.
+/// The workers of one record. They are few, so a linear search is enough.
 #[derive(Default)]
-struct Numbers<'a>(Vec<&'a WorkerId>);
+struct WorkerTable<'a>(Vec<&'a WorkerId>);
 
-impl<'a> Numbers<'a> {
-    fn of(&mut self, id: &'a WorkerId) -> u32 {
+impl<'a> WorkerTable<'a> {
+    fn index_of(&mut self, id: &'a WorkerId) -> u32 {
         let known = self.0.iter().position(|other| *other == id);
-        let number = known.unwrap_or(self.0.len());
+        let index = known.unwrap_or(self.0.len());
         if known.is_none() {
             self.0.push(id);
         }
-        number as u32
+        index as u32
     }
 }
 
 /// Encodes the state of a job.
 pub fn encode(rec: &JobRecord) -> Vec<u8> {
-    let mut numbers = Numbers::default();
+    let mut workers = WorkerTable::default();
     let mut rounds = Vec::with_capacity(rec.rounds.len());
     for round in &rec.rounds {
-        let steps = round.iter().map(|tasks| step_state(tasks, &mut numbers)).collect();
+        let steps = round.iter().map(|tasks| encode_step(tasks, &mut workers)).collect();
         rounds.push(RoundState { steps });
     }
-    let state = JobState {
+    let state = StoredJobState {
         cancelled: rec.cancelled,
-        begun: rec.begun,
-        ended: rec.outcome.map(|o| ended(o) as i32),
-        workers: numbers.0.into_iter().map(|id| id.to_string()).collect(),
+        started: rec.begun,
+        outcome: rec.outcome.map(|o| encode_outcome(o) as i32),
+        workers: workers.0.into_iter().map(|id| id.to_string()).collect(),
         rounds,
-        over: rec.over.clone().map(|o| OverState {
+        finished: rec.over.clone().map(|o| FinishedJobState {
             queue: o.queue,
             service: o.service,
-            accepted: o.accepted,
+            accepted_at: o.accepted,
             work: o.work,
             cpu_millis: o.room.cpu_millis,
             mem_mb: o.room.mem_mb,
@@ -157,26 +156,31 @@
     state.encode_to_vec()
 }
 
-fn step_state<'a>(tasks: &'a [TaskRecord], numbers: &mut Numbers<'a>) -> StepState {
+fn encode_step<'a>(tasks: &'a [TaskRecord], workers: &mut WorkerTable<'a>) -> StepState {
     let mut s = StepState { count: tasks.len() as u32, ..StepState::default() };
     for (n, t) in tasks.iter().enumerate() {
-        let index = n as u32;
+        let task_index = n as u32;
         if t.done {
             s.done.resize(n / 8 + 1, 0);
             s.done[n / 8] |= 1 << (n % 8);
         }
         for (worker, attempt) in &t.runs {
-            s.runs.extend([index, *attempt, numbers.of(worker)]);
+            s.runs.extend([task_index, *attempt, workers.index_of(worker)]);
         }
-        if is_special(t) {
-            s.special.push(TaskState {
-                index,
-                attempt: t.latest_attempt,
-                failed: t.failed_attempts.iter().copied().collect(),
+        if has_details(t) {
+            s.detailed.push(TaskState {
+                index: task_index,
+                latest_attempt: t.latest_attempt,
+                failed_attempts: t.failed_attempts.iter().copied().collect(),
                 checkpoint: t.checkpoint.clone(),
-                evicted: t.evicted_attempts.iter().copied().collect(),
-                crashes: t.crashes.0.iter().flat_map(|(n, c)| [*n, evidence(c.evidence) as u32]).collect(),
-                crashed_within: t.crashes.0.values().map(|c| write_within(c.max_run_time)).collect(),
+                evicted_attempts: t.evicted_attempts.iter().copied().collect(),
+                crashes: t
+                    .crashes
+                    .0
+                    .iter()
+                    .flat_map(|(n, c)| [*n, encode_evidence(c.evidence) as u32])
+                    .collect(),
+                crash_run_times: t.crashes.0.values().map(|c| encode_run_time(c.max_run_time)).collect(),
                 given_up: t.given_up,
             });
         }
@@ -184,33 +188,33 @@
     s
 }
 
-/// Whether a task's runs and its end do not say all about it. A task that is done
-/// is not tried again.
-fn is_special(t: &TaskRecord) -> bool {
+/// Whether a task has more state than whether it is done and its runs. The latest attempt of a task that
+/// is done does not count: there will be no other.
+fn has_details(t: &TaskRecord) -> bool {
     let latest = t.runs.iter().map(|(_, attempt)| *attempt).max().unwrap_or(0);
-    let tried = !t.done && t.latest_attempt != latest;
-    let tried = tried || !t.failed_attempts.is_empty() || !t.crashes.is_empty() || t.given_up;
-    tried || !t.checkpoint.is_empty() || !t.evicted_attempts.is_empty()
+    let attempt_not_in_runs = !t.done && t.latest_attempt != latest;
+    let has_failures = !t.failed_attempts.is_empty() || !t.crashes.is_empty() || t.given_up;
+    attempt_not_in_runs || has_failures || !t.checkpoint.is_empty() || !t.evicted_attempts.is_empty()
 }
 
 /// Decodes the state of a job.
 pub fn decode(value: &[u8]) -> Result<JobRecord, String> {
-    if value.first() == Some(&JSON) {
+    if value.first() == Some(&JSON_FIRST_BYTE) {
         return serde_json::from_slice(value).map_err(|e| e.to_string());
     }
-    let state = JobState::decode(value).map_err(|e| e.to_string())?;
+    let state = StoredJobState::decode(value).map_err(|e| e.to_string())?;
     let workers: Vec<WorkerId> = state.workers.iter().map(|w| w.as_str().into()).collect();
-    let step = |s: StepState| read_step(s, &workers);
+    let step = |s: StepState| decode_step(s, &workers);
     let round = |r: RoundState| r.steps.into_iter().map(step).collect::<Result<Vec<_>, _>>();
     Ok(JobRecord {
         cancelled: state.cancelled,
-        outcome: state.ended.map(outcome).transpose()?,
-        begun: state.begun,
+        outcome: state.outcome.map(decode_outcome).transpose()?,
+        begun: state.started,
         rounds: state.rounds.into_iter().map(round).collect::<Result<_, _>>()?,
-        over: state.over.map(|o| OverRecord {
+        over: state.finished.map(|o| OverRecord {
             queue: o.queue,
             service: o.service,
-            accepted: o.accepted,
+            accepted: o.accepted_at,
             work: o.work,
             room: Resources { cpu_millis: o.cpu_millis, mem_mb: o.mem_mb, gpus: o.gpus },
             owner: Owner::from_number(o.owner),
@@ -218,74 +222,81 @@
     })
 }
 
-fn read_step(s: StepState, workers: &[WorkerId]) -> Result<Vec<TaskRecord>, String> {
-    let bit = |n: usize| s.done.get(n / 8).is_some_and(|byte| byte & (1 << (n % 8)) != 0);
-    let task = |n: usize| TaskRecord { done: bit(n), ..TaskRecord::default() };
+fn decode_step(s: StepState, workers: &[WorkerId]) -> Result<Vec<TaskRecord>, String> {
+    let is_done = |n: usize| s.done.get(n / 8).is_some_and(|byte| byte & (1 << (n % 8)) != 0);
+    let task = |n: usize| TaskRecord { done: is_done(n), ..TaskRecord::default() };
     let mut tasks: Vec<TaskRecord> = (0..s.count as usize).map(task).collect();
     for run in s.runs.chunks(3) {
-        let [index, attempt, worker] = *run else { return Err("a run is cut short".to_string()) };
-        let worker = workers.get(worker as usize).ok_or("a worker has no name")?;
-        let task = tasks.get_mut(index as usize).ok_or("a run is of no task")?;
+        let [index, attempt, worker] = *run else {
+            return Err("a run has fewer than three numbers".to_string());
+        };
+        let worker = workers.get(worker as usize).ok_or("the worker index of a run is out of range")?;
+        let task = tasks.get_mut(index as usize).ok_or("the task index of a run is out of range")?;
         task.latest_attempt = task.latest_attempt.max(attempt);
         task.runs.push((worker.clone(), attempt));
     }
-    for t in s.special {
-        let task = tasks.get_mut(t.index as usize).ok_or("there is no such task")?;
-        task.latest_attempt = t.attempt;
-        task.failed_attempts = t.failed.into_iter().collect();
+    for t in s.detailed {
+        let task = tasks.get_mut(t.index as usize).ok_or("the index of a task is out of range")?;
+        task.latest_attempt = t.latest_attempt;
+        task.failed_attempts = t.failed_attempts.into_iter().collect();
         task.checkpoint = t.checkpoint;
-        task.evicted_attempts = t.evicted.into_iter().collect();
+        task.evicted_attempts = t.evicted_attempts.into_iter().collect();
         task.given_up = t.given_up;
         for (n, crash) in t.crashes.chunks(2).enumerate() {
-            let [attempt, known] = *crash else { return Err("a crash is cut short".to_string()) };
-            let within = t.crashed_within.get(n).and_then(|ms| read_within(*ms));
+            let [attempt, evidence] = *crash else {
+                return Err("a crash has fewer than two numbers".to_string());
+            };
+            let max_run_time = t.crash_run_times.get(n).and_then(|ms| decode_run_time(*ms));
             task.crashes
                 .0
-                .insert(attempt, CrashRecord { evidence: read_evidence(known)?, max_run_time: within });
+                .insert(attempt, CrashRecord { evidence: decode_evidence(evidence)?, max_run_time });
         }
     }
     Ok(tasks)
 }
 
-/// Longest time after a start that is stored; a run that lasted for longer says no more.
-const LONGEST_WITHIN: u128 = 3_600_000;
+/// Longest run time that is stored. A longer one gives no more evidence.
+const MAX_RUN_TIME_MS: u128 = 3_600_000;
 
-fn write_within(within: Option<Duration>) -> u32 {
-    within.map_or(0, |d| d.as_millis().min(LONGEST_WITHIN) as u32 + 1)
+fn encode_run_time(run_time: Option<Duration>) -> u32 {
+    run_time.map_or(0, |d| d.as_millis().min(MAX_RUN_TIME_MS) as u32 + 1)
 }
 
-fn read_within(stored: u32) -> Option<Duration> {
+fn decode_run_time(stored: u32) -> Option<Duration> {
     stored.checked_sub(1).map(|ms| Duration::from_millis(ms.into()))
 }
 
-/// What is known of a crash, as it is stored.
+/// Stored form of [`Evidence`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
-enum Known {
+enum StoredEvidence {
+    /// [`Evidence::LikelyCause`].
     Explains = 0,
-    /// Written by a version before this one.
+    /// Written by earlier versions, and read as `Explains`.
     ExplainsLate = 1,
+    /// [`Evidence::Bystander`].
     Beside = 2,
+    /// [`Evidence::Unconfirmed`].
     Supposed = 3,
 }
 
-fn evidence(e: Evidence) -> Known {
+fn encode_evidence(e: Evidence) -> StoredEvidence {
     match e {
-        Evidence::LikelyCause => Known::Explains,
-        Evidence::Bystander => Known::Beside,
-        Evidence::Unconfirmed => Known::Supposed,
+        Evidence::LikelyCause => StoredEvidence::Explains,
+        Evidence::Bystander => StoredEvidence::Beside,
+        Evidence::Unconfirmed => StoredEvidence::Supposed,
     }
 }
 
-fn read_evidence(known: u32) -> Result<Evidence, String> {
-    match Known::try_from(known as i32).map_err(|e| e.to_string())? {
-        Known::Explains | Known::ExplainsLate => Ok(Evidence::LikelyCause),
-        Known::Beside => Ok(Evidence::Bystander),
-        Known::Supposed => Ok(Evidence::Unconfirmed),
+fn decode_evidence(stored: u32) -> Result<Evidence, String> {
+    match StoredEvidence::try_from(stored as i32).map_err(|e| e.to_string())? {
+        StoredEvidence::Explains | StoredEvidence::ExplainsLate => Ok(Evidence::LikelyCause),
+        StoredEvidence::Beside => Ok(Evidence::Bystander),
+        StoredEvidence::Supposed => Ok(Evidence::Unconfirmed),
     }
 }
 
-fn ended(outcome: Outcome) -> Ended {
+fn encode_outcome(outcome: Outcome) -> Ended {
     match outcome {
         Outcome::Completed => Ended::Completed,
         Outcome::Failed => Ended::Failed,
@@ -293,8 +304,8 @@
     }
 }
 
-fn outcome(ended: i32) -> Result<Outcome, String> {
-    match Ended::try_from(ended).map_err(|e| e.to_string())? {
+fn decode_outcome(stored: i32) -> Result<Outcome, String> {
+    match Ended::try_from(stored).map_err(|e| e.to_string())? {
         Ended::Completed => Ok(Outcome::Completed),
         Ended::Failed => Ok(Outcome::Failed),
         Ended::Canceled => Ok(Outcome::Canceled),
