--- a/src/workswood/ops/jobs/job_status_table.rs
+++ b/src/workswood/ops/jobs/job_status_table.rs
@@ -14,8 +14,8 @@
 }
 
 /// Whether a job counts as queued.
-fn is_counted(s: &JobStatusUpdate) -> bool {
-    s.state == Some(JobStatus::Queued) && !s.timed
+fn is_counted(update: &JobStatusUpdate) -> bool {
+    update.state == Some(JobStatus::Queued) && !update.timed
 }
 
 impl JobStatusTable {
@@ -32,13 +32,13 @@
     }
 
     /// Applies an update, which removes a job that the scheduler has forgotten.
-    pub fn update(&mut self, s: JobStatusUpdate) {
-        if is_counted(&s) {
-            *self.queued.entry(s.queue.clone()).or_default() += 1;
+    pub fn update(&mut self, update: JobStatusUpdate) {
+        if is_counted(&update) {
+            *self.queued.entry(update.queue.clone()).or_default() += 1;
         }
-        let previous = match s.state {
-            Some(_) => self.by_job.insert(s.key, s),
-            None => self.by_job.remove(&s.key),
+        let previous = match update.state {
+            Some(_) => self.by_job.insert(update.key, update),
+            None => self.by_job.remove(&update.key),
         };
         if let Some(previous) = previous.filter(is_counted)
             && let Some(n) = self.queued.get_mut(&previous.queue)
