--- a/src/workswood/ops/jobs/scheduler_io.rs
+++ b/src/workswood/ops/jobs/scheduler_io.rs
@@ -1,8 +1,8 @@
-//! Brings the scheduler what it reads from the store and the host service,
-//! and tells operators how waves stand.
+//! Tasks that feed the scheduler from the store and the host service, and publish the status of
+//! maintenance waves.
 //!
-//! These tasks end with the scheduler. An event that is sent after it has ended
-//! is dropped: the next holder reads the same records.
+//! These tasks end with the scheduler. Events that are sent after that are dropped; the next lease
+//! holder reads the same records.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,128 +19,131 @@
 use super::topic_reader::follow_topic;
 use super::worker_list::WorkerList;
 
-/// Pause after a failed read or append.
-const PAUSE: Duration = Duration::from_millis(60);
-/// How long one read of the inbox waits.
-const INBOX_WAIT: Duration = Duration::from_millis(1000);
+/// Delay after a failed read or append.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
+/// How long one read of the inbox waits for new records.
+const INBOX_READ_WAIT: Duration = Duration::from_millis(1000);
 
-/// How far each part of the inbox was read.
+/// When each partition of the inbox was last read to its end.
 pub(super) struct InboxProgress {
     read_at: Mutex<Vec<Duration>>,
 }
 
 impl InboxProgress {
-    /// Nothing was read yet of so many parts.
-    pub(super) fn new(parts: usize) -> InboxProgress {
-        InboxProgress { read_at: Mutex::new(vec![Duration::ZERO; parts]) }
+    /// Progress of a number of partitions that have not been read.
+    pub(super) fn new(partition_count: usize) -> InboxProgress {
+        InboxProgress { read_at: Mutex::new(vec![Duration::ZERO; partition_count]) }
     }
 
-    /// Notes that a part was read to its end; returns when all parts were at the
-    /// earliest.
-    fn note(&self, part: Partition, at: Duration) -> Duration {
+    /// Records that a partition was read to its end; returns the earliest such time of all partitions.
+    fn record(&self, partition: Partition, at: Duration) -> Duration {
         let mut read_at = self.read_at.lock();
-        if let Some(mine) = read_at.get_mut(usize::from(part)) {
-            *mine = at;
+        if let Some(last) = read_at.get_mut(usize::from(partition)) {
+            *last = at;
         }
         read_at.iter().min().copied().unwrap_or_default()
     }
 }
 
-/// Hands jobs and cancels from a part of the inbox to the scheduler.
+/// Forwards jobs and cancels from a partition of the inbox to the scheduler.
 pub(super) async fn follow_inbox(
     node: Arc<Node>,
-    l: Arc<Leading>,
+    leading: Arc<Leading>,
     progress: Arc<InboxProgress>,
-    part: Partition,
+    partition: Partition,
     mut next: Offset,
 ) {
-    let topic = Topic::Inbox(part);
-    // After a failure the answer is wanted at once.
-    let mut wait = INBOX_WAIT;
+    let topic = Topic::Inbox(partition);
+    // After a failure the read does not wait, so that it shows at once when the store is back.
+    let mut wait = INBOX_READ_WAIT;
     loop {
         match node.platform.tail(topic, next, wait).await {
             Ok(tail) => {
                 node.store_is_up();
-                wait = INBOX_WAIT;
+                wait = INBOX_READ_WAIT;
                 next = tail.next;
-                hand_over(&l, part, &tail.records);
-                // What other parts held until then was handed over before.
-                let all = progress.note(part, node.now());
-                let _ = l.tx.send(Event::InboxRead(all));
+                forward_records(&leading, partition, &tail.records);
+                // What the other partitions held at that time has been forwarded before.
+                let all_read_at = progress.record(partition, node.now());
+                let _ = leading.tx.send(Event::InboxRead(all_read_at));
             }
             Err(StoreError::RecordsGone) => match node.platform.latest(topic).await {
-                Ok(n) => {
-                    next = n.next;
-                    hand_over(&l, part, &n.records);
+                Ok(latest) => {
+                    next = latest.next;
+                    forward_records(&leading, partition, &latest.records);
                 }
                 Err(e) => {
-                    log::warn!("event=inbox_not_read part={part} error=\"{e}\"");
-                    tokio::time::sleep(PAUSE).await;
+                    log::warn!("event=inbox_not_read part={partition} error=\"{e}\"");
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             },
             Err(e) => {
-                log::warn!("event=inbox_not_read part={part} error=\"{e}\"");
+                log::warn!("event=inbox_not_read part={partition} error=\"{e}\"");
                 wait = Duration::ZERO;
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn hand_over(l: &Leading, part: Partition, records: &[KeyedRecord]) {
+fn forward_records(leading: &Leading, partition: Partition, records: &[KeyedRecord]) {
     for rec in records {
-        note_kept(&mut l.kept.lock(), part, rec);
+        note_kept(&mut leading.kept.lock(), partition, rec);
         if let Some(ev) = inbox_event(rec) {
-            let _ = l.tx.send(ev);
+            let _ = leading.tx.send(ev);
         }
     }
 }
 
-/// Hands the list of workers, and its changes, to the scheduler.
-pub(super) async fn follow_workers(node: Arc<Node>, l: Arc<Leading>) {
+/// Forwards the list of workers, and its changes, to the scheduler.
+pub(super) async fn follow_workers(node: Arc<Node>, leading: Arc<Leading>) {
     let mut list = WorkerList::default();
     let n = node.clone();
-    follow_topic(node, Topic::Workers, move |heard| {
-        for ev in list.take(heard, |rec| n.platform.parse_worker_info(rec)) {
-            let _ = l.tx.send(ev);
+    follow_topic(node, Topic::Workers, move |update| {
+        for ev in list.take(update, |rec| n.platform.parse_worker_info(rec)) {
+            let _ = leading.tx.send(ev);
         }
     })
     .await;
 }
 
-/// Reads the list of hosts once and hands it to the scheduler.
-pub(super) async fn list_hosts_once(node: Arc<Node>, l: Arc<Leading>) {
-    let asked = node.now();
+/// Reads the list of hosts once and forwards it to the scheduler.
+pub(super) async fn list_hosts_once(node: Arc<Node>, leading: Arc<Leading>) {
+    let requested_at = node.now();
     match node.platform.list_hosts().await {
         Ok(list) => {
-            let _ = l.tx.send(Event::HostsListed(list, asked));
+            let _ = leading.tx.send(Event::HostsListed(list, requested_at));
         }
         Err(e) => log::warn!("event=machines_not_read error=\"{e}\""),
     }
 }
 
-/// Tells operators how waves stand, until each is told.
-pub(super) async fn publish_wave_status(node: Arc<Node>, mut wanted: watch::Receiver<BTreeMap<u64, bool>>) {
-    let mut told: BTreeMap<u64, bool> = BTreeMap::new();
+/// Publishes the status of waves for operators, and retries until the store has each.
+pub(super) async fn publish_wave_status(
+    node: Arc<Node>,
+    mut status_rx: watch::Receiver<BTreeMap<u64, bool>>,
+) {
+    let mut published: BTreeMap<u64, bool> = BTreeMap::new();
     loop {
-        let now = wanted.borrow_and_update().clone();
-        for (n, complete) in now {
-            if told.get(&n) == Some(&complete) {
+        let statuses = status_rx.borrow_and_update().clone();
+        for (wave, complete) in statuses {
+            if published.get(&wave) == Some(&complete) {
                 continue;
             }
-            let rec = node.platform.wave_status_record(n, complete);
+            let rec = node.platform.wave_status_record(wave, complete);
             match node.platform.append(Topic::Status, vec![rec], Guard::None).await {
                 Ok(_) => {
-                    log::info!("event=wave_published wave={n} complete={complete}");
-                    told.insert(n, complete);
+                    log::info!("event=wave_published wave={wave} complete={complete}");
+                    published.insert(wave, complete);
                 }
-                Err(e) => log::warn!("event=wave_not_published wave={n} error=\"{e}\""),
+                Err(e) => log::warn!("event=wave_not_published wave={wave} error=\"{e}\""),
             }
         }
-        let behind = wanted.borrow().iter().any(|(n, c)| told.get(n) != Some(c));
-        if behind {
-            tokio::time::sleep(PAUSE).await;
-        } else if wanted.changed().await.is_err() {
+        let has_unpublished =
+            status_rx.borrow().iter().any(|(wave, complete)| published.get(wave) != Some(complete));
+        if has_unpublished {
+            tokio::time::sleep(RETRY_DELAY).await;
+        } else if status_rx.changed().await.is_err() {
             return;
         }
     }
