--- a/src/workswood/ops/jobs/topic_reader.rs
+++ b/src/workswood/ops/jobs/topic_reader.rs
@@ -1,5 +1,5 @@
-//! Keeps up with a topic of the store: first the newest records, then each
-//! change as it comes.
+//! Reads topics of the store: first the latest records, then each change. One of them holds the records
+//! that operators write.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,73 +13,78 @@
 use super::operators::Evacuations;
 use super::peer_requests;
 
-/// How long one read of the lease holder waits for a record: it decides for all.
-const LEADER_WAIT: Duration = Duration::from_millis(1000);
-/// A read is late that has not been answered for this long after its wait, or has failed and
-/// been repeated for as long.
-const READ_LATE: Duration = Duration::from_millis(200);
-/// Likewise, where reads fail.
-const FAILS_LATE: Duration = Duration::from_millis(1200);
-/// Time between two reads of the list of workers: entries of many workers come together, and each read is
-/// paid for.
-const WORKERS_GAP: Duration = Duration::from_millis(50);
-/// Time between two questions to other processes meanwhile, until one has told: those that are asked may
-/// be turned away as well. What was told is asked for again once it is late itself.
-const ASK_EVERY: Duration = Duration::from_millis(400);
-/// Key under which operators write the configuration.
-const CONFIG: &str = "config";
-/// Pause after a failed read; it doubles with each that fails,
-const PAUSE: Duration = Duration::from_millis(100);
-/// up to this: many hosts that the store turns away are paid for.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+/// How long each read of the lease holder waits for records.
+const HOLDER_READ_WAIT: Duration = Duration::from_millis(1000);
+/// A read that has no reply this long after its wait is late.
+const LATE_READ_SLACK: Duration = Duration::from_millis(200);
+/// While reads fail, peers are polled once operators' records were read longer ago than this.
+const MAX_AGE_ON_FAILURE: Duration = Duration::from_millis(1200);
+/// Delay between two reads of the list of workers, so that one read returns the changes of many workers.
+const WORKERS_READ_GAP: Duration = Duration::from_millis(50);
+/// Time between two checks whether peers have to be polled. Polling is repeated since the store may refuse
+/// the polled peers too.
+const PEER_POLL_INTERVAL: Duration = Duration::from_millis(400);
+/// Key of the configuration.
+const CONFIG_KEY: &str = "config";
+/// Delay after a first failed read; it doubles with each further failure.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Upper bound of that delay.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What a follower hears.
+/// What one read of a topic returned.
 pub enum TopicUpdate {
-    /// All newest records; replaces what was heard before.
+    /// The latest record of each key; replaces everything before.
     Reset(Vec<KeyedRecord>),
-    /// Changes, in order; may be empty when a read reached the end.
+    /// Changes, in order; may be empty if there were none.
     Changes(Vec<KeyedRecord>),
 }
 
-/// How long a read of a topic waits now.
+/// How long the next read of a topic waits for records.
 fn read_wait(node: &Node, topic: Topic) -> Duration {
     match topic {
         Topic::Operators if node.leading.load().is_none() => node.settings.news_wait(),
-        _ => LEADER_WAIT,
+        _ => HOLDER_READ_WAIT,
     }
 }
 
-/// How long a process pauses after so many reads that have failed in a row.
+/// The delay after a number of consecutive failed reads.
 pub fn retry_delay(failures: u32) -> Duration {
-    let doubled = PAUSE.saturating_mul(2_u32.saturating_pow(failures.saturating_sub(1)));
-    doubled.min(LONGEST_PAUSE)
+    let delay = MIN_RETRY_DELAY.saturating_mul(2_u32.saturating_pow(failures.saturating_sub(1)));
+    delay.min(MAX_RETRY_DELAY)
 }
 
-/// Follows a topic for ever.
-pub async fn follow_topic(node: Arc<Node>, topic: Topic, mut heard: impl FnMut(TopicUpdate) + Send) {
+/// Reads a topic until the task is aborted, and calls `on_update` with each update.
+pub async fn follow_topic(node: Arc<Node>, topic: Topic, mut on_update: impl FnMut(TopicUpdate) + Send) {
     let mut next = None;
     let mut failures = 0;
     loop {
         let res = match next {
-            None => node.platform.latest(topic).await.map(|n| (TopicUpdate::Reset(n.records), n.next)),
+            None => node
+                .platform
+                .latest(topic)
+                .await
+                .map(|latest| (TopicUpdate::Reset(latest.records), latest.next)),
             Some(from) => {
-                // After a failure the answer is wanted at once: a read that waits
-                // for a record tells only after its wait that the store is back.
+                // After a failure the read does not wait: otherwise it would show only after its wait that
+                // the store is back.
                 let wait = if failures > 0 { Duration::ZERO } else { read_wait(&node, topic) };
-                node.platform.tail(topic, from, wait).await.map(|t| (TopicUpdate::Changes(t.records), t.next))
+                node.platform
+                    .tail(topic, from, wait)
+                    .await
+                    .map(|tail| (TopicUpdate::Changes(tail.records), tail.next))
             }
         };
         match res {
-            Ok((h, at)) => {
+            Ok((update, next_offset)) => {
                 if failures > 0 {
                     log::info!("event=dependency_regained dependency=store topic={topic:?}");
                 }
                 failures = 0;
                 node.store_is_up();
-                next = Some(at);
-                heard(h);
+                next = Some(next_offset);
+                on_update(update);
                 if topic == Topic::Workers {
-                    tokio::time::sleep(WORKERS_GAP).await;
+                    tokio::time::sleep(WORKERS_READ_GAP).await;
                 }
             }
             Err(StoreError::RecordsGone) => next = None,
@@ -97,67 +102,66 @@
     }
 }
 
-/// Follows what operators write.
+/// Applies the records that operators write, until the task is aborted.
 pub async fn follow_operators(node: Arc<Node>) {
     let n = node.clone();
     let mut evacuated = BTreeSet::new();
-    follow_topic(node, Topic::Operators, move |heard| {
-        let records = match heard {
+    follow_topic(node, Topic::Operators, move |update| {
+        let records = match update {
             TopicUpdate::Reset(records) => {
                 evacuated.clear();
                 records
             }
             TopicUpdate::Changes(records) => records,
         };
-        records.iter().for_each(|r| take_item(&n, r, &mut evacuated));
+        records.iter().for_each(|r| apply_record(&n, r, &mut evacuated));
         n.operators.reading_succeeds();
-        take_evacuated(&n, Evacuations { data_centres: evacuated.clone(), read: n.now() });
+        apply_evacuations(&n, Evacuations { data_centres: evacuated.clone(), read: n.now() });
     })
     .await;
 }
 
-/// Asks other processes for what operators changed, and who holds the lease, while the store turns this
-/// one away, for ever. A key that was taken away, or a limit that was lowered, is in force here too
-/// within the time that the platform allows (2 s at least), as long as any host that is asked
-/// reaches the store.
+/// Polls peers for operators' changes and the lease holder while this process can't read them from the
+/// store, until the task is aborted. A revoked key or a lowered limit therefore takes effect here in time
+/// as long as one of the polled peers reaches the store.
 pub async fn poll_peers_when_stale(node: Arc<Node>) {
     loop {
-        tokio::time::sleep(ASK_EVERY).await;
+        tokio::time::sleep(PEER_POLL_INTERVAL).await;
         let age = node.operators.age(node.now());
-        let fails = node.operators.is_reading_failing() && age > FAILS_LATE;
-        if !fails && age < node.settings.news_wait() + READ_LATE {
+        let is_stale = node.operators.is_reading_failing() && age > MAX_AGE_ON_FAILURE;
+        if !is_stale && age < node.settings.news_wait() + LATE_READ_SLACK {
             continue;
         }
-        let known = node.config.load().as_ref().map_or(0, |c| c.version);
-        let told = peer_requests::poll_peers(&node, known).await;
-        for value in told.configs {
-            let rec = KeyedRecord { key: CONFIG.to_string(), value: Some(value) };
-            take_item(&node, &rec, &mut BTreeSet::new());
+        let known_version = node.config.load().as_ref().map_or(0, |c| c.version);
+        let updates = peer_requests::poll_peers(&node, known_version).await;
+        for value in updates.configs {
+            let rec = KeyedRecord { key: CONFIG_KEY.to_string(), value: Some(value) };
+            apply_record(&node, &rec, &mut BTreeSet::new());
         }
         let term = node.holder.load().as_ref().map_or(0, |h| h.term);
-        if let Some(holder) = told.holder.filter(|h| h.term > term) {
+        if let Some(holder) = updates.holder.filter(|h| h.term > term) {
             log::info!("event=lease_holder_from_peer id={} term={}", holder.id, holder.term);
             node.know_holder(holder);
         }
-        told.evacuations.into_iter().for_each(|e| take_evacuated(&node, e));
+        updates.evacuations.into_iter().for_each(|e| apply_evacuations(&node, e));
     }
 }
 
-/// Takes in which data centres are evacuated.
-fn take_evacuated(node: &Node, now: Evacuations) {
-    let Some(evacuated) = node.operators.evacuate(now) else { return };
+/// Applies which data centres are evacuated.
+fn apply_evacuations(node: &Node, evacuations: Evacuations) {
+    let Some(evacuated) = node.operators.evacuate(evacuations) else { return };
     let names: Vec<&str> = evacuated.iter().map(String::as_str).collect();
     log::info!("event=evacuations_in_force data_centres=\"{}\"", names.join(","));
     node.tell_scheduler(Event::Evacuated(evacuated));
 }
 
-/// Takes in what operators wrote; evacuations are only noted.
-fn take_item(node: &Node, rec: &KeyedRecord, evacuated: &mut BTreeSet<DataCentre>) {
+/// Applies a record that operators wrote; evacuations are only collected in `evacuated`.
+fn apply_record(node: &Node, rec: &KeyedRecord, evacuated: &mut BTreeSet<DataCentre>) {
     match node.platform.parse_operator_record(rec) {
         Ok(Some(OperatorRecord::Config(cfg))) => {
-            let now = node.config.load().as_ref().map_or(0, |c| c.version);
-            // Versions never go back, whatever order records are read in.
-            if cfg.version <= now {
+            let known_version = node.config.load().as_ref().map_or(0, |c| c.version);
+            // Records may be read out of order; an older version never replaces a newer one.
+            if cfg.version <= known_version {
                 return;
             }
             log::info!("event=config_in_force version={} queues={}", cfg.version, cfg.queues.len());
