--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -1,8 +1,7 @@
-//! Other processes that run jobs, and calls to them.
+//! The other processes that run jobs, and calls to them.
 //!
-//! Every process keeps a record in the store of where its peers reach it, and
-//! reads those of the others now and then: by the time that the store turns a
-//! entry away, it is too late to ask there who could help.
+//! Every process stores a record with the address of its peer listener, and regularly reads those of the
+//! others. It needs them when the store refuses it, and could not read them then.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -24,90 +23,92 @@
 use super::node::Node;
 use super::record::{drop_record, value_record};
 
-/// Peers on the prepared platform share no secret: their network is their own.
+/// Token of peers; empty, since their network is private.
 pub const TOKEN: &str = "";
-/// Connections that are kept: one to the lease holder, and a few to helpers.
-const MOST_LINKS: usize = 6;
-/// Time between two readings of the records.
-const READ_EVERY: Duration = Duration::from_secs(30);
-/// Likewise while a process is new: those that started with it write theirs.
-const READ_EVERY_NEW: Duration = Duration::from_secs(5);
-/// How long a process is new.
-const NEW_FOR: Duration = Duration::from_secs(20);
-/// Likewise by the lease holder, which has others attend workers.
-const READ_EVERY_LEADING: Duration = Duration::from_secs(2);
-/// Time between two renewals of a process's own record.
-const RENEW_EVERY: Duration = Duration::from_secs(60);
-/// A process whose record is older is not asked: five renewals failed.
-const FRESH_FOR: Duration = Duration::from_secs(300);
-/// A record that is older is dropped.
-const KEPT_FOR: Duration = Duration::from_secs(24 * 3600);
-/// Pause after a failed read or append.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Maximum number of open links.
+const MAX_LINKS: usize = 6;
+/// Time between two reads of the records.
+const READ_INTERVAL: Duration = Duration::from_secs(30);
+/// Likewise after the start of a process, when others that have just started write their records.
+const STARTUP_READ_INTERVAL: Duration = Duration::from_secs(5);
+/// How long after its start a process reads the records more often.
+const STARTUP_PERIOD: Duration = Duration::from_secs(20);
+/// Time between two reads by the lease holder, which assigns workers to the other entries as relays.
+const HOLDER_READ_INTERVAL: Duration = Duration::from_secs(2);
+/// Time between two renewals of the process's own record.
+const RENEW_INTERVAL: Duration = Duration::from_secs(60);
+/// Peers whose record is older are not called.
+const MAX_PEER_AGE: Duration = Duration::from_secs(300);
+/// Records that are older are removed from the store.
+const RECORD_RETENTION: Duration = Duration::from_secs(24 * 3600);
+/// Delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Stored form of a process, under the name of its entry.
+/// Stored form of a process. The key is the name of its entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct PeerRecord {
-    /// Its peer listener.
-    peers: String,
+    /// Address of the peer listener.
+    #[serde(rename = "peers")]
+    address: String,
     /// When the record was written.
-    at: UnixMs,
-    /// Where it stands.
+    #[serde(rename = "at")]
+    written_at: UnixMs,
+    /// Data centre of the entry.
     #[serde(default)]
     data_centre: DataCentre,
-    /// Workers that it could look after as lease holder.
+    /// Number of workers that it can manage as lease holder.
     #[serde(default)]
     strength: Strength,
 }
 
-/// The other processes, as they were last read.
+/// The processes that have a recent record, as last read.
 #[derive(Default)]
-struct Roster {
+struct PeerList {
     by_entry: BTreeMap<String, PeerRecord>,
-    /// Counts the readings that told something new.
+    /// Number of reads that changed the list.
     version: u64,
 }
 
-/// A connection that is kept.
-struct Kept {
+/// An open link.
+struct CachedLink {
     link: Link,
-    /// When a call last went over it.
-    used: Instant,
+    /// When it was last used for a call.
+    last_used: Instant,
 }
 
-/// Other processes, and connections to some of them.
+/// The other processes, and links to some of them.
 #[derive(Default)]
 pub struct Peers {
-    roster: Mutex<Roster>,
-    /// Has the records read soon.
-    wanted: Notify,
-    links: Mutex<HashMap<String, Kept>>,
+    peer_list: Mutex<PeerList>,
+    /// Wakes [`run`] to read the records.
+    read_requested: Notify,
+    links: Mutex<HashMap<String, CachedLink>>,
     half_open: HalfOpenDetector,
     traffic: Traffic,
-    /// Whose turn it is to be asked for help.
-    turn: AtomicUsize,
+    /// Rotates the order in which peers are asked for help.
+    next_helper: AtomicUsize,
 }
 
 impl PeerRecord {
+    /// The entry as a candidate for the lease.
     fn as_entry<'a>(&'a self, name: &'a str) -> Entry<'a> {
         Entry { name, data_centre: &self.data_centre, strength: self.strength }
     }
 
-    /// Whether it says the same as another, written at any time.
-    fn same_as(&self, other: &PeerRecord) -> bool {
-        *self == PeerRecord { at: self.at, ..other.clone() }
+    /// Whether the records are equal but for the time of writing.
+    fn is_same_peer(&self, other: &PeerRecord) -> bool {
+        *self == PeerRecord { written_at: self.written_at, ..other.clone() }
     }
 }
 
 impl Peers {
-    /// Connections to nobody yet; what is found out of them, and what goes over them, is
-    /// shared with others.
+    /// Creates an empty list of peers. The detector of half-open connections and the traffic counts are
+    /// shared with other connections of the process.
     pub fn sharing(half_open: HalfOpenDetector, traffic: Traffic) -> Peers {
         Peers { half_open, traffic, ..Peers::default() }
     }
 
-    /// Asks a process. A link that gave no answer is given up: there may be nobody
-    /// there any more to connect to.
+    /// Calls a process. Drops the link if there is no reply, since the process may be gone for good.
     pub async fn call(
         &self,
         from: &str,
@@ -116,23 +117,23 @@
         timeout: Duration,
     ) -> Result<Msg, CallError> {
         let link = self.link(from, address);
-        let answer = link.try_call(msg, timeout).await;
-        if answer.is_err() {
-            self.give_up(address, &link);
+        let reply = link.try_call(msg, timeout).await;
+        if reply.is_err() {
+            self.drop_link(address, &link);
         }
-        answer
+        reply
     }
 
-    /// Gives a link up, unless another one took its place already.
-    fn give_up(&self, address: &str, link: &Link) {
+    /// Drops a link, unless another one has replaced it already.
+    fn drop_link(&self, address: &str, link: &Link) {
         let mut links = self.links.lock();
-        if links.get(address).is_some_and(|kept| kept.link.is_clone_of(link)) {
+        if links.get(address).is_some_and(|cached| cached.link.is_clone_of(link)) {
             links.remove(address);
         }
     }
 
-    /// Asks a process what can be asked twice: once more in the same time if the
-    /// connection broke or went silent.
+    /// Calls a process with an idempotent request. Retries once within the timeout if the connection
+    /// breaks or goes silent.
     pub async fn call_with_retry(
         &self,
         from: &str,
@@ -140,58 +141,66 @@
         msg: Msg,
         timeout: Duration,
     ) -> Result<Msg, CallError> {
-        let until = Instant::now() + timeout;
-        let answer = self.call(from, address, msg.clone(), timeout).await;
-        let left = until.saturating_duration_since(Instant::now());
-        if answer.is_ok() || left.is_zero() {
-            return answer;
+        let deadline = Instant::now() + timeout;
+        let reply = self.call(from, address, msg.clone(), timeout).await;
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if reply.is_ok() || remaining.is_zero() {
+            return reply;
         }
-        self.call(from, address, msg, left).await
+        self.call(from, address, msg, remaining).await
     }
 
+    /// The link to an address, opened if necessary. The least recently used link is dropped if there are
+    /// too many.
     fn link(&self, from: &str, address: &str) -> Link {
         let mut links = self.links.lock();
-        if links.len() >= MOST_LINKS && !links.contains_key(address) {
-            let idlest = links.iter().min_by_key(|(_, kept)| kept.used).map(|(a, _)| a.clone());
-            idlest.and_then(|a| links.remove(&a));
+        if links.len() >= MAX_LINKS && !links.contains_key(address) {
+            let oldest = links.iter().min_by_key(|(_, cached)| cached.last_used).map(|(a, _)| a.clone());
+            oldest.and_then(|a| links.remove(&a));
         }
         let open = || {
             let half_open = self.half_open.clone();
             let traffic = self.traffic.clone();
             let link =
                 Link::open(address.to_string(), TOKEN.to_string(), from.to_string(), half_open, traffic);
-            Kept { link, used: Instant::now() }
+            CachedLink { link, last_used: Instant::now() }
         };
-        let kept = links.entry(address.to_string()).or_insert_with(open);
-        kept.used = Instant::now();
-        kept.link.clone()
+        let cached = links.entry(address.to_string()).or_insert_with(open);
+        cached.last_used = Instant::now();
+        cached.link.clone()
     }
 
-    /// Notes where the process of an entry listens for its peers, and how many workers it could look after.
-    pub fn add_peer(&self, entry: &str, peers: &str, strength: Strength) {
-        let rec = PeerRecord { peers: peers.to_string(), at: 0, data_centre: DataCentre::new(), strength };
-        self.roster.lock().by_entry.insert(entry.to_string(), rec);
+    /// Adds the process of an entry, with the address of its peer listener and the number of workers that it
+    /// can manage.
+    pub fn add_peer(&self, entry: &str, address: &str, strength: Strength) {
+        let rec = PeerRecord {
+            address: address.to_string(),
+            written_at: 0,
+            data_centre: DataCentre::new(),
+            strength,
+        };
+        self.peer_list.lock().by_entry.insert(entry.to_string(), rec);
     }
 
-    /// Where the process of an entry listens for its peers.
+    /// Address of the peer listener of an entry.
     pub fn address_of(&self, entry: &str) -> Option<String> {
-        self.roster.lock().by_entry.get(entry).map(|rec| rec.peers.clone())
+        self.peer_list.lock().by_entry.get(entry).map(|rec| rec.address.clone())
     }
 
-    /// Has the records read soon.
+    /// Wakes [`run`] to read the records.
     pub fn request_read(&self) {
-        self.wanted.notify_one();
+        self.read_requested.notify_one();
     }
 
-    /// Entries that may be relays, if they changed since the list that was seen.
-    pub fn changed_relay_entries(&self, seen: &mut u64) -> Option<Vec<RelayEntry>> {
-        let roster = self.roster.lock();
-        if roster.version == *seen {
+    /// Entries that may be relays, if the list has changed since `seen_version`, which is updated.
+    pub fn changed_relay_entries(&self, seen_version: &mut u64) -> Option<Vec<RelayEntry>> {
+        let peer_list = self.peer_list.lock();
+        if peer_list.version == *seen_version {
             return None;
         }
-        *seen = roster.version;
-        // Entries of versions before this one say no strength, and can't be relays.
-        let known = roster.by_entry.iter().filter(|(_, rec)| rec.strength > 0);
+        *seen_version = peer_list.version;
+        // Entries of earlier versions state no strength, and can't be relays.
+        let known = peer_list.by_entry.iter().filter(|(_, rec)| rec.strength > 0);
         let entry = |(name, rec): (&String, &PeerRecord)| RelayEntry {
             name: name.clone(),
             data_centre: rec.data_centre.clone(),
@@ -200,77 +209,76 @@
         Some(known.map(entry).collect())
     }
 
-    /// Whether an entry is one of those that hear of each renewal of the lease.
-    pub fn hears_renewals(&self, own: &str) -> bool {
-        let roster = self.roster.lock();
-        let entries = roster.by_entry.iter().map(|(name, rec)| rec.as_entry(name));
-        claim::hears_renewals(own, entries)
+    /// Whether the process of this entry follows each renewal of the lease.
+    pub fn hears_renewals(&self, own_entry: &str) -> bool {
+        let peer_list = self.peer_list.lock();
+        let entries = peer_list.by_entry.iter().map(|(name, rec)| rec.as_entry(name));
+        claim::hears_renewals(own_entry, entries)
     }
 
-    /// Takes in the records as they were read.
-    fn set_roster(&self, by_entry: BTreeMap<String, PeerRecord>) {
-        let mut roster = self.roster.lock();
-        let same = roster.by_entry.len() == by_entry.len()
-            && roster.by_entry.iter().zip(&by_entry).all(|((a, x), (b, y))| a == b && x.same_as(y));
-        roster.by_entry = by_entry;
-        roster.version += u64::from(!same);
+    /// Replaces the list with the records that were read.
+    fn set_peers(&self, by_entry: BTreeMap<String, PeerRecord>) {
+        let mut peer_list = self.peer_list.lock();
+        let unchanged = peer_list.by_entry.len() == by_entry.len()
+            && peer_list.by_entry.iter().zip(&by_entry).all(|((a, x), (b, y))| a == b && x.is_same_peer(y));
+        peer_list.by_entry = by_entry;
+        peer_list.version += u64::from(!unchanged);
     }
 
-    /// All other processes by their listeners, always in the same order.
-    pub fn other_addresses(&self, own: &str) -> Vec<String> {
-        let roster = self.roster.lock();
-        roster.by_entry.values().map(|rec| &rec.peers).filter(|a| *a != own).cloned().collect()
+    /// Addresses of all other processes, always in the same order.
+    pub fn other_addresses(&self, own_address: &str) -> Vec<String> {
+        let peer_list = self.peer_list.lock();
+        peer_list.by_entry.values().map(|rec| &rec.address).filter(|a| *a != own_address).cloned().collect()
     }
 
-    /// Up to `count` other processes that may help, by their listeners; another
-    /// one comes first each time.
-    pub fn helper_addresses(&self, own: &str, count: usize) -> Vec<String> {
-        let roster = self.roster.lock();
+    /// Addresses of up to `count` other processes that may help; each call starts with another one.
+    pub fn helper_addresses(&self, own_address: &str, count: usize) -> Vec<String> {
+        let peer_list = self.peer_list.lock();
         let others: Vec<&String> =
-            roster.by_entry.values().map(|rec| &rec.peers).filter(|a| *a != own).collect();
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        (0..others.len().min(count)).map(|n| others[(turn + n) % others.len()].clone()).collect()
+            peer_list.by_entry.values().map(|rec| &rec.address).filter(|a| *a != own_address).collect();
+        let first = self.next_helper.fetch_add(1, Ordering::Relaxed);
+        (0..others.len().min(count)).map(|n| others[(first + n) % others.len()].clone()).collect()
     }
 }
 
-/// Keeps the process's own record, and reads those of others, for ever.
+/// Renews the process's own record and reads those of others, until the task is aborted.
 pub async fn run(node: Arc<Node>) {
-    let mut renewed: Option<Duration> = None;
-    let mut records = Records::default();
+    let mut renewed_at: Option<Duration> = None;
+    let mut records = KnownRecords::default();
     loop {
-        match read(&node, &mut records).await {
+        match read_records(&node, &mut records).await {
             Ok(()) => node.store_is_up(),
             Err(e) => {
                 log::debug!("event=peers_not_read error=\"{e}\"");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             }
         }
-        if renewed.is_none_or(|at| node.now() > at + RENEW_EVERY) && renew(&node).await {
-            renewed = Some(node.now());
+        if renewed_at.is_none_or(|at| node.now() > at + RENEW_INTERVAL) && renew_record(&node).await {
+            renewed_at = Some(node.now());
         }
-        // The answer to who asked for it is the reading that follows.
-        let _ = tokio::time::timeout(read_every(&node), node.peers.wanted.notified()).await;
+        // The records are read again after the interval, or at once on request.
+        let _ = tokio::time::timeout(read_interval(&node), node.peers.read_requested.notified()).await;
     }
 }
 
-/// Time until the records are read again.
-fn read_every(node: &Node) -> Duration {
+/// Time until the next read of the records.
+fn read_interval(node: &Node) -> Duration {
     if node.leading.load().is_some() {
-        READ_EVERY_LEADING
-    } else if node.now() < NEW_FOR {
-        READ_EVERY_NEW
+        HOLDER_READ_INTERVAL
+    } else if node.now() < STARTUP_PERIOD {
+        STARTUP_READ_INTERVAL
     } else {
-        READ_EVERY
+        READ_INTERVAL
     }
 }
 
 /// Writes the process's own record; returns whether it is stored.
-async fn renew(node: &Node) -> bool {
+async fn renew_record(node: &Node) -> bool {
     let s = &node.settings;
     let own = PeerRecord {
-        peers: s.peers.to_string(),
-        at: node.wall(),
+        address: s.peers.to_string(),
+        written_at: node.wall(),
         data_centre: s.data_centre.clone(),
         strength: s.strength(),
     };
@@ -279,15 +287,16 @@
     res.inspect_err(|e| log::warn!("event=peer_record_not_written error=\"{e}\"")).is_ok()
 }
 
-/// The records of all processes as they were read, and where to read on.
+/// The records of all processes as they were read, and the offset of the next read.
 #[derive(Default)]
-struct Records {
+struct KnownRecords {
     by_entry: BTreeMap<String, PeerRecord>,
     next: Option<Offset>,
 }
 
-impl Records {
-    fn take(&mut self, rec: KeyedRecord) {
+impl KnownRecords {
+    /// Applies a record from the store.
+    fn apply(&mut self, rec: KeyedRecord) {
         let Some(value) = rec.value.as_deref() else {
             self.by_entry.remove(&rec.key);
             return;
@@ -299,33 +308,33 @@
     }
 }
 
-/// Reads what is new in the records of all processes.
-async fn read(node: &Node, known: &mut Records) -> Result<(), StoreError> {
-    let news = match known.next {
+/// Reads changes of the records of all processes, and removes outdated records from the store.
+async fn read_records(node: &Node, known: &mut KnownRecords) -> Result<(), StoreError> {
+    let changes = match known.next {
         Some(from) => match node.platform.tail(Topic::Peers, from, Duration::ZERO).await {
             Err(StoreError::RecordsGone) => None,
             tail => Some(tail?),
         },
         None => None,
     };
-    let (records, next) = match news {
+    let (records, next) = match changes {
         Some(tail) => (tail.records, tail.next),
         None => {
-            let newest = node.platform.latest(Topic::Peers).await?;
+            let latest = node.platform.latest(Topic::Peers).await?;
             known.by_entry.clear();
-            (newest.records, newest.next)
+            (latest.records, latest.next)
         }
     };
-    records.into_iter().for_each(|rec| known.take(rec));
+    records.into_iter().for_each(|rec| known.apply(rec));
     known.next = Some(next);
     let now = node.wall();
-    let age = |peer: &PeerRecord| Duration::from_millis(now.saturating_sub(peer.at));
-    let old = known.by_entry.iter().filter(|(_, peer)| age(peer) > KEPT_FOR);
-    let old: Vec<KeyedRecord> = old.map(|(entry, _)| drop_record(entry.clone())).collect();
-    let fresh = known.by_entry.iter().filter(|(_, peer)| age(peer) < FRESH_FOR);
-    node.peers.set_roster(fresh.map(|(entry, peer)| (entry.clone(), peer.clone())).collect());
-    if old.is_empty() {
+    let age = |peer: &PeerRecord| Duration::from_millis(now.saturating_sub(peer.written_at));
+    let outdated = known.by_entry.iter().filter(|(_, peer)| age(peer) > RECORD_RETENTION);
+    let outdated: Vec<KeyedRecord> = outdated.map(|(entry, _)| drop_record(entry.clone())).collect();
+    let recent = known.by_entry.iter().filter(|(_, peer)| age(peer) < MAX_PEER_AGE);
+    node.peers.set_peers(recent.map(|(entry, peer)| (entry.clone(), peer.clone())).collect());
+    if outdated.is_empty() {
         return Ok(());
     }
-    node.platform.append(Topic::Peers, old, Guard::None).await.map(|_| ())
+    node.platform.append(Topic::Peers, outdated, Guard::None).await.map(|_| ())
 }
