--- a/src/workswood/ops/jobs/inbox.rs
+++ b/src/workswood/ops/jobs/inbox.rs
@@ -1,21 +1,18 @@
 //! Writes jobs and cancels into the store's inbox.
 //!
-//! Each append takes its turn at the store, whatever it holds, and with a slow
-//! store an append a job would take far longer than jobs come. So all records
-//! that come in while appends are on their way wait and go together in the next
-//! one. Several appends may be on their way, so that one that hangs does not
-//! hold up the others. Each host writes into one part of the inbox, given by its
-//! name; a caller that asks again at another host may write the same job into
-//! another part, which changes nothing.
+//! The store carries out appends one after the other, so with one append per record a slow store could
+//! not keep up with the jobs that arrive. Records that arrive while an append is in flight are therefore
+//! queued and sent together in the next one. Further appends may be sent while one is late, so that an
+//! append without a reply does not block the others. Each entry writes into one partition of the inbox,
+//! which its name determines. A caller that retries at another entry may write the same job into another
+//! partition, which has no further effect.
 //!
-//! A store may turn this host away while it serves others. An append that is
-//! refused, or that takes far longer than usual, is therefore tried by another
-//! process as well; until the store takes appends from here again, both are tried
+//! The store may refuse this entry while it serves others. The records of an append that is refused or
+//! late are therefore also sent through a peer. Until an append from here succeeds again, both are tried
 //! at once.
 //!
-//! What a caller is told: accepted once the store has acknowledged the record;
-//! refused only if no append with the record can have been done; otherwise that
-//! it is not known.
+//! A record is reported as accepted once the store has acknowledged it, as refused only if no append with
+//! it can have succeeded, and as unknown otherwise.
 
 use std::collections::BTreeMap;
 use std::pin::pin;
@@ -35,376 +32,388 @@
 use super::peer_requests;
 use super::record::{InboxItem, InboxKey};
 
-/// Appends on their way at a time. The store takes appends in turn, so there is
-/// one, and two more only while it hangs.
-const LANES: usize = 3;
-/// Most records of one append; with a job's text of 4 KB and its steps, about
-/// a quarter of what the store takes in one call.
-const MOST_RECORDS: usize = 100;
-/// Records that may wait; more would not be stored in any caller's time.
-const MOST_WAITING: usize = 2000;
-/// How often a record is sent that the store refuses.
-const MOST_REFUSALS: u32 = 3;
-/// Pause after the store refused an append.
-const REFUSED_PAUSE: Duration = Duration::from_millis(30);
-/// An append that takes this many times the mean is taken to hang,
-const HANGS_TIMES: f64 = 4.0;
-/// but not before this time: the store answers in 4 ms when it is well, the answers
-/// of a busy host come some ten milliseconds late, and after 150 ms the append was
-/// sent again over a new connection.
-const HANGS_NOT_BEFORE: Duration = Duration::from_millis(250);
-/// A store that has been silent for this long is not asked on a caller's time;
-/// the process's reads tell when it is back.
-const STORE_SILENT: Duration = Duration::from_millis(1700);
-/// How long a host whose append has failed helps nobody.
-const FAILS_FOR: Duration = Duration::from_millis(1000);
-/// Parts of the inbox that are used. Each is read by the lease holder all the
-/// time, about one call a second; with twelve, 32 hosts wait for two others.
-const MOST_PARTS: Partition = 12;
+/// Maximum number of appends in flight. The second and the third are sent only while others are late.
+const MAX_CONCURRENT_APPENDS: usize = 3;
+/// Maximum number of records in one append.
+const MAX_APPEND_RECORDS: usize = 100;
+/// Maximum number of queued records. More could not be stored before their callers time out.
+const MAX_QUEUED_RECORDS: usize = 2000;
+/// Number of refused appends after which a record is given up.
+const MAX_REFUSALS: u32 = 3;
+/// Delay after the store refused an append.
+const RETRY_DELAY: Duration = Duration::from_millis(30);
+/// An append is late after this multiple of the mean latency.
+const LATE_APPEND_FACTOR: f64 = 4.0;
+/// An append is never late before this time, which leaves room for one retry over a new connection.
+const MIN_LATE_APPEND: Duration = Duration::from_millis(250);
+/// No appends are sent while the store has been silent for longer; this process's reads show when it is back.
+const MAX_STORE_SILENCE: Duration = Duration::from_millis(1700);
+/// How long after a failed append this entry refuses records of peers.
+const FAILURE_LIFETIME: Duration = Duration::from_millis(1000);
+/// Maximum number of inbox partitions in use. The lease holder reads each of them continuously.
+const MAX_PARTITIONS: Partition = 12;
 
 /// Whether a record is in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stored {
-    /// It is.
+    /// The record is in the store.
     Yes,
-    /// It is not, and will not be.
+    /// The record is not in the store, and will not be.
     No,
-    /// It may be, or may come to be.
+    /// The record may be in the store, or may be stored later.
     Unknown,
 }
 
-/// How far a record has come: it waits, it has been sent, or its caller has
-/// given up before that.
+/// Stage of a record: it is queued, it has been sent, or its caller timed out before it was sent.
 #[derive(Debug, Default)]
 struct Stage(AtomicU8);
 
 impl Stage {
-    const WAITS: u8 = 0;
+    const QUEUED: u8 = 0;
     const SENT: u8 = 1;
-    const GIVEN_UP: u8 = 2;
+    const ABANDONED: u8 = 2;
 
-    fn leave_queue(&self, to: u8) -> bool {
-        self.0.compare_exchange(Self::WAITS, to, Ordering::AcqRel, Ordering::Acquire).is_ok()
+    /// Moves a queued record to another stage; returns whether it was queued.
+    fn transition(&self, to: u8) -> bool {
+        self.0.compare_exchange(Self::QUEUED, to, Ordering::AcqRel, Ordering::Acquire).is_ok()
     }
 
-    /// Notes that it is about to be sent; returns whether it may be.
-    fn send(&self) -> bool {
-        self.leave_queue(Self::SENT) || self.0.load(Ordering::Acquire) == Self::SENT
+    /// Marks the record as sent; returns false if it was abandoned.
+    fn mark_sent(&self) -> bool {
+        self.transition(Self::SENT) || self.0.load(Ordering::Acquire) == Self::SENT
     }
 
-    /// Takes it out of the queue; returns whether it had not been sent.
-    fn give_up(&self) -> bool {
-        self.leave_queue(Self::GIVEN_UP)
+    /// Abandons the record; returns whether it had not been sent.
+    fn abandon(&self) -> bool {
+        self.transition(Self::ABANDONED)
     }
 }
 
-/// A record that waits to be stored.
-struct Waiting {
+/// A record that has yet to be stored.
+struct QueuedRecord {
     rec: KeyedRecord,
     stage: Arc<Stage>,
-    /// Appends with it that were refused.
+    /// Number of appends with the record that were refused.
     refusals: u32,
-    /// Whether an append with it had no answer.
-    unsure: bool,
-    /// Whether another process asked for it, which is not asked back.
+    /// Whether an append with the record had no reply.
+    outcome_unknown: bool,
+    /// Whether a peer sent the record. It is not sent on to other peers.
     for_peer: bool,
-    /// Whether another process has stored it.
-    helped: bool,
+    /// Whether a peer has stored the record.
+    stored_by_peer: bool,
     reply: oneshot::Sender<Stored>,
 }
 
-/// Where callers' records wait for the writer.
+/// The queue of records that have yet to be stored.
 pub struct Inbox {
-    tx: mpsc::Sender<Waiting>,
-    rx: Mutex<Option<mpsc::Receiver<Waiting>>>,
-    /// How long appends take.
-    patience: AdaptiveTimeout,
-    /// Appends from here that are on their way.
-    on_the_way: AtomicUsize,
-    /// Whether the last append from here failed or hung.
-    failing: AtomicBool,
-    /// When that was, in milliseconds since the process began.
-    failed_at: AtomicU64,
+    tx: mpsc::Sender<QueuedRecord>,
+    rx: Mutex<Option<mpsc::Receiver<QueuedRecord>>>,
+    /// Decides when an append is late.
+    append_timeout: AdaptiveTimeout,
+    /// Number of appends from here that are in flight.
+    appends_in_flight: AtomicUsize,
+    /// Whether the last append from here failed or was late.
+    last_append_failed: AtomicBool,
+    /// When that was, in milliseconds since the process started.
+    failed_at_ms: AtomicU64,
 }
 
 impl Default for Inbox {
     fn default() -> Inbox {
-        let (tx, rx) = mpsc::channel(MOST_WAITING);
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_RECORDS);
         Inbox {
             tx,
             rx: Mutex::new(Some(rx)),
-            patience: AdaptiveTimeout::new(HANGS_TIMES, HANGS_NOT_BEFORE),
-            on_the_way: AtomicUsize::new(0),
-            failing: AtomicBool::new(false),
-            failed_at: AtomicU64::new(0),
+            append_timeout: AdaptiveTimeout::new(LATE_APPEND_FACTOR, MIN_LATE_APPEND),
+            appends_in_flight: AtomicUsize::new(0),
+            last_append_failed: AtomicBool::new(false),
+            failed_at_ms: AtomicU64::new(0),
         }
     }
 }
 
-/// The parts of the inbox, of a store whose topics have so many.
-pub fn partitions(of_store: Partition) -> impl Iterator<Item = Partition> + Clone {
-    0..of_store.clamp(1, MOST_PARTS)
+/// The inbox partitions in use, given the number of partitions of the store's topics.
+pub fn partitions(store_partitions: Partition) -> impl Iterator<Item = Partition> + Clone {
+    0..store_partitions.clamp(1, MAX_PARTITIONS)
 }
 
-/// The part that a host writes into.
-pub fn partition_of(host: &str, of_store: Partition) -> Partition {
-    let count = u64::from(of_store.clamp(1, MOST_PARTS));
-    (xxh3_64(host.as_bytes()) % count) as Partition
+/// The partition that an entry writes into.
+pub fn partition_of(entry: &str, store_partitions: Partition) -> Partition {
+    let count = u64::from(store_partitions.clamp(1, MAX_PARTITIONS));
+    (xxh3_64(entry.as_bytes()) % count) as Partition
 }
 
-/// Which parts of the inbox hold which keys; what has to be dropped there once a
-/// job is forgotten.
+/// Which partitions of the inbox hold which keys. Says what to remove once a job is forgotten.
 #[derive(Debug, Default)]
 pub struct InboxIndex(BTreeMap<InboxKey, u64>);
 
 impl InboxIndex {
-    /// Notes that a part holds a key.
-    pub fn insert(&mut self, part: Partition, key: InboxKey) {
-        *self.0.entry(key).or_insert(0) |= 1 << part;
+    /// Records that a partition holds a key.
+    pub fn insert(&mut self, partition: Partition, key: InboxKey) {
+        *self.0.entry(key).or_insert(0) |= 1 << partition;
     }
 
-    /// Whether a part holds a key.
-    pub fn contains(&self, part: Partition, key: InboxKey) -> bool {
-        self.0.get(&key).is_some_and(|parts| parts & (1 << part) != 0)
+    /// Whether a partition holds a key.
+    pub fn contains(&self, partition: Partition, key: InboxKey) -> bool {
+        self.0.get(&key).is_some_and(|partitions| partitions & (1 << partition) != 0)
     }
 
-    /// Keys of a job that a part holds, whoever wrote them.
-    pub fn keys_of_job(&self, part: Partition, job: JobKey) -> Vec<InboxKey> {
+    /// Keys of a job in a partition, of all owners.
+    pub fn keys_of_job(&self, partition: Partition, job: JobKey) -> Vec<InboxKey> {
         let first = InboxKey { job, owner: Owner::PUBLIC, what: InboxItem::Job };
-        let of_job = self.0.range(first..).take_while(|(key, _)| key.job == job);
-        of_job.filter(|(_, parts)| **parts & (1 << part) != 0).map(|(key, _)| *key).collect()
+        let all = self.0.range(first..).take_while(|(key, _)| key.job == job);
+        all.filter(|(_, partitions)| **partitions & (1 << partition) != 0).map(|(key, _)| *key).collect()
     }
 
-    /// Notes that a part holds a key no longer.
-    pub fn remove(&mut self, part: Partition, key: InboxKey) {
-        let Some(parts) = self.0.get_mut(&key) else { return };
-        *parts &= !(1 << part);
-        if *parts == 0 {
+    /// Records that a partition no longer holds a key.
+    pub fn remove(&mut self, partition: Partition, key: InboxKey) {
+        let Some(partitions) = self.0.get_mut(&key) else { return };
+        *partitions &= !(1 << partition);
+        if *partitions == 0 {
             self.0.remove(&key);
         }
     }
 }
 
 impl Inbox {
-    /// Stores a record of a caller within a time, with the help of other
-    /// processes if need be. A record that can't be stored in that time is refused
-    /// at once.
-    pub async fn store(&self, rec: KeyedRecord, within: Duration) -> Stored {
-        self.queue(rec, within, false).await
+    /// Stores a record of a caller before a timeout, through peers if necessary. Refuses it at once if the
+    /// store is too slow for that.
+    pub async fn store(&self, rec: KeyedRecord, timeout: Duration) -> Stored {
+        self.enqueue(rec, timeout, false).await
     }
 
-    /// Stores a record that another process asks for, without help.
-    pub async fn store_for_peer(&self, rec: KeyedRecord, within: Duration) -> Stored {
-        self.queue(rec, within, true).await
+    /// Stores a record that a peer sent, without sending it on to other peers.
+    pub async fn store_for_peer(&self, rec: KeyedRecord, timeout: Duration) -> Stored {
+        self.enqueue(rec, timeout, true).await
     }
 
-    async fn queue(&self, rec: KeyedRecord, within: Duration, for_peer: bool) -> Stored {
-        // It waits for an append on its way, then for its own. With none on its
-        // way, it is the one that tells whether the store is still so slow.
-        let waits = self.on_the_way.load(Ordering::Relaxed) > 0;
-        if waits && self.patience.mean() * 2 > within {
+    /// Queues a record and waits until it is stored, given up or abandoned.
+    async fn enqueue(&self, rec: KeyedRecord, timeout: Duration, for_peer: bool) -> Stored {
+        // The record has to wait for the append in flight and then for its own. With none in flight it is
+        // sent whatever the mean latency, so that a store that is fast again is noticed.
+        let busy = self.appends_in_flight.load(Ordering::Relaxed) > 0;
+        if busy && self.append_timeout.mean() * 2 > timeout {
             return Stored::No;
         }
         let stage = Arc::new(Stage::default());
-        let (reply, answer) = oneshot::channel();
-        let waiting =
-            Waiting { rec, stage: stage.clone(), refusals: 0, unsure: false, for_peer, helped: false, reply };
-        if self.tx.try_send(waiting).is_err() {
+        let (reply, outcome) = oneshot::channel();
+        let queued = QueuedRecord {
+            rec,
+            stage: stage.clone(),
+            refusals: 0,
+            outcome_unknown: false,
+            for_peer,
+            stored_by_peer: false,
+            reply,
+        };
+        if self.tx.try_send(queued).is_err() {
             return Stored::No;
         }
-        match tokio::time::timeout(within, answer).await {
+        match tokio::time::timeout(timeout, outcome).await {
             Ok(Ok(stored)) => stored,
-            Ok(Err(_)) | Err(_) if stage.give_up() => Stored::No,
+            Ok(Err(_)) | Err(_) if stage.abandon() => Stored::No,
             Ok(Err(_)) | Err(_) => Stored::Unknown,
         }
     }
 
-    /// Whether an append from here has failed or hung lately, and none has been done
-    /// since.
-    pub fn fails(&self, now: Duration) -> bool {
-        let failed_at = Duration::from_millis(self.failed_at.load(Ordering::Relaxed));
-        self.failing.load(Ordering::Relaxed) && now < failed_at + FAILS_FOR
+    /// Whether an append from here has failed or been late recently, and none has succeeded since.
+    pub fn is_failing(&self, now: Duration) -> bool {
+        let failed_at = Duration::from_millis(self.failed_at_ms.load(Ordering::Relaxed));
+        self.last_append_failed.load(Ordering::Relaxed) && now < failed_at + FAILURE_LIFETIME
     }
 
-    fn note_failed(&self, now: Duration) {
-        self.failed_at.store(now.as_millis() as u64, Ordering::Relaxed);
-        self.failing.store(true, Ordering::Relaxed);
+    fn record_failure(&self, now: Duration) {
+        self.failed_at_ms.store(now.as_millis() as u64, Ordering::Relaxed);
+        self.last_append_failed.store(true, Ordering::Relaxed);
     }
 }
 
-/// Writes what waits, for ever.
+/// Writes queued records until the task is aborted.
 pub async fn run(node: Arc<Node>) {
     let Some(mut rx) = node.inbox.rx.lock().take() else { return };
-    let part = partition_of(&node.settings.name, node.settings.store_parts);
-    let mut queue: Vec<Waiting> = Vec::new();
-    let mut lanes: JoinSet<Vec<Waiting>> = JoinSet::new();
-    let mut begun = node.now();
+    let partition = partition_of(&node.settings.name, node.settings.store_parts);
+    let mut queue: Vec<QueuedRecord> = Vec::new();
+    let mut appends: JoinSet<Vec<QueuedRecord>> = JoinSet::new();
+    let mut last_start = node.now();
     loop {
-        let next_lane = begun + node.inbox.patience.late_after();
+        let next_append_at = last_start + node.inbox.append_timeout.late_after();
         tokio::select! {
-            Some(done) = lanes.join_next() => match done {
-                Ok(again) => queue.extend(again),
+            Some(done) = appends.join_next() => match done {
+                Ok(retries) => queue.extend(retries),
                 Err(e) => log::error!("event=inbox_append_failed error=\"{e}\""),
             },
-            n = rx.recv_many(&mut queue, MOST_RECORDS), if queue.len() < MOST_RECORDS => {
+            n = rx.recv_many(&mut queue, MAX_APPEND_RECORDS), if queue.len() < MAX_APPEND_RECORDS => {
                 if n == 0 {
                     return;
                 }
             }
-            () = tokio::time::sleep(next_lane.saturating_sub(node.now())),
-                if !queue.is_empty() && lanes.len() < LANES => {}
+            () = tokio::time::sleep(next_append_at.saturating_sub(node.now())),
+                if !queue.is_empty() && appends.len() < MAX_CONCURRENT_APPENDS => {}
         }
-        let free = |lanes: usize| lanes == 0 || lanes < LANES && node.now() >= next_lane;
-        while free(lanes.len()) && !queue.is_empty() {
-            let count = queue.len().min(MOST_RECORDS);
-            let batch: Vec<Waiting> = queue.drain(..count).filter(|w| w.stage.send()).collect();
+        let may_append = |in_flight: usize| {
+            in_flight == 0 || in_flight < MAX_CONCURRENT_APPENDS && node.now() >= next_append_at
+        };
+        while may_append(appends.len()) && !queue.is_empty() {
+            let count = queue.len().min(MAX_APPEND_RECORDS);
+            let batch: Vec<QueuedRecord> =
+                queue.drain(..count).filter(|queued| queued.stage.mark_sent()).collect();
             if !batch.is_empty() {
-                lanes.spawn(append(node.clone(), part, batch));
-                begun = node.now();
+                appends.spawn(append(node.clone(), partition, batch));
+                last_start = node.now();
                 break;
             }
         }
     }
 }
 
-/// Sends records in one append; returns those that are to be sent again.
-async fn append(node: Arc<Node>, part: Partition, mut batch: Vec<Waiting>) -> Vec<Waiting> {
-    node.inbox.on_the_way.fetch_add(1, Ordering::Relaxed);
-    let tried = try_append(&node, part, &batch).await;
-    node.inbox.on_the_way.fetch_sub(1, Ordering::Relaxed);
-    for (w, told) in batch.iter_mut().zip(&tried.helped) {
-        w.helped = *told == Some(Stored::Yes);
-        w.unsure |= *told == Some(Stored::Unknown);
+/// Stores records with one append; returns those that have to be sent again.
+async fn append(node: Arc<Node>, partition: Partition, mut batch: Vec<QueuedRecord>) -> Vec<QueuedRecord> {
+    node.inbox.appends_in_flight.fetch_add(1, Ordering::Relaxed);
+    let result = append_with_fallback(&node, partition, &batch).await;
+    node.inbox.appends_in_flight.fetch_sub(1, Ordering::Relaxed);
+    for (queued, by_peer) in batch.iter_mut().zip(&result.by_peers) {
+        queued.stored_by_peer = *by_peer == Some(Stored::Yes);
+        queued.outcome_unknown |= *by_peer == Some(Stored::Unknown);
     }
-    match tried.own {
-        Own::Done => {
-            batch.into_iter().for_each(|w| w.answer(Stored::Yes));
+    match result.local {
+        LocalOutcome::Done => {
+            batch.into_iter().for_each(|queued| queued.send_reply(Stored::Yes));
             return Vec::new();
         }
-        Own::Unsure => batch.iter_mut().for_each(|w| w.unsure = true),
-        Own::Refused => {
-            batch.iter_mut().for_each(|w| w.refusals += 1);
-            if batch.iter().any(|w| !w.helped) {
-                tokio::time::sleep(REFUSED_PAUSE).await;
+        LocalOutcome::Unknown => batch.iter_mut().for_each(|queued| queued.outcome_unknown = true),
+        LocalOutcome::Refused => {
+            batch.iter_mut().for_each(|queued| queued.refusals += 1);
+            if batch.iter().any(|queued| !queued.stored_by_peer) {
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
-    let (over, again): (Vec<_>, Vec<_>) = batch.into_iter().partition(Waiting::is_over);
-    over.into_iter().for_each(Waiting::answer_as_known);
-    again
+    let (finished, retries): (Vec<_>, Vec<_>) = batch.into_iter().partition(QueuedRecord::is_finished);
+    finished.into_iter().for_each(QueuedRecord::reply_with_outcome);
+    retries
 }
 
-/// What came of an append from here.
+/// Outcome of an append from here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Own {
+enum LocalOutcome {
+    /// The store has acknowledged it.
     Done,
+    /// It was not carried out, and will not be.
     Refused,
-    Unsure,
+    /// There was no reply.
+    Unknown,
 }
 
-/// What came of an append from here, and of help with its records; `None` where
-/// nobody was asked.
-struct Tried {
-    own: Own,
-    helped: Vec<Option<Stored>>,
+/// Outcome of an append from here, and of sending its records through peers; `None` for a record that was
+/// not sent to a peer.
+struct AppendResult {
+    local: LocalOutcome,
+    by_peers: Vec<Option<Stored>>,
 }
 
-/// Sends an append, and asks for help with it if it is refused or hangs.
-async fn try_append(node: &Node, part: Partition, batch: &[Waiting]) -> Tried {
+/// Sends an append, and sends its records through peers if it is refused or late.
+async fn append_with_fallback(node: &Node, partition: Partition, batch: &[QueuedRecord]) -> AppendResult {
     if !node.settings.policy.calls.write_for_others {
-        return Tried { own: append_here(node, part, batch).await, helped: vec![None; batch.len()] };
+        return AppendResult {
+            local: append_locally(node, partition, batch).await,
+            by_peers: vec![None; batch.len()],
+        };
     }
-    let mut own = pin!(append_here(node, part, batch));
-    let nobody = vec![None; batch.len()];
-    let patience = if node.inbox.failing.load(Ordering::Relaxed) {
+    let mut local = pin!(append_locally(node, partition, batch));
+    let not_sent = vec![None; batch.len()];
+    let timeout = if node.inbox.last_append_failed.load(Ordering::Relaxed) {
         Duration::ZERO
     } else {
-        node.inbox.patience.late_after()
+        node.inbox.append_timeout.late_after()
     };
-    let first = tokio::time::timeout(patience, &mut own).await.ok();
-    if first == Some(Own::Done) {
-        return Tried { own: Own::Done, helped: nobody };
+    let in_time = tokio::time::timeout(timeout, &mut local).await.ok();
+    if in_time == Some(LocalOutcome::Done) {
+        return AppendResult { local: LocalOutcome::Done, by_peers: not_sent };
     }
-    node.inbox.note_failed(node.now());
-    let mut help = pin!(ask_for_help(node, batch));
-    let Some(first) = first else {
+    node.inbox.record_failure(node.now());
+    let mut through_peers = pin!(store_through_peers(node, batch));
+    let Some(in_time) = in_time else {
         return tokio::select! {
-            own = &mut own => match own {
-                Own::Done => Tried { own, helped: nobody },
-                Own::Refused | Own::Unsure => Tried { own, helped: help.await },
+            local = &mut local => match local {
+                LocalOutcome::Done => AppendResult { local, by_peers: not_sent },
+                LocalOutcome::Refused | LocalOutcome::Unknown => {
+                    AppendResult { local, by_peers: through_peers.await }
+                }
             },
-            helped = &mut help => {
-                let all = helped.iter().all(|h| *h == Some(Stored::Yes));
-                let own = if all { Own::Unsure } else { own.await };
-                Tried { own, helped }
+            by_peers = &mut through_peers => {
+                let all_stored = by_peers.iter().all(|stored| *stored == Some(Stored::Yes));
+                let local = if all_stored { LocalOutcome::Unknown } else { local.await };
+                AppendResult { local, by_peers }
             }
         };
     };
-    Tried { own: first, helped: help.await }
+    AppendResult { local: in_time, by_peers: through_peers.await }
 }
 
-/// Sends an append from here, unless the store has been silent.
-async fn append_here(node: &Node, part: Partition, batch: &[Waiting]) -> Own {
-    if node.store_silence() > STORE_SILENT {
-        return Own::Refused;
+/// Sends an append from here, unless the store has been silent for too long.
+async fn append_locally(node: &Node, partition: Partition, batch: &[QueuedRecord]) -> LocalOutcome {
+    if node.store_silence() > MAX_STORE_SILENCE {
+        return LocalOutcome::Refused;
     }
-    let records: Vec<KeyedRecord> = batch.iter().map(|w| w.rec.clone()).collect();
-    let begun = node.now();
-    let res = node.platform.append(Topic::Inbox(part), records, Guard::None).await;
+    let records: Vec<KeyedRecord> = batch.iter().map(|queued| queued.rec.clone()).collect();
+    let start = node.now();
+    let res = node.platform.append(Topic::Inbox(partition), records, Guard::None).await;
     match res {
         Ok(_) => {
-            node.inbox.patience.record(node.now() - begun);
+            node.inbox.append_timeout.record(node.now() - start);
             node.store_is_up();
-            node.inbox.failing.store(false, Ordering::Relaxed);
-            Own::Done
+            node.inbox.last_append_failed.store(false, Ordering::Relaxed);
+            LocalOutcome::Done
         }
         Err(StoreError::Unknown { text }) => {
             node.doubt.notify_one();
             log_failed("inbox_append_unanswered", batch, &text);
-            Own::Unsure
+            LocalOutcome::Unknown
         }
         Err(e) => {
             node.doubt.notify_one();
             log_failed("inbox_append_refused", batch, &e.to_string());
-            Own::Refused
+            LocalOutcome::Refused
         }
     }
 }
 
-/// Asks other processes to store the records of callers.
-async fn ask_for_help(node: &Node, batch: &[Waiting]) -> Vec<Option<Stored>> {
-    let records: Vec<KeyedRecord> = batch.iter().filter(|w| !w.for_peer).map(|w| w.rec.clone()).collect();
+/// Sends the records of callers, but not those of peers, to peers that store them.
+async fn store_through_peers(node: &Node, batch: &[QueuedRecord]) -> Vec<Option<Stored>> {
+    let records: Vec<KeyedRecord> =
+        batch.iter().filter(|queued| !queued.for_peer).map(|queued| queued.rec.clone()).collect();
     if records.is_empty() {
         return vec![None; batch.len()];
     }
-    let mut told = peer_requests::store_records(node, &records).await.into_iter();
-    batch.iter().map(|w| if w.for_peer { None } else { told.next() }).collect()
+    let mut outcomes = peer_requests::store_records(node, &records).await.into_iter();
+    batch.iter().map(|queued| if queued.for_peer { None } else { outcomes.next() }).collect()
 }
 
-fn log_failed(event: &str, batch: &[Waiting], error: &str) {
-    for w in batch {
-        log::warn!("event={event} key={} error=\"{error}\"", w.rec.key);
+fn log_failed(event: &str, batch: &[QueuedRecord], error: &str) {
+    for queued in batch {
+        log::warn!("event={event} key={} error=\"{error}\"", queued.rec.key);
     }
 }
 
-impl Waiting {
-    /// Whether it is not sent again: it is stored, was refused too often, or its
-    /// caller no longer waits for the answer.
-    fn is_over(&self) -> bool {
-        self.helped || self.refusals >= MOST_REFUSALS || self.reply.is_closed()
+impl QueuedRecord {
+    /// Whether the record is not sent again: a peer has stored it, it was refused too often, or its caller
+    /// no longer waits.
+    fn is_finished(&self) -> bool {
+        self.stored_by_peer || self.refusals >= MAX_REFUSALS || self.reply.is_closed()
     }
 
-    fn answer_as_known(self) {
-        let stored = match (self.helped, self.unsure) {
+    /// Replies to the caller with the outcome of all attempts.
+    fn reply_with_outcome(self) {
+        let stored = match (self.stored_by_peer, self.outcome_unknown) {
             (true, _) => Stored::Yes,
             (false, true) => Stored::Unknown,
             (false, false) => Stored::No,
         };
-        self.answer(stored);
+        self.send_reply(stored);
     }
 
-    fn answer(self, stored: Stored) {
-        // A caller that has given up has its answer already.
+    fn send_reply(self, stored: Stored) {
+        // Nobody receives the reply once the caller's timeout has passed.
         let _ = self.reply.send(stored);
     }
 }
--- a/src/workswood/ops/jobs/peer_requests.rs
+++ b/src/workswood/ops/jobs/peer_requests.rs
@@ -1,8 +1,8 @@
-//! What processes do for each other while the store turns some of them away.
+//! Requests between the processes that run jobs, and the replies to them.
 //!
-//! A host that can't write into the store has another one write what its callers
-//! hand in. A lease holder that can't has another one give the lease back, so
-//! that its successor need not wait until the lease expires.
+//! An entry that can't write into the store sends its callers' records to a peer that stores them. A lease
+//! holder that can't write has a peer release the lease, so that its successor need not wait until the
+//! lease expires. An entry that can't read the store polls peers for operators' changes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,58 +22,58 @@
 use super::operators::Evacuations;
 use super::{advice, job_queries};
 
-/// How many other processes are asked, one after the other.
-const MOST_HELPERS: usize = 2;
-/// How long one of them is waited for: a few times the way there and back and an
-/// append on a busy host.
-const HELP_TIMEOUT: Duration = Duration::from_millis(400);
+/// Maximum number of peers that are called with a request.
+const MAX_HELPERS: usize = 2;
+/// Timeout of a call to a peer: a few round trips and an append.
+const PEER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Answers what other processes ask for.
+/// Returns the handler of requests of other processes.
 pub fn handler(node: Arc<Node>) -> Handler {
     Arc::new(move |msg| {
         let node = node.clone();
-        async move { answer(&node, msg).await }.boxed()
+        async move { handle(&node, msg).await }.boxed()
     })
 }
 
-async fn answer(node: &Node, msg: Msg) -> Option<Msg> {
+async fn handle(node: &Node, msg: Msg) -> Option<Msg> {
     match msg {
-        Msg::JobStateRequest(ask) => {
-            Some(Msg::JobStateReply(job_queries::answer_job_state_request(node, &ask)))
+        Msg::JobStateRequest(request) => {
+            Some(Msg::JobStateReply(job_queries::answer_job_state_request(node, &request)))
         }
-        Msg::PendingJobsRequest(ask) => {
-            Some(Msg::PendingJobsReply(job_queries::answer_pending_jobs_request(node, &ask)))
+        Msg::PendingJobsRequest(request) => {
+            Some(Msg::PendingJobsReply(job_queries::answer_pending_jobs_request(node, &request)))
         }
-        Msg::InboxAppendRequest(asked) => Some(Msg::InboxAppendReply(store_for(node, asked).await)),
-        Msg::AdviceRequest(asked) => Some(Msg::AdviceReply(advice::ask_for(node, asked).await)),
-        Msg::LeaseReleaseRequest(asked) => release_for(node, asked).await,
-        Msg::ConfigRequest(asked) => Some(Msg::ConfigReply(newer_config(node, &asked))),
+        Msg::InboxAppendRequest(request) => {
+            Some(Msg::InboxAppendReply(store_records_for(node, request).await))
+        }
+        Msg::AdviceRequest(request) => Some(Msg::AdviceReply(advice::ask_for(node, request).await)),
+        Msg::LeaseReleaseRequest(request) => release_lease_for(node, request).await,
+        Msg::ConfigRequest(request) => Some(Msg::ConfigReply(config_reply(node, &request))),
         _ => None,
     }
 }
 
-/// Writes what another process was handed in. While the store turns this host
-/// away too it says so at once: with the store away for all, each would wait for
-/// the others.
-async fn store_for(node: &Node, asked: InboxAppendRequest) -> InboxAppendReply {
-    if node.inbox.fails(node.now()) {
-        return InboxAppendReply { outcomes: vec![HandInOutcome::NotStored as i32; asked.records.len()] };
+/// Stores records that a peer sent. Refuses them at once while appends from here fail too: if the store
+/// is unreachable for all, the processes would otherwise wait for each other.
+async fn store_records_for(node: &Node, request: InboxAppendRequest) -> InboxAppendReply {
+    if node.inbox.is_failing(node.now()) {
+        return InboxAppendReply { outcomes: vec![HandInOutcome::NotStored as i32; request.records.len()] };
     }
-    let within = Duration::from_millis(u64::from(asked.timeout_ms));
+    let timeout = Duration::from_millis(u64::from(request.timeout_ms));
     let store = |rec: InboxRecord| {
         let rec = KeyedRecord { key: rec.key, value: Some(rec.value) };
-        node.inbox.store_for_peer(rec, within)
+        node.inbox.store_for_peer(rec, timeout)
     };
-    let stored = join_all(asked.records.into_iter().map(store)).await;
-    log::info!("event=helped_hand_in records={} stored={}", stored.len(), count(&stored));
-    InboxAppendReply { outcomes: stored.into_iter().map(|s| outcome(s) as i32).collect() }
+    let stored = join_all(request.records.into_iter().map(store)).await;
+    log::info!("event=helped_hand_in records={} stored={}", stored.len(), count_stored(&stored));
+    InboxAppendReply { outcomes: stored.into_iter().map(|s| outcome_to_wire(s) as i32).collect() }
 }
 
-fn count(stored: &[Stored]) -> usize {
+fn count_stored(stored: &[Stored]) -> usize {
     stored.iter().filter(|s| **s == Stored::Yes).count()
 }
 
-fn outcome(stored: Stored) -> HandInOutcome {
+fn outcome_to_wire(stored: Stored) -> HandInOutcome {
     match stored {
         Stored::Yes => HandInOutcome::Stored,
         Stored::No => HandInOutcome::NotStored,
@@ -81,36 +81,36 @@
     }
 }
 
-/// Has another process write records; tells what became of each. Records that
-/// nobody could be asked for are not stored.
+/// Has peers store records; returns the outcome of each. The outcome is [`Stored::No`] if no peer could be
+/// called.
 pub async fn store_records(node: &Node, records: &[KeyedRecord]) -> Vec<Stored> {
-    let mut told = vec![Stored::No; records.len()];
-    for address in helpers(node) {
-        let wire =
+    let mut outcomes = vec![Stored::No; records.len()];
+    for address in helper_addresses(node) {
+        let to_wire =
             |r: &KeyedRecord| InboxRecord { key: r.key.clone(), value: r.value.clone().unwrap_or_default() };
-        let records = records.iter().map(wire).collect();
-        let timeout_ms = (HELP_TIMEOUT * 3 / 4).as_millis() as u32;
+        let records = records.iter().map(to_wire).collect();
+        let timeout_ms = (PEER_TIMEOUT * 3 / 4).as_millis() as u32;
         let msg = Msg::InboxAppendRequest(InboxAppendRequest { records, timeout_ms });
-        let reply = node.peers.call(&node.id, &address, msg, HELP_TIMEOUT).await;
-        take_reply(&mut told, reply);
-        if told.iter().all(|s| *s == Stored::Yes) {
+        let reply = node.peers.call(&node.id, &address, msg, PEER_TIMEOUT).await;
+        apply_reply(&mut outcomes, reply);
+        if outcomes.iter().all(|s| *s == Stored::Yes) {
             break;
         }
     }
-    log::info!("event=handed_in_by_helper records={} stored={}", told.len(), count(&told));
-    told
+    log::info!("event=handed_in_by_helper records={} stored={}", outcomes.len(), count_stored(&outcomes));
+    outcomes
 }
 
-/// Takes in what a helper told. A record stays unknown once one try with it is;
-/// only a helper that stored it changes that.
-fn take_reply(told: &mut [Stored], reply: Result<Msg, CallError>) {
-    let outcomes = match reply {
+/// Merges the reply of a peer into the outcomes. An unknown outcome stays unknown unless a later peer has
+/// stored the record.
+fn apply_reply(outcomes: &mut [Stored], reply: Result<Msg, CallError>) {
+    let replied = match reply {
         Ok(Msg::InboxAppendReply(r)) => r.outcomes,
         Err(CallError::NotSent) => return,
         Ok(_) | Err(CallError::NoAnswer) => Vec::new(),
     };
-    for (n, stored) in told.iter_mut().enumerate() {
-        let outcome = outcomes.get(n).and_then(|o| HandInOutcome::try_from(*o).ok());
+    for (n, stored) in outcomes.iter_mut().enumerate() {
+        let outcome = replied.get(n).and_then(|o| HandInOutcome::try_from(*o).ok());
         match outcome.unwrap_or(HandInOutcome::Unknown) {
             HandInOutcome::Stored => *stored = Stored::Yes,
             HandInOutcome::Unknown if *stored != Stored::Yes => *stored = Stored::Unknown,
@@ -119,24 +119,23 @@
     }
 }
 
-/// Processes that may help: the lease holder first, which needs the records.
-fn helpers(node: &Node) -> Vec<String> {
+/// Addresses of the peers to call: first the lease holder, since it needs the records, then others.
+fn helper_addresses(node: &Node) -> Vec<String> {
     let own = node.settings.peers.to_string();
     let holder = node.holder.load_full().filter(|h| !h.released && h.id != node.id);
     let mut addresses: Vec<String> = holder.map(|h| h.peers.clone()).into_iter().collect();
-    for other in node.peers.helper_addresses(&own, MOST_HELPERS + 1) {
+    for other in node.peers.helper_addresses(&own, MAX_HELPERS + 1) {
         if !addresses.contains(&other) {
             addresses.push(other);
         }
     }
-    addresses.truncate(MOST_HELPERS);
+    addresses.truncate(MAX_HELPERS);
     addresses
 }
 
-/// Writes for another process that it gives the scheduler lease back; answers
-/// once that is stored.
-async fn release_for(node: &Node, asked: LeaseReleaseRequest) -> Option<Msg> {
-    let rec = KeyedRecord { key: lease::KEY.to_string(), value: Some(asked.record) };
+/// Writes the release of the scheduler lease for the process that holds it; replies once it is stored.
+async fn release_lease_for(node: &Node, request: LeaseReleaseRequest) -> Option<Msg> {
+    let rec = KeyedRecord { key: lease::KEY.to_string(), value: Some(request.record) };
     match node.platform.append(Topic::Lease, vec![rec], Guard::None).await {
         Ok(_) => {
             log::info!("event=helped_release");
@@ -149,11 +148,11 @@
     }
 }
 
-/// What operators wrote last, if it is newer than what the asking process has.
-fn newer_config(node: &Node, asked: &ConfigRequest) -> ConfigReply {
-    let known = node.config.load().as_ref().map_or(0, |c| c.version);
-    let newer = node.config_text.load_full().filter(|_| known > asked.version);
-    let evacuated = node.operators.are_known().then(|| evacuated(node));
+/// The configuration, if it is newer than that of the requester, with the evacuations and the lease holder.
+fn config_reply(node: &Node, request: &ConfigRequest) -> ConfigReply {
+    let known_version = node.config.load().as_ref().map_or(0, |c| c.version);
+    let newer = node.config_text.load_full().filter(|_| known_version > request.version);
+    let evacuated = node.operators.are_known().then(|| evacuated_data_centres(node));
     let holder = node.holder.load_full().filter(|h| !h.released);
     let holder = holder.map(|h| LeaseHolder {
         incarnation: h.id.clone(),
@@ -163,35 +162,35 @@
     ConfigReply { record: newer.map(|text| Bytes::clone(&text)).unwrap_or_default(), evacuated, holder }
 }
 
-/// Which data centres are evacuated, as this process knows.
-fn evacuated(node: &Node) -> EvacuatedDataCentres {
+/// The evacuated data centres that this process knows of, and how long ago it read them.
+fn evacuated_data_centres(node: &Node) -> EvacuatedDataCentres {
     let known = node.operators.evacuations();
     let age_ms = node.operators.age(node.now()).as_millis() as u64;
     EvacuatedDataCentres { data_centres: known.data_centres.iter().cloned().collect(), age_ms }
 }
 
-/// What operators wrote, as other processes tell.
+/// What peers have replied to a poll.
 #[derive(Default)]
 pub struct PeerUpdates {
-    /// Configurations, as they were written.
+    /// Newer configurations, as operators wrote them.
     pub configs: Vec<Bytes>,
-    /// What is evacuated, and since when that is known, on the clock of this process.
+    /// The evacuations that each peer knows of; their times are on the clock of this process.
     pub evacuations: Vec<Evacuations>,
-    /// The lease holder of the latest term that is known to one of them.
+    /// The known lease holder of the latest term.
     pub holder: Option<Holder>,
 }
 
-/// Asks some other processes for a configuration newer than a version, and for evacuations.
+/// Asks some peers for a configuration newer than `version`, for the evacuations and for the lease holder.
 pub async fn poll_peers(node: &Node, version: u64) -> PeerUpdates {
-    let asked = node.now();
-    let ask = |address: String| async move {
+    let requested_at = node.now();
+    let call = |address: String| async move {
         let msg = Msg::ConfigRequest(ConfigRequest { version });
-        match node.peers.call(&node.id, &address, msg, HELP_TIMEOUT).await {
+        match node.peers.call(&node.id, &address, msg, PEER_TIMEOUT).await {
             Ok(Msg::ConfigReply(reply)) => Some(reply),
             Ok(_) | Err(_) => None,
         }
     };
-    let replies = join_all(helpers(node).into_iter().map(ask)).await;
+    let replies = join_all(helper_addresses(node).into_iter().map(call)).await;
     let mut updates = PeerUpdates::default();
     for reply in replies.into_iter().flatten() {
         if !reply.record.is_empty() {
@@ -206,7 +205,7 @@
         updates.holder = updates.holder.into_iter().chain(holder).max_by_key(|h| h.term);
         updates.evacuations.extend(reply.evacuated.map(|e| Evacuations {
             data_centres: e.data_centres.into_iter().collect(),
-            read: asked.saturating_sub(Duration::from_millis(e.age_ms)),
+            read: requested_at.saturating_sub(Duration::from_millis(e.age_ms)),
         }));
     }
     if !updates.configs.is_empty() {
@@ -215,12 +214,12 @@
     updates
 }
 
-/// Has another process give this process's lease back; returns whether it is.
+/// Has a peer release this process's lease; returns whether one has.
 pub async fn release_lease(node: &Node, term: u64) -> bool {
     let record = LeaseRecord::of(node, term, true).keyed().value.unwrap_or_default();
-    for address in helpers(node) {
+    for address in helper_addresses(node) {
         let msg = Msg::LeaseReleaseRequest(LeaseReleaseRequest { record: record.clone() });
-        if node.peers.call(&node.id, &address, msg, HELP_TIMEOUT).await.is_ok() {
+        if node.peers.call(&node.id, &address, msg, PEER_TIMEOUT).await.is_ok() {
             return true;
         }
     }
