--- a/src/workswood/ops/jobs/inbox.rs
+++ b/src/workswood/ops/jobs/inbox.rs
@@ -43,13 +43,13 @@
 /// Delay after the store refused an append.
 const RETRY_DELAY: Duration = Duration::from_millis(30);
 /// An append is late after this multiple of the mean latency.
-const LATE_APPEND_FACTOR: f64 = 4.0;
+const APPEND_TIMEOUT_MULTIPLE: f64 = 4.0;
 /// An append is never late before this time, which leaves room for one retry over a new connection.
-const MIN_LATE_APPEND: Duration = Duration::from_millis(250);
+const MIN_APPEND_TIMEOUT: Duration = Duration::from_millis(250);
 /// No appends are sent while the store has been silent for longer; this process's reads show when it is back.
 const MAX_STORE_SILENCE: Duration = Duration::from_millis(1700);
 /// How long after a failed append this entry refuses records of peers.
-const FAILURE_LIFETIME: Duration = Duration::from_millis(1000);
+const RECENT_FAILURE_PERIOD: Duration = Duration::from_millis(1000);
 /// Maximum number of inbox partitions in use. The lease holder reads each of them continuously.
 const MAX_PARTITIONS: Partition = 12;
 
@@ -124,7 +124,7 @@
         Inbox {
             tx,
             rx: Mutex::new(Some(rx)),
-            append_timeout: AdaptiveTimeout::new(LATE_APPEND_FACTOR, MIN_LATE_APPEND),
+            append_timeout: AdaptiveTimeout::new(APPEND_TIMEOUT_MULTIPLE, MIN_APPEND_TIMEOUT),
             appends_in_flight: AtomicUsize::new(0),
             last_append_failed: AtomicBool::new(false),
             failed_at_ms: AtomicU64::new(0),
@@ -219,7 +219,7 @@
     /// Whether an append from here has failed or been late recently, and none has succeeded since.
     pub fn is_failing(&self, now: Duration) -> bool {
         let failed_at = Duration::from_millis(self.failed_at_ms.load(Ordering::Relaxed));
-        self.last_append_failed.load(Ordering::Relaxed) && now < failed_at + FAILURE_LIFETIME
+        self.last_append_failed.load(Ordering::Relaxed) && now < failed_at + RECENT_FAILURE_PERIOD
     }
 
     fn record_failure(&self, now: Duration) {
@@ -300,7 +300,7 @@
     Done,
     /// It was not carried out, and will not be.
     Refused,
-    /// There was no reply.
+    /// There was no reply, or none was awaited since peers have stored all records.
     Unknown,
 }
 
