--- /dev/null
+++ b/src/workswood/ops/jobs/job_status_table.rs
@@ -0,0 +1,49 @@
+//! The status of each job, as callers may see it.
+
+use std::collections::HashMap;
+
+use workswood_core::jobs::spec::QueueId;
+use workswood_core::jobs::{JobKey, JobStatus, JobStatusUpdate, Owner};
+
+/// The status of each job, as callers may see it, and the number of queued jobs of each queue.
+#[derive(Debug, Default)]
+pub struct JobStatusTable {
+    by_job: HashMap<JobKey, JobStatusUpdate>,
+    /// Number of jobs that have not started by queue, without jobs that repeat on a schedule.
+    queued: HashMap<QueueId, u64>,
+}
+
+/// Whether a job counts as queued.
+fn is_counted(update: &JobStatusUpdate) -> bool {
+    update.state == Some(JobStatus::Queued) && !update.timed
+}
+
+impl JobStatusTable {
+    /// The status of a job, if it is known and belongs to the requester. Processes of the previous
+    /// version do not state the requester; `None` matches every job.
+    pub fn status(&self, job: JobKey, requester: Option<Owner>) -> Option<JobStatus> {
+        let known = self.by_job.get(&job)?;
+        known.state.filter(|_| requester.is_none_or(|owner| owner == known.owner))
+    }
+
+    /// Number of jobs of a queue that have not started.
+    pub fn queued_jobs(&self, queue: &str) -> u64 {
+        self.queued.get(queue).copied().unwrap_or(0)
+    }
+
+    /// Applies an update, which removes a job that the scheduler has forgotten.
+    pub fn update(&mut self, update: JobStatusUpdate) {
+        if is_counted(&update) {
+            *self.queued.entry(update.queue.clone()).or_default() += 1;
+        }
+        let previous = match update.state {
+            Some(_) => self.by_job.insert(update.key, update),
+            None => self.by_job.remove(&update.key),
+        };
+        if let Some(previous) = previous.filter(is_counted)
+            && let Some(n) = self.queued.get_mut(&previous.queue)
+        {
+            *n -= 1;
+        }
+    }
+}
--- a/src/workswood/ops/jobs/lead.rs
+++ b/src/workswood/ops/jobs/lead.rs
@@ -16,12 +16,14 @@
 use workswood_platform::jobs::{Guard, KeyedRecord, StoreError, Topic};
 
 use super::advice::{self, AdviceCall};
-use super::feeds::{InboxProgress, publish_waves, read_hosts, read_inbox, read_workers};
 use super::host_orders::{self, HostOrder};
 use super::load::{Loaded, load};
 use super::node::{Leading, Node};
 use super::record::{inbox_drop, state_record};
 use super::renew;
+use super::scheduler_io::{
+    InboxProgress, follow_inbox, follow_workers, list_hosts_once, publish_wave_status,
+};
 use super::sessions::Sessions;
 use super::trim;
 use crate::util::logs;
@@ -46,7 +48,7 @@
     let leading = Arc::new(Leading::new(term, node.now(), renew::GRACE, tx, end));
     node.leading.store(Some(leading.clone()));
     node.metrics.terms.inc();
-    node.peers.read_soon();
+    node.peers.request_read();
     log::info!("event=scheduler_started term={term}");
     tokio::spawn(supervise(node.clone(), tokio::spawn(run(node.clone(), leading, rx, ended))));
 }
@@ -103,11 +105,11 @@
     *l.kept.lock() = loaded.kept;
     let progress = Arc::new(InboxProgress::new(loaded.inbox_next.len()));
     for (part, next) in loaded.inbox_next {
-        tasks.spawn(read_inbox(node.clone(), l.clone(), progress.clone(), part, next));
+        tasks.spawn(follow_inbox(node.clone(), l.clone(), progress.clone(), part, next));
     }
-    tasks.spawn(read_workers(node.clone(), l.clone()));
+    tasks.spawn(follow_workers(node.clone(), l.clone()));
     let (status_tx, status_rx) = watch::channel(BTreeMap::new());
-    tasks.spawn(publish_waves(node.clone(), status_rx));
+    tasks.spawn(publish_wave_status(node.clone(), status_rx));
     let (over_tx, over_rx) = mpsc::unbounded_channel();
     tasks.spawn(trim::run(node.clone(), l.clone(), over_rx));
     let mut owner = Owner {
@@ -197,7 +199,7 @@
     fn tick(&mut self, tasks: &mut JoinSet<()>) {
         self.clock();
         let own = self.node.settings.peers.to_string();
-        self.sched.set_advice_entries(1 + self.node.peers.others(&own).len());
+        self.sched.set_advice_entries(1 + self.node.peers.other_addresses(&own).len());
         self.know_entries();
         self.sched.handle(Event::Tick);
         let (m, tally) = (&self.node.metrics, &self.sched.counters);
@@ -209,13 +211,13 @@
         m.workspaces_at_work.set(at_work as i64);
         if self.sched.needs_host_list() && self.node.now() > self.hosts_read + HOSTS_EVERY {
             self.hosts_read = self.node.now();
-            tasks.spawn(read_hosts(self.node.clone(), self.l.clone()));
+            tasks.spawn(list_hosts_once(self.node.clone(), self.l.clone()));
         }
     }
 
     /// Tells the scheduler which entries may be relays.
     fn know_entries(&mut self) {
-        if let Some(entries) = self.node.peers.news_of_entries(&mut self.entries_seen) {
+        if let Some(entries) = self.node.peers.changed_relay_entries(&mut self.entries_seen) {
             self.sched.set_relay_entries(entries);
         }
     }
@@ -295,7 +297,7 @@
     /// Shows callers the jobs of a stored batch.
     fn show(&self, shown: Vec<JobStatusUpdate>) {
         let mut all = self.l.shown.write();
-        shown.into_iter().for_each(|s| all.show(s));
+        shown.into_iter().for_each(|s| all.update(s));
     }
 }
 
--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -17,9 +17,9 @@
 };
 use workswood_platform::jobs::{Guard, KeyedRecord, StoreError, Tail, Topic};
 
-use super::follow::pause_after;
 use super::lead;
 use super::node::{Holder, Node};
+use super::topic_reader::retry_delay;
 
 /// Longest time that one read waits for a record: longer than between two
 /// renewals, so that one read each is enough, and short enough to notice that the
@@ -182,7 +182,7 @@
                 if let Some(v) = &mut view {
                     v.heard = node.now();
                 }
-                tokio::time::sleep(pause_after(failures)).await;
+                tokio::time::sleep(retry_delay(failures)).await;
             }
         }
     }
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -15,12 +15,12 @@
 use workswood_platform::jobs::JobPlatform;
 use workswood_traffic::Traffic;
 
-use super::inbox::{Inbox, Kept};
+use super::inbox::{Inbox, InboxIndex};
+use super::job_status_table::JobStatusTable;
 use super::operators::Operators;
 use super::peers::Peers;
 use super::relay::Grant;
 use super::relay::serve::Session;
-use super::shown::ShownJobs;
 use crate::util::clock::Clock;
 use crate::util::job_metrics::JobMetrics;
 use crate::util::job_settings::JobSettings;
@@ -50,12 +50,12 @@
     /// Events for the scheduler.
     pub tx: mpsc::UnboundedSender<Event>,
     /// What callers may be told.
-    pub shown: RwLock<ShownJobs>,
+    pub shown: RwLock<JobStatusTable>,
     /// All that was in the inbox at this time is in `shown`; ms since the
     /// start, 0 before the first time.
     pub inbox_read: AtomicU64,
     /// Where the inbox holds what is known.
-    pub kept: Mutex<Kept>,
+    pub kept: Mutex<InboxIndex>,
     /// Until when workers' leases may be extended.
     pub grant: Grant,
     /// Turns true when the scheduler has to end.
--- /dev/null
+++ b/src/workswood/ops/jobs/scheduler_io.rs
@@ -0,0 +1,150 @@
+//! Tasks that feed the scheduler from the store and the host service, and publish the status of
+//! maintenance waves.
+//!
+//! These tasks end with the scheduler. Events that are sent after that are dropped; the next lease
+//! holder reads the same records.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use parking_lot::Mutex;
+use tokio::sync::watch;
+use workswood_core::ids::Offset;
+use workswood_core::jobs::Event;
+use workswood_platform::jobs::{Guard, KeyedRecord, Partition, StoreError, Topic};
+
+use super::load::{inbox_event, note_kept};
+use super::node::{Leading, Node};
+use super::topic_reader::follow_topic;
+use super::worker_list::WorkerList;
+
+/// Delay after a failed read or append.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
+/// How long one read of the inbox waits for new records.
+const INBOX_READ_WAIT: Duration = Duration::from_millis(1000);
+
+/// When each partition of the inbox was last read to its end.
+pub(super) struct InboxProgress {
+    read_at: Mutex<Vec<Duration>>,
+}
+
+impl InboxProgress {
+    /// Progress of a number of partitions that have not been read.
+    pub(super) fn new(partition_count: usize) -> InboxProgress {
+        InboxProgress { read_at: Mutex::new(vec![Duration::ZERO; partition_count]) }
+    }
+
+    /// Records that a partition was read to its end; returns the earliest such time of all partitions.
+    fn record(&self, partition: Partition, at: Duration) -> Duration {
+        let mut read_at = self.read_at.lock();
+        if let Some(last) = read_at.get_mut(usize::from(partition)) {
+            *last = at;
+        }
+        read_at.iter().min().copied().unwrap_or_default()
+    }
+}
+
+/// Forwards jobs and cancels from a partition of the inbox to the scheduler.
+pub(super) async fn follow_inbox(
+    node: Arc<Node>,
+    leading: Arc<Leading>,
+    progress: Arc<InboxProgress>,
+    partition: Partition,
+    mut next: Offset,
+) {
+    let topic = Topic::Inbox(partition);
+    // After a failure the read does not wait, so that it shows at once when the store is back.
+    let mut wait = INBOX_READ_WAIT;
+    loop {
+        match node.platform.tail(topic, next, wait).await {
+            Ok(tail) => {
+                node.store_is_up();
+                wait = INBOX_READ_WAIT;
+                next = tail.next;
+                forward_records(&leading, partition, &tail.records);
+                // What the other partitions held at that time has been forwarded before.
+                let all_read_at = progress.record(partition, node.now());
+                let _ = leading.tx.send(Event::InboxRead(all_read_at));
+            }
+            Err(StoreError::RecordsGone) => match node.platform.latest(topic).await {
+                Ok(latest) => {
+                    next = latest.next;
+                    forward_records(&leading, partition, &latest.records);
+                }
+                Err(e) => {
+                    log::warn!("event=inbox_not_read part={partition} error=\"{e}\"");
+                    tokio::time::sleep(RETRY_DELAY).await;
+                }
+            },
+            Err(e) => {
+                log::warn!("event=inbox_not_read part={partition} error=\"{e}\"");
+                wait = Duration::ZERO;
+                tokio::time::sleep(RETRY_DELAY).await;
+            }
+        }
+    }
+}
+
+fn forward_records(leading: &Leading, partition: Partition, records: &[KeyedRecord]) {
+    for rec in records {
+        note_kept(&mut leading.kept.lock(), partition, rec);
+        if let Some(ev) = inbox_event(rec) {
+            let _ = leading.tx.send(ev);
+        }
+    }
+}
+
+/// Forwards the list of workers, and its changes, to the scheduler.
+pub(super) async fn follow_workers(node: Arc<Node>, leading: Arc<Leading>) {
+    let mut list = WorkerList::default();
+    let n = node.clone();
+    follow_topic(node, Topic::Workers, move |update| {
+        for ev in list.take(update, |rec| n.platform.parse_worker_info(rec)) {
+            let _ = leading.tx.send(ev);
+        }
+    })
+    .await;
+}
+
+/// Reads the list of hosts once and forwards it to the scheduler.
+pub(super) async fn list_hosts_once(node: Arc<Node>, leading: Arc<Leading>) {
+    let requested_at = node.now();
+    match node.platform.list_hosts().await {
+        Ok(list) => {
+            let _ = leading.tx.send(Event::HostsListed(list, requested_at));
+        }
+        Err(e) => log::warn!("event=machines_not_read error=\"{e}\""),
+    }
+}
+
+/// Publishes the status of waves for operators, and retries until the store has each.
+pub(super) async fn publish_wave_status(
+    node: Arc<Node>,
+    mut status_rx: watch::Receiver<BTreeMap<u64, bool>>,
+) {
+    let mut published: BTreeMap<u64, bool> = BTreeMap::new();
+    loop {
+        let statuses = status_rx.borrow_and_update().clone();
+        for (wave, complete) in statuses {
+            if published.get(&wave) == Some(&complete) {
+                continue;
+            }
+            let rec = node.platform.wave_status_record(wave, complete);
+            match node.platform.append(Topic::Status, vec![rec], Guard::None).await {
+                Ok(_) => {
+                    log::info!("event=wave_published wave={wave} complete={complete}");
+                    published.insert(wave, complete);
+                }
+                Err(e) => log::warn!("event=wave_not_published wave={wave} error=\"{e}\""),
+            }
+        }
+        let has_unpublished =
+            status_rx.borrow().iter().any(|(wave, complete)| published.get(wave) != Some(complete));
+        if has_unpublished {
+            tokio::time::sleep(RETRY_DELAY).await;
+        } else if status_rx.changed().await.is_err() {
+            return;
+        }
+    }
+}
--- a/tests/testsuite/advice_protocol.rs
+++ b/tests/testsuite/advice_protocol.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{mpsc, watch};
 use workswood::ops::jobs::advice::{self, AdviceCall};
 use workswood::ops::jobs::node::Leading;
-use workswood::ops::jobs::{Node, help, peers};
+use workswood::ops::jobs::{Node, peer_requests, peers};
 use workswood_adapter::{Addresses, PlatformClient};
 use workswood_adapter_standin::caller::advised_config;
 use workswood_adapter_standin::{AdviserStandin, WorkerStandin};
@@ -131,7 +131,11 @@
     let mut settings = settings(name);
     settings.peers = listener.local_addr().expect("an address");
     let node = Arc::new(Node::new(settings, Arc::new(platform)));
-    tokio::spawn(workswood_peers::serve(listener, peers::TOKEN.to_string(), help::handler(node.clone())));
+    tokio::spawn(workswood_peers::serve(
+        listener,
+        peers::TOKEN.to_string(),
+        peer_requests::handler(node.clone()),
+    ));
     node
 }
 
@@ -158,7 +162,7 @@
     let helper = process("entry-2", c).await;
     assert_eq!(call(&holder, 0).await, AdviceReply::NotSent);
     assert_eq!(call(&holder, 1).await, AdviceReply::NotSent, "no other entry is known yet");
-    holder.peers.know("entry-2", &helper.settings.peers.to_string(), 600);
+    holder.peers.add_peer("entry-2", &helper.settings.peers.to_string(), 600);
     assert_eq!(answered(call(&holder, 1).await).tickets.len(), 2);
     assert_eq!(call(&holder, 2).await, AdviceReply::NotSent);
     a.faults(|f| f.busy = 1);
@@ -166,6 +170,6 @@
     a.faults(|f| f.silent = 1);
     assert_eq!(call(&holder, 1).await, AdviceReply::NoAnswer);
     assert_eq!(answered(call(&holder, 1).await).valid_for, Some(ms(700)));
-    holder.peers.know("entry-2", NOWHERE, 600);
+    holder.peers.add_peer("entry-2", NOWHERE, 600);
     assert_eq!(call(&holder, 1).await, AdviceReply::NotSent, "that entry is gone");
 }
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -1022,7 +1022,7 @@
     tokio::spawn(peers::run(node.clone()));
     let (key, written) = store.appended().await;
     assert_eq!(node.peers.address_of("entry-7").as_deref(), Some("10.0.0.7:7001"));
-    let entries = node.peers.news_of_entries(&mut 0).expect("they are known");
+    let entries = node.peers.changed_relay_entries(&mut 0).expect("they are known");
     assert_eq!((entries[0].name.as_str(), entries[0].data_centre.as_str()), ("entry-7", "south"));
     assert_eq!((entries.len(), entries[0].strength), (1, 1_200));
     let at = json(&written)["at"].as_u64().expect("when it was written");
@@ -1153,14 +1153,14 @@
 #[test]
 fn debug_names_of_decisions() {
     let env: Envelope = from_json(whole(LOG_ENVELOPE));
-    let step = |r: &LogRecord| match r {
-        LogRecord::Host { change: step, .. } => Some(format!("{step:?}")),
-        LogRecord::Instance { change: step, .. } => Some(format!("{step:?}")),
-        LogRecord::Job { change: step, .. } => Some(format!("{step:?}")),
+    let change = |r: &LogRecord| match r {
+        LogRecord::Host { change: step, .. } => Some(format!("{change:?}")),
+        LogRecord::Instance { change: step, .. } => Some(format!("{change:?}")),
+        LogRecord::Job { change: step, .. } => Some(format!("{change:?}")),
         _ => None,
     };
-    let steps: Vec<String> = env.records.iter().filter_map(step).collect();
+    let changes: Vec<String> = env.records.iter().filter_map(change).collect();
     let actions: Vec<HostAction> = from_json(text(PLATFORM, "acts"));
-    let written: Vec<String> = steps.into_iter().chain(debug(&actions)).collect();
+    let written: Vec<String> = changes.into_iter().chain(debug(&actions)).collect();
     assert_eq!(written, DECISIONS.lines().collect::<Vec<_>>());
 }
