--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -1154,9 +1154,9 @@
 fn debug_names_of_decisions() {
     let env: Envelope = from_json(whole(LOG_ENVELOPE));
     let change = |r: &LogRecord| match r {
-        LogRecord::Host { change: step, .. } => Some(format!("{change:?}")),
-        LogRecord::Instance { change: step, .. } => Some(format!("{change:?}")),
-        LogRecord::Job { change: step, .. } => Some(format!("{change:?}")),
+        LogRecord::Host { change, .. } => Some(format!("{change:?}")),
+        LogRecord::Instance { change, .. } => Some(format!("{change:?}")),
+        LogRecord::Job { change, .. } => Some(format!("{change:?}")),
         _ => None,
     };
     let changes: Vec<String> = env.records.iter().filter_map(change).collect();
