--- a/src/workswood/ops/jobs/feeds.rs
+++ b/src/workswood/ops/jobs/feeds.rs
@@ -15,8 +15,8 @@
 use workswood_platform::jobs::{Guard, KeyedRecord, Partition, StoreError, Topic};
 
 use super::follow::topic;
-use super::load::{inbox_event, note_kept};
 use super::node::{Leading, Node};
+use super::restore_state::{inbox_event, note_kept};
 use super::worker_list::WorkerList;
 
 /// Pause after a failed read or append.
--- a/src/workswood/ops/jobs/follow.rs
+++ b/src/workswood/ops/jobs/follow.rs
@@ -11,7 +11,7 @@
 
 use super::help;
 use super::node::Node;
-use super::operators::Evacuations;
+use super::operator_state::Evacuations;
 
 /// How long one read of the lease holder waits for a record: it decides for all.
 const LEADER_WAIT: Duration = Duration::from_millis(1000);
--- a/src/workswood/ops/jobs/help.rs
+++ b/src/workswood/ops/jobs/help.rs
@@ -19,7 +19,7 @@
 use super::inbox::Stored;
 use super::lease::{self, LeaseRecord};
 use super::node::{Holder, Node};
-use super::operators::Evacuations;
+use super::operator_state::Evacuations;
 use super::{advice, ask};
 
 /// How many other processes are asked, one after the other.
--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -16,8 +16,8 @@
 use workswood_platform::jobs::{Guard, KeyedRecord, StoreError, Tail, Topic};
 
 use super::follow::pause_after;
-use super::lead;
 use super::node::{Holder, Node};
+use super::scheduler_task;
 
 /// Longest time that one read waits for a record: longer than between two
 /// renewals, so that one read each is enough, and short enough to notice that the
@@ -303,7 +303,7 @@
     match node.leading.load().as_ref() {
         None if mine && h.term > v.led && !node.is_stopping() => {
             v.led = h.term;
-            lead::start(node, h.term);
+            scheduler_task::start(node, h.term);
         }
         Some(l) if l.term < h.term => {
             log::warn!("event=lease_lost term={} to={} to_term={}", l.term, h.name, h.term);
--- a/src/workswood/ops/jobs/limits.rs
+++ b/src/workswood/ops/jobs/limits.rs
@@ -5,7 +5,7 @@
 use workswood_core::jobs::Limits;
 use workswood_core::jobs::types::lease_with_drift;
 
-use super::renew::GRACE;
+use super::lease_renewal::GRACE;
 use crate::util::job_settings::JobSettings;
 
 /// Length of a worker's lease. Long enough for a successor to take over
--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -7,17 +7,17 @@
 //!
 //! * [`front`] answers callers, [`inbox`] keeps what they hand in, and [`probe`]
 //!   answers the balancer;
-//! * [`follow`] keeps up with what operators write, and [`operators`] tells how old that is and what is evacuated;
+//! * [`follow`] keeps up with what operators write, and [`operator_state`] tells how old that is and what is evacuated;
 //! * [`lease`] watches the scheduler lease and claims it;
-//! * [`lead`] runs the scheduler while this process holds the lease, with
-//!   [`load`] (a predecessor's state), [`feeds`] (what it reads), [`record`],
-//!   [`job_spec`] and [`job_state`] (the stored form), [`trim`] (takes out what is over), [`renew`] (the lease), [`sessions`] (with the relays) and
+//! * [`scheduler_task`] runs the scheduler while this process holds the lease, with
+//!   [`restore_state`] (a predecessor's state), [`feeds`] (what it reads), [`record`],
+//!   [`job_spec`] and [`job_state`] (the stored form), [`inbox_cleanup`] (takes out what is over), [`lease_renewal`] (the lease), [`relay_sessions`] (with the relays) and
 //!   [`advice`] (calls to the adviser);
 //! * [`relay`] speaks with workers, for the lease holder here or elsewhere;
 //! * [`shown`] holds what callers may be told; [`ask`] puts callers' questions to the lease holder, and [`help`] does what
 //!   other processes ask for, whose listeners are in [`peers`];
-//! * [`usage`] tells in the log what a busy entry is used for;
-//! * [`stop`] ends the process without cutting anything off.
+//! * [`usage_log`] tells in the log what a busy entry is used for;
+//! * [`shutdown`] ends the process without cutting anything off.
 
 pub mod advice;
 pub mod ask;
@@ -27,24 +27,24 @@
 pub mod help;
 pub mod host_orders;
 pub mod inbox;
+mod inbox_cleanup;
 pub mod job_spec;
 pub mod job_state;
-mod lead;
 pub mod lease;
+mod lease_renewal;
 pub mod limits;
-mod load;
 pub mod node;
-pub mod operators;
+pub mod operator_state;
 pub mod peers;
 mod probe;
 pub mod record;
 pub mod relay;
-mod renew;
-mod sessions;
+mod relay_sessions;
+mod restore_state;
+mod scheduler_task;
 pub mod shown;
-mod stop;
-mod trim;
-mod usage;
+mod shutdown;
+mod usage_log;
 pub mod worker_list;
 
 use std::net::SocketAddr;
@@ -115,10 +115,10 @@
     tokio::spawn(follow::ask_peers(node.clone()));
     tokio::spawn(lease::run(node.clone()));
     tokio::spawn(peers::run(node.clone()));
-    tokio::spawn(usage::run(node.clone()));
-    tokio::spawn(stop::watch_reload(path));
+    tokio::spawn(usage_log::run(node.clone()));
+    tokio::spawn(shutdown::watch_reload(path));
     let callers = tokio::spawn(workswood_callers::serve(callers, front::handler(node.clone()), stopped));
     signals::stop().await;
-    stop::run(&node, &stop_callers, callers).await;
+    shutdown::run(&node, &stop_callers, callers).await;
     Ok(())
 }
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -16,7 +16,7 @@
 use workswood_traffic::Traffic;
 
 use super::inbox::{Inbox, Kept};
-use super::operators::Operators;
+use super::operator_state::Operators;
 use super::peers::Peers;
 use super::relay::Grant;
 use super::relay::serve::Session;
--- a/src/workswood/ops/jobs/lead.rs
+++ b/src/workswood/ops/jobs/scheduler_task.rs
@@ -18,12 +18,12 @@
 use super::advice::{self, AdviceCall};
 use super::feeds::{InboxProgress, publish_waves, read_hosts, read_inbox, read_workers};
 use super::host_orders::{self, HostOrder};
-use super::load::{Loaded, load};
+use super::inbox_cleanup;
+use super::lease_renewal;
 use super::node::{Leading, Node};
 use super::record::{inbox_drop, state_record};
-use super::renew;
-use super::sessions::Sessions;
-use super::trim;
+use super::relay_sessions::Sessions;
+use super::restore_state::{Loaded, load};
 use crate::util::logs;
 
 /// Time between two ticks of the scheduler.
@@ -43,7 +43,7 @@
 pub fn start(node: &Arc<Node>, term: u64) {
     let (tx, rx) = mpsc::unbounded_channel();
     let (end, ended) = watch::channel(false);
-    let leading = Arc::new(Leading::new(term, node.now(), renew::GRACE, tx, end));
+    let leading = Arc::new(Leading::new(term, node.now(), lease_renewal::GRACE, tx, end));
     node.leading.store(Some(leading.clone()));
     node.metrics.terms.inc();
     node.peers.read_soon();
@@ -68,7 +68,7 @@
     mut ended: watch::Receiver<bool>,
 ) {
     let mut tasks = JoinSet::new();
-    tasks.spawn(renew::run(node.clone(), l.clone()));
+    tasks.spawn(lease_renewal::run(node.clone(), l.clone()));
     tokio::select! {
         () = schedule(node.clone(), l.clone(), rx, &mut tasks) => {}
         _ = ended.wait_for(|e| *e) => {}
@@ -109,7 +109,7 @@
     let (status_tx, status_rx) = watch::channel(BTreeMap::new());
     tasks.spawn(publish_waves(node.clone(), status_rx));
     let (over_tx, over_rx) = mpsc::unbounded_channel();
-    tasks.spawn(trim::run(node.clone(), l.clone(), over_rx));
+    tasks.spawn(inbox_cleanup::run(node.clone(), l.clone(), over_rx));
     let mut owner = Owner {
         node: node.clone(),
         l: l.clone(),
@@ -310,7 +310,7 @@
 /// Writes a batch until it is stored; `None` if another term has begun.
 async fn write(node: Arc<Node>, l: Arc<Leading>, number: u64, batch: Batch) -> Option<Batch> {
     let term = l.term;
-    trim::drop_from_inbox(&node, &l, batch.records.iter().filter_map(inbox_drop).collect()).await;
+    inbox_cleanup::drop_from_inbox(&node, &l, batch.records.iter().filter_map(inbox_drop).collect()).await;
     let records: Vec<KeyedRecord> = batch.records.iter().map(state_record).collect();
     let _timer = node.metrics.batch_seconds.start_timer();
     loop {
--- a/src/workswood/ops/jobs/stop.rs
+++ b/src/workswood/ops/jobs/shutdown.rs
@@ -11,8 +11,8 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
+use super::lease_renewal;
 use super::node::Node;
-use super::renew;
 use crate::util::job_settings::JobSettings;
 
 /// The balancer asks every second and believes the second refusal.
@@ -41,7 +41,7 @@
     node.stopping.send_replace(true);
     if let Some(l) = node.leading.load_full() {
         let _ = l.end.send(true);
-        renew::release(node, l.term).await;
+        lease_renewal::release(node, l.term).await;
     }
     tokio::time::sleep(BALANCER_LAG.saturating_sub(node.now() - begun)).await;
     let _ = stop_callers.send(true);
--- a/tests/testsuite/evacuated_centres.rs
+++ b/tests/testsuite/evacuated_centres.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::mpsc;
 use workswood::ops::jobs::Node;
-use workswood::ops::jobs::operators::Evacuations;
+use workswood::ops::jobs::operator_state::Evacuations;
 use workswood::ops::jobs::relay::order::{Order, StartTask};
 use workswood::ops::jobs::relay::{Grant, Relay, Sink};
 use workswood_core::jobs::{Action, Event, Host, StartReply, TaskId, WorkerInfo, WorkerUpdate};
--- a/tests/testsuite/lease_looks.rs
+++ b/tests/testsuite/lease_looks.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use workswood::ops::jobs::operators::Evacuations;
+use workswood::ops::jobs::operator_state::Evacuations;
 use workswood::ops::jobs::{Node, lease};
 use workswood_core::jobs::SchedConfig;
 use workswood_platform::jobs::KeyedRecord;
--- a/tests/testsuite/peer_help.rs
+++ b/tests/testsuite/peer_help.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpListener;
 use workswood::ops::jobs::inbox::{self, Stored};
 use workswood::ops::jobs::node::Holder;
-use workswood::ops::jobs::operators::Evacuations;
+use workswood::ops::jobs::operator_state::Evacuations;
 use workswood::ops::jobs::{Node, help, peers};
 use workswood_core::jobs::SchedConfig;
 use workswood_platform::jobs::KeyedRecord;
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -18,7 +18,7 @@
 use workswood::ops::job_status::{self, sum};
 use workswood::ops::jobs::inbox::Stored;
 use workswood::ops::jobs::node::Holder;
-use workswood::ops::jobs::operators::Evacuations;
+use workswood::ops::jobs::operator_state::Evacuations;
 use workswood::ops::jobs::record::{
     InboxItem, StateKey, cancel_record, drop_record, inbox_key, job_record, state_key, state_record,
 };
