--- a/src/workswood/ops/jobs/advice.rs
+++ b/src/workswood/ops/jobs/advice.rs
@@ -9,7 +9,7 @@
 use workswood_peers as wire;
 use workswood_peers::{AdviceOutcome, AdviceTicket, CallError, Msg};
 
-use super::node::{Leading, Node};
+use super::node::{Node, SchedulerHandle};
 
 /// A process that calls for another is waited for this much longer than its call:
 /// a few times the way there and back on a busy host.
@@ -28,7 +28,7 @@
 }
 
 /// Makes a call, or has it made, and tells the scheduler what came of it.
-pub async fn ask(node: Arc<Node>, l: Arc<Leading>, call: AdviceCall) {
+pub async fn ask(node: Arc<Node>, l: Arc<SchedulerHandle>, call: AdviceCall) {
     let sent = node.now();
     let reply = match call.lane.checked_sub(1) {
         None => node.platform.advise(call.step, &call.workers, call.patience).await,
--- a/src/workswood/ops/jobs/ask.rs
+++ b/src/workswood/ops/jobs/ask.rs
@@ -7,7 +7,7 @@
 use workswood_core::jobs::{JobKey, JobStatus, Outcome, Owner};
 use workswood_peers::{JobState, JobStateReply, JobStateRequest, Msg, PendingJobsReply, PendingJobsRequest};
 
-use super::node::{Holder, Leading, Node};
+use super::node::{Holder, Node, SchedulerHandle};
 
 /// Longest wait for the holder's answer; a few times the way there and back on
 /// a busy host.
@@ -40,12 +40,12 @@
     }
 }
 
-fn current(node: &Node, l: &Leading) -> bool {
+fn current(node: &Node, l: &SchedulerHandle) -> bool {
     let read = l.inbox_read.load(Ordering::Acquire);
     read > 0 && node.now_ms() < read + INBOX_AGE.as_millis() as u64
 }
 
-fn own_job(node: &Node, l: &Leading, job: JobKey, asks: Option<Owner>) -> Told<JobStatus> {
+fn own_job(node: &Node, l: &SchedulerHandle, job: JobKey, asks: Option<Owner>) -> Told<JobStatus> {
     match l.shown.read().state(job, asks) {
         Some(state) => Told::Known(state),
         None if current(node, l) => Told::Unknown,
@@ -53,7 +53,7 @@
     }
 }
 
-fn own_pending(node: &Node, l: &Leading, queue: &str) -> Told<u64> {
+fn own_pending(node: &Node, l: &SchedulerHandle, queue: &str) -> Told<u64> {
     if !current(node, l) {
         return Told::Unreachable;
     }
@@ -62,7 +62,7 @@
 
 /// Asks for the state of a job; to another owner than its own it is not known.
 pub async fn job(node: &Arc<Node>, job: JobKey, owner: Owner) -> Told<JobStatus> {
-    if let Some(l) = node.leading.load_full() {
+    if let Some(l) = node.scheduler.load_full() {
         return own_job(node, &l, job, Some(owner));
     }
     let ask = JobStateRequest { job, owner: Some(owner.number()) };
@@ -78,7 +78,7 @@
 
 /// Asks how many jobs of a queue have not begun.
 pub async fn pending(node: &Arc<Node>, queue: &str) -> Told<u64> {
-    if let Some(l) = node.leading.load_full() {
+    if let Some(l) = node.scheduler.load_full() {
         return own_pending(node, &l, queue);
     }
     let ask = Msg::PendingJobsRequest(PendingJobsRequest { queue: queue.to_string() });
@@ -134,7 +134,7 @@
 
 /// Answers a process that asks for the state of a job.
 pub fn answer_job(node: &Node, ask: &JobStateRequest) -> JobStateReply {
-    let l = node.leading.load_full();
+    let l = node.scheduler.load_full();
     let asks = ask.owner.map(Owner::from_number);
     let (current, state) = match l.map_or(Told::Unreachable, |l| own_job(node, &l, ask.job, asks)) {
         Told::Known(s) => (true, Some(state(s) as i32)),
@@ -146,7 +146,7 @@
 
 /// Answers a process that asks for the jobs of a queue that have not begun.
 pub fn answer_pending(node: &Node, ask: &PendingJobsRequest) -> PendingJobsReply {
-    let l = node.leading.load_full();
+    let l = node.scheduler.load_full();
     let (current, pending) = match l.map_or(Told::Unreachable, |l| own_pending(node, &l, &ask.queue)) {
         Told::Known(n) => (true, n),
         Told::Unknown | Told::Unreachable => (false, 0),
--- a/src/workswood/ops/jobs/feeds.rs
+++ b/src/workswood/ops/jobs/feeds.rs
@@ -15,7 +15,7 @@
 use workswood_platform::jobs::{Guard, KeyedRecord, Partition, StoreError, Topic};
 
 use super::follow::topic;
-use super::node::{Leading, Node};
+use super::node::{Node, SchedulerHandle};
 use super::restore_state::{inbox_event, note_kept};
 use super::worker_list::WorkerList;
 
@@ -49,7 +49,7 @@
 /// Hands jobs and cancels from a part of the inbox to the scheduler.
 pub(super) async fn read_inbox(
     node: Arc<Node>,
-    l: Arc<Leading>,
+    l: Arc<SchedulerHandle>,
     progress: Arc<InboxProgress>,
     part: Partition,
     mut next: Offset,
@@ -87,7 +87,7 @@
     }
 }
 
-fn hand_over(l: &Leading, part: Partition, records: &[KeyedRecord]) {
+fn hand_over(l: &SchedulerHandle, part: Partition, records: &[KeyedRecord]) {
     for rec in records {
         note_kept(&mut l.kept.lock(), part, rec);
         if let Some(ev) = inbox_event(rec) {
@@ -97,7 +97,7 @@
 }
 
 /// Hands the list of workers, and its changes, to the scheduler.
-pub(super) async fn read_workers(node: Arc<Node>, l: Arc<Leading>) {
+pub(super) async fn read_workers(node: Arc<Node>, l: Arc<SchedulerHandle>) {
     let mut list = WorkerList::default();
     let n = node.clone();
     topic(node, Topic::Workers, move |heard| {
@@ -109,7 +109,7 @@
 }
 
 /// Reads the list of hosts once and hands it to the scheduler.
-pub(super) async fn read_hosts(node: Arc<Node>, l: Arc<Leading>) {
+pub(super) async fn read_hosts(node: Arc<Node>, l: Arc<SchedulerHandle>) {
     let asked = node.now();
     match node.platform.list_hosts().await {
         Ok(list) => {
--- a/src/workswood/ops/jobs/follow.rs
+++ b/src/workswood/ops/jobs/follow.rs
@@ -44,7 +44,7 @@
 /// How long a read of a topic waits now.
 fn read_wait(node: &Node, topic: Topic) -> Duration {
     match topic {
-        Topic::Operators if node.leading.load().is_none() => node.settings.news_wait(),
+        Topic::Operators if node.scheduler.load().is_none() => node.settings.news_wait(),
         _ => LEADER_WAIT,
     }
 }
--- a/src/workswood/ops/jobs/inbox_cleanup.rs
+++ b/src/workswood/ops/jobs/inbox_cleanup.rs
@@ -12,7 +12,7 @@
 use workswood_platform::jobs::{Guard, KeyedRecord, Topic};
 
 use super::inbox;
-use super::node::{Leading, Node};
+use super::node::{Node, SchedulerHandle};
 use super::record::InboxKey;
 
 /// Time between two rounds: each is a call to the store for every part of the inbox.
@@ -21,7 +21,11 @@
 const PAUSE: Duration = Duration::from_millis(60);
 
 /// Takes jobs out that are over, as they become it.
-pub(super) async fn run(node: Arc<Node>, l: Arc<Leading>, mut rx: mpsc::UnboundedReceiver<Vec<JobKey>>) {
+pub(super) async fn run(
+    node: Arc<Node>,
+    l: Arc<SchedulerHandle>,
+    mut rx: mpsc::UnboundedReceiver<Vec<JobKey>>,
+) {
     while let Some(first) = rx.recv().await {
         tokio::time::sleep(EVERY).await;
         let mut over: BTreeSet<JobKey> = first.into_iter().collect();
@@ -35,7 +39,7 @@
 /// Takes jobs out of the inbox, with all that was written of them. State is dropped only after that: a job in the inbox
 /// without a state would be taken for a new one. That they are gone is noted when the
 /// inbox is read: a caller may hand the same job in again meanwhile.
-pub(super) async fn drop_from_inbox(node: &Node, l: &Leading, drops: Vec<JobKey>) {
+pub(super) async fn drop_from_inbox(node: &Node, l: &SchedulerHandle, drops: Vec<JobKey>) {
     if drops.is_empty() {
         return;
     }
--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -117,7 +117,7 @@
     /// Whether this process hears of each renewal now.
     fn is_close(&self, node: &Node) -> bool {
         let free = self.holder.as_ref().is_none_or(|h| h.released);
-        let needed = free || node.leading.load().is_some() || self.awaits_renewal;
+        let needed = free || node.scheduler.load().is_some() || self.awaits_renewal;
         needed || node.peers.hears_renewals(&node.settings.name)
     }
 
@@ -282,7 +282,7 @@
 
 /// Claims the lease if this process may; the answer only shows in later reads.
 async fn claim_if_free(node: &Arc<Node>, v: &mut View) {
-    if node.is_stopping() || node.leading.load().is_some() {
+    if node.is_stopping() || node.scheduler.load().is_some() {
         return;
     }
     let Some(why) = v.reason_to_claim(node) else { return };
@@ -300,7 +300,7 @@
 fn lead_if_mine(node: &Arc<Node>, v: &mut View) {
     let Some(h) = &v.holder else { return };
     let mine = h.id == node.id && !h.released;
-    match node.leading.load().as_ref() {
+    match node.scheduler.load().as_ref() {
         None if mine && h.term > v.led && !node.is_stopping() => {
             v.led = h.term;
             scheduler_task::start(node, h.term);
--- a/src/workswood/ops/jobs/lease_renewal.rs
+++ b/src/workswood/ops/jobs/lease_renewal.rs
@@ -7,7 +7,7 @@
 
 use super::help;
 use super::lease::LeaseRecord;
-use super::node::{Leading, Node};
+use super::node::{Node, SchedulerHandle};
 
 /// Time between two renewals.
 const EVERY: Duration = Duration::from_millis(450);
@@ -26,7 +26,7 @@
 const HOPELESS_AFTER: Duration = Duration::from_millis(900);
 
 /// Renews until the scheduler ends.
-pub async fn run(node: Arc<Node>, l: Arc<Leading>) {
+pub async fn run(node: Arc<Node>, l: Arc<SchedulerHandle>) {
     let mut number = 1;
     let mut renewed = node.now();
     loop {
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -42,7 +42,7 @@
 }
 
 /// What other tasks see of the scheduler while this process runs it.
-pub struct Leading {
+pub struct SchedulerHandle {
     /// Term of the lease.
     pub term: Term,
     /// When the lease was seen to be ours.
@@ -62,7 +62,7 @@
     pub end: watch::Sender<bool>,
 }
 
-impl Leading {
+impl SchedulerHandle {
     /// A scheduler that has just got its lease, and may extend workers' leases for
     /// some time before it renews it.
     pub fn new(
@@ -71,8 +71,8 @@
         grace: Duration,
         tx: mpsc::UnboundedSender<Event>,
         end: watch::Sender<bool>,
-    ) -> Leading {
-        Leading {
+    ) -> SchedulerHandle {
+        SchedulerHandle {
             term,
             since,
             tx,
@@ -105,7 +105,7 @@
     /// Who holds the lease.
     pub holder: ArcSwapOption<Holder>,
     /// The scheduler, while it runs here.
-    pub leading: ArcSwapOption<Leading>,
+    pub scheduler: ArcSwapOption<SchedulerHandle>,
     /// Other processes that run jobs.
     pub peers: Peers,
     /// Where callers' jobs and cancels wait to be stored.
@@ -165,7 +165,7 @@
             operators,
             waves: Mutex::default(),
             holder: ArcSwapOption::empty(),
-            leading: ArcSwapOption::empty(),
+            scheduler: ArcSwapOption::empty(),
             peers: Peers::sharing(half_open.clone(), traffic.clone()),
             inbox: Inbox::default(),
             half_open,
@@ -262,7 +262,7 @@
     /// All metrics as text, with the gauges as they stand now.
     pub fn metrics_text(&self) -> String {
         let m = &self.metrics;
-        m.leading.set(i64::from(self.leading.load().is_some()));
+        m.leading.set(i64::from(self.scheduler.load().is_some()));
         m.lease_term.set(self.holder.load().as_ref().map_or(0, |h| h.term as i64));
         m.config_version.set(self.config.load().as_ref().map_or(0, |c| c.version as i64));
         m.evacuated.set(self.operators.evacuations().data_centres.len() as i64);
@@ -280,7 +280,7 @@
 
     /// Hands an event to the scheduler if it runs here.
     pub fn tell_scheduler(&self, ev: Event) {
-        if let Some(l) = self.leading.load().as_ref() {
+        if let Some(l) = self.scheduler.load().as_ref() {
             // A scheduler that has just ended takes no more events.
             let _ = l.tx.send(ev);
         }
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -256,7 +256,7 @@
 
 /// Time until the records are read again.
 fn read_every(node: &Node) -> Duration {
-    if node.leading.load().is_some() {
+    if node.scheduler.load().is_some() {
         READ_EVERY_LEADING
     } else if node.now() < NEW_FOR {
         READ_EVERY_NEW
--- a/src/workswood/ops/jobs/relay_sessions.rs
+++ b/src/workswood/ops/jobs/relay_sessions.rs
@@ -15,7 +15,7 @@
 use workswood_peers::{Closed, DuplexRx, DuplexTx, Msg};
 
 use super::limits::LeaseTimes;
-use super::node::{Leading, Node};
+use super::node::{Node, SchedulerHandle};
 use super::peers::TOKEN;
 use super::relay::order::{Number, Order, StartTask};
 use super::relay::serve::BEAT_EVERY;
@@ -49,7 +49,7 @@
 /// All sessions of a lease holder.
 pub(super) struct Sessions {
     node: Arc<Node>,
-    l: Arc<Leading>,
+    l: Arc<SchedulerHandle>,
     own: Relay,
     sessions: HashMap<HostId, Session>,
     attended: HashMap<WorkerId, Attended>,
@@ -59,7 +59,7 @@
 
 impl Sessions {
     /// No sessions yet, but that of the holder with itself.
-    pub(super) fn new(node: Arc<Node>, l: Arc<Leading>, tasks: &mut JoinSet<()>) -> Sessions {
+    pub(super) fn new(node: Arc<Node>, l: Arc<SchedulerHandle>, tasks: &mut JoinSet<()>) -> Sessions {
         let own = Relay::new(node.clone(), l.grant.clone(), Sink::Here(l.tx.clone()));
         tasks.spawn(beat(node.settings.name.clone(), l.clone()));
         tasks.spawn(node.lag.clone().measure());
@@ -169,7 +169,7 @@
 }
 
 /// Tells the scheduler that this process itself is well, as relays do.
-async fn beat(own: HostId, l: Arc<Leading>) {
+async fn beat(own: HostId, l: Arc<SchedulerHandle>) {
     loop {
         if l.tx.send(Event::RelayHeard(own.clone())).is_err() {
             return;
@@ -181,7 +181,7 @@
 /// What speaks with one relay.
 struct Talk {
     node: Arc<Node>,
-    l: Arc<Leading>,
+    l: Arc<SchedulerHandle>,
     host: HostId,
     session: u64,
     names: Names,
--- a/src/workswood/ops/jobs/scheduler_task.rs
+++ b/src/workswood/ops/jobs/scheduler_task.rs
@@ -20,7 +20,7 @@
 use super::host_orders::{self, HostOrder};
 use super::inbox_cleanup;
 use super::lease_renewal;
-use super::node::{Leading, Node};
+use super::node::{Node, SchedulerHandle};
 use super::record::{inbox_drop, state_record};
 use super::relay_sessions::Sessions;
 use super::restore_state::{Loaded, load};
@@ -43,8 +43,8 @@
 pub fn start(node: &Arc<Node>, term: u64) {
     let (tx, rx) = mpsc::unbounded_channel();
     let (end, ended) = watch::channel(false);
-    let leading = Arc::new(Leading::new(term, node.now(), lease_renewal::GRACE, tx, end));
-    node.leading.store(Some(leading.clone()));
+    let leading = Arc::new(SchedulerHandle::new(term, node.now(), lease_renewal::GRACE, tx, end));
+    node.scheduler.store(Some(leading.clone()));
     node.metrics.terms.inc();
     node.peers.read_soon();
     log::info!("event=scheduler_started term={term}");
@@ -56,14 +56,14 @@
 async fn supervise(node: Arc<Node>, scheduler: JoinHandle<()>) {
     if let Err(e) = scheduler.await {
         log::error!("event=scheduler_failed error=\"{e}\"");
-        node.leading.store(None);
+        node.scheduler.store(None);
     }
 }
 
 /// Runs the scheduler of a term until it ends by itself or is told to.
 async fn run(
     node: Arc<Node>,
-    l: Arc<Leading>,
+    l: Arc<SchedulerHandle>,
     rx: mpsc::UnboundedReceiver<Event>,
     mut ended: watch::Receiver<bool>,
 ) {
@@ -74,7 +74,7 @@
         _ = ended.wait_for(|e| *e) => {}
     }
     tasks.shutdown().await;
-    node.leading.store(None);
+    node.scheduler.store(None);
     log::info!("event=scheduler_ended term={}", l.term);
 }
 
@@ -95,7 +95,7 @@
 /// Loads the state, starts what feeds the scheduler, and runs it.
 async fn schedule(
     node: Arc<Node>,
-    l: Arc<Leading>,
+    l: Arc<SchedulerHandle>,
     mut rx: mpsc::UnboundedReceiver<Event>,
     tasks: &mut JoinSet<()>,
 ) {
@@ -132,7 +132,7 @@
 /// The task that owns the scheduler.
 struct Owner {
     node: Arc<Node>,
-    l: Arc<Leading>,
+    l: Arc<SchedulerHandle>,
     sched: Scheduler,
     /// Who attends the workers.
     sessions: Sessions,
@@ -308,7 +308,7 @@
 }
 
 /// Writes a batch until it is stored; `None` if another term has begun.
-async fn write(node: Arc<Node>, l: Arc<Leading>, number: u64, batch: Batch) -> Option<Batch> {
+async fn write(node: Arc<Node>, l: Arc<SchedulerHandle>, number: u64, batch: Batch) -> Option<Batch> {
     let term = l.term;
     inbox_cleanup::drop_from_inbox(&node, &l, batch.records.iter().filter_map(inbox_drop).collect()).await;
     let records: Vec<KeyedRecord> = batch.records.iter().map(state_record).collect();
--- a/src/workswood/ops/jobs/shutdown.rs
+++ b/src/workswood/ops/jobs/shutdown.rs
@@ -39,7 +39,7 @@
     log::info!("event=stop_asked");
     let begun = node.now();
     node.stopping.send_replace(true);
-    if let Some(l) = node.leading.load_full() {
+    if let Some(l) = node.scheduler.load_full() {
         let _ = l.end.send(true);
         lease_renewal::release(node, l.term).await;
     }
--- a/src/workswood/ops/jobs/usage_log.rs
+++ b/src/workswood/ops/jobs/usage_log.rs
@@ -20,7 +20,7 @@
     let mut still = Duration::ZERO;
     loop {
         tokio::time::sleep(EVERY).await;
-        let leads = node.leading.load().is_some();
+        let leads = node.scheduler.load().is_some();
         let relayed = node.metrics.relayed_workers.get();
         let now: BTreeMap<Purpose, TrafficTotals> = node.traffic.totals().into_iter().collect();
         let total = node.lag.total();
--- a/tests/testsuite/advice_protocol.rs
+++ b/tests/testsuite/advice_protocol.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 use workswood::ops::jobs::advice::{self, AdviceCall};
-use workswood::ops::jobs::node::Leading;
+use workswood::ops::jobs::node::SchedulerHandle;
 use workswood::ops::jobs::{Node, help, peers};
 use workswood_adapter::{Addresses, PlatformClient};
 use workswood_adapter_standin::caller::advised_config;
@@ -138,7 +138,7 @@
 /// What becomes of a call by a lane of a process.
 async fn call(node: &Arc<Node>, lane: usize) -> AdviceReply {
     let (tx, mut rx) = mpsc::unbounded_channel();
-    let l = Arc::new(Leading::new(7, node.now(), LONG, tx, watch::channel(false).0));
+    let l = Arc::new(SchedulerHandle::new(7, node.now(), LONG, tx, watch::channel(false).0));
     let call = AdviceCall { lane, step: STEP, workers: ids(&["i-1", "i-2"]), patience: ms(300) };
     advice::ask(node.clone(), l, call).await;
     match rx.recv().await {
--- a/tests/testsuite/lease_looks.rs
+++ b/tests/testsuite/lease_looks.rs
@@ -70,7 +70,7 @@
     assert_eq!(own_records(&store), 0);
     // Two looks, and the time in which stronger hosts may claim.
     tokio::time::sleep(Duration::from_secs(16)).await;
-    assert!(own_records(&store) > 0 && node.leading.load().is_some());
+    assert!(own_records(&store) > 0 && node.scheduler.load().is_some());
 }
 
 /// A question that the known holder does not answer has the lease read at once.
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -19,7 +19,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 use workswood::ops::jobs::ask::{self, Told};
-use workswood::ops::jobs::node::{Holder, Leading};
+use workswood::ops::jobs::node::{Holder, SchedulerHandle};
 use workswood::ops::jobs::{Node, help, peers};
 use workswood_adapter::{Addresses, PlatformClient};
 use workswood_adapter_standin::{StoreStandin, WorkerStandin};
@@ -208,7 +208,7 @@
     let (holder, cut) = holder(&store).await;
     let (tx, _events) = mpsc::unbounded_channel();
     let (end, _ended) = watch::channel(false);
-    let l = Leading::new(7, holder.now(), LONG, tx, end);
+    let l = SchedulerHandle::new(7, holder.now(), LONG, tx, end);
     let shown = JobStatusUpdate {
         key: 1,
         queue: "q".into(),
@@ -217,7 +217,7 @@
         timed: false,
     };
     l.shown.write().show(shown);
-    holder.leading.store(Some(Arc::new(l)));
+    holder.scheduler.store(Some(Arc::new(l)));
     let node = Arc::new(Node::new(settings("entry-1"), store));
     let seen = Holder { id: holder.id.clone(), peers: cut.address.clone(), term: 7, released: false };
     node.holder.store(Some(Arc::new(seen)));
--- a/tests/testsuite/suspended_host.rs
+++ b/tests/testsuite/suspended_host.rs
@@ -10,7 +10,7 @@
 use workswood::ops::jobs::Node;
 use workswood::ops::jobs::host_orders::{HostOrder, give};
 use workswood::ops::jobs::limits::LeaseTimes;
-use workswood::ops::jobs::node::Leading;
+use workswood::ops::jobs::node::SchedulerHandle;
 use workswood::ops::jobs::relay::link::WorkerLink;
 use workswood::ops::jobs::relay::{Grant, Shared, Sink, look};
 use workswood::util::clock::Clock;
@@ -63,7 +63,7 @@
 async fn no_host_is_ordered() {
     let (store, node) = process();
     let (tx, mut rx) = mpsc::unbounded_channel();
-    let leading = Arc::new(Leading::new(1, node.now(), RIGHT, tx, watch::Sender::new(false)));
+    let leading = Arc::new(SchedulerHandle::new(1, node.now(), RIGHT, tx, watch::Sender::new(false)));
     let order = || give(node.clone(), leading.clone(), "m-1".to_string(), HostOrder::Upkeep(1));
     order().await;
     assert_eq!(store.orders(), 1);
