--- a/src/workswood/ops/jobs/ask.rs
+++ b/src/workswood/ops/jobs/ask.rs
@@ -41,12 +41,12 @@
 }
 
 fn current(node: &Node, l: &SchedulerHandle) -> bool {
-    let read = l.inbox_read.load(Ordering::Acquire);
+    let read = l.inbox_read_ms.load(Ordering::Acquire);
     read > 0 && node.now_ms() < read + INBOX_AGE.as_millis() as u64
 }
 
 fn own_job(node: &Node, l: &SchedulerHandle, job: JobKey, asks: Option<Owner>) -> Told<JobStatus> {
-    match l.shown.read().state(job, asks) {
+    match l.job_statuses.read().state(job, asks) {
         Some(state) => Told::Known(state),
         None if current(node, l) => Told::Unknown,
         None => Told::Unreachable,
@@ -57,7 +57,7 @@
     if !current(node, l) {
         return Told::Unreachable;
     }
-    Told::Known(l.shown.read().queued(queue))
+    Told::Known(l.job_statuses.read().queued(queue))
 }
 
 /// Asks for the state of a job; to another owner than its own it is not known.
--- a/src/workswood/ops/jobs/feeds.rs
+++ b/src/workswood/ops/jobs/feeds.rs
@@ -89,7 +89,7 @@
 
 fn hand_over(l: &SchedulerHandle, part: Partition, records: &[KeyedRecord]) {
     for rec in records {
-        note_kept(&mut l.kept.lock(), part, rec);
+        note_kept(&mut l.inbox_keys.lock(), part, rec);
         if let Some(ev) = inbox_event(rec) {
             let _ = l.tx.send(ev);
         }
--- a/src/workswood/ops/jobs/inbox_cleanup.rs
+++ b/src/workswood/ops/jobs/inbox_cleanup.rs
@@ -45,7 +45,7 @@
     }
     for part in inbox::parts(node.settings.store_parts) {
         let here: Vec<KeyedRecord> = {
-            let kept = l.kept.lock();
+            let kept = l.inbox_keys.lock();
             let keys = drops.iter().flat_map(|job| kept.keys_of(part, *job));
             keys.map(InboxKey::drop_record).collect()
         };
--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -307,7 +307,7 @@
         }
         Some(l) if l.term < h.term => {
             log::warn!("event=lease_lost term={} to={} to_term={}", l.term, h.name, h.term);
-            let _ = l.end.send(true);
+            let _ = l.stop.send(true);
         }
         _ => {}
     }
--- a/src/workswood/ops/jobs/lease_renewal.rs
+++ b/src/workswood/ops/jobs/lease_renewal.rs
@@ -42,7 +42,7 @@
             }
             Err(StoreError::GuardFailed) => {
                 log::warn!("event=lease_overtaken term={}", l.term);
-                let _ = l.end.send(true);
+                let _ = l.stop.send(true);
                 return;
             }
             Err(e) => {
@@ -51,7 +51,7 @@
                     node.now() > renewed + HOPELESS_AFTER && node.settings.policy.calls.write_for_others;
                 if hopeless && help::release(&node, l.term).await {
                     log::warn!("event=lease_released term={} by=helper", l.term);
-                    let _ = l.end.send(true);
+                    let _ = l.stop.send(true);
                     return;
                 }
                 tokio::time::sleep(PAUSE).await;
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -41,46 +41,46 @@
     pub released: bool,
 }
 
-/// What other tasks see of the scheduler while this process runs it.
+/// What other tasks use of the scheduler while this process runs it.
 pub struct SchedulerHandle {
     /// Term of the lease.
     pub term: Term,
-    /// When the lease was seen to be ours.
-    pub since: Duration,
+    /// When this process saw that it holds the lease, on its own clock.
+    pub held_since: Duration,
     /// Events for the scheduler.
     pub tx: mpsc::UnboundedSender<Event>,
-    /// What callers may be told.
-    pub shown: RwLock<ShownJobs>,
-    /// All that was in the inbox at this time is in `shown`; ms since the
-    /// start, 0 before the first time.
-    pub inbox_read: AtomicU64,
-    /// Where the inbox holds what is known.
-    pub kept: Mutex<Kept>,
+    /// States of jobs that callers may be shown.
+    pub job_statuses: RwLock<ShownJobs>,
+    /// `job_statuses` reflects everything that was in the inbox at this time, in milliseconds
+    /// since the process started; 0 before the inbox was first read.
+    pub inbox_read_ms: AtomicU64,
+    /// Which parts of the inbox hold which keys.
+    pub inbox_keys: Mutex<Kept>,
     /// Until when workers' leases may be extended.
     pub grant: Grant,
-    /// Turns true when the scheduler has to end.
-    pub end: watch::Sender<bool>,
+    /// Set to true to stop the scheduler.
+    pub stop: watch::Sender<bool>,
 }
 
 impl SchedulerHandle {
-    /// A scheduler that has just got its lease, and may extend workers' leases for
-    /// some time before it renews it.
+    /// Returns the handle of a scheduler whose term has just begun. It may extend workers' leases
+    /// for `extension_grace` before it first renews its own.
     pub fn new(
         term: Term,
-        since: Duration,
-        grace: Duration,
+        held_since: Duration,
+        extension_grace: Duration,
         tx: mpsc::UnboundedSender<Event>,
-        end: watch::Sender<bool>,
+        stop: watch::Sender<bool>,
     ) -> SchedulerHandle {
         SchedulerHandle {
             term,
-            since,
+            held_since,
             tx,
-            shown: RwLock::default(),
-            inbox_read: AtomicU64::new(0),
-            kept: Mutex::default(),
-            grant: Grant::until(since + grace),
-            end,
+            job_statuses: RwLock::default(),
+            inbox_read_ms: AtomicU64::new(0),
+            inbox_keys: Mutex::default(),
+            grant: Grant::until(held_since + extension_grace),
+            stop,
         }
     }
 }
--- a/src/workswood/ops/jobs/scheduler_task.rs
+++ b/src/workswood/ops/jobs/scheduler_task.rs
@@ -99,8 +99,8 @@
     mut rx: mpsc::UnboundedReceiver<Event>,
     tasks: &mut JoinSet<()>,
 ) {
-    let Some(loaded) = load_until_done(&node, l.term, l.since).await else { return };
-    *l.kept.lock() = loaded.kept;
+    let Some(loaded) = load_until_done(&node, l.term, l.held_since).await else { return };
+    *l.inbox_keys.lock() = loaded.kept;
     let progress = Arc::new(InboxProgress::new(loaded.inbox_next.len()));
     for (part, next) in loaded.inbox_next {
         tasks.spawn(read_inbox(node.clone(), l.clone(), progress.clone(), part, next));
@@ -250,7 +250,7 @@
         if !batch.status_updates.is_empty() {
             self.show(batch.status_updates);
         }
-        self.l.inbox_read.store(batch.inbox_read_at.as_millis() as u64, Ordering::Release);
+        self.l.inbox_read_ms.store(batch.inbox_read_at.as_millis() as u64, Ordering::Release);
         for (id, number) in batch.acked_ends {
             self.sessions.forget(&id, number);
         }
@@ -294,7 +294,7 @@
 
     /// Shows callers the jobs of a stored batch.
     fn show(&self, shown: Vec<JobStatusUpdate>) {
-        let mut all = self.l.shown.write();
+        let mut all = self.l.job_statuses.write();
         shown.into_iter().for_each(|s| all.show(s));
     }
 }
--- a/src/workswood/ops/jobs/shutdown.rs
+++ b/src/workswood/ops/jobs/shutdown.rs
@@ -40,7 +40,7 @@
     let begun = node.now();
     node.stopping.send_replace(true);
     if let Some(l) = node.scheduler.load_full() {
-        let _ = l.end.send(true);
+        let _ = l.stop.send(true);
         lease_renewal::release(node, l.term).await;
     }
     tokio::time::sleep(BALANCER_LAG.saturating_sub(node.now() - begun)).await;
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -216,7 +216,7 @@
         state: Some(JobStatus::Running),
         timed: false,
     };
-    l.shown.write().show(shown);
+    l.job_statuses.write().show(shown);
     holder.scheduler.store(Some(Arc::new(l)));
     let node = Arc::new(Node::new(settings("entry-1"), store));
     let seen = Holder { id: holder.id.clone(), peers: cut.address.clone(), term: 7, released: false };
