--- a/src/workswood/ops/jobs/ask.rs
+++ b/src/workswood/ops/jobs/ask.rs
@@ -106,7 +106,7 @@
     if first.as_ref().is_some_and(&speaks) {
         return first;
     }
-    match node.later_holder(term, LATER_WITHIN).await {
+    match node.wait_for_later_holder(term, LATER_WITHIN).await {
         Some(later) => ask(node, &later, msg, &about).await,
         None => first,
     }
--- a/src/workswood/ops/jobs/feeds.rs
+++ b/src/workswood/ops/jobs/feeds.rs
@@ -60,7 +60,7 @@
     loop {
         match node.platform.tail(topic, next, wait).await {
             Ok(tail) => {
-                node.store_is_up();
+                node.note_store_answer();
                 wait = INBOX_WAIT;
                 next = tail.next;
                 hand_over(&l, part, &tail.records);
--- a/src/workswood/ops/jobs/follow.rs
+++ b/src/workswood/ops/jobs/follow.rs
@@ -75,7 +75,7 @@
                     log::info!("event=dependency_regained dependency=store topic={topic:?}");
                 }
                 failures = 0;
-                node.store_is_up();
+                node.note_store_answer();
                 next = Some(at);
                 heard(h);
                 if topic == Topic::Workers {
@@ -137,7 +137,7 @@
         let term = node.holder.load().as_ref().map_or(0, |h| h.term);
         if let Some(holder) = told.holder.filter(|h| h.term > term) {
             log::info!("event=lease_holder_from_peer id={} term={}", holder.id, holder.term);
-            node.know_holder(holder);
+            node.set_holder(holder);
         }
         told.evacuations.into_iter().for_each(|e| take_evacuated(&node, e));
     }
@@ -148,7 +148,7 @@
     let Some(evacuated) = node.operators.evacuate(now) else { return };
     let names: Vec<&str> = evacuated.iter().map(String::as_str).collect();
     log::info!("event=evacuations_in_force data_centres=\"{}\"", names.join(","));
-    node.tell_scheduler(Event::Evacuated(evacuated));
+    node.send_to_scheduler(Event::Evacuated(evacuated));
 }
 
 /// Takes in what operators wrote; evacuations are only noted.
@@ -163,11 +163,11 @@
             log::info!("event=config_in_force version={} queues={}", cfg.version, cfg.queues.len());
             let cfg = Arc::new(cfg);
             node.configure(cfg.clone(), rec.value.clone().unwrap_or_default());
-            node.tell_scheduler(Event::ConfigChanged(cfg));
+            node.send_to_scheduler(Event::ConfigChanged(cfg));
         }
         Ok(Some(OperatorRecord::Wave(wave))) => {
             node.waves.lock().insert(wave.number, wave.clone());
-            node.tell_scheduler(Event::WaveRequested(wave, None));
+            node.send_to_scheduler(Event::WaveRequested(wave, None));
         }
         Ok(Some(OperatorRecord::Evacuation { data_centre, evacuated: true })) => {
             _ = evacuated.insert(data_centre)
--- a/src/workswood/ops/jobs/inbox.rs
+++ b/src/workswood/ops/jobs/inbox.rs
@@ -354,17 +354,17 @@
     match res {
         Ok(_) => {
             node.inbox.patience.record(node.now() - begun);
-            node.store_is_up();
+            node.note_store_answer();
             node.inbox.failing.store(false, Ordering::Relaxed);
             Own::Done
         }
         Err(StoreError::Unknown { text }) => {
-            node.doubt.notify_one();
+            node.check_lease.notify_one();
             log_failed("inbox_append_unanswered", batch, &text);
             Own::Unsure
         }
         Err(e) => {
-            node.doubt.notify_one();
+            node.check_lease.notify_one();
             log_failed("inbox_append_refused", batch, &e.to_string());
             Own::Refused
         }
--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -139,7 +139,7 @@
 /// configuration may not claim; it begins to read once it has one, since a read
 /// that finds the lease free too early is followed by one that waits.
 pub async fn run(node: Arc<Node>) {
-    node.until_configured().await;
+    node.wait_until_configured().await;
     // What it must not start is known before it can lead.
     node.operators.until_known().await;
     let mut view: Option<View> = None;
@@ -149,7 +149,7 @@
             look(&node, v).await;
             continue;
         }
-        node.store_is_asked(true);
+        node.set_store_polled(true);
         let res = match &view {
             None => newest(&node).await,
             Some(v) => {
@@ -162,7 +162,7 @@
         failures = if res.is_err() { failures + 1 } else { 0 };
         match res {
             Ok(tail) => {
-                node.store_is_up();
+                node.note_store_answer();
                 let renewed = view.is_some() && !tail.records.is_empty();
                 let v = view.get_or_insert_with(|| View::new(&node, 0));
                 take(&node, v, tail);
@@ -187,15 +187,15 @@
 
 /// Looks after some time, or in doubt at once, whether the lease was renewed since the last look.
 async fn look(node: &Node, v: &mut View) {
-    node.store_is_asked(false);
+    node.set_store_polled(false);
     let every = LOOK_EVERY + spread(&node.settings.name, LOOK_SPREAD);
-    let doubted = tokio::time::timeout(every, node.doubt.notified()).await.is_ok();
+    let doubted = tokio::time::timeout(every, node.check_lease.notified()).await.is_ok();
     let res = newest(node).await;
     let now = node.now();
     v.awaits_renewal = doubted || res.is_err();
     match res {
         Ok(tail) => {
-            node.store_is_up();
+            node.note_store_answer();
             if tail.next != v.next {
                 take(node, v, tail);
             } else if !doubted {
@@ -265,7 +265,7 @@
     }
     log_holder(&seen);
     let holder = Holder { id: l.id, peers: l.peers, term: l.term, released: l.released };
-    node.know_holder(holder);
+    node.set_holder(holder);
     v.holder = Some(seen);
 }
 
--- a/src/workswood/ops/jobs/lease_renewal.rs
+++ b/src/workswood/ops/jobs/lease_renewal.rs
@@ -34,7 +34,7 @@
         let rec = LeaseRecord::of(&node, l.term, false).keyed();
         match node.platform.append(Topic::Lease, vec![rec], Guard::Term(l.term, number)).await {
             Ok(_) => {
-                node.store_is_up();
+                node.note_store_answer();
                 number += 1;
                 renewed = sent;
                 l.grant.extend(sent + GRACE);
--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -91,7 +91,7 @@
         Arc::new(PlatformClient::sharing(addresses, half_open.clone(), traffic.clone()));
     let clock = Clock::of_host();
     tokio::spawn(clock.clone().watch());
-    let node = Arc::new(Node::sharing(settings, platform, clock, half_open, traffic));
+    let node = Arc::new(Node::with_shared(settings, platform, clock, half_open, traffic));
     log::info!(
         "event=started id={} name={} data_centre={} callers={} peers={}",
         node.id,
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -115,7 +115,7 @@
     /// What goes over its link.
     pub traffic: Traffic,
     /// How late this process itself is.
-    pub lag: TimerLag,
+    pub timer_lag: TimerLag,
     /// The newest session of a lease holder that it serves as a relay.
     pub relay_session: watch::Sender<Session>,
     /// Its metrics.
@@ -129,7 +129,7 @@
     /// Since when the store is asked several times a second; [`NOT_ASKED`] while it is not.
     store_asked: AtomicU64,
     /// Wakes who follows the lease: its holder or the store may be gone.
-    pub doubt: Notify,
+    pub check_lease: Notify,
     /// Term of the holder that is known.
     holder_term: watch::Sender<Term>,
 }
@@ -137,7 +137,7 @@
 impl Node {
     /// A process that has not read anything yet, on the clock of the runtime.
     pub fn new(settings: JobSettings, platform: Arc<dyn JobPlatform>) -> Node {
-        Node::sharing(
+        Node::with_shared(
             settings,
             platform,
             Clock::of_runtime(),
@@ -148,7 +148,7 @@
 
     /// Likewise, on this clock; what the platform's client finds out of connections, and what
     /// goes over them, is shared.
-    pub fn sharing(
+    pub fn with_shared(
         settings: JobSettings,
         platform: Arc<dyn JobPlatform>,
         clock: Clock,
@@ -170,7 +170,7 @@
             inbox: Inbox::default(),
             half_open,
             traffic,
-            lag: TimerLag::default(),
+            timer_lag: TimerLag::default(),
             relay_session: watch::Sender::new((0, 0)),
             metrics: JobMetrics::default(),
             stopping: watch::Sender::new(false),
@@ -178,7 +178,7 @@
             clock,
             store_answered: AtomicU64::new(0),
             store_asked: AtomicU64::new(0),
-            doubt: Notify::new(),
+            check_lease: Notify::new(),
             holder_term: watch::Sender::new(0),
         }
     }
@@ -212,14 +212,14 @@
     }
 
     /// Waits until a configuration is in force.
-    pub async fn until_configured(&self) {
+    pub async fn wait_until_configured(&self) {
         let mut configured = self.configured.subscribe();
         // The sender lives as long as the process.
         let _ = configured.wait_for(|c| *c).await;
     }
 
     /// Notes that the store has answered.
-    pub fn store_is_up(&self) {
+    pub fn note_store_answer(&self) {
         self.store_answered.store(self.now_ms(), Ordering::Relaxed);
     }
 
@@ -234,7 +234,7 @@
     }
 
     /// Notes whether the store is asked several times a second from now on.
-    pub fn store_is_asked(&self, often: bool) {
+    pub fn set_store_polled(&self, often: bool) {
         let was = self.store_asked.load(Ordering::Relaxed);
         match (often, was) {
             (true, NOT_ASKED) => self.store_asked.store(self.now_ms(), Ordering::Relaxed),
@@ -244,16 +244,16 @@
     }
 
     /// Notes who holds the lease.
-    pub fn know_holder(&self, holder: Holder) {
+    pub fn set_holder(&self, holder: Holder) {
         let term = holder.term;
         self.holder.store(Some(Arc::new(holder)));
         self.holder_term.send_replace(term);
     }
 
     /// The holder of a later term than this, which may have begun; waits for some time until that is read.
-    pub async fn later_holder(&self, term: Term, within: Duration) -> Option<Arc<Holder>> {
+    pub async fn wait_for_later_holder(&self, term: Term, within: Duration) -> Option<Arc<Holder>> {
         let mut terms = self.holder_term.subscribe();
-        self.doubt.notify_one();
+        self.check_lease.notify_one();
         let later = tokio::time::timeout(within, terms.wait_for(|t| *t > term)).await;
         later.ok()?.ok()?;
         self.holder.load_full()
@@ -268,7 +268,7 @@
         m.evacuated.set(self.operators.evacuations().data_centres.len() as i64);
         m.half_open.set(self.half_open.count() as i64);
         m.store_silence_ms.set(self.store_silence().as_millis() as i64);
-        m.stood_still_ms.set(self.lag.total().as_millis() as i64);
+        m.stood_still_ms.set(self.timer_lag.total().as_millis() as i64);
         m.set_traffic(&self.traffic);
         m.text()
     }
@@ -279,7 +279,7 @@
     }
 
     /// Hands an event to the scheduler if it runs here.
-    pub fn tell_scheduler(&self, ev: Event) {
+    pub fn send_to_scheduler(&self, ev: Event) {
         if let Some(l) = self.scheduler.load().as_ref() {
             // A scheduler that has just ended takes no more events.
             let _ = l.tx.send(ev);
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -239,7 +239,7 @@
     let mut records = Records::default();
     loop {
         match read(&node, &mut records).await {
-            Ok(()) => node.store_is_up(),
+            Ok(()) => node.note_store_answer(),
             Err(e) => {
                 log::debug!("event=peers_not_read error=\"{e}\"");
                 tokio::time::sleep(PAUSE).await;
--- a/src/workswood/ops/jobs/relay/serve.rs
+++ b/src/workswood/ops/jobs/relay/serve.rs
@@ -66,7 +66,7 @@
         _ = take_orders(&node, rx, &mut relay, &grant, &beats) => "holder_gone",
         _ = send_news(&node, tx, &outbox, &beats) => "connection_broken",
         _ = other.wait_for(|s| *s > session) => "replaced",
-        () = node.lag.clone().measure() => "never",
+        () = node.timer_lag.clone().measure() => "never",
     };
     log::info!(
         "event=relay_session_ended holder={} term={} reason={why} workers={}",
@@ -109,7 +109,7 @@
     beats: &Beats,
 ) -> Result<(), Closed> {
     loop {
-        let msg = node.lag.timeout(HOLDER_SILENT, rx.next()).await.ok_or(Closed)??;
+        let msg = node.timer_lag.timeout(HOLDER_SILENT, rx.next()).await.ok_or(Closed)??;
         let Msg::RelayOrders(frame) = msg else { return Err(Closed) };
         if let Some(g) = frame.grant
             && let Some(sent) = beats.answered(g.heartbeat)
--- a/src/workswood/ops/jobs/relay_sessions.rs
+++ b/src/workswood/ops/jobs/relay_sessions.rs
@@ -62,7 +62,7 @@
     pub(super) fn new(node: Arc<Node>, l: Arc<SchedulerHandle>, tasks: &mut JoinSet<()>) -> Sessions {
         let own = Relay::new(node.clone(), l.grant.clone(), Sink::Here(l.tx.clone()));
         tasks.spawn(beat(node.settings.name.clone(), l.clone()));
-        tasks.spawn(node.lag.clone().measure());
+        tasks.spawn(node.timer_lag.clone().measure());
         let (sessions, attended) = (HashMap::new(), HashMap::new());
         Sessions { node, l, own, sessions, attended, next: 0, opened: 0 }
     }
@@ -249,14 +249,14 @@
                 _ => Err(Closed),
             }
         };
-        self.node.lag.timeout(OPEN_WITHIN, opening).await?.ok()
+        self.node.timer_lag.timeout(OPEN_WITHIN, opening).await?.ok()
     }
 
     /// Hears the relay until it is lost.
     async fn hear(&self, mut news: DuplexRx, tx: mpsc::UnboundedSender<wire::RelayOrders>) -> End {
         let mut left = false;
         loop {
-            let frame = match self.node.lag.timeout(RELAY_SILENT, news.next()).await {
+            let frame = match self.node.timer_lag.timeout(RELAY_SILENT, news.next()).await {
                 Some(Ok(Msg::RelayUpdate(frame))) => frame,
                 Some(Ok(_) | Err(Closed)) => return End::Broken,
                 None => return End::Silent,
--- a/src/workswood/ops/jobs/restore_state.rs
+++ b/src/workswood/ops/jobs/restore_state.rs
@@ -35,7 +35,7 @@
     let parts: Vec<Partition> = inbox::parts(node.settings.store_parts).collect();
     let inbox = try_join_all(parts.iter().map(|p| node.platform.latest(Topic::Inbox(*p))));
     let (inbox, state) = tokio::try_join!(inbox, node.platform.latest(Topic::State))?;
-    node.store_is_up();
+    node.note_store_answer();
     let read = node.now();
     let inbox: Vec<(Partition, LatestRecords)> = parts.into_iter().zip(inbox).collect();
     let inbox_next = inbox.iter().map(|(part, n)| (*part, n.next)).collect();
--- a/src/workswood/ops/jobs/scheduler_task.rs
+++ b/src/workswood/ops/jobs/scheduler_task.rs
@@ -316,7 +316,7 @@
     loop {
         match node.platform.append(Topic::State, records.clone(), Guard::Term(term, number)).await {
             Ok(_) => {
-                node.store_is_up();
+                node.note_store_answer();
                 return Some(batch);
             }
             Err(StoreError::GuardFailed) => {
--- a/src/workswood/ops/jobs/usage_log.rs
+++ b/src/workswood/ops/jobs/usage_log.rs
@@ -23,7 +23,7 @@
         let leads = node.scheduler.load().is_some();
         let relayed = node.metrics.relayed_workers.get();
         let now: BTreeMap<Purpose, TrafficTotals> = node.traffic.totals().into_iter().collect();
-        let total = node.lag.total();
+        let total = node.timer_lag.total();
         if leads || relayed > 0 {
             let text = line(&before, &now);
             let stood = (total - still).as_millis();
--- a/tests/testsuite/inbox_appends.rs
+++ b/tests/testsuite/inbox_appends.rs
@@ -142,7 +142,7 @@
     tokio::time::sleep(ms(20_000)).await;
     store.takes(ms(4));
     // As the process's reads of the store do.
-    node.store_is_up();
+    node.note_store_answer();
     // The first one finds out that the store is well; it must not be refused.
     let told = hand_in(&node, 20, ms(300)).await;
     assert!(told.iter().all(|(s, _)| *s == Stored::Yes), "{told:?}");
--- a/tests/testsuite/lease_looks.rs
+++ b/tests/testsuite/lease_looks.rs
@@ -82,7 +82,7 @@
     renew(&store, 10).await;
     store.write_lease(holder(9));
     assert_eq!(node.holder.load().as_ref().map(|h| h.term), Some(7), "it has not looked");
-    let later = node.later_holder(7, Duration::from_millis(100)).await;
+    let later = node.wait_for_later_holder(7, Duration::from_millis(100)).await;
     assert_eq!(later.map(|h| h.term), Some(9));
 }
 
@@ -95,7 +95,7 @@
     for _ in 0..60 {
         renew(&store, 1).await;
         // What operators write is waited for at the same time.
-        node.store_is_up();
+        node.note_store_answer();
         tokio::time::sleep(node.settings.news_wait() / 2).await;
         assert!(node.store_silence() < Duration::from_millis(1000), "{:?}", node.store_silence());
     }
