--- a/src/workswood/ops/jobs/ask.rs
+++ b/src/workswood/ops/jobs/ask.rs
@@ -119,7 +119,7 @@
         return None;
     }
     let begun = node.now();
-    let answer = node.peers.call_again(&node.id, &holder.peers, msg, CALL_TIMEOUT).await;
+    let answer = node.peers.call_again(&node.id, &holder.peer_address, msg, CALL_TIMEOUT).await;
     if let Err(e) = &answer {
         let took = (node.now() - begun).as_millis();
         log::info!(
--- a/src/workswood/ops/jobs/help.rs
+++ b/src/workswood/ops/jobs/help.rs
@@ -119,7 +119,7 @@
 fn helpers(node: &Node) -> Vec<String> {
     let own = node.settings.peers.to_string();
     let holder = node.holder.load_full().filter(|h| !h.released && h.id != node.id);
-    let mut addresses: Vec<String> = holder.map(|h| h.peers.clone()).into_iter().collect();
+    let mut addresses: Vec<String> = holder.map(|h| h.peer_address.clone()).into_iter().collect();
     for other in node.peers.helpers(&own, MOST_HELPERS + 1) {
         if !addresses.contains(&other) {
             addresses.push(other);
@@ -153,7 +153,7 @@
     let holder = node.holder.load_full().filter(|h| !h.released);
     let holder = holder.map(|h| LeaseHolder {
         incarnation: h.id.clone(),
-        peer_address: h.peers.clone(),
+        peer_address: h.peer_address.clone(),
         term: h.term,
     });
     ConfigReply { record: newer.map(|text| Bytes::clone(&text)).unwrap_or_default(), evacuated, holder }
@@ -195,7 +195,7 @@
         }
         let holder = reply.holder.map(|h| Holder {
             id: h.incarnation,
-            peers: h.peer_address,
+            peer_address: h.peer_address,
             term: h.term,
             released: false,
         });
--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -40,7 +40,8 @@
     /// Name of its host.
     pub name: String,
     /// Its peer listener.
-    pub peers: String,
+    #[serde(rename = "peers")]
+    pub peer_address: String,
     /// Its term.
     pub term: Term,
     /// Whether it gives the lease back.
@@ -57,7 +58,7 @@
         LeaseRecord {
             id: node.id.clone(),
             name: node.settings.name.clone(),
-            peers: node.settings.peers.to_string(),
+            peer_address: node.settings.peers.to_string(),
             term,
             released,
             strength: Some(node.settings.strength()),
@@ -264,7 +265,7 @@
         v.term_seen = v.heard;
     }
     log_holder(&seen);
-    let holder = Holder { id: l.id, peers: l.peers, term: l.term, released: l.released };
+    let holder = Holder { id: l.id, peer_address: l.peer_address, term: l.term, released: l.released };
     node.set_holder(holder);
     v.holder = Some(seen);
 }
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -34,7 +34,7 @@
     /// Its incarnation.
     pub id: Incarnation,
     /// Its peer listener.
-    pub peers: String,
+    pub peer_address: String,
     /// Its term.
     pub term: Term,
     /// Whether it gave the lease back.
--- a/tests/testsuite/peer_help.rs
+++ b/tests/testsuite/peer_help.rs
@@ -30,7 +30,7 @@
 /// Makes a process know who holds the lease.
 fn tell_holder(node: &Node, holder: &Node) {
     let (id, peers) = (holder.id.clone(), holder.settings.peers.to_string());
-    node.holder.store(Some(Arc::new(Holder { id, peers, term: 7, released: false })));
+    node.holder.store(Some(Arc::new(Holder { id, peer_address: peers, term: 7, released: false })));
 }
 
 fn store(fates: &[Fate]) -> Arc<TurnStore> {
@@ -139,7 +139,12 @@
     let gone = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let peers = gone.local_addr().expect("an address").to_string();
     drop(gone);
-    a.holder.store(Some(Arc::new(Holder { id: "gone".to_string(), peers, term: 7, released: false })));
+    a.holder.store(Some(Arc::new(Holder {
+        id: "gone".to_string(),
+        peer_address: peers,
+        term: 7,
+        released: false,
+    })));
     assert_eq!(a.inbox.store(rec("job-1"), WAITS).await, Stored::No, "nothing was sent to it");
 }
 
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -219,7 +219,7 @@
     l.job_statuses.write().show(shown);
     holder.scheduler.store(Some(Arc::new(l)));
     let node = Arc::new(Node::new(settings("entry-1"), store));
-    let seen = Holder { id: holder.id.clone(), peers: cut.address.clone(), term: 7, released: false };
+    let seen = Holder { id: holder.id.clone(), peer_address: cut.address.clone(), term: 7, released: false };
     node.holder.store(Some(Arc::new(seen)));
     for _ in 0..3 {
         assert_eq!(
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -954,7 +954,7 @@
 #[tokio::test(start_paused = true)]
 async fn lease_record() {
     let held = holder_read(text(LEASE_AND_PEERS, "lease-held")).await;
-    assert_eq!((held.id.as_str(), held.peers.as_str()), ("a1", "10.0.0.3:7001"));
+    assert_eq!((held.id.as_str(), held.peer_address.as_str()), ("a1", "10.0.0.3:7001"));
     assert_eq!((held.term, held.released), (7, false));
     let earlier = holder_read(text(LEASE_AND_PEERS, "lease-of-earlier-version")).await;
     assert_eq!((earlier.term, earlier.released), (8, false));
