--- a/src/workswood/ops/job_status/sum.rs
+++ b/src/workswood/ops/job_status/sum.rs
@@ -11,7 +11,7 @@
 use workswood_platform::jobs::{JobPlatform, KeyedRecord, OperatorRecord};
 
 use super::Seen;
-use crate::ops::jobs::record::{InboxItem, InboxKey, inbox_key};
+use crate::ops::jobs::record::{InboxKey, InboxRecordKind, parse_inbox_key};
 use crate::ops::jobs::{job_spec, job_state};
 
 /// Start of the key under which the scheduler keeps the progress of a wave.
@@ -241,7 +241,9 @@
 fn handed_in(reader: &mut Reader, seen: &Seen) -> BTreeMap<JobKey, JobSpec> {
     let mut all: BTreeMap<JobKey, JobSpec> = BTreeMap::new();
     for rec in &seen.inbox {
-        let Some(InboxKey { job, what: InboxItem::Job, .. }) = inbox_key(&rec.key) else { continue };
+        let Some(InboxKey { job, kind: InboxRecordKind::Job, .. }) = parse_inbox_key(&rec.key) else {
+            continue;
+        };
         let Some(spec) = reader.spec(rec) else { continue };
         if all.get(&job).is_none_or(|first| spec.accepted_at < first.accepted_at) {
             all.insert(job, spec);
--- a/src/workswood/ops/jobs/inbox.rs
+++ b/src/workswood/ops/jobs/inbox.rs
@@ -33,7 +33,7 @@
 
 use super::help;
 use super::node::Node;
-use super::record::{InboxItem, InboxKey};
+use super::record::{InboxKey, InboxRecordKind};
 
 /// Appends on their way at a time. The store takes appends in turn, so there is
 /// one, and two more only while it hangs.
@@ -170,7 +170,7 @@
 
     /// Keys of a job that a part holds, whoever wrote them.
     pub fn keys_of(&self, part: Partition, job: JobKey) -> Vec<InboxKey> {
-        let first = InboxKey { job, owner: Owner::PUBLIC, what: InboxItem::Job };
+        let first = InboxKey { job, owner: Owner::PUBLIC, kind: InboxRecordKind::Job };
         let of_job = self.0.range(first..).take_while(|(key, _)| key.job == job);
         of_job.filter(|(_, parts)| **parts & (1 << part) != 0).map(|(key, _)| *key).collect()
     }
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -22,7 +22,7 @@
 use workswood_traffic::Traffic;
 
 use super::node::Node;
-use super::record::{drop_record, value_record};
+use super::record::{drop_record, json_record};
 
 /// Peers on the prepared platform share no secret: their network is their own.
 pub const TOKEN: &str = "";
@@ -274,7 +274,7 @@
         data_centre: s.data_centre.clone(),
         strength: s.strength(),
     };
-    let rec = value_record(node.settings.name.clone(), &own);
+    let rec = json_record(node.settings.name.clone(), &own);
     let res = node.platform.append(Topic::Peers, vec![rec], Guard::None).await;
     res.inspect_err(|e| log::warn!("event=peer_record_not_written error=\"{e}\"")).is_ok()
 }
--- a/src/workswood/ops/jobs/record.rs
+++ b/src/workswood/ops/jobs/record.rs
@@ -1,11 +1,12 @@
-//! The stored form of what the scheduler and the entries keep.
+//! Keys and records of the inbox and of the scheduler's state, as they are stored.
 //!
-//! The inbox holds a job under its 16 hex digits, and a cancel under `x` and
-//! the digits; `-` and 16 hex digits for its owner follow where a workspace owns the job, so that
-//! what another workspace writes of the same number replaces nothing. The state holds a job's state under its digits and a wave's
-//! progress under `wave-` and its number, and a life of a worker under
-//! `worker-` and its id. A host that was ordered about lately has a record
-//! under `ordered-` and its name.
+//! The inbox holds a job under the 16 hex digits of its key, and the cancellation of a job under
+//! `x` and the digits. Where a workspace owns the job, `-` and 16 hex digits for the owner follow,
+//! so that one workspace can't replace what another wrote under the same job key.
+//!
+//! The state holds a job under its 16 hex digits, the progress of a wave under `wave-` and its
+//! number, a life of a worker under `worker-` and its id, and the mark of a host that was ordered
+//! recently under `ordered-` and its name.
 
 use std::fmt;
 
@@ -19,102 +20,103 @@
 
 use super::{job_spec, job_state};
 
-/// Start of the key of a cancel.
-const CANCEL: &str = "x";
-/// What stands between a job's number and its owner's.
-const OWNER: char = '-';
-/// Start of the key of a wave's progress.
-const WAVE: &str = "wave-";
-/// Start of the key of a life of a worker.
-const WORKER: &str = "worker-";
-/// Start of the key of a host that was ordered about lately.
-const ORDERED: &str = "ordered-";
-
-/// A key of the inbox. Keys of one job stand together.
+/// Prefix of the key of a cancellation.
+const CANCEL_PREFIX: &str = "x";
+/// Separates the digits of a job from those of its owner.
+const OWNER_SEPARATOR: char = '-';
+/// Prefix of the key of a wave's progress.
+const WAVE_PREFIX: &str = "wave-";
+/// Prefix of the key of a life of a worker.
+const WORKER_PREFIX: &str = "worker-";
+/// Prefix of the key of a host that was ordered recently.
+const ORDERED_PREFIX: &str = "ordered-";
+
+/// A key of the inbox. Keys are ordered by job first, so those of one job are adjacent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InboxKey {
     /// The job.
     pub job: JobKey,
-    /// Who wrote it.
+    /// The workspace that wrote the record.
     pub owner: Owner,
-    /// What is held under it.
-    pub what: InboxItem,
+    /// What the record says of the job.
+    pub kind: InboxRecordKind,
 }
 
-/// What the inbox holds.
+/// Kind of a record of the inbox.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum InboxItem {
-    /// A job as it was handed in.
+pub enum InboxRecordKind {
+    /// The job, as it was submitted.
     Job,
-    /// That it was cancelled.
+    /// The cancellation of the job.
     Cancel,
 }
 
 /// A key of the state.
 pub enum StateKey {
-    /// State of a job.
+    /// The state of a job.
     Job(JobKey),
-    /// Progress of a wave.
+    /// The progress of the wave with this number.
     Wave(u64),
     /// A life of a worker.
     Worker(WorkerId),
-    /// A host that was ordered about lately.
-    Ordered(HostId),
+    /// The mark of a host that was ordered recently.
+    HostOrderMark(HostId),
 }
 
-/// Reads a key of the inbox.
-pub fn inbox_key(key: &str) -> Option<InboxKey> {
-    let (what, name) = match key.strip_prefix(CANCEL) {
-        Some(name) => (InboxItem::Cancel, name),
-        None => (InboxItem::Job, key),
+/// Parses a key of the inbox; `None` if it is malformed.
+pub fn parse_inbox_key(key: &str) -> Option<InboxKey> {
+    let (kind, name) = match key.strip_prefix(CANCEL_PREFIX) {
+        Some(name) => (InboxRecordKind::Cancel, name),
+        None => (InboxRecordKind::Job, key),
     };
-    let (job, owner) = name.split_once(OWNER).map_or((name, None), |(job, owner)| (job, Some(owner)));
+    let (job, owner) =
+        name.split_once(OWNER_SEPARATOR).map_or((name, None), |(job, owner)| (job, Some(owner)));
     let owner = match owner {
         Some(digits) => Owner::from_number(parse_job_key(digits)?),
         None => Owner::PUBLIC,
     };
-    Some(InboxKey { job: parse_job_key(job)?, owner, what })
+    Some(InboxKey { job: parse_job_key(job)?, owner, kind })
 }
 
-/// Reads a key of the state.
-pub fn state_key(key: &str) -> Option<StateKey> {
-    if let Some(n) = key.strip_prefix(WAVE) {
+/// Parses a key of the state; `None` if it is malformed.
+pub fn parse_state_key(key: &str) -> Option<StateKey> {
+    if let Some(n) = key.strip_prefix(WAVE_PREFIX) {
         return n.parse().ok().map(StateKey::Wave);
     }
-    if let Some(id) = key.strip_prefix(WORKER) {
+    if let Some(id) = key.strip_prefix(WORKER_PREFIX) {
         return Some(StateKey::Worker(id.into()));
     }
-    if let Some(host) = key.strip_prefix(ORDERED) {
-        return Some(StateKey::Ordered(host.to_string()));
+    if let Some(host) = key.strip_prefix(ORDERED_PREFIX) {
+        return Some(StateKey::HostOrderMark(host.to_string()));
     }
     parse_job_key(key).map(StateKey::Job)
 }
 
-/// Key of a job in the state.
+/// Returns the key of a job in the state.
 pub fn job_key(job: JobKey) -> String {
     format_job_key(job)
 }
 
-/// A cancel as a record of the inbox.
+/// Returns the inbox record that cancels a job.
 pub fn cancel_record(job: JobKey, owner: Owner) -> KeyedRecord {
-    let key = InboxKey { job, owner, what: InboxItem::Cancel };
+    let key = InboxKey { job, owner, kind: InboxRecordKind::Cancel };
     KeyedRecord { key: key.to_string(), value: Some(Bytes::from_static(b"1")) }
 }
 
-/// A job as a record of the inbox.
+/// Returns the inbox record of a submitted job.
 pub fn job_record(job: JobKey, spec: &JobSpec) -> KeyedRecord {
-    let key = InboxKey { job, owner: spec.owner(), what: InboxItem::Job };
+    let key = InboxKey { job, owner: spec.owner(), kind: InboxRecordKind::Job };
     KeyedRecord { key: key.to_string(), value: Some(job_spec::encode(spec).into()) }
 }
 
-/// Any value as a record.
-pub fn value_record<T: Serialize>(key: String, value: &T) -> KeyedRecord {
+/// Returns a record with the value in JSON.
+pub fn json_record<T: Serialize>(key: String, value: &T) -> KeyedRecord {
     let value = serde_json::to_vec(value).unwrap_or_default();
     KeyedRecord { key, value: Some(value.into()) }
 }
 
 impl InboxKey {
-    /// The record that drops what the inbox holds under this key.
+    /// Returns the record that deletes what the inbox holds under this key.
     pub fn drop_record(self) -> KeyedRecord {
         drop_record(self.to_string())
     }
@@ -122,41 +124,41 @@
 
 impl fmt::Display for InboxKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let start = match self.what {
-            InboxItem::Job => "",
-            InboxItem::Cancel => CANCEL,
+        let prefix = match self.kind {
+            InboxRecordKind::Job => "",
+            InboxRecordKind::Cancel => CANCEL_PREFIX,
         };
-        write!(f, "{start}{}", format_job_key(self.job))?;
+        write!(f, "{prefix}{}", format_job_key(self.job))?;
         if self.owner.is_public() {
             Ok(())
         } else {
-            write!(f, "{OWNER}{}", format_job_key(self.owner.number()))
+            write!(f, "{OWNER_SEPARATOR}{}", format_job_key(self.owner.number()))
         }
     }
 }
 
-/// The record that drops what is stored under a key.
+/// Returns the record that deletes what is stored under a key.
 pub fn drop_record(key: String) -> KeyedRecord {
     KeyedRecord { key, value: None }
 }
 
-/// A record of the scheduler's state as it is stored.
+/// Returns the stored form of a record of the scheduler's state.
 pub fn state_record(rec: &Record) -> KeyedRecord {
     match rec {
         Record::Job(job, state) => {
             KeyedRecord { key: job_key(*job), value: Some(job_state::encode(state).into()) }
         }
         Record::DropJob(job) => drop_record(job_key(*job)),
-        Record::Wave(n, progress) => value_record(format!("{WAVE}{n}"), progress),
-        Record::Worker(id, worker) => value_record(format!("{WORKER}{id}"), worker),
-        Record::HostOrderMark(host, Some(holder)) => value_record(format!("{ORDERED}{host}"), holder),
-        Record::HostOrderMark(host, None) => drop_record(format!("{ORDERED}{host}")),
-        Record::DropWorker(id) => drop_record(format!("{WORKER}{id}")),
+        Record::Wave(n, progress) => json_record(format!("{WAVE_PREFIX}{n}"), progress),
+        Record::Worker(id, worker) => json_record(format!("{WORKER_PREFIX}{id}"), worker),
+        Record::HostOrderMark(host, Some(holder)) => json_record(format!("{ORDERED_PREFIX}{host}"), holder),
+        Record::HostOrderMark(host, None) => drop_record(format!("{ORDERED_PREFIX}{host}")),
+        Record::DropWorker(id) => drop_record(format!("{WORKER_PREFIX}{id}")),
     }
 }
 
-/// The job that leaves the inbox with a record of the state.
-pub fn inbox_drop(rec: &Record) -> Option<JobKey> {
+/// Returns the job whose state the record deletes, if any.
+pub fn dropped_job(rec: &Record) -> Option<JobKey> {
     match rec {
         Record::DropJob(job) => Some(*job),
         Record::Job(..)
--- a/src/workswood/ops/jobs/restore_state.rs
+++ b/src/workswood/ops/jobs/restore_state.rs
@@ -13,7 +13,7 @@
 use super::inbox::{self, Kept};
 use super::limits::limits;
 use super::node::Node;
-use super::record::{InboxItem, InboxKey, StateKey, inbox_key, state_key};
+use super::record::{InboxKey, InboxRecordKind, StateKey, parse_inbox_key, parse_state_key};
 use super::{job_spec, job_state};
 
 /// A scheduler with its predecessors' state.
@@ -90,7 +90,7 @@
     let mut s = Stored::default();
     for rec in state.records {
         let value = rec.value.unwrap_or_default();
-        match state_key(&rec.key) {
+        match parse_state_key(&rec.key) {
             Some(StateKey::Job(key)) => match job_state::decode(&value) {
                 Ok(j) => drop(s.jobs.insert(key, j)),
                 Err(e) => log::error!("event=record_not_read code=203 key={} error=\"{e}\"", rec.key),
@@ -106,7 +106,7 @@
                 }
             }
             // The version before wrote no name: some other holder.
-            Some(StateKey::Ordered(host)) => {
+            Some(StateKey::HostOrderMark(host)) => {
                 s.ordered.push((host, serde_json::from_slice(&value).unwrap_or_default()));
             }
             None => log::error!("event=record_not_read code=203 key={}", rec.key),
@@ -155,7 +155,7 @@
 
 /// Notes whether the inbox holds the key of a record.
 pub fn note_kept(kept: &mut Kept, part: Partition, rec: &KeyedRecord) {
-    match (inbox_key(&rec.key), &rec.value) {
+    match (parse_inbox_key(&rec.key), &rec.value) {
         (Some(key), Some(_)) => kept.note(part, key),
         (Some(key), None) => kept.dropped(part, key),
         // Logged where it is read as an event.
@@ -166,15 +166,15 @@
 /// What a record of the inbox means.
 pub fn inbox_event(rec: &KeyedRecord) -> Option<Event> {
     let value = rec.value.as_deref()?;
-    match inbox_key(&rec.key) {
-        Some(InboxKey { job, what: InboxItem::Job, .. }) => {
+    match parse_inbox_key(&rec.key) {
+        Some(InboxKey { job, kind: InboxRecordKind::Job, .. }) => {
             let spec = job_spec::decode(value);
             let logged = spec.inspect_err(|e| {
                 log::error!("event=record_not_read code=203 key={} error=\"{e}\"", rec.key);
             });
             Some(Event::Submitted(job, Arc::new(logged.ok()?)))
         }
-        Some(InboxKey { job, owner, what: InboxItem::Cancel }) => Some(Event::Cancelled(job, owner)),
+        Some(InboxKey { job, owner, kind: InboxRecordKind::Cancel }) => Some(Event::Cancelled(job, owner)),
         None => {
             log::error!("event=record_not_read code=203 key={}", rec.key);
             None
--- a/tests/testsuite/over_jobs.rs
+++ b/tests/testsuite/over_jobs.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use workswood::ops::jobs::inbox::Kept;
-use workswood::ops::jobs::record::{InboxItem, InboxKey};
+use workswood::ops::jobs::record::{InboxKey, InboxRecordKind};
 use workswood_core::jobs::job_table::{ArchivedJob, JobTable};
 use workswood_core::jobs::types::Record;
 use workswood_core::jobs::{
@@ -124,7 +124,7 @@
 
 #[test]
 fn kept_where_it_was_read() {
-    let key = InboxKey { job: 7, owner: Owner::PUBLIC, what: InboxItem::Job };
+    let key = InboxKey { job: 7, owner: Owner::PUBLIC, kind: InboxRecordKind::Job };
     let mut kept = Kept::default();
     kept.note(0, key);
     kept.note(3, key);
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -20,7 +20,8 @@
 use workswood::ops::jobs::node::Holder;
 use workswood::ops::jobs::operator_state::Evacuations;
 use workswood::ops::jobs::record::{
-    InboxItem, StateKey, cancel_record, drop_record, inbox_key, job_record, state_key, state_record,
+    InboxRecordKind, StateKey, cancel_record, drop_record, job_record, parse_inbox_key, parse_state_key,
+    state_record,
 };
 use workswood::ops::jobs::relay::order::{Order, What};
 use workswood::ops::jobs::relay::wire::{read_news, read_orders, write_news, write_orders};
@@ -300,7 +301,7 @@
 /// A record of the scheduler's state, read as a new lease holder reads it.
 fn read_state(rec: &KeyedRecord) -> Record {
     let value = rec.value.as_deref();
-    match (state_key(&rec.key).expect("a key of the state"), value) {
+    match (parse_state_key(&rec.key).expect("a key of the state"), value) {
         (StateKey::Job(job), Some(value)) => {
             Record::Job(job, job_state::decode(value).expect("a job's state"))
         }
@@ -312,7 +313,7 @@
             Record::Worker(id, serde_json::from_slice(value).expect("a worker"))
         }
         (StateKey::Worker(id), None) => Record::DropWorker(id),
-        (StateKey::Ordered(host), value) => {
+        (StateKey::HostOrderMark(host), value) => {
             Record::Ordered(host, value.map(|v| serde_json::from_slice(v).expect("a holder's name")))
         }
     }
@@ -402,10 +403,10 @@
     assert_eq!(all.len(), 4);
     for line in all {
         let stored = keyed(line);
-        let key = inbox_key(line.0).expect("a key of the inbox");
-        let written = match key.what {
-            InboxItem::Job => job_record(key.job, &inbox_spec(line.0)),
-            InboxItem::Cancel => cancel_record(key.job, key.owner),
+        let key = parse_inbox_key(line.0).expect("a key of the inbox");
+        let written = match key.kind {
+            InboxRecordKind::Job => job_record(key.job, &inbox_spec(line.0)),
+            InboxRecordKind::Cancel => cancel_record(key.job, key.owner),
         };
         assert_eq!(written, stored, "{}", line.0);
         assert_eq!(key.drop_record(), drop_record(line.0.to_string()));
