--- a/src/workswood/ops/jobs/follow.rs
+++ b/src/workswood/ops/jobs/follow.rs
@@ -89,7 +89,7 @@
                 }
                 failures += 1;
                 if topic == Topic::Operators {
-                    node.operators.reading_fails();
+                    node.operator_state.note_read_failure();
                 }
                 tokio::time::sleep(pause_after(failures)).await;
             }
@@ -110,8 +110,8 @@
             Heard::Changes(records) => records,
         };
         records.iter().for_each(|r| take_item(&n, r, &mut evacuated));
-        n.operators.reading_succeeds();
-        take_evacuated(&n, Evacuations { data_centres: evacuated.clone(), read: n.now() });
+        n.operator_state.note_read_success();
+        take_evacuated(&n, Evacuations { data_centres: evacuated.clone(), read_at: n.now() });
     })
     .await;
 }
@@ -123,8 +123,8 @@
 pub async fn ask_peers(node: Arc<Node>) {
     loop {
         tokio::time::sleep(ASK_EVERY).await;
-        let age = node.operators.age(node.now());
-        let fails = node.operators.is_reading_failing() && age > FAILS_LATE;
+        let age = node.operator_state.age(node.now());
+        let fails = node.operator_state.last_read_failed() && age > FAILS_LATE;
         if !fails && age < node.settings.news_wait() + READ_LATE {
             continue;
         }
@@ -145,7 +145,7 @@
 
 /// Takes in which data centres are evacuated.
 fn take_evacuated(node: &Node, now: Evacuations) {
-    let Some(evacuated) = node.operators.evacuate(now) else { return };
+    let Some(evacuated) = node.operator_state.set_evacuations(now) else { return };
     let names: Vec<&str> = evacuated.iter().map(String::as_str).collect();
     log::info!("event=evacuations_in_force data_centres=\"{}\"", names.join(","));
     node.send_to_scheduler(Event::Evacuated(evacuated));
--- a/src/workswood/ops/jobs/help.rs
+++ b/src/workswood/ops/jobs/help.rs
@@ -149,7 +149,7 @@
 fn newer_config(node: &Node, asked: &ConfigRequest) -> ConfigReply {
     let known = node.config.load().as_ref().map_or(0, |c| c.version);
     let newer = node.config_text.load_full().filter(|_| known > asked.version);
-    let evacuated = node.operators.are_known().then(|| evacuated(node));
+    let evacuated = node.operator_state.is_known().then(|| evacuated(node));
     let holder = node.holder.load_full().filter(|h| !h.released);
     let holder = holder.map(|h| LeaseHolder {
         incarnation: h.id.clone(),
@@ -161,8 +161,8 @@
 
 /// Which data centres are evacuated, as this process knows.
 fn evacuated(node: &Node) -> EvacuatedDataCentres {
-    let known = node.operators.evacuations();
-    let age_ms = node.operators.age(node.now()).as_millis() as u64;
+    let known = node.operator_state.evacuations();
+    let age_ms = node.operator_state.age(node.now()).as_millis() as u64;
     EvacuatedDataCentres { data_centres: known.data_centres.iter().cloned().collect(), age_ms }
 }
 
@@ -202,7 +202,7 @@
         wishes.holder = wishes.holder.into_iter().chain(holder).max_by_key(|h| h.term);
         wishes.evacuations.extend(reply.evacuated.map(|e| Evacuations {
             data_centres: e.data_centres.into_iter().collect(),
-            read: asked.saturating_sub(Duration::from_millis(e.age_ms)),
+            read_at: asked.saturating_sub(Duration::from_millis(e.age_ms)),
         }));
     }
     if !wishes.configs.is_empty() {
--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -142,7 +142,7 @@
 pub async fn run(node: Arc<Node>) {
     node.wait_until_configured().await;
     // What it must not start is known before it can lead.
-    node.operators.until_known().await;
+    node.operator_state.wait_until_known().await;
     let mut view: Option<View> = None;
     let mut failures = 0;
     loop {
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -16,7 +16,7 @@
 use workswood_traffic::Traffic;
 
 use super::inbox::{Inbox, Kept};
-use super::operator_state::Operators;
+use super::operator_state::OperatorState;
 use super::peers::Peers;
 use super::relay::Grant;
 use super::relay::serve::Session;
@@ -99,7 +99,7 @@
     /// it is neither logged nor stored.
     pub config_text: ArcSwapOption<Bytes>,
     /// What operators have evacuated.
-    pub operators: Operators,
+    pub operator_state: OperatorState,
     /// Maintenance waves that operators asked for.
     pub waves: Mutex<BTreeMap<u64, Wave>>,
     /// Who holds the lease.
@@ -155,14 +155,14 @@
         half_open: HalfOpenDetector,
         traffic: Traffic,
     ) -> Node {
-        let operators = Operators::new(settings.news_wait());
+        let operator_state = OperatorState::new(settings.news_wait());
         Node {
             settings,
             platform,
             id: uuid::Uuid::new_v4().simple().to_string(),
             config: ArcSwapOption::empty(),
             config_text: ArcSwapOption::empty(),
-            operators,
+            operator_state,
             waves: Mutex::default(),
             holder: ArcSwapOption::empty(),
             scheduler: ArcSwapOption::empty(),
@@ -265,7 +265,7 @@
         m.leading.set(i64::from(self.scheduler.load().is_some()));
         m.lease_term.set(self.holder.load().as_ref().map_or(0, |h| h.term as i64));
         m.config_version.set(self.config.load().as_ref().map_or(0, |c| c.version as i64));
-        m.evacuated.set(self.operators.evacuations().data_centres.len() as i64);
+        m.evacuated.set(self.operator_state.evacuations().data_centres.len() as i64);
         m.half_open.set(self.half_open.count() as i64);
         m.store_silence_ms.set(self.store_silence().as_millis() as i64);
         m.stood_still_ms.set(self.timer_lag.total().as_millis() as i64);
--- a/src/workswood/ops/jobs/operator_state.rs
+++ b/src/workswood/ops/jobs/operator_state.rs
@@ -1,4 +1,5 @@
-//! What a process knows of operators' wishes, and since when.
+//! What a process knows of the operators' records besides the configuration and waves: which data
+//! centres are evacuated, and how old that information is.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,57 +10,65 @@
 use tokio::sync::watch;
 use workswood_core::ids::DataCentre;
 
-/// What was read longer ago than this, beyond the time that a read waits, is not held against an order of the
-/// lease holder, which can only give it while it reaches the store.
-const BELIEVED_FOR: Duration = Duration::from_millis(1500);
+/// How long an evacuation keeps tasks from being started after it was last read, in addition to
+/// the time that a read of the operators' records waits. A relay with older information follows
+/// the lease holder's orders: the holder gives them only while it reaches the store.
+const EVACUATION_VALID_FOR: Duration = Duration::from_millis(1500);
 
-/// Data centres that are evacuated, as they were at some time.
+/// The data centres that were evacuated at some time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Evacuations {
     /// Their names.
     pub data_centres: BTreeSet<DataCentre>,
-    /// When this was read, on the clock of the process.
-    pub read: Duration,
+    /// When they were read, on the clock of the process.
+    pub read_at: Duration,
 }
 
-/// What operators wrote, beside the configuration and waves.
-pub struct Operators {
+/// The operators' records as last read, except the configuration and waves.
+pub struct OperatorState {
     evacuations: ArcSwap<Evacuations>,
-    /// Turns true once everything that operators wrote was read, here or by a peer that told.
+    /// Set to true once all of the operators' records were read, here or by a peer that passed
+    /// them on.
     known: watch::Sender<bool>,
-    /// Whether the last read of it failed.
-    failing: AtomicBool,
-    /// How long a read waits for news.
-    wait: Duration,
+    /// Whether the last read failed.
+    read_failed: AtomicBool,
+    /// How long a read waits for new records.
+    read_wait: Duration,
 }
 
-impl Operators {
-    /// Nothing is known yet; reads wait for news for so long.
-    pub fn new(wait: Duration) -> Operators {
+impl OperatorState {
+    /// Returns a state that knows nothing yet. Reads of the operators' records wait for new ones
+    /// for `read_wait`.
+    pub fn new(read_wait: Duration) -> OperatorState {
         let known = watch::Sender::new(false);
-        Operators { evacuations: ArcSwap::default(), known, failing: AtomicBool::new(false), wait }
+        OperatorState {
+            evacuations: ArcSwap::default(),
+            known,
+            read_failed: AtomicBool::new(false),
+            read_wait,
+        }
     }
 
-    /// A read has failed.
-    pub fn reading_fails(&self) {
-        self.failing.store(true, Ordering::Relaxed);
+    /// Notes that a read has failed.
+    pub fn note_read_failure(&self) {
+        self.read_failed.store(true, Ordering::Relaxed);
     }
 
-    /// A read has succeeded.
-    pub fn reading_succeeds(&self) {
-        self.failing.store(false, Ordering::Relaxed);
+    /// Notes that a read has succeeded.
+    pub fn note_read_success(&self) {
+        self.read_failed.store(false, Ordering::Relaxed);
     }
 
     /// Whether the last read failed.
-    pub fn is_reading_failing(&self) -> bool {
-        self.failing.load(Ordering::Relaxed)
+    pub fn last_read_failed(&self) -> bool {
+        self.read_failed.load(Ordering::Relaxed)
     }
 
-    /// Takes in which data centres were evacuated at a time, unless something newer is known;
-    /// returns them if they changed.
-    pub fn evacuate(&self, now: Evacuations) -> Option<BTreeSet<DataCentre>> {
+    /// Replaces the known evacuations unless those are newer. Returns the evacuated data centres
+    /// if they changed.
+    pub fn set_evacuations(&self, now: Evacuations) -> Option<BTreeSet<DataCentre>> {
         let before = self.evacuations.load_full();
-        if now.read < before.read {
+        if now.read_at < before.read_at {
             return None;
         }
         let changed = (before.data_centres != now.data_centres).then(|| now.data_centres.clone());
@@ -68,31 +77,32 @@
         changed
     }
 
-    /// What is evacuated, as last read.
+    /// The evacuations as last read.
     pub fn evacuations(&self) -> Arc<Evacuations> {
         self.evacuations.load_full()
     }
 
-    /// Whether anything was read yet.
-    pub fn are_known(&self) -> bool {
+    /// Whether the operators' records were read yet.
+    pub fn is_known(&self) -> bool {
         *self.known.borrow()
     }
 
-    /// Waits until something was read.
-    pub async fn until_known(&self) {
+    /// Waits until the operators' records were read.
+    pub async fn wait_until_known(&self) {
         let mut known = self.known.subscribe();
         // The sender lives as long as the process.
         let _ = known.wait_for(|k| *k).await;
     }
 
-    /// How long ago operators' wishes were read.
+    /// Time since the operators' records were last read.
     pub fn age(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.evacuations.load().read)
+        now.saturating_sub(self.evacuations.load().read_at)
     }
 
-    /// Whether nothing may begin in a data centre, as was read not long ago.
+    /// Whether a data centre is evacuated according to a recent read, so that no work may begin
+    /// there.
     pub fn is_evacuated(&self, data_centre: &str, now: Duration) -> bool {
         let e = self.evacuations.load();
-        e.data_centres.contains(data_centre) && now < e.read + self.wait + BELIEVED_FOR
+        e.data_centres.contains(data_centre) && now < e.read_at + self.read_wait + EVACUATION_VALID_FOR
     }
 }
--- a/src/workswood/ops/jobs/relay/send.rs
+++ b/src/workswood/ops/jobs/relay/send.rs
@@ -39,7 +39,7 @@
         // checked: a process that is paused in between sends a lease that has
         // ended, which the worker refuses.
         let now = shared.node.now();
-        if shared.node.operators.is_evacuated(&link.worker.data_centre, now) {
+        if shared.node.operator_state.is_evacuated(&link.worker.data_centre, now) {
             let (worker, task) = (&link.worker.id, s.task);
             log::info!("event=start_not_sent worker={worker} task={task} reason=data_centre_evacuated");
             break;
--- a/src/workswood/ops/jobs/restore_state.rs
+++ b/src/workswood/ops/jobs/restore_state.rs
@@ -51,7 +51,7 @@
     if let Some(cfg) = node.config.load_full() {
         sched.handle(Event::ConfigChanged(cfg));
     }
-    sched.handle(Event::Evacuated(node.operators.evacuations().data_centres.clone()));
+    sched.handle(Event::Evacuated(node.operator_state.evacuations().data_centres.clone()));
     let state = read_state(state);
     for (id, rec) in state.workers {
         sched.restore_worker(id, rec);
--- a/tests/testsuite/evacuated_centres.rs
+++ b/tests/testsuite/evacuated_centres.rs
@@ -167,7 +167,7 @@
     };
     let evacuated = |names: &[&str]| {
         let data_centres = names.iter().map(|n| n.to_string()).collect();
-        node.operators.evacuate(Evacuations { data_centres, read: node.now() });
+        node.operator_state.set_evacuations(Evacuations { data_centres, read_at: node.now() });
     };
     evacuated(&[SOUTH]);
     start(1);
--- a/tests/testsuite/lease_looks.rs
+++ b/tests/testsuite/lease_looks.rs
@@ -26,7 +26,7 @@
     (0..40).for_each(|n| node.peers.know(&format!("entry-{n}"), "127.0.0.1:9", 1000 - 10 * (n / 10)));
     node.peers.know("entry-40", "127.0.0.1:9", 100);
     node.configure(Arc::new(SchedConfig { version: 1, ..SchedConfig::default() }), "config".into());
-    node.operators.evacuate(Evacuations::default());
+    node.operator_state.set_evacuations(Evacuations::default());
     tokio::spawn(lease::run(node.clone()));
     node
 }
--- a/tests/testsuite/peer_help.rs
+++ b/tests/testsuite/peer_help.rs
@@ -150,7 +150,7 @@
 
 /// Data centres that are evacuated, as read at a time.
 fn evacuated(names: &[&str], read: Duration) -> Evacuations {
-    Evacuations { data_centres: names.iter().map(|n| n.to_string()).collect(), read }
+    Evacuations { data_centres: names.iter().map(|n| n.to_string()).collect(), read_at: read }
 }
 
 /// Likewise with an evacuation; what a peer has read itself goes before what is older.
@@ -160,18 +160,18 @@
     let (a, b) = (process("entry-1", &away).await, process("entry-2", &well).await);
     tell_holder(&a, &b);
     assert!(help::newer_wishes(&a, 0).await.evacuations.is_empty(), "the other one has read nothing");
-    b.operators.evacuate(evacuated(&["north"], b.now()));
+    b.operator_state.set_evacuations(evacuated(&["north"], b.now()));
     let told = help::newer_wishes(&a, 0).await.evacuations.remove(0);
     assert_eq!(told.data_centres, evacuated(&["north"], Duration::ZERO).data_centres);
-    assert!(told.read <= a.now(), "it is as old as the peer's reading at least");
-    let read = told.read;
-    assert!(a.operators.evacuate(told).is_some());
-    assert!(a.operators.is_evacuated("north", a.now()));
+    assert!(told.read_at <= a.now(), "it is as old as the peer's reading at least");
+    let read = told.read_at;
+    assert!(a.operator_state.set_evacuations(told).is_some());
+    assert!(a.operator_state.is_evacuated("north", a.now()));
     let older = evacuated(&[], read.saturating_sub(Duration::from_millis(1)));
-    assert_eq!(a.operators.evacuate(older), None, "an older reading changes nothing");
-    assert!(a.operators.is_evacuated("north", a.now()));
+    assert_eq!(a.operator_state.set_evacuations(older), None, "an older reading changes nothing");
+    assert!(a.operator_state.is_evacuated("north", a.now()));
     let long_ago = a.now() + Duration::from_secs(10);
-    assert!(!a.operators.is_evacuated("north", long_ago), "what is old keeps no start back here");
+    assert!(!a.operator_state.is_evacuated("north", long_ago), "what is old keeps no start back here");
 }
 
 fn declared(version: u64) -> Arc<SchedConfig> {
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -976,7 +976,7 @@
     let store = OneTopic::new(Topic::Lease, keyed(("holder", text)));
     let node = Arc::new(Node::new(settings("entry-1"), store.clone()));
     node.configure(Arc::new(SchedConfig { version: 1, ..SchedConfig::default() }), "config".into());
-    node.operators.evacuate(Evacuations::default());
+    node.operator_state.set_evacuations(Evacuations::default());
     tokio::spawn(lease::run(node.clone()));
     (store, node)
 }
