--- a/src/workswood/ops/jobs/advice.rs
+++ b/src/workswood/ops/jobs/advice.rs
@@ -1,5 +1,7 @@
-//! Calls to the adviser. Each host has a turn of its own there, so the lease
-//! holder has other hosts call too; each has one call under way at a time.
+//! Calls to the adviser.
+//!
+//! The adviser serves each entry separately, so the lease holder has other entries call it too.
+//! Each entry is one channel, with one call in flight at a time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,50 +13,49 @@
 
 use super::node::{Node, SchedulerHandle};
 
-/// A process that calls for another is waited for this much longer than its call:
-/// a few times the way there and back on a busy host.
-const HELP_SLACK: Duration = Duration::from_millis(150);
+/// Added to the timeout of a call that another entry makes, for the round trip to that entry.
+const HELPER_SLACK: Duration = Duration::from_millis(150);
 
 /// A call to the adviser.
 pub struct AdviceCall {
-    /// Which host makes it; 0 is this one.
-    pub lane: usize,
+    /// The channel to call through: 0 is this process, others are helpers.
+    pub channel: usize,
     /// The step.
     pub step: StepId,
     /// The workers.
     pub workers: Vec<WorkerId>,
-    /// How long the answer is waited for.
-    pub patience: Duration,
+    /// How long to wait for the answer.
+    pub timeout: Duration,
 }
 
-/// Makes a call, or has it made, and tells the scheduler what came of it.
-pub async fn ask(node: Arc<Node>, l: Arc<SchedulerHandle>, call: AdviceCall) {
+/// Makes a call through its channel and hands the result to the scheduler.
+pub async fn call_adviser(node: Arc<Node>, handle: Arc<SchedulerHandle>, call: AdviceCall) {
     let sent = node.now();
-    let reply = match call.lane.checked_sub(1) {
-        None => node.platform.advise(call.step, &call.workers, call.patience).await,
-        Some(n) => ask_by_helper(&node, n, &call).await,
+    let reply = match call.channel.checked_sub(1) {
+        None => node.platform.advise(call.step, &call.workers, call.timeout).await,
+        Some(n) => call_through_helper(&node, n, &call).await,
     };
     let outcome = label(&reply);
-    let good = match &reply {
-        AdviceReply::Answered(answer) => answer.tickets.len(),
+    let suitable = match &reply {
+        AdviceReply::Answered(advice) => advice.tickets.len(),
         _ => 0,
     };
     node.metrics.advice.with_label_values(&[outcome]).inc();
     log::info!(
-        "event=advice step={} lane={} outcome={outcome} workers={} good={good} took_ms={} patience_ms={}",
+        "event=advice step={} lane={} outcome={outcome} workers={} good={suitable} took_ms={} patience_ms={}",
         call.step,
-        call.lane,
+        call.channel,
         call.workers.len(),
         (node.now() - sent).as_millis(),
-        call.patience.as_millis()
+        call.timeout.as_millis()
     );
-    let advised = AdviceResult { channel: call.lane, step: call.step, workers: call.workers, reply };
-    // A scheduler that has just ended takes no more events.
-    let _ = l.tx.send(Event::AdviceReceived(advised));
+    let result = AdviceResult { channel: call.channel, step: call.step, workers: call.workers, reply };
+    // Sending fails if the scheduler has just stopped.
+    let _ = handle.tx.send(Event::AdviceReceived(result));
 }
 
-/// Has the n-th other process make a call.
-async fn ask_by_helper(node: &Node, n: usize, call: &AdviceCall) -> AdviceReply {
+/// Has the `n`-th other process make a call.
+async fn call_through_helper(node: &Node, n: usize, call: &AdviceCall) -> AdviceReply {
     let own = node.settings.peers.to_string();
     let Some(address) = node.peers.others(&own).into_iter().nth(n) else { return AdviceReply::NotSent };
     let msg = Msg::AdviceRequest(wire::AdviceRequest {
@@ -62,30 +63,30 @@
         round: call.step.round,
         step: u32::from(call.step.step),
         workers: call.workers.iter().map(|id| id.to_string()).collect(),
-        timeout_ms: call.patience.as_millis() as u32,
+        timeout_ms: call.timeout.as_millis() as u32,
     });
-    match node.peers.call(&node.id, &address, msg, call.patience + HELP_SLACK).await {
-        Ok(Msg::AdviceReply(reply)) => read(reply),
+    match node.peers.call(&node.id, &address, msg, call.timeout + HELPER_SLACK).await {
+        Ok(Msg::AdviceReply(reply)) => from_wire(reply),
         Err(CallError::NotSent) => AdviceReply::NotSent,
         Ok(_) | Err(CallError::NoAnswer) => AdviceReply::NoAnswer,
     }
 }
 
-/// Makes a call for the lease holder.
-pub async fn ask_for(node: &Node, asked: wire::AdviceRequest) -> wire::AdviceReply {
-    let Ok(step) = u16::try_from(asked.step) else {
-        return write(AdviceReply::Refused);
+/// Answers a peer's request to call the adviser for it.
+pub async fn answer_peer(node: &Node, req: wire::AdviceRequest) -> wire::AdviceReply {
+    let Ok(step) = u16::try_from(req.step) else {
+        return to_wire(AdviceReply::Refused);
     };
-    let step = StepId { job: asked.job, round: asked.round, step };
-    let workers: Vec<WorkerId> = asked.workers.iter().map(|id| id.as_str().into()).collect();
-    let patience = Duration::from_millis(u64::from(asked.timeout_ms));
-    let reply = node.platform.advise(step, &workers, patience).await;
+    let step = StepId { job: req.job, round: req.round, step };
+    let workers: Vec<WorkerId> = req.workers.iter().map(|id| id.as_str().into()).collect();
+    let timeout = Duration::from_millis(u64::from(req.timeout_ms));
+    let reply = node.platform.advise(step, &workers, timeout).await;
     node.metrics.advice.with_label_values(&[label(&reply)]).inc();
     log::info!("event=helped_advice step={step} outcome={} workers={}", label(&reply), workers.len());
-    write(reply)
+    to_wire(reply)
 }
 
-fn write(reply: AdviceReply) -> wire::AdviceReply {
+fn to_wire(reply: AdviceReply) -> wire::AdviceReply {
     let outcome = match &reply {
         AdviceReply::Answered(_) => AdviceOutcome::Answered,
         AdviceReply::Busy => AdviceOutcome::Busy,
@@ -93,26 +94,26 @@
         AdviceReply::NoAnswer => AdviceOutcome::NoAnswer,
         AdviceReply::NotSent => AdviceOutcome::NotSent,
     };
-    let answer = match reply {
-        AdviceReply::Answered(answer) => answer,
+    let advice = match reply {
+        AdviceReply::Answered(advice) => advice,
         _ => Advice::default(),
     };
-    let row = |(id, ticket): (WorkerId, Arc<str>)| AdviceTicket {
+    let to_ticket = |(id, ticket): (WorkerId, Arc<str>)| AdviceTicket {
         worker: id.to_string(),
         ticket: ticket.to_string(),
     };
     wire::AdviceReply {
         outcome: outcome as i32,
-        suitable: answer.tickets.into_iter().map(row).collect(),
-        valid_ms: answer.valid_for.map(|v| v.as_millis() as u64),
+        suitable: advice.tickets.into_iter().map(to_ticket).collect(),
+        valid_ms: advice.valid_for.map(|v| v.as_millis() as u64),
     }
 }
 
-fn read(reply: wire::AdviceReply) -> AdviceReply {
-    let good = reply.suitable.into_iter().map(|t| (t.worker.into(), t.ticket.into())).collect();
-    let valid = reply.valid_ms.map(Duration::from_millis);
+fn from_wire(reply: wire::AdviceReply) -> AdviceReply {
+    let tickets = reply.suitable.into_iter().map(|t| (t.worker.into(), t.ticket.into())).collect();
+    let valid_for = reply.valid_ms.map(Duration::from_millis);
     match AdviceOutcome::try_from(reply.outcome).unwrap_or(AdviceOutcome::NoAnswer) {
-        AdviceOutcome::Answered => AdviceReply::Answered(Advice { tickets: good, valid_for: valid }),
+        AdviceOutcome::Answered => AdviceReply::Answered(Advice { tickets, valid_for }),
         AdviceOutcome::Busy => AdviceReply::Busy,
         AdviceOutcome::Refused => AdviceReply::Refused,
         AdviceOutcome::NoAnswer => AdviceReply::NoAnswer,
@@ -120,7 +121,7 @@
     }
 }
 
-/// The label of a call's outcome in metrics and logs.
+/// Returns the outcome of a call as metrics and logs show it.
 fn label(reply: &AdviceReply) -> &'static str {
     match reply {
         AdviceReply::Answered(_) => "answered",
--- a/src/workswood/ops/jobs/feeds.rs
+++ b/src/workswood/ops/jobs/feeds.rs
@@ -16,7 +16,7 @@
 
 use super::follow::topic;
 use super::node::{Node, SchedulerHandle};
-use super::restore_state::{inbox_event, note_kept};
+use super::restore_state::{note_inbox_key, parse_inbox_event};
 use super::worker_list::WorkerList;
 
 /// Pause after a failed read or append.
@@ -89,8 +89,8 @@
 
 fn hand_over(l: &SchedulerHandle, part: Partition, records: &[KeyedRecord]) {
     for rec in records {
-        note_kept(&mut l.inbox_keys.lock(), part, rec);
-        if let Some(ev) = inbox_event(rec) {
+        note_inbox_key(&mut l.inbox_keys.lock(), part, rec);
+        if let Some(ev) = parse_inbox_event(rec) {
             let _ = l.tx.send(ev);
         }
     }
@@ -101,7 +101,7 @@
     let mut list = WorkerList::default();
     let n = node.clone();
     topic(node, Topic::Workers, move |heard| {
-        for ev in list.take(heard, |rec| n.platform.parse_worker_info(rec)) {
+        for ev in list.apply(heard, |rec| n.platform.parse_worker_info(rec)) {
             let _ = l.tx.send(ev);
         }
     })
--- a/src/workswood/ops/jobs/help.rs
+++ b/src/workswood/ops/jobs/help.rs
@@ -41,7 +41,7 @@
         Msg::JobStateRequest(ask) => Some(Msg::JobStateReply(ask::answer_job(node, &ask))),
         Msg::PendingJobsRequest(ask) => Some(Msg::PendingJobsReply(ask::answer_pending(node, &ask))),
         Msg::InboxAppendRequest(asked) => Some(Msg::InboxAppendReply(store_for(node, asked).await)),
-        Msg::AdviceRequest(asked) => Some(Msg::AdviceReply(advice::ask_for(node, asked).await)),
+        Msg::AdviceRequest(asked) => Some(Msg::AdviceReply(advice::answer_peer(node, asked).await)),
         Msg::LeaseReleaseRequest(asked) => release_for(node, asked).await,
         Msg::ConfigRequest(asked) => Some(Msg::ConfigReply(newer_config(node, &asked))),
         _ => None,
--- a/src/workswood/ops/jobs/host_orders.rs
+++ b/src/workswood/ops/jobs/host_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to hosts, as the lease holder gives them.
+//! Orders of the lease holder to hosts.
 
 use std::sync::Arc;
 
@@ -7,33 +7,38 @@
 
 use super::node::{Node, SchedulerHandle};
 
-/// What a host is to do.
+/// An order to a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostOrder {
-    /// Be maintained as part of a wave.
-    Upkeep(u64),
-    /// Go to another pool.
+    /// Go into maintenance as part of the wave with this number.
+    Maintain(u64),
+    /// Move to the pool of a service.
     Move(ServiceId),
 }
 
-/// Gives an order, and hands its outcome to the scheduler.
-pub async fn give(node: Arc<Node>, l: Arc<SchedulerHandle>, host: HostId, order: HostOrder) {
-    let reply = reply_to(&node, &l, &host, order).await;
-    // A scheduler that has just ended takes no more events.
-    let _ = l.tx.send(Event::HostOrderAnswered(host, reply));
+/// Sends an order to a host and hands the reply to the scheduler.
+pub async fn send_order(node: Arc<Node>, handle: Arc<SchedulerHandle>, host: HostId, order: HostOrder) {
+    let reply = send_if_granted(&node, &handle, &host, order).await;
+    // Sending fails if the scheduler has just stopped.
+    let _ = handle.tx.send(Event::HostOrderAnswered(host, reply));
 }
 
-/// Gives an order, if this process may still give any. A holder that was paused or suspended, or
-/// can't reach the store, may have a successor, which waits for no longer than this right
-/// lasts; an order of both within that time would be one too many.
-async fn reply_to(node: &Node, l: &SchedulerHandle, host: &HostId, order: HostOrder) -> HostReply {
-    if !l.grant.holds(node.now()) {
-        log::warn!("event=order_held_back machine={host} term={} reason=lease_not_renewed", l.term);
+/// Sends an order if the grant that comes with the lease is still valid; otherwise replies
+/// [`HostReply::Later`]. A holder that was suspended or can't reach the store may already have a
+/// successor, which waits only as long as the grant can last before it orders the same hosts.
+async fn send_if_granted(
+    node: &Node,
+    handle: &SchedulerHandle,
+    host: &HostId,
+    order: HostOrder,
+) -> HostReply {
+    if !handle.grant.holds(node.now()) {
+        log::warn!("event=order_held_back machine={host} term={} reason=lease_not_renewed", handle.term);
         return HostReply::Later;
     }
     let (holder, host) = (&node.settings.name, host.clone());
     match order {
-        HostOrder::Upkeep(wave) => node.platform.maintain_host(holder, l.term, host, wave).await,
-        HostOrder::Move(pool) => node.platform.move_host(holder, l.term, host, pool).await,
+        HostOrder::Maintain(wave) => node.platform.maintain_host(holder, handle.term, host, wave).await,
+        HostOrder::Move(pool) => node.platform.move_host(holder, handle.term, host, pool).await,
     }
 }
--- a/src/workswood/ops/jobs/lease_renewal.rs
+++ b/src/workswood/ops/jobs/lease_renewal.rs
@@ -18,7 +18,7 @@
 /// those. With the workers' lease, what runs survives an outage of nine
 /// seconds. Afterwards the holder goes on only with what is in the store: if
 /// nobody has claimed the lease meanwhile, it is still its own.
-pub const GRACE: Duration = Duration::from_secs(4);
+pub const EXTENSION_GRACE: Duration = Duration::from_secs(4);
 
 /// A holder that has not renewed for this long, while another process can write
 /// into the store, gives the lease back: one renewal without an answer over two
@@ -37,7 +37,7 @@
                 node.note_store_answer();
                 number += 1;
                 renewed = sent;
-                l.grant.extend(sent + GRACE);
+                l.grant.extend(sent + EXTENSION_GRACE);
                 tokio::time::sleep(EVERY).await;
             }
             Err(StoreError::GuardFailed) => {
--- a/src/workswood/ops/jobs/limits.rs
+++ b/src/workswood/ops/jobs/limits.rs
@@ -1,49 +1,48 @@
-//! Times that lease holders and relays keep to.
+//! Durations of leases, and the limits that the scheduler works with.
 
 use std::time::Duration;
 
 use workswood_core::jobs::Limits;
 use workswood_core::jobs::types::lease_with_drift;
 
-use super::lease_renewal::GRACE;
+use super::lease_renewal::EXTENSION_GRACE;
 use crate::util::job_settings::JobSettings;
 
-/// Length of a worker's lease. Long enough for a successor to take over
-/// before it ends (1.8 s to notice, a second to load), short enough for what
-/// ran on a lost worker to be started again.
+/// Duration of a worker's lease. It has to outlast a takeover by a successor of the lease holder,
+/// and delays the restart of tasks that ran on a lost worker.
 const WORKER_LEASE: Duration = Duration::from_millis(5000);
-/// A holder that is overtaken may send orders to hosts until it has read of
-/// that; a few times the way from the store on a busy entry.
+/// Time in which a lease holder that was replaced may still send orders to hosts, until it has
+/// read of its replacement.
 const HANDOVER_MARGIN: Duration = Duration::from_millis(300);
-/// Share by which a worker's clock may run slow, from the platform's pages.
-const DRIFT: f64 = 0.02;
+/// Largest share by which a worker's clock may run slow, as the platform specifies.
+const CLOCK_DRIFT: f64 = 0.02;
 
-/// Times of workers' leases.
+/// Durations of workers' leases.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTimes {
-    /// Length of a lease, counted from when it was sent.
+    /// Duration of a lease, counted from when the request was sent.
     pub lease: Duration,
 }
 
 impl LeaseTimes {
-    /// The times that settings allow.
+    /// Returns the durations that the settings allow.
     pub fn of(settings: &JobSettings) -> LeaseTimes {
         LeaseTimes { lease: WORKER_LEASE.min(Duration::from_millis(settings.longest_lease_ms)) }
     }
 
-    /// The longest real time that a lease may last.
-    pub fn span(&self) -> Duration {
-        lease_with_drift(self.lease, DRIFT)
+    /// The longest real time that a lease may last on a worker whose clock runs slow.
+    pub fn longest_duration(&self) -> Duration {
+        lease_with_drift(self.lease, CLOCK_DRIFT)
     }
 }
 
-/// What the scheduler works with.
-pub(super) fn limits(s: &JobSettings) -> Limits {
+/// Returns the scheduler's limits from the settings.
+pub(super) fn scheduler_limits(s: &JobSettings) -> Limits {
     Limits {
         lease: LeaseTimes::of(s).lease,
         max_lease: Duration::from_millis(s.longest_lease_ms),
-        extension_grace: GRACE,
-        clock_drift: DRIFT,
+        extension_grace: EXTENSION_GRACE,
+        clock_drift: CLOCK_DRIFT,
         host_order_delay: Duration::from_millis(s.host_handover_ms) + HANDOVER_MARGIN,
         host_orders_per_s: s.host_orders_per_s,
         ended_job_retention: Duration::from_secs_f64(s.keep_ended_s),
--- a/src/workswood/ops/jobs/relay/look.rs
+++ b/src/workswood/ops/jobs/relay/look.rs
@@ -145,7 +145,7 @@
         // The end of the lease is worked out before the right to send it is checked: a
         // process that is paused in between sends one that has ended.
         let lease_end = self.link.lease_end(sent, times.lease).filter(|_| self.may_extend());
-        let lease_end = lease_end.filter(|_| self.link.may_lease_until(sent + times.span()));
+        let lease_end = lease_end.filter(|_| self.link.may_lease_until(sent + times.longest_duration()));
         let wait = if lease_end.is_some() { wait } else { Duration::ZERO };
         let platform = &self.shared.node.platform;
         let look = platform.poll_worker(&self.link.worker, self.link.token, forget, lease_end, wait);
--- a/src/workswood/ops/jobs/relay/send.rs
+++ b/src/workswood/ops/jobs/relay/send.rs
@@ -45,7 +45,9 @@
             break;
         }
         let Some(lease_end) = link.lease_end(now, shared.times.lease) else { break };
-        if !shared.grant.holds(shared.node.now()) || !link.may_lease_until(now + shared.times.span()) {
+        if !shared.grant.holds(shared.node.now())
+            || !link.may_lease_until(now + shared.times.longest_duration())
+        {
             break;
         }
         let order = StartOrder {
--- a/src/workswood/ops/jobs/relay_sessions.rs
+++ b/src/workswood/ops/jobs/relay_sessions.rs
@@ -209,7 +209,7 @@
     ) {
         let why = self.talk(tx, rx).await;
         let granted = Duration::from_millis(self.granted.load(Ordering::Acquire));
-        let span = LeaseTimes::of(&self.node.settings).span();
+        let span = LeaseTimes::of(&self.node.settings).longest_duration();
         log::info!("event=relay_session_over relay={} reason={why:?}", self.host);
         self.tell(Event::RelayDown(self.host.clone(), granted + span, why == End::Broken));
     }
--- a/src/workswood/ops/jobs/restore_state.rs
+++ b/src/workswood/ops/jobs/restore_state.rs
@@ -11,7 +11,7 @@
 use workswood_platform::jobs::{Guard, KeyedRecord, LatestRecords, Partition, StoreError, Topic};
 
 use super::inbox::{self, Kept};
-use super::limits::limits;
+use super::limits::scheduler_limits;
 use super::node::Node;
 use super::record::{InboxKey, InboxRecordKind, StateKey, parse_inbox_key, parse_state_key};
 use super::{job_spec, job_state};
@@ -41,9 +41,9 @@
     let inbox_next = inbox.iter().map(|(part, n)| (*part, n.next)).collect();
     let mut kept = Kept::default();
     for (part, n) in &inbox {
-        n.records.iter().for_each(|rec| note_kept(&mut kept, *part, rec));
+        n.records.iter().for_each(|rec| note_inbox_key(&mut kept, *part, rec));
     }
-    let mut sched = Scheduler::new(term, limits(&node.settings), since, node.wall());
+    let mut sched = Scheduler::new(term, scheduler_limits(&node.settings), since, node.wall());
     sched.policy = node.settings.policy.clone();
     sched.holder = node.settings.name.clone();
     sched.strength = node.settings.strength();
@@ -126,7 +126,7 @@
     let mut cancels = BTreeSet::new();
     let mut jobs: HashMap<JobKey, Arc<JobSpec>> = HashMap::new();
     for rec in inbox {
-        match inbox_event(&rec) {
+        match parse_inbox_event(&rec) {
             Some(Event::Submitted(key, spec)) => keep_earliest(&mut jobs, key, spec),
             Some(Event::Cancelled(key, owner)) => {
                 cancels.insert((key, owner));
@@ -154,7 +154,7 @@
 }
 
 /// Notes whether the inbox holds the key of a record.
-pub fn note_kept(kept: &mut Kept, part: Partition, rec: &KeyedRecord) {
+pub fn note_inbox_key(kept: &mut Kept, part: Partition, rec: &KeyedRecord) {
     match (parse_inbox_key(&rec.key), &rec.value) {
         (Some(key), Some(_)) => kept.note(part, key),
         (Some(key), None) => kept.dropped(part, key),
@@ -164,7 +164,7 @@
 }
 
 /// What a record of the inbox means.
-pub fn inbox_event(rec: &KeyedRecord) -> Option<Event> {
+pub fn parse_inbox_event(rec: &KeyedRecord) -> Option<Event> {
     let value = rec.value.as_deref()?;
     match parse_inbox_key(&rec.key) {
         Some(InboxKey { job, kind: InboxRecordKind::Job, .. }) => {
--- a/src/workswood/ops/jobs/scheduler_task.rs
+++ b/src/workswood/ops/jobs/scheduler_task.rs
@@ -43,7 +43,7 @@
 pub fn start(node: &Arc<Node>, term: u64) {
     let (tx, rx) = mpsc::unbounded_channel();
     let (end, ended) = watch::channel(false);
-    let leading = Arc::new(SchedulerHandle::new(term, node.now(), lease_renewal::GRACE, tx, end));
+    let leading = Arc::new(SchedulerHandle::new(term, node.now(), lease_renewal::EXTENSION_GRACE, tx, end));
     node.scheduler.store(Some(leading.clone()));
     node.metrics.terms.inc();
     node.peers.read_soon();
@@ -280,13 +280,13 @@
         let (node, l) = (self.node.clone(), self.l.clone());
         match action {
             Action::MaintainHost(host, wave) => {
-                tasks.spawn(host_orders::give(node, l, host, HostOrder::Upkeep(wave)));
+                tasks.spawn(host_orders::send_order(node, l, host, HostOrder::Maintain(wave)));
             }
             Action::MoveHost(host, pool) => {
-                tasks.spawn(host_orders::give(node, l, host, HostOrder::Move(pool)));
+                tasks.spawn(host_orders::send_order(node, l, host, HostOrder::Move(pool)));
             }
-            Action::Advise { channel: lane, step, workers, timeout: patience } => {
-                tasks.spawn(advice::ask(node, l, AdviceCall { lane, step, workers, patience }));
+            Action::Advise { channel, step, workers, timeout } => {
+                tasks.spawn(advice::call_adviser(node, l, AdviceCall { channel, step, workers, timeout }));
             }
             other => self.sessions.send(other, tasks),
         }
--- a/src/workswood/ops/jobs/worker_list.rs
+++ b/src/workswood/ops/jobs/worker_list.rs
@@ -1,4 +1,4 @@
-//! The list of workers, as it changes.
+//! Turns changes of the list of workers into events for the scheduler.
 
 use std::collections::{HashMap, HashSet};
 
@@ -8,46 +8,46 @@
 
 use super::follow::Heard;
 
-/// Workers that are listed, by their names.
+/// The listed workers, by their keys in the list.
 #[derive(Debug, Default)]
 pub struct WorkerList {
     listed: HashMap<String, WorkerId>,
 }
 
 impl WorkerList {
-    /// Takes in what was heard of the list; returns what that means to the scheduler. An entry
-    /// that can't be read names no worker, whatever it said before.
-    pub fn take(
+    /// Applies records of the list and returns the events that follow. `parse` parses a record; if
+    /// it fails, the worker of that record is no longer listed.
+    pub fn apply(
         &mut self,
         heard: Heard,
-        read: impl Fn(&KeyedRecord) -> Result<WorkerInfo, String>,
+        parse: impl Fn(&KeyedRecord) -> Result<WorkerInfo, String>,
     ) -> Vec<Event> {
         let mut events = Vec::new();
         let records = match heard {
             Heard::Reset(records) => {
-                let here: HashSet<&str> = records.iter().map(|r| r.key.as_str()).collect();
+                let present: HashSet<&str> = records.iter().map(|r| r.key.as_str()).collect();
                 let gone: Vec<String> =
-                    self.listed.keys().filter(|k| !here.contains(k.as_str())).cloned().collect();
+                    self.listed.keys().filter(|k| !present.contains(k.as_str())).cloned().collect();
                 events.extend(gone.iter().filter_map(|key| self.unlist(key)));
                 records
             }
             Heard::Changes(records) => records,
         };
         for rec in &records {
-            events.extend(self.take_one(rec, &read));
+            events.extend(self.apply_record(rec, &parse));
         }
         events
     }
 
-    fn take_one(
+    fn apply_record(
         &mut self,
         rec: &KeyedRecord,
-        read: impl Fn(&KeyedRecord) -> Result<WorkerInfo, String>,
+        parse: impl Fn(&KeyedRecord) -> Result<WorkerInfo, String>,
     ) -> Option<Event> {
         if rec.value.is_none() {
             return self.unlist(&rec.key);
         }
-        match read(rec) {
+        match parse(rec) {
             Ok(info) => self.list(&rec.key, info),
             Err(e) => {
                 log::error!("event=worker_not_read code=203 worker={} error=\"{e}\"", rec.key);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes an entry in, unless a later life of the same worker is listed: then it comes late.
+    /// Lists a worker, unless a later incarnation of it is listed: then the record was written late.
     fn list(&mut self, key: &str, info: WorkerInfo) -> Option<Event> {
         if self.listed.get(key).is_some_and(|listed| listed.supersedes(&info.id)) {
             log::info!("event=worker_entry_late worker={}", info.id);
--- a/tests/testsuite/advice_protocol.rs
+++ b/tests/testsuite/advice_protocol.rs
@@ -139,8 +139,8 @@
 async fn call(node: &Arc<Node>, lane: usize) -> AdviceReply {
     let (tx, mut rx) = mpsc::unbounded_channel();
     let l = Arc::new(SchedulerHandle::new(7, node.now(), LONG, tx, watch::channel(false).0));
-    let call = AdviceCall { lane, step: STEP, workers: ids(&["i-1", "i-2"]), patience: ms(300) };
-    advice::ask(node.clone(), l, call).await;
+    let call = AdviceCall { channel: lane, step: STEP, workers: ids(&["i-1", "i-2"]), timeout: ms(300) };
+    advice::call_adviser(node.clone(), l, call).await;
     match rx.recv().await {
         Some(Event::AdviceReceived(a)) => {
             assert_eq!((a.channel, a.step, a.workers.len()), (lane, STEP, 2));
--- a/tests/testsuite/foreign_entries.rs
+++ b/tests/testsuite/foreign_entries.rs
@@ -172,7 +172,7 @@
     let c = client("127.0.0.1:9");
     let rec = |value: &str| KeyedRecord { key: "i-1".to_string(), value: Some(value.to_string().into()) };
     let mut list = WorkerList::default();
-    let mut take = |value: &str| list.take(Heard::Changes(vec![rec(value)]), |r| c.parse_worker_info(r));
+    let mut take = |value: &str| list.apply(Heard::Changes(vec![rec(value)]), |r| c.parse_worker_info(r));
     let good = entry().to_string();
     assert!(matches!(take(&good)[..], [Event::WorkerListed(_)]));
     assert!(matches!(take("{")[..], [Event::WorkerUnlisted(_)]));
--- a/tests/testsuite/restarted_workers.rs
+++ b/tests/testsuite/restarted_workers.rs
@@ -263,9 +263,9 @@
         events.into_iter().map(text).collect()
     };
     let heard = Heard::Changes(vec![record(10), record(20), record(10)]);
-    assert_eq!(listed(list.take(heard, read)), ["listed w@10", "listed w@20"], "the last one comes late");
+    assert_eq!(listed(list.apply(heard, read)), ["listed w@10", "listed w@20"], "the last one comes late");
     let gone = KeyedRecord { key: "w".to_string(), value: None };
-    assert_eq!(listed(list.take(Heard::Changes(vec![gone]), read)), ["unlisted w@20"]);
+    assert_eq!(listed(list.apply(Heard::Changes(vec![gone]), read)), ["unlisted w@20"]);
 }
 
 /// Orders and news between processes of this version, and what one of the version before reads.
--- a/tests/testsuite/suspended_host.rs
+++ b/tests/testsuite/suspended_host.rs
@@ -8,7 +8,7 @@
 
 use tokio::sync::{mpsc, watch};
 use workswood::ops::jobs::Node;
-use workswood::ops::jobs::host_orders::{HostOrder, give};
+use workswood::ops::jobs::host_orders::{HostOrder, send_order};
 use workswood::ops::jobs::limits::LeaseTimes;
 use workswood::ops::jobs::node::SchedulerHandle;
 use workswood::ops::jobs::relay::link::WorkerLink;
@@ -64,7 +64,7 @@
     let (store, node) = process();
     let (tx, mut rx) = mpsc::unbounded_channel();
     let leading = Arc::new(SchedulerHandle::new(1, node.now(), RIGHT, tx, watch::Sender::new(false)));
-    let order = || give(node.clone(), leading.clone(), "m-1".to_string(), HostOrder::Upkeep(1));
+    let order = || send_order(node.clone(), leading.clone(), "m-1".to_string(), HostOrder::Maintain(1));
     order().await;
     assert_eq!(store.orders(), 1);
     assert!(matches!(rx.recv().await, Some(Event::HostOrderAnswered(..))));
