--- a/src/workswood/ops/jobs/inbox_cleanup.rs
+++ b/src/workswood/ops/jobs/inbox_cleanup.rs
@@ -1,7 +1,7 @@
-//! Takes jobs out of the inbox whose state says that they are over.
+//! Deletes finished jobs from the inbox.
 //!
-//! A new lease holder reads the whole inbox before it decides anything. Most jobs on
-//! record are over, and on a slow link their text takes long.
+//! A new lease holder reads the whole inbox before it decides anything. Without finished jobs,
+//! whose state is stored elsewhere, it has far less to read.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,46 +15,49 @@
 use super::node::{Node, SchedulerHandle};
 use super::record::InboxKey;
 
-/// Time between two rounds: each is a call to the store for every part of the inbox.
-const EVERY: Duration = Duration::from_secs(1);
-/// Pause after a failed append.
-const PAUSE: Duration = Duration::from_millis(60);
+/// How long finished jobs are collected before they are deleted together: each round is a call to
+/// the store for every partition of the inbox.
+const COLLECT_TIME: Duration = Duration::from_secs(1);
+/// Backoff after a failed append.
+const RETRY_BACKOFF: Duration = Duration::from_millis(60);
 
-/// Takes jobs out that are over, as they become it.
+/// Deletes jobs from the inbox as `rx` reports them finished.
 pub(super) async fn run(
     node: Arc<Node>,
-    l: Arc<SchedulerHandle>,
+    handle: Arc<SchedulerHandle>,
     mut rx: mpsc::UnboundedReceiver<Vec<JobKey>>,
 ) {
     while let Some(first) = rx.recv().await {
-        tokio::time::sleep(EVERY).await;
-        let mut over: BTreeSet<JobKey> = first.into_iter().collect();
+        tokio::time::sleep(COLLECT_TIME).await;
+        let mut finished: BTreeSet<JobKey> = first.into_iter().collect();
         while let Ok(more) = rx.try_recv() {
-            over.extend(more);
+            finished.extend(more);
         }
-        drop_from_inbox(&node, &l, over.into_iter().collect()).await;
+        delete_from_inbox(&node, &handle, finished.into_iter().collect()).await;
     }
 }
 
-/// Takes jobs out of the inbox, with all that was written of them. State is dropped only after that: a job in the inbox
-/// without a state would be taken for a new one. That they are gone is noted when the
-/// inbox is read: a caller may hand the same job in again meanwhile.
-pub(super) async fn drop_from_inbox(node: &Node, l: &SchedulerHandle, drops: Vec<JobKey>) {
-    if drops.is_empty() {
+/// Deletes all records of jobs from the inbox, and retries until that is done.
+///
+/// The state of a job may be deleted only after this: a job in the inbox without a state is taken
+/// for a new one. The keys are removed from `inbox_keys` only when the deletions are read from the
+/// inbox, since a caller may submit the same job again in between.
+pub(super) async fn delete_from_inbox(node: &Node, handle: &SchedulerHandle, jobs: Vec<JobKey>) {
+    if jobs.is_empty() {
         return;
     }
     for part in inbox::parts(node.settings.store_parts) {
-        let here: Vec<KeyedRecord> = {
-            let kept = l.inbox_keys.lock();
-            let keys = drops.iter().flat_map(|job| kept.keys_of(part, *job));
+        let deletions: Vec<KeyedRecord> = {
+            let known = handle.inbox_keys.lock();
+            let keys = jobs.iter().flat_map(|job| known.keys_of(part, *job));
             keys.map(InboxKey::drop_record).collect()
         };
-        if here.is_empty() {
+        if deletions.is_empty() {
             continue;
         }
-        while let Err(e) = node.platform.append(Topic::Inbox(part), here.clone(), Guard::None).await {
+        while let Err(e) = node.platform.append(Topic::Inbox(part), deletions.clone(), Guard::None).await {
             log::warn!("event=inbox_not_trimmed part={part} error=\"{e}\"");
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_BACKOFF).await;
         }
     }
 }
--- a/src/workswood/ops/jobs/scheduler_task.rs
+++ b/src/workswood/ops/jobs/scheduler_task.rs
@@ -310,7 +310,7 @@
 /// Writes a batch until it is stored; `None` if another term has begun.
 async fn write(node: Arc<Node>, l: Arc<SchedulerHandle>, number: u64, batch: Batch) -> Option<Batch> {
     let term = l.term;
-    inbox_cleanup::drop_from_inbox(&node, &l, batch.records.iter().filter_map(dropped_job).collect()).await;
+    inbox_cleanup::delete_from_inbox(&node, &l, batch.records.iter().filter_map(dropped_job).collect()).await;
     let records: Vec<KeyedRecord> = batch.records.iter().map(state_record).collect();
     let _timer = node.metrics.batch_seconds.start_timer();
     loop {
