--- a/src/workswood/ops/jobs/shutdown.rs
+++ b/src/workswood/ops/jobs/shutdown.rs
@@ -1,13 +1,12 @@
-//! The planned stop, and reloading of settings.
+//! Graceful shutdown, and the check of settings at a reload signal.
 //!
-//! A process that is told to stop says that it is not ready, gives the
-//! scheduler lease back, goes on answering for the balancer's lag, and then
-//! finishes what it has.
+//! A process that is told to stop reports that it is not ready, releases the scheduler lease,
+//! keeps answering callers until the balancer has noticed, and then finishes the requests it has.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use tokio::signal::unix::{SignalKind, signal as on};
+use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
@@ -15,18 +14,17 @@
 use super::node::Node;
 use crate::util::job_settings::JobSettings;
 
-/// The balancer asks every second and believes the second refusal.
-const BALANCER_LAG: Duration = Duration::from_millis(2500);
-/// Kept free at the end of the time allowed for a stop.
-const MARGIN: Duration = Duration::from_millis(500);
+/// How long the balancer may keep sending callers here: it asks every second and acts on the
+/// second refusal.
+const BALANCER_DELAY: Duration = Duration::from_millis(2500);
+/// Reserved at the end of the time allowed for a shutdown.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
 
-/// Rereads the settings file at each reload signal. Settings that can't be
-/// used are refused and the present ones kept; addresses and limits of a
-/// running process do not change, so a good file changes nothing before the
-/// next start.
+/// Checks the settings file at each reload signal and logs the result. Settings take effect only
+/// when the process starts.
 pub async fn watch_reload(path: String) {
-    let Ok(mut hup) = on(SignalKind::hangup()) else { return };
-    while hup.recv().await.is_some() {
+    let Ok(mut hangups) = signal(SignalKind::hangup()) else { return };
+    while hangups.recv().await.is_some() {
         match JobSettings::read(&path) {
             Ok(_) => log::info!("event=settings_reread outcome=checked in_force=next_start"),
             Err(e) => log::error!("event=settings_refused code={} error=\"{e}\"", e.code().number()),
@@ -34,20 +32,20 @@
     }
 }
 
-/// Stops the process as planned.
+/// Shuts the process down gracefully.
 pub async fn run(node: &Arc<Node>, stop_callers: &watch::Sender<bool>, callers: JoinHandle<()>) {
     log::info!("event=stop_asked");
-    let begun = node.now();
+    let started = node.now();
     node.stopping.send_replace(true);
-    if let Some(l) = node.scheduler.load_full() {
-        let _ = l.stop.send(true);
-        lease_renewal::release(node, l.term).await;
+    if let Some(handle) = node.scheduler.load_full() {
+        let _ = handle.stop.send(true);
+        lease_renewal::release(node, handle.term).await;
     }
-    tokio::time::sleep(BALANCER_LAG.saturating_sub(node.now() - begun)).await;
+    tokio::time::sleep(BALANCER_DELAY.saturating_sub(node.now() - started)).await;
     let _ = stop_callers.send(true);
-    let left = node.settings.stop_within().saturating_sub(MARGIN + (node.now() - begun));
+    let left = node.settings.stop_within().saturating_sub(SHUTDOWN_MARGIN + (node.now() - started));
     if tokio::time::timeout(left, callers).await.is_err() {
         log::warn!("event=stop_limit");
     }
-    log::info!("event=stopped took_ms={}", (node.now() - begun).as_millis());
+    log::info!("event=stopped took_ms={}", (node.now() - started).as_millis());
 }
