--- a/src/workswood/ops/jobs/lease_renewal.rs
+++ b/src/workswood/ops/jobs/lease_renewal.rs
@@ -9,62 +9,60 @@
 use super::lease::LeaseRecord;
 use super::node::{Node, SchedulerHandle};
 
-/// Time between two renewals.
-const EVERY: Duration = Duration::from_millis(450);
-/// Pause after a renewal that failed.
-const PAUSE: Duration = Duration::from_millis(150);
-/// How long after its last renewal a holder goes on extending workers' leases.
-/// A successor waits as long for workers that it can't reach, and only for
-/// those. With the workers' lease, what runs survives an outage of nine
-/// seconds. Afterwards the holder goes on only with what is in the store: if
-/// nobody has claimed the lease meanwhile, it is still its own.
+/// Interval between renewals.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(450);
+/// Backoff after a failed renewal.
+const RETRY_BACKOFF: Duration = Duration::from_millis(150);
+/// How long after its last renewal a lease holder goes on extending workers' leases. Tasks survive
+/// an outage of the store of this time plus the duration of a worker's lease. A successor waits
+/// as long before it gives up workers that it can't reach. The holder keeps its own lease longer,
+/// until another process claims it.
 pub const EXTENSION_GRACE: Duration = Duration::from_secs(4);
 
-/// A holder that has not renewed for this long, while another process can write
-/// into the store, gives the lease back: one renewal without an answer over two
-/// connections, or several that were refused. Its successor would wait for 1.8 s.
-const HOPELESS_AFTER: Duration = Duration::from_millis(900);
+/// A holder that has not renewed its lease for this long releases it through another process, if
+/// one can write to the store. A successor can then claim it before it expires.
+const RELEASE_AFTER: Duration = Duration::from_millis(900);
 
-/// Renews until the scheduler ends.
-pub async fn run(node: Arc<Node>, l: Arc<SchedulerHandle>) {
+/// Renews the lease until another process holds it or it is released.
+pub async fn run(node: Arc<Node>, handle: Arc<SchedulerHandle>) {
     let mut number = 1;
     let mut renewed = node.now();
     loop {
         let sent = node.now();
-        let rec = LeaseRecord::of(&node, l.term, false).keyed();
-        match node.platform.append(Topic::Lease, vec![rec], Guard::Term(l.term, number)).await {
+        let rec = LeaseRecord::of(&node, handle.term, false).keyed();
+        match node.platform.append(Topic::Lease, vec![rec], Guard::Term(handle.term, number)).await {
             Ok(_) => {
                 node.note_store_answer();
                 number += 1;
                 renewed = sent;
-                l.grant.extend(sent + EXTENSION_GRACE);
-                tokio::time::sleep(EVERY).await;
+                handle.grant.extend(sent + EXTENSION_GRACE);
+                tokio::time::sleep(RENEWAL_INTERVAL).await;
             }
             Err(StoreError::GuardFailed) => {
-                log::warn!("event=lease_overtaken term={}", l.term);
-                let _ = l.stop.send(true);
+                log::warn!("event=lease_overtaken term={}", handle.term);
+                let _ = handle.stop.send(true);
                 return;
             }
             Err(e) => {
-                log::warn!("event=lease_not_renewed term={} error=\"{e}\"", l.term);
-                let hopeless =
-                    node.now() > renewed + HOPELESS_AFTER && node.settings.policy.calls.write_for_others;
-                if hopeless && help::release(&node, l.term).await {
-                    log::warn!("event=lease_released term={} by=helper", l.term);
-                    let _ = l.stop.send(true);
+                log::warn!("event=lease_not_renewed term={} error=\"{e}\"", handle.term);
+                let release_due =
+                    node.now() > renewed + RELEASE_AFTER && node.settings.policy.calls.write_for_others;
+                if release_due && help::release(&node, handle.term).await {
+                    log::warn!("event=lease_released term={} by=helper", handle.term);
+                    let _ = handle.stop.send(true);
                     return;
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_BACKOFF).await;
             }
         }
     }
 }
 
-/// Gives the lease back, so that another process claims it at once.
+/// Releases the lease, so that another process can claim it at once.
 pub async fn release(node: &Node, term: u64) {
     let rec = LeaseRecord::of(node, term, true).keyed();
-    // The number is above all renewals of this term that can have been sent;
-    // a gap in numbers is refused, so the append goes without one.
+    // The store refuses a gap in the numbers of a term, and it is not known here which renewals
+    // it has received. So this append has no number.
     let res = node.platform.append(Topic::Lease, vec![rec], Guard::None).await;
     match res {
         Ok(_) => log::info!("event=lease_released term={term}"),
