--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -1,11 +1,11 @@
 //! The scheduler lease: who runs the scheduler.
 //!
-//! The lease is a topic of the store. A process claims it with an append that
-//! is done only if the topic ends where the process last read; the term is one
-//! more than that offset, so it rises with every claim. The holder renews by
-//! appends that are refused once a higher term has been seen. Everybody reads
-//! the topic; nobody trusts the answer to its own claim, which may be lost.
-//! When a process claims is decided by [`workswood_core::jobs::claim`].
+//! The lease is a topic of the store. A process claims it with an append that succeeds only if the
+//! topic ends where the process last read; the term is one more than that offset, so it rises with
+//! every claim. The holder renews the lease by appends that the store rejects once it has seen a
+//! higher term. A process takes itself for the holder only after it has read its own claim from
+//! the topic, since the reply to the claim may be lost. [`workswood_core::jobs::claim`] decides
+//! when a process claims the lease.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,17 +19,17 @@
 use super::node::{Holder, Node};
 use super::scheduler_task;
 
-/// Longest time that one read waits for a record: longer than between two
-/// renewals, so that one read each is enough, and short enough to notice that the
-/// store is gone before callers wait for it.
-const LONGEST_READ: Duration = Duration::from_millis(700);
-/// Shortest time that one read waits for a record: how late a claim may be made
-/// once it is due.
-const SHORTEST_READ: Duration = Duration::from_millis(300);
-/// Time between two looks of a process that does not hear of each renewal, and what is added to it for some.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
-const LOOK_SPREAD: Duration = Duration::from_secs(2);
-/// Key of the lease.
+/// Longest time that a read waits for a record: longer than the renewal interval, so that one read
+/// per renewal suffices, but short enough to notice an outage of the store early.
+const MAX_READ_WAIT: Duration = Duration::from_millis(700);
+/// Shortest time that a read waits for a record, by which a claim that is due may be delayed.
+const MIN_READ_WAIT: Duration = Duration::from_millis(300);
+/// Interval between checks by a process that does not follow each renewal.
+const CHECK_INTERVAL: Duration = Duration::from_secs(5);
+/// Largest addition to that interval; it differs between entries, so that they don't check at the
+/// same time.
+const CHECK_JITTER: Duration = Duration::from_secs(2);
+/// Key of the lease's record.
 pub(super) const KEY: &str = "holder";
 
 /// Stored form of the lease.
@@ -37,23 +37,23 @@
 pub(super) struct LeaseRecord {
     /// Incarnation of the holder.
     pub id: Incarnation,
-    /// Name of its host.
+    /// Name of its entry.
     pub name: String,
-    /// Its peer listener.
+    /// Address where it listens for peers.
     #[serde(rename = "peers")]
     pub peer_address: String,
     /// Its term.
     pub term: Term,
-    /// Whether it gives the lease back.
+    /// Whether it releases the lease.
     #[serde(default)]
     pub released: bool,
-    /// Workers that it can look after.
+    /// Number of workers that it can attend.
     #[serde(default)]
     pub strength: Option<Strength>,
 }
 
 impl LeaseRecord {
-    /// The record with which a process claims, renews or releases the lease.
+    /// Returns the record with which a process claims, renews or releases the lease.
     pub(super) fn of(node: &Node, term: Term, released: bool) -> LeaseRecord {
         LeaseRecord {
             id: node.id.clone(),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The holder, as other processes know it.
+    /// Returns the holder as a candidate for the lease sees it.
     fn holder_seen(&self) -> HolderSeen {
         HolderSeen {
             id: self.id.clone(),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The record under the key of the lease.
+    /// Returns the record under the key of the lease.
     pub(super) fn keyed(&self) -> KeyedRecord {
         let value = serde_json::to_vec(self).unwrap_or_default();
         KeyedRecord { key: KEY.to_string(), value: Some(value.into()) }
@@ -84,101 +84,110 @@
 }
 
 /// What a process knows of the lease.
-struct View {
+struct LeaseView {
     /// Offset of the first record that was not read yet.
     next: Offset,
     /// The holder, once one is known.
     holder: Option<HolderSeen>,
-    /// When the holder was last heard of, or could not have been heard of.
-    heard: Duration,
+    /// When a record of the holder was last read, or could not have been read.
+    heard_at: Duration,
     /// When the holder's term was first seen.
-    term_seen: Duration,
-    /// Latest term that was led here.
-    led: Term,
-    /// Whether the next renewal is waited for: the process is new, or in doubt about holder or store.
+    term_seen_at: Duration,
+    /// Latest term in which the scheduler ran in this process.
+    last_own_term: Term,
+    /// Whether to wait for the next renewal: the process is new, or suspects that the holder or
+    /// the store is gone.
     awaits_renewal: bool,
 }
 
-impl View {
-    /// A view that has read nothing.
-    fn new(node: &Node, led: Term) -> View {
+impl LeaseView {
+    /// Returns a view before the first read.
+    fn new(node: &Node, last_own_term: Term) -> LeaseView {
         let now = node.now();
-        View { next: 0, holder: None, heard: now, term_seen: now, led, awaits_renewal: true }
+        LeaseView {
+            next: 0,
+            holder: None,
+            heard_at: now,
+            term_seen_at: now,
+            last_own_term,
+            awaits_renewal: true,
+        }
     }
 
-    /// How long a read waits, at the longest until the lease could be claimed if
-    /// no renewal comes. Shorter reads would tell nothing new, and are paid for.
+    /// How long a read waits: at most until the lease can be claimed if no renewal comes. Shorter
+    /// reads would only make more calls to the store.
     fn read_wait(&self, now: Duration) -> Duration {
         if self.holder.as_ref().is_none_or(|h| h.released) {
-            return SHORTEST_READ;
+            return MIN_READ_WAIT;
         }
-        EXPIRES.saturating_sub(now - self.heard).clamp(SHORTEST_READ, LONGEST_READ)
+        EXPIRES.saturating_sub(now - self.heard_at).clamp(MIN_READ_WAIT, MAX_READ_WAIT)
     }
 
-    /// Whether this process hears of each renewal now.
-    fn is_close(&self, node: &Node) -> bool {
+    /// Whether this process follows each renewal at present.
+    fn follows_renewals(&self, node: &Node) -> bool {
         let free = self.holder.as_ref().is_none_or(|h| h.released);
         let needed = free || node.scheduler.load().is_some() || self.awaits_renewal;
         needed || node.peers.hears_renewals(&node.settings.name)
     }
 
-    /// Why this process, which does not lead now, may claim the lease.
+    /// Returns why this process, which does not run the scheduler now, may claim the lease.
     fn reason_to_claim(&self, node: &Node) -> Option<Reason> {
         let candidate = Candidate {
             id: node.id.clone(),
             name: node.settings.name.clone(),
             strength: node.settings.strength(),
-            led: self.led,
+            led: self.last_own_term,
         };
         let now = node.now();
-        let ages = Ages { heard: now - self.heard, term: now - self.term_seen, up: now };
+        let ages = Ages { heard: now - self.heard_at, term: now - self.term_seen_at, up: now };
         candidate.reason_to_claim(self.holder.as_ref(), ages)
     }
 }
 
-/// Watches the lease and claims it when it is free. A process without a
-/// configuration may not claim; it begins to read once it has one, since a read
-/// that finds the lease free too early is followed by one that waits.
+/// Watches the lease and claims it when it is free.
+///
+/// A process without a configuration may not claim. It starts to read the lease only once it has
+/// one: if a read before that found the lease free, the claim would have to wait for the next read.
 pub async fn run(node: Arc<Node>) {
     node.wait_until_configured().await;
-    // What it must not start is known before it can lead.
+    // Evacuations must be known before the scheduler starts tasks.
     node.operator_state.wait_until_known().await;
-    let mut view: Option<View> = None;
+    let mut view: Option<LeaseView> = None;
     let mut failures = 0;
     loop {
-        if let Some(v) = view.as_mut().filter(|v| !v.is_close(&node)) {
-            look(&node, v).await;
+        if let Some(v) = view.as_mut().filter(|v| !v.follows_renewals(&node)) {
+            check_renewed(&node, v).await;
             continue;
         }
         node.set_store_polled(true);
         let res = match &view {
-            None => newest(&node).await,
+            None => read_newest(&node).await,
             Some(v) => {
-                // After a failure the answer is wanted at once.
+                // After a failure, find out at once whether the store answers again.
                 let wait = if failures > 0 { Duration::ZERO } else { v.read_wait(node.now()) };
                 node.platform.tail(Topic::Lease, v.next, wait).await
             }
         };
-        note_reading(failures > 0, &res);
+        log_read_result(failures > 0, &res);
         failures = if res.is_err() { failures + 1 } else { 0 };
         match res {
             Ok(tail) => {
                 node.note_store_answer();
                 let renewed = view.is_some() && !tail.records.is_empty();
-                let v = view.get_or_insert_with(|| View::new(&node, 0));
-                take(&node, v, tail);
+                let v = view.get_or_insert_with(|| LeaseView::new(&node, 0));
+                apply_records(&node, v, tail);
                 v.awaits_renewal &= !renewed;
-                // Done only if nothing follows what was read.
+                // The claim succeeds only if the topic has no further records.
                 claim_if_free(&node, v).await;
-                lead_if_mine(&node, v);
+                update_scheduler(&node, v);
             }
-            Err(StoreError::RecordsGone) => view = read_anew(&node, view.as_ref()).await,
+            Err(StoreError::RecordsGone) => view = restart_view(&node, view.as_ref()).await,
             // Logged above.
             Err(_) => {
-                // The holder can't be heard while the store is away; it gets
-                // its full time again afterwards.
+                // Renewals can't be read while the store is unreachable, so the full time to
+                // expiry starts anew afterwards.
                 if let Some(v) = &mut view {
-                    v.heard = node.now();
+                    v.heard_at = node.now();
                 }
                 tokio::time::sleep(pause_after(failures)).await;
             }
@@ -186,34 +195,35 @@
     }
 }
 
-/// Looks after some time, or in doubt at once, whether the lease was renewed since the last look.
-async fn look(node: &Node, v: &mut View) {
+/// Waits for the check interval, or until a check is requested, and then checks whether the lease
+/// was renewed since the last check.
+async fn check_renewed(node: &Node, v: &mut LeaseView) {
     node.set_store_polled(false);
-    let every = LOOK_EVERY + spread(&node.settings.name, LOOK_SPREAD);
-    let doubted = tokio::time::timeout(every, node.check_lease.notified()).await.is_ok();
-    let res = newest(node).await;
+    let interval = CHECK_INTERVAL + spread(&node.settings.name, CHECK_JITTER);
+    let requested = tokio::time::timeout(interval, node.check_lease.notified()).await.is_ok();
+    let res = read_newest(node).await;
     let now = node.now();
-    v.awaits_renewal = doubted || res.is_err();
+    v.awaits_renewal = requested || res.is_err();
     match res {
         Ok(tail) => {
             node.note_store_answer();
             if tail.next != v.next {
-                take(node, v, tail);
-            } else if !doubted {
+                apply_records(node, v, tail);
+            } else if !requested {
                 log::info!("event=lease_not_renewed_since_look");
-                v.heard = now.saturating_sub(EXPIRES);
+                v.heard_at = now.saturating_sub(EXPIRES);
                 v.awaits_renewal = true;
             }
         }
         Err(e) => {
             log::info!("event=lease_look_failed error=\"{e}\"");
-            v.heard = now;
+            v.heard_at = now;
         }
     }
 }
 
-/// Logs that reading the lease begins to fail, or goes on again.
-fn note_reading(failed_before: bool, res: &Result<Tail, StoreError>) {
+/// Logs when reads of the lease start to fail, and when they succeed again.
+fn log_read_result(failed_before: bool, res: &Result<Tail, StoreError>) {
     match res {
         Err(e) if !failed_before => {
             log::warn!("event=dependency_lost dependency=store topic=Lease error=\"{e}\"")
@@ -223,49 +233,50 @@
     }
 }
 
-/// The newest record of the lease, and where to read on.
-async fn newest(node: &Node) -> Result<Tail, StoreError> {
+/// Reads the newest record of the lease, and the offset to continue from.
+async fn read_newest(node: &Node) -> Result<Tail, StoreError> {
     let newest = node.platform.latest(Topic::Lease).await?;
     Ok(Tail { records: newest.records, next: newest.next })
 }
 
-/// A view from the newest record, where the store no longer has what followed
-/// the one before.
-async fn read_anew(node: &Node, before: Option<&View>) -> Option<View> {
-    let led = before.map_or(0, |v| v.led);
-    let tail = newest(node).await.ok()?;
-    let mut view = View::new(node, led);
-    take(node, &mut view, tail);
+/// Returns a view from the newest record, after the store has deleted records that the view before
+/// had not read; `None` if the read fails.
+async fn restart_view(node: &Node, before: Option<&LeaseView>) -> Option<LeaseView> {
+    let last_own_term = before.map_or(0, |v| v.last_own_term);
+    let tail = read_newest(node).await.ok()?;
+    let mut view = LeaseView::new(node, last_own_term);
+    apply_records(node, &mut view, tail);
     Some(view)
 }
 
-/// Takes records in.
-fn take(node: &Node, v: &mut View, tail: Tail) {
+/// Applies records of the lease to a view.
+fn apply_records(node: &Node, v: &mut LeaseView, tail: Tail) {
     v.next = tail.next;
-    tail.records.iter().for_each(|rec| take_one(node, v, rec));
+    tail.records.iter().for_each(|rec| apply_record(node, v, rec));
 }
 
-/// Takes one record in, unless a later term is known.
-fn take_one(node: &Node, v: &mut View, rec: &KeyedRecord) {
+/// Applies one record to a view, unless a later term is known.
+fn apply_record(node: &Node, v: &mut LeaseView, rec: &KeyedRecord) {
     let value = rec.value.as_deref().unwrap_or_default();
-    let Ok(l) = serde_json::from_slice::<LeaseRecord>(value) else {
+    let Ok(lease) = serde_json::from_slice::<LeaseRecord>(value) else {
         log::error!("event=lease_not_read code=203");
         return;
     };
     // A renewal or release of an earlier term may arrive late.
-    if v.holder.as_ref().is_some_and(|h| l.term < h.term) {
+    if v.holder.as_ref().is_some_and(|h| lease.term < h.term) {
         return;
     }
-    let seen = l.holder_seen();
-    v.heard = node.now();
+    let seen = lease.holder_seen();
+    v.heard_at = node.now();
     if v.holder.as_ref() == Some(&seen) {
         return;
     }
     if v.holder.as_ref().is_none_or(|h| h.term != seen.term) {
-        v.term_seen = v.heard;
+        v.term_seen_at = v.heard_at;
     }
     log_holder(&seen);
-    let holder = Holder { id: l.id, peer_address: l.peer_address, term: l.term, released: l.released };
+    let holder =
+        Holder { id: lease.id, peer_address: lease.peer_address, term: lease.term, released: lease.released };
     node.set_holder(holder);
     v.holder = Some(seen);
 }
@@ -281,34 +292,34 @@
     );
 }
 
-/// Claims the lease if this process may; the answer only shows in later reads.
-async fn claim_if_free(node: &Arc<Node>, v: &mut View) {
+/// Claims the lease if this process may. Later reads show whether the claim succeeded.
+async fn claim_if_free(node: &Arc<Node>, v: &mut LeaseView) {
     if node.is_stopping() || node.scheduler.load().is_some() {
         return;
     }
-    let Some(why) = v.reason_to_claim(node) else { return };
-    let why = why.label();
+    let Some(reason) = v.reason_to_claim(node) else { return };
+    let reason = reason.label();
     let term = v.next + 1;
     let rec = LeaseRecord::of(node, term, false).keyed();
     let res = node.platform.append(Topic::Lease, vec![rec], Guard::EndsAt(v.next)).await;
     match res {
-        Ok(_) => log::info!("event=lease_claimed term={term} reason={why}"),
-        Err(e) => log::info!("event=lease_claim_failed term={term} reason={why} error=\"{e}\""),
+        Ok(_) => log::info!("event=lease_claimed term={term} reason={reason}"),
+        Err(e) => log::info!("event=lease_claim_failed term={term} reason={reason} error=\"{e}\""),
     }
 }
 
-/// Starts the scheduler when the lease turns out to be ours.
-fn lead_if_mine(node: &Arc<Node>, v: &mut View) {
+/// Starts the scheduler if this process holds the lease, and stops it if a later term has begun.
+fn update_scheduler(node: &Arc<Node>, v: &mut LeaseView) {
     let Some(h) = &v.holder else { return };
-    let mine = h.id == node.id && !h.released;
+    let held_here = h.id == node.id && !h.released;
     match node.scheduler.load().as_ref() {
-        None if mine && h.term > v.led && !node.is_stopping() => {
-            v.led = h.term;
+        None if held_here && h.term > v.last_own_term && !node.is_stopping() => {
+            v.last_own_term = h.term;
             scheduler_task::start(node, h.term);
         }
-        Some(l) if l.term < h.term => {
-            log::warn!("event=lease_lost term={} to={} to_term={}", l.term, h.name, h.term);
-            let _ = l.stop.send(true);
+        Some(running) if running.term < h.term => {
+            log::warn!("event=lease_lost term={} to={} to_term={}", running.term, h.name, h.term);
+            let _ = running.stop.send(true);
         }
         _ => {}
     }
