--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one process share.
+//! State that the tasks of one process share.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,19 +25,19 @@
 use crate::util::job_metrics::JobMetrics;
 use crate::util::job_settings::JobSettings;
 
-/// In place of a time: the store is asked only now and then.
-const NOT_ASKED: u64 = u64::MAX;
+/// In place of a time: the store is not polled continuously.
+const NOT_POLLED: u64 = u64::MAX;
 
 /// Who holds the scheduler lease, as last read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Holder {
     /// Its incarnation.
     pub id: Incarnation,
-    /// Its peer listener.
+    /// Address where it listens for peers.
     pub peer_address: String,
     /// Its term.
     pub term: Term,
-    /// Whether it gave the lease back.
+    /// Whether it released the lease.
     pub released: bool,
 }
 
@@ -85,57 +85,59 @@
     }
 }
 
-/// What the tasks of one process share.
+/// State that the tasks of one process share.
 pub struct Node {
-    /// Its settings.
+    /// Settings of the process.
     pub settings: JobSettings,
-    /// The platform.
+    /// Client of the platform.
     pub platform: Arc<dyn JobPlatform>,
-    /// This life of the process.
+    /// This incarnation of the process.
     pub id: Incarnation,
-    /// What is in force.
+    /// The configuration in force.
     pub config: ArcSwapOption<SchedConfig>,
-    /// The same as operators wrote it, for hosts that the store turns away. It holds keys:
-    /// it is neither logged nor stored.
+    /// The configuration as operators wrote it, for peers that can't read from the store. It
+    /// contains API keys, so it must not be logged or stored.
     pub config_text: ArcSwapOption<Bytes>,
-    /// What operators have evacuated.
+    /// Evacuations and the age of what is known of the operators' records.
     pub operator_state: OperatorState,
-    /// Maintenance waves that operators asked for.
+    /// Maintenance waves that operators requested, by number.
     pub waves: Mutex<BTreeMap<u64, Wave>>,
-    /// Who holds the lease.
+    /// The holder of the scheduler lease.
     pub holder: ArcSwapOption<Holder>,
-    /// The scheduler, while it runs here.
+    /// The scheduler, while it runs in this process.
     pub scheduler: ArcSwapOption<SchedulerHandle>,
-    /// Other processes that run jobs.
+    /// The processes of other entries.
     pub peers: Peers,
-    /// Where callers' jobs and cancels wait to be stored.
+    /// Submitted jobs and cancellations that wait to be stored.
     pub inbox: Inbox,
-    /// What its tasks have found out of their connections.
+    /// Detects half-open connections.
     pub half_open: HalfOpenDetector,
-    /// What goes over its link.
+    /// Counts the traffic over the entry's link.
     pub traffic: Traffic,
-    /// How late this process itself is.
+    /// Measures how late timers of this process fire.
     pub timer_lag: TimerLag,
-    /// The newest session of a lease holder that it serves as a relay.
+    /// The newest session of a lease holder that this process serves as a relay.
     pub relay_session: watch::Sender<Session>,
-    /// Its metrics.
+    /// Metrics of the process.
     pub metrics: JobMetrics,
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown has begun.
     pub stopping: watch::Sender<bool>,
-    /// Turns true with the first configuration.
+    /// Set to true by the first configuration.
     configured: watch::Sender<bool>,
     clock: Clock,
-    store_answered: AtomicU64,
-    /// Since when the store is asked several times a second; [`NOT_ASKED`] while it is not.
-    store_asked: AtomicU64,
-    /// Wakes who follows the lease: its holder or the store may be gone.
+    /// When the store last answered, in milliseconds since the process started.
+    store_answered_ms: AtomicU64,
+    /// Since when the store is polled continuously, in milliseconds since the process started;
+    /// [`NOT_POLLED`] while it is not.
+    store_polled_since_ms: AtomicU64,
+    /// Requests a check of the lease, when its holder or the store may be gone.
     pub check_lease: Notify,
-    /// Term of the holder that is known.
+    /// Term of `holder`.
     holder_term: watch::Sender<Term>,
 }
 
 impl Node {
-    /// A process that has not read anything yet, on the clock of the runtime.
+    /// Returns the state of a process that has read nothing yet, with the clock of the runtime.
     pub fn new(settings: JobSettings, platform: Arc<dyn JobPlatform>) -> Node {
         Node::with_shared(
             settings,
@@ -146,8 +148,8 @@
         )
     }
 
-    /// Likewise, on this clock; what the platform's client finds out of connections, and what
-    /// goes over them, is shared.
+    /// Returns the state of a process that has read nothing yet, with this clock. `half_open` and
+    /// `traffic` are those of the platform's client.
     pub fn with_shared(
         settings: JobSettings,
         platform: Arc<dyn JobPlatform>,
@@ -176,19 +178,19 @@
             stopping: watch::Sender::new(false),
             configured: watch::Sender::new(false),
             clock,
-            store_answered: AtomicU64::new(0),
-            store_asked: AtomicU64::new(0),
+            store_answered_ms: AtomicU64::new(0),
+            store_polled_since_ms: AtomicU64::new(0),
             check_lease: Notify::new(),
             holder_term: watch::Sender::new(0),
         }
     }
 
-    /// Time since the process started, suspensions of its host included.
+    /// Time since the process started, including time for which its entry was suspended.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Its clock.
+    /// The clock of the process.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
@@ -203,8 +205,7 @@
         SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
     }
 
-    /// Puts a configuration in force.
-    /// `text` is what operators wrote.
+    /// Puts a configuration in force; `text` is the configuration as operators wrote it.
     pub fn configure(&self, cfg: Arc<SchedConfig>, text: Bytes) {
         self.config.store(Some(cfg));
         self.config_text.store(Some(Arc::new(text)));
@@ -220,46 +221,47 @@
 
     /// Notes that the store has answered.
     pub fn note_store_answer(&self) {
-        self.store_answered.store(self.now_ms(), Ordering::Relaxed);
+        self.store_answered_ms.store(self.now_ms(), Ordering::Relaxed);
     }
 
-    /// How long the store has not answered that should have.
+    /// How long an answer of the store is overdue.
     pub fn store_silence(&self) -> Duration {
-        let answered = self.store_answered.load(Ordering::Relaxed);
-        let due = match self.store_asked.load(Ordering::Relaxed) {
-            NOT_ASKED => answered + self.settings.news_wait().as_millis() as u64,
+        let answered = self.store_answered_ms.load(Ordering::Relaxed);
+        let due = match self.store_polled_since_ms.load(Ordering::Relaxed) {
+            NOT_POLLED => answered + self.settings.news_wait().as_millis() as u64,
             since => answered.max(since),
         };
         Duration::from_millis(self.now_ms().saturating_sub(due))
     }
 
-    /// Notes whether the store is asked several times a second from now on.
-    pub fn set_store_polled(&self, often: bool) {
-        let was = self.store_asked.load(Ordering::Relaxed);
-        match (often, was) {
-            (true, NOT_ASKED) => self.store_asked.store(self.now_ms(), Ordering::Relaxed),
+    /// Notes whether the store is polled continuously from now on.
+    pub fn set_store_polled(&self, polled: bool) {
+        let since = self.store_polled_since_ms.load(Ordering::Relaxed);
+        match (polled, since) {
+            (true, NOT_POLLED) => self.store_polled_since_ms.store(self.now_ms(), Ordering::Relaxed),
             (true, _) => {}
-            (false, _) => self.store_asked.store(NOT_ASKED, Ordering::Relaxed),
+            (false, _) => self.store_polled_since_ms.store(NOT_POLLED, Ordering::Relaxed),
         }
     }
 
-    /// Notes who holds the lease.
+    /// Sets the known holder of the lease.
     pub fn set_holder(&self, holder: Holder) {
         let term = holder.term;
         self.holder.store(Some(Arc::new(holder)));
         self.holder_term.send_replace(term);
     }
 
-    /// The holder of a later term than this, which may have begun; waits for some time until that is read.
-    pub async fn wait_for_later_holder(&self, term: Term, within: Duration) -> Option<Arc<Holder>> {
+    /// Requests a check of the lease and waits until a holder of a later term than `term` is known;
+    /// `None` after the timeout.
+    pub async fn wait_for_later_holder(&self, term: Term, timeout: Duration) -> Option<Arc<Holder>> {
         let mut terms = self.holder_term.subscribe();
         self.check_lease.notify_one();
-        let later = tokio::time::timeout(within, terms.wait_for(|t| *t > term)).await;
+        let later = tokio::time::timeout(timeout, terms.wait_for(|t| *t > term)).await;
         later.ok()?.ok()?;
         self.holder.load_full()
     }
 
-    /// All metrics as text, with the gauges as they stand now.
+    /// Updates the gauges and returns all metrics as text.
     pub fn metrics_text(&self) -> String {
         let m = &self.metrics;
         m.leading.set(i64::from(self.scheduler.load().is_some()));
@@ -273,16 +275,16 @@
         m.text()
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown has begun.
     pub fn is_stopping(&self) -> bool {
         *self.stopping.borrow()
     }
 
-    /// Hands an event to the scheduler if it runs here.
+    /// Sends an event to the scheduler if it runs in this process.
     pub fn send_to_scheduler(&self, ev: Event) {
-        if let Some(l) = self.scheduler.load().as_ref() {
-            // A scheduler that has just ended takes no more events.
-            let _ = l.tx.send(ev);
+        if let Some(handle) = self.scheduler.load().as_ref() {
+            // Sending fails if the scheduler has just stopped.
+            let _ = handle.tx.send(ev);
         }
     }
 }
