--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -1,23 +1,28 @@
 //! The process of an entry that queues and runs jobs.
 //!
-//! Every entry runs the same process. Each one takes jobs from callers
-//! and writes them into the platform's store; the one that holds the scheduler
-//! lease decides where their tasks run. A [`Node`] is what the tasks of a
-//! process share:
+//! Every entry runs the same process. Each accepts jobs from callers and writes them to the
+//! platform's store; the process that holds the scheduler lease decides where their tasks run. A
+//! [`Node`] is the state that the tasks of a process share.
 //!
-//! * [`front`] answers callers, [`inbox`] keeps what they hand in, and [`probe`]
-//!   answers the balancer;
-//! * [`follow`] keeps up with what operators write, and [`operator_state`] tells how old that is and what is evacuated;
-//! * [`lease`] watches the scheduler lease and claims it;
-//! * [`scheduler_task`] runs the scheduler while this process holds the lease, with
-//!   [`restore_state`] (a predecessor's state), [`feeds`] (what it reads), [`record`],
-//!   [`job_spec`] and [`job_state`] (the stored form), [`inbox_cleanup`] (takes out what is over), [`lease_renewal`] (the lease), [`relay_sessions`] (with the relays) and
-//!   [`advice`] (calls to the adviser);
-//! * [`relay`] speaks with workers, for the lease holder here or elsewhere;
-//! * [`shown`] holds what callers may be told; [`ask`] puts callers' questions to the lease holder, and [`help`] does what
-//!   other processes ask for, whose listeners are in [`peers`];
-//! * [`usage_log`] tells in the log what a busy entry is used for;
-//! * [`shutdown`] ends the process without cutting anything off.
+//! * [`front`] answers callers, [`inbox`] stores what they submit, and [`probe`] answers the
+//!   balancer and serves metrics.
+//! * [`follow`] follows the operators' records, and [`operator_state`] holds which data centres
+//!   they evacuated.
+//! * [`lease`] watches and claims the scheduler lease.
+//! * [`scheduler_task`] runs the scheduler while this process holds the lease. [`restore_state`]
+//!   restores it from a predecessor's state, and [`feeds`] supplies its events. [`lease_renewal`]
+//!   renews the lease, [`relay_sessions`] has relays attend workers, [`host_orders`] sends orders
+//!   to hosts, [`advice`] calls the adviser, and [`inbox_cleanup`] deletes finished jobs from the
+//!   inbox.
+//! * [`record`], [`job_spec`] and [`job_state`] define the stored form of jobs and state.
+//! * [`limits`] holds durations of leases, and [`worker_list`] follows the list of workers.
+//! * [`relay`] communicates with workers for the lease holder, in this process or elsewhere.
+//! * [`shown`] holds the states of jobs that callers may be shown. [`ask`] forwards callers'
+//!   queries to the lease holder.
+//! * [`peers`] holds the processes of other entries and the connections to them, and [`help`]
+//!   answers their requests.
+//! * [`usage_log`] logs the resource usage of a busy entry.
+//! * [`shutdown`] stops the process gracefully.
 
 pub mod advice;
 pub mod ask;
@@ -52,7 +57,7 @@
 
 use snafu::ResultExt;
 use tokio::net::TcpListener;
-use tokio::sync::watch as channel;
+use tokio::sync::watch;
 use workswood_adapter::{Addresses, PlatformClient};
 use workswood_liveness::HalfOpenDetector;
 use workswood_platform::jobs::JobPlatform;
@@ -69,17 +74,19 @@
     TcpListener::bind(address).await.context(ListenSnafu { address: address.to_string() })
 }
 
-/// Runs the process until a signal stops it.
-pub async fn run(named: Option<String>) -> Result<()> {
-    let path = named.or_else(|| std::env::var(PATH_VARIABLE).ok()).ok_or_else(|| Error::Settings {
-        path: String::new(),
-        text: format!("no settings file: name one, or set {PATH_VARIABLE}"),
-    })?;
+/// Runs the process until a signal stops it. The settings file is `settings_path`, or the one that
+/// the environment variable names.
+pub async fn run(settings_path: Option<String>) -> Result<()> {
+    let path =
+        settings_path.or_else(|| std::env::var(PATH_VARIABLE).ok()).ok_or_else(|| Error::Settings {
+            path: String::new(),
+            text: format!("no settings file: name one, or set {PATH_VARIABLE}"),
+        })?;
     let settings = JobSettings::read(&path)?;
     crate::util::logs::start(settings.log_level);
-    let callers = listen(settings.callers).await?;
-    let readiness = listen(settings.readiness).await?;
-    let metrics = listen(settings.metrics).await?;
+    let caller_listener = listen(settings.callers).await?;
+    let readiness_listener = listen(settings.readiness).await?;
+    let metrics_listener = listen(settings.metrics).await?;
     let peer_listener = listen(settings.peers).await?;
     let addresses = Addresses {
         store: settings.store.clone(),
@@ -100,9 +107,9 @@
         node.settings.callers,
         node.settings.peers
     );
-    let (stop_callers, stopped) = channel::channel(false);
-    tokio::spawn(probe::readiness(readiness, node.clone()));
-    tokio::spawn(probe::metrics(metrics, node.clone()));
+    let (stop_callers, callers_stopped) = watch::channel(false);
+    tokio::spawn(probe::readiness(readiness_listener, node.clone()));
+    tokio::spawn(probe::metrics(metrics_listener, node.clone()));
     tokio::spawn(workswood_peers::serve_with_relay(
         peer_listener,
         peers::TOKEN.to_string(),
@@ -117,7 +124,11 @@
     tokio::spawn(peers::run(node.clone()));
     tokio::spawn(usage_log::run(node.clone()));
     tokio::spawn(shutdown::watch_reload(path));
-    let callers = tokio::spawn(workswood_callers::serve(callers, front::handler(node.clone()), stopped));
+    let callers = tokio::spawn(workswood_callers::serve(
+        caller_listener,
+        front::handler(node.clone()),
+        callers_stopped,
+    ));
     signals::stop().await;
     shutdown::run(&node, &stop_callers, callers).await;
     Ok(())
