--- a/src/workswood/ops/jobs/relay_sessions.rs
+++ b/src/workswood/ops/jobs/relay_sessions.rs
@@ -42,7 +42,7 @@
 }
 
 /// The relay that attends a worker.
-struct Attendance {
+struct Assignment {
     /// Name of the relay's entry.
     relay: HostId,
     /// Number of the worker there.
@@ -58,7 +58,7 @@
     /// The relay in this process.
     own_relay: Relay,
     sessions: HashMap<HostId, Session>,
-    attended: HashMap<WorkerId, Attendance>,
+    assignments: HashMap<WorkerId, Assignment>,
     /// Number that was last given to a worker.
     last_number: Number,
     /// Number of sessions opened in this term.
@@ -75,19 +75,20 @@
         let own_relay = Relay::new(node.clone(), handle.grant.clone(), Sink::Here(handle.tx.clone()));
         tasks.spawn(send_own_heartbeats(node.settings.name.clone(), handle.clone()));
         tasks.spawn(node.timer_lag.clone().measure());
-        let (sessions, attended) = (HashMap::new(), HashMap::new());
-        RelaySessions { node, handle, own_relay, sessions, attended, last_number: 0, opened: 0 }
+        let (sessions, assignments) = (HashMap::new(), HashMap::new());
+        RelaySessions { node, handle, own_relay, sessions, assignments, last_number: 0, opened: 0 }
     }
 
-    /// Carries out an action that concerns a relay or a worker. Orders wait until [`Self::flush`].
+    /// Carries out an action that concerns a relay or a worker. Orders to other relays wait until
+    /// [`Self::flush`].
     pub(super) fn carry_out(&mut self, action: Action, tasks: &mut JoinSet<()>) {
         match action {
             Action::OpenRelay(entry) => self.open(entry, tasks),
             Action::CloseRelay(entry) => self.close(&entry),
-            Action::Watch { relay, info, token } => self.attend(relay, info, token),
+            Action::Watch { relay, info, token } => self.assign(relay, info, token),
             Action::Unwatch(id) => {
-                if let Some(a) = self.attended.remove(&id) {
-                    self.end_attendance(&a);
+                if let Some(a) = self.assignments.remove(&id) {
+                    self.end_assignment(&a);
                 }
             }
             Action::ReportFigures(id, wanted) => self.order(&id, Order::Figures(wanted)),
@@ -98,7 +99,7 @@
             Action::Start { worker, token, task, attempt, text, checkpoint, ticket } => {
                 // The worker may have another relay since the start was decided. The first report
                 // from that relay shows that the task does not run, and the scheduler decides again.
-                if self.attended.get(&worker).is_some_and(|a| a.token == token) {
+                if self.assignments.get(&worker).is_some_and(|a| a.token == token) {
                     let start = StartTask { task, attempt, text, checkpoint, ticket };
                     self.order(&worker, Order::Start(start));
                 }
@@ -114,7 +115,7 @@
 
     /// Gives an order on a worker to the relay that attends it.
     fn order(&mut self, id: &WorkerId, order: Order) {
-        let Some(a) = self.attended.get(id) else { return };
+        let Some(a) = self.assignments.get(id) else { return };
         if a.relay == self.node.settings.name {
             self.own_relay.take(a.number, order);
         } else if let Some(s) = self.sessions.get_mut(&a.relay) {
@@ -122,20 +123,22 @@
         }
     }
 
-    fn attend(&mut self, relay: HostId, info: WorkerInfo, token: Term) {
+    /// Has a relay attend a worker, in place of the relay that attended it before.
+    fn assign(&mut self, relay: HostId, info: WorkerInfo, token: Term) {
         self.last_number += 1;
         let number = self.last_number;
         if let Some(s) = self.sessions.get(&relay) {
             s.workers.lock().insert(number, (info.id.clone(), token));
         }
         let worker = info.worker_address();
-        if let Some(before) = self.attended.insert(info.id.clone(), Attendance { relay, number, token }) {
-            self.end_attendance(&before);
+        if let Some(before) = self.assignments.insert(info.id.clone(), Assignment { relay, number, token }) {
+            self.end_assignment(&before);
         }
         self.order(&info.id, Order::Attend { worker, token });
     }
 
-    fn end_attendance(&mut self, a: &Attendance) {
+    /// Has a relay no longer attend a worker.
+    fn end_assignment(&mut self, a: &Assignment) {
         if a.relay == self.node.settings.name {
             self.own_relay.take(a.number, Order::Leave);
         } else if let Some(s) = self.sessions.get_mut(&a.relay) {
@@ -175,7 +178,7 @@
     fn close(&mut self, entry: &HostId) {
         if let Some(s) = self.sessions.remove(entry) {
             s.task.abort();
-            self.attended.retain(|_, a| a.relay != *entry);
+            self.assignments.retain(|_, a| a.relay != *entry);
         }
         self.node.metrics.relays.set(self.sessions.len() as i64);
     }
