--- a/src/workswood/ops/jobs/inbox_cleanup.rs
+++ b/src/workswood/ops/jobs/inbox_cleanup.rs
@@ -46,17 +46,18 @@
     if jobs.is_empty() {
         return;
     }
-    for part in inbox::parts(node.settings.store_parts) {
+    for partition in inbox::parts(node.settings.store_parts) {
         let deletions: Vec<KeyedRecord> = {
             let known = handle.inbox_keys.lock();
-            let keys = jobs.iter().flat_map(|job| known.keys_of(part, *job));
+            let keys = jobs.iter().flat_map(|job| known.keys_of(partition, *job));
             keys.map(InboxKey::drop_record).collect()
         };
         if deletions.is_empty() {
             continue;
         }
-        while let Err(e) = node.platform.append(Topic::Inbox(part), deletions.clone(), Guard::None).await {
-            log::warn!("event=inbox_not_trimmed part={part} error=\"{e}\"");
+        while let Err(e) = node.platform.append(Topic::Inbox(partition), deletions.clone(), Guard::None).await
+        {
+            log::warn!("event=inbox_not_trimmed part={partition} error=\"{e}\"");
             tokio::time::sleep(RETRY_BACKOFF).await;
         }
     }
--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -89,7 +89,7 @@
     next: Offset,
     /// The holder, once one is known.
     holder: Option<HolderSeen>,
-    /// When a record of the holder was last read, or could not have been read.
+    /// When a record of the holder was last read, or a read last failed.
     heard_at: Duration,
     /// When the holder's term was first seen.
     term_seen_at: Duration,
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -54,7 +54,7 @@
     /// `job_statuses` reflects everything that was in the inbox at this time, in milliseconds
     /// since the process started; 0 before the inbox was first read.
     pub inbox_read_ms: AtomicU64,
-    /// Which parts of the inbox hold which keys.
+    /// Which partitions of the inbox hold which keys.
     pub inbox_keys: Mutex<Kept>,
     /// Until when workers' leases may be extended.
     pub grant: Grant,
--- a/src/workswood/ops/jobs/operator_state.rs
+++ b/src/workswood/ops/jobs/operator_state.rs
@@ -66,13 +66,13 @@
 
     /// Replaces the known evacuations unless those are newer. Returns the evacuated data centres
     /// if they changed.
-    pub fn set_evacuations(&self, now: Evacuations) -> Option<BTreeSet<DataCentre>> {
+    pub fn set_evacuations(&self, newest: Evacuations) -> Option<BTreeSet<DataCentre>> {
         let before = self.evacuations.load_full();
-        if now.read_at < before.read_at {
+        if newest.read_at < before.read_at {
             return None;
         }
-        let changed = (before.data_centres != now.data_centres).then(|| now.data_centres.clone());
-        self.evacuations.store(Arc::new(now));
+        let changed = (before.data_centres != newest.data_centres).then(|| newest.data_centres.clone());
+        self.evacuations.store(Arc::new(newest));
         self.known.send_replace(true);
         changed
     }
--- a/src/workswood/ops/jobs/record.rs
+++ b/src/workswood/ops/jobs/record.rs
@@ -5,7 +5,7 @@
 //! so that one workspace can't replace what another wrote under the same job key.
 //!
 //! The state holds a job under its 16 hex digits, the progress of a wave under `wave-` and its
-//! number, a life of a worker under `worker-` and its id, and the mark of a host that was ordered
+//! number, an incarnation of a worker under `worker-` and its id, and the mark of a host that was ordered
 //! recently under `ordered-` and its name.
 
 use std::fmt;
@@ -26,7 +26,7 @@
 const OWNER_SEPARATOR: char = '-';
 /// Prefix of the key of a wave's progress.
 const WAVE_PREFIX: &str = "wave-";
-/// Prefix of the key of a life of a worker.
+/// Prefix of the key of an incarnation of a worker.
 const WORKER_PREFIX: &str = "worker-";
 /// Prefix of the key of a host that was ordered recently.
 const ORDERED_PREFIX: &str = "ordered-";
@@ -57,7 +57,7 @@
     Job(JobKey),
     /// The progress of the wave with this number.
     Wave(u64),
-    /// A life of a worker.
+    /// An incarnation of a worker.
     Worker(WorkerId),
     /// The mark of a host that was ordered recently.
     HostOrderMark(HostId),
--- a/src/workswood/ops/jobs/restore_state.rs
+++ b/src/workswood/ops/jobs/restore_state.rs
@@ -36,16 +36,16 @@
     node.platform.append(Topic::State, Vec::new(), Guard::Term(term, 0)).await?;
     let fenced = node.now();
     // No other process writes state from here on, so these reads may run in any order.
-    let parts: Vec<Partition> = inbox::parts(node.settings.store_parts).collect();
-    let inbox = try_join_all(parts.iter().map(|p| node.platform.latest(Topic::Inbox(*p))));
+    let partitions: Vec<Partition> = inbox::parts(node.settings.store_parts).collect();
+    let inbox = try_join_all(partitions.iter().map(|p| node.platform.latest(Topic::Inbox(*p))));
     let (inbox, state) = tokio::try_join!(inbox, node.platform.latest(Topic::State))?;
     node.note_store_answer();
     let read = node.now();
-    let inbox: Vec<(Partition, LatestRecords)> = parts.into_iter().zip(inbox).collect();
-    let inbox_next = inbox.iter().map(|(part, n)| (*part, n.next)).collect();
+    let inbox: Vec<(Partition, LatestRecords)> = partitions.into_iter().zip(inbox).collect();
+    let inbox_next = inbox.iter().map(|(partition, latest)| (*partition, latest.next)).collect();
     let mut inbox_keys = Kept::default();
-    for (part, n) in &inbox {
-        n.records.iter().for_each(|rec| note_inbox_key(&mut inbox_keys, *part, rec));
+    for (partition, latest) in &inbox {
+        latest.records.iter().for_each(|rec| note_inbox_key(&mut inbox_keys, *partition, rec));
     }
     let mut sched = Scheduler::new(term, scheduler_limits(&node.settings), held_since, node.wall());
     sched.policy = node.settings.policy.clone();
@@ -63,7 +63,7 @@
     for (host, holder) in state.order_marks {
         sched.restore_order_mark(host, &holder);
     }
-    let records = inbox.into_iter().flat_map(|(_, n)| n.records).collect();
+    let records = inbox.into_iter().flat_map(|(_, latest)| latest.records).collect();
     restore_jobs(&mut sched, records, state.jobs);
     sched.restore_demand();
     for (n, wave) in node.waves.lock().iter() {
@@ -109,7 +109,8 @@
                     s.workers.insert(id, w);
                 }
             }
-            // Records of the previous version lack the name; an empty name stands for another holder.
+            // Records of the previous version have no name; the mark is then taken for another
+            // holder's.
             Some(StateKey::HostOrderMark(host)) => {
                 s.order_marks.push((host, serde_json::from_slice(&value).unwrap_or_default()));
             }
@@ -158,10 +159,10 @@
 }
 
 /// Notes that the inbox holds the key of a record, or no longer holds it if the record deletes it.
-pub fn note_inbox_key(inbox_keys: &mut Kept, part: Partition, rec: &KeyedRecord) {
+pub fn note_inbox_key(inbox_keys: &mut Kept, partition: Partition, rec: &KeyedRecord) {
     match (parse_inbox_key(&rec.key), &rec.value) {
-        (Some(key), Some(_)) => inbox_keys.note(part, key),
-        (Some(key), None) => inbox_keys.dropped(part, key),
+        (Some(key), Some(_)) => inbox_keys.note(partition, key),
+        (Some(key), None) => inbox_keys.dropped(partition, key),
         // `parse_inbox_event` logs malformed keys.
         (None, _) => {}
     }
--- a/src/workswood/ops/jobs/scheduler_task.rs
+++ b/src/workswood/ops/jobs/scheduler_task.rs
@@ -104,8 +104,8 @@
     let Some(restored) = restore_with_retries(&node, handle.term, handle.held_since).await else { return };
     *handle.inbox_keys.lock() = restored.inbox_keys;
     let progress = Arc::new(InboxProgress::new(restored.inbox_next.len()));
-    for (part, next) in restored.inbox_next {
-        tasks.spawn(read_inbox(node.clone(), handle.clone(), progress.clone(), part, next));
+    for (partition, next) in restored.inbox_next {
+        tasks.spawn(read_inbox(node.clone(), handle.clone(), progress.clone(), partition, next));
     }
     tasks.spawn(read_workers(node.clone(), handle.clone()));
     let (waves_tx, waves_rx) = watch::channel(BTreeMap::new());
--- a/src/workswood/ops/jobs/worker_list.rs
+++ b/src/workswood/ops/jobs/worker_list.rs
@@ -19,11 +19,11 @@
     /// it fails, the worker of that record is no longer listed.
     pub fn apply(
         &mut self,
-        heard: Heard,
+        change: Heard,
         parse: impl Fn(&KeyedRecord) -> Result<WorkerInfo, String>,
     ) -> Vec<Event> {
         let mut events = Vec::new();
-        let records = match heard {
+        let records = match change {
             Heard::Reset(records) => {
                 let present: HashSet<&str> = records.iter().map(|r| r.key.as_str()).collect();
                 let gone: Vec<String> =
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Lists a worker, unless a later incarnation of it is listed: then the record was written late.
+    /// Lists a worker. A record of an earlier incarnation than the listed one was written late and
+    /// is ignored.
     fn list(&mut self, key: &str, info: WorkerInfo) -> Option<Event> {
         if self.listed.get(key).is_some_and(|listed| listed.supersedes(&info.id)) {
             log::info!("event=worker_entry_late worker={}", info.id);
