--- a/src/workswood/ops/jobs/inbox.rs
+++ b/src/workswood/ops/jobs/inbox.rs
@@ -30,7 +30,7 @@
 
 use super::node::Node;
 use super::peer_requests;
-use super::record::{InboxItem, InboxKey};
+use super::record::{InboxKey, InboxRecordKind};
 
 /// Maximum number of appends in flight. The second and the third are sent only while others are late.
 const MAX_CONCURRENT_APPENDS: usize = 3;
@@ -160,7 +160,7 @@
 
     /// Keys of a job in a partition, of all owners.
     pub fn keys_of_job(&self, partition: Partition, job: JobKey) -> Vec<InboxKey> {
-        let first = InboxKey { job, owner: Owner::PUBLIC, what: InboxItem::Job };
+        let first = InboxKey { job, owner: Owner::PUBLIC, kind: InboxRecordKind::Job };
         let all = self.0.range(first..).take_while(|(key, _)| key.job == job);
         all.filter(|(_, partitions)| **partitions & (1 << partition) != 0).map(|(key, _)| *key).collect()
     }
@@ -361,17 +361,17 @@
     match res {
         Ok(_) => {
             node.inbox.append_timeout.record(node.now() - start);
-            node.store_is_up();
+            node.note_store_answer();
             node.inbox.last_append_failed.store(false, Ordering::Relaxed);
             LocalOutcome::Done
         }
         Err(StoreError::Unknown { text }) => {
-            node.doubt.notify_one();
+            node.check_lease.notify_one();
             log_failed("inbox_append_unanswered", batch, &text);
             LocalOutcome::Unknown
         }
         Err(e) => {
-            node.doubt.notify_one();
+            node.check_lease.notify_one();
             log_failed("inbox_append_refused", batch, &e.to_string());
             LocalOutcome::Refused
         }
--- a/src/workswood/ops/jobs/job_queries.rs
+++ b/src/workswood/ops/jobs/job_queries.rs
@@ -7,7 +7,7 @@
 use workswood_core::jobs::{JobKey, JobStatus, Outcome, Owner};
 use workswood_peers::{JobState, JobStateReply, JobStateRequest, Msg, PendingJobsReply, PendingJobsRequest};
 
-use super::node::{Holder, Leading, Node};
+use super::node::{Holder, Node, SchedulerHandle};
 
 /// Longest wait for the holder's reply: a few round trips on a busy network.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(700);
@@ -39,34 +39,34 @@
 }
 
 /// Whether everything that was in the inbox recently is known here.
-fn is_inbox_current(node: &Node, leading: &Leading) -> bool {
-    let read_at = leading.inbox_read.load(Ordering::Acquire);
+fn is_inbox_current(node: &Node, leading: &SchedulerHandle) -> bool {
+    let read_at = leading.inbox_read_ms.load(Ordering::Acquire);
     read_at > 0 && node.now_ms() < read_at + MAX_INBOX_AGE.as_millis() as u64
 }
 
 fn local_job_status(
     node: &Node,
-    leading: &Leading,
+    leading: &SchedulerHandle,
     job: JobKey,
     requester: Option<Owner>,
 ) -> Lookup<JobStatus> {
-    match leading.shown.read().status(job, requester) {
+    match leading.job_statuses.read().status(job, requester) {
         Some(status) => Lookup::Found(status),
         None if is_inbox_current(node, leading) => Lookup::NotFound,
         None => Lookup::Unavailable,
     }
 }
 
-fn local_pending_jobs(node: &Node, leading: &Leading, queue: &str) -> Lookup<u64> {
+fn local_pending_jobs(node: &Node, leading: &SchedulerHandle, queue: &str) -> Lookup<u64> {
     if !is_inbox_current(node, leading) {
         return Lookup::Unavailable;
     }
-    Lookup::Found(leading.shown.read().queued_jobs(queue))
+    Lookup::Found(leading.job_statuses.read().queued_jobs(queue))
 }
 
 /// Returns the status of a job. A job of another owner is not found.
 pub async fn job_status(node: &Arc<Node>, job: JobKey, owner: Owner) -> Lookup<JobStatus> {
-    if let Some(leading) = node.leading.load_full() {
+    if let Some(leading) = node.scheduler.load_full() {
         return local_job_status(node, &leading, job, Some(owner));
     }
     let request = JobStateRequest { job, owner: Some(owner.number()) };
@@ -88,7 +88,7 @@
 
 /// Returns how many jobs of a queue have not started.
 pub async fn pending_jobs(node: &Arc<Node>, queue: &str) -> Lookup<u64> {
-    if let Some(leading) = node.leading.load_full() {
+    if let Some(leading) = node.scheduler.load_full() {
         return local_pending_jobs(node, &leading, queue);
     }
     let request = Msg::PendingJobsRequest(PendingJobsRequest { queue: queue.to_string() });
@@ -116,7 +116,7 @@
     if first.as_ref().is_some_and(&is_authoritative) {
         return first;
     }
-    match node.later_holder(term, NEXT_HOLDER_TIMEOUT).await {
+    match node.wait_for_later_holder(term, NEXT_HOLDER_TIMEOUT).await {
         Some(later) => call_once(node, &later, msg, &describe).await,
         None => first,
     }
@@ -134,7 +134,7 @@
         return None;
     }
     let start = node.now();
-    let reply = node.peers.call_with_retry(&node.id, &holder.peers, msg, HOLDER_TIMEOUT).await;
+    let reply = node.peers.call_with_retry(&node.id, &holder.peer_address, msg, HOLDER_TIMEOUT).await;
     if let Err(e) = &reply {
         let took_ms = (node.now() - start).as_millis();
         log::info!(
@@ -149,7 +149,7 @@
 
 /// Answers another process's request for the state of a job.
 pub fn answer_job_state_request(node: &Node, request: &JobStateRequest) -> JobStateReply {
-    let leading = node.leading.load_full();
+    let leading = node.scheduler.load_full();
     let requester = request.owner.map(Owner::from_number);
     let status = leading
         .map_or(Lookup::Unavailable, |leading| local_job_status(node, &leading, request.job, requester));
@@ -163,7 +163,7 @@
 
 /// Answers another process's request for the number of jobs of a queue that have not started.
 pub fn answer_pending_jobs_request(node: &Node, request: &PendingJobsRequest) -> PendingJobsReply {
-    let leading = node.leading.load_full();
+    let leading = node.scheduler.load_full();
     let count =
         leading.map_or(Lookup::Unavailable, |leading| local_pending_jobs(node, &leading, &request.queue));
     let (authoritative, pending) = match count {
--- /dev/null
+++ b/src/workswood/ops/jobs/lease_renewal.rs
@@ -0,0 +1,71 @@
+//! Renews the scheduler lease while this process holds it.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use workswood_platform::jobs::{Guard, StoreError, Topic};
+
+use super::lease::LeaseRecord;
+use super::node::{Node, SchedulerHandle};
+use super::peer_requests;
+
+/// Interval between renewals.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(450);
+/// Backoff after a failed renewal.
+const RETRY_BACKOFF: Duration = Duration::from_millis(150);
+/// How long after its last renewal a lease holder goes on extending workers' leases. Tasks survive
+/// an outage of the store of this time plus the duration of a worker's lease. A successor waits
+/// as long before it gives up workers that it can't reach. The holder keeps its own lease longer,
+/// until another process claims it.
+pub const EXTENSION_GRACE: Duration = Duration::from_secs(4);
+
+/// A holder that has not renewed its lease for this long releases it through another process, if
+/// one can write to the store. A successor can then claim it before it expires.
+const RELEASE_AFTER: Duration = Duration::from_millis(900);
+
+/// Renews the lease until another process holds it or it is released.
+pub async fn run(node: Arc<Node>, handle: Arc<SchedulerHandle>) {
+    let mut number = 1;
+    let mut renewed = node.now();
+    loop {
+        let sent = node.now();
+        let rec = LeaseRecord::of(&node, handle.term, false).keyed();
+        match node.platform.append(Topic::Lease, vec![rec], Guard::Term(handle.term, number)).await {
+            Ok(_) => {
+                node.note_store_answer();
+                number += 1;
+                renewed = sent;
+                handle.grant.extend(sent + EXTENSION_GRACE);
+                tokio::time::sleep(RENEWAL_INTERVAL).await;
+            }
+            Err(StoreError::GuardFailed) => {
+                log::warn!("event=lease_overtaken term={}", handle.term);
+                let _ = handle.stop.send(true);
+                return;
+            }
+            Err(e) => {
+                log::warn!("event=lease_not_renewed term={} error=\"{e}\"", handle.term);
+                let release_due =
+                    node.now() > renewed + RELEASE_AFTER && node.settings.policy.calls.write_for_others;
+                if release_due && peer_requests::release_lease(&node, handle.term).await {
+                    log::warn!("event=lease_released term={} by=helper", handle.term);
+                    let _ = handle.stop.send(true);
+                    return;
+                }
+                tokio::time::sleep(RETRY_BACKOFF).await;
+            }
+        }
+    }
+}
+
+/// Releases the lease, so that another process can claim it at once.
+pub async fn release(node: &Node, term: u64) {
+    let rec = LeaseRecord::of(node, term, true).keyed();
+    // The store refuses a gap in the numbers of a term, and it is not known here which renewals
+    // it has received. So this append has no number.
+    let res = node.platform.append(Topic::Lease, vec![rec], Guard::None).await;
+    match res {
+        Ok(_) => log::info!("event=lease_released term={term}"),
+        Err(e) => log::warn!("event=lease_not_released term={term} error=\"{e}\""),
+    }
+}
--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -1,50 +1,55 @@
 //! The process of an entry that queues and runs jobs.
 //!
-//! Every entry runs the same process. Each one takes jobs from callers
-//! and writes them into the platform's store; the one that holds the scheduler
-//! lease decides where their tasks run. A [`Node`] is what the tasks of a
-//! process share:
+//! Every entry runs the same process. Each accepts jobs from callers and writes them to the
+//! platform's store; the process that holds the scheduler lease decides where their tasks run. A
+//! [`Node`] is the state that the tasks of a process share.
 //!
-//! * [`job_api`] answers callers, [`inbox`] keeps what they hand in, and [`monitoring`]
-//!   answers the balancer;
-//! * [`topic_reader`] keeps up with what operators write, and [`operators`] tells how old that is and what is evacuated;
-//! * [`lease`] watches the scheduler lease and claims it;
-//! * [`lead`] runs the scheduler while this process holds the lease, with
-//!   [`load`] (a predecessor's state), [`scheduler_io`] (what it reads), [`record`],
-//!   [`job_spec`] and [`job_state`] (the stored form), [`trim`] (takes out what is over), [`renew`] (the lease), [`sessions`] (with the relays) and
-//!   [`advice`] (calls to the adviser);
-//! * [`relay`] speaks with workers, for the lease holder here or elsewhere;
-//! * [`job_status_table`] holds what callers may be told; [`job_queries`] puts callers' questions to the lease holder, and [`peer_requests`] does what
-//!   other processes ask for, whose listeners are in [`peers`];
-//! * [`usage`] tells in the log what a busy entry is used for;
-//! * [`stop`] ends the process without cutting anything off.
+//! * [`job_api`] answers callers, [`inbox`] stores what they submit, and [`monitoring`] answers the
+//!   balancer and serves metrics.
+//! * [`topic_reader`] follows the operators' records, and [`operator_state`] holds which data centres
+//!   they evacuated.
+//! * [`lease`] watches and claims the scheduler lease.
+//! * [`scheduler_task`] runs the scheduler while this process holds the lease. [`restore_state`]
+//!   restores it from a predecessor's state, and [`scheduler_io`] supplies its events. [`lease_renewal`]
+//!   renews the lease, [`relay_sessions`] has relays attend workers, [`host_orders`] sends orders
+//!   to hosts, [`advice`] calls the adviser, and [`inbox_cleanup`] deletes finished jobs from the
+//!   inbox.
+//! * [`record`], [`job_spec`] and [`job_state`] define the stored form of jobs and state.
+//! * [`limits`] holds durations of leases, and [`worker_list`] follows the list of workers.
+//! * [`relay`] communicates with workers for the lease holder, in this process or elsewhere.
+//! * [`job_status_table`] holds the states of jobs that callers may be shown. [`job_queries`] forwards callers'
+//!   queries to the lease holder.
+//! * [`peers`] holds the processes of other entries and the connections to them, and [`peer_requests`]
+//!   answers their requests.
+//! * [`usage_log`] logs the resource usage of a busy entry.
+//! * [`shutdown`] stops the process gracefully.
 
 pub mod advice;
 pub mod host_orders;
 pub mod inbox;
+mod inbox_cleanup;
 mod job_api;
 pub mod job_queries;
 pub mod job_spec;
 pub mod job_state;
 pub mod job_status_table;
-mod lead;
 pub mod lease;
+mod lease_renewal;
 pub mod limits;
-mod load;
 mod monitoring;
 pub mod node;
-pub mod operators;
+pub mod operator_state;
 pub mod peer_requests;
 pub mod peers;
 pub mod record;
 pub mod relay;
-mod renew;
+mod relay_sessions;
+mod restore_state;
 mod scheduler_io;
-mod sessions;
-mod stop;
+mod scheduler_task;
+mod shutdown;
 pub mod topic_reader;
-mod trim;
-mod usage;
+mod usage_log;
 pub mod worker_list;
 
 use std::net::SocketAddr;
@@ -52,7 +57,7 @@
 
 use snafu::ResultExt;
 use tokio::net::TcpListener;
-use tokio::sync::watch as channel;
+use tokio::sync::watch;
 use workswood_adapter::{Addresses, PlatformClient};
 use workswood_liveness::HalfOpenDetector;
 use workswood_platform::jobs::JobPlatform;
@@ -69,17 +74,19 @@
     TcpListener::bind(address).await.context(ListenSnafu { address: address.to_string() })
 }
 
-/// Runs the process until a signal stops it.
-pub async fn run(named: Option<String>) -> Result<()> {
-    let path = named.or_else(|| std::env::var(PATH_VARIABLE).ok()).ok_or_else(|| Error::Settings {
-        path: String::new(),
-        text: format!("no settings file: name one, or set {PATH_VARIABLE}"),
-    })?;
+/// Runs the process until a signal stops it. The settings file is `settings_path`, or the one that
+/// the environment variable names.
+pub async fn run(settings_path: Option<String>) -> Result<()> {
+    let path =
+        settings_path.or_else(|| std::env::var(PATH_VARIABLE).ok()).ok_or_else(|| Error::Settings {
+            path: String::new(),
+            text: format!("no settings file: name one, or set {PATH_VARIABLE}"),
+        })?;
     let settings = JobSettings::read(&path)?;
     crate::util::logs::start(settings.log_level);
-    let callers = listen(settings.callers).await?;
-    let readiness = listen(settings.readiness).await?;
-    let metrics = listen(settings.metrics).await?;
+    let caller_listener = listen(settings.callers).await?;
+    let readiness_listener = listen(settings.readiness).await?;
+    let metrics_listener = listen(settings.metrics).await?;
     let peer_listener = listen(settings.peers).await?;
     let addresses = Addresses {
         store: settings.store.clone(),
@@ -91,7 +98,7 @@
         Arc::new(PlatformClient::sharing(addresses, half_open.clone(), traffic.clone()));
     let clock = Clock::of_host();
     tokio::spawn(clock.clone().watch());
-    let node = Arc::new(Node::sharing(settings, platform, clock, half_open, traffic));
+    let node = Arc::new(Node::with_shared(settings, platform, clock, half_open, traffic));
     log::info!(
         "event=started id={} name={} data_centre={} callers={} peers={}",
         node.id,
@@ -100,9 +107,9 @@
         node.settings.callers,
         node.settings.peers
     );
-    let (stop_callers, stopped) = channel::channel(false);
-    tokio::spawn(monitoring::readiness(readiness, node.clone()));
-    tokio::spawn(monitoring::metrics(metrics, node.clone()));
+    let (stop_callers, callers_stopped) = watch::channel(false);
+    tokio::spawn(monitoring::readiness(readiness_listener, node.clone()));
+    tokio::spawn(monitoring::metrics(metrics_listener, node.clone()));
     tokio::spawn(workswood_peers::serve_with_relay(
         peer_listener,
         peers::TOKEN.to_string(),
@@ -115,10 +122,14 @@
     tokio::spawn(topic_reader::poll_peers_when_stale(node.clone()));
     tokio::spawn(lease::run(node.clone()));
     tokio::spawn(peers::run(node.clone()));
-    tokio::spawn(usage::run(node.clone()));
-    tokio::spawn(stop::watch_reload(path));
-    let callers = tokio::spawn(workswood_callers::serve(callers, job_api::handler(node.clone()), stopped));
+    tokio::spawn(usage_log::run(node.clone()));
+    tokio::spawn(shutdown::watch_reload(path));
+    let callers = tokio::spawn(workswood_callers::serve(
+        caller_listener,
+        job_api::handler(node.clone()),
+        callers_stopped,
+    ));
     signals::stop().await;
-    stop::run(&node, &stop_callers, callers).await;
+    shutdown::run(&node, &stop_callers, callers).await;
     Ok(())
 }
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one process share.
+//! State that the tasks of one process share.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 
 use super::inbox::{Inbox, InboxIndex};
 use super::job_status_table::JobStatusTable;
-use super::operators::Operators;
+use super::operator_state::OperatorState;
 use super::peers::Peers;
 use super::relay::Grant;
 use super::relay::serve::Session;
@@ -25,119 +25,121 @@
 use crate::util::job_metrics::JobMetrics;
 use crate::util::job_settings::JobSettings;
 
-/// In place of a time: the store is asked only now and then.
-const NOT_ASKED: u64 = u64::MAX;
+/// In place of a time: the store is not polled continuously.
+const NOT_POLLED: u64 = u64::MAX;
 
 /// Who holds the scheduler lease, as last read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Holder {
     /// Its incarnation.
     pub id: Incarnation,
-    /// Its peer listener.
-    pub peers: String,
+    /// Address where it listens for peers.
+    pub peer_address: String,
     /// Its term.
     pub term: Term,
-    /// Whether it gave the lease back.
+    /// Whether it released the lease.
     pub released: bool,
 }
 
-/// What other tasks see of the scheduler while this process runs it.
-pub struct Leading {
+/// What other tasks use of the scheduler while this process runs it.
+pub struct SchedulerHandle {
     /// Term of the lease.
     pub term: Term,
-    /// When the lease was seen to be ours.
-    pub since: Duration,
+    /// When this process saw that it holds the lease, on its own clock.
+    pub held_since: Duration,
     /// Events for the scheduler.
     pub tx: mpsc::UnboundedSender<Event>,
-    /// What callers may be told.
-    pub shown: RwLock<JobStatusTable>,
-    /// All that was in the inbox at this time is in `shown`; ms since the
-    /// start, 0 before the first time.
-    pub inbox_read: AtomicU64,
-    /// Where the inbox holds what is known.
-    pub kept: Mutex<InboxIndex>,
+    /// States of jobs that callers may be shown.
+    pub job_statuses: RwLock<JobStatusTable>,
+    /// `job_statuses` reflects everything that was in the inbox at this time, in milliseconds
+    /// since the process started; 0 before the inbox was first read.
+    pub inbox_read_ms: AtomicU64,
+    /// Which partitions of the inbox hold which keys.
+    pub inbox_keys: Mutex<InboxIndex>,
     /// Until when workers' leases may be extended.
     pub grant: Grant,
-    /// Turns true when the scheduler has to end.
-    pub end: watch::Sender<bool>,
+    /// Set to true to stop the scheduler.
+    pub stop: watch::Sender<bool>,
 }
 
-impl Leading {
-    /// A scheduler that has just got its lease, and may extend workers' leases for
-    /// some time before it renews it.
+impl SchedulerHandle {
+    /// Returns the handle of a scheduler whose term has just begun. It may extend workers' leases
+    /// for `extension_grace` before it first renews its own.
     pub fn new(
         term: Term,
-        since: Duration,
-        grace: Duration,
+        held_since: Duration,
+        extension_grace: Duration,
         tx: mpsc::UnboundedSender<Event>,
-        end: watch::Sender<bool>,
-    ) -> Leading {
-        Leading {
+        stop: watch::Sender<bool>,
+    ) -> SchedulerHandle {
+        SchedulerHandle {
             term,
-            since,
+            held_since,
             tx,
-            shown: RwLock::default(),
-            inbox_read: AtomicU64::new(0),
-            kept: Mutex::default(),
-            grant: Grant::until(since + grace),
-            end,
+            job_statuses: RwLock::default(),
+            inbox_read_ms: AtomicU64::new(0),
+            inbox_keys: Mutex::default(),
+            grant: Grant::until(held_since + extension_grace),
+            stop,
         }
     }
 }
 
-/// What the tasks of one process share.
+/// State that the tasks of one process share.
 pub struct Node {
-    /// Its settings.
+    /// Settings of the process.
     pub settings: JobSettings,
-    /// The platform.
+    /// Client of the platform.
     pub platform: Arc<dyn JobPlatform>,
-    /// This life of the process.
+    /// This incarnation of the process.
     pub id: Incarnation,
-    /// What is in force.
+    /// The configuration in force.
     pub config: ArcSwapOption<SchedConfig>,
-    /// The same as operators wrote it, for hosts that the store turns away. It holds keys:
-    /// it is neither logged nor stored.
+    /// The configuration as operators wrote it, for peers that can't read from the store. It
+    /// contains API keys, so it must not be logged or stored.
     pub config_text: ArcSwapOption<Bytes>,
-    /// What operators have evacuated.
-    pub operators: Operators,
-    /// Maintenance waves that operators asked for.
+    /// Evacuations and the age of what is known of the operators' records.
+    pub operator_state: OperatorState,
+    /// Maintenance waves that operators requested, by number.
     pub waves: Mutex<BTreeMap<u64, Wave>>,
-    /// Who holds the lease.
+    /// The holder of the scheduler lease.
     pub holder: ArcSwapOption<Holder>,
-    /// The scheduler, while it runs here.
-    pub leading: ArcSwapOption<Leading>,
-    /// Other processes that run jobs.
+    /// The scheduler, while it runs in this process.
+    pub scheduler: ArcSwapOption<SchedulerHandle>,
+    /// The processes of other entries.
     pub peers: Peers,
-    /// Where callers' jobs and cancels wait to be stored.
+    /// Submitted jobs and cancellations that wait to be stored.
     pub inbox: Inbox,
-    /// What its tasks have found out of their connections.
+    /// Detects half-open connections.
     pub half_open: HalfOpenDetector,
-    /// What goes over its link.
+    /// Counts the traffic over the entry's link.
     pub traffic: Traffic,
-    /// How late this process itself is.
-    pub lag: TimerLag,
-    /// The newest session of a lease holder that it serves as a relay.
+    /// Measures how late timers of this process fire.
+    pub timer_lag: TimerLag,
+    /// The newest session of a lease holder that this process serves as a relay.
     pub relay_session: watch::Sender<Session>,
-    /// Its metrics.
+    /// Metrics of the process.
     pub metrics: JobMetrics,
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown has begun.
     pub stopping: watch::Sender<bool>,
-    /// Turns true with the first configuration.
+    /// Set to true by the first configuration.
     configured: watch::Sender<bool>,
     clock: Clock,
-    store_answered: AtomicU64,
-    /// Since when the store is asked several times a second; [`NOT_ASKED`] while it is not.
-    store_asked: AtomicU64,
-    /// Wakes who follows the lease: its holder or the store may be gone.
-    pub doubt: Notify,
-    /// Term of the holder that is known.
+    /// When the store last answered, in milliseconds since the process started.
+    store_answered_ms: AtomicU64,
+    /// Since when the store is polled continuously, in milliseconds since the process started;
+    /// [`NOT_POLLED`] while it is not.
+    store_polled_since_ms: AtomicU64,
+    /// Requests a check of the lease, when its holder or the store may be gone.
+    pub check_lease: Notify,
+    /// Term of `holder`.
     holder_term: watch::Sender<Term>,
 }
 
 impl Node {
-    /// A process that has not read anything yet, on the clock of the runtime.
+    /// Returns the state of a process that has read nothing yet, with the clock of the runtime.
     pub fn new(settings: JobSettings, platform: Arc<dyn JobPlatform>) -> Node {
-        Node::sharing(
+        Node::with_shared(
             settings,
             platform,
             Clock::of_runtime(),
@@ -146,49 +148,49 @@
         )
     }
 
-    /// Likewise, on this clock; what the platform's client finds out of connections, and what
-    /// goes over them, is shared.
-    pub fn sharing(
+    /// Returns the state of a process that has read nothing yet, with this clock. `half_open` and
+    /// `traffic` are those of the platform's client.
+    pub fn with_shared(
         settings: JobSettings,
         platform: Arc<dyn JobPlatform>,
         clock: Clock,
         half_open: HalfOpenDetector,
         traffic: Traffic,
     ) -> Node {
-        let operators = Operators::new(settings.news_wait());
+        let operator_state = OperatorState::new(settings.news_wait());
         Node {
             settings,
             platform,
             id: uuid::Uuid::new_v4().simple().to_string(),
             config: ArcSwapOption::empty(),
             config_text: ArcSwapOption::empty(),
-            operators,
+            operator_state,
             waves: Mutex::default(),
             holder: ArcSwapOption::empty(),
-            leading: ArcSwapOption::empty(),
+            scheduler: ArcSwapOption::empty(),
             peers: Peers::sharing(half_open.clone(), traffic.clone()),
             inbox: Inbox::default(),
             half_open,
             traffic,
-            lag: TimerLag::default(),
+            timer_lag: TimerLag::default(),
             relay_session: watch::Sender::new((0, 0)),
             metrics: JobMetrics::default(),
             stopping: watch::Sender::new(false),
             configured: watch::Sender::new(false),
             clock,
-            store_answered: AtomicU64::new(0),
-            store_asked: AtomicU64::new(0),
-            doubt: Notify::new(),
+            store_answered_ms: AtomicU64::new(0),
+            store_polled_since_ms: AtomicU64::new(0),
+            check_lease: Notify::new(),
             holder_term: watch::Sender::new(0),
         }
     }
 
-    /// Time since the process started, suspensions of its host included.
+    /// Time since the process started, including time for which its entry was suspended.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Its clock.
+    /// The clock of the process.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
@@ -203,8 +205,7 @@
         SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
     }
 
-    /// Puts a configuration in force.
-    /// `text` is what operators wrote.
+    /// Puts a configuration in force; `text` is the configuration as operators wrote it.
     pub fn configure(&self, cfg: Arc<SchedConfig>, text: Bytes) {
         self.config.store(Some(cfg));
         self.config_text.store(Some(Arc::new(text)));
@@ -212,77 +213,78 @@
     }
 
     /// Waits until a configuration is in force.
-    pub async fn until_configured(&self) {
+    pub async fn wait_until_configured(&self) {
         let mut configured = self.configured.subscribe();
         // The sender lives as long as the process.
         let _ = configured.wait_for(|c| *c).await;
     }
 
     /// Notes that the store has answered.
-    pub fn store_is_up(&self) {
-        self.store_answered.store(self.now_ms(), Ordering::Relaxed);
+    pub fn note_store_answer(&self) {
+        self.store_answered_ms.store(self.now_ms(), Ordering::Relaxed);
     }
 
-    /// How long the store has not answered that should have.
+    /// How long an answer of the store is overdue.
     pub fn store_silence(&self) -> Duration {
-        let answered = self.store_answered.load(Ordering::Relaxed);
-        let due = match self.store_asked.load(Ordering::Relaxed) {
-            NOT_ASKED => answered + self.settings.news_wait().as_millis() as u64,
+        let answered = self.store_answered_ms.load(Ordering::Relaxed);
+        let due = match self.store_polled_since_ms.load(Ordering::Relaxed) {
+            NOT_POLLED => answered + self.settings.news_wait().as_millis() as u64,
             since => answered.max(since),
         };
         Duration::from_millis(self.now_ms().saturating_sub(due))
     }
 
-    /// Notes whether the store is asked several times a second from now on.
-    pub fn store_is_asked(&self, often: bool) {
-        let was = self.store_asked.load(Ordering::Relaxed);
-        match (often, was) {
-            (true, NOT_ASKED) => self.store_asked.store(self.now_ms(), Ordering::Relaxed),
+    /// Notes whether the store is polled continuously from now on.
+    pub fn set_store_polled(&self, polled: bool) {
+        let since = self.store_polled_since_ms.load(Ordering::Relaxed);
+        match (polled, since) {
+            (true, NOT_POLLED) => self.store_polled_since_ms.store(self.now_ms(), Ordering::Relaxed),
             (true, _) => {}
-            (false, _) => self.store_asked.store(NOT_ASKED, Ordering::Relaxed),
+            (false, _) => self.store_polled_since_ms.store(NOT_POLLED, Ordering::Relaxed),
         }
     }
 
-    /// Notes who holds the lease.
-    pub fn know_holder(&self, holder: Holder) {
+    /// Sets the known holder of the lease.
+    pub fn set_holder(&self, holder: Holder) {
         let term = holder.term;
         self.holder.store(Some(Arc::new(holder)));
         self.holder_term.send_replace(term);
     }
 
-    /// The holder of a later term than this, which may have begun; waits for some time until that is read.
-    pub async fn later_holder(&self, term: Term, within: Duration) -> Option<Arc<Holder>> {
+    /// Requests a check of the lease and waits until a holder of a later term than `term` is known;
+    /// `None` after the timeout.
+    pub async fn wait_for_later_holder(&self, term: Term, timeout: Duration) -> Option<Arc<Holder>> {
         let mut terms = self.holder_term.subscribe();
-        self.doubt.notify_one();
-        let later = tokio::time::timeout(within, terms.wait_for(|t| *t > term)).await;
+        self.check_lease.notify_one();
+        let later = tokio::time::timeout(timeout, terms.wait_for(|t| *t > term)).await;
         later.ok()?.ok()?;
         self.holder.load_full()
     }
 
-    /// All metrics as text, with the gauges as they stand now.
+    /// Updates the gauges and returns all metrics as text.
     pub fn metrics_text(&self) -> String {
         let m = &self.metrics;
-        m.leading.set(i64::from(self.leading.load().is_some()));
+        m.leading.set(i64::from(self.scheduler.load().is_some()));
         m.lease_term.set(self.holder.load().as_ref().map_or(0, |h| h.term as i64));
         m.config_version.set(self.config.load().as_ref().map_or(0, |c| c.version as i64));
-        m.evacuated.set(self.operators.evacuations().data_centres.len() as i64);
+        m.evacuated.set(self.operator_state.evacuations().data_centres.len() as i64);
         m.half_open.set(self.half_open.count() as i64);
         m.store_silence_ms.set(self.store_silence().as_millis() as i64);
-        m.stood_still_ms.set(self.lag.total().as_millis() as i64);
+        m.stood_still_ms.set(self.timer_lag.total().as_millis() as i64);
         m.set_traffic(&self.traffic);
         m.text()
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown has begun.
     pub fn is_stopping(&self) -> bool {
         *self.stopping.borrow()
     }
 
-    /// Hands an event to the scheduler if it runs here.
-    pub fn tell_scheduler(&self, ev: Event) {
-        if let Some(l) = self.leading.load().as_ref() {
-            // A scheduler that has just ended takes no more events.
-            let _ = l.tx.send(ev);
+    /// Sends an event to the scheduler if it runs in this process.
+    pub fn send_to_scheduler(&self, ev: Event) {
+        if let Some(handle) = self.scheduler.load().as_ref() {
+            // Sending fails if the scheduler has just stopped.
+            let _ = handle.tx.send(ev);
         }
     }
 }
--- a/src/workswood/ops/jobs/peer_requests.rs
+++ b/src/workswood/ops/jobs/peer_requests.rs
@@ -19,7 +19,7 @@
 use super::inbox::Stored;
 use super::lease::{self, LeaseRecord};
 use super::node::{Holder, Node};
-use super::operators::Evacuations;
+use super::operator_state::Evacuations;
 use super::{advice, job_queries};
 
 /// Maximum number of peers that are called with a request.
@@ -46,7 +46,7 @@
         Msg::InboxAppendRequest(request) => {
             Some(Msg::InboxAppendReply(store_records_for(node, request).await))
         }
-        Msg::AdviceRequest(request) => Some(Msg::AdviceReply(advice::ask_for(node, request).await)),
+        Msg::AdviceRequest(request) => Some(Msg::AdviceReply(advice::answer_peer(node, request).await)),
         Msg::LeaseReleaseRequest(request) => release_lease_for(node, request).await,
         Msg::ConfigRequest(request) => Some(Msg::ConfigReply(config_reply(node, &request))),
         _ => None,
@@ -123,7 +123,7 @@
 fn helper_addresses(node: &Node) -> Vec<String> {
     let own = node.settings.peers.to_string();
     let holder = node.holder.load_full().filter(|h| !h.released && h.id != node.id);
-    let mut addresses: Vec<String> = holder.map(|h| h.peers.clone()).into_iter().collect();
+    let mut addresses: Vec<String> = holder.map(|h| h.peer_address.clone()).into_iter().collect();
     for other in node.peers.helper_addresses(&own, MAX_HELPERS + 1) {
         if !addresses.contains(&other) {
             addresses.push(other);
@@ -152,11 +152,11 @@
 fn config_reply(node: &Node, request: &ConfigRequest) -> ConfigReply {
     let known_version = node.config.load().as_ref().map_or(0, |c| c.version);
     let newer = node.config_text.load_full().filter(|_| known_version > request.version);
-    let evacuated = node.operators.are_known().then(|| evacuated_data_centres(node));
+    let evacuated = node.operator_state.is_known().then(|| evacuated_data_centres(node));
     let holder = node.holder.load_full().filter(|h| !h.released);
     let holder = holder.map(|h| LeaseHolder {
         incarnation: h.id.clone(),
-        peer_address: h.peers.clone(),
+        peer_address: h.peer_address.clone(),
         term: h.term,
     });
     ConfigReply { record: newer.map(|text| Bytes::clone(&text)).unwrap_or_default(), evacuated, holder }
@@ -164,8 +164,8 @@
 
 /// The evacuated data centres that this process knows of, and how long ago it read them.
 fn evacuated_data_centres(node: &Node) -> EvacuatedDataCentres {
-    let known = node.operators.evacuations();
-    let age_ms = node.operators.age(node.now()).as_millis() as u64;
+    let known = node.operator_state.evacuations();
+    let age_ms = node.operator_state.age(node.now()).as_millis() as u64;
     EvacuatedDataCentres { data_centres: known.data_centres.iter().cloned().collect(), age_ms }
 }
 
@@ -198,14 +198,14 @@
         }
         let holder = reply.holder.map(|h| Holder {
             id: h.incarnation,
-            peers: h.peer_address,
+            peer_address: h.peer_address,
             term: h.term,
             released: false,
         });
         updates.holder = updates.holder.into_iter().chain(holder).max_by_key(|h| h.term);
         updates.evacuations.extend(reply.evacuated.map(|e| Evacuations {
             data_centres: e.data_centres.into_iter().collect(),
-            read: requested_at.saturating_sub(Duration::from_millis(e.age_ms)),
+            read_at: requested_at.saturating_sub(Duration::from_millis(e.age_ms)),
         }));
     }
     if !updates.configs.is_empty() {
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -21,7 +21,7 @@
 use workswood_traffic::Traffic;
 
 use super::node::Node;
-use super::record::{drop_record, value_record};
+use super::record::{drop_record, json_record};
 
 /// Token of peers; empty, since their network is private.
 pub const TOKEN: &str = "";
@@ -247,7 +247,7 @@
     let mut records = KnownRecords::default();
     loop {
         match read_records(&node, &mut records).await {
-            Ok(()) => node.store_is_up(),
+            Ok(()) => node.note_store_answer(),
             Err(e) => {
                 log::debug!("event=peers_not_read error=\"{e}\"");
                 tokio::time::sleep(RETRY_DELAY).await;
@@ -264,7 +264,7 @@
 
 /// Time until the next read of the records.
 fn read_interval(node: &Node) -> Duration {
-    if node.leading.load().is_some() {
+    if node.scheduler.load().is_some() {
         HOLDER_READ_INTERVAL
     } else if node.now() < STARTUP_PERIOD {
         STARTUP_READ_INTERVAL
@@ -282,7 +282,7 @@
         data_centre: s.data_centre.clone(),
         strength: s.strength(),
     };
-    let rec = value_record(node.settings.name.clone(), &own);
+    let rec = json_record(node.settings.name.clone(), &own);
     let res = node.platform.append(Topic::Peers, vec![rec], Guard::None).await;
     res.inspect_err(|e| log::warn!("event=peer_record_not_written error=\"{e}\"")).is_ok()
 }
--- /dev/null
+++ b/src/workswood/ops/jobs/relay_sessions.rs
@@ -0,0 +1,329 @@
+//! The lease holder's sessions with the relays that attend workers for it.
+//!
+//! Orders on a worker go to the relay that attends it, in this process or in that of another
+//! entry. What other relays report becomes events for the scheduler.
+
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+
+use parking_lot::Mutex;
+use tokio::sync::mpsc;
+use tokio::task::{AbortHandle, JoinSet};
+use workswood_core::ids::{HostId, Term};
+use workswood_core::jobs::job::WorkerId;
+use workswood_core::jobs::{Action, Event, WorkerInfo};
+use workswood_peers::relay as wire;
+use workswood_peers::{Closed, DuplexRx, DuplexTx, Msg};
+
+use super::limits::LeaseTimes;
+use super::node::{Node, SchedulerHandle};
+use super::peers::TOKEN;
+use super::relay::order::{Number, Order, StartTask};
+use super::relay::serve::BEAT_EVERY;
+use super::relay::{Relay, Sink, wire as codec};
+
+/// Timeout for opening a session, until the relay reports that it takes orders.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
+/// A relay from which no message came for this long is lost: five heartbeats.
+const SILENCE_TIMEOUT: Duration = BEAT_EVERY.saturating_mul(5);
+
+/// The workers of one session by their numbers, with the fencing tokens of the orders to them.
+type WorkersByNumber = Arc<Mutex<HashMap<Number, (WorkerId, Term)>>>;
+
+/// A session with the relay of another entry.
+struct Session {
+    /// Orders that wait to be sent.
+    waiting: Vec<(Number, Order)>,
+    tx: mpsc::UnboundedSender<wire::RelayOrders>,
+    workers: WorkersByNumber,
+    task: AbortHandle,
+}
+
+/// The relay that attends a worker.
+struct Assignment {
+    /// Name of the relay's entry.
+    relay: HostId,
+    /// Number of the worker there.
+    number: Number,
+    /// Fencing token of the relay's orders to the worker.
+    token: Term,
+}
+
+/// All sessions of a lease holder with relays.
+pub(super) struct RelaySessions {
+    node: Arc<Node>,
+    handle: Arc<SchedulerHandle>,
+    /// The relay in this process.
+    own_relay: Relay,
+    sessions: HashMap<HostId, Session>,
+    assignments: HashMap<WorkerId, Assignment>,
+    /// Number that was last given to a worker.
+    last_number: Number,
+    /// Number of sessions opened in this term.
+    opened: u64,
+}
+
+impl RelaySessions {
+    /// Starts the relay in this process. There are no sessions with other relays yet.
+    pub(super) fn new(
+        node: Arc<Node>,
+        handle: Arc<SchedulerHandle>,
+        tasks: &mut JoinSet<()>,
+    ) -> RelaySessions {
+        let own_relay = Relay::new(node.clone(), handle.grant.clone(), Sink::Here(handle.tx.clone()));
+        tasks.spawn(send_own_heartbeats(node.settings.name.clone(), handle.clone()));
+        tasks.spawn(node.timer_lag.clone().measure());
+        let (sessions, assignments) = (HashMap::new(), HashMap::new());
+        RelaySessions { node, handle, own_relay, sessions, assignments, last_number: 0, opened: 0 }
+    }
+
+    /// Carries out an action that concerns a relay or a worker. Orders to other relays wait until
+    /// [`Self::flush`].
+    pub(super) fn carry_out(&mut self, action: Action, tasks: &mut JoinSet<()>) {
+        match action {
+            Action::OpenRelay(entry) => self.open(entry, tasks),
+            Action::CloseRelay(entry) => self.close(&entry),
+            Action::Watch { relay, info, token } => self.assign(relay, info, token),
+            Action::Unwatch(id) => {
+                if let Some(a) = self.assignments.remove(&id) {
+                    self.end_assignment(&a);
+                }
+            }
+            Action::ReportFigures(id, wanted) => self.order(&id, Order::Figures(wanted)),
+            Action::Stop(id, task, attempt) => self.order(&id, Order::Stop { task, attempt }),
+            Action::SetPace(id, task, attempt, percent) => {
+                self.order(&id, Order::Pace { task, attempt, percent });
+            }
+            Action::Start { worker, token, task, attempt, text, checkpoint, ticket } => {
+                // The worker may have another relay since the start was decided. The first report
+                // from that relay shows that the task does not run, and the scheduler decides again.
+                if self.assignments.get(&worker).is_some_and(|a| a.token == token) {
+                    let start = StartTask { task, attempt, text, checkpoint, ticket };
+                    self.order(&worker, Order::Start(start));
+                }
+            }
+            Action::Advise { .. } | Action::MaintainHost(..) | Action::MoveHost(..) => {}
+        }
+    }
+
+    /// Lets a worker forget its ends of runs up to a number.
+    pub(super) fn forget_ends(&mut self, id: &WorkerId, number: u64) {
+        self.order(id, Order::Forget(number));
+    }
+
+    /// Gives an order on a worker to the relay that attends it.
+    fn order(&mut self, id: &WorkerId, order: Order) {
+        let Some(a) = self.assignments.get(id) else { return };
+        if a.relay == self.node.settings.name {
+            self.own_relay.take(a.number, order);
+        } else if let Some(s) = self.sessions.get_mut(&a.relay) {
+            s.waiting.push((a.number, order));
+        }
+    }
+
+    /// Has a relay attend a worker, in place of the relay that attended it before.
+    fn assign(&mut self, relay: HostId, info: WorkerInfo, token: Term) {
+        self.last_number += 1;
+        let number = self.last_number;
+        if let Some(s) = self.sessions.get(&relay) {
+            s.workers.lock().insert(number, (info.id.clone(), token));
+        }
+        let worker = info.worker_address();
+        if let Some(before) = self.assignments.insert(info.id.clone(), Assignment { relay, number, token }) {
+            self.end_assignment(&before);
+        }
+        self.order(&info.id, Order::Attend { worker, token });
+    }
+
+    /// Has a relay no longer attend a worker.
+    fn end_assignment(&mut self, a: &Assignment) {
+        if a.relay == self.node.settings.name {
+            self.own_relay.take(a.number, Order::Leave);
+        } else if let Some(s) = self.sessions.get_mut(&a.relay) {
+            // Updates on the worker that are still in transit are ignored.
+            s.workers.lock().remove(&a.number);
+            s.waiting.push((a.number, Order::Leave));
+        }
+    }
+
+    /// Sends the waiting orders.
+    pub(super) fn flush(&mut self) {
+        for s in self.sessions.values_mut().filter(|s| !s.waiting.is_empty()) {
+            let orders = codec::write_orders(std::mem::take(&mut s.waiting));
+            // Sending fails if the session has just ended; its task reports that.
+            let _ = s.tx.send(wire::RelayOrders { grant: None, orders });
+        }
+    }
+
+    fn open(&mut self, entry: HostId, tasks: &mut JoinSet<()>) {
+        self.close(&entry);
+        self.opened += 1;
+        let (tx, rx) = mpsc::unbounded_channel();
+        let workers = WorkersByNumber::default();
+        let session_task = SessionTask {
+            node: self.node.clone(),
+            handle: self.handle.clone(),
+            entry: entry.clone(),
+            session: self.opened,
+            workers: workers.clone(),
+            granted_until_ms: AtomicU64::new(0),
+        };
+        let task = tasks.spawn(session_task.run(tx.clone(), rx));
+        self.sessions.insert(entry, Session { waiting: Vec::new(), tx, workers, task });
+        self.node.metrics.relays.set(self.sessions.len() as i64);
+    }
+
+    fn close(&mut self, entry: &HostId) {
+        if let Some(s) = self.sessions.remove(entry) {
+            s.task.abort();
+            self.assignments.retain(|_, a| a.relay != *entry);
+        }
+        self.node.metrics.relays.set(self.sessions.len() as i64);
+    }
+}
+
+/// Reports heartbeats of the relay in this process to the scheduler.
+async fn send_own_heartbeats(own: HostId, handle: Arc<SchedulerHandle>) {
+    loop {
+        if handle.tx.send(Event::RelayHeard(own.clone())).is_err() {
+            return;
+        }
+        tokio::time::sleep(BEAT_EVERY).await;
+    }
+}
+
+/// The task that runs the session with one relay.
+struct SessionTask {
+    node: Arc<Node>,
+    handle: Arc<SchedulerHandle>,
+    /// Name of the relay's entry.
+    entry: HostId,
+    /// Number of the session in this term.
+    session: u64,
+    workers: WorkersByNumber,
+    /// Until when the relay may extend leases, in milliseconds since the process started.
+    granted_until_ms: AtomicU64,
+}
+
+/// Why a session ended. The names of the variants are written to the log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum SessionEnd {
+    /// It could not be opened.
+    NotOpened,
+    /// Its connection broke.
+    Broken,
+    /// No message came from the relay for too long.
+    Silent,
+}
+
+impl SessionTask {
+    /// Runs the session and reports its start and end to the scheduler.
+    async fn run(
+        self,
+        tx: mpsc::UnboundedSender<wire::RelayOrders>,
+        rx: mpsc::UnboundedReceiver<wire::RelayOrders>,
+    ) {
+        let reason = self.run_until_lost(tx, rx).await;
+        let granted_until = Duration::from_millis(self.granted_until_ms.load(Ordering::Acquire));
+        let lease = LeaseTimes::of(&self.node.settings).longest_duration();
+        log::info!("event=relay_session_over relay={} reason={reason:?}", self.entry);
+        let leases_end = granted_until + lease;
+        self.notify(Event::RelayDown(self.entry.clone(), leases_end, reason == SessionEnd::Broken));
+    }
+
+    async fn run_until_lost(
+        &self,
+        tx: mpsc::UnboundedSender<wire::RelayOrders>,
+        rx: mpsc::UnboundedReceiver<wire::RelayOrders>,
+    ) -> SessionEnd {
+        let Some((out, updates)) = self.connect().await else { return SessionEnd::NotOpened };
+        self.notify(Event::RelayUp(self.entry.clone()));
+        tokio::select! {
+            _ = send_orders(out, rx) => SessionEnd::Broken,
+            reason = self.receive_updates(updates, tx) => reason,
+        }
+    }
+
+    fn notify(&self, ev: Event) {
+        // Sending fails if the scheduler has just stopped.
+        let _ = self.handle.tx.send(ev);
+    }
+
+    async fn connect(&self) -> Option<(DuplexTx, DuplexRx)> {
+        let address = self.node.peers.address_of(&self.entry)?;
+        let open = wire::RelayOpen {
+            term: self.handle.term,
+            session: self.session,
+            holder: self.node.settings.name.clone(),
+        };
+        let opening = async {
+            let first = Msg::RelayOpen(open);
+            let traffic = self.node.traffic.clone();
+            let (out, mut updates) =
+                workswood_peers::connect(&address, TOKEN, &self.node.id, first, OPEN_TIMEOUT, traffic)
+                    .await?;
+            match updates.next().await? {
+                Msg::RelayReady(_) => Ok((out, updates)),
+                _ => Err(Closed),
+            }
+        };
+        self.node.timer_lag.timeout(OPEN_TIMEOUT, opening).await?.ok()
+    }
+
+    /// Receives updates from the relay until it is lost.
+    async fn receive_updates(
+        &self,
+        mut updates: DuplexRx,
+        tx: mpsc::UnboundedSender<wire::RelayOrders>,
+    ) -> SessionEnd {
+        let mut leaving = false;
+        loop {
+            let frame = match self.node.timer_lag.timeout(SILENCE_TIMEOUT, updates.next()).await {
+                Some(Ok(Msg::RelayUpdate(frame))) => frame,
+                Some(Ok(_) | Err(Closed)) => return SessionEnd::Broken,
+                None => return SessionEnd::Silent,
+            };
+            if frame.heartbeat != 0 {
+                self.notify(Event::RelayHeard(self.entry.clone()));
+                // Sending fails if the connection broke, which ends the session.
+                let _ = tx.send(self.grant(frame.heartbeat));
+            }
+            for update in frame.updates {
+                self.handle_update(update);
+            }
+            if frame.stopping && !std::mem::replace(&mut leaving, true) {
+                self.notify(Event::RelayLeaving(self.entry.clone()));
+            }
+        }
+    }
+
+    /// Returns the answer to a heartbeat: the relay may extend leases for as long as this process.
+    fn grant(&self, heartbeat: u64) -> wire::RelayOrders {
+        let until = self.handle.grant.end();
+        let remaining = until.saturating_sub(self.node.now());
+        self.granted_until_ms.fetch_max(until.as_millis() as u64, Ordering::AcqRel);
+        let grant = wire::LeaseGrant { heartbeat, duration_ms: remaining.as_millis() as u32 };
+        wire::RelayOrders { grant: Some(grant), orders: Vec::new() }
+    }
+
+    fn handle_update(&self, update: wire::WorkerUpdate) {
+        let number = update.worker;
+        let Some((id, token)) = self.workers.lock().get(&number).cloned() else { return };
+        match codec::read_news(update) {
+            Some((_, what)) => self.notify(what.event(id, token, self.node.now())),
+            None => log::error!("event=relay_news_not_read code=203 relay={} worker={id}", self.entry),
+        }
+    }
+}
+
+async fn send_orders(
+    mut out: DuplexTx,
+    mut rx: mpsc::UnboundedReceiver<wire::RelayOrders>,
+) -> Result<(), Closed> {
+    while let Some(frame) = rx.recv().await {
+        out.send(Msg::RelayOrders(frame)).await?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/src/workswood/ops/jobs/restore_state.rs
@@ -0,0 +1,189 @@
+//! Restores the scheduler from the state that earlier lease holders stored.
+
+use std::collections::{BTreeSet, HashMap};
+use std::sync::Arc;
+use std::time::Duration;
+
+use futures::future::try_join_all;
+use workswood_core::ids::{HostId, Offset};
+use workswood_core::jobs::job::WorkerId;
+use workswood_core::jobs::{Event, JobKey, JobRecord, JobSpec, Scheduler, WaveRecord, WorkerRecord};
+use workswood_platform::jobs::{Guard, KeyedRecord, LatestRecords, Partition, StoreError, Topic};
+
+use super::inbox::{self, InboxIndex};
+use super::limits::scheduler_limits;
+use super::node::Node;
+use super::record::{InboxKey, InboxRecordKind, StateKey, parse_inbox_key, parse_state_key};
+use super::{job_spec, job_state};
+
+/// A scheduler restored from its predecessors' state.
+pub struct RestoredScheduler {
+    /// The scheduler.
+    pub sched: Scheduler,
+    /// The offset of each partition of the inbox to continue reading from.
+    pub inbox_next: Vec<(Partition, Offset)>,
+    /// Which partitions of the inbox hold which keys.
+    pub inbox_keys: InboxIndex,
+}
+
+/// Fences all earlier holders off from the stored state, and restores the scheduler from it.
+pub async fn restore(
+    node: &Arc<Node>,
+    term: u64,
+    held_since: Duration,
+) -> Result<RestoredScheduler, StoreError> {
+    let started = node.now();
+    node.platform.append(Topic::State, Vec::new(), Guard::Term(term, 0)).await?;
+    let fenced = node.now();
+    // No other process writes state from here on, so these reads may run in any order.
+    let partitions: Vec<Partition> = inbox::partitions(node.settings.store_parts).collect();
+    let inbox = try_join_all(partitions.iter().map(|p| node.platform.latest(Topic::Inbox(*p))));
+    let (inbox, state) = tokio::try_join!(inbox, node.platform.latest(Topic::State))?;
+    node.note_store_answer();
+    let read = node.now();
+    let inbox: Vec<(Partition, LatestRecords)> = partitions.into_iter().zip(inbox).collect();
+    let inbox_next = inbox.iter().map(|(partition, latest)| (*partition, latest.next)).collect();
+    let mut inbox_keys = InboxIndex::default();
+    for (partition, latest) in &inbox {
+        latest.records.iter().for_each(|rec| note_inbox_key(&mut inbox_keys, *partition, rec));
+    }
+    let mut sched = Scheduler::new(term, scheduler_limits(&node.settings), held_since, node.wall());
+    sched.policy = node.settings.policy.clone();
+    sched.holder = node.settings.name.clone();
+    sched.strength = node.settings.strength();
+    sched.now = node.now();
+    if let Some(cfg) = node.config.load_full() {
+        sched.handle(Event::ConfigChanged(cfg));
+    }
+    sched.handle(Event::Evacuated(node.operator_state.evacuations().data_centres.clone()));
+    let state = parse_state(state);
+    for (id, rec) in state.workers {
+        sched.restore_worker(id, rec);
+    }
+    for (host, holder) in state.order_marks {
+        sched.restore_order_mark(host, &holder);
+    }
+    let records = inbox.into_iter().flat_map(|(_, latest)| latest.records).collect();
+    restore_jobs(&mut sched, records, state.jobs);
+    sched.restore_demand();
+    for (n, wave) in node.waves.lock().iter() {
+        sched.handle(Event::WaveRequested(wave.clone(), state.waves.get(n).cloned()));
+    }
+    log::info!(
+        "event=state_loaded term={term} jobs={} fence_ms={} read_ms={} restore_ms={}",
+        sched.jobs.len(),
+        (fenced - started).as_millis(),
+        (read - fenced).as_millis(),
+        (node.now() - read).as_millis()
+    );
+    Ok(RestoredScheduler { sched, inbox_next, inbox_keys })
+}
+
+/// The stored state.
+#[derive(Default)]
+struct StoredState {
+    jobs: HashMap<JobKey, JobRecord>,
+    waves: HashMap<u64, WaveRecord>,
+    workers: HashMap<WorkerId, WorkerRecord>,
+    /// Hosts that were ordered recently, each with the name of the holder that ordered it.
+    order_marks: Vec<(HostId, String)>,
+}
+
+/// Parses the records of the state. Malformed ones are logged and left out.
+fn parse_state(state: LatestRecords) -> StoredState {
+    let mut s = StoredState::default();
+    for rec in state.records {
+        let value = rec.value.unwrap_or_default();
+        match parse_state_key(&rec.key) {
+            Some(StateKey::Job(key)) => match job_state::decode(&value) {
+                Ok(j) => drop(s.jobs.insert(key, j)),
+                Err(e) => log::error!("event=record_not_read code=203 key={} error=\"{e}\"", rec.key),
+            },
+            Some(StateKey::Wave(n)) => {
+                if let Some(w) = parse_json(&rec.key, &value) {
+                    s.waves.insert(n, w);
+                }
+            }
+            Some(StateKey::Worker(id)) => {
+                if let Some(w) = parse_json(&rec.key, &value) {
+                    s.workers.insert(id, w);
+                }
+            }
+            // Records of the previous version have no name; the mark is then taken for another
+            // holder's.
+            Some(StateKey::HostOrderMark(host)) => {
+                s.order_marks.push((host, serde_json::from_slice(&value).unwrap_or_default()));
+            }
+            None => log::error!("event=record_not_read code=203 key={}", rec.key),
+        }
+    }
+    s
+}
+
+fn parse_json<T: serde::de::DeserializeOwned>(key: &str, value: &[u8]) -> Option<T> {
+    let parsed = serde_json::from_slice(value);
+    parsed.inspect_err(|e| log::error!("event=record_not_read code=203 key={key} error=\"{e}\"")).ok()
+}
+
+/// Restores the jobs and their state, and then applies cancellations. A state whose job is no
+/// longer in the inbox belongs to a job that is finished or was being forgotten.
+fn restore_jobs(sched: &mut Scheduler, inbox: Vec<KeyedRecord>, mut states: HashMap<JobKey, JobRecord>) {
+    let mut cancels = BTreeSet::new();
+    let mut jobs: HashMap<JobKey, Arc<JobSpec>> = HashMap::new();
+    for rec in inbox {
+        match parse_inbox_event(&rec) {
+            Some(Event::Submitted(key, spec)) => keep_earliest(&mut jobs, key, spec),
+            Some(Event::Cancelled(key, owner)) => {
+                cancels.insert((key, owner));
+            }
+            _ => {}
+        }
+    }
+    for (key, spec) in jobs {
+        sched.restore_job(key, Some(spec), states.remove(&key));
+    }
+    states.into_iter().for_each(|(key, rec)| sched.restore_job(key, None, Some(rec)));
+    for (key, owner) in cancels {
+        sched.handle(Event::Cancelled(key, owner));
+    }
+}
+
+/// Keeps the earliest submission of a job that was submitted at several entries.
+fn keep_earliest(jobs: &mut HashMap<JobKey, Arc<JobSpec>>, key: JobKey, spec: Arc<JobSpec>) {
+    match jobs.get(&key) {
+        Some(known) if known.accepted_at <= spec.accepted_at => {}
+        _ => {
+            jobs.insert(key, spec);
+        }
+    }
+}
+
+/// Notes that the inbox holds the key of a record, or no longer holds it if the record deletes it.
+pub fn note_inbox_key(inbox_keys: &mut InboxIndex, partition: Partition, rec: &KeyedRecord) {
+    match (parse_inbox_key(&rec.key), &rec.value) {
+        (Some(key), Some(_)) => inbox_keys.insert(partition, key),
+        (Some(key), None) => inbox_keys.remove(partition, key),
+        // `parse_inbox_event` logs malformed keys.
+        (None, _) => {}
+    }
+}
+
+/// Returns the event for the scheduler that follows from a record of the inbox. Malformed records
+/// are logged.
+pub fn parse_inbox_event(rec: &KeyedRecord) -> Option<Event> {
+    let value = rec.value.as_deref()?;
+    match parse_inbox_key(&rec.key) {
+        Some(InboxKey { job, kind: InboxRecordKind::Job, .. }) => {
+            let spec = job_spec::decode(value);
+            let spec = spec.inspect_err(|e| {
+                log::error!("event=record_not_read code=203 key={} error=\"{e}\"", rec.key);
+            });
+            Some(Event::Submitted(job, Arc::new(spec.ok()?)))
+        }
+        Some(InboxKey { job, owner, kind: InboxRecordKind::Cancel }) => Some(Event::Cancelled(job, owner)),
+        None => {
+            log::error!("event=record_not_read code=203 key={}", rec.key);
+            None
+        }
+    }
+}
--- a/src/workswood/ops/jobs/scheduler_io.rs
+++ b/src/workswood/ops/jobs/scheduler_io.rs
@@ -14,8 +14,8 @@
 use workswood_core::jobs::Event;
 use workswood_platform::jobs::{Guard, KeyedRecord, Partition, StoreError, Topic};
 
-use super::load::{inbox_event, note_kept};
-use super::node::{Leading, Node};
+use super::node::{Node, SchedulerHandle};
+use super::restore_state::{note_inbox_key, parse_inbox_event};
 use super::topic_reader::follow_topic;
 use super::worker_list::WorkerList;
 
@@ -48,7 +48,7 @@
 /// Forwards jobs and cancels from a partition of the inbox to the scheduler.
 pub(super) async fn follow_inbox(
     node: Arc<Node>,
-    leading: Arc<Leading>,
+    leading: Arc<SchedulerHandle>,
     progress: Arc<InboxProgress>,
     partition: Partition,
     mut next: Offset,
@@ -59,7 +59,7 @@
     loop {
         match node.platform.tail(topic, next, wait).await {
             Ok(tail) => {
-                node.store_is_up();
+                node.note_store_answer();
                 wait = INBOX_READ_WAIT;
                 next = tail.next;
                 forward_records(&leading, partition, &tail.records);
@@ -86,21 +86,21 @@
     }
 }
 
-fn forward_records(leading: &Leading, partition: Partition, records: &[KeyedRecord]) {
+fn forward_records(leading: &SchedulerHandle, partition: Partition, records: &[KeyedRecord]) {
     for rec in records {
-        note_kept(&mut leading.kept.lock(), partition, rec);
-        if let Some(ev) = inbox_event(rec) {
+        note_inbox_key(&mut leading.inbox_keys.lock(), partition, rec);
+        if let Some(ev) = parse_inbox_event(rec) {
             let _ = leading.tx.send(ev);
         }
     }
 }
 
 /// Forwards the list of workers, and its changes, to the scheduler.
-pub(super) async fn follow_workers(node: Arc<Node>, leading: Arc<Leading>) {
+pub(super) async fn follow_workers(node: Arc<Node>, leading: Arc<SchedulerHandle>) {
     let mut list = WorkerList::default();
     let n = node.clone();
     follow_topic(node, Topic::Workers, move |update| {
-        for ev in list.take(update, |rec| n.platform.parse_worker_info(rec)) {
+        for ev in list.apply(update, |rec| n.platform.parse_worker_info(rec)) {
             let _ = leading.tx.send(ev);
         }
     })
@@ -108,7 +108,7 @@
 }
 
 /// Reads the list of hosts once and forwards it to the scheduler.
-pub(super) async fn list_hosts_once(node: Arc<Node>, leading: Arc<Leading>) {
+pub(super) async fn list_hosts_once(node: Arc<Node>, leading: Arc<SchedulerHandle>) {
     let requested_at = node.now();
     match node.platform.list_hosts().await {
         Ok(list) => {
--- a/src/workswood/ops/jobs/topic_reader.rs
+++ b/src/workswood/ops/jobs/topic_reader.rs
@@ -10,7 +10,7 @@
 use workswood_platform::jobs::{KeyedRecord, OperatorRecord, StoreError, Topic};
 
 use super::node::Node;
-use super::operators::Evacuations;
+use super::operator_state::Evacuations;
 use super::peer_requests;
 
 /// How long each read of the lease holder waits for records.
@@ -42,7 +42,7 @@
 /// How long the next read of a topic waits for records.
 fn read_wait(node: &Node, topic: Topic) -> Duration {
     match topic {
-        Topic::Operators if node.leading.load().is_none() => node.settings.news_wait(),
+        Topic::Operators if node.scheduler.load().is_none() => node.settings.news_wait(),
         _ => HOLDER_READ_WAIT,
     }
 }
@@ -80,7 +80,7 @@
                     log::info!("event=dependency_regained dependency=store topic={topic:?}");
                 }
                 failures = 0;
-                node.store_is_up();
+                node.note_store_answer();
                 next = Some(next_offset);
                 on_update(update);
                 if topic == Topic::Workers {
@@ -94,7 +94,7 @@
                 }
                 failures += 1;
                 if topic == Topic::Operators {
-                    node.operators.reading_fails();
+                    node.operator_state.note_read_failure();
                 }
                 tokio::time::sleep(retry_delay(failures)).await;
             }
@@ -115,8 +115,8 @@
             TopicUpdate::Changes(records) => records,
         };
         records.iter().for_each(|r| apply_record(&n, r, &mut evacuated));
-        n.operators.reading_succeeds();
-        apply_evacuations(&n, Evacuations { data_centres: evacuated.clone(), read: n.now() });
+        n.operator_state.note_read_success();
+        apply_evacuations(&n, Evacuations { data_centres: evacuated.clone(), read_at: n.now() });
     })
     .await;
 }
@@ -127,8 +127,8 @@
 pub async fn poll_peers_when_stale(node: Arc<Node>) {
     loop {
         tokio::time::sleep(PEER_POLL_INTERVAL).await;
-        let age = node.operators.age(node.now());
-        let is_stale = node.operators.is_reading_failing() && age > MAX_AGE_ON_FAILURE;
+        let age = node.operator_state.age(node.now());
+        let is_stale = node.operator_state.last_read_failed() && age > MAX_AGE_ON_FAILURE;
         if !is_stale && age < node.settings.news_wait() + LATE_READ_SLACK {
             continue;
         }
@@ -141,7 +141,7 @@
         let term = node.holder.load().as_ref().map_or(0, |h| h.term);
         if let Some(holder) = updates.holder.filter(|h| h.term > term) {
             log::info!("event=lease_holder_from_peer id={} term={}", holder.id, holder.term);
-            node.know_holder(holder);
+            node.set_holder(holder);
         }
         updates.evacuations.into_iter().for_each(|e| apply_evacuations(&node, e));
     }
@@ -149,10 +149,10 @@
 
 /// Applies which data centres are evacuated.
 fn apply_evacuations(node: &Node, evacuations: Evacuations) {
-    let Some(evacuated) = node.operators.evacuate(evacuations) else { return };
+    let Some(evacuated) = node.operator_state.set_evacuations(evacuations) else { return };
     let names: Vec<&str> = evacuated.iter().map(String::as_str).collect();
     log::info!("event=evacuations_in_force data_centres=\"{}\"", names.join(","));
-    node.tell_scheduler(Event::Evacuated(evacuated));
+    node.send_to_scheduler(Event::Evacuated(evacuated));
 }
 
 /// Applies a record that operators wrote; evacuations are only collected in `evacuated`.
@@ -167,11 +167,11 @@
             log::info!("event=config_in_force version={} queues={}", cfg.version, cfg.queues.len());
             let cfg = Arc::new(cfg);
             node.configure(cfg.clone(), rec.value.clone().unwrap_or_default());
-            node.tell_scheduler(Event::ConfigChanged(cfg));
+            node.send_to_scheduler(Event::ConfigChanged(cfg));
         }
         Ok(Some(OperatorRecord::Wave(wave))) => {
             node.waves.lock().insert(wave.number, wave.clone());
-            node.tell_scheduler(Event::WaveRequested(wave, None));
+            node.send_to_scheduler(Event::WaveRequested(wave, None));
         }
         Ok(Some(OperatorRecord::Evacuation { data_centre, evacuated: true })) => {
             _ = evacuated.insert(data_centre)
--- a/tests/testsuite/foreign_entries.rs
+++ b/tests/testsuite/foreign_entries.rs
@@ -173,7 +173,7 @@
     let rec = |value: &str| KeyedRecord { key: "i-1".to_string(), value: Some(value.to_string().into()) };
     let mut list = WorkerList::default();
     let mut take =
-        |value: &str| list.take(TopicUpdate::Changes(vec![rec(value)]), |r| c.parse_worker_info(r));
+        |value: &str| list.apply(TopicUpdate::Changes(vec![rec(value)]), |r| c.parse_worker_info(r));
     let good = entry().to_string();
     assert!(matches!(take(&good)[..], [Event::WorkerListed(_)]));
     assert!(matches!(take("{")[..], [Event::WorkerUnlisted(_)]));
--- a/tests/testsuite/lease_looks.rs
+++ b/tests/testsuite/lease_looks.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use workswood::ops::jobs::operators::Evacuations;
+use workswood::ops::jobs::operator_state::Evacuations;
 use workswood::ops::jobs::{Node, lease};
 use workswood_core::jobs::SchedConfig;
 use workswood_platform::jobs::KeyedRecord;
@@ -26,7 +26,7 @@
     (0..40).for_each(|n| node.peers.add_peer(&format!("entry-{n}"), "127.0.0.1:9", 1000 - 10 * (n / 10)));
     node.peers.add_peer("entry-40", "127.0.0.1:9", 100);
     node.configure(Arc::new(SchedConfig { version: 1, ..SchedConfig::default() }), "config".into());
-    node.operators.evacuate(Evacuations::default());
+    node.operator_state.set_evacuations(Evacuations::default());
     tokio::spawn(lease::run(node.clone()));
     node
 }
@@ -70,7 +70,7 @@
     assert_eq!(own_records(&store), 0);
     // Two looks, and the time in which stronger hosts may claim.
     tokio::time::sleep(Duration::from_secs(16)).await;
-    assert!(own_records(&store) > 0 && node.leading.load().is_some());
+    assert!(own_records(&store) > 0 && node.scheduler.load().is_some());
 }
 
 /// A question that the known holder does not answer has the lease read at once.
@@ -82,7 +82,7 @@
     renew(&store, 10).await;
     store.write_lease(holder(9));
     assert_eq!(node.holder.load().as_ref().map(|h| h.term), Some(7), "it has not looked");
-    let later = node.later_holder(7, Duration::from_millis(100)).await;
+    let later = node.wait_for_later_holder(7, Duration::from_millis(100)).await;
     assert_eq!(later.map(|h| h.term), Some(9));
 }
 
@@ -95,7 +95,7 @@
     for _ in 0..60 {
         renew(&store, 1).await;
         // What operators write is waited for at the same time.
-        node.store_is_up();
+        node.note_store_answer();
         tokio::time::sleep(node.settings.news_wait() / 2).await;
         assert!(node.store_silence() < Duration::from_millis(1000), "{:?}", node.store_silence());
     }
--- a/tests/testsuite/peer_help.rs
+++ b/tests/testsuite/peer_help.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpListener;
 use workswood::ops::jobs::inbox::{self, Stored};
 use workswood::ops::jobs::node::Holder;
-use workswood::ops::jobs::operators::Evacuations;
+use workswood::ops::jobs::operator_state::Evacuations;
 use workswood::ops::jobs::{Node, peer_requests, peers};
 use workswood_core::jobs::SchedConfig;
 use workswood_platform::jobs::KeyedRecord;
@@ -34,7 +34,7 @@
 /// Makes a process know who holds the lease.
 fn tell_holder(node: &Node, holder: &Node) {
     let (id, peers) = (holder.id.clone(), holder.settings.peers.to_string());
-    node.holder.store(Some(Arc::new(Holder { id, peers, term: 7, released: false })));
+    node.holder.store(Some(Arc::new(Holder { id, peer_address: peers, term: 7, released: false })));
 }
 
 fn store(fates: &[Fate]) -> Arc<TurnStore> {
@@ -143,13 +143,18 @@
     let gone = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let peers = gone.local_addr().expect("an address").to_string();
     drop(gone);
-    a.holder.store(Some(Arc::new(Holder { id: "gone".to_string(), peers, term: 7, released: false })));
+    a.holder.store(Some(Arc::new(Holder {
+        id: "gone".to_string(),
+        peer_address: peers,
+        term: 7,
+        released: false,
+    })));
     assert_eq!(a.inbox.store(rec("job-1"), WAITS).await, Stored::No, "nothing was sent to it");
 }
 
 /// Data centres that are evacuated, as read at a time.
 fn evacuated(names: &[&str], read: Duration) -> Evacuations {
-    Evacuations { data_centres: names.iter().map(|n| n.to_string()).collect(), read }
+    Evacuations { data_centres: names.iter().map(|n| n.to_string()).collect(), read_at: read }
 }
 
 /// Likewise with an evacuation; what a peer has read itself goes before what is older.
@@ -159,18 +164,18 @@
     let (a, b) = (process("entry-1", &away).await, process("entry-2", &well).await);
     tell_holder(&a, &b);
     assert!(peer_requests::poll_peers(&a, 0).await.evacuations.is_empty(), "the other one has read nothing");
-    b.operators.evacuate(evacuated(&["north"], b.now()));
+    b.operator_state.set_evacuations(evacuated(&["north"], b.now()));
     let told = peer_requests::poll_peers(&a, 0).await.evacuations.remove(0);
     assert_eq!(told.data_centres, evacuated(&["north"], Duration::ZERO).data_centres);
-    assert!(told.read <= a.now(), "it is as old as the peer's reading at least");
-    let read = told.read;
-    assert!(a.operators.evacuate(told).is_some());
-    assert!(a.operators.is_evacuated("north", a.now()));
+    assert!(told.read_at <= a.now(), "it is as old as the peer's reading at least");
+    let read = told.read_at;
+    assert!(a.operator_state.set_evacuations(told).is_some());
+    assert!(a.operator_state.is_evacuated("north", a.now()));
     let older = evacuated(&[], read.saturating_sub(Duration::from_millis(1)));
-    assert_eq!(a.operators.evacuate(older), None, "an older reading changes nothing");
-    assert!(a.operators.is_evacuated("north", a.now()));
+    assert_eq!(a.operator_state.set_evacuations(older), None, "an older reading changes nothing");
+    assert!(a.operator_state.is_evacuated("north", a.now()));
     let long_ago = a.now() + Duration::from_secs(10);
-    assert!(!a.operators.is_evacuated("north", long_ago), "what is old keeps no start back here");
+    assert!(!a.operator_state.is_evacuated("north", long_ago), "what is old keeps no start back here");
 }
 
 fn declared(version: u64) -> Arc<SchedConfig> {
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -19,7 +19,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 use workswood::ops::jobs::job_queries::{self, Lookup};
-use workswood::ops::jobs::node::{Holder, Leading};
+use workswood::ops::jobs::node::{Holder, SchedulerHandle};
 use workswood::ops::jobs::{Node, peer_requests, peers};
 use workswood_adapter::{Addresses, PlatformClient};
 use workswood_adapter_standin::{StoreStandin, WorkerStandin};
@@ -212,7 +212,7 @@
     let (holder, cut) = holder(&store).await;
     let (tx, _events) = mpsc::unbounded_channel();
     let (end, _ended) = watch::channel(false);
-    let l = Leading::new(7, holder.now(), LONG, tx, end);
+    let l = SchedulerHandle::new(7, holder.now(), LONG, tx, end);
     let shown = JobStatusUpdate {
         key: 1,
         queue: "q".into(),
@@ -220,10 +220,10 @@
         state: Some(JobStatus::Running),
         timed: false,
     };
-    l.shown.write().update(shown);
-    holder.leading.store(Some(Arc::new(l)));
+    l.job_statuses.write().update(shown);
+    holder.scheduler.store(Some(Arc::new(l)));
     let node = Arc::new(Node::new(settings("entry-1"), store));
-    let seen = Holder { id: holder.id.clone(), peers: cut.address.clone(), term: 7, released: false };
+    let seen = Holder { id: holder.id.clone(), peer_address: cut.address.clone(), term: 7, released: false };
     node.holder.store(Some(Arc::new(seen)));
     for _ in 0..3 {
         assert_eq!(
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -18,9 +18,10 @@
 use workswood::ops::job_status::{self, sum};
 use workswood::ops::jobs::inbox::Stored;
 use workswood::ops::jobs::node::Holder;
-use workswood::ops::jobs::operators::Evacuations;
+use workswood::ops::jobs::operator_state::Evacuations;
 use workswood::ops::jobs::record::{
-    InboxItem, StateKey, cancel_record, drop_record, inbox_key, job_record, state_key, state_record,
+    InboxRecordKind, StateKey, cancel_record, drop_record, job_record, parse_inbox_key, parse_state_key,
+    state_record,
 };
 use workswood::ops::jobs::relay::order::{Order, What};
 use workswood::ops::jobs::relay::wire::{read_news, read_orders, write_news, write_orders};
@@ -310,7 +311,7 @@
 /// A record of the scheduler's state, read as a new lease holder reads it.
 fn read_state(rec: &KeyedRecord) -> Record {
     let value = rec.value.as_deref();
-    match (state_key(&rec.key).expect("a key of the state"), value) {
+    match (parse_state_key(&rec.key).expect("a key of the state"), value) {
         (StateKey::Job(job), Some(value)) => {
             Record::Job(job, job_state::decode(value).expect("a job's state"))
         }
@@ -322,7 +323,7 @@
             Record::Worker(id, serde_json::from_slice(value).expect("a worker"))
         }
         (StateKey::Worker(id), None) => Record::DropWorker(id),
-        (StateKey::Ordered(host), value) => {
+        (StateKey::HostOrderMark(host), value) => {
             Record::HostOrderMark(host, value.map(|v| serde_json::from_slice(v).expect("a holder's name")))
         }
     }
@@ -422,10 +423,10 @@
     assert_eq!(all.len(), 4);
     for line in all {
         let stored = keyed(line);
-        let key = inbox_key(line.0).expect("a key of the inbox");
-        let written = match key.what {
-            InboxItem::Job => job_record(key.job, &inbox_spec(line.0)),
-            InboxItem::Cancel => cancel_record(key.job, key.owner),
+        let key = parse_inbox_key(line.0).expect("a key of the inbox");
+        let written = match key.kind {
+            InboxRecordKind::Job => job_record(key.job, &inbox_spec(line.0)),
+            InboxRecordKind::Cancel => cancel_record(key.job, key.owner),
         };
         assert_eq!(written, stored, "{}", line.0);
         assert_eq!(key.drop_record(), drop_record(line.0.to_string()));
@@ -985,7 +986,7 @@
     let store = OneTopic::new(Topic::Lease, keyed(("holder", text)));
     let node = Arc::new(Node::new(settings("entry-1"), store.clone()));
     node.configure(Arc::new(SchedConfig { version: 1, ..SchedConfig::default() }), "config".into());
-    node.operators.evacuate(Evacuations::default());
+    node.operator_state.set_evacuations(Evacuations::default());
     tokio::spawn(lease::run(node.clone()));
     (store, node)
 }
@@ -1001,7 +1002,7 @@
 #[tokio::test(start_paused = true)]
 async fn lease_record() {
     let held = holder_read(text(LEASE_AND_PEERS, "lease-held")).await;
-    assert_eq!((held.id.as_str(), held.peers.as_str()), ("a1", "10.0.0.3:7001"));
+    assert_eq!((held.id.as_str(), held.peer_address.as_str()), ("a1", "10.0.0.3:7001"));
     assert_eq!((held.term, held.released), (7, false));
     let earlier = holder_read(text(LEASE_AND_PEERS, "lease-of-earlier-version")).await;
     assert_eq!((earlier.term, earlier.released), (8, false));
