--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -107,7 +107,7 @@
         peer_listener,
         peers::TOKEN.to_string(),
         help::handler(node.clone()),
-        relay::serve::handler(node.clone()),
+        relay::session::handler(node.clone()),
         node.traffic.clone(),
     ));
     tokio::spawn(inbox::run(node.clone()));
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -19,7 +19,7 @@
 use super::operators::Operators;
 use super::peers::Peers;
 use super::relay::Grant;
-use super::relay::serve::Session;
+use super::relay::session::SessionId;
 use super::shown::ShownJobs;
 use crate::util::clock::Clock;
 use crate::util::job_metrics::JobMetrics;
@@ -117,7 +117,7 @@
     /// How late this process itself is.
     pub lag: TimerLag,
     /// The newest session of a lease holder that it serves as a relay.
-    pub relay_session: watch::Sender<Session>,
+    pub relay_session: watch::Sender<SessionId>,
     /// Its metrics.
     pub metrics: JobMetrics,
     /// Whether a planned stop has begun.
--- a/src/workswood/ops/jobs/relay/link.rs
+++ b/src/workswood/ops/jobs/relay/assigned_worker.rs
@@ -9,16 +9,16 @@
 use workswood_core::jobs::{RunTracker, WorkerAddress};
 use workswood_platform::jobs::WorkerClock;
 
-use super::order::Number;
+use super::messages::WorkerNumber;
 
 /// Orders on their way to one worker at a time; with the look, connections
 /// stay few.
 const ORDERS_AT_ONCE: usize = 2;
 
 /// What is shared by the tasks that speak to one worker.
-pub struct WorkerLink {
+pub struct AssignedWorker {
     /// Number that the holder gave it.
-    pub number: Number,
+    pub number: WorkerNumber,
     /// The worker.
     pub worker: WorkerAddress,
     /// Token that its orders carry.
@@ -39,10 +39,10 @@
     silent: AtomicBool,
 }
 
-impl WorkerLink {
+impl AssignedWorker {
     /// A worker that was not spoken to yet.
-    pub fn new(number: Number, worker: WorkerAddress, token: Term) -> WorkerLink {
-        WorkerLink {
+    pub fn new(number: WorkerNumber, worker: WorkerAddress, token: Term) -> AssignedWorker {
+        AssignedWorker {
             number,
             worker,
             token,
--- a/src/workswood/ops/jobs/relay/wire.rs
+++ b/src/workswood/ops/jobs/relay/codec.rs
@@ -9,7 +9,7 @@
 };
 use workswood_peers::relay as wire;
 
-use super::order::{Number, Order, StartTask, What};
+use super::messages::{StartTask, WorkerEvent, WorkerNumber, WorkerOrder};
 
 fn run(task: TaskId, attempt: u32) -> wire::TaskRun {
     let TaskId { job, round, step, index } = task;
@@ -22,14 +22,14 @@
 }
 
 /// Orders as a message says them. Starts in a row that pass the same text say it once.
-pub fn write_orders(orders: Vec<(Number, Order)>) -> Vec<wire::RelayOrder> {
+pub fn write_orders(orders: Vec<(WorkerNumber, WorkerOrder)>) -> Vec<wire::RelayOrder> {
     let mut text_before: Option<Arc<str>> = None;
-    let write = |(worker, order): (Number, Order)| {
+    let write = |(worker, order): (WorkerNumber, WorkerOrder)| {
         let order = match order {
-            Order::Start(s) => {
-                let same = text_before.as_ref().is_some_and(|t| Arc::ptr_eq(t, &s.text));
-                let text = (!same).then(|| s.text.to_string());
-                text_before = Some(s.text.clone());
+            WorkerOrder::Start(s) => {
+                let same = text_before.as_ref().is_some_and(|t| Arc::ptr_eq(t, &s.spec));
+                let text = (!same).then(|| s.spec.to_string());
+                text_before = Some(s.spec.clone());
                 wire::Order::Start(wire::StartTask {
                     run: Some(run(s.task, s.attempt)),
                     spec: text,
@@ -45,36 +45,36 @@
 }
 
 /// An order other than a start.
-fn write_order(order: Order) -> wire::Order {
+fn write_order(order: WorkerOrder) -> wire::Order {
     match order {
-        Order::Attend { worker, token } => {
+        WorkerOrder::Assign { worker, token } => {
             let started = worker.id.started_at();
             let (name, address, data_centre) =
                 (worker.id.name().to_string(), worker.address, worker.data_centre);
             wire::Order::Assign(wire::AssignWorker { name, address, token, data_centre, started })
         }
-        Order::Leave => wire::Order::Unassign(wire::Empty {}),
-        Order::Forget(end) => wire::Order::AckEnds(end),
-        Order::Figures(wanted) => wire::Order::ReportLoad(wanted),
-        Order::Start(s) => wire::Order::Start(wire::StartTask {
+        WorkerOrder::Unassign => wire::Order::Unassign(wire::Empty {}),
+        WorkerOrder::AckEnds(end) => wire::Order::AckEnds(end),
+        WorkerOrder::ReportLoad(wanted) => wire::Order::ReportLoad(wanted),
+        WorkerOrder::Start(s) => wire::Order::Start(wire::StartTask {
             run: Some(run(s.task, s.attempt)),
-            spec: Some(s.text.to_string()),
+            spec: Some(s.spec.to_string()),
             checkpoint: s.checkpoint,
             ticket: s.ticket.map(|t| t.to_string()),
         }),
-        Order::Stop { task, attempt } => wire::Order::Stop(run(task, attempt)),
-        Order::Pace { task, attempt, percent } => {
+        WorkerOrder::Stop { task, attempt } => wire::Order::Stop(run(task, attempt)),
+        WorkerOrder::Throttle { task, attempt, percent } => {
             wire::Order::Throttle(wire::ThrottleTask { run: Some(run(task, attempt)), percent })
         }
     }
 }
 
 /// Orders that a message says; `None` if one of them can't be read.
-pub fn read_orders(orders: Vec<wire::RelayOrder>) -> Option<Vec<(Number, Order)>> {
+pub fn read_orders(orders: Vec<wire::RelayOrder>) -> Option<Vec<(WorkerNumber, WorkerOrder)>> {
     let mut text: Arc<str> = "".into();
     let read = |o: wire::RelayOrder| {
         let order = match o.order? {
-            wire::Order::Assign(a) => Order::Attend {
+            wire::Order::Assign(a) => WorkerOrder::Assign {
                 worker: WorkerAddress {
                     id: WorkerId::new(&a.name, a.started),
                     address: a.address,
@@ -82,30 +82,30 @@
                 },
                 token: a.token,
             },
-            wire::Order::Unassign(_) => Order::Leave,
-            wire::Order::AckEnds(end) => Order::Forget(end),
-            wire::Order::ReportLoad(wanted) => Order::Figures(wanted),
+            wire::Order::Unassign(_) => WorkerOrder::Unassign,
+            wire::Order::AckEnds(end) => WorkerOrder::AckEnds(end),
+            wire::Order::ReportLoad(wanted) => WorkerOrder::ReportLoad(wanted),
             wire::Order::Start(s) => {
                 if let Some(fresh) = s.spec {
                     text = fresh.into();
                 }
                 let (task, attempt) = task(&s.run?)?;
                 let ticket = s.ticket.map(Arc::from);
-                Order::Start(StartTask {
+                WorkerOrder::Start(StartTask {
                     task,
                     attempt,
-                    text: text.clone(),
+                    spec: text.clone(),
                     checkpoint: s.checkpoint,
                     ticket,
                 })
             }
             wire::Order::Stop(run) => {
                 let (task, attempt) = task(&run)?;
-                Order::Stop { task, attempt }
+                WorkerOrder::Stop { task, attempt }
             }
             wire::Order::Throttle(p) => {
                 let (task, attempt) = task(&p.run?)?;
-                Order::Pace { task, attempt, percent: p.percent }
+                WorkerOrder::Throttle { task, attempt, percent: p.percent }
             }
         };
         Some((o.worker, order))
@@ -114,11 +114,11 @@
 }
 
 /// News as a message says them.
-pub fn write_news(news: Vec<(Number, What)>) -> Vec<wire::WorkerUpdate> {
-    let write = |(worker, what): (Number, What)| {
+pub fn write_events(news: Vec<(WorkerNumber, WorkerEvent)>) -> Vec<wire::WorkerUpdate> {
+    let write = |(worker, what): (WorkerNumber, WorkerEvent)| {
         let silent_ms = silence(&what).map(|d| d.as_millis() as u64);
         let restarted_at = match &what {
-            What::Restarted(started, _) => Some(*started),
+            WorkerEvent::Restarted(started, _) => Some(*started),
             _ => None,
         };
         wire::WorkerUpdate { worker, silent_ms, restarted_at, event: Some(write_what(what)) }
@@ -127,29 +127,31 @@
 }
 
 /// How long ago the worker last answered, where news tell.
-fn silence(what: &What) -> Option<Duration> {
+fn silence(what: &WorkerEvent) -> Option<Duration> {
     match what {
-        What::Unanswered { silent, .. } | What::LifeOver(silent) | What::Restarted(_, silent) => {
-            Some(*silent)
-        }
+        WorkerEvent::Unanswered { silent_for: silent, .. }
+        | WorkerEvent::IncarnationEnded(silent)
+        | WorkerEvent::Restarted(_, silent) => Some(*silent),
         _ => None,
     }
 }
 
-fn write_what(what: What) -> wire::News {
+fn write_what(what: WorkerEvent) -> wire::News {
     match what {
-        What::Reported(report) => wire::News::Reported(write_report(report)),
-        What::Doubted => wire::News::ReplyLate(wire::Empty {}),
-        What::Unanswered { leased, .. } => wire::News::Unanswered(millis_up(leased)),
+        WorkerEvent::Reported(report) => wire::News::Reported(write_report(report)),
+        WorkerEvent::ReplyLate => wire::News::ReplyLate(wire::Empty {}),
+        WorkerEvent::Unanswered { lease_left, .. } => wire::News::Unanswered(millis_up(lease_left)),
         // Versions before this one know of no restart: to them it is another life.
-        What::LifeOver(_) | What::Restarted(..) => wire::News::IncarnationEnded(wire::Empty {}),
-        What::Fenced => wire::News::Fenced(wire::Empty {}),
-        What::Started { task, attempt, reply } => {
+        WorkerEvent::IncarnationEnded(_) | WorkerEvent::Restarted(..) => {
+            wire::News::IncarnationEnded(wire::Empty {})
+        }
+        WorkerEvent::Fenced => wire::News::Fenced(wire::Empty {}),
+        WorkerEvent::Started { task, attempt, reply } => {
             let outcome = outcome(reply) as i32;
             wire::News::Started(wire::StartedTask { run: Some(run(task, attempt)), outcome })
         }
         // A worker that knows a higher token says so to the next look, too.
-        What::Stopped { task, attempt, reply } => wire::News::Stopped(wire::StoppedTask {
+        WorkerEvent::Stopped { task, attempt, reply } => wire::News::Stopped(wire::StoppedTask {
             run: Some(run(task, attempt)),
             accepted: reply == StopReply::Taken,
         }),
@@ -184,29 +186,29 @@
 }
 
 /// What is new, as a message says it; `None` if it can't be read.
-pub fn read_news(news: wire::WorkerUpdate) -> Option<(Number, What)> {
+pub fn read_events(news: wire::WorkerUpdate) -> Option<(WorkerNumber, WorkerEvent)> {
     // Versions before this one did not tell; then it counts as heard just now.
     let silent = Duration::from_millis(news.silent_ms.unwrap_or(0));
     let what = match news.event? {
-        wire::News::Reported(report) => What::Reported(read_report(report)?),
-        wire::News::ReplyLate(_) => What::Doubted,
+        wire::News::Reported(report) => WorkerEvent::Reported(read_report(report)?),
+        wire::News::ReplyLate(_) => WorkerEvent::ReplyLate,
         wire::News::Unanswered(ms) => {
-            What::Unanswered { leased: Duration::from_millis(u64::from(ms)), silent }
+            WorkerEvent::Unanswered { lease_left: Duration::from_millis(u64::from(ms)), silent_for: silent }
         }
         wire::News::IncarnationEnded(_) => match news.restarted_at {
-            Some(started) => What::Restarted(started, silent),
-            None => What::LifeOver(silent),
+            Some(started) => WorkerEvent::Restarted(started, silent),
+            None => WorkerEvent::IncarnationEnded(silent),
         },
-        wire::News::Fenced(_) => What::Fenced,
+        wire::News::Fenced(_) => WorkerEvent::Fenced,
         wire::News::Started(s) => {
             let reply = reply(wire::StartOutcome::try_from(s.outcome).ok()?);
             let (task, attempt) = task(&s.run?)?;
-            What::Started { task, attempt, reply }
+            WorkerEvent::Started { task, attempt, reply }
         }
         wire::News::Stopped(s) => {
             let reply = if s.accepted { StopReply::Taken } else { StopReply::NoAnswer };
             let (task, attempt) = task(&s.run?)?;
-            What::Stopped { task, attempt, reply }
+            WorkerEvent::Stopped { task, attempt, reply }
         }
     };
     Some((news.worker, what))
--- a/src/workswood/ops/jobs/relay/outbox.rs
+++ b/src/workswood/ops/jobs/relay/event_sink.rs
@@ -5,24 +5,24 @@
 use workswood_core::jobs::Event;
 
 use super::super::node::Node;
-use super::link::WorkerLink;
-use super::order::{Number, What};
+use super::assigned_worker::AssignedWorker;
+use super::messages::{WorkerEvent, WorkerNumber};
 
 /// News that wait to be sent together.
 #[derive(Debug, Default)]
-pub struct Outbox {
-    waiting: Mutex<Vec<(Number, What)>>,
+pub struct EventQueue {
+    waiting: Mutex<Vec<(WorkerNumber, WorkerEvent)>>,
     /// Wakes who sends them.
     pub(super) wake: Notify,
 }
 
-impl Outbox {
+impl EventQueue {
     /// Takes all news that wait.
-    pub fn take(&self) -> Vec<(Number, What)> {
+    pub fn take(&self) -> Vec<(WorkerNumber, WorkerEvent)> {
         std::mem::take(&mut *self.waiting.lock())
     }
 
-    fn add(&self, number: Number, what: What) {
+    fn add(&self, number: WorkerNumber, what: WorkerEvent) {
         let mut waiting = self.waiting.lock();
         let first = waiting.is_empty();
         waiting.push((number, what));
@@ -34,16 +34,16 @@
 }
 
 /// Where news go.
-pub enum Sink {
+pub enum EventSink {
     /// To the scheduler of this process.
-    Here(mpsc::UnboundedSender<Event>),
+    Local(mpsc::UnboundedSender<Event>),
     /// To a lease holder elsewhere.
-    There(std::sync::Arc<Outbox>),
+    Remote(std::sync::Arc<EventQueue>),
 }
 
-impl Sink {
+impl EventSink {
     /// Tells what is new of a worker.
-    pub(super) fn tell(&self, node: &Node, link: &WorkerLink, what: What) {
+    pub(super) fn tell(&self, node: &Node, link: &AssignedWorker, what: WorkerEvent) {
         // A worker that is attended no longer is another relay's.
         if link.is_closed() {
             return;
@@ -52,15 +52,20 @@
     }
 
     /// Likewise of one that may not be known here.
-    pub(super) fn tell_of(&self, number: Number, link: Option<(&Node, &WorkerLink)>, what: What) {
+    pub(super) fn tell_of(
+        &self,
+        number: WorkerNumber,
+        link: Option<(&Node, &AssignedWorker)>,
+        what: WorkerEvent,
+    ) {
         match (self, link) {
-            (Sink::Here(tx), Some((node, link))) => {
+            (EventSink::Local(tx), Some((node, link))) => {
                 // A scheduler that has just ended takes no more events.
-                let _ = tx.send(what.event(link.worker.id.clone(), link.token, node.now()));
+                let _ = tx.send(what.into_scheduler_event(link.worker.id.clone(), link.token, node.now()));
             }
             // The scheduler here keeps to what it has its own relay attend.
-            (Sink::Here(_), None) => {}
-            (Sink::There(outbox), _) => outbox.add(number, what),
+            (EventSink::Local(_), None) => {}
+            (EventSink::Remote(outbox), _) => outbox.add(number, what),
         }
     }
 }
--- a/src/workswood/ops/jobs/relay/order.rs
+++ b/src/workswood/ops/jobs/relay/messages.rs
@@ -8,7 +8,7 @@
 use workswood_core::jobs::{Event, Report, StartReply, StopReply, TaskId, WorkerAddress, WorkerUpdate};
 
 /// Number that the lease holder gives a worker each time a relay begins to attend it.
-pub type Number = u32;
+pub type WorkerNumber = u32;
 
 /// A start of a task.
 #[derive(Clone, Debug, PartialEq)]
@@ -18,7 +18,7 @@
     /// Number of the try.
     pub attempt: u32,
     /// Text of its job.
-    pub text: Arc<str>,
+    pub spec: Arc<str>,
     /// Checkpoint to go on from; empty for none.
     pub checkpoint: String,
     /// Ticket of the adviser.
@@ -27,20 +27,20 @@
 
 /// An order about one worker.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum WorkerOrder {
     /// Attend it, with orders that carry this token.
-    Attend {
+    Assign {
         /// The worker.
         worker: WorkerAddress,
         /// The token.
         token: Term,
     },
     /// Attend it no longer.
-    Leave,
+    Unassign,
     /// Let it forget its ends up to this number: they are on record.
-    Forget(u64),
+    AckEnds(u64),
     /// Tell figures of all that runs there with each look, or no longer.
-    Figures(bool),
+    ReportLoad(bool),
     /// Start a task.
     Start(StartTask),
     /// Stop a task.
@@ -51,7 +51,7 @@
         attempt: u32,
     },
     /// Let a task work at a share.
-    Pace {
+    Throttle {
         /// The task.
         task: TaskId,
         /// Number of the try.
@@ -63,20 +63,20 @@
 
 /// What is new of one worker.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum WorkerEvent {
     /// It answered a look.
     Reported(Report),
     /// Its answer to a look is late.
-    Doubted,
+    ReplyLate,
     /// It did not answer.
     Unanswered {
         /// How long its lease lasts at most if it is not extended.
-        leased: Duration,
+        lease_left: Duration,
         /// How long ago it last answered.
-        silent: Duration,
+        silent_for: Duration,
     },
     /// Its address is answered by another life; how long ago this one last answered.
-    LifeOver(Duration),
+    IncarnationEnded(Duration),
     /// It has started again under its name, at a time of day; how long ago its life before last answered.
     Restarted(UnixMs, Duration),
     /// It knows a higher token.
@@ -101,23 +101,24 @@
     },
 }
 
-impl What {
+impl WorkerEvent {
     /// What it means to the scheduler, heard at a time on its clock of a worker that is
     /// attended with this token.
-    pub fn event(self, id: WorkerId, token: Term, now: Duration) -> Event {
+    pub fn into_scheduler_event(self, id: WorkerId, token: Term, now: Duration) -> Event {
         let news = match self {
-            What::LifeOver(silent) => return Event::LifeOver(id, now.saturating_sub(silent)),
-            What::Restarted(started, silent) => {
+            WorkerEvent::IncarnationEnded(silent) => return Event::LifeOver(id, now.saturating_sub(silent)),
+            WorkerEvent::Restarted(started, silent) => {
                 return Event::WorkerRestarted(id, started, now.saturating_sub(silent));
             }
-            What::Reported(report) => WorkerUpdate::Reported(report),
-            What::Doubted => WorkerUpdate::ProbeLate,
-            What::Unanswered { leased, silent } => {
-                WorkerUpdate::Unanswered { lease_end: now + leased, heard: now.saturating_sub(silent) }
-            }
-            What::Fenced => WorkerUpdate::Fenced,
-            What::Started { task, attempt, reply } => WorkerUpdate::Started(task, attempt, reply),
-            What::Stopped { task, attempt, reply } => WorkerUpdate::Stopped(task, attempt, reply),
+            WorkerEvent::Reported(report) => WorkerUpdate::Reported(report),
+            WorkerEvent::ReplyLate => WorkerUpdate::ProbeLate,
+            WorkerEvent::Unanswered { lease_left, silent_for } => WorkerUpdate::Unanswered {
+                lease_end: now + lease_left,
+                heard: now.saturating_sub(silent_for),
+            },
+            WorkerEvent::Fenced => WorkerUpdate::Fenced,
+            WorkerEvent::Started { task, attempt, reply } => WorkerUpdate::Started(task, attempt, reply),
+            WorkerEvent::Stopped { task, attempt, reply } => WorkerUpdate::Stopped(task, attempt, reply),
         };
         Event::WorkerUpdate(id, token, news)
     }
--- a/src/workswood/ops/jobs/relay/mod.rs
+++ b/src/workswood/ops/jobs/relay/mod.rs
@@ -3,19 +3,19 @@
 //! It looks at each worker, extends its lease, sends orders and tells what is new. It
 //! decides nothing. The lease holder is its own relay where workers are few; then
 //! orders and news stay within the process. Otherwise they go over a connection that
-//! the holder opens ([`serve`]), in the form that [`wire`] gives them.
+//! the holder opens ([`session`]), in the form that [`codec`] gives them.
 //!
-//! * [`order`] holds orders and news, [`outbox`] where news wait to be sent.
-//! * [`link`] is what is shared by the tasks that speak to one worker: [`look`] looks at
+//! * [`messages`] holds orders and news, [`event_sink`] where news wait to be sent.
+//! * [`assigned_worker`] is what is shared by the tasks that speak to one worker: [`poll`] looks at
 //!   it, [`send`] sends orders.
 
-pub mod link;
-pub mod look;
-pub mod order;
-mod outbox;
+pub mod assigned_worker;
+pub mod codec;
+mod event_sink;
+pub mod messages;
+pub mod poll;
 mod send;
-pub mod serve;
-pub mod wire;
+pub mod session;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,9 +25,9 @@
 use tokio::task::JoinSet;
 use workswood_core::jobs::StartReply;
 
-use self::link::WorkerLink;
-use self::order::{Number, Order, What};
-pub use self::outbox::{Outbox, Sink};
+use self::assigned_worker::AssignedWorker;
+pub use self::event_sink::{EventQueue, EventSink};
+use self::messages::{WorkerEvent, WorkerNumber, WorkerOrder};
 use super::limits::LeaseTimes;
 use super::node::Node;
 
@@ -59,7 +59,7 @@
 }
 
 /// What the tasks of one relay share.
-pub struct Shared {
+pub struct RelayContext {
     /// The process.
     pub node: Arc<Node>,
     /// Until when leases may be extended.
@@ -67,65 +67,65 @@
     /// Times of workers' leases.
     pub times: LeaseTimes,
     /// Where news go.
-    pub sink: Sink,
+    pub sink: EventSink,
 }
 
 /// Attends workers for one lease holder.
 pub struct Relay {
-    shared: Arc<Shared>,
-    workers: HashMap<Number, Arc<WorkerLink>>,
+    shared: Arc<RelayContext>,
+    workers: HashMap<WorkerNumber, Arc<AssignedWorker>>,
     tasks: JoinSet<()>,
 }
 
 impl Relay {
     /// A relay that attends nobody yet.
-    pub fn new(node: Arc<Node>, grant: Grant, sink: Sink) -> Relay {
+    pub fn new(node: Arc<Node>, grant: Grant, sink: EventSink) -> Relay {
         let times = LeaseTimes::of(&node.settings);
-        let shared = Arc::new(Shared { node, grant, times, sink });
+        let shared = Arc::new(RelayContext { node, grant, times, sink });
         Relay { shared, workers: HashMap::new(), tasks: JoinSet::new() }
     }
 
     /// Workers that it attends.
-    pub fn count(&self) -> usize {
+    pub fn worker_count(&self) -> usize {
         self.workers.len()
     }
 
     /// Begins to carry an order out.
-    pub fn take(&mut self, number: Number, order: Order) {
+    pub fn execute(&mut self, number: WorkerNumber, order: WorkerOrder) {
         while self.tasks.try_join_next().is_some() {}
         match order {
-            Order::Attend { worker, token } => self.attend(WorkerLink::new(number, worker, token)),
-            Order::Leave => {
+            WorkerOrder::Assign { worker, token } => self.attend(AssignedWorker::new(number, worker, token)),
+            WorkerOrder::Unassign => {
                 if let Some(link) = self.workers.remove(&number) {
                     link.close();
                 }
             }
-            Order::Forget(end) => {
+            WorkerOrder::AckEnds(end) => {
                 if let Some(link) = self.workers.get(&number) {
                     link.forget.send_replace(end);
                 }
             }
-            Order::Figures(wanted) => {
+            WorkerOrder::ReportLoad(wanted) => {
                 if let Some(link) = self.workers.get(&number) {
                     link.follow.lock().set_report_load(wanted);
                 }
             }
-            Order::Start(s) => match self.workers.get(&number) {
+            WorkerOrder::Start(s) => match self.workers.get(&number) {
                 Some(link) => {
                     self.tasks.spawn(send::start(self.shared.clone(), link.clone(), s));
                 }
                 None => self.shared.sink.tell_of(
                     number,
                     None,
-                    What::Started { task: s.task, attempt: s.attempt, reply: StartReply::NotSent },
+                    WorkerEvent::Started { task: s.task, attempt: s.attempt, reply: StartReply::NotSent },
                 ),
             },
-            Order::Stop { task, attempt } => {
+            WorkerOrder::Stop { task, attempt } => {
                 if let Some(link) = self.workers.get(&number) {
                     self.tasks.spawn(send::stop(self.shared.clone(), link.clone(), task, attempt));
                 }
             }
-            Order::Pace { task, attempt, percent } => {
+            WorkerOrder::Throttle { task, attempt, percent } => {
                 if let Some(link) = self.workers.get(&number) {
                     self.tasks.spawn(send::pace(self.shared.clone(), link.clone(), task, attempt, percent));
                 }
@@ -133,12 +133,12 @@
         }
     }
 
-    fn attend(&mut self, link: WorkerLink) {
+    fn attend(&mut self, link: AssignedWorker) {
         let link = Arc::new(link);
         if let Some(old) = self.workers.insert(link.number, link.clone()) {
             old.close();
         }
-        self.tasks.spawn(look::run(self.shared.clone(), link));
+        self.tasks.spawn(poll::run(self.shared.clone(), link));
     }
 }
 
--- a/src/workswood/ops/jobs/relay/look.rs
+++ b/src/workswood/ops/jobs/relay/poll.rs
@@ -7,9 +7,9 @@
 use workswood_liveness::AdaptiveTimeout;
 use workswood_platform::jobs::{WorkerClock, WorkerError};
 
-use super::Shared;
-use super::link::WorkerLink;
-use super::order::What;
+use super::RelayContext;
+use super::assigned_worker::AssignedWorker;
+use super::messages::WorkerEvent;
 
 /// How long a look waits for an end.
 const LOOK_WAIT: Duration = Duration::from_millis(900);
@@ -32,7 +32,7 @@
 const FORGETS_WITHIN: Duration = Duration::from_millis(600);
 
 /// Looks at a worker until the link is closed.
-pub async fn run(shared: Arc<Shared>, link: Arc<WorkerLink>) {
+pub async fn run(shared: Arc<RelayContext>, link: Arc<AssignedWorker>) {
     let patience = AdaptiveTimeout::new(LATE_TIMES, LATE_NOT_BEFORE).with_initial_mean(LOOK_WAIT);
     let mut looker = Looker { shared, link, patience, told: false, answered: None, forgotten: 0 };
     while !looker.link.is_closed() {
@@ -44,8 +44,8 @@
 
 /// What looks at one worker.
 struct Looker {
-    shared: Arc<Shared>,
-    link: Arc<WorkerLink>,
+    shared: Arc<RelayContext>,
+    link: Arc<AssignedWorker>,
     /// When a look at this worker is late.
     patience: AdaptiveTimeout,
     /// Whether it was told that the worker answers.
@@ -70,7 +70,7 @@
         self.shared.node.now()
     }
 
-    fn tell(&self, what: What) {
+    fn tell(&self, what: WorkerEvent) {
         self.shared.sink.tell(&self.shared.node, &self.link, what);
     }
 
@@ -84,18 +84,18 @@
         match res {
             Ok(seen) => self.seen(seen, begun).await,
             Err(WorkerError::OtherLife) => {
-                self.tell(What::LifeOver(self.link.silent_for(self.now())));
+                self.tell(WorkerEvent::IncarnationEnded(self.link.silent_for(self.now())));
                 return false;
             }
             Err(WorkerError::Restarted(started)) => {
                 // What waits to be sent was meant for the life before.
                 self.link.close();
-                self.tell(What::Restarted(started, self.link.silent_for(self.now())));
+                self.tell(WorkerEvent::Restarted(started, self.link.silent_for(self.now())));
                 return false;
             }
             Err(WorkerError::Fenced) => {
                 log::warn!("event=fenced_by_worker worker={} token={}", self.link.worker.id, self.link.token);
-                self.tell(What::Fenced);
+                self.tell(WorkerEvent::Fenced);
                 return false;
             }
             Err(e) => {
@@ -104,7 +104,10 @@
                 self.told = false;
                 let now = self.now();
                 let silent = self.link.silent_for(now);
-                self.tell(What::Unanswered { leased: end.saturating_sub(now), silent });
+                self.tell(WorkerEvent::Unanswered {
+                    lease_left: end.saturating_sub(now),
+                    silent_for: silent,
+                });
                 tokio::time::sleep(PAUSE).await;
             }
         }
@@ -123,7 +126,7 @@
         match tokio::time::timeout(late_after, self.ask(wait)).await {
             Ok(Err(WorkerError::NoAnswer)) | Err(_) => {
                 if std::mem::take(&mut self.told) {
-                    self.tell(What::Doubted);
+                    self.tell(WorkerEvent::ReplyLate);
                 }
                 self.ask(Duration::ZERO).await
             }
@@ -173,7 +176,7 @@
         let report = self.link.follow.lock().diff_listing(listing, sent, now);
         if !self.told || !report.is_empty() {
             self.told = true;
-            self.tell(What::Reported(report));
+            self.tell(WorkerEvent::Reported(report));
         }
         if last > *self.link.forget.borrow() {
             wait_recorded(&self.link, last).await;
@@ -183,7 +186,7 @@
 }
 
 /// Waits until ends are on record, so that the next look can forget them.
-async fn wait_recorded(link: &WorkerLink, last: u64) {
+async fn wait_recorded(link: &AssignedWorker, last: u64) {
     let mut forget = link.forget.subscribe();
     let recorded = tokio::time::timeout(RECORD_WAIT, forget.wait_for(|n| *n >= last)).await;
     if recorded.is_err() {
--- a/src/workswood/ops/jobs/relay/send.rs
+++ b/src/workswood/ops/jobs/relay/send.rs
@@ -6,9 +6,9 @@
 use workswood_core::jobs::{StartReply, StopReply, TaskId};
 use workswood_platform::jobs::{StartOrder, WorkerError};
 
-use super::Shared;
-use super::link::WorkerLink;
-use super::order::{StartTask, What};
+use super::RelayContext;
+use super::assigned_worker::AssignedWorker;
+use super::messages::{StartTask, WorkerEvent};
 
 /// How long the answer to each try of a start is waited for; then its outcome is
 /// left to a stop. The way there and back takes some ten milliseconds, on a busy
@@ -19,7 +19,7 @@
 /// How often a stop is sent before the scheduler is told of it.
 const STOP_TRIES: u32 = 2;
 
-pub(super) async fn start(shared: Arc<Shared>, link: Arc<WorkerLink>, s: StartTask) {
+pub(super) async fn start(shared: Arc<RelayContext>, link: Arc<AssignedWorker>, s: StartTask) {
     let _lane = link.lanes.acquire().await;
     let reply = try_start(&shared, &link, &s).await;
     let (task, attempt) = (s.task, s.attempt);
@@ -28,11 +28,11 @@
         link.heard(shared.node.now());
     }
     link.follow.lock().start_answered(task, attempt, reply, shared.node.now());
-    shared.sink.tell(&shared.node, &link, What::Started { task, attempt, reply });
+    shared.sink.tell(&shared.node, &link, WorkerEvent::Started { task, attempt, reply });
 }
 
 /// Sends a start until it has an answer.
-async fn try_start(shared: &Shared, link: &WorkerLink, s: &StartTask) -> StartReply {
+async fn try_start(shared: &RelayContext, link: &AssignedWorker, s: &StartTask) -> StartReply {
     let mut unanswered = false;
     for patience in START_PATIENCE {
         // The end of the lease is worked out before the right to send is
@@ -51,7 +51,7 @@
         let order = StartOrder {
             task: s.task,
             attempt: s.attempt,
-            spec: s.text.clone(),
+            spec: s.spec.clone(),
             checkpoint: s.checkpoint.clone(),
             ticket: s.ticket.clone(),
             lease_end,
@@ -62,7 +62,7 @@
             Err(WorkerError::Fenced) => return StartReply::Deposed,
             Err(WorkerError::OtherLife) => {
                 let silent = link.silent_for(shared.node.now());
-                shared.sink.tell(&shared.node, link, What::LifeOver(silent));
+                shared.sink.tell(&shared.node, link, WorkerEvent::IncarnationEnded(silent));
                 return StartReply::NoAnswer;
             }
             // Only looks tell that.
@@ -94,8 +94,8 @@
 }
 
 pub(super) async fn pace(
-    shared: Arc<Shared>,
-    link: Arc<WorkerLink>,
+    shared: Arc<RelayContext>,
+    link: Arc<AssignedWorker>,
     task: TaskId,
     attempt: u32,
     percent: u32,
@@ -108,7 +108,7 @@
     }
 }
 
-pub(super) async fn stop(shared: Arc<Shared>, link: Arc<WorkerLink>, task: TaskId, attempt: u32) {
+pub(super) async fn stop(shared: Arc<RelayContext>, link: Arc<AssignedWorker>, task: TaskId, attempt: u32) {
     let _lane = link.lanes.acquire().await;
     let mut reply = StopReply::NoAnswer;
     for _ in 0..STOP_TRIES {
@@ -128,5 +128,5 @@
         link.heard(shared.node.now());
         link.follow.lock().stop_accepted(task, attempt, shared.node.now());
     }
-    shared.sink.tell(&shared.node, &link, What::Stopped { task, attempt, reply });
+    shared.sink.tell(&shared.node, &link, WorkerEvent::Stopped { task, attempt, reply });
 }
--- a/src/workswood/ops/jobs/relay/serve.rs
+++ b/src/workswood/ops/jobs/relay/session.rs
@@ -14,14 +14,14 @@
 use workswood_peers::relay as wire;
 use workswood_peers::{Closed, DuplexRx, DuplexTx, Msg, RelayHandler};
 
-use super::{Grant, Outbox, Relay, Sink, wire as form};
+use super::{EventQueue, EventSink, Grant, Relay, codec};
 use crate::ops::jobs::node::Node;
 
 /// News wait this long for others to be sent with: each message costs both sides some
 /// ten microseconds, and steps last a hundred times as long.
 const LINGER: Duration = Duration::from_millis(10);
 /// Time between two heartbeats: the holder misses five before it gives a relay up.
-pub const BEAT_EVERY: Duration = Duration::from_millis(200);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// A holder that has said nothing for this long, not even to heartbeats, is gone or
 /// has given this relay up.
 const HOLDER_SILENT: Duration = Duration::from_secs(3);
@@ -29,7 +29,7 @@
 const MOST_BEATS: usize = 64;
 
 /// Which session of which term a relay serves; later ones end earlier ones.
-pub type Session = (u64, u64);
+pub type SessionId = (u64, u64);
 
 /// Takes connections of lease holders over.
 pub fn handler(node: Arc<Node>) -> RelayHandler {
@@ -58,8 +58,8 @@
         open.session
     );
     let grant = Grant::default();
-    let outbox = Arc::new(Outbox::default());
-    let mut relay = Relay::new(node.clone(), grant.clone(), Sink::There(outbox.clone()));
+    let outbox = Arc::new(EventQueue::default());
+    let mut relay = Relay::new(node.clone(), grant.clone(), EventSink::Remote(outbox.clone()));
     let beats = Beats::default();
     let mut other = node.relay_session.subscribe();
     let why = tokio::select! {
@@ -72,7 +72,7 @@
         "event=relay_session_ended holder={} term={} reason={why} workers={}",
         open.holder,
         open.term,
-        relay.count()
+        relay.worker_count()
     );
 }
 
@@ -117,13 +117,13 @@
             // Counted from before the holder granted it.
             grant.extend(sent + Duration::from_millis(u64::from(g.duration_ms)));
         }
-        let orders = form::read_orders(frame.orders).ok_or(Closed)?;
-        orders.into_iter().for_each(|(number, order)| relay.take(number, order));
-        node.metrics.relayed_workers.set(relay.count() as i64);
+        let orders = codec::read_orders(frame.orders).ok_or(Closed)?;
+        orders.into_iter().for_each(|(number, order)| relay.execute(number, order));
+        node.metrics.relayed_workers.set(relay.worker_count() as i64);
     }
 }
 
-async fn send_news(node: &Node, mut tx: DuplexTx, outbox: &Outbox, beats: &Beats) -> Result<(), Closed> {
+async fn send_news(node: &Node, mut tx: DuplexTx, outbox: &EventQueue, beats: &Beats) -> Result<(), Closed> {
     let mut beat = 0;
     let mut due = node.now();
     let mut stopping = node.stopping.subscribe();
@@ -142,9 +142,10 @@
             beat += 1;
             number = beat;
             beats.sent(beat, now);
-            due = now + BEAT_EVERY;
+            due = now + HEARTBEAT_INTERVAL;
         }
-        let frame = wire::RelayUpdate { heartbeat: number, stopping: left, updates: form::write_news(news) };
+        let frame =
+            wire::RelayUpdate { heartbeat: number, stopping: left, updates: codec::write_events(news) };
         tx.send(Msg::RelayUpdate(frame)).await?;
     }
 }
--- a/src/workswood/ops/jobs/sessions.rs
+++ b/src/workswood/ops/jobs/sessions.rs
@@ -17,23 +17,23 @@
 use super::limits::LeaseTimes;
 use super::node::{Leading, Node};
 use super::peers::TOKEN;
-use super::relay::order::{Number, Order, StartTask};
-use super::relay::serve::BEAT_EVERY;
-use super::relay::{Relay, Sink, wire as form};
+use super::relay::messages::{StartTask, WorkerNumber, WorkerOrder};
+use super::relay::session::HEARTBEAT_INTERVAL;
+use super::relay::{EventSink, Relay, codec};
 
 /// How long a relay may take until it takes orders: a few times the way there and back
 /// on a busy host.
 const OPEN_WITHIN: Duration = Duration::from_millis(500);
 /// A relay that was not heard of for this long is lost: five heartbeats.
-const RELAY_SILENT: Duration = BEAT_EVERY.saturating_mul(5);
+const RELAY_SILENT: Duration = HEARTBEAT_INTERVAL.saturating_mul(5);
 
 /// Workers of one session by their numbers, with the tokens of their orders.
-type Names = Arc<Mutex<HashMap<Number, (WorkerId, Term)>>>;
+type Names = Arc<Mutex<HashMap<WorkerNumber, (WorkerId, Term)>>>;
 
 /// A session with a relay elsewhere.
 struct Session {
     /// Orders that wait to be sent.
-    waiting: Vec<(Number, Order)>,
+    waiting: Vec<(WorkerNumber, WorkerOrder)>,
     tx: mpsc::UnboundedSender<wire::RelayOrders>,
     names: Names,
     task: AbortHandle,
@@ -42,7 +42,7 @@
 /// Where a worker is attended.
 struct Attended {
     relay: HostId,
-    number: Number,
+    number: WorkerNumber,
     token: Term,
 }
 
@@ -53,14 +53,14 @@
     own: Relay,
     sessions: HashMap<HostId, Session>,
     attended: HashMap<WorkerId, Attended>,
-    next: Number,
+    next: WorkerNumber,
     opened: u64,
 }
 
 impl Sessions {
     /// No sessions yet, but that of the holder with itself.
     pub(super) fn new(node: Arc<Node>, l: Arc<Leading>, tasks: &mut JoinSet<()>) -> Sessions {
-        let own = Relay::new(node.clone(), l.grant.clone(), Sink::Here(l.tx.clone()));
+        let own = Relay::new(node.clone(), l.grant.clone(), EventSink::Local(l.tx.clone()));
         tasks.spawn(beat(node.settings.name.clone(), l.clone()));
         tasks.spawn(node.lag.clone().measure());
         let (sessions, attended) = (HashMap::new(), HashMap::new());
@@ -78,17 +78,17 @@
                     self.leave(&a);
                 }
             }
-            Action::ReportFigures(id, wanted) => self.order(&id, Order::Figures(wanted)),
-            Action::Stop(id, task, attempt) => self.order(&id, Order::Stop { task, attempt }),
+            Action::ReportFigures(id, wanted) => self.order(&id, WorkerOrder::ReportLoad(wanted)),
+            Action::Stop(id, task, attempt) => self.order(&id, WorkerOrder::Stop { task, attempt }),
             Action::SetPace(id, task, attempt, percent) => {
-                self.order(&id, Order::Pace { task, attempt, percent });
+                self.order(&id, WorkerOrder::Throttle { task, attempt, percent });
             }
             Action::Start { worker, token, task, attempt, text, checkpoint, ticket } => {
                 // Since a start was decided, its worker may have another relay. The first
                 // report of that one says that it does not run, and it is decided anew.
                 if self.attended.get(&worker).is_some_and(|a| a.token == token) {
-                    let s = StartTask { task, attempt, text, checkpoint, ticket };
-                    self.order(&worker, Order::Start(s));
+                    let s = StartTask { task, attempt, spec: text, checkpoint, ticket };
+                    self.order(&worker, WorkerOrder::Start(s));
                 }
             }
             Action::Advise { .. } | Action::MaintainHost(..) | Action::MoveHost(..) => {}
@@ -97,13 +97,13 @@
 
     /// Lets a worker forget its ends up to a number.
     pub(super) fn forget(&mut self, id: &WorkerId, end: u64) {
-        self.order(id, Order::Forget(end));
+        self.order(id, WorkerOrder::AckEnds(end));
     }
 
-    fn order(&mut self, id: &WorkerId, order: Order) {
+    fn order(&mut self, id: &WorkerId, order: WorkerOrder) {
         let Some(a) = self.attended.get(id) else { return };
         if a.relay == self.node.settings.name {
-            self.own.take(a.number, order);
+            self.own.execute(a.number, order);
         } else if let Some(s) = self.sessions.get_mut(&a.relay) {
             s.waiting.push((a.number, order));
         }
@@ -119,23 +119,23 @@
         if let Some(before) = self.attended.insert(info.id.clone(), Attended { relay, number, token }) {
             self.leave(&before);
         }
-        self.order(&info.id, Order::Attend { worker, token });
+        self.order(&info.id, WorkerOrder::Assign { worker, token });
     }
 
     fn leave(&mut self, a: &Attended) {
         if a.relay == self.node.settings.name {
-            self.own.take(a.number, Order::Leave);
+            self.own.execute(a.number, WorkerOrder::Unassign);
         } else if let Some(s) = self.sessions.get_mut(&a.relay) {
             // Whatever is still told of it is not heard.
             s.names.lock().remove(&a.number);
-            s.waiting.push((a.number, Order::Leave));
+            s.waiting.push((a.number, WorkerOrder::Unassign));
         }
     }
 
     /// Sends what waits.
     pub(super) fn flush(&mut self) {
         for s in self.sessions.values_mut().filter(|s| !s.waiting.is_empty()) {
-            let orders = form::write_orders(std::mem::take(&mut s.waiting));
+            let orders = codec::write_orders(std::mem::take(&mut s.waiting));
             // A session that has just ended is told of.
             let _ = s.tx.send(wire::RelayOrders { grant: None, orders });
         }
@@ -174,7 +174,7 @@
         if l.tx.send(Event::RelayHeard(own.clone())).is_err() {
             return;
         }
-        tokio::time::sleep(BEAT_EVERY).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
@@ -287,8 +287,8 @@
     fn take(&self, item: wire::WorkerUpdate) {
         let number = item.worker;
         let Some((id, token)) = self.names.lock().get(&number).cloned() else { return };
-        match form::read_news(item) {
-            Some((_, what)) => self.tell(what.event(id, token, self.node.now())),
+        match codec::read_events(item) {
+            Some((_, what)) => self.tell(what.into_scheduler_event(id, token, self.node.now())),
             None => log::error!("event=relay_news_not_read code=203 relay={} worker={id}", self.host),
         }
     }
--- a/tests/testsuite/evacuated_centres.rs
+++ b/tests/testsuite/evacuated_centres.rs
@@ -7,8 +7,8 @@
 use tokio::sync::mpsc;
 use workswood::ops::jobs::Node;
 use workswood::ops::jobs::operators::Evacuations;
-use workswood::ops::jobs::relay::order::{Order, StartTask};
-use workswood::ops::jobs::relay::{Grant, Relay, Sink};
+use workswood::ops::jobs::relay::messages::{StartTask, WorkerOrder};
+use workswood::ops::jobs::relay::{EventSink, Grant, Relay};
 use workswood_core::jobs::{Action, Event, Host, StartReply, TaskId, WorkerInfo, WorkerUpdate};
 use workswood_test_support::host_world::{HostWorld, SPARE, host, listed, moves, worker};
 use workswood_test_support::job_node::settings;
@@ -157,13 +157,13 @@
     let node = Arc::new(Node::new(settings("entry-1"), store.clone()));
     let (tx, mut rx) = mpsc::unbounded_channel();
     let grant = Grant::until(node.now() + Duration::from_secs(60));
-    let mut relay = Relay::new(node.clone(), grant, Sink::Here(tx));
-    relay.take(1, Order::Attend { worker: southern(1).worker_address(), token: 7 });
+    let mut relay = Relay::new(node.clone(), grant, EventSink::Local(tx));
+    relay.execute(1, WorkerOrder::Assign { worker: southern(1).worker_address(), token: 7 });
     tokio::time::sleep(Duration::from_secs(1)).await;
     let mut start = |attempt| {
         let task = TaskId { job: 1, round: 0, step: 0, index: 0 };
         let (text, checkpoint, ticket) = ("text".into(), String::new(), None);
-        relay.take(1, Order::Start(StartTask { task, attempt, text, checkpoint, ticket }));
+        relay.execute(1, WorkerOrder::Start(StartTask { task, attempt, spec: text, checkpoint, ticket }));
     };
     let evacuated = |names: &[&str]| {
         let data_centres = names.iter().map(|n| n.to_string()).collect();
--- a/tests/testsuite/lost_looks.rs
+++ b/tests/testsuite/lost_looks.rs
@@ -6,8 +6,8 @@
 use tokio::sync::mpsc;
 use workswood::ops::jobs::Node;
 use workswood::ops::jobs::limits::LeaseTimes;
-use workswood::ops::jobs::relay::link::WorkerLink;
-use workswood::ops::jobs::relay::{Grant, Shared, Sink, look};
+use workswood::ops::jobs::relay::assigned_worker::AssignedWorker;
+use workswood::ops::jobs::relay::{EventSink, Grant, RelayContext, poll};
 use workswood_core::jobs::{Event, WorkerUpdate};
 use workswood_test_support::host_world::worker;
 use workswood_test_support::job_node::settings;
@@ -21,14 +21,14 @@
     let store = Arc::new(TurnStore::new(Duration::from_millis(4), &[]));
     let node = Arc::new(Node::new(settings("entry-1"), store));
     let (tx, mut rx) = mpsc::unbounded_channel();
-    let shared = Shared {
+    let shared = RelayContext {
         node: node.clone(),
         grant: Grant::until(Duration::from_secs(60)),
         times: LeaseTimes::of(&node.settings),
-        sink: Sink::Here(tx),
+        sink: EventSink::Local(tx),
     };
-    let link = Arc::new(WorkerLink::new(1, worker(0, 0).worker_address(), 1));
-    tokio::spawn(look::run(Arc::new(shared), link.clone()));
+    let link = Arc::new(AssignedWorker::new(1, worker(0, 0).worker_address(), 1));
+    tokio::spawn(poll::run(Arc::new(shared), link.clone()));
     let (mut last, mut longest) = (node.now(), Duration::ZERO);
     while node.now() < Duration::from_secs(10) {
         match rx.recv().await {
--- a/tests/testsuite/restarted_workers.rs
+++ b/tests/testsuite/restarted_workers.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use workswood::ops::jobs::follow::Heard;
-use workswood::ops::jobs::relay::order::{Order, What};
-use workswood::ops::jobs::relay::wire;
+use workswood::ops::jobs::relay::codec;
+use workswood::ops::jobs::relay::messages::{WorkerEvent, WorkerOrder};
 use workswood::ops::jobs::worker_list::WorkerList;
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{
@@ -276,14 +276,17 @@
         address: "10.0.0.1:80".to_string(),
         data_centre: "north".to_string(),
     };
-    let order = Order::Attend { worker, token: 7 };
-    let written = wire::write_orders(vec![(1, order.clone())]);
+    let order = WorkerOrder::Assign { worker, token: 7 };
+    let written = codec::write_orders(vec![(1, order.clone())]);
     let Some(workswood_peers::relay::Order::Assign(a)) = written[0].order.clone() else { panic!("an order") };
     assert_eq!(a.name, "w", "calls name the worker only");
-    assert_eq!(wire::read_orders(written), Some(vec![(1, order)]));
-    let what = What::Restarted(30, Duration::from_millis(400));
-    let mut news = wire::write_news(vec![(1, what.clone())]).remove(0);
-    assert_eq!(wire::read_news(news.clone()), Some((1, what)));
+    assert_eq!(codec::read_orders(written), Some(vec![(1, order)]));
+    let what = WorkerEvent::Restarted(30, Duration::from_millis(400));
+    let mut news = codec::write_events(vec![(1, what.clone())]).remove(0);
+    assert_eq!(codec::read_events(news.clone()), Some((1, what)));
     news.restarted_at = None;
-    assert_eq!(wire::read_news(news), Some((1, What::LifeOver(Duration::from_millis(400)))));
+    assert_eq!(
+        codec::read_events(news),
+        Some((1, WorkerEvent::IncarnationEnded(Duration::from_millis(400))))
+    );
 }
