--- a/src/workswood/ops/jobs/relay/assigned_worker.rs
+++ b/src/workswood/ops/jobs/relay/assigned_worker.rs
@@ -1,4 +1,4 @@
-//! What is shared by the tasks that speak to one worker.
+//! State that the tasks of a relay share about one worker.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
@@ -11,103 +11,104 @@
 
 use super::messages::WorkerNumber;
 
-/// Orders on their way to one worker at a time; with the look, connections
-/// stay few.
-const ORDERS_AT_ONCE: usize = 2;
+/// Orders under way to one worker at a time. Together with the poll this bounds the number of
+/// connections to the worker.
+const MAX_CONCURRENT_ORDERS: usize = 2;
 
-/// What is shared by the tasks that speak to one worker.
+/// A worker that is assigned to this relay.
 pub struct AssignedWorker {
-    /// Number that the holder gave it.
+    /// Number that the lease holder gave it.
     pub number: WorkerNumber,
-    /// The worker.
-    pub worker: WorkerAddress,
-    /// Token that its orders carry.
+    /// Identity and address of the worker.
+    pub address: WorkerAddress,
+    /// Fencing token of the orders to the worker.
     pub token: Term,
-    /// Highest end that it may forget.
-    pub forget: watch::Sender<u64>,
-    /// Bounds the orders on their way.
-    pub lanes: Semaphore,
-    /// What the scheduler knows of its runs.
-    pub follow: Mutex<RunTracker>,
-    /// Its clock and ours, when it last answered.
+    /// Highest number of an ended task that is recorded and may be acknowledged to the worker.
+    pub recorded_end: watch::Sender<u64>,
+    /// Limits the number of concurrent orders.
+    pub order_permits: Semaphore,
+    /// The runs as they were last reported to the scheduler.
+    pub run_tracker: Mutex<RunTracker>,
+    /// The worker's clock, and the clock of this process when the worker sent it.
     clock: Mutex<Option<(WorkerClock, Duration)>>,
-    /// When the lease ends that was last sent, in ms since the process started.
-    leased_until: AtomicU64,
-    /// When it last answered anything, likewise.
-    heard: AtomicU64,
-    closed: AtomicBool,
+    /// Latest end of the leases that were sent, in milliseconds since this process started.
+    leased_until_ms: AtomicU64,
+    /// When the worker last answered anything, in milliseconds since this process started.
+    heard_at_ms: AtomicU64,
+    unassigned: AtomicBool,
     silent: AtomicBool,
 }
 
 impl AssignedWorker {
-    /// A worker that was not spoken to yet.
-    pub fn new(number: WorkerNumber, worker: WorkerAddress, token: Term) -> AssignedWorker {
+    /// Creates the state of a worker to which nothing was sent yet.
+    pub fn new(number: WorkerNumber, address: WorkerAddress, token: Term) -> AssignedWorker {
         AssignedWorker {
             number,
-            worker,
+            address,
             token,
-            forget: watch::Sender::new(0),
-            lanes: Semaphore::new(ORDERS_AT_ONCE),
-            follow: Mutex::default(),
+            recorded_end: watch::Sender::new(0),
+            order_permits: Semaphore::new(MAX_CONCURRENT_ORDERS),
+            run_tracker: Mutex::default(),
             clock: Mutex::new(None),
-            leased_until: AtomicU64::new(0),
-            heard: AtomicU64::new(0),
-            closed: AtomicBool::new(false),
+            leased_until_ms: AtomicU64::new(0),
+            heard_at_ms: AtomicU64::new(0),
+            unassigned: AtomicBool::new(false),
             silent: AtomicBool::new(false),
         }
     }
 
-    /// Ends all that concerns this worker.
-    pub fn close(&self) {
-        self.closed.store(true, Ordering::SeqCst);
+    /// Ends the assignment: the worker is no longer polled, and its events are dropped.
+    pub fn unassign(&self) {
+        self.unassigned.store(true, Ordering::SeqCst);
     }
 
-    /// Whether it was closed.
-    pub fn is_closed(&self) -> bool {
-        self.closed.load(Ordering::SeqCst)
+    /// Whether the assignment has ended.
+    pub fn is_unassigned(&self) -> bool {
+        self.unassigned.load(Ordering::SeqCst)
     }
 
-    /// Whether the last look had no answer.
+    /// Whether the last poll had no answer.
     pub fn is_silent(&self) -> bool {
         self.silent.load(Ordering::SeqCst)
     }
 
-    /// Notes that this life answered something.
-    pub(super) fn heard(&self, now: Duration) {
-        self.heard.fetch_max(now.as_millis() as u64, Ordering::SeqCst);
+    /// Records that this incarnation of the worker answered a call.
+    pub(super) fn record_answer(&self, now: Duration) {
+        self.heard_at_ms.fetch_max(now.as_millis() as u64, Ordering::SeqCst);
     }
 
-    /// How long ago it last answered.
+    /// How long ago the worker last answered.
     pub(super) fn silent_for(&self, now: Duration) -> Duration {
-        now.saturating_sub(Duration::from_millis(self.heard.load(Ordering::SeqCst)))
+        now.saturating_sub(Duration::from_millis(self.heard_at_ms.load(Ordering::SeqCst)))
     }
 
-    /// Notes that a look was answered, and the worker's clock.
-    pub(super) fn answered(&self, clock: WorkerClock, now: Duration) {
-        self.heard(now);
+    /// Records the answer to a poll, with the clock of the worker.
+    pub(super) fn record_poll_answer(&self, clock: WorkerClock, now: Duration) {
+        self.record_answer(now);
         *self.clock.lock() = Some((clock, now));
         self.silent.store(false, Ordering::SeqCst);
     }
 
-    /// Notes that a look had no answer. From here on no lease is sent until one has;
-    /// returns when the last one ends.
-    pub(super) fn went_silent(&self) -> Duration {
+    /// Records that a poll had no answer. No lease is sent until another poll is answered.
+    /// Returns the latest end of the leases that were sent.
+    pub(super) fn record_poll_failure(&self) -> Duration {
         self.silent.store(true, Ordering::SeqCst);
-        Duration::from_millis(self.leased_until.load(Ordering::SeqCst))
+        Duration::from_millis(self.leased_until_ms.load(Ordering::SeqCst))
     }
 
-    /// End of a lease that begins now, on the worker's clock; `None` until
-    /// the worker has answered once.
+    /// End of a lease that begins now, on the worker's clock; `None` until the worker has
+    /// answered a poll.
     pub fn lease_end(&self, now: Duration, lease: Duration) -> Option<WorkerClock> {
-        let (theirs, ours) = (*self.clock.lock())?;
-        Some(theirs + now.saturating_sub(ours) + lease)
+        let (worker_clock, own_clock) = (*self.clock.lock())?;
+        Some(worker_clock + now.saturating_sub(own_clock) + lease)
     }
 
-    /// Notes that a lease is about to be sent that may last until a time on our clock;
-    /// returns whether it may be: an order that follows an unanswered look would
-    /// outlast what was told of the worker. Noted first, so that it is told with that.
+    /// Records that a lease is about to be sent that may last until a time on the clock of this
+    /// process; returns whether it may be sent. After an unanswered poll it may not, since it
+    /// would outlast the end that [`Self::record_poll_failure`] returned. The end is recorded
+    /// before the check, so that a poll that fails at the same time takes it into account.
     pub(super) fn may_lease_until(&self, until: Duration) -> bool {
-        self.leased_until.fetch_max(until.as_millis() as u64 + 1, Ordering::SeqCst);
-        !self.is_silent() && !self.is_closed()
+        self.leased_until_ms.fetch_max(until.as_millis() as u64 + 1, Ordering::SeqCst);
+        !self.is_silent() && !self.is_unassigned()
     }
 }
--- a/src/workswood/ops/jobs/relay/codec.rs
+++ b/src/workswood/ops/jobs/relay/codec.rs
@@ -1,4 +1,4 @@
-//! Orders and news as messages between processes.
+//! Converts orders and events to messages between processes, and back.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,28 +11,28 @@
 
 use super::messages::{StartTask, WorkerEvent, WorkerNumber, WorkerOrder};
 
-fn run(task: TaskId, attempt: u32) -> wire::TaskRun {
+fn write_run(task: TaskId, attempt: u32) -> wire::TaskRun {
     let TaskId { job, round, step, index } = task;
     wire::TaskRun { job, round, step: u32::from(step), index, attempt }
 }
 
-fn task(run: &wire::TaskRun) -> Option<(TaskId, u32)> {
+fn read_run(run: &wire::TaskRun) -> Option<(TaskId, u32)> {
     let step = u16::try_from(run.step).ok()?;
     Some((TaskId { job: run.job, round: run.round, step, index: run.index }, run.attempt))
 }
 
-/// Orders as a message says them. Starts in a row that pass the same text say it once.
+/// Converts orders to messages. Consecutive starts with the same specification contain it once.
 pub fn write_orders(orders: Vec<(WorkerNumber, WorkerOrder)>) -> Vec<wire::RelayOrder> {
-    let mut text_before: Option<Arc<str>> = None;
+    let mut last_spec: Option<Arc<str>> = None;
     let write = |(worker, order): (WorkerNumber, WorkerOrder)| {
         let order = match order {
             WorkerOrder::Start(s) => {
-                let same = text_before.as_ref().is_some_and(|t| Arc::ptr_eq(t, &s.spec));
-                let text = (!same).then(|| s.spec.to_string());
-                text_before = Some(s.spec.clone());
+                let same = last_spec.as_ref().is_some_and(|t| Arc::ptr_eq(t, &s.spec));
+                let spec = (!same).then(|| s.spec.to_string());
+                last_spec = Some(s.spec.clone());
                 wire::Order::Start(wire::StartTask {
-                    run: Some(run(s.task, s.attempt)),
-                    spec: text,
+                    run: Some(write_run(s.task, s.attempt)),
+                    spec,
                     checkpoint: s.checkpoint,
                     ticket: s.ticket.map(|t| t.to_string()),
                 })
@@ -44,7 +44,7 @@
     orders.into_iter().map(write).collect()
 }
 
-/// An order other than a start.
+/// Converts an order other than a start, whose specification depends on the previous start.
 fn write_order(order: WorkerOrder) -> wire::Order {
     match order {
         WorkerOrder::Assign { worker, token } => {
@@ -57,21 +57,21 @@
         WorkerOrder::AckEnds(end) => wire::Order::AckEnds(end),
         WorkerOrder::ReportLoad(wanted) => wire::Order::ReportLoad(wanted),
         WorkerOrder::Start(s) => wire::Order::Start(wire::StartTask {
-            run: Some(run(s.task, s.attempt)),
+            run: Some(write_run(s.task, s.attempt)),
             spec: Some(s.spec.to_string()),
             checkpoint: s.checkpoint,
             ticket: s.ticket.map(|t| t.to_string()),
         }),
-        WorkerOrder::Stop { task, attempt } => wire::Order::Stop(run(task, attempt)),
+        WorkerOrder::Stop { task, attempt } => wire::Order::Stop(write_run(task, attempt)),
         WorkerOrder::Throttle { task, attempt, percent } => {
-            wire::Order::Throttle(wire::ThrottleTask { run: Some(run(task, attempt)), percent })
+            wire::Order::Throttle(wire::ThrottleTask { run: Some(write_run(task, attempt)), percent })
         }
     }
 }
 
-/// Orders that a message says; `None` if one of them can't be read.
+/// Converts messages to orders; `None` if one of them is not valid.
 pub fn read_orders(orders: Vec<wire::RelayOrder>) -> Option<Vec<(WorkerNumber, WorkerOrder)>> {
-    let mut text: Arc<str> = "".into();
+    let mut spec: Arc<str> = "".into();
     let read = |o: wire::RelayOrder| {
         let order = match o.order? {
             wire::Order::Assign(a) => WorkerOrder::Assign {
@@ -86,25 +86,25 @@
             wire::Order::AckEnds(end) => WorkerOrder::AckEnds(end),
             wire::Order::ReportLoad(wanted) => WorkerOrder::ReportLoad(wanted),
             wire::Order::Start(s) => {
-                if let Some(fresh) = s.spec {
-                    text = fresh.into();
+                if let Some(new) = s.spec {
+                    spec = new.into();
                 }
-                let (task, attempt) = task(&s.run?)?;
+                let (task, attempt) = read_run(&s.run?)?;
                 let ticket = s.ticket.map(Arc::from);
                 WorkerOrder::Start(StartTask {
                     task,
                     attempt,
-                    spec: text.clone(),
+                    spec: spec.clone(),
                     checkpoint: s.checkpoint,
                     ticket,
                 })
             }
             wire::Order::Stop(run) => {
-                let (task, attempt) = task(&run)?;
+                let (task, attempt) = read_run(&run)?;
                 WorkerOrder::Stop { task, attempt }
             }
             wire::Order::Throttle(p) => {
-                let (task, attempt) = task(&p.run?)?;
+                let (task, attempt) = read_run(&p.run?)?;
                 WorkerOrder::Throttle { task, attempt, percent: p.percent }
             }
         };
@@ -113,134 +113,135 @@
     orders.into_iter().map(read).collect()
 }
 
-/// News as a message says them.
-pub fn write_events(news: Vec<(WorkerNumber, WorkerEvent)>) -> Vec<wire::WorkerUpdate> {
-    let write = |(worker, what): (WorkerNumber, WorkerEvent)| {
-        let silent_ms = silence(&what).map(|d| d.as_millis() as u64);
-        let restarted_at = match &what {
+/// Converts events to messages.
+pub fn write_events(events: Vec<(WorkerNumber, WorkerEvent)>) -> Vec<wire::WorkerUpdate> {
+    let write = |(worker, event): (WorkerNumber, WorkerEvent)| {
+        let silent_ms = silent_for(&event).map(|d| d.as_millis() as u64);
+        let restarted_at = match &event {
             WorkerEvent::Restarted(started, _) => Some(*started),
             _ => None,
         };
-        wire::WorkerUpdate { worker, silent_ms, restarted_at, event: Some(write_what(what)) }
+        wire::WorkerUpdate { worker, silent_ms, restarted_at, event: Some(write_event(event)) }
     };
-    news.into_iter().map(write).collect()
+    events.into_iter().map(write).collect()
 }
 
-/// How long ago the worker last answered, where news tell.
-fn silence(what: &WorkerEvent) -> Option<Duration> {
-    match what {
-        WorkerEvent::Unanswered { silent_for: silent, .. }
-        | WorkerEvent::IncarnationEnded(silent)
-        | WorkerEvent::Restarted(_, silent) => Some(*silent),
+/// How long ago the worker last answered, for events that contain it.
+fn silent_for(event: &WorkerEvent) -> Option<Duration> {
+    match event {
+        WorkerEvent::Unanswered { silent_for, .. }
+        | WorkerEvent::IncarnationEnded(silent_for)
+        | WorkerEvent::Restarted(_, silent_for) => Some(*silent_for),
         _ => None,
     }
 }
 
-fn write_what(what: WorkerEvent) -> wire::News {
-    match what {
+fn write_event(event: WorkerEvent) -> wire::News {
+    match event {
         WorkerEvent::Reported(report) => wire::News::Reported(write_report(report)),
         WorkerEvent::ReplyLate => wire::News::ReplyLate(wire::Empty {}),
-        WorkerEvent::Unanswered { lease_left, .. } => wire::News::Unanswered(millis_up(lease_left)),
-        // Versions before this one know of no restart: to them it is another life.
+        WorkerEvent::Unanswered { lease_left, .. } => wire::News::Unanswered(millis_rounded_up(lease_left)),
+        // Versions that do not read `restarted_at` treat a restart as the end of the incarnation.
         WorkerEvent::IncarnationEnded(_) | WorkerEvent::Restarted(..) => {
             wire::News::IncarnationEnded(wire::Empty {})
         }
         WorkerEvent::Fenced => wire::News::Fenced(wire::Empty {}),
         WorkerEvent::Started { task, attempt, reply } => {
-            let outcome = outcome(reply) as i32;
-            wire::News::Started(wire::StartedTask { run: Some(run(task, attempt)), outcome })
+            let outcome = write_start_reply(reply) as i32;
+            wire::News::Started(wire::StartedTask { run: Some(write_run(task, attempt)), outcome })
         }
-        // A worker that knows a higher token says so to the next look, too.
+        // A worker that refuses a stop due to a higher token refuses the next poll too, which is
+        // reported as `Fenced`.
         WorkerEvent::Stopped { task, attempt, reply } => wire::News::Stopped(wire::StoppedTask {
-            run: Some(run(task, attempt)),
+            run: Some(write_run(task, attempt)),
             accepted: reply == StopReply::Taken,
         }),
     }
 }
 
-/// Whole milliseconds, rounded up: a lease must not be taken to end early.
-fn millis_up(d: Duration) -> u32 {
+/// Converts to milliseconds, rounded up so that no lease appears to end too early.
+fn millis_rounded_up(d: Duration) -> u32 {
     u32::try_from(d.as_millis() + 1).unwrap_or(u32::MAX)
 }
 
 fn write_report(report: Report) -> wire::StatusReport {
     let running = report.running.into_iter().map(|r| wire::RunningTask {
-        run: Some(run(r.task, r.attempt)),
+        run: Some(write_run(r.task, r.attempt)),
         checkpoint: r.checkpoint,
         percent: r.percent,
         load: r.load,
         stalled_ms: r.stalled_for.as_millis() as u32,
     });
     let ended = report.ended.into_iter().map(|e| wire::EndedTask {
-        run: Some(run(e.task, e.attempt)),
+        run: Some(write_run(e.task, e.attempt)),
         number: e.sequence_number,
-        reason: how(e.kind) as i32,
+        reason: write_end_kind(e.kind) as i32,
         checkpoint: e.checkpoint,
     });
     wire::StatusReport {
         complete: report.full,
         running: running.collect(),
-        vanished: report.missing.into_iter().map(|(task, attempt)| run(task, attempt)).collect(),
+        vanished: report.missing.into_iter().map(|(task, attempt)| write_run(task, attempt)).collect(),
         ended: ended.collect(),
     }
 }
 
-/// What is new, as a message says it; `None` if it can't be read.
-pub fn read_events(news: wire::WorkerUpdate) -> Option<(WorkerNumber, WorkerEvent)> {
-    // Versions before this one did not tell; then it counts as heard just now.
-    let silent = Duration::from_millis(news.silent_ms.unwrap_or(0));
-    let what = match news.event? {
+/// Converts a message to an event; `None` if it is not valid.
+pub fn read_event(update: wire::WorkerUpdate) -> Option<(WorkerNumber, WorkerEvent)> {
+    // Older versions do not send it; then the worker counts as having answered just now.
+    let silent_for = Duration::from_millis(update.silent_ms.unwrap_or(0));
+    let event = match update.event? {
         wire::News::Reported(report) => WorkerEvent::Reported(read_report(report)?),
         wire::News::ReplyLate(_) => WorkerEvent::ReplyLate,
         wire::News::Unanswered(ms) => {
-            WorkerEvent::Unanswered { lease_left: Duration::from_millis(u64::from(ms)), silent_for: silent }
+            WorkerEvent::Unanswered { lease_left: Duration::from_millis(u64::from(ms)), silent_for }
         }
-        wire::News::IncarnationEnded(_) => match news.restarted_at {
-            Some(started) => WorkerEvent::Restarted(started, silent),
-            None => WorkerEvent::IncarnationEnded(silent),
+        wire::News::IncarnationEnded(_) => match update.restarted_at {
+            Some(started) => WorkerEvent::Restarted(started, silent_for),
+            None => WorkerEvent::IncarnationEnded(silent_for),
         },
         wire::News::Fenced(_) => WorkerEvent::Fenced,
         wire::News::Started(s) => {
-            let reply = reply(wire::StartOutcome::try_from(s.outcome).ok()?);
-            let (task, attempt) = task(&s.run?)?;
+            let reply = read_start_reply(wire::StartOutcome::try_from(s.outcome).ok()?);
+            let (task, attempt) = read_run(&s.run?)?;
             WorkerEvent::Started { task, attempt, reply }
         }
         wire::News::Stopped(s) => {
             let reply = if s.accepted { StopReply::Taken } else { StopReply::NoAnswer };
-            let (task, attempt) = task(&s.run?)?;
+            let (task, attempt) = read_run(&s.run?)?;
             WorkerEvent::Stopped { task, attempt, reply }
         }
     };
-    Some((news.worker, what))
+    Some((update.worker, event))
 }
 
 fn read_report(report: wire::StatusReport) -> Option<Report> {
     let running = report.running.into_iter().map(|r| {
-        let (task, attempt) = task(&r.run?)?;
-        let still = Duration::from_millis(u64::from(r.stalled_ms));
+        let (task, attempt) = read_run(&r.run?)?;
+        let stalled_for = Duration::from_millis(u64::from(r.stalled_ms));
         Some(ReportedRun {
             task,
             attempt,
             checkpoint: r.checkpoint,
             percent: r.percent,
             load: r.load,
-            stalled_for: still,
+            stalled_for,
         })
     });
     let ended = report.ended.into_iter().map(|e| {
-        let (task, attempt) = task(&e.run?)?;
-        let kind = kind(wire::EndedHow::try_from(e.reason).ok()?);
+        let (task, attempt) = read_run(&e.run?)?;
+        let kind = read_end_kind(wire::EndedHow::try_from(e.reason).ok()?);
         Some(ReportedEnd { sequence_number: e.number, task, attempt, kind, checkpoint: e.checkpoint })
     });
     Some(Report {
         full: report.complete,
         running: running.collect::<Option<_>>()?,
-        missing: report.vanished.iter().map(task).collect::<Option<_>>()?,
+        missing: report.vanished.iter().map(read_run).collect::<Option<_>>()?,
         ended: ended.collect::<Option<_>>()?,
     })
 }
 
-fn how(kind: EndKind) -> wire::EndedHow {
+fn write_end_kind(kind: EndKind) -> wire::EndedHow {
     match kind {
         EndKind::Done => wire::EndedHow::Done,
         EndKind::Failed => wire::EndedHow::Failed,
@@ -251,7 +252,7 @@
     }
 }
 
-fn kind(how: wire::EndedHow) -> EndKind {
+fn read_end_kind(how: wire::EndedHow) -> EndKind {
     match how {
         wire::EndedHow::Done => EndKind::Done,
         wire::EndedHow::Failed => EndKind::Failed,
@@ -262,7 +263,7 @@
     }
 }
 
-fn outcome(reply: StartReply) -> wire::StartOutcome {
+fn write_start_reply(reply: StartReply) -> wire::StartOutcome {
     match reply {
         StartReply::Taken => wire::StartOutcome::Taken,
         StartReply::Refused => wire::StartOutcome::Refused,
@@ -275,7 +276,7 @@
     }
 }
 
-fn reply(outcome: wire::StartOutcome) -> StartReply {
+fn read_start_reply(outcome: wire::StartOutcome) -> StartReply {
     match outcome {
         wire::StartOutcome::Taken => StartReply::Taken,
         wire::StartOutcome::Refused => StartReply::Refused,
--- a/src/workswood/ops/jobs/relay/event_sink.rs
+++ b/src/workswood/ops/jobs/relay/event_sink.rs
@@ -1,4 +1,4 @@
-//! Where a relay's news go.
+//! Delivery of a relay's events to the scheduler.
 
 use parking_lot::Mutex;
 use tokio::sync::{Notify, mpsc};
@@ -8,64 +8,65 @@
 use super::assigned_worker::AssignedWorker;
 use super::messages::{WorkerEvent, WorkerNumber};
 
-/// News that wait to be sent together.
+/// Events that wait to be sent to a remote lease holder in one message.
 #[derive(Debug, Default)]
 pub struct EventQueue {
-    waiting: Mutex<Vec<(WorkerNumber, WorkerEvent)>>,
-    /// Wakes who sends them.
-    pub(super) wake: Notify,
+    queued: Mutex<Vec<(WorkerNumber, WorkerEvent)>>,
+    /// Notified when the queue stops being empty.
+    pub(super) not_empty: Notify,
 }
 
 impl EventQueue {
-    /// Takes all news that wait.
-    pub fn take(&self) -> Vec<(WorkerNumber, WorkerEvent)> {
-        std::mem::take(&mut *self.waiting.lock())
+    /// Removes and returns all queued events.
+    pub fn drain(&self) -> Vec<(WorkerNumber, WorkerEvent)> {
+        std::mem::take(&mut *self.queued.lock())
     }
 
-    fn add(&self, number: WorkerNumber, what: WorkerEvent) {
-        let mut waiting = self.waiting.lock();
-        let first = waiting.is_empty();
-        waiting.push((number, what));
-        drop(waiting);
-        if first {
-            self.wake.notify_one();
+    fn push(&self, number: WorkerNumber, event: WorkerEvent) {
+        let mut queued = self.queued.lock();
+        let was_empty = queued.is_empty();
+        queued.push((number, event));
+        drop(queued);
+        if was_empty {
+            self.not_empty.notify_one();
         }
     }
 }
 
-/// Where news go.
+/// Where a relay delivers events.
 pub enum EventSink {
-    /// To the scheduler of this process.
+    /// The scheduler of this process.
     Local(mpsc::UnboundedSender<Event>),
-    /// To a lease holder elsewhere.
+    /// A lease holder in another process.
     Remote(std::sync::Arc<EventQueue>),
 }
 
 impl EventSink {
-    /// Tells what is new of a worker.
-    pub(super) fn tell(&self, node: &Node, link: &AssignedWorker, what: WorkerEvent) {
-        // A worker that is attended no longer is another relay's.
-        if link.is_closed() {
+    /// Reports an event of a worker, unless the worker is no longer assigned.
+    pub(super) fn report(&self, node: &Node, worker: &AssignedWorker, event: WorkerEvent) {
+        // The worker may already be assigned to another relay.
+        if worker.is_unassigned() {
             return;
         }
-        self.tell_of(link.number, Some((node, link)), what);
+        self.report_by_number(worker.number, Some((node, worker)), event);
     }
 
-    /// Likewise of one that may not be known here.
-    pub(super) fn tell_of(
+    /// Reports an event of a worker of which only the number may be known.
+    pub(super) fn report_by_number(
         &self,
         number: WorkerNumber,
-        link: Option<(&Node, &AssignedWorker)>,
-        what: WorkerEvent,
+        worker: Option<(&Node, &AssignedWorker)>,
+        event: WorkerEvent,
     ) {
-        match (self, link) {
-            (EventSink::Local(tx), Some((node, link))) => {
-                // A scheduler that has just ended takes no more events.
-                let _ = tx.send(what.into_scheduler_event(link.worker.id.clone(), link.token, node.now()));
+        match (self, worker) {
+            (EventSink::Local(tx), Some((node, worker))) => {
+                // Sending fails if the scheduler has just ended.
+                let id = worker.address.id.clone();
+                let _ = tx.send(event.into_scheduler_event(id, worker.token, node.now()));
             }
-            // The scheduler here keeps to what it has its own relay attend.
+            // The local scheduler sends orders only for workers that it has assigned.
             (EventSink::Local(_), None) => {}
-            (EventSink::Remote(outbox), _) => outbox.add(number, what),
+            (EventSink::Remote(queue), _) => queue.push(number, event),
         }
     }
 }
--- a/src/workswood/ops/jobs/relay/messages.rs
+++ b/src/workswood/ops/jobs/relay/messages.rs
@@ -1,4 +1,4 @@
-//! Orders to a relay, and what it tells.
+//! Orders to a relay, and the events that it reports.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,39 +7,40 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{Event, Report, StartReply, StopReply, TaskId, WorkerAddress, WorkerUpdate};
 
-/// Number that the lease holder gives a worker each time a relay begins to attend it.
+/// Number by which the lease holder and a relay identify a worker. The holder chooses a new one
+/// for each [`WorkerOrder::Assign`].
 pub type WorkerNumber = u32;
 
-/// A start of a task.
+/// A task to start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartTask {
     /// The task.
     pub task: TaskId,
-    /// Number of the try.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// Text of its job.
+    /// Specification of the job, which is passed to the task.
     pub spec: Arc<str>,
-    /// Checkpoint to go on from; empty for none.
+    /// Checkpoint to resume from; empty for none.
     pub checkpoint: String,
-    /// Ticket of the adviser.
+    /// Ticket from the adviser.
     pub ticket: Option<Arc<str>>,
 }
 
 /// An order about one worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerOrder {
-    /// Attend it, with orders that carry this token.
+    /// Start to poll the worker.
     Assign {
         /// The worker.
         worker: WorkerAddress,
-        /// The token.
+        /// Fencing token of the orders to the worker.
         token: Term,
     },
-    /// Attend it no longer.
+    /// Stop polling the worker.
     Unassign,
-    /// Let it forget its ends up to this number: they are on record.
+    /// Acknowledge to the worker the ended tasks up to this number, which are recorded.
     AckEnds(u64),
-    /// Tell figures of all that runs there with each look, or no longer.
+    /// Whether to report the load of all running tasks after each poll.
     ReportLoad(bool),
     /// Start a task.
     Start(StartTask),
@@ -47,68 +48,71 @@
     Stop {
         /// The task.
         task: TaskId,
-        /// Number of the try.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Let a task work at a share.
+    /// Limit the pace of a task.
     Throttle {
         /// The task.
         task: TaskId,
-        /// Number of the try.
+        /// Number of the attempt.
         attempt: u32,
-        /// The share.
+        /// Allowed share of the full pace, in percent.
         percent: u32,
     },
 }
 
-/// What is new of one worker.
+/// An event of one worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerEvent {
-    /// It answered a look.
+    /// It answered a poll.
     Reported(Report),
-    /// Its answer to a look is late.
+    /// Its reply to a poll is late.
     ReplyLate,
-    /// It did not answer.
+    /// It did not answer a poll.
     Unanswered {
         /// How long its lease lasts at most if it is not extended.
         lease_left: Duration,
         /// How long ago it last answered.
         silent_for: Duration,
     },
-    /// Its address is answered by another life; how long ago this one last answered.
+    /// Another incarnation answers at its address. Contains how long ago this one last answered.
     IncarnationEnded(Duration),
-    /// It has started again under its name, at a time of day; how long ago its life before last answered.
+    /// It has restarted under the same name, at this time. Contains how long ago the previous
+    /// incarnation last answered.
     Restarted(UnixMs, Duration),
-    /// It knows a higher token.
+    /// It has seen a higher fencing token.
     Fenced,
-    /// The outcome of a start.
+    /// The outcome of a start order.
     Started {
         /// The task.
         task: TaskId,
-        /// Number of the try.
+        /// Number of the attempt.
         attempt: u32,
-        /// What came of it.
+        /// The outcome.
         reply: StartReply,
     },
-    /// The outcome of a stop.
+    /// The outcome of a stop order.
     Stopped {
         /// The task.
         task: TaskId,
-        /// Number of the try.
+        /// Number of the attempt.
         attempt: u32,
-        /// What came of it.
+        /// The outcome.
         reply: StopReply,
     },
 }
 
 impl WorkerEvent {
-    /// What it means to the scheduler, heard at a time on its clock of a worker that is
-    /// attended with this token.
+    /// Converts the event for the scheduler. `id` is the worker, `token` the fencing token with
+    /// which it was assigned, and `now` the time on the scheduler's clock when the event arrived.
     pub fn into_scheduler_event(self, id: WorkerId, token: Term, now: Duration) -> Event {
-        let news = match self {
-            WorkerEvent::IncarnationEnded(silent) => return Event::LifeOver(id, now.saturating_sub(silent)),
-            WorkerEvent::Restarted(started, silent) => {
-                return Event::WorkerRestarted(id, started, now.saturating_sub(silent));
+        let update = match self {
+            WorkerEvent::IncarnationEnded(silent_for) => {
+                return Event::LifeOver(id, now.saturating_sub(silent_for));
+            }
+            WorkerEvent::Restarted(started, silent_for) => {
+                return Event::WorkerRestarted(id, started, now.saturating_sub(silent_for));
             }
             WorkerEvent::Reported(report) => WorkerUpdate::Reported(report),
             WorkerEvent::ReplyLate => WorkerUpdate::ProbeLate,
@@ -120,6 +124,6 @@
             WorkerEvent::Started { task, attempt, reply } => WorkerUpdate::Started(task, attempt, reply),
             WorkerEvent::Stopped { task, attempt, reply } => WorkerUpdate::Stopped(task, attempt, reply),
         };
-        Event::WorkerUpdate(id, token, news)
+        Event::WorkerUpdate(id, token, update)
     }
 }
--- a/src/workswood/ops/jobs/relay/mod.rs
+++ b/src/workswood/ops/jobs/relay/mod.rs
@@ -1,13 +1,13 @@
-//! A relay: speaks with a share of the workers for the lease holder.
+//! A relay: polls and commands a share of the workers on behalf of the lease holder.
 //!
-//! It looks at each worker, extends its lease, sends orders and tells what is new. It
-//! decides nothing. The lease holder is its own relay where workers are few; then
-//! orders and news stay within the process. Otherwise they go over a connection that
-//! the holder opens ([`session`]), in the form that [`codec`] gives them.
+//! A relay extends the leases of its workers, sends orders to them and reports events. It makes
+//! no scheduling decisions. The lease holder has a relay in its own process, which takes orders
+//! and delivers events directly. The orders and events of relays in other processes go over a
+//! connection that the holder opens ([`session`]), as messages that [`codec`] converts.
 //!
-//! * [`messages`] holds orders and news, [`event_sink`] where news wait to be sent.
-//! * [`assigned_worker`] is what is shared by the tasks that speak to one worker: [`poll`] looks at
-//!   it, [`send`] sends orders.
+//! * [`messages`] defines orders and events; [`event_sink`] delivers events to the scheduler.
+//! * [`assigned_worker`] is the state that the tasks for one worker share: [`poll`] polls the
+//!   worker, and [`send`] sends orders to it.
 
 pub mod assigned_worker;
 pub mod codec;
@@ -31,28 +31,28 @@
 use super::limits::LeaseTimes;
 use super::node::Node;
 
-/// Until when leases of workers may be extended, in ms since the process started. It
-/// only rises; clones share it.
+/// Permission to extend the leases of workers until some time, in milliseconds since the process
+/// started. The time never decreases; clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct Grant(Arc<AtomicU64>);
 
 impl Grant {
-    /// The right to extend until a time.
-    pub fn until(at: Duration) -> Grant {
-        Grant(Arc::new(AtomicU64::new(at.as_millis() as u64)))
+    /// Creates a permission that ends at a time.
+    pub fn until(end: Duration) -> Grant {
+        Grant(Arc::new(AtomicU64::new(end.as_millis() as u64)))
     }
 
-    /// Lengthens the right.
+    /// Extends the permission, unless it already ends later.
     pub fn extend(&self, until: Duration) {
         self.0.fetch_max(until.as_millis() as u64, Ordering::AcqRel);
     }
 
-    /// Whether it holds at a time.
+    /// Whether the permission is valid at a time.
     pub fn holds(&self, now: Duration) -> bool {
         self.end() > now
     }
 
-    /// When it ends.
+    /// When the permission ends.
     pub fn end(&self) -> Duration {
         Duration::from_millis(self.0.load(Ordering::Acquire))
     }
@@ -62,88 +62,89 @@
 pub struct RelayContext {
     /// The process.
     pub node: Arc<Node>,
-    /// Until when leases may be extended.
+    /// Permission to extend leases.
     pub grant: Grant,
-    /// Times of workers' leases.
+    /// Durations of workers' leases.
     pub times: LeaseTimes,
-    /// Where news go.
+    /// Where events are reported.
     pub sink: EventSink,
 }
 
-/// Attends workers for one lease holder.
+/// Polls and commands workers for one lease holder.
 pub struct Relay {
-    shared: Arc<RelayContext>,
+    cx: Arc<RelayContext>,
     workers: HashMap<WorkerNumber, Arc<AssignedWorker>>,
     tasks: JoinSet<()>,
 }
 
 impl Relay {
-    /// A relay that attends nobody yet.
+    /// Creates a relay without workers.
     pub fn new(node: Arc<Node>, grant: Grant, sink: EventSink) -> Relay {
         let times = LeaseTimes::of(&node.settings);
-        let shared = Arc::new(RelayContext { node, grant, times, sink });
-        Relay { shared, workers: HashMap::new(), tasks: JoinSet::new() }
+        let cx = Arc::new(RelayContext { node, grant, times, sink });
+        Relay { cx, workers: HashMap::new(), tasks: JoinSet::new() }
     }
 
-    /// Workers that it attends.
+    /// Number of workers that are assigned to the relay.
     pub fn worker_count(&self) -> usize {
         self.workers.len()
     }
 
-    /// Begins to carry an order out.
+    /// Starts to execute an order.
     pub fn execute(&mut self, number: WorkerNumber, order: WorkerOrder) {
         while self.tasks.try_join_next().is_some() {}
         match order {
-            WorkerOrder::Assign { worker, token } => self.attend(AssignedWorker::new(number, worker, token)),
+            WorkerOrder::Assign { worker, token } => self.assign(AssignedWorker::new(number, worker, token)),
             WorkerOrder::Unassign => {
-                if let Some(link) = self.workers.remove(&number) {
-                    link.close();
+                if let Some(worker) = self.workers.remove(&number) {
+                    worker.unassign();
                 }
             }
             WorkerOrder::AckEnds(end) => {
-                if let Some(link) = self.workers.get(&number) {
-                    link.forget.send_replace(end);
+                if let Some(worker) = self.workers.get(&number) {
+                    worker.recorded_end.send_replace(end);
                 }
             }
             WorkerOrder::ReportLoad(wanted) => {
-                if let Some(link) = self.workers.get(&number) {
-                    link.follow.lock().set_report_load(wanted);
+                if let Some(worker) = self.workers.get(&number) {
+                    worker.run_tracker.lock().set_report_load(wanted);
                 }
             }
             WorkerOrder::Start(s) => match self.workers.get(&number) {
-                Some(link) => {
-                    self.tasks.spawn(send::start(self.shared.clone(), link.clone(), s));
+                Some(worker) => {
+                    self.tasks.spawn(send::start(self.cx.clone(), worker.clone(), s));
                 }
-                None => self.shared.sink.tell_of(
+                None => self.cx.sink.report_by_number(
                     number,
                     None,
                     WorkerEvent::Started { task: s.task, attempt: s.attempt, reply: StartReply::NotSent },
                 ),
             },
             WorkerOrder::Stop { task, attempt } => {
-                if let Some(link) = self.workers.get(&number) {
-                    self.tasks.spawn(send::stop(self.shared.clone(), link.clone(), task, attempt));
+                if let Some(worker) = self.workers.get(&number) {
+                    self.tasks.spawn(send::stop(self.cx.clone(), worker.clone(), task, attempt));
                 }
             }
             WorkerOrder::Throttle { task, attempt, percent } => {
-                if let Some(link) = self.workers.get(&number) {
-                    self.tasks.spawn(send::pace(self.shared.clone(), link.clone(), task, attempt, percent));
+                if let Some(worker) = self.workers.get(&number) {
+                    let cx = self.cx.clone();
+                    self.tasks.spawn(send::throttle(cx, worker.clone(), task, attempt, percent));
                 }
             }
         }
     }
 
-    fn attend(&mut self, link: AssignedWorker) {
-        let link = Arc::new(link);
-        if let Some(old) = self.workers.insert(link.number, link.clone()) {
-            old.close();
+    fn assign(&mut self, worker: AssignedWorker) {
+        let worker = Arc::new(worker);
+        if let Some(previous) = self.workers.insert(worker.number, worker.clone()) {
+            previous.unassign();
         }
-        self.tasks.spawn(poll::run(self.shared.clone(), link));
+        self.tasks.spawn(poll::run(self.cx.clone(), worker));
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.workers.values().for_each(|link| link.close());
+        self.workers.values().for_each(|worker| worker.unassign());
     }
 }
--- a/src/workswood/ops/jobs/relay/poll.rs
+++ b/src/workswood/ops/jobs/relay/poll.rs
@@ -1,4 +1,4 @@
-//! Looks at one worker: extends its lease and hears what runs and has ended.
+//! Polls one worker: extends its lease and learns which tasks run there and which have ended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,185 +11,188 @@
 use super::assigned_worker::AssignedWorker;
 use super::messages::WorkerEvent;
 
-/// How long a look waits for an end.
-const LOOK_WAIT: Duration = Duration::from_millis(900);
-/// Least time between two looks: ends that come together are taken together.
-const LOOK_GAP: Duration = Duration::from_millis(20);
-/// A look that takes this many times the mean of its worker is late,
-const LATE_TIMES: f64 = 4.0;
-/// but not before this time,
-const LATE_NOT_BEFORE: Duration = Duration::from_millis(250);
-/// and in any case when the worker should have answered for so long.
-const LATE_AT_LAST: Duration = Duration::from_millis(200);
-/// Pause after a look without an answer.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Longest wait for the ends of a look to be on record before the next look.
-const RECORD_WAIT: Duration = Duration::from_millis(1500);
-
-/// How long ago a look must have been sent whose answer shows that the life is there that is meant, when it is
-/// told which ends to forget. A later life would forget ends of its own, whose numbers start anew; it needs
-/// longer than that to start and to end something.
-const FORGETS_WITHIN: Duration = Duration::from_millis(600);
-
-/// Looks at a worker until the link is closed.
-pub async fn run(shared: Arc<RelayContext>, link: Arc<AssignedWorker>) {
-    let patience = AdaptiveTimeout::new(LATE_TIMES, LATE_NOT_BEFORE).with_initial_mean(LOOK_WAIT);
-    let mut looker = Looker { shared, link, patience, told: false, answered: None, forgotten: 0 };
-    while !looker.link.is_closed() {
-        if !looker.look().await {
+/// How long a poll waits at the worker for a task to end.
+const POLL_WAIT: Duration = Duration::from_millis(900);
+/// Shortest time between the starts of two polls, so that tasks that end together are reported
+/// together.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The reply to a poll is late after this multiple of the mean time of earlier replies.
+const LATE_MULTIPLE: f64 = 4.0;
+/// Lower bound of the time after which a reply is late.
+const MIN_LATE_AFTER: Duration = Duration::from_millis(250);
+/// Upper bound of the time after which a reply is late, beyond the wait at the worker.
+const MAX_LATE_AFTER_WAIT: Duration = Duration::from_millis(200);
+/// Delay after an unanswered poll.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Longest wait until the ends that a poll has reported are recorded, before the next poll.
+const RECORD_TIMEOUT: Duration = Duration::from_millis(1500);
+
+/// Ends are acknowledged only if the previous poll was answered and was sent no longer ago than
+/// this. The sequence numbers of ends start again with each incarnation of a worker, so an
+/// acknowledgement that reaches the next incarnation would drop its ends. An incarnation needs
+/// longer than this to start and to end a task.
+const ACK_WINDOW: Duration = Duration::from_millis(600);
+
+/// Polls a worker until its assignment ends.
+pub async fn run(cx: Arc<RelayContext>, worker: Arc<AssignedWorker>) {
+    let late_timeout = AdaptiveTimeout::new(LATE_MULTIPLE, MIN_LATE_AFTER).with_initial_mean(POLL_WAIT);
+    let mut poller =
+        Poller { cx, worker, late_timeout, reported_reachable: false, last_answered: None, acked_end: 0 };
+    while !poller.worker.is_unassigned() {
+        if !poller.poll().await {
             return;
         }
     }
 }
 
-/// What looks at one worker.
-struct Looker {
-    shared: Arc<RelayContext>,
-    link: Arc<AssignedWorker>,
-    /// When a look at this worker is late.
-    patience: AdaptiveTimeout,
-    /// Whether it was told that the worker answers.
-    told: bool,
-    /// When the last look was sent, if it was answered.
-    answered: Option<Duration>,
-    /// Highest end that the worker is known to have forgotten.
-    forgotten: u64,
+/// Polls one worker.
+struct Poller {
+    cx: Arc<RelayContext>,
+    worker: Arc<AssignedWorker>,
+    /// When the reply to a poll is late.
+    late_timeout: AdaptiveTimeout,
+    /// Whether the latest events reported that the worker answers.
+    reported_reachable: bool,
+    /// When the last poll was sent, if it was answered.
+    last_answered: Option<Duration>,
+    /// Highest number of an end that was acknowledged with an answered poll.
+    acked_end: u64,
 }
 
-/// An answered look.
-struct Seen {
+/// The reply to a poll.
+struct PollReply {
+    /// When the poll was sent.
     sent: Duration,
-    /// Highest end that it was told to forget.
-    forget: u64,
+    /// Highest number of an end that the poll acknowledged; 0 for none.
+    acked_end: u64,
     clock: WorkerClock,
     listing: Listing,
 }
 
-impl Looker {
+impl Poller {
     fn now(&self) -> Duration {
-        self.shared.node.now()
+        self.cx.node.now()
     }
 
-    fn tell(&self, what: WorkerEvent) {
-        self.shared.sink.tell(&self.shared.node, &self.link, what);
+    fn report(&self, event: WorkerEvent) {
+        self.cx.sink.report(&self.cx.node, &self.worker, event);
     }
 
-    /// Looks once and tells what is new; returns whether to go on.
-    async fn look(&mut self) -> bool {
-        let begun = self.now();
-        let res = self.ask_twice().await;
-        if self.link.is_closed() {
+    /// Polls once and reports what has changed; returns whether to continue.
+    async fn poll(&mut self) -> bool {
+        let started = self.now();
+        let res = self.request_with_resend().await;
+        if self.worker.is_unassigned() {
             return false;
         }
         match res {
-            Ok(seen) => self.seen(seen, begun).await,
+            Ok(reply) => self.handle_reply(reply, started).await,
             Err(WorkerError::OtherLife) => {
-                self.tell(WorkerEvent::IncarnationEnded(self.link.silent_for(self.now())));
+                self.report(WorkerEvent::IncarnationEnded(self.worker.silent_for(self.now())));
                 return false;
             }
-            Err(WorkerError::Restarted(started)) => {
-                // What waits to be sent was meant for the life before.
-                self.link.close();
-                self.tell(WorkerEvent::Restarted(started, self.link.silent_for(self.now())));
+            Err(WorkerError::Restarted(restarted_at)) => {
+                // Pending orders were meant for the previous incarnation.
+                self.worker.unassign();
+                self.report(WorkerEvent::Restarted(restarted_at, self.worker.silent_for(self.now())));
                 return false;
             }
             Err(WorkerError::Fenced) => {
-                log::warn!("event=fenced_by_worker worker={} token={}", self.link.worker.id, self.link.token);
-                self.tell(WorkerEvent::Fenced);
+                let (worker, token) = (&self.worker.address.id, self.worker.token);
+                log::warn!("event=fenced_by_worker worker={worker} token={token}");
+                self.report(WorkerEvent::Fenced);
                 return false;
             }
             Err(e) => {
-                log::debug!("event=look_failed worker={} error={e:?}", self.link.worker.id);
-                let end = self.link.went_silent();
-                self.told = false;
+                log::debug!("event=look_failed worker={} error={e:?}", self.worker.address.id);
+                let leased_until = self.worker.record_poll_failure();
+                self.reported_reachable = false;
                 let now = self.now();
-                let silent = self.link.silent_for(now);
-                self.tell(WorkerEvent::Unanswered {
-                    lease_left: end.saturating_sub(now),
-                    silent_for: silent,
-                });
-                tokio::time::sleep(PAUSE).await;
+                let lease_left = leased_until.saturating_sub(now);
+                let silent_for = self.worker.silent_for(now);
+                self.report(WorkerEvent::Unanswered { lease_left, silent_for });
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
         true
     }
 
-    /// Looks, and once more if the first look seems to be lost, or its connection
-    /// does. A busy worker answers within a tenth of a second, since some task ends;
-    /// until the answer that does not come is given up, nobody would hear of its ends.
-    async fn ask_twice(&mut self) -> Result<Seen, WorkerError> {
-        let wait = if self.may_extend() { LOOK_WAIT } else { Duration::ZERO };
-        if !self.shared.node.settings.policy.calls.resend_probe {
-            return self.ask(wait).await;
+    /// Sends a poll, and another one if the first or its connection seems to be lost. On a busy
+    /// worker tasks end all the time, so replies are frequent; waiting for the full timeout of a
+    /// lost poll would delay the reports of all these ends.
+    async fn request_with_resend(&mut self) -> Result<PollReply, WorkerError> {
+        let wait = if self.may_extend_lease() { POLL_WAIT } else { Duration::ZERO };
+        if !self.cx.node.settings.policy.calls.resend_probe {
+            return self.request(wait).await;
         }
-        let late_after = self.patience.late_after().min(wait + LATE_AT_LAST);
-        match tokio::time::timeout(late_after, self.ask(wait)).await {
+        let late_after = self.late_timeout.late_after().min(wait + MAX_LATE_AFTER_WAIT);
+        match tokio::time::timeout(late_after, self.request(wait)).await {
             Ok(Err(WorkerError::NoAnswer)) | Err(_) => {
-                if std::mem::take(&mut self.told) {
-                    self.tell(WorkerEvent::ReplyLate);
+                if std::mem::take(&mut self.reported_reachable) {
+                    self.report(WorkerEvent::ReplyLate);
                 }
-                self.ask(Duration::ZERO).await
+                self.request(Duration::ZERO).await
             }
             Ok(res) => res,
         }
     }
 
-    /// Whether the worker's lease may be extended now.
-    fn may_extend(&self) -> bool {
-        !self.link.is_silent() && self.shared.grant.holds(self.now())
+    /// Whether the lease of the worker may be extended now.
+    fn may_extend_lease(&self) -> bool {
+        !self.worker.is_silent() && self.cx.grant.holds(self.now())
     }
 
-    /// Sends a look that waits for an end for some time.
-    async fn ask(&mut self, wait: Duration) -> Result<Seen, WorkerError> {
+    /// Sends one poll, which waits at the worker up to `wait` for a task to end.
+    async fn request(&mut self, wait: Duration) -> Result<PollReply, WorkerError> {
         let sent = self.now();
-        let forget = self.forget_due(sent);
-        self.answered = None;
-        let times = &self.shared.times;
-        // The end of the lease is worked out before the right to send it is checked: a
-        // process that is paused in between sends one that has ended.
-        let lease_end = self.link.lease_end(sent, times.lease).filter(|_| self.may_extend());
-        let lease_end = lease_end.filter(|_| self.link.may_lease_until(sent + times.span()));
+        let acked_end = self.end_to_ack(sent);
+        self.last_answered = None;
+        let times = &self.cx.times;
+        // The end of the lease is computed before the permission to send it is checked. If the
+        // process is paused in between, it sends a lease that has ended.
+        let lease_end = self.worker.lease_end(sent, times.lease).filter(|_| self.may_extend_lease());
+        let lease_end = lease_end.filter(|_| self.worker.may_lease_until(sent + times.span()));
         let wait = if lease_end.is_some() { wait } else { Duration::ZERO };
-        let platform = &self.shared.node.platform;
-        let look = platform.poll_worker(&self.link.worker, self.link.token, forget, lease_end, wait);
-        let (clock, listing) = look.await?;
-        Ok(Seen { sent, forget, clock, listing })
+        let platform = &self.cx.node.platform;
+        let reply = platform.poll_worker(&self.worker.address, self.worker.token, acked_end, lease_end, wait);
+        let (clock, listing) = reply.await?;
+        Ok(PollReply { sent, acked_end, clock, listing })
     }
 
-    /// Highest end that the worker is to forget with a look that is sent now; 0 if there is no need, or if it
-    /// isn't sure that the life is still there that is meant.
-    fn forget_due(&self, now: Duration) -> u64 {
-        let due = *self.link.forget.borrow();
-        let there = self.answered.is_some_and(|at| now < at + FORGETS_WITHIN);
-        if there && due > self.forgotten { due } else { 0 }
+    /// Highest number of an end to acknowledge with a poll that is sent now; 0 if there is none,
+    /// or if the worker may have restarted since the previous poll.
+    fn end_to_ack(&self, now: Duration) -> u64 {
+        let recorded = *self.worker.recorded_end.borrow();
+        let answered_recently = self.last_answered.is_some_and(|sent| now < sent + ACK_WINDOW);
+        if answered_recently && recorded > self.acked_end { recorded } else { 0 }
     }
 
-    /// Tells what an answered look says.
-    async fn seen(&mut self, seen: Seen, begun: Duration) {
-        let Seen { sent, forget, clock, listing } = seen;
+    /// Reports what has changed according to a reply, and waits until the next poll is due.
+    async fn handle_reply(&mut self, reply: PollReply, started: Duration) {
+        let PollReply { sent, acked_end, clock, listing } = reply;
         let now = self.now();
-        self.answered = Some(sent);
-        self.forgotten = self.forgotten.max(forget);
-        self.patience.record(now - begun);
-        self.link.answered(clock, now);
-        let last = listing.ended.iter().map(|e| e.sequence_number).max().unwrap_or(0);
-        let report = self.link.follow.lock().diff_listing(listing, sent, now);
-        if !self.told || !report.is_empty() {
-            self.told = true;
-            self.tell(WorkerEvent::Reported(report));
+        self.last_answered = Some(sent);
+        self.acked_end = self.acked_end.max(acked_end);
+        self.late_timeout.record(now - started);
+        self.worker.record_poll_answer(clock, now);
+        let last_end = listing.ended.iter().map(|e| e.sequence_number).max().unwrap_or(0);
+        let report = self.worker.run_tracker.lock().diff_listing(listing, sent, now);
+        if !self.reported_reachable || !report.is_empty() {
+            self.reported_reachable = true;
+            self.report(WorkerEvent::Reported(report));
         }
-        if last > *self.link.forget.borrow() {
-            wait_recorded(&self.link, last).await;
+        if last_end > *self.worker.recorded_end.borrow() {
+            wait_until_recorded(&self.worker, last_end).await;
         }
-        tokio::time::sleep(LOOK_GAP.saturating_sub(self.now() - begun)).await;
+        tokio::time::sleep(MIN_POLL_INTERVAL.saturating_sub(self.now() - started)).await;
     }
 }
 
-/// Waits until ends are on record, so that the next look can forget them.
-async fn wait_recorded(link: &AssignedWorker, last: u64) {
-    let mut forget = link.forget.subscribe();
-    let recorded = tokio::time::timeout(RECORD_WAIT, forget.wait_for(|n| *n >= last)).await;
-    if recorded.is_err() {
-        log::debug!("event=ends_not_recorded worker={} last={last}", link.worker.id);
+/// Waits until ends up to a number are recorded, so that the next poll can acknowledge them.
+async fn wait_until_recorded(worker: &AssignedWorker, last_end: u64) {
+    let mut recorded_end = worker.recorded_end.subscribe();
+    let res = tokio::time::timeout(RECORD_TIMEOUT, recorded_end.wait_for(|n| *n >= last_end)).await;
+    if res.is_err() {
+        log::debug!("event=ends_not_recorded worker={} last={last_end}", worker.address.id);
     }
 }
--- a/src/workswood/ops/jobs/relay/send.rs
+++ b/src/workswood/ops/jobs/relay/send.rs
@@ -1,4 +1,4 @@
-//! Sends orders to a worker: starts, stops and paces of tasks.
+//! Sends orders to a worker: to start, stop and throttle tasks.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,62 +10,59 @@
 use super::assigned_worker::AssignedWorker;
 use super::messages::{StartTask, WorkerEvent};
 
-/// How long the answer to each try of a start is waited for; then its outcome is
-/// left to a stop. The way there and back takes some ten milliseconds, on a busy
-/// host a hundred; a worker that has lost an order is asked again soon, and one
-/// that is slow gets its time in the end.
-const START_PATIENCE: [Duration; 3] =
+/// Timeouts of the attempts to send a start order. They grow, so that a lost order is soon sent
+/// again, and a slow worker can still answer the last attempt.
+const START_TIMEOUTS: [Duration; 3] =
     [Duration::from_millis(200), Duration::from_millis(400), Duration::from_millis(600)];
-/// How often a stop is sent before the scheduler is told of it.
-const STOP_TRIES: u32 = 2;
+/// Number of attempts to send a stop order.
+const STOP_ATTEMPTS: u32 = 2;
 
-pub(super) async fn start(shared: Arc<RelayContext>, link: Arc<AssignedWorker>, s: StartTask) {
-    let _lane = link.lanes.acquire().await;
-    let reply = try_start(&shared, &link, &s).await;
-    let (task, attempt) = (s.task, s.attempt);
-    shared.node.metrics.starts.with_label_values(&[start_label(reply)]).inc();
+pub(super) async fn start(cx: Arc<RelayContext>, worker: Arc<AssignedWorker>, start: StartTask) {
+    let _permit = worker.order_permits.acquire().await;
+    let reply = try_start(&cx, &worker, &start).await;
+    let (task, attempt) = (start.task, start.attempt);
+    cx.node.metrics.starts.with_label_values(&[start_label(reply)]).inc();
     if reply.is_answer() {
-        link.heard(shared.node.now());
+        worker.record_answer(cx.node.now());
     }
-    link.follow.lock().start_answered(task, attempt, reply, shared.node.now());
-    shared.sink.tell(&shared.node, &link, WorkerEvent::Started { task, attempt, reply });
+    worker.run_tracker.lock().start_answered(task, attempt, reply, cx.node.now());
+    cx.sink.report(&cx.node, &worker, WorkerEvent::Started { task, attempt, reply });
 }
 
-/// Sends a start until it has an answer.
-async fn try_start(shared: &RelayContext, link: &AssignedWorker, s: &StartTask) -> StartReply {
+/// Sends a start order until it is answered or its attempts are used up.
+async fn try_start(cx: &RelayContext, worker: &AssignedWorker, start: &StartTask) -> StartReply {
     let mut unanswered = false;
-    for patience in START_PATIENCE {
-        // The end of the lease is worked out before the right to send is
-        // checked: a process that is paused in between sends a lease that has
-        // ended, which the worker refuses.
-        let now = shared.node.now();
-        if shared.node.operators.is_evacuated(&link.worker.data_centre, now) {
-            let (worker, task) = (&link.worker.id, s.task);
+    for timeout in START_TIMEOUTS {
+        // The end of the lease is computed before the permission to send it is checked. If the
+        // process is paused in between, it sends a lease that has ended, which the worker refuses.
+        let now = cx.node.now();
+        if cx.node.operators.is_evacuated(&worker.address.data_centre, now) {
+            let (worker, task) = (&worker.address.id, start.task);
             log::info!("event=start_not_sent worker={worker} task={task} reason=data_centre_evacuated");
             break;
         }
-        let Some(lease_end) = link.lease_end(now, shared.times.lease) else { break };
-        if !shared.grant.holds(shared.node.now()) || !link.may_lease_until(now + shared.times.span()) {
+        let Some(lease_end) = worker.lease_end(now, cx.times.lease) else { break };
+        if !cx.grant.holds(cx.node.now()) || !worker.may_lease_until(now + cx.times.span()) {
             break;
         }
         let order = StartOrder {
-            task: s.task,
-            attempt: s.attempt,
-            spec: s.spec.clone(),
-            checkpoint: s.checkpoint.clone(),
-            ticket: s.ticket.clone(),
+            task: start.task,
+            attempt: start.attempt,
+            spec: start.spec.clone(),
+            checkpoint: start.checkpoint.clone(),
+            ticket: start.ticket.clone(),
             lease_end,
-            timeout: patience,
+            timeout,
         };
-        match shared.node.platform.start_task(&link.worker, link.token, order).await {
+        match cx.node.platform.start_task(&worker.address, worker.token, order).await {
             Ok(()) => return StartReply::Taken,
             Err(WorkerError::Fenced) => return StartReply::Deposed,
             Err(WorkerError::OtherLife) => {
-                let silent = link.silent_for(shared.node.now());
-                shared.sink.tell(&shared.node, link, WorkerEvent::IncarnationEnded(silent));
+                let silent_for = worker.silent_for(cx.node.now());
+                cx.sink.report(&cx.node, worker, WorkerEvent::IncarnationEnded(silent_for));
                 return StartReply::NoAnswer;
             }
-            // Only looks tell that.
+            // Only polls return this error.
             Err(WorkerError::Restarted(_)) => break,
             Err(WorkerError::Refused | WorkerError::Ticket) if unanswered => return StartReply::Unsure,
             Err(WorkerError::Refused) => return StartReply::Refused,
@@ -79,7 +76,7 @@
     if unanswered { StartReply::NoAnswer } else { StartReply::NotSent }
 }
 
-/// The label of a start's outcome in metrics.
+/// The label of the outcome of a start order in metrics.
 fn start_label(reply: StartReply) -> &'static str {
     match reply {
         StartReply::Taken => "taken",
@@ -93,40 +90,40 @@
     }
 }
 
-pub(super) async fn pace(
-    shared: Arc<RelayContext>,
-    link: Arc<AssignedWorker>,
+pub(super) async fn throttle(
+    cx: Arc<RelayContext>,
+    worker: Arc<AssignedWorker>,
     task: TaskId,
     attempt: u32,
     percent: u32,
 ) {
-    let _lane = link.lanes.acquire().await;
-    let res = shared.node.platform.throttle_task(&link.worker, link.token, task, attempt, percent).await;
+    let _permit = worker.order_permits.acquire().await;
+    let res = cx.node.platform.throttle_task(&worker.address, worker.token, task, attempt, percent).await;
     if let Err(e) = res {
-        // The next look shows the figures again.
-        log::warn!("event=pace_not_taken worker={} task={task} error={e:?}", link.worker.id);
+        // The next poll reports the load again, from which the pace is decided anew.
+        log::warn!("event=pace_not_taken worker={} task={task} error={e:?}", worker.address.id);
     }
 }
 
-pub(super) async fn stop(shared: Arc<RelayContext>, link: Arc<AssignedWorker>, task: TaskId, attempt: u32) {
-    let _lane = link.lanes.acquire().await;
+pub(super) async fn stop(cx: Arc<RelayContext>, worker: Arc<AssignedWorker>, task: TaskId, attempt: u32) {
+    let _permit = worker.order_permits.acquire().await;
     let mut reply = StopReply::NoAnswer;
-    for _ in 0..STOP_TRIES {
-        reply = match shared.node.platform.stop_task(&link.worker, link.token, task, attempt).await {
+    for _ in 0..STOP_ATTEMPTS {
+        reply = match cx.node.platform.stop_task(&worker.address, worker.token, task, attempt).await {
             Ok(()) => StopReply::Taken,
             Err(WorkerError::Fenced) => StopReply::Deposed,
             Err(e) => {
-                log::debug!("event=stop_failed worker={} task={task} error={e:?}", link.worker.id);
+                log::debug!("event=stop_failed worker={} task={task} error={e:?}", worker.address.id);
                 StopReply::NoAnswer
             }
         };
-        if reply != StopReply::NoAnswer || link.is_closed() {
+        if reply != StopReply::NoAnswer || worker.is_unassigned() {
             break;
         }
     }
     if reply == StopReply::Taken {
-        link.heard(shared.node.now());
-        link.follow.lock().stop_accepted(task, attempt, shared.node.now());
+        worker.record_answer(cx.node.now());
+        worker.run_tracker.lock().stop_accepted(task, attempt, cx.node.now());
     }
-    shared.sink.tell(&shared.node, &link, WorkerEvent::Stopped { task, attempt, reply });
+    cx.sink.report(&cx.node, &worker, WorkerEvent::Stopped { task, attempt, reply });
 }
--- a/src/workswood/ops/jobs/relay/session.rs
+++ b/src/workswood/ops/jobs/relay/session.rs
@@ -1,8 +1,8 @@
-//! A relay's side of a connection that a lease holder opened to it.
+//! The relay's side of a session with a lease holder in another process.
 //!
-//! The connection lasts as long as the holder wants this relay. When it ends, for
-//! whatever reason, the workers are attended no longer: the holder, or its successor,
-//! has them attended anew.
+//! A session lasts as long as the connection that the holder opened for it. When it ends, the
+//! relay stops polling all workers of the session; the holder, or its successor, assigns
+//! them anew.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -17,34 +17,33 @@
 use super::{EventQueue, EventSink, Grant, Relay, codec};
 use crate::ops::jobs::node::Node;
 
-/// News wait this long for others to be sent with: each message costs both sides some
-/// ten microseconds, and steps last a hundred times as long.
-const LINGER: Duration = Duration::from_millis(10);
-/// Time between two heartbeats: the holder misses five before it gives a relay up.
+/// How long events are collected before they are sent in one message.
+const BATCH_DELAY: Duration = Duration::from_millis(10);
+/// Time between two heartbeats of a relay.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// A holder that has said nothing for this long, not even to heartbeats, is gone or
-/// has given this relay up.
-const HOLDER_SILENT: Duration = Duration::from_secs(3);
-/// Heartbeats whose answers may be under way.
-const MOST_BEATS: usize = 64;
+/// A holder that has sent nothing for this long, not even replies to heartbeats, is gone or no
+/// longer uses this relay.
+const HOLDER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Largest number of heartbeats that wait for their replies.
+const MAX_PENDING_HEARTBEATS: usize = 64;
 
-/// Which session of which term a relay serves; later ones end earlier ones.
+/// Term of a lease holder and number of its session; a later session ends all earlier ones.
 pub type SessionId = (u64, u64);
 
-/// Takes connections of lease holders over.
+/// Creates the handler of connections from lease holders.
 pub fn handler(node: Arc<Node>) -> RelayHandler {
     Arc::new(move |open, tx, rx| serve(node.clone(), open, tx, rx).boxed())
 }
 
-/// Serves one lease holder until the connection ends, or another holder comes.
+/// Serves one lease holder until the connection or the session ends.
 async fn serve(node: Arc<Node>, open: wire::RelayOpen, mut tx: DuplexTx, rx: DuplexRx) {
     let session = (open.term, open.session);
-    let newest = node.relay_session.send_if_modified(|s| {
+    let is_newest = node.relay_session.send_if_modified(|s| {
         let newer = *s < session;
         *s = session.max(*s);
         newer
     });
-    if !newest || node.is_stopping() {
+    if !is_newest || node.is_stopping() {
         log::info!("event=relay_refused holder={} term={}", open.holder, open.term);
         return;
     }
@@ -58,99 +57,104 @@
         open.session
     );
     let grant = Grant::default();
-    let outbox = Arc::new(EventQueue::default());
-    let mut relay = Relay::new(node.clone(), grant.clone(), EventSink::Remote(outbox.clone()));
-    let beats = Beats::default();
-    let mut other = node.relay_session.subscribe();
-    let why = tokio::select! {
-        _ = take_orders(&node, rx, &mut relay, &grant, &beats) => "holder_gone",
-        _ = send_news(&node, tx, &outbox, &beats) => "connection_broken",
-        _ = other.wait_for(|s| *s > session) => "replaced",
+    let events = Arc::new(EventQueue::default());
+    let mut relay = Relay::new(node.clone(), grant.clone(), EventSink::Remote(events.clone()));
+    let heartbeats = PendingHeartbeats::default();
+    let mut newest = node.relay_session.subscribe();
+    let reason = tokio::select! {
+        _ = receive_orders(&node, rx, &mut relay, &grant, &heartbeats) => "holder_gone",
+        _ = send_updates(&node, tx, &events, &heartbeats) => "connection_broken",
+        _ = newest.wait_for(|s| *s > session) => "replaced",
         () = node.lag.clone().measure() => "never",
     };
     log::info!(
-        "event=relay_session_ended holder={} term={} reason={why} workers={}",
+        "event=relay_session_ended holder={} term={} reason={reason} workers={}",
         open.holder,
         open.term,
         relay.worker_count()
     );
 }
 
-/// When heartbeats were sent whose answers have not come.
+/// Numbers and send times of heartbeats that wait for their replies.
 #[derive(Default)]
-struct Beats(Mutex<VecDeque<(u64, Duration)>>);
+struct PendingHeartbeats(Mutex<VecDeque<(u64, Duration)>>);
 
-impl Beats {
-    fn sent(&self, beat: u64, at: Duration) {
-        let mut beats = self.0.lock();
-        if beats.len() >= MOST_BEATS {
-            beats.pop_front();
+impl PendingHeartbeats {
+    fn push(&self, number: u64, sent: Duration) {
+        let mut pending = self.0.lock();
+        if pending.len() >= MAX_PENDING_HEARTBEATS {
+            pending.pop_front();
         }
-        beats.push_back((beat, at));
+        pending.push_back((number, sent));
     }
 
-    /// When the heartbeat was sent that is answered; earlier ones need no answer.
-    fn answered(&self, beat: u64) -> Option<Duration> {
-        let mut beats = self.0.lock();
-        while let Some((n, at)) = beats.pop_front() {
-            if n == beat {
-                return Some(at);
+    /// Removes a heartbeat and all earlier ones; returns when it was sent.
+    fn take(&self, number: u64) -> Option<Duration> {
+        let mut pending = self.0.lock();
+        while let Some((n, sent)) = pending.pop_front() {
+            if n == number {
+                return Some(sent);
             }
         }
         None
     }
 }
 
-async fn take_orders(
+async fn receive_orders(
     node: &Node,
     mut rx: DuplexRx,
     relay: &mut Relay,
     grant: &Grant,
-    beats: &Beats,
+    heartbeats: &PendingHeartbeats,
 ) -> Result<(), Closed> {
     loop {
-        let msg = node.lag.timeout(HOLDER_SILENT, rx.next()).await.ok_or(Closed)??;
-        let Msg::RelayOrders(frame) = msg else { return Err(Closed) };
-        if let Some(g) = frame.grant
-            && let Some(sent) = beats.answered(g.heartbeat)
+        let msg = node.lag.timeout(HOLDER_TIMEOUT, rx.next()).await.ok_or(Closed)??;
+        let Msg::RelayOrders(msg) = msg else { return Err(Closed) };
+        if let Some(g) = msg.grant
+            && let Some(sent) = heartbeats.take(g.heartbeat)
         {
-            // Counted from before the holder granted it.
+            // Counted from when the heartbeat was sent, which was before the holder granted it.
             grant.extend(sent + Duration::from_millis(u64::from(g.duration_ms)));
         }
-        let orders = codec::read_orders(frame.orders).ok_or(Closed)?;
+        let orders = codec::read_orders(msg.orders).ok_or(Closed)?;
         orders.into_iter().for_each(|(number, order)| relay.execute(number, order));
         node.metrics.relayed_workers.set(relay.worker_count() as i64);
     }
 }
 
-async fn send_news(node: &Node, mut tx: DuplexTx, outbox: &EventQueue, beats: &Beats) -> Result<(), Closed> {
-    let mut beat = 0;
-    let mut due = node.now();
+async fn send_updates(
+    node: &Node,
+    mut tx: DuplexTx,
+    events: &EventQueue,
+    heartbeats: &PendingHeartbeats,
+) -> Result<(), Closed> {
+    let mut last_heartbeat = 0;
+    let mut heartbeat_due = node.now();
     let mut stopping = node.stopping.subscribe();
-    let mut left = false;
+    let mut stop_announced = false;
     loop {
         tokio::select! {
-            () = outbox.wake.notified() => tokio::time::sleep(LINGER).await,
-            () = tokio::time::sleep(due.saturating_sub(node.now())) => {}
-            () = until_true(&mut stopping), if !left => {}
+            () = events.not_empty.notified() => tokio::time::sleep(BATCH_DELAY).await,
+            () = tokio::time::sleep(heartbeat_due.saturating_sub(node.now())) => {}
+            () = until_true(&mut stopping), if !stop_announced => {}
         }
-        let news = outbox.take();
+        let batch = events.drain();
         let now = node.now();
-        left = node.is_stopping();
-        let mut number = 0;
-        if now >= due {
-            beat += 1;
-            number = beat;
-            beats.sent(beat, now);
-            due = now + HEARTBEAT_INTERVAL;
+        stop_announced = node.is_stopping();
+        let mut heartbeat = 0;
+        if now >= heartbeat_due {
+            last_heartbeat += 1;
+            heartbeat = last_heartbeat;
+            heartbeats.push(heartbeat, now);
+            heartbeat_due = now + HEARTBEAT_INTERVAL;
         }
-        let frame =
-            wire::RelayUpdate { heartbeat: number, stopping: left, updates: codec::write_events(news) };
-        tx.send(Msg::RelayUpdate(frame)).await?;
+        let updates = codec::write_events(batch);
+        let update = wire::RelayUpdate { heartbeat, stopping: stop_announced, updates };
+        tx.send(Msg::RelayUpdate(update)).await?;
     }
 }
 
-async fn until_true(seen: &mut watch::Receiver<bool>) {
-    // The sender lives as long as the process.
-    let _ = seen.wait_for(|s| *s).await;
+async fn until_true(value: &mut watch::Receiver<bool>) {
+    // Waiting can't fail: the sender lives as long as the process.
+    let _ = value.wait_for(|s| *s).await;
 }
--- a/src/workswood/ops/jobs/sessions.rs
+++ b/src/workswood/ops/jobs/sessions.rs
@@ -287,7 +287,7 @@
     fn take(&self, item: wire::WorkerUpdate) {
         let number = item.worker;
         let Some((id, token)) = self.names.lock().get(&number).cloned() else { return };
-        match codec::read_events(item) {
+        match codec::read_event(item) {
             Some((_, what)) => self.tell(what.into_scheduler_event(id, token, self.node.now())),
             None => log::error!("event=relay_news_not_read code=203 relay={} worker={id}", self.host),
         }
--- a/tests/testsuite/lost_looks.rs
+++ b/tests/testsuite/lost_looks.rs
@@ -27,8 +27,8 @@
         times: LeaseTimes::of(&node.settings),
         sink: EventSink::Local(tx),
     };
-    let link = Arc::new(AssignedWorker::new(1, worker(0, 0).worker_address(), 1));
-    tokio::spawn(poll::run(Arc::new(shared), link.clone()));
+    let assigned = Arc::new(AssignedWorker::new(1, worker(0, 0).worker_address(), 1));
+    tokio::spawn(poll::run(Arc::new(shared), assigned.clone()));
     let (mut last, mut longest) = (node.now(), Duration::ZERO);
     while node.now() < Duration::from_secs(10) {
         match rx.recv().await {
@@ -39,6 +39,6 @@
         longest = longest.max(node.now() - last);
         last = node.now();
     }
-    link.close();
+    assigned.unassign();
     assert!(longest < Duration::from_millis(500), "{longest:?}");
 }
--- a/tests/testsuite/restarted_workers.rs
+++ b/tests/testsuite/restarted_workers.rs
@@ -283,10 +283,7 @@
     assert_eq!(codec::read_orders(written), Some(vec![(1, order)]));
     let what = WorkerEvent::Restarted(30, Duration::from_millis(400));
     let mut news = codec::write_events(vec![(1, what.clone())]).remove(0);
-    assert_eq!(codec::read_events(news.clone()), Some((1, what)));
+    assert_eq!(codec::read_event(news.clone()), Some((1, what)));
     news.restarted_at = None;
-    assert_eq!(
-        codec::read_events(news),
-        Some((1, WorkerEvent::IncarnationEnded(Duration::from_millis(400))))
-    );
+    assert_eq!(codec::read_event(news), Some((1, WorkerEvent::IncarnationEnded(Duration::from_millis(400)))));
 }
--- a/tests/testsuite/suspended_host.rs
+++ b/tests/testsuite/suspended_host.rs
@@ -43,8 +43,8 @@
     let (tx, mut rx) = mpsc::unbounded_channel();
     let times = LeaseTimes::of(&node.settings);
     let shared = RelayContext { node: node.clone(), grant: grant.clone(), times, sink: EventSink::Local(tx) };
-    let link = Arc::new(AssignedWorker::new(1, worker(0, 0).worker_address(), 1));
-    tokio::spawn(poll::run(Arc::new(shared), link.clone()));
+    let assigned = Arc::new(AssignedWorker::new(1, worker(0, 0).worker_address(), 1));
+    tokio::spawn(poll::run(Arc::new(shared), assigned.clone()));
     tokio::time::sleep(Duration::from_secs(1)).await;
     let before = store.leases();
     assert!(before > 0);
@@ -55,7 +55,7 @@
     grant.extend(node.now() + RIGHT);
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert!(store.leases() > before + 1, "its lease was renewed");
-    link.close();
+    assigned.unassign();
     rx.close();
 }
 
