--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -32,28 +32,32 @@
 use workswood::util::job_settings::JobSettings;
 use workswood::util::settings::Settings;
 use workswood_adapter::{Addresses, PlatformClient};
-use workswood_core::code::{Code, Ran};
-use workswood_core::fleet::{Class, FleetFile, parse};
-use workswood_core::fold::{Assembler, JobPhase, KeyState, Phase, Stance, State, Void};
+use workswood_core::code::{Code, ExecutionStatus};
+use workswood_core::fleet::{FleetFile, PriorityClass, parse};
+use workswood_core::fold::{
+    BudgetStatus, CheckpointAssembler, HostPhase, JobPhase, KeyState, Rejection, State,
+};
 use workswood_core::ids::{HostId, Offset, ServiceId, Term};
-use workswood_core::jobs::crash::{Crash, Evidence};
+use workswood_core::jobs::crash_attribution::{CrashRecord, Evidence};
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::policy::ShareOrder;
-use workswood_core::jobs::spec::Room;
+use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
     AdviceReply, EndKind, Host, HostReply, HostState as JobHostState, JobRecord, JobSpec, Listing, Outcome,
     Owner, Record, Report, SchedConfig, StartReply, StepId, StopReply, TaskId, WorkerAddress, WorkerInfo,
 };
-use workswood_core::member::Liveness;
-use workswood_core::plan::{Act, HostState, Seen, Stop, WaveStatus};
-use workswood_core::record::{DrainReason, Duty, End, Envelope, FORMAT, HostStep, Record as LogRecord};
+use workswood_core::membership::Liveness;
+use workswood_core::plan::{HostAction, HostState, ObservedFleet, WaveState, WaveStatus};
+use workswood_core::record::{
+    AttemptOutcome, DrainReason, Envelope, FORMAT_VERSION, HostChange, Record as LogRecord, Role,
+};
 use workswood_operators::{ApplyReply, ApplyRequest, Status};
-use workswood_peers::relay::{RelayNews, RelayOrders};
+use workswood_peers::relay::{RelayOrders, RelayUpdate};
 use workswood_peers::{AdviceOutcome, CallError, Frame, HandInOutcome, JobState, Msg};
 use workswood_platform::ReadReply;
 use workswood_platform::jobs::{
-    Guard, JobPlatform, KeyedRecord, Newest, OperatorItem, StartOrder, StoreError, Tail, Topic, WorkerClock,
-    WorkerError,
+    Guard, JobPlatform, KeyedRecord, LatestRecords, OperatorRecord, StartOrder, StoreError, Tail, Topic,
+    WorkerClock, WorkerError,
 };
 use workswood_test_support::job_node::settings;
 
@@ -133,32 +137,35 @@
 #[test]
 fn peer_message_fields() {
     let m = message!(Hello "hello");
-    assert_eq!((m.version, m.token.as_str(), m.from.as_str()), (3, "secret", "entry-1#1"));
-    let m = message!(Beats "beats");
-    let own = m.own.expect("the sender's own");
-    assert_eq!((own.address.as_str(), own.id.as_str()), ("10.0.0.1:7001", "entry-1#1"));
-    assert_eq!((own.data_centre.as_str(), own.number, own.next, own.stopping), ("north", 41, 91, true));
-    assert_eq!(m.others[0].number, 42);
-    assert_eq!((m.open[0].instance.as_str(), m.open[0].requests), ("shop/3", 5));
-    let m = message!(SlotAsk "slot-ask");
-    assert_eq!((m.service.as_str(), m.slots, m.from.as_str()), ("shop", 6, "entry-1#1"));
-    let m = message!(SlotLoan "slot-loan");
+    assert_eq!((m.version, m.token.as_str(), m.incarnation.as_str()), (3, "secret", "entry-1#1"));
+    let m = message!(Heartbeat "beats");
+    let sender = m.sender.expect("the sender's own");
+    assert_eq!((sender.address.as_str(), sender.incarnation.as_str()), ("10.0.0.1:7001", "entry-1#1"));
+    assert_eq!(
+        (sender.data_centre.as_str(), sender.sequence, sender.next_offset, sender.stopping),
+        ("north", 41, 91, true)
+    );
+    assert_eq!(m.others[0].sequence, 42);
+    assert_eq!((m.open_requests[0].instance.as_str(), m.open_requests[0].requests), ("shop/3", 5));
+    let m = message!(SlotRequest "slot-ask");
+    assert_eq!((m.service.as_str(), m.slots, m.borrower.as_str()), ("shop", 6, "entry-1#1"));
+    let m = message!(SlotReply "slot-loan");
     assert_eq!((m.loans[1].id, m.loans[1].endpoint.as_str()), (72, "shop/2"));
-    let m = message!(SlotState "slot-state");
-    assert_eq!((m.service.as_str(), m.from.as_str()), ("shop", "entry-2#1"));
-    assert_eq!((m.kept, m.returned), (vec![71, 300], vec![72]));
+    let m = message!(SlotLoanUpdate "slot-state");
+    assert_eq!((m.service.as_str(), m.borrower.as_str()), ("shop", "entry-2#1"));
+    assert_eq!((m.in_use, m.returned), (vec![71, 300], vec![72]));
     let m = message!(KeyReply "key-reply");
     assert_eq!((m.known, m.roster.len()), (true, 2));
-    let m = message!(JobAsk "job-ask");
+    let m = message!(JobStateRequest "job-ask");
     assert_eq!((m.job, m.owner), (0x0123_4567_89ab_cdef, Some(0xfedc_ba98_7654_3210)));
-    assert_eq!(message!(JobAsk "job-ask-of-earlier-version").owner, None);
-    let m = message!(PendingReply "pending-reply");
-    assert_eq!((m.current, m.pending), (true, 42));
-    let m = message!(HandIn "hand-in");
-    assert_eq!((m.records[0].key.as_str(), m.within_ms), ("00000000000000ab", 700));
+    assert_eq!(message!(JobStateRequest "job-ask-of-earlier-version").owner, None);
+    let m = message!(PendingJobsReply "pending-reply");
+    assert_eq!((m.authoritative, m.pending), (true, 42));
+    let m = message!(InboxAppendRequest "hand-in");
+    assert_eq!((m.records[0].key.as_str(), m.timeout_ms), ("00000000000000ab", 700));
     assert_eq!(m.records[0].value.as_ref(), [1, 2, 255]);
-    let m = message!(AdviceAsk "advice-ask");
-    assert_eq!((m.job, m.round, m.step, m.within_ms), (1_000, 2, 3, 800));
+    let m = message!(AdviceRequest "advice-ask");
+    assert_eq!((m.job, m.round, m.step, m.timeout_ms), (1_000, 2, 3, 800));
     assert_eq!(m.workers, ["w-1@5", "w-2"]);
     let m = message!(RelayOpen "relay-open");
     assert_eq!((m.term, m.session, m.holder.as_str()), (7, 8, "entry-9"));
@@ -166,25 +173,28 @@
     let (evacuated, holder) = (m.evacuated.expect("evacuated"), m.holder.expect("a holder"));
     assert_eq!((m.record.as_ref(), evacuated.age_ms), (b"config".as_slice(), 1_500));
     assert_eq!(evacuated.data_centres, ["north", "south"]);
-    assert_eq!((holder.id.as_str(), holder.peers.as_str(), holder.term), ("entry-3#9", "10.0.0.3:7001", 21));
+    assert_eq!(
+        (holder.incarnation.as_str(), holder.peer_address.as_str(), holder.term),
+        ("entry-3#9", "10.0.0.3:7001", 21)
+    );
 }
 
 /// Outcomes and states that are told by another number.
 #[test]
 fn peer_message_numbers() {
     let states = [
-        (message!(JobReply "job-reply-queued"), Some(JobState::Queued)),
-        (message!(JobReply "job-reply-running"), Some(JobState::Running)),
-        (message!(JobReply "job-reply-completed"), Some(JobState::Completed)),
-        (message!(JobReply "job-reply-failed"), Some(JobState::Failed)),
-        (message!(JobReply "job-reply-canceled"), Some(JobState::Canceled)),
-        (message!(JobReply "job-reply-unknown"), None),
+        (message!(JobStateReply "job-reply-queued"), Some(JobState::Queued)),
+        (message!(JobStateReply "job-reply-running"), Some(JobState::Running)),
+        (message!(JobStateReply "job-reply-completed"), Some(JobState::Completed)),
+        (message!(JobStateReply "job-reply-failed"), Some(JobState::Failed)),
+        (message!(JobStateReply "job-reply-canceled"), Some(JobState::Canceled)),
+        (message!(JobStateReply "job-reply-unknown"), None),
     ];
     for (reply, state) in states {
-        assert!(reply.current);
+        assert!(reply.authoritative);
         assert_eq!(reply.state.map(|s| JobState::try_from(s).expect("a state")), state);
     }
-    let stored: Vec<_> = message!(HandInReply "hand-in-reply").outcomes().collect();
+    let stored: Vec<_> = message!(InboxAppendReply "hand-in-reply").outcomes().collect();
     assert_eq!(stored, [HandInOutcome::Unknown, HandInOutcome::Stored, HandInOutcome::NotStored]);
     let advice = [
         (message!(AdviceReply "advice-reply-no-answer"), AdviceOutcome::NoAnswer),
@@ -197,7 +207,7 @@
         assert_eq!(reply.outcome(), *outcome);
     }
     let answered = &advice[1].0;
-    assert_eq!((answered.good[0].worker.as_str(), answered.good[0].ticket.as_str()), ("w-1", "t-1"));
+    assert_eq!((answered.suitable[0].worker.as_str(), answered.suitable[0].ticket.as_str()), ("w-1", "t-1"));
     assert_eq!(answered.valid_ms, Some(60_000));
 }
 
@@ -209,16 +219,16 @@
 #[test]
 fn relay_orders() {
     let m = message!(RelayOrders "relay-orders");
-    assert_eq!(m.grant.map(|g| (g.beat, g.ms)), Some((5, 1_800)));
+    assert_eq!(m.grant.map(|g| (g.heartbeat, g.duration_ms)), Some((5, 1_800)));
     let orders = read_orders(m.orders.clone()).expect("orders that are known");
     let written = RelayOrders { orders: write_orders(orders.clone()), ..m.clone() };
     assert_eq!(to_hex(&written.encode_to_vec()), to_hex(&m.encode_to_vec()));
     assert_eq!(orders.iter().map(|(n, _)| *n).collect::<Vec<_>>(), (11..20).collect::<Vec<_>>());
     let Order::Attend { worker, token } = &orders[0].1 else { panic!("{:?}", orders[0]) };
-    assert_eq!((worker.id.name(), worker.id.started(), *token), ("w-1", Some(1_700_000_000_123), 77));
+    assert_eq!((worker.id.name(), worker.id.started_at(), *token), ("w-1", Some(1_700_000_000_123), 77));
     assert_eq!((worker.address.as_str(), worker.data_centre.as_str()), ("10.0.1.1:9000", "north"));
     let Order::Attend { worker, .. } = &orders[1].1 else { panic!("{:?}", orders[1]) };
-    assert_eq!(worker.id.started(), None);
+    assert_eq!(worker.id.started_at(), None);
     assert_eq!((&orders[2].1, &orders[3].1), (&Order::Leave, &Order::Forget(19)));
     assert_eq!(orders[4].1, Order::Figures(true));
     let Order::Start(start) = &orders[5].1 else { panic!("{:?}", orders[5]) };
@@ -232,16 +242,16 @@
 
 fn check_report(report: &Report) {
     let running = &report.running[0];
-    assert_eq!((report.whole, running.task, running.attempt), (true, task(), 8));
-    assert_eq!((running.checkpoint.as_str(), running.percent, running.figure), ("c-18", 55, 1_234));
-    assert_eq!(running.still, millis(2_500));
-    assert_eq!(report.gone, [(TaskId { index: 9, ..task() }, 10)]);
+    assert_eq!((report.full, running.task, running.attempt), (true, task(), 8));
+    assert_eq!((running.checkpoint.as_str(), running.percent, running.load), ("c-18", 55, 1_234));
+    assert_eq!(running.stalled_for, millis(2_500));
+    assert_eq!(report.missing, [(TaskId { index: 9, ..task() }, 10)]);
     let kinds: Vec<EndKind> = report.ended.iter().map(|e| e.kind).collect();
     let known = [EndKind::Done, EndKind::Failed, EndKind::Stopped];
     assert_eq!((&kinds[..3], kinds.len()), (known.as_slice(), 6));
     assert_eq!(kinds[3..], [EndKind::Lapsed, EndKind::Broken, EndKind::Alone]);
     let end = &report.ended[5];
-    assert_eq!((end.number, end.task, end.attempt, end.checkpoint.as_str()), (36, task(), 7, "e-5"));
+    assert_eq!((end.sequence_number, end.task, end.attempt, end.checkpoint.as_str()), (36, task(), 7, "e-5"));
 }
 
 /// What a relay told to be read as this: the rest of a lease is written rounded up by a millisecond.
@@ -256,11 +266,11 @@
 /// News of workers that the lease holder takes for other ones than its relay told.
 #[test]
 fn relay_news() {
-    let m = message!(RelayNews "relay-news");
-    assert_eq!((m.beat, m.leaving), (6, true));
-    let news: Vec<_> = m.news.iter().map(|n| read_news(n.clone()).expect("news that are known")).collect();
+    let m = message!(RelayUpdate "relay-news");
+    assert_eq!((m.heartbeat, m.stopping), (6, true));
+    let news: Vec<_> = m.updates.iter().map(|n| read_news(n.clone()).expect("news that are known")).collect();
     let told = news.iter().cloned().map(as_told).collect();
-    let written = RelayNews { news: write_news(told), ..m.clone() };
+    let written = RelayUpdate { updates: write_news(told), ..m.clone() };
     assert_eq!(to_hex(&written.encode_to_vec()), to_hex(&m.encode_to_vec()));
     assert_eq!(news.iter().map(|(n, _)| *n).collect::<Vec<_>>(), (21..37).collect::<Vec<_>>());
     let What::Reported(report) = &news[0].1 else { panic!("{:?}", news[0]) };
@@ -313,7 +323,7 @@
         }
         (StateKey::Worker(id), None) => Record::DropWorker(id),
         (StateKey::Ordered(host), value) => {
-            Record::Ordered(host, value.map(|v| serde_json::from_slice(v).expect("a holder's name")))
+            Record::HostOrderMark(host, value.map(|v| serde_json::from_slice(v).expect("a holder's name")))
         }
     }
 }
@@ -342,10 +352,10 @@
     assert_eq!((&wave.ordered["m-1"], &wave.ordered["m-2"]), (&Some("w-1@5".to_string()), &None));
     assert!(wave.down.contains("m-1") && wave.finished.contains("m-3"));
     let Record::Worker(id, worker) = state_of("worker-w-1@1700000000000") else { panic!("another record") };
-    assert_eq!((id.name(), id.started()), ("w-1", Some(1_700_000_000_000)));
+    assert_eq!((id.name(), id.started_at()), ("w-1", Some(1_700_000_000_000)));
     assert_eq!((worker.address.as_str(), worker.service.as_str()), ("10.0.1.1:9000", "till"));
     assert_eq!((worker.host.as_str(), worker.data_centre.as_str()), ("m-1", "north"));
-    let Record::Ordered(host, holder) = state_of("ordered-m-1") else { panic!("another record") };
+    let Record::HostOrderMark(host, holder) = state_of("ordered-m-1") else { panic!("another record") };
     assert_eq!((host.as_str(), holder.as_deref()), ("m-1", Some("entry-4")));
 }
 
@@ -369,7 +379,7 @@
         assert_eq!((job.outcome, over.work, over.accepted), (Some(outcome), work, 1_700_000_000_789));
         assert_eq!((over.queue.as_str(), over.service.as_str()), ("desk", "till"));
         assert_eq!((over.room.cpu_millis, over.room.mem_mb, over.room.gpus), (1_500, 2_048, 2));
-        assert_eq!(over.owner, Owner::of(Some("team-a")));
+        assert_eq!(over.owner, Owner::of_workspace(Some("team-a")));
     }
 }
 
@@ -378,16 +388,16 @@
     let tasks = &job.rounds[0][0];
     assert_eq!((tasks.len(), tasks[0].done, tasks[1].done), (5, true, false));
     assert_eq!(tasks[1].runs, [("w-1@1700000000000".into(), 1)].into());
-    assert_eq!((tasks[2].attempt, tasks[3].attempt, tasks[3].given_up), (2, 3, true));
+    assert_eq!((tasks[2].latest_attempt, tasks[3].latest_attempt, tasks[3].given_up), (2, 3, true));
     let full = &tasks[4];
-    assert_eq!((full.attempt, full.checkpoint.as_str()), (9, "c-5"));
-    assert_eq!((&full.failed, &full.evicted), (&[1, 2].into(), &[6].into()));
+    assert_eq!((full.latest_attempt, full.checkpoint.as_str()), (9, "c-5"));
+    assert_eq!((&full.failed_attempts, &full.evicted_attempts), (&[1, 2].into(), &[6].into()));
     let runs: Vec<_> = full.runs.iter().map(|(worker, attempt)| (worker.as_str(), *attempt)).collect();
     assert_eq!(runs, [("w-2", 6), ("w-3", 7)]);
-    let crash = |evidence, within| Crash { evidence, within };
-    assert_eq!(full.crashes.0[&3], crash(Evidence::Explains, Some(millis(40))));
-    assert_eq!(full.crashes.0[&4], crash(Evidence::Beside, Some(millis(0))));
-    assert_eq!(full.crashes.0[&5], crash(Evidence::Supposed, None));
+    let crash = |evidence, max_run_time| CrashRecord { evidence, max_run_time };
+    assert_eq!(full.crashes.0[&3], crash(Evidence::LikelyCause, Some(millis(40))));
+    assert_eq!(full.crashes.0[&4], crash(Evidence::Bystander, Some(millis(0))));
+    assert_eq!(full.crashes.0[&5], crash(Evidence::Unconfirmed, None));
 }
 
 fn inbox_spec(key: &str) -> JobSpec {
@@ -418,17 +428,20 @@
 fn check_spec(spec: &JobSpec) {
     assert_eq!((spec.queue.as_str(), spec.service.as_str()), ("desk", "till"));
     assert_eq!((spec.workspace.as_deref(), spec.priority, spec.max_attempts), (Some("team-a"), 5, 6));
-    assert_eq!((spec.text.as_ref(), spec.accepted), ("run this \"text\"", 1_700_000_000_321));
+    assert_eq!((spec.text.as_ref(), spec.accepted_at), ("run this \"text\"", 1_700_000_000_321));
     let repeat = spec.repeat.expect("rounds");
-    assert_eq!((repeat.count, repeat.start, repeat.every), (4, 1_700_000_060_000, millis(90_000)));
+    assert_eq!((repeat.count, repeat.first_due_at, repeat.interval), (4, 1_700_000_060_000, millis(90_000)));
     let step = &spec.steps[2];
-    assert_eq!((step.room.cpu_millis, step.room.mem_mb, step.room.gpus), (500, 256, 1));
-    assert_eq!((step.count, step.most_per_worker, step.may_miss), (3, 2, 4));
-    assert_eq!((step.estimate, step.target, &step.after), (millis(1_250), Some(millis(350)), &vec![0, 1]));
-    let texts = [&step.label, &step.near, &step.image].map(|t| t.as_deref());
+    assert_eq!((step.resources.cpu_millis, step.resources.mem_mb, step.resources.gpus), (500, 256, 1));
+    assert_eq!((step.count, step.max_per_worker, step.max_unavailable), (3, 2, 4));
+    assert_eq!(
+        (step.estimate, step.latency_target, &step.after),
+        (millis(1_250), Some(millis(350)), &vec![0, 1])
+    );
+    let texts = [&step.label, &step.data_rack, &step.image].map(|t| t.as_deref());
     assert_eq!(texts, [Some("ssd"), Some("north-r1"), Some("img:7")]);
     assert!(step.checkpointing && step.gang && step.same_rack);
-    assert!(step.speculative && step.lasting && step.fills);
+    assert!(step.speculative && step.long_running && step.best_effort);
 }
 
 /// Jobs and their state as versions before this one have stored them, in JSON.
@@ -475,17 +488,22 @@
 #[test]
 fn log_envelope() {
     let env: Envelope = read_back(whole(LOG_ENVELOPE));
-    assert_eq!((env.v, env.from.as_str(), env.seq, env.at), (1, "entry-1#1", 12, 1_764_640_000_123));
+    assert_eq!(
+        (env.format_version, env.sender.as_str(), env.seq, env.written_at),
+        (1, "entry-1#1", 12, 1_764_640_000_123)
+    );
     assert_eq!(env.records.len(), 34);
     let known = env.records.iter().position(|r| matches!(r, LogRecord::Unknown(_)));
     assert_eq!(known, Some(33), "only the last record is of an unknown kind");
     let LogRecord::Apply { id, base, author, file } = &env.records[0] else { panic!("another record") };
     assert_eq!((id.as_str(), *base, author.as_str()), ("c-1", 4, "ann"));
     check_fleet(file);
-    let LogRecord::Take { duty, holder, term, seen } = &env.records[1] else { panic!("another record") };
-    assert_eq!((*duty, holder.as_str(), *term, *seen), (Duty::Planner, "entry-1#1", 5, 6));
-    assert!(matches!(env.records[2], LogRecord::Renew { duty: Duty::Checkpointer, term: 7 }));
-    assert!(matches!(env.records[3], LogRecord::GiveUp { duty: Duty::Planner, term: 8 }));
+    let LogRecord::Take { role, holder, term, seen_renewals } = &env.records[1] else {
+        panic!("another record")
+    };
+    assert_eq!((*role, holder.as_str(), *term, *seen_renewals), (Role::Planner, "entry-1#1", 5, 6));
+    assert!(matches!(env.records[2], LogRecord::Renew { role: Role::Checkpointer, term: 7 }));
+    assert!(matches!(env.records[3], LogRecord::GiveUp { role: Role::Planner, term: 8 }));
     check_host_records(&env.records[5..18]);
     let LogRecord::Claim { digest, last_moment, deferred, .. } = &env.records[22] else {
         panic!("another record")
@@ -493,27 +511,33 @@
     let deferred = deferred.as_ref().expect("a deferred request");
     assert_eq!((*digest, *last_moment, deferred.repeatable), (15, 16, true));
     assert_eq!((deferred.method.as_str(), deferred.path.as_str()), ("POST", "/d?x=1"));
-    let LogRecord::Finish { end, .. } = &env.records[24] else { panic!("another record") };
-    assert_eq!(*end, End::Answered { status: 200, body: Some("b2s=".to_string()) });
+    let LogRecord::Finish { outcome, .. } = &env.records[24] else { panic!("another record") };
+    assert_eq!(*outcome, AttemptOutcome::Answered { status: 200, body: Some("b2s=".to_string()) });
 }
 
-/// Records of one host, a record for each step.
+/// Records of one host, a record for each change.
 fn check_host_records(records: &[LogRecord]) {
-    let steps = records.iter().map(|r| match r {
-        LogRecord::Host { term: 10, generation: 11, step, .. } => step,
+    let changes = records.iter().map(|r| match r {
+        LogRecord::Host { term: 10, generation: 11, change, .. } => change,
         other => panic!("{other:?}"),
     });
-    let steps: Vec<&HostStep> = steps.collect();
-    assert!(matches!(steps[0], HostStep::Seen { cpus: 16, memory_gib: 64, accelerators: 2, .. }));
-    assert_eq!((steps[1], steps[2]), (&HostStep::Health { up: true }, &HostStep::Foreign { foreign: true }));
+    let changes: Vec<&HostChange> = changes.collect();
+    assert!(matches!(changes[0], HostChange::Seen { cpus: 16, memory_gib: 64, accelerators: 2, .. }));
+    assert_eq!(
+        (changes[1], changes[2]),
+        (&HostChange::Health { up: true }, &HostChange::Foreign { foreign: true })
+    );
     let moved = DrainReason::Move { to: "batch".to_string() };
-    assert_eq!(*steps[4], HostStep::Drain { reason: moved });
+    assert_eq!(*changes[4], HostChange::Drain { reason: moved });
     let maintained = DrainReason::Maintain { name: "kernel".to_string() };
-    assert_eq!(*steps[5], HostStep::Drain { reason: maintained });
-    assert_eq!(*steps[6], HostStep::Drain { reason: DrainReason::Release });
-    assert_eq!((steps[7], steps[8], steps[9]), (&HostStep::Drained, &HostStep::Undrain, &HostStep::Flip));
-    assert_eq!(*steps[10], HostStep::Reboot { boot: "b-1".to_string() });
-    assert_eq!((steps[11], steps[12]), (&HostStep::Return, &HostStep::Forget));
+    assert_eq!(*changes[5], HostChange::Drain { reason: maintained });
+    assert_eq!(*changes[6], HostChange::Drain { reason: DrainReason::Release });
+    assert_eq!(
+        (changes[7], changes[8], changes[9]),
+        (&HostChange::Drained, &HostChange::Undrain, &HostChange::Flip)
+    );
+    assert_eq!(*changes[10], HostChange::Reboot { boot: "b-1".to_string() });
+    assert_eq!((changes[11], changes[12]), (&HostChange::Return, &HostChange::Forget));
 }
 
 /// A process that starts takes a state over that another version has written.
@@ -523,24 +547,24 @@
     let state = State::from_text(text).expect("a state");
     assert_eq!(state.text(), text);
     let file = &state.files["shop"];
-    assert_eq!((file.version, file.offset, file.change.as_str(), file.digest), (3, 60, "c-1", 61));
+    assert_eq!((file.version, file.offset, file.change_id.as_str(), file.digest), (3, 60, "c-1", 61));
     check_fleet(&file.file);
-    let lease = &state.leases[&Duty::Checkpointer];
+    let lease = &state.leases[&Role::Checkpointer];
     assert_eq!((&lease.holder, lease.term, lease.renewals), (&None, 7, 8));
     let host = &state.hosts["h-6"];
-    assert_eq!((host.generation, host.offset, host.since), (106, 206, 306));
-    assert_eq!((host.pool_generation, host.act_generation), (406, 506));
-    let rebooting = Phase::Rebooting { name: "kernel".to_string(), boot: "b-1".to_string() };
+    assert_eq!((host.generation, host.changed_at_offset, host.changed_at), (106, 206, 306));
+    assert_eq!((host.pool_generation, host.action_generation), (406, 506));
+    let rebooting = HostPhase::Rebooting { name: "kernel".to_string(), boot: "b-1".to_string() };
     assert_eq!((&host.phase, host.maintained.len()), (&rebooting, 1));
-    assert!(matches!(state.hosts["h-4"].phase, Phase::Drained(DrainReason::Release)));
+    assert!(matches!(state.hosts["h-4"].phase, HostPhase::Drained(DrainReason::Release)));
     let key = &state.keys["order-1"];
     assert_eq!((key.digest, key.last_moment, key.attempts), (601, 1_764_640_000_001, 3));
     assert_eq!(key.state, KeyState::Running { holder: "entry-1#1".to_string() });
     let job = &state.jobs["report-3"];
-    assert_eq!((&job.phase, job.token, job.since), (&JobPhase::Failed, 63, 64));
+    assert_eq!((&job.phase, job.token, job.changed_at), (&JobPhase::Failed, 63, 64));
     assert_eq!((job.failures, job.losses, state.jobs["report-0"].losses), (1, 3, 0));
-    assert_eq!((state.unknown, state.host_moves, state.instance_moves), (66, 67, 68));
-    assert_eq!((state.next, state.roster_generation), (70, 9));
+    assert_eq!((state.unknown_records, state.host_moves, state.instance_moves), (66, 67, 68));
+    assert_eq!((state.next_offset, state.roster_generation), (70, 9));
 }
 
 /// The checkpoint of a state has another digest, or can't be put together.
@@ -548,13 +572,20 @@
 fn fold_checkpoint() {
     let mut state = State::from_text(whole(FOLD_STATE)).expect("a state");
     let holder = "entry-1#1".to_string();
-    let take = LogRecord::Take { duty: Duty::Checkpointer, holder: holder.clone(), term: 8, seen: 8 };
+    let take =
+        LogRecord::Take { role: Role::Checkpointer, holder: holder.clone(), term: 8, seen_renewals: 8 };
     let records = vec![take, LogRecord::Mark { term: 8 }];
-    let env = Envelope { v: FORMAT, from: holder, seq: 66, at: 1_764_640_000_500, records };
+    let env = Envelope {
+        format_version: FORMAT_VERSION,
+        sender: holder,
+        seq: 66,
+        written_at: 1_764_640_000_500,
+        records,
+    };
     assert_eq!(state.fold(70, &env), [Ok(()), Ok(())]);
     let written: Vec<String> = state.checkpoint().iter().map(to_json).collect();
     assert_eq!(written, [whole(FOLD_CHECKPOINT)]);
-    let read = Assembler::default().take(&read_back(whole(FOLD_CHECKPOINT)));
+    let read = CheckpointAssembler::default().add(&read_back(whole(FOLD_CHECKPOINT)));
     assert_eq!(read.expect("the one part is the whole state").text(), state.text());
 }
 
@@ -594,14 +625,17 @@
     assert_eq!((s.host_orders_per_s, s.early_ms), (65.5, 104));
     assert_eq!((s.keep_ended_s, s.stop_within_s), (120.5, 6.25));
     let p = &s.policy;
-    assert_eq!((p.order.enough_ends, p.order.shares), (9, ShareOrder::Excess));
-    assert_eq!((p.placement.most_misses, p.need.turn_jobs, p.pools.margin), (9, 4, 0.01875));
-    assert_eq!((p.waves.ahead, p.health.shun_one_of), (millis(4_007), 4));
-    assert_eq!((p.crashes.suspect_after, p.pace.step, p.calls.help), (4, 16, false));
-    assert_eq!((p.advice.helpers, p.relays.most_workers), (6, 101));
+    assert_eq!((p.order.min_ends, p.order.share_order), (9, ShareOrder::Excess));
+    assert_eq!((p.placement.max_misses, p.need.surge_min_jobs, p.pools.margin), (9, 4, 0.01875));
+    assert_eq!((p.waves.lead_time, p.health.shun_one_of), (millis(4_007), 4));
+    assert_eq!(
+        (p.crashes.suspect_after_crashes, p.pace.step_percent, p.calls.write_for_others),
+        (4, 16, false)
+    );
+    assert_eq!((p.advice.helpers, p.relays.max_workers), (6, 101));
     for (name, order) in [("plain", ShareOrder::Plain), ("dominant", ShareOrder::Dominant)] {
         let other = whole(JOB_SETTINGS).replace("\"excess\"", &format!("\"{name}\""));
-        assert_eq!(read_back::<JobSettings>(&other).policy.order.shares, order);
+        assert_eq!(read_back::<JobSettings>(&other).policy.order.share_order, order);
     }
 }
 
@@ -616,14 +650,17 @@
     let budget = &service.budget;
     assert_eq!((budget.min_available, budget.max_unavailable_per_data_centre), (2, Some(1)));
     assert!(budget.reserve_rack);
-    let classes: Vec<Class> = service.routes.iter().map(|r| r.class).collect();
-    assert_eq!(classes, Class::ALL);
+    let classes: Vec<PriorityClass> = service.routes.iter().map(|r| r.class).collect();
+    assert_eq!(classes, PriorityClass::ALL);
     let m = &file.maintenance[0];
     assert_eq!((m.duration, m.start, m.deadline), (millis(600_000), 1_764_640_800_000, 1_764_900_000_000));
-    assert_eq!((m.keep_clear[0].from, m.keep_clear[0].to), (1_764_700_000_000, 1_764_710_000_000));
+    assert_eq!(
+        (m.blackout_windows[0].from, m.blackout_windows[0].to),
+        (1_764_700_000_000, 1_764_710_000_000)
+    );
     assert_eq!((m.max_parallel, m.paused), (4, true));
     assert_eq!((file.teams[0].quota_cpus, file.jobs[0].cpus, file.jobs[0].memory_gib), (40, 3, 6));
-    assert_eq!((file.jobs[0].class, file.jobs[0].repeatable), (Class::Later, true));
+    assert_eq!((file.jobs[0].class, file.jobs[0].repeatable), (PriorityClass::Later, true));
 }
 
 fn example(name: &str) -> String {
@@ -716,8 +753,8 @@
         assert_eq!(from_json::<Code>(json), *code);
     }
     assert_eq!(
-        read_back::<[Ran; 3]>(r#"["run","not-run","unknown"]"#),
-        [Ran::Run, Ran::NotRun, Ran::Unknown]
+        read_back::<[ExecutionStatus; 3]>(r#"["run","not-run","unknown"]"#),
+        [ExecutionStatus::Run, ExecutionStatus::NotRun, ExecutionStatus::Unknown]
     );
 }
 
@@ -725,29 +762,29 @@
 #[test]
 fn waves_and_budgets() {
     let at = |day: u32| format!("2026-12-0{day}T02:00:00Z");
-    let stops = [
-        Stop::Finished,
-        Stop::Paused,
-        Stop::NotYet { start: at(2) },
-        Stop::Deadline { deadline: at(3) },
-        Stop::KeepClear { from: at(4) },
-        Stop::Canary { host: "h-1".to_string() },
-        Stop::Unwell { host: "h-2".to_string() },
-        Stop::Budget { service: "shop".to_string() },
-        Stop::MaxParallel,
-        Stop::HostsMissing { host: "h-3".to_string() },
-        Stop::Running,
+    let states = [
+        WaveState::Finished,
+        WaveState::Paused,
+        WaveState::NotYet { start: at(2) },
+        WaveState::Deadline { deadline: at(3) },
+        WaveState::KeepClear { from: at(4) },
+        WaveState::Canary { host: "h-1".to_string() },
+        WaveState::Unwell { host: "h-2".to_string() },
+        WaveState::Budget { service: "shop".to_string() },
+        WaveState::MaxParallel,
+        WaveState::HostsMissing { host: "h-3".to_string() },
+        WaveState::Running,
     ];
-    let wave = |(n, stop)| WaveStatus {
+    let wave = |(n, state)| WaveStatus {
         name: format!("wave-{n}"),
         done: 1,
         away: vec!["h-4".to_string()],
-        left: 2,
-        stop,
+        remaining: 2,
+        state,
     };
-    let waves: Vec<WaveStatus> = stops.into_iter().enumerate().map(wave).collect();
+    let waves: Vec<WaveStatus> = states.into_iter().enumerate().map(wave).collect();
     assert_eq!(to_json(&waves), text(OPERATORS, "waves"));
-    let budget = Stance { service: "shop".to_string(), available: 3, min_available: 2, slack: -1 };
+    let budget = BudgetStatus { service: "shop".to_string(), available: 3, min_available: 2, slack: -1 };
     assert_eq!(to_json(&[budget]), text(OPERATORS, "budgets"));
 }
 
@@ -756,21 +793,21 @@
 fn platform_api() {
     let read: ReadReply = read_back(text(PLATFORM, "read"));
     assert_eq!((read.first, read.head, read.records[0].offset), (3, 9, 4));
-    let acts: Vec<Act> = read_back(text(PLATFORM, "acts"));
+    let actions: Vec<HostAction> = read_back(text(PLATFORM, "acts"));
     let (host, task) = ("h-1".to_string(), "shop/1".to_string());
-    assert_eq!(acts[0], Act::SetPool { host: host.clone(), pool: "web".to_string(), token: 1 });
-    assert_eq!(acts[1], Act::Drain { host: host.clone(), token: 2 });
-    assert_eq!(acts[2], Act::Undrain { host: host.clone(), token: 3 });
-    assert_eq!(acts[3], Act::Reboot { host: host.clone(), boot: "b-1".to_string(), token: 4 });
-    assert_eq!(acts[4], Act::Start { host: host.clone(), task: task.clone(), token: 5 });
-    assert_eq!(acts[5], Act::Stop { host, task, token: 6 });
-    let seen: Seen = read_back(text(PLATFORM, "hosts"));
-    let states = ["h-1", "h-2", "h-3"].map(|h| seen.hosts[h].state);
+    assert_eq!(actions[0], HostAction::SetPool { host: host.clone(), pool: "web".to_string(), token: 1 });
+    assert_eq!(actions[1], HostAction::Drain { host: host.clone(), token: 2 });
+    assert_eq!(actions[2], HostAction::Undrain { host: host.clone(), token: 3 });
+    assert_eq!(actions[3], HostAction::Reboot { host: host.clone(), boot: "b-1".to_string(), token: 4 });
+    assert_eq!(actions[4], HostAction::Start { host: host.clone(), task: task.clone(), token: 5 });
+    assert_eq!(actions[5], HostAction::Stop { host, task, token: 6 });
+    let observed: ObservedFleet = read_back(text(PLATFORM, "hosts"));
+    let states = ["h-1", "h-2", "h-3"].map(|h| observed.hosts[h].state);
     assert_eq!(states, [HostState::Live, HostState::Leaving, HostState::Down]);
-    let host = &seen.hosts["h-1"];
+    let host = &observed.hosts["h-1"];
     assert_eq!((host.draining, host.drained, host.token), (true, true, 8));
     assert_eq!(
-        (host.tasks[0].ended, host.tasks[1].ended, host.tasks[1].used_millis),
+        (host.tasks[0].ended, host.tasks[1].ended, host.tasks[1].used_millicores),
         (None, Some(true), 1_500)
     );
 }
@@ -850,9 +887,9 @@
         async { appended }.boxed()
     }
 
-    fn newest(&self, topic: Topic) -> BoxFuture<'_, Result<Newest, StoreError>> {
+    fn latest(&self, topic: Topic) -> BoxFuture<'_, Result<LatestRecords, StoreError>> {
         let tail = self.read(topic, 0);
-        async { tail.map(|t| Newest { records: t.records, next: t.next }) }.boxed()
+        async { tail.map(|t| LatestRecords { records: t.records, next: t.next }) }.boxed()
     }
 
     fn tail(&self, topic: Topic, from: Offset, wait: Duration) -> BoxFuture<'_, Result<Tail, StoreError>> {
@@ -863,19 +900,19 @@
         .boxed()
     }
 
-    fn operator_item(&self, _: &KeyedRecord) -> Result<Option<OperatorItem>, String> {
+    fn parse_operator_record(&self, _: &KeyedRecord) -> Result<Option<OperatorRecord>, String> {
         Ok(None)
     }
 
-    fn worker_info(&self, _: &KeyedRecord) -> Result<WorkerInfo, String> {
+    fn parse_worker_info(&self, _: &KeyedRecord) -> Result<WorkerInfo, String> {
         Err("no workers here".to_string())
     }
 
-    fn wave_status(&self, number: u64, _: bool) -> KeyedRecord {
+    fn wave_status_record(&self, number: u64, _: bool) -> KeyedRecord {
         drop_record(number.to_string())
     }
 
-    fn look<'a>(
+    fn poll_worker<'a>(
         &'a self,
         _: &'a WorkerAddress,
         _: Term,
@@ -886,7 +923,7 @@
         no_worker()
     }
 
-    fn start<'a>(
+    fn start_task<'a>(
         &'a self,
         _: &'a WorkerAddress,
         _: Term,
@@ -895,7 +932,7 @@
         no_worker()
     }
 
-    fn stop<'a>(
+    fn stop_task<'a>(
         &'a self,
         _: &'a WorkerAddress,
         _: Term,
@@ -905,7 +942,7 @@
         no_worker()
     }
 
-    fn pace<'a>(
+    fn throttle_task<'a>(
         &'a self,
         _: &'a WorkerAddress,
         _: Term,
@@ -920,11 +957,11 @@
         async { AdviceReply::NotSent }.boxed()
     }
 
-    fn hosts(&self) -> BoxFuture<'_, Result<Vec<Host>, StoreError>> {
+    fn list_hosts(&self) -> BoxFuture<'_, Result<Vec<Host>, StoreError>> {
         async { Err(not_done()) }.boxed()
     }
 
-    fn upkeep(&self, _: &str, _: Term, _: HostId, _: u64) -> BoxFuture<'_, HostReply> {
+    fn maintain_host(&self, _: &str, _: Term, _: HostId, _: u64) -> BoxFuture<'_, HostReply> {
         async { HostReply::Later }.boxed()
     }
 
@@ -990,7 +1027,7 @@
         state,
         data_centre: "north".to_string(),
         labels: Vec::new(),
-        capacity: Room::default(),
+        capacity: Resources::default(),
         worker: None,
     }
 }
@@ -1010,7 +1047,7 @@
         inbox: records(INBOX),
         state: records(SCHEDULER_STATE),
         workers: vec![keyed(("w-9", "\"no worker\""))],
-        published: vec![platform.wave_status(12, true)],
+        published: vec![platform.wave_status_record(12, true)],
         hosts: Ok(states.map(|state| host("m-1", state)).into()),
     };
     assert_eq!(to_json(&sum(&platform, &seen)), text(JOBS_SHOWN, "status"));
@@ -1041,12 +1078,12 @@
 #[test]
 fn debug_names_in_status() {
     assert_eq!(debug(&[Liveness::Alive, Liveness::Suspect, Liveness::Dead]), ["Alive", "Suspect", "Dead"]);
-    assert_eq!(debug(&Duty::ALL), ["Planner", "Checkpointer"]);
-    let stops = [
-        Stop::Deadline { deadline: "d".to_string() },
-        Stop::Unwell { host: "h".to_string() },
-        Stop::Budget { service: "s".to_string() },
-        Stop::HostsMissing { host: "h".to_string() },
+    assert_eq!(debug(&Role::ALL), ["Planner", "Checkpointer"]);
+    let states = [
+        WaveState::Deadline { deadline: "d".to_string() },
+        WaveState::Unwell { host: "h".to_string() },
+        WaveState::Budget { service: "s".to_string() },
+        WaveState::HostsMissing { host: "h".to_string() },
     ];
     let written = [
         r#"Deadline { deadline: "d" }"#,
@@ -1054,13 +1091,19 @@
         r#"Budget { service: "s" }"#,
         r#"HostsMissing { host: "h" }"#,
     ];
-    assert_eq!(debug(&stops), written);
-    let voids = [Void::Term, Void::Generation, Void::Phase, Void::Missing, Void::Budget("s".to_string())];
-    assert_eq!(debug(&voids), ["Term", "Generation", "Phase", "Missing", r#"Budget("s")"#]);
-    let voids = [Void::KeyTaken, Void::Expired, Void::Unknown, Void::Repeated];
-    assert_eq!(debug(&voids), ["KeyTaken", "Expired", "Unknown", "Repeated"]);
-    let stale = Void::Stale { version: 1, author: "a".to_string() };
-    let claimed = Void::Claimed { what: "w".to_string(), file: "f".to_string() };
+    assert_eq!(debug(&states), written);
+    let rejections = [
+        Rejection::Term,
+        Rejection::Generation,
+        Rejection::Phase,
+        Rejection::Missing,
+        Rejection::Budget("s".to_string()),
+    ];
+    assert_eq!(debug(&rejections), ["Term", "Generation", "Phase", "Missing", r#"Budget("s")"#]);
+    let rejections = [Rejection::KeyTaken, Rejection::Expired, Rejection::Unknown, Rejection::Repeated];
+    assert_eq!(debug(&rejections), ["KeyTaken", "Expired", "Unknown", "Repeated"]);
+    let stale = Rejection::Stale { version: 1, author: "a".to_string() };
+    let claimed = Rejection::Claimed { what: "w".to_string(), file: "f".to_string() };
     let written = [r#"Stale { version: 1, author: "a" }"#, r#"Claimed { what: "w", file: "f" }"#];
     assert_eq!(debug(&[stale, claimed]), written);
 }
@@ -1100,14 +1143,14 @@
 #[test]
 fn debug_names_of_decisions() {
     let env: Envelope = from_json(whole(LOG_ENVELOPE));
-    let step = |r: &LogRecord| match r {
-        LogRecord::Host { step, .. } => Some(format!("{step:?}")),
-        LogRecord::Instance { step, .. } => Some(format!("{step:?}")),
-        LogRecord::Job { step, .. } => Some(format!("{step:?}")),
+    let change = |r: &LogRecord| match r {
+        LogRecord::Host { change, .. } => Some(format!("{change:?}")),
+        LogRecord::Instance { change, .. } => Some(format!("{change:?}")),
+        LogRecord::Job { change, .. } => Some(format!("{change:?}")),
         _ => None,
     };
-    let steps: Vec<String> = env.records.iter().filter_map(step).collect();
-    let acts: Vec<Act> = from_json(text(PLATFORM, "acts"));
-    let written: Vec<String> = steps.into_iter().chain(debug(&acts)).collect();
+    let changes: Vec<String> = env.records.iter().filter_map(change).collect();
+    let actions: Vec<HostAction> = from_json(text(PLATFORM, "acts"));
+    let written: Vec<String> = changes.into_iter().chain(debug(&actions)).collect();
     assert_eq!(written, DECISIONS.lines().collect::<Vec<_>>());
 }
