--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -22,8 +22,8 @@
 use workswood::ops::jobs::record::{
     InboxItem, StateKey, cancel_record, drop_record, inbox_key, job_record, state_key, state_record,
 };
-use workswood::ops::jobs::relay::order::{Order, What};
-use workswood::ops::jobs::relay::wire::{read_news, read_orders, write_news, write_orders};
+use workswood::ops::jobs::relay::codec::{read_event, read_orders, write_events, write_orders};
+use workswood::ops::jobs::relay::messages::{WorkerEvent, WorkerOrder};
 use workswood::ops::jobs::{Node, job_spec, job_state, lease, peers};
 use workswood::ops::model;
 use workswood::ops::model::compare::{Gain, Variant};
@@ -224,20 +224,20 @@
     let written = RelayOrders { orders: write_orders(orders.clone()), ..m.clone() };
     assert_eq!(to_hex(&written.encode_to_vec()), to_hex(&m.encode_to_vec()));
     assert_eq!(orders.iter().map(|(n, _)| *n).collect::<Vec<_>>(), (11..20).collect::<Vec<_>>());
-    let Order::Attend { worker, token } = &orders[0].1 else { panic!("{:?}", orders[0]) };
+    let WorkerOrder::Assign { worker, token } = &orders[0].1 else { panic!("{:?}", orders[0]) };
     assert_eq!((worker.id.name(), worker.id.started_at(), *token), ("w-1", Some(1_700_000_000_123), 77));
     assert_eq!((worker.address.as_str(), worker.data_centre.as_str()), ("10.0.1.1:9000", "north"));
-    let Order::Attend { worker, .. } = &orders[1].1 else { panic!("{:?}", orders[1]) };
+    let WorkerOrder::Assign { worker, .. } = &orders[1].1 else { panic!("{:?}", orders[1]) };
     assert_eq!(worker.id.started_at(), None);
-    assert_eq!((&orders[2].1, &orders[3].1), (&Order::Leave, &Order::Forget(19)));
-    assert_eq!(orders[4].1, Order::Figures(true));
-    let Order::Start(start) = &orders[5].1 else { panic!("{:?}", orders[5]) };
-    assert_eq!((start.task, start.attempt, start.text.as_ref()), (task(), 4, "run this"));
+    assert_eq!((&orders[2].1, &orders[3].1), (&WorkerOrder::Unassign, &WorkerOrder::AckEnds(19)));
+    assert_eq!(orders[4].1, WorkerOrder::ReportLoad(true));
+    let WorkerOrder::Start(start) = &orders[5].1 else { panic!("{:?}", orders[5]) };
+    assert_eq!((start.task, start.attempt, start.spec.as_ref()), (task(), 4, "run this"));
     assert_eq!((start.checkpoint.as_str(), start.ticket.as_deref()), ("c-17", Some("ticket-1")));
-    let Order::Start(start) = &orders[6].1 else { panic!("{:?}", orders[6]) };
-    assert_eq!((start.text.as_ref(), &start.ticket), ("run this", &None));
-    assert_eq!(orders[7].1, Order::Stop { task: task(), attempt: 5 });
-    assert_eq!(orders[8].1, Order::Pace { task: task(), attempt: 6, percent: 45 });
+    let WorkerOrder::Start(start) = &orders[6].1 else { panic!("{:?}", orders[6]) };
+    assert_eq!((start.spec.as_ref(), &start.ticket), ("run this", &None));
+    assert_eq!(orders[7].1, WorkerOrder::Stop { task: task(), attempt: 5 });
+    assert_eq!(orders[8].1, WorkerOrder::Throttle { task: task(), attempt: 6, percent: 45 });
 }
 
 fn check_report(report: &Report) {
@@ -255,9 +255,11 @@
 }
 
 /// What a relay told to be read as this: the rest of a lease is written rounded up by a millisecond.
-fn as_told((number, what): (u32, What)) -> (u32, What) {
+fn as_told((number, what): (u32, WorkerEvent)) -> (u32, WorkerEvent) {
     let what = match what {
-        What::Unanswered { leased, silent } => What::Unanswered { leased: leased - millis(1), silent },
+        WorkerEvent::Unanswered { lease_left, silent_for } => {
+            WorkerEvent::Unanswered { lease_left: lease_left - millis(1), silent_for }
+        }
         other => other,
     };
     (number, what)
@@ -268,18 +270,19 @@
 fn relay_news() {
     let m = message!(RelayUpdate "relay-news");
     assert_eq!((m.heartbeat, m.stopping), (6, true));
-    let news: Vec<_> = m.updates.iter().map(|n| read_news(n.clone()).expect("news that are known")).collect();
+    let news: Vec<_> =
+        m.updates.iter().map(|n| read_event(n.clone()).expect("news that are known")).collect();
     let told = news.iter().cloned().map(as_told).collect();
-    let written = RelayUpdate { updates: write_news(told), ..m.clone() };
+    let written = RelayUpdate { updates: write_events(told), ..m.clone() };
     assert_eq!(to_hex(&written.encode_to_vec()), to_hex(&m.encode_to_vec()));
     assert_eq!(news.iter().map(|(n, _)| *n).collect::<Vec<_>>(), (21..37).collect::<Vec<_>>());
-    let What::Reported(report) = &news[0].1 else { panic!("{:?}", news[0]) };
+    let WorkerEvent::Reported(report) = &news[0].1 else { panic!("{:?}", news[0]) };
     check_report(report);
-    assert_eq!(news[1].1, What::Doubted);
-    assert_eq!(news[2].1, What::Unanswered { leased: millis(1_501), silent: millis(900) });
-    assert_eq!(news[3].1, What::LifeOver(millis(901)));
-    assert_eq!(news[4].1, What::Restarted(1_700_000_000_456, millis(902)));
-    assert_eq!(news[5].1, What::Fenced);
+    assert_eq!(news[1].1, WorkerEvent::ReplyLate);
+    assert_eq!(news[2].1, WorkerEvent::Unanswered { lease_left: millis(1_501), silent_for: millis(900) });
+    assert_eq!(news[3].1, WorkerEvent::IncarnationEnded(millis(901)));
+    assert_eq!(news[4].1, WorkerEvent::Restarted(1_700_000_000_456, millis(902)));
+    assert_eq!(news[5].1, WorkerEvent::Fenced);
     let replies = [
         StartReply::Taken,
         StartReply::Refused,
@@ -291,10 +294,10 @@
         StartReply::Deposed,
     ];
     for (reply, (_, what)) in replies.into_iter().zip(&news[6..14]) {
-        assert_eq!(*what, What::Started { task: task(), attempt: 11, reply });
+        assert_eq!(*what, WorkerEvent::Started { task: task(), attempt: 11, reply });
     }
-    assert_eq!(news[14].1, What::Stopped { task: task(), attempt: 12, reply: StopReply::Taken });
-    assert_eq!(news[15].1, What::Stopped { task: task(), attempt: 13, reply: StopReply::NoAnswer });
+    assert_eq!(news[14].1, WorkerEvent::Stopped { task: task(), attempt: 12, reply: StopReply::Taken });
+    assert_eq!(news[15].1, WorkerEvent::Stopped { task: task(), attempt: 13, reply: StopReply::NoAnswer });
 }
 
 /// A line of a file as a record of the store: JSON, bytes in hex, or that its key is dropped.
