--- a/src/workswood/ops/entry/dispatch.rs
+++ b/src/workswood/ops/entry/dispatch.rs
@@ -383,7 +383,7 @@
             .into_iter()
             .map(|l| Loan { id: l.id, peer: peer.clone(), endpoint: l.endpoint })
             .collect();
-        node.metrics.loans.inc_by(loans.len() as u64);
+        node.metrics.borrowed_slots.inc_by(loans.len() as u64);
         dispatcher.apply(node, |d, now| d.accept_loans(now, loans));
     }
 }
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -248,7 +248,7 @@
 }
 
 async fn perform_action(node: &Node, action: &HostAction) {
-    node.metrics.acts.inc();
+    node.metrics.platform_actions.inc();
     match node.platform.act(action).await {
         Ok(()) => log::info!(target: DECISION, "event=act host={} act={action:?}", action.host()),
         // A later round finds from the platform's list whether the action took effect.
--- a/src/workswood/ops/entry/log_appender.rs
+++ b/src/workswood/ops/entry/log_appender.rs
@@ -217,7 +217,7 @@
         match node.platform.append(body.clone()).await {
             Ok(offset) => {
                 node.metrics.appends.inc();
-                node.metrics.records.inc_by(envelope.records.len() as u64);
+                node.metrics.appended_records.inc_by(envelope.records.len() as u64);
                 announce_head(node, offset);
                 sent = true;
                 if wait_until_folded(node, envelope.seq, READ_BACK_TIMEOUT).await {
--- a/src/workswood/ops/entry/log_reader.rs
+++ b/src/workswood/ops/entry/log_reader.rs
@@ -201,7 +201,7 @@
         }
         verdicts
     };
-    node.metrics.folded.inc();
+    node.metrics.folded_envelopes.inc();
     if envelope.sender == node.id {
         node.complete_append(log_record.offset, &envelope, &verdicts);
     }
@@ -217,6 +217,6 @@
     let table = Arc::new(table);
     node.table.store(table.clone());
     dispatch::update_routes(node, &table);
-    node.metrics.next.set(next as i64);
+    node.metrics.next_offset.set(next as i64);
     node.next_offset.send_replace(next);
 }
--- a/src/workswood/ops/entry/operator_api.rs
+++ b/src/workswood/ops/entry/operator_api.rs
@@ -35,8 +35,8 @@
     }
 
     fn metrics(&self) -> String {
-        self.metrics.broken.set(invariant::failed_checks() as i64);
-        self.metrics.lines_dropped.set(logs::dropped() as i64);
+        self.metrics.failed_invariants.set(invariant::failed_checks() as i64);
+        self.metrics.dropped_log_lines.set(logs::dropped() as i64);
         self.metrics.text()
     }
 }
--- a/src/workswood/ops/entry/proxy.rs
+++ b/src/workswood/ops/entry/proxy.rs
@@ -273,7 +273,7 @@
 
 /// Sends a request once, to the endpoint of a slot.
 async fn attempt(node: &Arc<Node>, request: &RoutedRequest, body: &Bytes, slot: &mut Slot) -> SendOutcome {
-    node.metrics.sends.inc();
+    node.metrics.endpoint_requests.inc();
     let req = endpoint_request(request, &slot.grant, workswood_endpoints::full_body(body.clone()));
     let timeout = request.deadline.saturating_sub(node.now());
     let answer = tokio::time::timeout(timeout, node.endpoints.call(req, MAX_BUFFERED_BODY_BYTES)).await;
@@ -339,7 +339,7 @@
         }
         None => return refusal(Code::NoEndpoint, ExecutionStatus::NotRun, None),
     };
-    node.metrics.sends.inc();
+    node.metrics.endpoint_requests.inc();
     let limited = Limited::new(body, MAX_LONG_BODY_BYTES);
     let body = limited.map_err(|e| workswood_endpoints::BodyError { text: e.to_string() }).boxed();
     let req = endpoint_request(&request, &slot.grant, body);
--- a/src/workswood/ops/jobs/advice.rs
+++ b/src/workswood/ops/jobs/advice.rs
@@ -39,7 +39,7 @@
         AdviceReply::Answered(answer) => answer.tickets.len(),
         _ => 0,
     };
-    node.metrics.advice.with_label_values(&[outcome]).inc();
+    node.metrics.advice_calls.with_label_values(&[outcome]).inc();
     log::info!(
         "event=advice step={} lane={} outcome={outcome} workers={} good={good} took_ms={} patience_ms={}",
         call.step,
@@ -80,7 +80,7 @@
     let workers: Vec<WorkerId> = asked.workers.iter().map(|id| id.as_str().into()).collect();
     let patience = Duration::from_millis(u64::from(asked.timeout_ms));
     let reply = node.platform.advise(step, &workers, patience).await;
-    node.metrics.advice.with_label_values(&[label(&reply)]).inc();
+    node.metrics.advice_calls.with_label_values(&[label(&reply)]).inc();
     log::info!("event=helped_advice step={step} outcome={} workers={}", label(&reply), workers.len());
     write(reply)
 }
--- a/src/workswood/ops/jobs/front.rs
+++ b/src/workswood/ops/jobs/front.rs
@@ -51,7 +51,7 @@
     let workspace = match caller(&cfg, queue, &req) {
         Ok(workspace) => workspace,
         Err(why) => {
-            node.metrics.keys_refused.with_label_values(&[why.label()]).inc();
+            node.metrics.rejected_keys.with_label_values(&[why.label()]).inc();
             log::info!(
                 "event=key_refused code={} reason={} queue={} version={}",
                 Code::ApiKey.number(),
@@ -135,7 +135,7 @@
 
 async fn state(node: &Arc<Node>, job: JobKey, owner: Owner) -> Response<ReplyBody> {
     let told = ask::job(node, job, owner).await;
-    node.metrics.asked.with_label_values(&[told.label()]).inc();
+    node.metrics.status_queries.with_label_values(&[told.label()]).inc();
     match told {
         Told::Known(s) => json(wire::state_body(s)),
         Told::Unknown => refusal(Code::JobUnknown, ExecutionStatus::NotRun, None),
@@ -191,8 +191,8 @@
         (node.now() - begun).as_millis(),
         node.store_silence().as_millis()
     );
-    node.metrics.handed_in.with_label_values(&[stored.label()]).inc();
-    node.metrics.hand_in_seconds.observe((node.now() - begun).as_secs_f64());
+    node.metrics.submissions.with_label_values(&[stored.label()]).inc();
+    node.metrics.submission_seconds.observe((node.now() - begun).as_secs_f64());
     stored.answer()
 }
 
--- a/src/workswood/ops/jobs/lead.rs
+++ b/src/workswood/ops/jobs/lead.rs
@@ -45,7 +45,7 @@
     let (end, ended) = watch::channel(false);
     let leading = Arc::new(Leading::new(term, node.now(), renew::GRACE, tx, end));
     node.leading.store(Some(leading.clone()));
-    node.metrics.terms.inc();
+    node.metrics.lease_terms.inc();
     node.peers.read_soon();
     log::info!("event=scheduler_started term={term}");
     tokio::spawn(supervise(node.clone(), tokio::spawn(run(node.clone(), leading, rx, ended))));
@@ -201,12 +201,12 @@
         self.know_entries();
         self.sched.handle(Event::Tick);
         let (m, tally) = (&self.node.metrics, &self.sched.counters);
-        m.lives_lost.set(tally.lives_lost as i64);
-        m.runs_lost.set(tally.runs_lost as i64);
-        m.given_up.set(tally.tasks_given_up as i64);
+        m.lost_workers.set(tally.lives_lost as i64);
+        m.lost_runs.set(tally.runs_lost as i64);
+        m.abandoned_tasks.set(tally.tasks_given_up as i64);
         let (fullest, at_work) = self.sched.workspace_limit_usage();
-        m.fullest_workspace.set((fullest * 100.0) as i64);
-        m.workspaces_at_work.set(at_work as i64);
+        m.max_workspace_usage_percent.set((fullest * 100.0) as i64);
+        m.active_workspaces.set(at_work as i64);
         if self.sched.needs_host_list() && self.node.now() > self.hosts_read + HOSTS_EVERY {
             self.hosts_read = self.node.now();
             tasks.spawn(read_hosts(self.node.clone(), self.l.clone()));
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -265,10 +265,10 @@
         m.leading.set(i64::from(self.leading.load().is_some()));
         m.lease_term.set(self.holder.load().as_ref().map_or(0, |h| h.term as i64));
         m.config_version.set(self.config.load().as_ref().map_or(0, |c| c.version as i64));
-        m.evacuated.set(self.operators.evacuations().data_centres.len() as i64);
-        m.half_open.set(self.half_open.count() as i64);
+        m.evacuated_data_centres.set(self.operators.evacuations().data_centres.len() as i64);
+        m.half_open_connections.set(self.half_open.count() as i64);
         m.store_silence_ms.set(self.store_silence().as_millis() as i64);
-        m.stood_still_ms.set(self.lag.total().as_millis() as i64);
+        m.stalled_ms.set(self.lag.total().as_millis() as i64);
         m.set_traffic(&self.traffic);
         m.text()
     }
--- a/src/workswood/ops/jobs/relay/send.rs
+++ b/src/workswood/ops/jobs/relay/send.rs
@@ -21,7 +21,7 @@
     let _permit = worker.order_permits.acquire().await;
     let reply = try_start(&cx, &worker, &start).await;
     let (task, attempt) = (start.task, start.attempt);
-    cx.node.metrics.starts.with_label_values(&[start_label(reply)]).inc();
+    cx.node.metrics.task_starts.with_label_values(&[start_label(reply)]).inc();
     if reply.is_answer() {
         worker.record_answer(cx.node.now());
     }
--- a/src/workswood/ops/jobs/sessions.rs
+++ b/src/workswood/ops/jobs/sessions.rs
@@ -156,7 +156,7 @@
         };
         let task = tasks.spawn(talk.run(tx.clone(), rx));
         self.sessions.insert(host, Session { waiting: Vec::new(), tx, names, task });
-        self.node.metrics.relays.set(self.sessions.len() as i64);
+        self.node.metrics.active_relays.set(self.sessions.len() as i64);
     }
 
     fn close(&mut self, host: &HostId) {
@@ -164,7 +164,7 @@
             s.task.abort();
             self.attended.retain(|_, a| a.relay != *host);
         }
-        self.node.metrics.relays.set(self.sessions.len() as i64);
+        self.node.metrics.active_relays.set(self.sessions.len() as i64);
     }
 }
 
--- a/src/workswood/util/job_metrics.rs
+++ b/src/workswood/util/job_metrics.rs
@@ -1,5 +1,4 @@
-//! Metrics of a process that queues and runs jobs. The names are the ones in
-//! `docs/OPERATIONS.md`.
+//! Metrics of the `jobs` process. `docs/OPERATIONS.md` lists them.
 
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Registry};
 use workswood_core::invariant;
@@ -8,186 +7,211 @@
 use super::logs;
 use super::metrics::{counter, counters, gauge, gauges, histogram, text};
 
-/// Bounds of the histograms, in seconds: from one store call to the longest
-/// wait of a caller.
-const SECONDS: [f64; 11] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 3.0, 5.0];
+/// Bucket bounds of the histograms, in seconds: from one call to the store to the longest wait of
+/// a caller.
+const BUCKETS_S: [f64; 11] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 3.0, 5.0];
 
-/// Metrics of one process.
+/// Metrics of one `jobs` process.
 pub struct JobMetrics {
     registry: Registry,
-    /// Jobs handed in, by what came of it: `accepted`, `refused`, `unknown`.
-    pub handed_in: IntCounterVec,
-    /// Time from a job's arrival to its answer, in seconds.
-    pub hand_in_seconds: Histogram,
-    /// Questions for the state of a job, by answer: `known`, `unknown`, `unreachable`.
-    pub asked: IntCounterVec,
-    /// Calls refused for their key, by reason: `missing`, `unknown`.
-    pub keys_refused: IntCounterVec,
-    /// What workspaces have at work as a share of their limits, in percent: the largest.
-    pub fullest_workspace: IntGauge,
-    /// Workspaces that have something at work.
-    pub workspaces_at_work: IntGauge,
-    /// Starts of tasks, by outcome.
-    pub starts: IntCounterVec,
-    /// Workers that this process attends for a lease holder elsewhere.
+    /// Jobs that callers submitted, by result: `accepted`, `refused`, `unknown`.
+    pub submissions: IntCounterVec,
+    /// Time from the arrival of a job to the response to its caller, in seconds.
+    pub submission_seconds: Histogram,
+    /// Queries for the status of a job, by result: `known`, `unknown`, `unreachable`.
+    pub status_queries: IntCounterVec,
+    /// Calls rejected for their API key, by reason: `missing`, `unknown`.
+    pub rejected_keys: IntCounterVec,
+    /// Largest share of its limit that a workspace uses, in percent.
+    pub max_workspace_usage_percent: IntGauge,
+    /// Workspaces that use resources.
+    pub active_workspaces: IntGauge,
+    /// Start orders for tasks, by outcome.
+    pub task_starts: IntCounterVec,
+    /// Workers that this process relays for a lease holder in another process.
     pub relayed_workers: IntGauge,
-    /// Hosts that attend workers for this process.
-    pub relays: IntGauge,
+    /// Other entries that relay workers for this lease holder.
+    pub active_relays: IntGauge,
     /// Calls to the adviser, by outcome.
-    pub advice: IntCounterVec,
-    /// Time from closing a batch of the scheduler to its being stored, in seconds.
+    pub advice_calls: IntCounterVec,
+    /// Time to store a batch of the scheduler's records, in seconds.
     pub batch_seconds: Histogram,
-    /// Terms of the scheduler lease that began here.
-    pub terms: IntCounter,
+    /// Terms of the scheduler lease that this process has started.
+    pub lease_terms: IntCounter,
     /// Whether this process runs the scheduler.
     pub leading: IntGauge,
     /// Term of the lease as last read.
     pub lease_term: IntGauge,
-    /// Version of the configuration in force here.
+    /// Version of the configuration that this process uses.
     pub config_version: IntGauge,
-    /// Data centres that are being evacuated, as this process knows.
-    pub evacuated: IntGauge,
+    /// Data centres that are evacuated, as known to this process.
+    pub evacuated_data_centres: IntGauge,
     /// How long ago the store last answered, in milliseconds.
     pub store_silence_ms: IntGauge,
     /// Connections that were found half-open.
-    pub half_open: IntGauge,
-    /// How long this process has stood still, in milliseconds, while it led or relayed.
-    pub stood_still_ms: IntGauge,
-    /// Lives of workers that were over while something ran there, in this term.
-    pub lives_lost: IntGauge,
-    /// Runs that were lost with them.
-    pub runs_lost: IntGauge,
-    /// Tasks that were given up since their workers crash.
-    pub given_up: IntGauge,
-    /// Bytes over the link, by purpose and direction.
-    bytes: IntGaugeVec,
-    /// Calls and messages over the link, by purpose.
-    calls: IntGaugeVec,
-    broken: IntGauge,
-    lines_dropped: IntGauge,
+    pub half_open_connections: IntGauge,
+    /// For how long this process was stalled while it led or relayed, in milliseconds.
+    pub stalled_ms: IntGauge,
+    /// Incarnations of workers that ended while tasks ran there, in this term.
+    pub lost_workers: IntGauge,
+    /// Task runs that were lost with their workers, in this term.
+    pub lost_runs: IntGauge,
+    /// Tasks that are not started again because they crash their workers, in this term.
+    pub abandoned_tasks: IntGauge,
+    /// Bytes sent and received over the network link, by purpose and direction.
+    link_bytes: IntGaugeVec,
+    /// Calls and messages over the network link, by purpose.
+    link_calls: IntGaugeVec,
+    failed_invariants: IntGauge,
+    dropped_log_lines: IntGauge,
 }
 
 impl Default for JobMetrics {
     fn default() -> JobMetrics {
         let r = Registry::new();
         JobMetrics {
-            handed_in: counters(
+            submissions: counters(
                 &r,
                 "workswood_jobs_handed_in_total",
-                "jobs handed in, by result",
+                "submitted jobs, by result",
                 &["result"],
             ),
-            hand_in_seconds: histogram(
+            submission_seconds: histogram(
                 &r,
                 "workswood_hand_in_seconds",
-                "time to answer a job handed in",
-                &SECONDS,
+                "time to respond to the submission of a job",
+                &BUCKETS_S,
             ),
-            asked: counters(
+            status_queries: counters(
                 &r,
                 "workswood_jobs_asked_total",
-                "questions for the state of a job",
+                "queries for the status of a job, by result",
                 &["result"],
             ),
-            keys_refused: counters(
+            rejected_keys: counters(
                 &r,
                 "workswood_keys_refused_total",
-                "calls refused for their key, by reason",
+                "calls rejected for their API key, by reason",
                 &["reason"],
             ),
-            fullest_workspace: gauge(
+            max_workspace_usage_percent: gauge(
                 &r,
                 "workswood_fullest_workspace_percent",
-                "largest share of its limit that a workspace has at work",
+                "largest share of its limit that a workspace uses, in percent",
             ),
-            workspaces_at_work: gauge(
+            active_workspaces: gauge(&r, "workswood_workspaces_at_work", "workspaces that use resources"),
+            task_starts: counters(
                 &r,
-                "workswood_workspaces_at_work",
-                "workspaces that have something at work",
+                "workswood_task_starts_total",
+                "start orders for tasks, by outcome",
+                &["outcome"],
             ),
-            starts: counters(&r, "workswood_task_starts_total", "starts of tasks, by outcome", &["outcome"]),
             batch_seconds: histogram(
                 &r,
                 "workswood_batch_seconds",
-                "time to store a batch of the scheduler",
-                &SECONDS,
+                "time to store a batch of the scheduler's records",
+                &BUCKETS_S,
             ),
-            advice: counters(
+            advice_calls: counters(
                 &r,
                 "workswood_advice_calls_total",
                 "calls to the adviser, by outcome",
                 &["outcome"],
             ),
-            terms: counter(&r, "workswood_lease_terms_total", "terms of the lease that began here"),
+            lease_terms: counter(
+                &r,
+                "workswood_lease_terms_total",
+                "terms of the scheduler lease that this process has started",
+            ),
             relayed_workers: gauge(
                 &r,
                 "workswood_relayed_workers",
-                "workers attended for a lease holder elsewhere",
+                "workers relayed for a lease holder in another process",
+            ),
+            active_relays: gauge(
+                &r,
+                "workswood_relays",
+                "other entries that relay workers for this lease holder",
+            ),
+            leading: gauge(&r, "workswood_leading", "1 while this process runs the scheduler"),
+            lease_term: gauge(&r, "workswood_lease_term", "term of the scheduler lease as last read"),
+            config_version: gauge(
+                &r,
+                "workswood_config_version",
+                "version of the configuration that this process uses",
             ),
-            relays: gauge(&r, "workswood_relays", "hosts that attend workers for this one"),
-            leading: gauge(&r, "workswood_leading", "1 while the scheduler runs here"),
-            lease_term: gauge(&r, "workswood_lease_term", "term of the lease as last read"),
-            config_version: gauge(&r, "workswood_config_version", "version in force here"),
-            evacuated: gauge(&r, "workswood_evacuated_data_centres", "data centres where nothing begins"),
-            store_silence_ms: gauge(&r, "workswood_store_silence_ms", "time since the store answered"),
-            half_open: gauge(
+            evacuated_data_centres: gauge(
+                &r,
+                "workswood_evacuated_data_centres",
+                "data centres that are evacuated",
+            ),
+            store_silence_ms: gauge(
+                &r,
+                "workswood_store_silence_ms",
+                "time since the store last answered, in milliseconds",
+            ),
+            half_open_connections: gauge(
                 &r,
                 "workswood_connections_half_open",
                 "connections found half-open since the start",
             ),
-            stood_still_ms: gauge(
+            stalled_ms: gauge(
                 &r,
                 "workswood_stood_still_ms",
-                "time in which this process stood still while it led or relayed",
+                "time in which this process was stalled while it led or relayed, in milliseconds",
             ),
-            lives_lost: gauge(
+            lost_workers: gauge(
                 &r,
                 "workswood_worker_lives_lost",
-                "workers that were lost with what ran there, in this term",
+                "worker incarnations that ended while tasks ran there, in this term",
             ),
-            runs_lost: gauge(
+            lost_runs: gauge(
                 &r,
                 "workswood_runs_lost",
-                "runs that were lost with their worker, in this term",
+                "task runs that were lost with their workers, in this term",
             ),
-            given_up: gauge(
+            abandoned_tasks: gauge(
                 &r,
                 "workswood_tasks_given_up",
-                "tasks that were given up since their workers crash, in this term",
+                "tasks not started again because they crash their workers, in this term",
             ),
-            bytes: gauges(
+            link_bytes: gauges(
                 &r,
                 "workswood_link_bytes",
-                "bytes over the link since the start, without heads of lower layers",
+                "bytes over the network link since the start, without headers of lower layers",
                 &["purpose", "direction"],
             ),
-            calls: gauges(
+            link_calls: gauges(
                 &r,
                 "workswood_link_calls",
-                "calls and messages over the link since the start",
+                "calls and messages over the network link since the start",
                 &["purpose"],
             ),
-            broken: gauge(&r, "workswood_invariants_broken", "broken invariants"),
-            lines_dropped: gauge(&r, "workswood_log_lines_dropped", "log lines dropped"),
+            failed_invariants: gauge(&r, "workswood_invariants_broken", "invariant checks that failed"),
+            dropped_log_lines: gauge(
+                &r,
+                "workswood_log_lines_dropped",
+                "log lines dropped because the queue was full",
+            ),
             registry: r,
         }
     }
 }
 
 impl JobMetrics {
-    /// Takes in what went over the link so far.
+    /// Updates the metrics of the network link.
     pub fn set_traffic(&self, traffic: &Traffic) {
         for (purpose, amount) in traffic.totals() {
-            self.bytes.with_label_values(&[purpose, "sent"]).set(amount.sent as i64);
-            self.bytes.with_label_values(&[purpose, "received"]).set(amount.received as i64);
-            self.calls.with_label_values(&[purpose]).set(amount.count as i64);
+            self.link_bytes.with_label_values(&[purpose, "sent"]).set(amount.sent as i64);
+            self.link_bytes.with_label_values(&[purpose, "received"]).set(amount.received as i64);
+            self.link_calls.with_label_values(&[purpose]).set(amount.count as i64);
         }
     }
 
-    /// All metrics as text.
+    /// All metrics in the Prometheus text format.
     pub fn text(&self) -> String {
-        self.broken.set(invariant::failed_checks() as i64);
-        self.lines_dropped.set(logs::dropped() as i64);
+        self.failed_invariants.set(invariant::failed_checks() as i64);
+        self.dropped_log_lines.set(logs::dropped() as i64);
         text(&self.registry)
     }
 }
--- a/src/workswood/util/metrics.rs
+++ b/src/workswood/util/metrics.rs
@@ -1,43 +1,42 @@
-//! Metrics of one process.
+//! Metrics of the `entry` process, and functions to register metrics.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry,
     TextEncoder,
 };
 
-/// Bounds of the times of urgent requests, in seconds: from a call within a data
-/// centre to several seconds.
-const URGENT_SECONDS: [f64; 12] = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
+/// Bucket bounds for the response times of urgent requests, in seconds.
+const URGENT_BUCKETS_S: [f64; 12] = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
 
-/// All metrics; the names are the ones in `docs/OPERATIONS.md`.
+/// Metrics of one `entry` process. `docs/OPERATIONS.md` lists them.
 pub struct Metrics {
     registry: Registry,
     /// Requests by service, class and result.
     pub requests: IntCounterVec,
-    /// Time from arrival to answer of urgent requests, in seconds.
+    /// Time from the arrival of an urgent request to its response, in seconds.
     pub urgent_seconds: Histogram,
     /// Requests sent to endpoints.
-    pub sends: IntCounter,
-    /// Requests sent again.
+    pub endpoint_requests: IntCounter,
+    /// Requests sent to an endpoint again.
     pub retries: IntCounter,
-    /// Slots borrowed from peers.
-    pub loans: IntCounter,
+    /// Slots borrowed from other entries.
+    pub borrowed_slots: IntCounter,
     /// Envelopes appended to the log.
     pub appends: IntCounter,
     /// Records in those envelopes.
-    pub records: IntCounter,
-    /// Appends that were sent again because no answer came.
+    pub appended_records: IntCounter,
+    /// Appends that were retried because no response came.
     pub append_retries: IntCounter,
     /// Envelopes folded.
-    pub folded: IntCounter,
-    /// Acts on the platform.
-    pub acts: IntCounter,
-    /// Next offset to fold.
-    pub next: IntGauge,
-    /// Broken invariants.
-    pub broken: IntGauge,
-    /// Log lines dropped.
-    pub lines_dropped: IntGauge,
+    pub folded_envelopes: IntCounter,
+    /// Actions on the platform.
+    pub platform_actions: IntCounter,
+    /// Offset of the next envelope to fold.
+    pub next_offset: IntGauge,
+    /// Invariant checks that failed.
+    pub failed_invariants: IntGauge,
+    /// Log lines dropped because the queue was full.
+    pub dropped_log_lines: IntGauge,
 }
 
 pub(super) fn counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
@@ -71,7 +70,7 @@
     h
 }
 
-/// All metrics of a registry as text.
+/// All metrics of a registry in the Prometheus text format.
 pub(super) fn text(registry: &Registry) -> String {
     let mut buf = Vec::new();
     match TextEncoder::new().encode(&registry.gather(), &mut buf) {
@@ -93,27 +92,35 @@
             urgent_seconds: histogram(
                 &registry,
                 "workswood_urgent_seconds",
-                "time to answer urgent requests",
-                &URGENT_SECONDS,
+                "time to respond to urgent requests",
+                &URGENT_BUCKETS_S,
             ),
-            sends: counter(&registry, "workswood_sends_total", "requests sent to endpoints"),
-            retries: counter(&registry, "workswood_retries_total", "requests sent again"),
-            loans: counter(&registry, "workswood_loans_total", "slots borrowed from peers"),
+            endpoint_requests: counter(&registry, "workswood_sends_total", "requests sent to endpoints"),
+            retries: counter(&registry, "workswood_retries_total", "requests sent to an endpoint again"),
+            borrowed_slots: counter(&registry, "workswood_loans_total", "slots borrowed from other entries"),
             appends: counter(&registry, "workswood_appends_total", "envelopes appended"),
-            records: counter(&registry, "workswood_records_total", "records appended"),
-            append_retries: counter(&registry, "workswood_append_retries_total", "appends sent again"),
-            folded: counter(&registry, "workswood_folded_total", "envelopes folded"),
-            acts: counter(&registry, "workswood_acts_total", "acts on the platform"),
-            next: gauge(&registry, "workswood_next_offset", "next offset to fold"),
-            broken: gauge(&registry, "workswood_invariants_broken", "broken invariants"),
-            lines_dropped: gauge(&registry, "workswood_log_lines_dropped", "log lines dropped"),
+            appended_records: counter(&registry, "workswood_records_total", "records appended"),
+            append_retries: counter(&registry, "workswood_append_retries_total", "appends retried"),
+            folded_envelopes: counter(&registry, "workswood_folded_total", "envelopes folded"),
+            platform_actions: counter(&registry, "workswood_acts_total", "actions on the platform"),
+            next_offset: gauge(&registry, "workswood_next_offset", "offset of the next envelope to fold"),
+            failed_invariants: gauge(
+                &registry,
+                "workswood_invariants_broken",
+                "invariant checks that failed",
+            ),
+            dropped_log_lines: gauge(
+                &registry,
+                "workswood_log_lines_dropped",
+                "log lines dropped because the queue was full",
+            ),
             registry,
         }
     }
 }
 
 impl Metrics {
-    /// All metrics as text.
+    /// All metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         text(&self.registry)
     }
