--- a/src/workswood/ops/entry/dispatch.rs
+++ b/src/workswood/ops/entry/dispatch.rs
@@ -16,7 +16,7 @@
 use workswood_peers::{Msg, SlotLoanUpdate, SlotRequest as PeerSlotRequest};
 
 use super::node::Node;
-use crate::util::logs::DECISION;
+use crate::util::logs::DECISION_TARGET;
 
 /// Time between checks of deadlines, health and loans.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
@@ -153,7 +153,7 @@
             match action {
                 Action::Send { request_id, endpoint, address, borrowed, passed_over } => {
                     log::info!(
-                        target: DECISION,
+                        target: DECISION_TARGET,
                         "event=route req={request_id} service={service} endpoint={endpoint} reason=least_used \
                          borrowed={borrowed} passed_over={passed_over}"
                     );
@@ -166,7 +166,7 @@
                 }
                 Action::Refuse { request_id, code, retry_after } => {
                     log::info!(
-                        target: DECISION,
+                        target: DECISION_TARGET,
                         "event=refuse req={request_id} service={service} code={} retry_after_ms={}",
                         code.number(),
                         retry_after.as_millis()
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/duties.rs
@@ -11,7 +11,7 @@
 use workswood_core::record::{HostChange, InstanceChange, JobChange, Record, Role, RosterMember};
 
 use super::node::Node;
-use crate::util::logs::DECISION;
+use crate::util::logs::DECISION_TARGET;
 
 /// Time without a renewal after which another process may take a duty over.
 const LEASE_TIMEOUT: Duration = Duration::from_secs(3);
@@ -93,7 +93,7 @@
     if !expired || node.is_set(&node.shutting_down) {
         return None;
     }
-    log::info!(target: DECISION, "event=take_duty duty={duty:?} term={} reason=silence", lease.term + 1);
+    log::info!(target: DECISION_TARGET, "event=take_duty duty={duty:?} term={} reason=silence", lease.term + 1);
     Some(Record::Take {
         role: duty,
         holder: node.id.clone(),
@@ -250,7 +250,7 @@
 async fn perform_action(node: &Node, action: &HostAction) {
     node.metrics.platform_actions.inc();
     match node.platform.act(action).await {
-        Ok(()) => log::info!(target: DECISION, "event=act host={} act={action:?}", action.host()),
+        Ok(()) => log::info!(target: DECISION_TARGET, "event=act host={} act={action:?}", action.host()),
         // A later round finds from the platform's list whether the action took effect.
         Err(e) => log::warn!("event=act_unanswered host={} act={action:?} error={e:?}", action.host()),
     }
@@ -260,14 +260,14 @@
     for record in records {
         match record {
             Record::Host { host, change: step, .. } if !matches!(step, HostChange::Seen { .. }) => {
-                log::info!(target: DECISION, "event=host host={host} step={step:?}");
+                log::info!(target: DECISION_TARGET, "event=host host={host} step={step:?}");
             }
             Record::Instance {
                 instance,
                 change: step @ (InstanceChange::Place { .. } | InstanceChange::Remove),
                 ..
             } => {
-                log::info!(target: DECISION, "event=place instance={instance} step={step:?}");
+                log::info!(target: DECISION_TARGET, "event=place instance={instance} step={step:?}");
             }
             Record::Job { job, change: step, .. } => {
                 let reason = match step {
@@ -276,10 +276,10 @@
                     JobChange::End { .. } => "list",
                     JobChange::Lost => "host_gone",
                 };
-                log::info!(target: DECISION, "event=job job={job} step={step:?} reason={reason}");
+                log::info!(target: DECISION_TARGET, "event=job job={job} step={step:?} reason={reason}");
             }
             Record::Roster { members, .. } => {
-                log::info!(target: DECISION, "event=roster members={}", members.len());
+                log::info!(target: DECISION_TARGET, "event=roster members={}", members.len());
             }
             _ => {}
         }
--- a/src/workswood/ops/entry/mod.rs
+++ b/src/workswood/ops/entry/mod.rs
@@ -132,11 +132,11 @@
     let tokens = settings.tokens(settings_path)?;
     crate::util::logs::start(settings.log_level);
     let entry = Entry::start(settings, tokens).await?;
-    signals::stop().await;
+    signals::wait_for_stop().await;
     log::info!("event=stop_asked");
     tokio::select! {
         () = entry.stop() => log::info!("event=stopped"),
-        () = signals::stop() => log::warn!("event=stopped_at_once reason=second_signal"),
+        () = signals::wait_for_stop() => log::warn!("event=stopped_at_once reason=second_signal"),
     }
     Ok(())
 }
--- a/src/workswood/ops/entry/node.rs
+++ b/src/workswood/ops/entry/node.rs
@@ -131,7 +131,7 @@
             shutting_down: AtomicBool::new(false),
             callers_done: AtomicBool::new(false),
             in_progress: AtomicU64::new(0),
-            clock: Clock::of_host(),
+            clock: Clock::since_boot(),
             tickets: AtomicU64::new(1),
         };
         (Arc::new(node), rx)
--- a/src/workswood/ops/entry/operator_api.rs
+++ b/src/workswood/ops/entry/operator_api.rs
@@ -36,7 +36,7 @@
 
     fn metrics(&self) -> String {
         self.metrics.failed_invariants.set(invariant::failed_checks() as i64);
-        self.metrics.dropped_log_lines.set(logs::dropped() as i64);
+        self.metrics.dropped_log_lines.set(logs::dropped_lines() as i64);
         self.metrics.text()
     }
 }
--- a/src/workswood/ops/job_status/mod.rs
+++ b/src/workswood/ops/job_status/mod.rs
@@ -56,7 +56,7 @@
     let addresses =
         Addresses { store: settings.store.clone(), machines: settings.hosts.clone(), adviser: None };
     let platform = PlatformClient::new(addresses);
-    let parts: Vec<Partition> = inbox::parts(settings.store_parts).collect();
+    let parts: Vec<Partition> = inbox::parts(settings.store_partitions).collect();
     let seen = read(&platform, &parts).await.context(StoreSnafu { address: &settings.store })?;
     Ok(sum(&platform, &seen))
 }
--- a/src/workswood/ops/jobs/follow.rs
+++ b/src/workswood/ops/jobs/follow.rs
@@ -44,7 +44,7 @@
 /// How long a read of a topic waits now.
 fn read_wait(node: &Node, topic: Topic) -> Duration {
     match topic {
-        Topic::Operators if node.leading.load().is_none() => node.settings.news_wait(),
+        Topic::Operators if node.leading.load().is_none() => node.settings.long_poll_wait(),
         _ => LEADER_WAIT,
     }
 }
@@ -125,7 +125,7 @@
         tokio::time::sleep(ASK_EVERY).await;
         let age = node.operators.age(node.now());
         let fails = node.operators.is_reading_failing() && age > FAILS_LATE;
-        if !fails && age < node.settings.news_wait() + READ_LATE {
+        if !fails && age < node.settings.long_poll_wait() + READ_LATE {
             continue;
         }
         let known = node.config.load().as_ref().map_or(0, |c| c.version);
--- a/src/workswood/ops/jobs/inbox.rs
+++ b/src/workswood/ops/jobs/inbox.rs
@@ -235,7 +235,7 @@
 /// Writes what waits, for ever.
 pub async fn run(node: Arc<Node>) {
     let Some(mut rx) = node.inbox.rx.lock().take() else { return };
-    let part = part_of(&node.settings.name, node.settings.store_parts);
+    let part = part_of(&node.settings.name, node.settings.store_partitions);
     let mut queue: Vec<Waiting> = Vec::new();
     let mut lanes: JoinSet<Vec<Waiting>> = JoinSet::new();
     let mut begun = node.now();
--- a/src/workswood/ops/jobs/limits.rs
+++ b/src/workswood/ops/jobs/limits.rs
@@ -28,7 +28,7 @@
 impl LeaseTimes {
     /// The times that settings allow.
     pub fn of(settings: &JobSettings) -> LeaseTimes {
-        LeaseTimes { lease: WORKER_LEASE.min(Duration::from_millis(settings.longest_lease_ms)) }
+        LeaseTimes { lease: WORKER_LEASE.min(Duration::from_millis(settings.max_lease_ms)) }
     }
 
     /// The longest real time that a lease may last.
@@ -41,12 +41,12 @@
 pub(super) fn limits(s: &JobSettings) -> Limits {
     Limits {
         lease: LeaseTimes::of(s).lease,
-        max_lease: Duration::from_millis(s.longest_lease_ms),
+        max_lease: Duration::from_millis(s.max_lease_ms),
         extension_grace: GRACE,
         clock_drift: DRIFT,
         host_order_delay: Duration::from_millis(s.host_handover_ms) + HANDOVER_MARGIN,
         host_orders_per_s: s.host_orders_per_s,
-        ended_job_retention: Duration::from_secs_f64(s.keep_ended_s),
-        round_lead_time: Duration::from_millis(s.early_ms) / 2,
+        ended_job_retention: Duration::from_secs_f64(s.ended_job_retention_s),
+        round_lead_time: Duration::from_millis(s.round_lead_ms) / 2,
     }
 }
--- a/src/workswood/ops/jobs/load.rs
+++ b/src/workswood/ops/jobs/load.rs
@@ -32,7 +32,7 @@
     node.platform.append(Topic::State, Vec::new(), Guard::Term(term, 0)).await?;
     let fenced = node.now();
     // Nobody else writes state from here on, so these need no order.
-    let parts: Vec<Partition> = inbox::parts(node.settings.store_parts).collect();
+    let parts: Vec<Partition> = inbox::parts(node.settings.store_partitions).collect();
     let inbox = try_join_all(parts.iter().map(|p| node.platform.latest(Topic::Inbox(*p))));
     let (inbox, state) = tokio::try_join!(inbox, node.platform.latest(Topic::State))?;
     node.store_is_up();
--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -62,7 +62,7 @@
 
 use crate::util::clock::Clock;
 use crate::util::errors::{Error, ListenSnafu, Result};
-use crate::util::job_settings::{JobSettings, PATH_VARIABLE};
+use crate::util::job_settings::{JobSettings, PATH_ENV_VAR};
 use crate::util::signals;
 
 async fn listen(address: SocketAddr) -> Result<TcpListener> {
@@ -71,9 +71,9 @@
 
 /// Runs the process until a signal stops it.
 pub async fn run(named: Option<String>) -> Result<()> {
-    let path = named.or_else(|| std::env::var(PATH_VARIABLE).ok()).ok_or_else(|| Error::Settings {
+    let path = named.or_else(|| std::env::var(PATH_ENV_VAR).ok()).ok_or_else(|| Error::Settings {
         path: String::new(),
-        text: format!("no settings file: name one, or set {PATH_VARIABLE}"),
+        text: format!("no settings file: name one, or set {PATH_ENV_VAR}"),
     })?;
     let settings = JobSettings::read(&path)?;
     crate::util::logs::start(settings.log_level);
@@ -89,8 +89,8 @@
     let (half_open, traffic) = (HalfOpenDetector::default(), Traffic::default());
     let platform: Arc<dyn JobPlatform> =
         Arc::new(PlatformClient::sharing(addresses, half_open.clone(), traffic.clone()));
-    let clock = Clock::of_host();
-    tokio::spawn(clock.clone().watch());
+    let clock = Clock::since_boot();
+    tokio::spawn(clock.clone().log_suspensions());
     let node = Arc::new(Node::sharing(settings, platform, clock, half_open, traffic));
     log::info!(
         "event=started id={} name={} data_centre={} callers={} peers={}",
@@ -118,7 +118,7 @@
     tokio::spawn(usage::run(node.clone()));
     tokio::spawn(stop::watch_reload(path));
     let callers = tokio::spawn(workswood_callers::serve(callers, front::handler(node.clone()), stopped));
-    signals::stop().await;
+    signals::wait_for_stop().await;
     stop::run(&node, &stop_callers, callers).await;
     Ok(())
 }
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -137,13 +137,7 @@
 impl Node {
     /// A process that has not read anything yet, on the clock of the runtime.
     pub fn new(settings: JobSettings, platform: Arc<dyn JobPlatform>) -> Node {
-        Node::sharing(
-            settings,
-            platform,
-            Clock::of_runtime(),
-            HalfOpenDetector::default(),
-            Traffic::default(),
-        )
+        Node::sharing(settings, platform, Clock::runtime(), HalfOpenDetector::default(), Traffic::default())
     }
 
     /// Likewise, on this clock; what the platform's client finds out of connections, and what
@@ -155,7 +149,7 @@
         half_open: HalfOpenDetector,
         traffic: Traffic,
     ) -> Node {
-        let operators = Operators::new(settings.news_wait());
+        let operators = Operators::new(settings.long_poll_wait());
         Node {
             settings,
             platform,
@@ -227,7 +221,7 @@
     pub fn store_silence(&self) -> Duration {
         let answered = self.store_answered.load(Ordering::Relaxed);
         let due = match self.store_asked.load(Ordering::Relaxed) {
-            NOT_ASKED => answered + self.settings.news_wait().as_millis() as u64,
+            NOT_ASKED => answered + self.settings.long_poll_wait().as_millis() as u64,
             since => answered.max(since),
         };
         Duration::from_millis(self.now_ms().saturating_sub(due))
--- a/src/workswood/ops/jobs/stop.rs
+++ b/src/workswood/ops/jobs/stop.rs
@@ -45,7 +45,7 @@
     }
     tokio::time::sleep(BALANCER_LAG.saturating_sub(node.now() - begun)).await;
     let _ = stop_callers.send(true);
-    let left = node.settings.stop_within().saturating_sub(MARGIN + (node.now() - begun));
+    let left = node.settings.stop_timeout().saturating_sub(MARGIN + (node.now() - begun));
     if tokio::time::timeout(left, callers).await.is_err() {
         log::warn!("event=stop_limit");
     }
--- a/src/workswood/ops/jobs/trim.rs
+++ b/src/workswood/ops/jobs/trim.rs
@@ -39,7 +39,7 @@
     if drops.is_empty() {
         return;
     }
-    for part in inbox::parts(node.settings.store_parts) {
+    for part in inbox::parts(node.settings.store_partitions) {
         let here: Vec<KeyedRecord> = {
             let kept = l.kept.lock();
             let keys = drops.iter().flat_map(|job| kept.keys_of(part, *job));
--- a/src/workswood/util/clock.rs
+++ b/src/workswood/util/clock.rs
@@ -1,9 +1,9 @@
-//! The steady clock of a process.
+//! The monotonic clock of a process.
 //!
-//! A lease, a grant or a promise lasts for so long in the time of whoever relies on it. While a
-//! host is suspended that time goes on, but the usual steady clock stands still: a lease holder that wakes
-//! up would go on as if nobody could have taken its place. So the clock is one that counts
-//! suspensions. Timers don't: one that is set before fires later by as long.
+//! Leases and similar permissions also expire while the machine of the process is suspended. The
+//! usual monotonic clock stops during a suspension, so a lease holder that resumes would continue
+//! although another process may hold the lease. This clock counts the time of suspensions. Timers
+//! do not: a timer that was set before a suspension fires later by its duration.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,12 +12,13 @@
 use nix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// Time between two looks for a suspension.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
-/// A difference of the two clocks below this is none: they are not read at the same moment.
-const LEAST_TOLD: Duration = Duration::from_millis(200);
+/// Time between two checks for a suspension.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Shortest suspension that is logged. The two clocks are not read at the same moment, so they
+/// always differ a little.
+const MIN_LOGGED: Duration = Duration::from_millis(200);
 
-/// A steady clock that begins at zero. Clones go on together.
+/// A monotonic clock that starts at zero. Clones show the same time.
 #[derive(Clone, Debug)]
 pub struct Clock {
     source: Source,
@@ -25,65 +26,65 @@
 
 #[derive(Clone, Debug)]
 enum Source {
-    /// The host's clock since it started, and what it showed at the beginning.
-    Host(Duration),
-    /// The runtime's clock since a moment, and milliseconds of suspension that tests add.
+    /// The system's clock since boot, and its time when this clock was created.
+    Boot(Duration),
+    /// The async runtime's clock since an instant, and milliseconds of simulated suspension.
     Runtime(Instant, Arc<AtomicU64>),
 }
 
 impl Clock {
-    /// The clock of the host. Where it can't be read, that of the runtime.
-    pub fn of_host() -> Clock {
-        match since_boot() {
-            Ok(now) => Clock { source: Source::Host(now) },
+    /// Creates a clock that counts suspensions; if the system's clock can't be read, one that
+    /// does not.
+    pub fn since_boot() -> Clock {
+        match boot_time() {
+            Ok(now) => Clock { source: Source::Boot(now) },
             Err(e) => {
                 log::error!("event=clock_not_read clock=boot error=\"{e}\"");
-                Clock::of_runtime()
+                Clock::runtime()
             }
         }
     }
 
-    /// The clock of the runtime, which tests may pause.
-    pub fn of_runtime() -> Clock {
+    /// Creates a clock that follows the clock of the async runtime, which tests may pause.
+    pub fn runtime() -> Clock {
         Clock { source: Source::Runtime(Instant::now(), Arc::default()) }
     }
 
-    /// Time since the beginning.
+    /// Time since the clock was created.
     pub fn now(&self) -> Duration {
         match &self.source {
-            // It was read before, so it can be; not to go on is the safe error.
-            Source::Host(begun) => since_boot().map_or(Duration::ZERO, |now| now.saturating_sub(*begun)),
-            Source::Runtime(begun, suspended) => {
-                begun.elapsed() + Duration::from_millis(suspended.load(Ordering::Acquire))
+            // Reading the clock worked before, so it should not fail here.
+            Source::Boot(created) => boot_time().map_or(Duration::ZERO, |now| now.saturating_sub(*created)),
+            Source::Runtime(created, suspended_ms) => {
+                created.elapsed() + Duration::from_millis(suspended_ms.load(Ordering::Acquire))
             }
         }
     }
 
-    /// Behaves as if the host had been suspended for so long; for tests, of a runtime's
-    /// clock.
-    pub fn suspend(&self, long: Duration) {
-        if let Source::Runtime(_, suspended) = &self.source {
-            suspended.fetch_add(long.as_millis() as u64, Ordering::AcqRel);
+    /// Simulates a suspension, for tests. Has an effect only on a clock that follows the runtime.
+    pub fn simulate_suspension(&self, duration: Duration) {
+        if let Source::Runtime(_, suspended_ms) = &self.source {
+            suspended_ms.fetch_add(duration.as_millis() as u64, Ordering::AcqRel);
         }
     }
 
-    /// Tells in the log of each suspension, for ever.
-    pub async fn watch(self) {
-        let mut before = self.now();
-        let mut timer = Instant::now();
+    /// Logs each suspension; never returns.
+    pub async fn log_suspensions(self) {
+        let mut last_now = self.now();
+        let mut last_instant = Instant::now();
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
-            let (now, at) = (self.now(), Instant::now());
-            let suspended = now.saturating_sub(before).saturating_sub(at - timer);
-            if suspended >= LEAST_TOLD {
+            tokio::time::sleep(CHECK_INTERVAL).await;
+            let (now, instant) = (self.now(), Instant::now());
+            let suspended = now.saturating_sub(last_now).saturating_sub(instant - last_instant);
+            if suspended >= MIN_LOGGED {
                 log::warn!("event=suspended for_ms={}", suspended.as_millis());
             }
-            (before, timer) = (now, at);
+            (last_now, last_instant) = (now, instant);
         }
     }
 }
 
-/// Time since the host was started, suspensions included.
-fn since_boot() -> nix::Result<Duration> {
+/// Time since the system was booted, suspensions included.
+fn boot_time() -> nix::Result<Duration> {
     clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from)
 }
--- a/src/workswood/util/job_metrics.rs
+++ b/src/workswood/util/job_metrics.rs
@@ -211,7 +211,7 @@
     /// All metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         self.failed_invariants.set(invariant::failed_checks() as i64);
-        self.dropped_log_lines.set(logs::dropped() as i64);
+        self.dropped_log_lines.set(logs::dropped_lines() as i64);
         text(&self.registry)
     }
 }
--- a/src/workswood/util/job_settings.rs
+++ b/src/workswood/util/job_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a process that queues and runs jobs. See `docs/SETTINGS.md`.
+//! Settings of the `jobs` process. See `docs/SETTINGS.md`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,96 +12,95 @@
 use super::settings::read_checked;
 
 /// Environment variable with the path of the settings file.
-pub const PATH_VARIABLE: &str = "WORKSWOOD_SETTINGS";
+pub const PATH_ENV_VAR: &str = "WORKSWOOD_SETTINGS";
 
-/// Until a connection that went silent is given up and the same is read over a new one, a busy entry takes
-/// a few times the 150 ms that it takes a calm one.
-const RECONNECT_WITHIN: Duration = Duration::from_millis(1000);
-/// The store answers within 30 s at the latest.
-const LONGEST_NEWS_WAIT: Duration = Duration::from_secs(20);
+/// How long it takes to notice that a connection is silent and to repeat its read over a new one.
+const RECONNECT_TIME: Duration = Duration::from_millis(1000);
+/// Longest wait of a read; less than the 30 s after which the store answers in any case.
+const MAX_LONG_POLL_WAIT: Duration = Duration::from_secs(20);
 
-/// Settings of a process that queues and runs jobs.
+/// Settings of one `jobs` process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobSettings {
     /// Name of the entry, used in logs and leases.
     pub name: String,
-    /// Data centre that it stands in.
+    /// Data centre of the entry.
     pub data_centre: DataCentre,
-    /// Where callers connect.
+    /// Listener for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether callers may be sent here.
+    /// Listener for readiness probes of the load balancer.
     pub readiness: SocketAddr,
-    /// Where peers connect; also what peers are told.
+    /// Listener for peers; also the address that is published to them.
     pub peers: SocketAddr,
-    /// Where metrics are served.
+    /// Listener for requests for metrics.
     pub metrics: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: String,
-    /// Streams that a topic of the store may be divided into; the same on all
-    /// entries.
-    #[serde(default = "default_parts")]
-    pub store_parts: u16,
-    /// The platform's host service.
+    /// Number of partitions into which the store may divide a topic; the same on all entries.
+    #[serde(rename = "store_parts", default = "default_store_partitions")]
+    pub store_partitions: u16,
+    /// Address of the platform's host service.
     #[serde(rename = "machines")]
     pub hosts: String,
-    /// The service that says which workers may run a step, if there is one.
+    /// Address of the adviser, which decides which workers may run a step, if there is one.
     #[serde(default)]
     pub adviser: Option<String>,
-    /// Share of a core that the process gets.
+    /// Number of processor cores that the process may use.
     #[serde(default = "default_cores")]
     pub cores: f64,
-    /// Bandwidth of the entry's link, in Mbit/s.
+    /// Bandwidth of the entry's network link, in Mbit/s.
     #[serde(default = "default_link")]
     pub link_mbps: f64,
     /// Longest lease that workers accept, in milliseconds.
-    pub longest_lease_ms: u64,
-    /// How long a new lease holder waits before orders to hosts.
+    #[serde(rename = "longest_lease_ms")]
+    pub max_lease_ms: u64,
+    /// How long a new lease holder waits before it sends orders to hosts, in milliseconds.
     #[serde(rename = "machine_handover_ms")]
     pub host_handover_ms: u64,
-    /// Orders to hosts a second that the platform takes.
+    /// Number of orders to hosts per second that the platform accepts.
     #[serde(rename = "machine_orders_per_s", default = "default_host_orders")]
     pub host_orders_per_s: f64,
-    /// Within which time an entry has to be up to date again after trouble with its connections, in
+    /// Time within which an entry must have caught up after a failure of its connections, in
     /// milliseconds.
-    #[serde(default = "default_in_step")]
-    pub in_step_within_ms: u64,
-    /// How far ahead of its time a round may start, in milliseconds.
-    #[serde(default)]
-    pub early_ms: u64,
-    /// How long ended jobs are kept for questions, in seconds.
-    pub keep_ended_s: f64,
-    /// Time allowed for a planned stop, in seconds.
-    pub stop_within_s: f64,
-    /// Least level of log lines: `error`, `warn`, `info` or `debug`.
+    #[serde(rename = "in_step_within_ms", default = "default_catch_up_within")]
+    pub catch_up_within_ms: u64,
+    /// How long before its scheduled time a round may start, in milliseconds.
+    #[serde(rename = "early_ms", default)]
+    pub round_lead_ms: u64,
+    /// How long the status of ended jobs can be queried, in seconds.
+    #[serde(rename = "keep_ended_s")]
+    pub ended_job_retention_s: f64,
+    /// Longest time of a planned stop, in seconds.
+    #[serde(rename = "stop_within_s")]
+    pub stop_timeout_s: f64,
+    /// Lowest level of log lines: `error`, `warn`, `info` or `debug`.
     #[serde(default = "default_level")]
     pub log_level: log::LevelFilter,
-    /// What the scheduler's decisions are tuned by.
+    /// Parameters of the scheduler's decisions.
     #[serde(default)]
     pub policy: Policy,
 }
 
-/// One stream, as every store has.
-fn default_parts() -> u16 {
+/// Every store has at least one partition.
+fn default_store_partitions() -> u16 {
     1
 }
 
-/// As many as the platforms of 50 hosts take.
 fn default_host_orders() -> f64 {
     64.0
 }
 
-/// The least that platforms allow.
-fn default_in_step() -> u64 {
+fn default_catch_up_within() -> u64 {
     3_000
 }
 
-/// A whole core: an entry that does not say is taken to be a large one.
+/// One core: an entry that does not set it counts as a large one.
 fn default_cores() -> f64 {
     1.0
 }
 
-/// 1 Gbit/s, in Mbit/s; likewise.
+/// 1 Gbit/s: an entry that does not set it counts as a large one.
 fn default_link() -> f64 {
     1000.0
 }
@@ -121,7 +120,8 @@
             return Err("`name` and `data_centre` must not be empty".to_string());
         }
         if self.peers.ip().is_unspecified() {
-            return Err("`peers` is told to other entries and needs an address, not 0.0.0.0".to_string());
+            return Err("`peers` is published to other entries and must be a specific address, not 0.0.0.0"
+                .to_string());
         }
         for (field, value) in [("store", &self.store), ("machines", &self.hosts)] {
             if value.parse::<SocketAddr>().is_err() {
@@ -137,45 +137,46 @@
         if !(self.link_mbps > 0.0 && self.link_mbps.is_finite()) {
             return Err("`link_mbps` must be above 0".to_string());
         }
-        if self.store_parts == 0 {
+        if self.store_partitions == 0 {
             return Err("`store_parts` must be at least 1".to_string());
         }
-        if self.longest_lease_ms < 1_000 {
+        if self.max_lease_ms < 1_000 {
             return Err("`longest_lease_ms` must be at least 1000".to_string());
         }
         if !(self.host_orders_per_s >= 1.0 && self.host_orders_per_s.is_finite()) {
             return Err("`machine_orders_per_s` must be at least 1".to_string());
         }
-        if self.in_step_within_ms < 2_000 {
+        if self.catch_up_within_ms < 2_000 {
             return Err("`in_step_within_ms` must be at least 2000".to_string());
         }
-        if !(1.0..=3_600.0).contains(&self.stop_within_s) {
+        if !(1.0..=3_600.0).contains(&self.stop_timeout_s) {
             return Err("`stop_within_s` must be between 1 and 3600".to_string());
         }
-        if !(0.0..=86_400.0).contains(&self.keep_ended_s) {
+        if !(0.0..=86_400.0).contains(&self.ended_job_retention_s) {
             return Err("`keep_ended_s` must be between 0 and 86400".to_string());
         }
         self.policy.check()
     }
 
-    /// The adviser; an empty address is none.
+    /// Address of the adviser, if there is one; an empty address counts as none.
     pub fn adviser(&self) -> Option<&str> {
         self.adviser.as_deref().filter(|a| !a.is_empty())
     }
 
-    /// Workers that this entry can look after as lease holder.
+    /// Number of workers that this entry can manage as lease holder.
     pub fn strength(&self) -> Strength {
         claim::strength(self.cores, self.link_mbps)
     }
 
-    /// How long an entry that does not lead waits for news on one connection. What comes on a connection
-    /// that has gone silent is heard that late, and over a new one some hundred milliseconds later.
-    pub fn news_wait(&self) -> Duration {
-        Duration::from_millis(self.in_step_within_ms).saturating_sub(RECONNECT_WITHIN).min(LONGEST_NEWS_WAIT)
+    /// How long a read waits for new records on an entry that does not hold the lease. If the
+    /// connection goes silent, the entry learns of new records only after this wait and the time
+    /// to reconnect.
+    pub fn long_poll_wait(&self) -> Duration {
+        Duration::from_millis(self.catch_up_within_ms).saturating_sub(RECONNECT_TIME).min(MAX_LONG_POLL_WAIT)
     }
 
-    /// Time allowed for a planned stop.
-    pub fn stop_within(&self) -> Duration {
-        Duration::from_secs_f64(self.stop_within_s)
+    /// Longest time of a planned stop.
+    pub fn stop_timeout(&self) -> Duration {
+        Duration::from_secs_f64(self.stop_timeout_s)
     }
 }
--- a/src/workswood/util/signals.rs
+++ b/src/workswood/util/signals.rs
@@ -2,8 +2,8 @@
 
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Waits for a signal to stop.
-pub async fn stop() {
+/// Waits for SIGTERM or SIGINT.
+pub async fn wait_for_stop() {
     let (Ok(mut term), Ok(mut int)) = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
         return std::future::pending().await;
--- a/tests/testsuite/job_settings.rs
+++ b/tests/testsuite/job_settings.rs
@@ -27,7 +27,7 @@
 fn good_file() {
     let s = read("good", GOOD).expect("the file is good");
     assert_eq!((s.name.as_str(), s.adviser.as_deref()), ("entry-1", None));
-    assert_eq!(s.stop_within().as_secs(), 6);
+    assert_eq!(s.stop_timeout().as_secs(), 6);
 }
 
 #[test]
--- a/tests/testsuite/lease_looks.rs
+++ b/tests/testsuite/lease_looks.rs
@@ -96,7 +96,7 @@
         renew(&store, 1).await;
         // What operators write is waited for at the same time.
         node.store_is_up();
-        tokio::time::sleep(node.settings.news_wait() / 2).await;
+        tokio::time::sleep(node.settings.long_poll_wait() / 2).await;
         assert!(node.store_silence() < Duration::from_millis(1000), "{:?}", node.store_silence());
     }
 }
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -621,12 +621,12 @@
         JobSettings::read(&path("tests/testsuite/stored_formats/job_settings.json")).expect("good settings");
     assert_eq!(to_json(&s), whole(JOB_SETTINGS));
     let ports = [s.callers, s.readiness, s.peers, s.metrics].map(|a| a.port());
-    assert_eq!((ports, s.store_parts), ([8011, 8012, 8013, 8014], 3));
+    assert_eq!((ports, s.store_partitions), ([8011, 8012, 8013, 8014], 3));
     assert_eq!((s.store.as_str(), s.hosts.as_str()), ("10.0.0.2:9001", "10.0.0.2:9002"));
     assert_eq!((s.adviser(), s.cores, s.link_mbps), (Some("10.0.0.2:9003"), 0.125, 20.5));
-    assert_eq!((s.longest_lease_ms, s.host_handover_ms, s.in_step_within_ms), (10_001, 3_002, 3_003));
-    assert_eq!((s.host_orders_per_s, s.early_ms), (65.5, 104));
-    assert_eq!((s.keep_ended_s, s.stop_within_s), (120.5, 6.25));
+    assert_eq!((s.max_lease_ms, s.host_handover_ms, s.catch_up_within_ms), (10_001, 3_002, 3_003));
+    assert_eq!((s.host_orders_per_s, s.round_lead_ms), (65.5, 104));
+    assert_eq!((s.ended_job_retention_s, s.stop_timeout_s), (120.5, 6.25));
     let p = &s.policy;
     assert_eq!((p.order.min_ends, p.order.share_order), (9, ShareOrder::Excess));
     assert_eq!((p.placement.max_misses, p.need.surge_min_jobs, p.pools.margin), (9, 4, 0.01875));
--- a/tests/testsuite/suspended_host.rs
+++ b/tests/testsuite/suspended_host.rs
@@ -30,7 +30,7 @@
 
 #[test]
 fn host_clock_goes_on() {
-    let clock = Clock::of_host();
+    let clock = Clock::since_boot();
     let before = clock.now();
     std::hint::black_box((0..10_000u64).sum::<u64>());
     assert!(clock.now() >= before && clock.now() < Duration::from_secs(3600));
@@ -48,7 +48,7 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     let before = store.leases();
     assert!(before > 0);
-    node.clock().suspend(SUSPENDED);
+    node.clock().simulate_suspension(SUSPENDED);
     tokio::time::sleep(Duration::from_secs(2)).await;
     // One may have been on its way.
     assert!(store.leases() <= before + 1, "{} leases after it woke up", store.leases() - before);
@@ -68,7 +68,7 @@
     order().await;
     assert_eq!(store.orders(), 1);
     assert!(matches!(rx.recv().await, Some(Event::HostOrderAnswered(..))));
-    node.clock().suspend(SUSPENDED);
+    node.clock().simulate_suspension(SUSPENDED);
     order().await;
     assert_eq!(store.orders(), 1, "a successor may have ordered it");
     let outcome = rx.recv().await;
