--- a/src/workswood/util/settings.rs
+++ b/src/workswood/util/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one entry process. See `docs/SETTINGS.md`.
+//! Settings of the `entry` process. See `docs/SETTINGS.md`.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,42 +11,42 @@
 
 use super::errors::{Error, ReadFileSnafu, Result};
 
-/// Settings of one entry process.
+/// Settings of one `entry` process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the entry host, used in logs.
+    /// Name of the entry, used in logs.
     pub name: String,
-    /// Data centre that it stands in.
+    /// Data centre of the entry.
     pub data_centre: DataCentre,
-    /// Where callers connect.
+    /// Listener for callers.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// Listener for operators.
     pub operators: SocketAddr,
-    /// Where peers connect; also what peers are told.
+    /// Listener for peers; also the address that is published to them.
     pub peers: SocketAddr,
-    /// The platform.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// Peer listeners of other entry hosts, to begin with.
+    /// Peer listeners of other entries, to contact at the start.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// File with the operators' token.
     pub operators_token_file: String,
     /// File with the peers' token.
     pub peers_token_file: String,
-    /// Least level of log lines: `error`, `warn`, `info` or `debug`.
+    /// Lowest level of log lines: `error`, `warn`, `info` or `debug`.
     #[serde(default = "default_level")]
     pub log_level: log::LevelFilter,
-    /// How long requests still arrive after the entry says it is not ready.
+    /// How long requests still arrive after the entry has reported that it is not ready.
     #[serde(with = "humantime_serde", default = "default_balancer_lag")]
     pub balancer_lag: Duration,
     /// Longest time of a planned stop.
     #[serde(with = "humantime_serde", default = "default_stop_limit")]
     pub stop_limit: Duration,
-    /// How often the state is checkpointed while it changes.
+    /// Time between two checkpoints of the state, while it changes.
     #[serde(with = "humantime_serde", default = "default_checkpoint_every")]
     pub checkpoint_every: Duration,
-    /// Appends a second that the platform gives all entry hosts together.
+    /// Number of appends per second that the platform accepts from all entries together.
     #[serde(default = "default_appends")]
     pub appends_per_second: u32,
 }
@@ -71,24 +71,24 @@
     90
 }
 
-/// Reads a settings file of any kind and checks it.
+/// Reads a settings file and checks it with `check`.
 pub(super) fn read_checked<T: DeserializeOwned>(
     path: &str,
     check: fn(&T) -> std::result::Result<(), String>,
 ) -> Result<T> {
     let text = std::fs::read_to_string(path).context(ReadFileSnafu { path })?;
-    let bad = |text: String| Error::Settings { path: path.to_string(), text };
-    let s: T = serde_json::from_str(&text).map_err(|e| bad(e.to_string()))?;
-    check(&s).map_err(bad)?;
+    let invalid = |text: String| Error::Settings { path: path.to_string(), text };
+    let s: T = serde_json::from_str(&text).map_err(|e| invalid(e.to_string()))?;
+    check(&s).map_err(invalid)?;
     Ok(s)
 }
 
-/// The tokens of one process.
+/// The tokens that clients of one process must present.
 #[derive(Clone)]
 pub struct Tokens {
-    /// What operators present.
+    /// Token of operators.
     pub operators: String,
-    /// What peers present.
+    /// Token of peers.
     pub peers: String,
 }
 
@@ -103,7 +103,8 @@
             return Err("`name` and `data_centre` must not be empty".to_string());
         }
         if self.peers.ip().is_unspecified() {
-            return Err("`peers` is told to other entry hosts and needs an address, not 0.0.0.0".to_string());
+            return Err("`peers` is published to other entries and must be a specific address, not 0.0.0.0"
+                .to_string());
         }
         if self.stop_limit < self.balancer_lag {
             return Err("`stop_limit` must not be less than `balancer_lag`".to_string());
@@ -117,7 +118,7 @@
         Ok(())
     }
 
-    /// Reads the token files, relative to the settings file's folder.
+    /// Reads the token files. Their paths are relative to the folder of the settings file `path`.
     pub fn tokens(&self, path: &str) -> Result<Tokens> {
         let folder = Path::new(path).parent().unwrap_or(Path::new("."));
         let read = |file: &str| -> Result<String> {
