--- a/src/workswood/ops/apply.rs
+++ b/src/workswood/ops/apply.rs
@@ -39,7 +39,7 @@
             let lines = issues.iter().map(|i| format!("\n  error {}: {}: {}", i.code, i.path, i.message));
             Err(Error::Refused { code, message: message + &lines.collect::<String>() })
         }
-        ApplyReply::Unknown { code } => Err(Error::Unknown { code }),
+        ApplyReply::Unknown { code } => Err(Error::OutcomeUnknown { code }),
         accepted => Ok(accepted),
     }
 }
--- a/src/workswood/ops/bench/live.rs
+++ b/src/workswood/ops/bench/live.rs
@@ -31,7 +31,7 @@
 fn accepted(reply: ApplyReply) -> Result<()> {
     match reply {
         ApplyReply::Accepted { .. } => Ok(()),
-        other => Err(Error::Broken { message: format!("{other:?}") }),
+        other => Err(Error::RunFailed { message: format!("{other:?}") }),
     }
 }
 
@@ -63,7 +63,7 @@
 pub async fn proxy() -> Result<()> {
     let dev = factoring(1).await?;
     let Some(endpoint) = dev.platform.endpoint("house-a/0") else {
-        return Err(Error::Broken { message: "no endpoint".to_string() });
+        return Err(Error::RunFailed { message: "no endpoint".to_string() });
     };
     let direct = Caller::to(endpoint.address);
     let over = dev.caller(0);
@@ -153,7 +153,7 @@
         let started = Instant::now();
         let reply = dev.apply_within((n % 6) as usize, &file, 1 + n, Duration::ZERO).await?;
         let ApplyReply::Accepted { offset, .. } = reply else {
-            return Err(Error::Broken { message: format!("{reply:?}") });
+            return Err(Error::RunFailed { message: format!("{reply:?}") });
         };
         while dev.entries.iter().any(|e| e.node.state.read().next_offset <= offset) {
             tokio::time::sleep(Duration::from_micros(200)).await;
--- a/src/workswood/ops/check.rs
+++ b/src/workswood/ops/check.rs
@@ -17,7 +17,7 @@
 
 /// Checks the text of a file.
 pub fn read_text(path: &str, text: &str) -> Result<FleetFile> {
-    let bad = |issues| Error::BadFile { path: path.to_string(), issues };
+    let bad = |issues| Error::InvalidFile { path: path.to_string(), issues };
     let file = parse(text).map_err(bad)?;
     let issues = check(&file);
     if issues.is_empty() { Ok(file) } else { Err(bad(issues)) }
@@ -61,7 +61,7 @@
             let Some(other) = owner.insert(what.clone(), &f.file) else { continue };
             let text = format!("{what} also stands in file `{other}`");
             let issues = vec![Issue::new("file", Code::ClaimedElsewhere, text)];
-            errors.push(Error::BadFile { path: f.file.clone(), issues });
+            errors.push(Error::InvalidFile { path: f.file.clone(), issues });
         }
     }
     errors
--- a/src/workswood/ops/dev.rs
+++ b/src/workswood/ops/dev.rs
@@ -158,7 +158,7 @@
             }
             if Instant::now() > until {
                 let message = format!("waited in vain: {what}\n{}", crate::ops::status::text(&status));
-                return Err(Error::Broken { message });
+                return Err(Error::RunFailed { message });
             }
             tokio::time::sleep(LOOK).await;
         }
@@ -246,7 +246,7 @@
     address: SocketAddr,
     req: CallerRequest,
 ) -> Result<Response<Bytes>> {
-    let broken = |message: String| Error::Broken { message };
+    let broken = |message: String| Error::RunFailed { message };
     let mut builder = Request::builder().method(Method::POST).uri(format!("http://{address}{}", req.path));
     if let Some((key, last_moment)) = &req.key {
         builder = builder.header(workswood_callers::KEY_HEADER, key);
@@ -297,7 +297,7 @@
             ApplyReply::Accepted { version, behind, .. } => {
                 crate::outln!("applied {} version={version} behind={}", f.file, behind.len());
             }
-            other => return Err(Error::Broken { message: format!("{other:?}") }),
+            other => return Err(Error::RunFailed { message: format!("{other:?}") }),
         }
     }
     dev.settle().await?;
@@ -334,7 +334,7 @@
     let cut = dev.platform.ledger.cut_off.load(std::sync::atomic::Ordering::Relaxed);
     if status.invariants_broken > 0 || cut > 0 {
         let message = format!("{} invariant(s) broken, {cut} request(s) cut off", status.invariants_broken);
-        return Err(Error::Broken { message });
+        return Err(Error::RunFailed { message });
     }
     Ok(())
 }
--- a/src/workswood/ops/explain/job.rs
+++ b/src/workswood/ops/explain/job.rs
@@ -96,14 +96,16 @@
 /// Reads logs and tells the way of a job.
 pub fn run(job: JobKey, paths: &[String]) -> Result<JobAccount> {
     if paths.is_empty() {
-        return Err(Error::Logs { message: "name the logs of the hosts after the job".to_string() });
+        return Err(Error::InsufficientLogs {
+            message: "name the logs of the hosts after the job".to_string(),
+        });
     }
     let logs: Result<Vec<HostLog>> = hosts(paths)
         .into_iter()
         .zip(paths)
         .map(|(host, path)| Ok(HostLog { host, text: read_log(path)? }))
         .collect();
-    account(job, &logs?).ok_or_else(|| Error::Logs {
+    account(job, &logs?).ok_or_else(|| Error::InsufficientLogs {
         message: format!("no line about job {} in {} log(s)", format_job_key(job), paths.len()),
     })
 }
--- a/src/workswood/ops/explain/mod.rs
+++ b/src/workswood/ops/explain/mod.rs
@@ -11,7 +11,7 @@
 pub fn run(text: &str) -> Result<String> {
     let found = Code::ALL.iter().find(|c| c.number().to_string() == text);
     let Some(c) = found else {
-        return Err(Error::NoCode { text: text.to_string() });
+        return Err(Error::UnknownCode { text: text.to_string() });
     };
     Ok(format!("{} {c:?}: {}\nwhat to do: {}\n", c.number(), c.text(), c.advice()))
 }
--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -71,7 +71,7 @@
 
 /// Runs the process until a signal stops it.
 pub async fn run(named: Option<String>) -> Result<()> {
-    let path = named.or_else(|| std::env::var(PATH_ENV_VAR).ok()).ok_or_else(|| Error::Settings {
+    let path = named.or_else(|| std::env::var(PATH_ENV_VAR).ok()).ok_or_else(|| Error::InvalidSettings {
         path: String::new(),
         text: format!("no settings file: name one, or set {PATH_ENV_VAR}"),
     })?;
--- a/src/workswood/ops/model/mod.rs
+++ b/src/workswood/ops/model/mod.rs
@@ -43,7 +43,7 @@
 /// Reads and checks the file that describes a fleet.
 pub fn read(path: &str) -> Result<ModelSpec> {
     let text = std::fs::read_to_string(path).context(ReadFileSnafu { path })?;
-    let bad = |text: String| Error::Settings { path: path.to_string(), text };
+    let bad = |text: String| Error::InvalidSettings { path: path.to_string(), text };
     let spec: ModelSpec = serde_json::from_str(&text).map_err(|e| bad(e.to_string()))?;
     spec.check().map_err(bad)?;
     Ok(spec)
--- a/src/workswood/ops/model/vary.rs
+++ b/src/workswood/ops/model/vary.rs
@@ -16,7 +16,7 @@
 impl Vary {
     /// Reads `PLACE=VALUE,VALUE`.
     pub fn parse(text: &str) -> Result<Vary> {
-        let bad = || Error::BadVary { text: text.to_string() };
+        let bad = || Error::InvalidVariation { text: text.to_string() };
         let (path, values) = text.split_once('=').ok_or_else(bad)?;
         let path: Vec<String> = path.split('.').map(str::to_string).collect();
         if path.iter().any(String::is_empty) || values.is_empty() {
@@ -34,7 +34,7 @@
 
     fn policy(&self, base: &Policy, value: &Value) -> Result<(String, Policy)> {
         let name = format!("{}={value}", self.path.join("."));
-        let bad = |text: String| Error::Settings { path: name.clone(), text };
+        let bad = |text: String| Error::InvalidSettings { path: name.clone(), text };
         let mut tree = serde_json::to_value(base).map_err(|e| bad(e.to_string()))?;
         let mut place = &mut tree;
         for part in &self.path {
--- a/src/workswood/ops/soak.rs
+++ b/src/workswood/ops/soak.rs
@@ -405,9 +405,9 @@
         let violations = self.tally.violations.lock().clone();
         match violations.first() {
             None => Ok(()),
-            Some(first) => {
-                Err(Error::Broken { message: format!("{} violation(s), first: {first}", violations.len()) })
-            }
+            Some(first) => Err(Error::RunFailed {
+                message: format!("{} violation(s), first: {first}", violations.len()),
+            }),
         }
     }
 }
--- a/src/workswood/util/errors.rs
+++ b/src/workswood/util/errors.rs
@@ -1,4 +1,4 @@
-//! Errors of commands, with codes and the way out.
+//! Errors of commands, with their numbered codes and exit statuses.
 
 use snafu::Snafu;
 use workswood_core::code::Code;
@@ -21,23 +21,23 @@
         /// The reason.
         source: std::io::Error,
     },
-    /// A file has errors.
+    /// A file is not valid.
     #[snafu(display("`{path}` has {} error(s)", issues.len()))]
-    BadFile {
+    InvalidFile {
         /// The file.
         path: String,
         /// The errors.
         issues: Vec<Issue>,
     },
-    /// The settings of a process are not usable.
+    /// The settings of a process are not valid.
     #[snafu(display("settings `{path}`: {text}"))]
-    Settings {
+    InvalidSettings {
         /// The file.
         path: String,
         /// What is wrong.
         text: String,
     },
-    /// An address can't be listened on.
+    /// A listener can't be opened.
     #[snafu(display("can't listen on {address}"))]
     Listen {
         /// The address.
@@ -45,8 +45,8 @@
         /// The reason.
         source: std::io::Error,
     },
-    /// A call to an entry host failed.
-    #[snafu(display("call to an entry host"))]
+    /// A call to an entry failed.
+    #[snafu(display("the call to the entry failed"))]
     Call {
         /// The reason.
         source: ClientError,
@@ -54,7 +54,7 @@
     /// The platform's store can't be read.
     #[snafu(display("the store at {address} can't be read"))]
     Store {
-        /// Its address.
+        /// Address of the store.
         address: String,
         /// The reason.
         source: StoreError,
@@ -64,43 +64,43 @@
     Refused {
         /// The code.
         code: Code,
-        /// Why.
+        /// The reason.
         message: String,
     },
-    /// It is not known whether a change was accepted.
-    #[snafu(display("not known whether the change was accepted"))]
-    Unknown {
+    /// It is unknown whether a change was accepted.
+    #[snafu(display("it is unknown whether the change was accepted"))]
+    OutcomeUnknown {
         /// The code.
         code: Code,
     },
-    /// A maintenance can't finish in time.
+    /// A maintenance can't finish before its deadline.
     #[snafu(display("{message}"))]
     PlanImpossible {
-        /// Which, and the nearest plan.
+        /// The maintenance, and the nearest feasible plan.
         message: String,
     },
-    /// No such code.
-    #[snafu(display("no code `{text}`; codes are listed in docs/ERRORS.md"))]
-    NoCode {
-        /// What was asked for.
+    /// There is no such code.
+    #[snafu(display("unknown code `{text}`; see docs/ERRORS.md for all codes"))]
+    UnknownCode {
+        /// The code.
         text: String,
     },
-    /// Logs do not tell what was asked for.
+    /// The given logs do not contain what is needed.
     #[snafu(display("{message}"))]
-    Logs {
+    InsufficientLogs {
         /// What is missing.
         message: String,
     },
-    /// A field of a policy and its values can't be read.
-    #[snafu(display("`{text}` is not of the form FIELD=VALUE,VALUE, as need.full=0.7,0.85"))]
-    BadVary {
-        /// What was given.
+    /// The variation of a policy field is malformed.
+    #[snafu(display("`{text}` is not of the form FIELD=VALUE,VALUE, such as need.full=0.7,0.85"))]
+    InvalidVariation {
+        /// The argument.
         text: String,
     },
-    /// The run found something broken.
+    /// A run of a development command failed.
     #[snafu(display("{message}"))]
-    Broken {
-        /// What.
+    RunFailed {
+        /// The reason.
         message: String,
     },
 }
@@ -110,40 +110,41 @@
     pub fn code(&self) -> Code {
         match self {
             Error::ReadFile { .. } => Code::FileUnreadable,
-            Error::BadFile { issues, .. } => issues.first().map_or(Code::BadValue, |i| i.code),
-            Error::Settings { .. } => Code::SettingsInvalid,
+            Error::InvalidFile { issues, .. } => issues.first().map_or(Code::BadValue, |i| i.code),
+            Error::InvalidSettings { .. } => Code::SettingsInvalid,
             Error::Listen { .. } => Code::ListenFailed,
             Error::Call { .. } | Error::Store { .. } => Code::PlatformUnreachable,
-            Error::Refused { code, .. } | Error::Unknown { code } => *code,
+            Error::Refused { code, .. } | Error::OutcomeUnknown { code } => *code,
             Error::PlanImpossible { .. } => Code::PlanImpossible,
-            Error::NoCode { .. } | Error::BadVary { .. } | Error::Logs { .. } | Error::Broken { .. } => {
-                Code::BadRequest
-            }
+            Error::UnknownCode { .. }
+            | Error::InvalidVariation { .. }
+            | Error::InsufficientLogs { .. }
+            | Error::RunFailed { .. } => Code::BadRequest,
         }
     }
 
-    /// The exit status of the process; see `docs/OPERATIONS.md`.
+    /// The exit status of the process. See `docs/OPERATIONS.md`.
     pub fn exit_status(&self) -> u8 {
         match self {
-            Error::BadFile { .. }
-            | Error::Settings { .. }
-            | Error::NoCode { .. }
-            | Error::BadVary { .. }
-            | Error::Logs { .. } => 2,
+            Error::InvalidFile { .. }
+            | Error::InvalidSettings { .. }
+            | Error::UnknownCode { .. }
+            | Error::InvalidVariation { .. }
+            | Error::InsufficientLogs { .. } => 2,
             Error::Refused { .. } | Error::PlanImpossible { .. } => 3,
-            Error::Unknown { .. } => 4,
+            Error::OutcomeUnknown { .. } => 4,
             Error::Call { .. } | Error::Store { .. } => 5,
-            Error::Broken { .. } => 6,
+            Error::RunFailed { .. } => 6,
             Error::ReadFile { .. } | Error::Listen { .. } => 1,
         }
     }
 
-    /// The error with its causes, a line each, and the way out.
+    /// Formats the error, its causes and what to do about it, one per line.
     pub fn report(&self) -> String {
         use std::error::Error as _;
         let code = self.code();
         let mut text = format!("error {}: {self}\n", code.number());
-        if let Error::BadFile { issues, .. } = self {
+        if let Error::InvalidFile { issues, .. } = self {
             for i in issues {
                 text.push_str(&format!("  {i}\n"));
             }
--- a/src/workswood/util/settings.rs
+++ b/src/workswood/util/settings.rs
@@ -77,7 +77,7 @@
     check: fn(&T) -> std::result::Result<(), String>,
 ) -> Result<T> {
     let text = std::fs::read_to_string(path).context(ReadFileSnafu { path })?;
-    let invalid = |text: String| Error::Settings { path: path.to_string(), text };
+    let invalid = |text: String| Error::InvalidSettings { path: path.to_string(), text };
     let s: T = serde_json::from_str(&text).map_err(|e| invalid(e.to_string()))?;
     check(&s).map_err(invalid)?;
     Ok(s)
@@ -127,7 +127,10 @@
             let text = std::fs::read_to_string(&path).context(ReadFileSnafu { path: shown.clone() })?;
             let token = text.trim().to_string();
             if token.is_empty() {
-                return Err(Error::Settings { path: shown, text: "the token file is empty".to_string() });
+                return Err(Error::InvalidSettings {
+                    path: shown,
+                    text: "the token file is empty".to_string(),
+                });
             }
             Ok(token)
         };
--- a/tests/testsuite/fleet_files.rs
+++ b/tests/testsuite/fleet_files.rs
@@ -11,7 +11,7 @@
 
 fn issues(text: &str) -> Vec<Issue> {
     match check::read_text("file", text) {
-        Err(Error::BadFile { issues, .. }) => issues,
+        Err(Error::InvalidFile { issues, .. }) => issues,
         other => panic!("{other:?}"),
     }
 }
