--- a/src/workswood/util/mod.rs
+++ b/src/workswood/util/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, logs, metrics and errors.
+//! Settings, logging, metrics, errors, and output of commands.
 
 pub mod clock;
 pub mod errors;
--- a/src/workswood/util/table.rs
+++ b/src/workswood/util/table.rs
@@ -1,6 +1,6 @@
-//! Text in columns, for people.
+//! Tables of text, for people to read.
 
-/// Lays rows out in columns; the first row is the head.
+/// Formats rows as aligned columns; the first row is the header.
 pub fn columns(rows: &[Vec<String>]) -> String {
     let count = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |c: usize| rows.iter().filter_map(|r| r.get(c)).map(String::len).max().unwrap_or(0);
