--- a/crates/workswood-test-support/src/live.rs
+++ b/crates/workswood-test-support/src/live.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use tokio::task::JoinHandle;
-use workswood::ops::dev::{Caller, CallerRequest, Dev};
+use workswood::ops::dev::{Caller, CallerRequest, DevCluster};
 use workswood_core::fleet::FleetFile;
 use workswood_core::plan::HostState;
 use workswood_operators::ApplyReply;
@@ -18,17 +18,17 @@
 const LOG: &str = "WORKSWOOD_TEST_LOG";
 
 /// Starts entries and puts a file in force.
-pub async fn fleet(file: &FleetFile, entries: usize) -> Dev {
+pub async fn fleet(file: &FleetFile, entries: usize) -> DevCluster {
     if let Some(level) = std::env::var(LOG).ok().and_then(|l| l.parse().ok()) {
         workswood::util::logs::start(level);
     }
-    let dev = Dev::start(std::slice::from_ref(file), entries).await.expect("entries start");
+    let dev = DevCluster::start(std::slice::from_ref(file), entries).await.expect("entries start");
     for i in 0..entries {
-        dev.wait(i, "ready", |s| s.ready).await.expect("an entry gets ready");
+        dev.wait_for(i, "ready", |s| s.ready).await.expect("an entry gets ready");
     }
     let reply = dev.apply(0, file, 0).await.expect("an answer");
     assert!(matches!(reply, ApplyReply::Accepted { .. }), "{reply:?}");
-    dev.settle().await.expect("the fleet settles");
+    dev.wait_until_settled().await.expect("the fleet settles");
     for i in 0..entries {
         until("every entry shares slots", || {
             let node = &dev.entries[i].node;
@@ -42,7 +42,7 @@
 /// Sends so many requests over all entries and waits until these endpoints of the
 /// service `shop` work on enough of them; returns the requests.
 pub async fn take_slots(
-    dev: &Dev,
+    dev: &DevCluster,
     requests: usize,
     path: &str,
     endpoints: usize,
--- a/src/workswood/ops/bench/fold.rs
+++ b/src/workswood/ops/bench/fold.rs
@@ -7,7 +7,7 @@
 use workswood_core::record::{AttemptOutcome, Envelope, FORMAT_VERSION, Record, Role, RosterMember};
 
 use super::stats::median;
-use crate::ops::plan::settled;
+use crate::ops::plan::settled_state;
 
 const RUNS: usize = 5;
 
@@ -73,7 +73,7 @@
 pub fn run() {
     crate::outln!("hosts services state_bytes bytes_per_host text_ms resident_mib_with_two_copies");
     for (hosts, pools) in [(50, 2), (500, 4), (5_000, 12), (24_000, 52)] {
-        let state = settled(&[fleet(hosts, pools)], 1_000_000);
+        let state = settled_state(&[fleet(hosts, pools)], 1_000_000);
         let started = Instant::now();
         let bytes = state.text().len();
         let ms = started.elapsed().as_secs_f64() * 1e3;
--- a/src/workswood/ops/bench/live.rs
+++ b/src/workswood/ops/bench/live.rs
@@ -9,21 +9,21 @@
 
 use super::stats::{Times, median};
 use crate::ops::check::read_text;
-use crate::ops::dev::{Caller, CallerRequest, DEFAULT_FILE, Dev};
+use crate::ops::dev::{Caller, CallerRequest, DEFAULT_FILE, DevCluster};
 use crate::util::errors::{Error, Result};
 
 const ENTRIES: usize = 6;
 
 /// The factoring fleet, settled, without maintenance.
-async fn factoring(entries: usize) -> Result<Dev> {
+async fn factoring(entries: usize) -> Result<DevCluster> {
     let mut file = read_text("factoring.json", DEFAULT_FILE)?;
     file.maintenance.clear();
-    let dev = Dev::start(std::slice::from_ref(&file), entries).await?;
+    let dev = DevCluster::start(std::slice::from_ref(&file), entries).await?;
     for i in 0..entries {
-        dev.wait(i, "ready", |s| s.ready).await?;
+        dev.wait_for(i, "ready", |s| s.ready).await?;
     }
     accepted(dev.apply(0, &file, 0).await?)?;
-    dev.settle().await?;
+    dev.wait_until_settled().await?;
     tokio::time::sleep(Duration::from_secs(2)).await;
     Ok(dev)
 }
@@ -111,7 +111,7 @@
 }
 
 /// Requests at a rate, spread over all entries, for five seconds.
-async fn paced(dev: &Dev, rate: f64, keyed: bool) -> Result<(Times, u64)> {
+async fn paced(dev: &DevCluster, rate: f64, keyed: bool) -> Result<(Times, u64)> {
     const SECONDS: f64 = 5.0;
     let failed = Arc::new(AtomicU64::new(0));
     let mut tasks = Vec::new();
@@ -175,8 +175,8 @@
         let mut file = read_text("factoring.json", DEFAULT_FILE)?;
         file.maintenance.clear();
         file.services.truncate(1);
-        let dev = Dev::start(std::slice::from_ref(&file), entries).await?;
-        dev.wait(0, "all on the roster", |s| s.entries.iter().filter(|e| e.on_roster).count() == entries)
+        let dev = DevCluster::start(std::slice::from_ref(&file), entries).await?;
+        dev.wait_for(0, "all on the roster", |s| s.entries.iter().filter(|e| e.on_roster).count() == entries)
             .await?;
         tokio::time::sleep(Duration::from_secs(3)).await;
         let (bytes, links) = totals(&dev);
@@ -189,7 +189,7 @@
     Ok(())
 }
 
-fn totals(dev: &Dev) -> (u64, usize) {
+fn totals(dev: &DevCluster) -> (u64, usize) {
     let mut bytes = 0;
     let mut links = 0;
     for e in &dev.entries {
@@ -221,7 +221,7 @@
     let started = Instant::now();
     accepted(dev.apply(0, &file, 1).await?)?;
     let finished = |s: &workswood_operators::Status| s.waves[0]["stop"]["stop"] == "finished";
-    let status = dev.wait(0, "the wave ends", finished).await?;
+    let status = dev.wait_for(0, "the wave ends", finished).await?;
     let hosts = status.waves[0]["done"].as_u64().unwrap_or(1);
     let (mut envelopes, mut records, mut bytes) = (0, 0, 0);
     for r in &dev.platform.log()[from..] {
--- a/src/workswood/ops/bench/plan.rs
+++ b/src/workswood/ops/bench/plan.rs
@@ -14,7 +14,7 @@
 use super::stats::median;
 use crate::ops::check::read_text;
 use crate::ops::dev::DEFAULT_FILE;
-use crate::ops::plan::{listed, settled};
+use crate::ops::plan::{observed_fleet, settled_state};
 
 const NOW: UnixMs = 1_000_000;
 const RUNS: usize = 5;
@@ -26,9 +26,9 @@
     for (hosts, pools) in [(50, 2), (500, 4), (5_000, 12), (24_000, 52)] {
         let file = fleet(hosts, pools);
         let started = Instant::now();
-        let state = settled(std::slice::from_ref(&file), NOW);
+        let state = settled_state(std::slice::from_ref(&file), NOW);
         let first = started.elapsed().as_secs_f64() * 1e3;
-        let seen = listed(&state);
+        let seen = observed_fleet(&state);
         let quiet = median((0..RUNS).map(|_| time(|| round(&state, &seen, NOW))).collect());
         let loss = median((0..RUNS).map(|_| replan(&state, &seen)).collect());
         let m = maintenance("pool0");
@@ -125,7 +125,7 @@
 }
 
 fn show(name: &str, file: &FleetFile, maintenance: &[Maintenance]) {
-    let state = settled(std::slice::from_ref(file), NOW);
+    let state = settled_state(std::slice::from_ref(file), NOW);
     for m in maintenance {
         let m = Maintenance { start: 0, deadline: 0, blackout_windows: Vec::new(), ..m.clone() };
         let bound = LowerBound::for_maintenance(&state, &m);
--- a/src/workswood/ops/dev.rs
+++ b/src/workswood/ops/dev.rs
@@ -37,7 +37,7 @@
 pub const DEFAULT_FILE: &str = include_str!("../../../examples/factoring.json");
 
 /// Some entries on a stand-in platform.
-pub struct Dev {
+pub struct DevCluster {
     /// The platform.
     pub platform: Arc<PlatformStandin>,
     /// The entries.
@@ -46,7 +46,7 @@
 }
 
 /// Settings of an entry on the loopback, with ports chosen by the system.
-pub fn loopback(name: &str, data_centre: &str, platform: &str, seeds: Vec<SocketAddr>) -> Settings {
+pub fn loopback_settings(name: &str, data_centre: &str, platform: &str, seeds: Vec<SocketAddr>) -> Settings {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     Settings {
         name: name.to_string(),
@@ -66,14 +66,14 @@
     }
 }
 
-impl Dev {
+impl DevCluster {
     /// Starts a platform with the hosts of files, and entries in their data
     /// centres.
-    pub async fn start(files: &[FleetFile], entries: usize) -> Result<Dev> {
+    pub async fn start(files: &[FleetFile], entries: usize) -> Result<DevCluster> {
         let started = PlatformStandin::start(files).await;
         let platform = started.context(crate::util::errors::ListenSnafu { address: "127.0.0.1:0" })?;
         let client = Client::builder(TokioExecutor::new()).build_http();
-        let mut dev = Dev { platform: Arc::new(platform), entries: Vec::new(), client };
+        let mut dev = DevCluster { platform: Arc::new(platform), entries: Vec::new(), client };
         for _ in 0..entries {
             let number = dev.entries.len();
             let mut centres: Vec<&str> =
@@ -81,20 +81,20 @@
             centres.sort_unstable();
             centres.dedup();
             let centre = centres.get(number % centres.len().max(1)).copied().unwrap_or("local");
-            dev.add(&format!("entry-{number}"), centre).await?;
+            dev.add_entry(&format!("entry-{number}"), centre).await?;
         }
         Ok(dev)
     }
 
     /// Starts one more entry.
-    pub async fn add(&mut self, name: &str, data_centre: &str) -> Result<()> {
+    pub async fn add_entry(&mut self, name: &str, data_centre: &str) -> Result<()> {
         let seeds = self.entries.iter().map(|e| e.node.settings.peers).collect();
-        let settings = loopback(name, data_centre, &self.platform.address, seeds);
-        self.add_with(settings).await
+        let settings = loopback_settings(name, data_centre, &self.platform.address, seeds);
+        self.add_entry_with(settings).await
     }
 
     /// Starts one more entry with settings.
-    pub async fn add_with(&mut self, settings: Settings) -> Result<()> {
+    pub async fn add_entry_with(&mut self, settings: Settings) -> Result<()> {
         let tokens = Tokens { operators: OPERATOR_TOKEN.to_string(), peers: PEER_TOKEN.to_string() };
         self.entries.push(Entry::start(settings, tokens).await?);
         let addresses = self.entries.iter().map(|e| e.node.peer_address()).collect();
@@ -103,7 +103,7 @@
     }
 
     /// A client of an entry's listener for operators.
-    pub fn operator(&self, entry: usize) -> OperatorClient {
+    pub fn operator_client(&self, entry: usize) -> OperatorClient {
         OperatorClient::new(&self.entries[entry].node.settings.operators.to_string(), OPERATOR_TOKEN)
     }
 
@@ -129,12 +129,12 @@
             text: serde_json::to_string(file).unwrap_or_default(),
             wait_ms: wait.as_millis() as u64,
         };
-        self.operator(entry).apply(&req).await.context(CallSnafu)
+        self.operator_client(entry).apply(&req).await.context(CallSnafu)
     }
 
     /// What an entry knows.
     pub async fn status(&self, entry: usize) -> Result<Status> {
-        self.operator(entry).status().await.context(CallSnafu)
+        self.operator_client(entry).status().await.context(CallSnafu)
     }
 
     /// Sends a request of a caller to an entry.
@@ -149,7 +149,7 @@
     }
 
     /// Waits until a status of an entry fits.
-    pub async fn wait(&self, entry: usize, what: &str, fits: impl Fn(&Status) -> bool) -> Result<Status> {
+    pub async fn wait_for(&self, entry: usize, what: &str, fits: impl Fn(&Status) -> bool) -> Result<Status> {
         let until = Instant::now() + PATIENCE;
         loop {
             let status = self.status(entry).await?;
@@ -165,14 +165,14 @@
     }
 
     /// Waits until all entries share slots and all instances take work.
-    pub async fn settle(&self) -> Result<()> {
+    pub async fn wait_until_settled(&self) -> Result<()> {
         let entries = self.entries.len();
-        self.wait(0, "entries on the roster", |s| {
+        self.wait_for(0, "entries on the roster", |s| {
             s.entries.iter().filter(|e| e.on_roster).count() == entries
         })
         .await?;
         for entry in 0..entries {
-            self.wait(entry, "instances ready", all_ready).await?;
+            self.wait_for(entry, "instances ready", all_ready).await?;
         }
         Ok(())
     }
@@ -210,7 +210,7 @@
     }
 
     /// The same with a time that the caller allows.
-    pub fn within(mut self, deadline: Duration) -> CallerRequest {
+    pub fn with_deadline(mut self, deadline: Duration) -> CallerRequest {
         self.deadline = Some(deadline);
         self
     }
@@ -279,10 +279,10 @@
 
 /// Runs the files; prints what happens.
 pub async fn run(mut files: Vec<FleetFile>, entries: usize, keep: bool) -> Result<()> {
-    let dev = Dev::start(&files, entries).await?;
+    let dev = DevCluster::start(&files, entries).await?;
     let now = dev.entries[0].node.wall();
     files.iter_mut().for_each(|f| shift(f, now));
-    dev.wait(0, "the entry catches up", |s| s.ready).await?;
+    dev.wait_for(0, "the entry catches up", |s| s.ready).await?;
     for e in &dev.entries {
         let s = &e.node.settings;
         crate::outln!(
@@ -300,7 +300,7 @@
             other => return Err(Error::RunFailed { message: format!("{other:?}") }),
         }
     }
-    dev.settle().await?;
+    dev.wait_until_settled().await?;
     crate::outln!("all instances are ready");
     for f in &files {
         for path in f.services.iter().flat_map(|s| &s.routes).map(|r| &r.path) {
@@ -322,13 +322,13 @@
 }
 
 /// Follows the maintenance to its end.
-async fn follow(dev: &Dev) -> Result<()> {
+async fn follow(dev: &DevCluster) -> Result<()> {
     let finished = |s: &Status| {
         let waves = s.waves.as_array();
         waves.is_some_and(|w| w.iter().all(|w| w["stop"]["stop"] == "finished"))
     };
     let started = Instant::now();
-    let status = dev.wait(0, "maintenance finishes", finished).await?;
+    let status = dev.wait_for(0, "maintenance finishes", finished).await?;
     crate::outln!("maintenance finished after {:.1}s of stand-in time", started.elapsed().as_secs_f64());
     crate::out!("{}", crate::ops::status::text(&status));
     let cut = dev.platform.ledger.cut_off.load(std::sync::atomic::Ordering::Relaxed);
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -55,7 +55,7 @@
 
 /// The state of files in force on hosts that are all well, with every
 /// instance placed and ready.
-pub fn settled(files: &[FleetFile], now: UnixMs) -> State {
+pub fn settled_state(files: &[FleetFile], now: UnixMs) -> State {
     let mut log = Offline { state: State::default(), seq: 0, now };
     let take =
         Record::Take { role: Role::Planner, holder: PLANNER.to_string(), term: TERM, seen_renewals: 0 };
@@ -91,7 +91,7 @@
 }
 
 /// The list that a platform without faults would show for a state.
-pub fn listed(state: &State) -> ObservedFleet {
+pub fn observed_fleet(state: &State) -> ObservedFleet {
     let mut seen = ObservedFleet::default();
     for (id, h) in &state.hosts {
         let on = state.by_host.get(id).into_iter().flatten();
@@ -141,7 +141,7 @@
 
 /// Plans all maintenance of files.
 pub fn run(files: &[FleetFile], now: UnixMs) -> (State, Vec<MaintenancePlan>) {
-    let state = settled(files, now);
+    let state = settled_state(files, now);
     let all = files.iter().flat_map(|f| &f.maintenance);
     let plans = all.map(|m| MaintenancePlan {
         maintenance: m.clone(),
--- a/src/workswood/ops/soak.rs
+++ b/src/workswood/ops/soak.rs
@@ -21,7 +21,7 @@
 use workswood_operators::ApplyReply;
 use workswood_standin::{Behaviour, PlatformStandin};
 
-use super::dev::{Caller, CallerRequest, Dev};
+use super::dev::{Caller, CallerRequest, DevCluster};
 use super::entry::Entry;
 use crate::util::errors::{Error, Result};
 
@@ -101,12 +101,12 @@
 /// Runs a soak on a file; fails if anything was broken.
 pub async fn run(mut file: FleetFile, opts: &SoakOptions) -> Result<()> {
     let declared = std::mem::take(&mut file.maintenance);
-    let mut dev = Dev::start(std::slice::from_ref(&file), ENTRIES).await?;
+    let mut dev = DevCluster::start(std::slice::from_ref(&file), ENTRIES).await?;
     for i in 0..ENTRIES {
-        dev.wait(i, "ready", |s| s.ready).await?;
+        dev.wait_for(i, "ready", |s| s.ready).await?;
     }
     dev.apply(0, &file, 0).await?;
-    dev.settle().await?;
+    dev.wait_until_settled().await?;
     let soak = Soak::new(&dev, &file);
     let mut ids: Vec<u64> = (0..ENTRIES).map(|i| soak.balancer.add(dev.caller(i))).collect();
     let callers = soak.callers(opts.seed);
@@ -131,7 +131,7 @@
 }
 
 impl Soak {
-    fn new(dev: &Dev, file: &FleetFile) -> Soak {
+    fn new(dev: &DevCluster, file: &FleetFile) -> Soak {
         let routes = file.services.iter().flat_map(|s| &s.routes);
         Soak {
             platform: dev.platform.clone(),
@@ -164,7 +164,7 @@
     }
 
     /// One fault, drawn at random.
-    async fn fault(&self, dev: &mut Dev, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
+    async fn fault(&self, dev: &mut DevCluster, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
         let kind = rng.random_range(0..14);
         let name = match kind {
             0 => self.set("lost_appends", |f| f.lose_appends = 3),
@@ -252,7 +252,7 @@
         "endpoint_bad"
     }
 
-    async fn kill(&self, dev: &mut Dev, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
+    async fn kill(&self, dev: &mut DevCluster, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
         let i = rng.random_range(0..dev.entries.len());
         let id = ids.remove(i);
         self.balancer.killed.lock().push(id);
@@ -263,7 +263,7 @@
     }
 
     /// A planned stop, with a replacement that starts beside it.
-    async fn replace(&self, dev: &mut Dev, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
+    async fn replace(&self, dev: &mut DevCluster, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
         let i = rng.random_range(0..dev.entries.len());
         let (id, old) = (ids.remove(i), dev.entries.remove(i));
         let (balancer, node) = (self.balancer.clone(), old.node.clone());
@@ -279,10 +279,10 @@
         self.start_another(dev, ids, rng).await
     }
 
-    async fn start_another(&self, dev: &mut Dev, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
+    async fn start_another(&self, dev: &mut DevCluster, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
         let name = format!("entry-{}", rng.random_range(100..1_000_000));
         let place = dev.entries.first().map(|e| e.node.settings.data_centre.clone()).unwrap_or_default();
-        dev.add(&name, &place).await?;
+        dev.add_entry(&name, &place).await?;
         let node = dev.entries[dev.entries.len() - 1].node.clone();
         let caller = dev.caller(dev.entries.len() - 1);
         ids.push(self.balancer.next.fetch_add(1, Ordering::Relaxed));
@@ -304,7 +304,7 @@
     /// Operators race on one base; now and then they plan new maintenance.
     async fn operate(
         &self,
-        dev: &Dev,
+        dev: &DevCluster,
         file: &mut FleetFile,
         declared: &[Maintenance],
         rng: &mut StdRng,
@@ -345,7 +345,7 @@
         Ok(())
     }
 
-    async fn heal(&self, dev: &Dev) -> Result<()> {
+    async fn heal(&self, dev: &DevCluster) -> Result<()> {
         self.platform.faults(|f| *f = workswood_standin::Faults::default());
         for name in self.platform.hosts() {
             self.platform.recover_host(&name).await;
@@ -367,7 +367,7 @@
         }
     }
 
-    async fn judge(&self, dev: &Dev) -> Result<()> {
+    async fn judge(&self, dev: &DevCluster) -> Result<()> {
         for key in self.platform.ledger.doubled() {
             // Keys of repeatable requests begin with another letter.
             if key.starts_with('o') {
--- a/tests/testsuite/deferred_requests.rs
+++ b/tests/testsuite/deferred_requests.rs
@@ -20,7 +20,7 @@
     busy.iter().for_each(|b| b.abort());
     dev.entries.clear();
     for n in 0..2 {
-        dev.add(&format!("new-{n}"), "dc0").await.expect("an entry starts");
+        dev.add_entry(&format!("new-{n}"), "dc0").await.expect("an entry starts");
     }
     until("all have run", || keys.iter().all(|k| dev.platform.ledger.runs(k) >= 1)).await;
     // Any entry may be asked; each learns of the ends when it has read so far in the log.
--- a/tests/testsuite/entry_silence.rs
+++ b/tests/testsuite/entry_silence.rs
@@ -8,7 +8,7 @@
 //! The cause: the client had no bound on idle connections, and what one read had learned
 //! of them was not used for the next.
 
-use workswood::ops::dev::loopback;
+use workswood::ops::dev::loopback_settings;
 use workswood::ops::entry::Entry;
 use workswood::util::settings::Tokens;
 use workswood_core::plan::HostAction;
@@ -79,7 +79,7 @@
 #[tokio::test]
 async fn entry_shares_findings() {
     let (_platform, cut) = log().await;
-    let settings = loopback("entry-1", "a", &cut.address, Vec::new());
+    let settings = loopback_settings("entry-1", "a", &cut.address, Vec::new());
     let tokens = Tokens { operators: String::new(), peers: String::new() };
     let entry = Entry::start(settings, tokens).await.expect("an entry starts");
     let node = entry.node.clone();
--- a/tests/testsuite/entry_stop.rs
+++ b/tests/testsuite/entry_stop.rs
@@ -34,7 +34,7 @@
         // The balancer notices while the entry still accepts.
         tokio::time::sleep(Duration::from_millis(100)).await;
         flag.store(true, Ordering::Relaxed);
-        dev.add(&format!("new-{round}"), "dc0").await.expect("an entry starts");
+        dev.add_entry(&format!("new-{round}"), "dc0").await.expect("an entry starts");
         let new = dev.entries.last().expect("just added").node.clone();
         until("the new one shares slots", || new.table.load().roster_position.0.is_some()).await;
         let flag = Arc::new(AtomicBool::new(false));
--- a/tests/testsuite/keyed_requests.rs
+++ b/tests/testsuite/keyed_requests.rs
@@ -112,7 +112,7 @@
     let req = CallerRequest::to("/shop/once?ms=1")
         .with_body("pay")
         .with_key("frees", last)
-        .within(Duration::from_millis(800));
+        .with_deadline(Duration::from_millis(800));
     let busy = take_slots(&dev, 40, "/shop/get?ms=2500", 2, 16).await;
     let res = dev.call(0, req.clone()).await.expect("an answer");
     assert_eq!(ran(&res), "not-run", "{res:?}");
--- a/tests/testsuite/log_faults.rs
+++ b/tests/testsuite/log_faults.rs
@@ -72,7 +72,7 @@
     file.maintenance = vec![maintenance("kernel", "main")];
     let reply = dev.apply(0, &file, 1).await.expect("an answer");
     assert!(matches!(reply, ApplyReply::Accepted { .. }), "{reply:?}");
-    dev.wait(0, "the wave has begun", |s| s.waves[0]["done"].as_u64() > Some(1)).await.expect("status");
+    dev.wait_for(0, "the wave has begun", |s| s.waves[0]["done"].as_u64() > Some(1)).await.expect("status");
     dev.platform.faults(|f| f.log_down = true);
     for e in &dev.entries {
         until("the outage is seen", || !e.node.is_set(&e.node.log_up)).await;
@@ -84,6 +84,6 @@
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert!(dev.platform.counters().reboots <= begun + under_way, "a reboot began in the outage");
     dev.platform.faults(|f| f.log_down = false);
-    dev.wait(0, "the wave ends", |s| s.waves[0]["stop"]["stop"] == "finished").await.expect("status");
+    dev.wait_for(0, "the wave ends", |s| s.waves[0]["stop"]["stop"] == "finished").await.expect("status");
     assert_eq!(dev.platform.counters().reboots, 8, "a host was rebooted twice or not at all");
 }
--- a/tests/testsuite/log_retention.rs
+++ b/tests/testsuite/log_retention.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use workswood::ops::dev::{CallerRequest, Dev, loopback};
+use workswood::ops::dev::{CallerRequest, DevCluster, loopback_settings};
 use workswood_core::invariant;
 use workswood_operators::ApplyReply;
 use workswood_test_support::files::small;
 use workswood_test_support::live::{code, fleet, ran, until};
 
-async fn change(dev: &Dev, file: &mut workswood_core::fleet::FleetFile, base: u64) {
+async fn change(dev: &DevCluster, file: &mut workswood_core::fleet::FleetFile, base: u64) {
     file.objective.moves += 1;
     let reply = dev.apply_within(0, file, base, Duration::ZERO).await.expect("an answer");
     assert!(matches!(reply, ApplyReply::Accepted { version, .. } if version == base + 1), "{reply:?}");
@@ -30,8 +30,8 @@
     assert!(first > 20, "nothing has expired");
     until("a checkpoint is kept", || dev.platform.log().iter().any(|r| r.body.contains("\"checkpoint\"")))
         .await;
-    let settings = loopback("fresh", "dc0", &dev.platform.address, Vec::new());
-    dev.add_with(settings).await.expect("an entry starts");
+    let settings = loopback_settings("fresh", "dc0", &dev.platform.address, Vec::new());
+    dev.add_entry_with(settings).await.expect("an entry starts");
     let fresh = dev.entries[2].node.clone();
     until("it is ready", || fresh.is_set(&fresh.ready)).await;
     let head = dev.entries[0].node.state.read().next_offset;
@@ -49,16 +49,16 @@
     let mut dev = fleet(&file, 2).await;
     change(&dev, &mut file, 1).await;
     dev.platform.faults(|f| f.log_down = true);
-    let alone = loopback("alone", "dc9", &dev.platform.address, Vec::new());
+    let alone = loopback_settings("alone", "dc9", &dev.platform.address, Vec::new());
     dev.platform.set_entries(Vec::new());
-    dev.add_with(alone).await.expect("an entry starts");
+    dev.add_entry_with(alone).await.expect("an entry starts");
     dev.platform.set_entries(Vec::new());
     let res = dev.call(2, CallerRequest::to("/shop/get")).await.expect("an answer");
     assert_eq!((code(&res), ran(&res)), (302, "not-run"));
     // With a peer it takes the newest state that the peer has.
     let seeds = vec![dev.entries[0].node.settings.peers];
-    let with = loopback("with", "dc1", &dev.platform.address, seeds);
-    dev.add_with(with).await.expect("an entry starts");
+    let with = loopback_settings("with", "dc1", &dev.platform.address, seeds);
+    dev.add_entry_with(with).await.expect("an entry starts");
     let node = dev.entries[3].node.clone();
     until("it is ready", || node.is_set(&node.ready)).await;
     assert_eq!(node.state.read().files["small"].version, 2);
@@ -70,8 +70,8 @@
     let mut dev = fleet(&file, 2).await;
     // An entry whose log is cut off sleeps through records that then expire.
     let proxy = workswood_test_support::cut::Cut::start(&dev.platform.address).await;
-    let settings = loopback("sleeper", "dc0", &proxy.address, Vec::new());
-    dev.add_with(settings).await.expect("an entry starts");
+    let settings = loopback_settings("sleeper", "dc0", &proxy.address, Vec::new());
+    dev.add_entry_with(settings).await.expect("an entry starts");
     let sleeper = dev.entries[2].node.clone();
     until("it is ready", || sleeper.is_set(&sleeper.ready)).await;
     let version = sleeper.state.read().files["small"].version;
--- a/tests/testsuite/maintenance_waves.rs
+++ b/tests/testsuite/maintenance_waves.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use workswood::ops::dev::{CallerRequest, Dev};
+use workswood::ops::dev::{CallerRequest, DevCluster};
 use workswood_core::fleet::{FleetFile, TimeWindow};
 use workswood_core::invariant;
 use workswood_core::record::Role;
@@ -10,25 +10,25 @@
 use workswood_test_support::files::{maintenance, small};
 use workswood_test_support::live::{Load, Watch, fleet, until};
 
-async fn start_wave(dev: &Dev, file: &mut FleetFile) {
+async fn start_wave(dev: &DevCluster, file: &mut FleetFile) {
     file.maintenance = vec![maintenance("kernel", "main")];
     let reply = dev.apply(0, file, 1).await.expect("an answer");
     assert!(matches!(reply, ApplyReply::Accepted { .. }), "{reply:?}");
 }
 
 /// Waits until an entry says that the wave has ended.
-async fn wave_ends(dev: &Dev, entry: usize) {
-    dev.wait(entry, "the wave ends", |s| s.waves[0]["stop"]["stop"] == "finished").await.expect("status");
+async fn wave_ends(dev: &DevCluster, entry: usize) {
+    dev.wait_for(entry, "the wave ends", |s| s.waves[0]["stop"]["stop"] == "finished").await.expect("status");
 }
 
 /// The wave ends, with every host maintained once and the budget kept.
-async fn all_maintained(dev: &Dev, watch: &Watch) {
+async fn all_maintained(dev: &DevCluster, watch: &Watch) {
     wave_ends(dev, 0).await;
     assert!(watch.least() >= 4, "only {} were available", watch.least());
     assert_eq!(dev.platform.counters().reboots, 8, "a host was rebooted twice or not at all");
 }
 
-fn planner(dev: &Dev) -> Option<usize> {
+fn planner(dev: &DevCluster) -> Option<usize> {
     let holder = dev.entries[0].node.state.read().lease(Role::Planner).holder?;
     dev.entries.iter().position(|e| e.node.id == holder)
 }
@@ -57,12 +57,14 @@
     let watch = Watch::start(dev.platform.clone(), "shop");
     start_wave(&dev, &mut file).await;
     for done in [1, 3] {
-        dev.wait(0, "the wave goes on", |s| s.waves[0]["done"].as_u64() >= Some(done)).await.expect("status");
+        dev.wait_for(0, "the wave goes on", |s| s.waves[0]["done"].as_u64() >= Some(done))
+            .await
+            .expect("status");
         let i = planner(&dev).expect("somebody plans");
         let dead = dev.entries.remove(i);
         dead.kill();
         drop(dead);
-        let term = |dev: &Dev| dev.entries[0].node.state.read().lease(Role::Planner).term;
+        let term = |dev: &DevCluster| dev.entries[0].node.state.read().lease(Role::Planner).term;
         let before = term(&dev);
         until("another takes over", || term(&dev) > before).await;
     }
@@ -95,10 +97,12 @@
     assert!(matches!(reply, ApplyReply::Accepted { .. }), "{reply:?}");
     let stuck =
         |s: &workswood_operators::Status| s.waves[0]["stop"]["stop"] == "unwell" && !s.stuck.is_empty();
-    dev.wait(0, "the wave stops by itself", stuck).await.expect("status");
+    dev.wait_for(0, "the wave stops by itself", stuck).await.expect("status");
     assert_eq!(dev.platform.counters().reboots, 1, "more than the first host left");
     dev.platform.faults(|f| f.stuck = Vec::new());
-    dev.wait(0, "it goes on by itself", |s| s.waves[0]["stop"]["stop"] == "finished").await.expect("status");
+    dev.wait_for(0, "it goes on by itself", |s| s.waves[0]["stop"]["stop"] == "finished")
+        .await
+        .expect("status");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -106,7 +110,7 @@
     let mut file = small(8, 6, 4);
     let dev = fleet(&file, 2).await;
     start_wave(&dev, &mut file).await;
-    dev.wait(0, "the wave has begun", |s| s.waves[0]["done"].as_u64() >= Some(1)).await.expect("status");
+    dev.wait_for(0, "the wave has begun", |s| s.waves[0]["done"].as_u64() >= Some(1)).await.expect("status");
     file.maintenance.clear();
     let reply = dev.apply(1, &file, 2).await.expect("an answer");
     assert!(matches!(reply, ApplyReply::Accepted { .. }), "{reply:?}");
@@ -134,7 +138,7 @@
     file.maintenance[0].blackout_windows = vec![TimeWindow { from: now, to: now + 3_600_000 }];
     let reply = dev.apply(0, &file, 1).await.expect("an answer");
     assert!(matches!(reply, ApplyReply::Accepted { .. }), "{reply:?}");
-    dev.wait(0, "the release is kept clear", |s| s.waves[0]["stop"]["stop"] == "keep_clear")
+    dev.wait_for(0, "the release is kept clear", |s| s.waves[0]["stop"]["stop"] == "keep_clear")
         .await
         .expect("status");
     assert_eq!(dev.platform.counters().reboots, 0);
--- a/tests/testsuite/operator_changes.rs
+++ b/tests/testsuite/operator_changes.rs
@@ -23,7 +23,7 @@
             let mut mine = file.clone();
             mine.objective.moves = 100 * base as u32 + n as u32;
             let req = request(&mine, &format!("op-{base}-{n}"), base);
-            let operator = dev.operator(n % 3);
+            let operator = dev.operator_client(n % 3);
             async move { operator.apply(&req).await.expect("an answer") }
         });
         let replies = futures::future::join_all(tries).await;
@@ -49,7 +49,7 @@
     changed.objective.moves = 9;
     let req = request(&changed, "same", 1);
     for entry in [0, 1, 0] {
-        let reply = dev.operator(entry).apply(&req).await.expect("an answer");
+        let reply = dev.operator_client(entry).apply(&req).await.expect("an answer");
         assert!(
             matches!(&reply, ApplyReply::Accepted { version: 2, behind, .. } if behind.is_empty()),
             "{reply:?}"
@@ -62,7 +62,7 @@
     let dev = fleet(&small(6, 4, 2), 1).await;
     let mut req = request(&small(6, 4, 2), "bad", 1);
     req.text = req.text.replace("\"min_available\":2", "\"min_available\":4,\"max_unavailible\":1");
-    let reply = dev.operator(0).apply(&req).await.expect("an answer");
+    let reply = dev.operator_client(0).apply(&req).await.expect("an answer");
     let ApplyReply::Refused { issues, .. } = reply else { panic!("{reply:?}") };
     assert_eq!(issues[0].path, "services[0].budget.max_unavailible");
 }
--- a/tests/testsuite/separate_processes.rs
+++ b/tests/testsuite/separate_processes.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::time::Duration;
 
-use workswood::ops::dev::{Caller, CallerRequest, loopback};
+use workswood::ops::dev::{Caller, CallerRequest, loopback_settings};
 use workswood_core::fleet::FleetFile;
 use workswood_operators::{ApplyReply, ApplyRequest, OperatorClient, Status};
 use workswood_standin::PlatformStandin;
@@ -34,7 +34,7 @@
 
 fn start(folder: &Path, n: usize, platform: &str, ports: &[SocketAddr]) -> Process {
     let (peers, own) = (&ports[..ENTRIES], &ports[ENTRIES + 2 * n..]);
-    let mut s = loopback(&format!("p{n}"), "dc0", platform, peers.to_vec());
+    let mut s = loopback_settings(&format!("p{n}"), "dc0", platform, peers.to_vec());
     s.callers = own[0];
     s.operators = own[1];
     s.peers = peers[n];
--- a/tests/testsuite/whole_path.rs
+++ b/tests/testsuite/whole_path.rs
@@ -1,6 +1,6 @@
 //! A request from one end to the other.
 
-use workswood::ops::dev::{CallerRequest, Dev};
+use workswood::ops::dev::{CallerRequest, DevCluster};
 use workswood_operators::OperatorClient;
 use workswood_test_support::files::small;
 use workswood_test_support::live::{code, fleet, ran};
@@ -37,7 +37,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn wrong_token() {
-    let dev = Dev::start(&[small(2, 1, 0)], 1).await.expect("an entry starts");
+    let dev = DevCluster::start(&[small(2, 1, 0)], 1).await.expect("an entry starts");
     let address = dev.entries[0].node.settings.operators.to_string();
     let e = OperatorClient::new(&address, "wrong").status().await.expect_err("refused");
     assert!(e.to_string().contains("error 225"), "{e}");
@@ -54,11 +54,13 @@
     };
     dev.platform.change_host(&idle, |h| h.seen.pool = Some("others".to_string()));
     let foreign = idle.clone();
-    dev.wait(0, "the move is reported", |s| s.hosts.iter().any(|p| p.foreign.contains(&foreign)))
+    dev.wait_for(0, "the move is reported", |s| s.hosts.iter().any(|p| p.foreign.contains(&foreign)))
         .await
         .expect("status");
     let acts = dev.platform.counters().acts;
     dev.platform.change_host(&idle, |h| h.seen.pool = Some("main".to_string()));
-    dev.wait(0, "it is ours again", |s| s.hosts.iter().all(|p| p.foreign.is_empty())).await.expect("status");
+    dev.wait_for(0, "it is ours again", |s| s.hosts.iter().all(|p| p.foreign.is_empty()))
+        .await
+        .expect("status");
     assert_eq!(dev.platform.counters().acts, acts, "the host was not left alone");
 }
