--- a/src/workswood/ops/dev.rs
+++ b/src/workswood/ops/dev.rs
@@ -1,8 +1,8 @@
 //! `dev`: entries, a stand-in platform and stand-in endpoints in one process.
 //!
-//! Applies the files, sends one request over every route, and follows the
-//! maintenance to its end. Times in the files are shifted so that the earliest
-//! maintenance starts now; a reboot takes half a second here.
+//! Applies the files, sends one request over every route, and waits until all maintenance is
+//! finished. Times in the files are shifted so that the earliest maintenance starts now. A reboot
+//! of a stand-in host takes half a second.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,18 +25,19 @@
 
 use snafu::ResultExt;
 
-/// Longest time for everything to settle, and for maintenance to finish.
-const PATIENCE: Duration = Duration::from_secs(120);
-/// Longest wait until a file is in force everywhere.
-const EVERYWHERE: Duration = Duration::from_secs(8);
-const LOOK: Duration = Duration::from_millis(100);
+/// Timeout of each wait for a status, such as until maintenance is finished.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(120);
+/// Longest wait until all entries confirm an applied file.
+const APPLY_WAIT: Duration = Duration::from_secs(8);
+/// Time between two requests for the status.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const OPERATOR_TOKEN: &str = "dev-operator";
 const PEER_TOKEN: &str = "dev-peer";
 
-/// The file used when none is named.
+/// The text of the fleet file that is used by default.
 pub const DEFAULT_FILE: &str = include_str!("../../../examples/factoring.json");
 
-/// Some entries on a stand-in platform.
+/// Entries on a stand-in platform, all in this process.
 pub struct DevCluster {
     /// The platform.
     pub platform: Arc<PlatformStandin>,
@@ -45,16 +46,16 @@
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// Settings of an entry on the loopback, with ports chosen by the system.
+/// Settings of an entry on the loopback interface, with ports chosen by the system.
 pub fn loopback_settings(name: &str, data_centre: &str, platform: &str, seeds: Vec<SocketAddr>) -> Settings {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     Settings {
         name: name.to_string(),
         data_centre: data_centre.to_string(),
-        callers: any,
-        operators: any,
-        peers: any,
-        platform: platform.parse().unwrap_or(any),
+        callers: any_port,
+        operators: any_port,
+        peers: any_port,
+        platform: platform.parse().unwrap_or(any_port),
         seeds,
         operators_token_file: String::new(),
         peers_token_file: String::new(),
@@ -67,7 +68,7 @@
 }
 
 impl DevCluster {
-    /// Starts a platform with the hosts of files, and entries in their data
+    /// Starts a platform with the hosts of the files, and entries that are spread over their data
     /// centres.
     pub async fn start(files: &[FleetFile], entries: usize) -> Result<DevCluster> {
         let started = PlatformStandin::start(files).await;
@@ -76,24 +77,25 @@
         let mut dev = DevCluster { platform: Arc::new(platform), entries: Vec::new(), client };
         for _ in 0..entries {
             let number = dev.entries.len();
-            let mut centres: Vec<&str> =
+            let mut data_centres: Vec<&str> =
                 files.iter().flat_map(|f| f.hosts.iter().map(|h| h.data_centre.as_str())).collect();
-            centres.sort_unstable();
-            centres.dedup();
-            let centre = centres.get(number % centres.len().max(1)).copied().unwrap_or("local");
-            dev.add_entry(&format!("entry-{number}"), centre).await?;
+            data_centres.sort_unstable();
+            data_centres.dedup();
+            let data_centre =
+                data_centres.get(number % data_centres.len().max(1)).copied().unwrap_or("local");
+            dev.add_entry(&format!("entry-{number}"), data_centre).await?;
         }
         Ok(dev)
     }
 
-    /// Starts one more entry.
+    /// Starts another entry.
     pub async fn add_entry(&mut self, name: &str, data_centre: &str) -> Result<()> {
         let seeds = self.entries.iter().map(|e| e.node.settings.peers).collect();
         let settings = loopback_settings(name, data_centre, &self.platform.address, seeds);
         self.add_entry_with(settings).await
     }
 
-    /// Starts one more entry with settings.
+    /// Starts another entry with the given settings.
     pub async fn add_entry_with(&mut self, settings: Settings) -> Result<()> {
         let tokens = Tokens { operators: OPERATOR_TOKEN.to_string(), peers: PEER_TOKEN.to_string() };
         self.entries.push(Entry::start(settings, tokens).await?);
@@ -102,19 +104,17 @@
         Ok(())
     }
 
-    /// A client of an entry's listener for operators.
+    /// Creates a client of an entry's listener for operators.
     pub fn operator_client(&self, entry: usize) -> OperatorClient {
         OperatorClient::new(&self.entries[entry].node.settings.operators.to_string(), OPERATOR_TOKEN)
     }
 
-    /// Applies a file through an entry, and waits until it is in force
-    /// everywhere.
+    /// Applies a file through an entry, and waits until all entries confirm it.
     pub async fn apply(&self, entry: usize, file: &FleetFile, base: u64) -> Result<ApplyReply> {
-        self.apply_within(entry, file, base, EVERYWHERE).await
+        self.apply_within(entry, file, base, APPLY_WAIT).await
     }
 
-    /// Applies a file through an entry; waits so long until it is in force
-    /// everywhere.
+    /// Applies a file through an entry, and waits up to `wait` until all entries confirm it.
     pub async fn apply_within(
         &self,
         entry: usize,
@@ -132,53 +132,59 @@
         self.operator_client(entry).apply(&req).await.context(CallSnafu)
     }
 
-    /// What an entry knows.
+    /// Requests the status of an entry.
     pub async fn status(&self, entry: usize) -> Result<Status> {
         self.operator_client(entry).status().await.context(CallSnafu)
     }
 
-    /// Sends a request of a caller to an entry.
+    /// Sends a request to an entry, as a caller does.
     pub async fn call(&self, entry: usize, req: CallerRequest) -> Result<Response<Bytes>> {
         let address = self.entries[entry].node.settings.callers;
         send(&self.client, address, req).await
     }
 
-    /// A way to send requests that does not borrow this.
+    /// Creates a caller of an entry.
     pub fn caller(&self, entry: usize) -> Caller {
         Caller { client: self.client.clone(), address: self.entries[entry].node.settings.callers }
     }
 
-    /// Waits until a status of an entry fits.
-    pub async fn wait_for(&self, entry: usize, what: &str, fits: impl Fn(&Status) -> bool) -> Result<Status> {
-        let until = Instant::now() + PATIENCE;
+    /// Waits until the status of an entry satisfies a condition; `what` describes it in the error
+    /// after a timeout.
+    pub async fn wait_for(
+        &self,
+        entry: usize,
+        what: &str,
+        condition: impl Fn(&Status) -> bool,
+    ) -> Result<Status> {
+        let deadline = Instant::now() + STATUS_TIMEOUT;
         loop {
             let status = self.status(entry).await?;
-            if fits(&status) {
+            if condition(&status) {
                 return Ok(status);
             }
-            if Instant::now() > until {
-                let message = format!("waited in vain: {what}\n{}", crate::ops::status::text(&status));
+            if Instant::now() > deadline {
+                let message = format!("timed out waiting for: {what}\n{}", crate::ops::status::text(&status));
                 return Err(Error::RunFailed { message });
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until all entries share slots and all instances take work.
+    /// Waits until all entries are on the roster and all instances are ready.
     pub async fn wait_until_settled(&self) -> Result<()> {
         let entries = self.entries.len();
-        self.wait_for(0, "entries on the roster", |s| {
+        self.wait_for(0, "all entries on the roster", |s| {
             s.entries.iter().filter(|e| e.on_roster).count() == entries
         })
         .await?;
         for entry in 0..entries {
-            self.wait_for(entry, "instances ready", all_ready).await?;
+            self.wait_for(entry, "ready instances", all_ready).await?;
         }
         Ok(())
     }
 }
 
-/// Whether every budget has all it asks for, and a bit more where it may.
+/// Whether there are budgets and all of them have slack.
 fn all_ready(s: &Status) -> bool {
     let budgets = s.budgets.as_array();
     budgets.is_some_and(|b| !b.is_empty() && b.iter().all(|b| b["slack"].as_i64().is_some_and(|n| n > 0)))
@@ -187,42 +193,42 @@
 /// A request of a caller.
 #[derive(Clone, Debug, Default)]
 pub struct CallerRequest {
-    /// Path with query.
+    /// Path and query.
     pub path: String,
-    /// Body.
+    /// The body.
     pub body: Bytes,
-    /// Key and last moment.
+    /// Idempotency key, and the last moment of its use in milliseconds since 1970.
     pub key: Option<(String, UnixMs)>,
-    /// Time that the caller allows.
+    /// Time within which the caller wants the response.
     pub deadline: Option<Duration>,
 }
 
 impl CallerRequest {
-    /// A request without body or key.
+    /// Creates a request without a body or key.
     pub fn to(path: &str) -> CallerRequest {
         CallerRequest { path: path.to_string(), ..CallerRequest::default() }
     }
 
-    /// The same with a body.
+    /// Sets the body.
     pub fn with_body(mut self, body: impl Into<Bytes>) -> CallerRequest {
         self.body = body.into();
         self
     }
 
-    /// The same with a time that the caller allows.
+    /// Sets the deadline.
     pub fn with_deadline(mut self, deadline: Duration) -> CallerRequest {
         self.deadline = Some(deadline);
         self
     }
 
-    /// The same with a key.
+    /// Sets the key and its last moment.
     pub fn with_key(mut self, key: &str, last_moment: UnixMs) -> CallerRequest {
         self.key = Some((key.to_string(), last_moment));
         self
     }
 }
 
-/// Sends requests of callers to one address.
+/// Sends requests to the listener for callers of one entry.
 #[derive(Clone)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -230,7 +236,7 @@
 }
 
 impl Caller {
-    /// Sends to an address.
+    /// Creates a caller of the listener at an address.
     pub fn to(address: SocketAddr) -> Caller {
         Caller { client: Client::builder(TokioExecutor::new()).build_http(), address }
     }
@@ -246,7 +252,7 @@
     address: SocketAddr,
     req: CallerRequest,
 ) -> Result<Response<Bytes>> {
-    let broken = |message: String| Error::RunFailed { message };
+    let failed = |message: String| Error::RunFailed { message };
     let mut builder = Request::builder().method(Method::POST).uri(format!("http://{address}{}", req.path));
     if let Some((key, last_moment)) = &req.key {
         builder = builder.header(workswood_callers::KEY_HEADER, key);
@@ -255,34 +261,34 @@
     if let Some(d) = req.deadline {
         builder = builder.header(workswood_callers::DEADLINE_HEADER, d.as_millis().to_string());
     }
-    let request = builder.body(Full::new(req.body)).map_err(|e| broken(e.to_string()))?;
-    let res = client.request(request).await.map_err(|e| broken(format!("caller cut off: {e:?}")))?;
+    let request = builder.body(Full::new(req.body)).map_err(|e| failed(e.to_string()))?;
+    let res = client.request(request).await.map_err(|e| failed(format!("request failed: {e:?}")))?;
     let (head, body) = res.into_parts();
-    let body = body.collect().await.map_err(|e| broken(format!("answer cut off: {e:?}")))?;
+    let body = body.collect().await.map_err(|e| failed(format!("reading the response failed: {e:?}")))?;
     Ok(Response::from_parts(head, body.to_bytes()))
 }
 
-/// Moves all times of a file so that its earliest maintenance starts at `now`.
-pub fn shift(file: &mut FleetFile, now: UnixMs) {
+/// Shifts all times of a file so that its earliest maintenance starts at `now`.
+pub fn shift_times(file: &mut FleetFile, now: UnixMs) {
     let earliest = file.maintenance.iter().map(|m| m.start).filter(|s| *s > 0).min();
     let Some(earliest) = earliest else { return };
-    let moved = |t: UnixMs| if t == 0 { 0 } else { (t + now).saturating_sub(earliest) };
+    let shifted = |t: UnixMs| if t == 0 { 0 } else { (t + now).saturating_sub(earliest) };
     for m in &mut file.maintenance {
-        m.start = moved(m.start);
-        m.deadline = moved(m.deadline);
+        m.start = shifted(m.start);
+        m.deadline = shifted(m.deadline);
         for w in &mut m.blackout_windows {
-            w.from = moved(w.from);
-            w.to = moved(w.to);
+            w.from = shifted(w.from);
+            w.to = shifted(w.to);
         }
     }
 }
 
-/// Runs the files; prints what happens.
+/// Runs the command with the fleet files; prints the progress.
 pub async fn run(mut files: Vec<FleetFile>, entries: usize, keep: bool) -> Result<()> {
     let dev = DevCluster::start(&files, entries).await?;
     let now = dev.entries[0].node.wall();
-    files.iter_mut().for_each(|f| shift(f, now));
-    dev.wait_for(0, "the entry catches up", |s| s.ready).await?;
+    files.iter_mut().for_each(|f| shift_times(f, now));
+    dev.wait_for(0, "the entry to catch up", |s| s.ready).await?;
     for e in &dev.entries {
         let s = &e.node.settings;
         crate::outln!(
@@ -313,7 +319,7 @@
             crate::outln!("request {path} status={} ran={ran}", res.status().as_u16());
         }
     }
-    follow(&dev).await?;
+    finish_maintenance(&dev).await?;
     if keep {
         crate::outln!("serving until interrupted");
         let _ = tokio::signal::ctrl_c().await;
@@ -321,19 +327,20 @@
     Ok(())
 }
 
-/// Follows the maintenance to its end.
-async fn follow(dev: &DevCluster) -> Result<()> {
+/// Waits until all maintenance is finished; fails if an invariant was broken or a request cut off.
+async fn finish_maintenance(dev: &DevCluster) -> Result<()> {
     let finished = |s: &Status| {
         let waves = s.waves.as_array();
         waves.is_some_and(|w| w.iter().all(|w| w["stop"]["stop"] == "finished"))
     };
     let started = Instant::now();
-    let status = dev.wait_for(0, "maintenance finishes", finished).await?;
+    let status = dev.wait_for(0, "the end of maintenance", finished).await?;
     crate::outln!("maintenance finished after {:.1}s of stand-in time", started.elapsed().as_secs_f64());
     crate::out!("{}", crate::ops::status::text(&status));
-    let cut = dev.platform.ledger.cut_off.load(std::sync::atomic::Ordering::Relaxed);
-    if status.invariants_broken > 0 || cut > 0 {
-        let message = format!("{} invariant(s) broken, {cut} request(s) cut off", status.invariants_broken);
+    let cut_off = dev.platform.ledger.cut_off.load(std::sync::atomic::Ordering::Relaxed);
+    if status.invariants_broken > 0 || cut_off > 0 {
+        let message =
+            format!("{} invariant(s) broken, {cut_off} request(s) cut off", status.invariants_broken);
         return Err(Error::RunFailed { message });
     }
     Ok(())
