--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -1,4 +1,4 @@
-//! `plan`: placements, waves and measures of files, offline.
+//! `plan`: placements and maintenance waves of fleet files, computed offline.
 
 use std::time::Duration;
 
@@ -13,33 +13,35 @@
 
 use crate::util::errors::{Error, Result};
 
-/// Rounds of deciding after which an offline plan must have settled.
-const MOST_ROUNDS: u64 = 200;
+/// Largest number of rounds of planning. The state settles in fewer rounds.
+const MAX_ROUNDS: u64 = 200;
+/// Term of the simulated planner.
 const TERM: u64 = 1;
+/// Name of the simulated planner.
 const PLANNER: &str = "offline";
-/// Address that instances have in an offline plan.
-const ADDRESS: &str = "127.0.0.1:1";
+/// Address of all instances; nothing connects to it.
+const INSTANCE_ADDRESS: &str = "127.0.0.1:1";
 
-/// A plan of one maintenance.
+/// The plan of one maintenance.
 pub struct MaintenancePlan {
     /// The maintenance.
     pub maintenance: Maintenance,
-    /// Our waves.
+    /// Simulation of the waves that the planner makes.
     pub waves: SimulatedRollout,
-    /// One rack after the other.
+    /// Simulation of one rack after the other, for comparison.
     pub racks: SimulatedRollout,
-    /// What no safe plan can beat.
+    /// Lower bound for all safe plans.
     pub bound: LowerBound,
 }
 
-/// A log of one writer, folded as it is written.
-struct Offline {
+/// A log with one writer, which is folded as it is written.
+struct SimulatedLog {
     state: State,
     seq: u64,
     now: UnixMs,
 }
 
-impl Offline {
+impl SimulatedLog {
     fn append(&mut self, records: Vec<Record>) {
         self.seq += 1;
         let env = Envelope {
@@ -53,10 +55,10 @@
     }
 }
 
-/// The state of files in force on hosts that are all well, with every
-/// instance placed and ready.
+/// The state after the files were applied and every instance was placed and is ready, if all hosts
+/// are live.
 pub fn settled_state(files: &[FleetFile], now: UnixMs) -> State {
-    let mut log = Offline { state: State::default(), seq: 0, now };
+    let mut log = SimulatedLog { state: State::default(), seq: 0, now };
     let take =
         Record::Take { role: Role::Planner, holder: PLANNER.to_string(), term: TERM, seen_renewals: 0 };
     log.append(vec![take]);
@@ -65,39 +67,39 @@
             id: f.file.clone(),
             base: 0,
             author: PLANNER.to_string(),
-            // Waves are measured apart, on the settled state.
+            // Maintenance is simulated later, from the settled state.
             file: Box::new(FleetFile { maintenance: Vec::new(), jobs: Vec::new(), ..f.clone() }),
         }]);
     }
-    let mut seen = live(files);
-    for _ in 0..MOST_ROUNDS {
-        let records = decide(&log.state, &seen, &EntryReports::default(), now, TERM);
+    let mut fleet = initial_fleet(files);
+    for _ in 0..MAX_ROUNDS {
+        let records = decide(&log.state, &fleet, &EntryReports::default(), now, TERM);
         if records.is_empty() {
             break;
         }
-        show(&mut seen, &records);
+        observe_placements(&mut fleet, &records);
         log.append(records);
     }
     log.state
 }
 
-/// A list of all hosts of the files, live and in no pool.
-fn live(files: &[FleetFile]) -> ObservedFleet {
+/// The observed fleet before anything is planned: all hosts of the files are live and in no pool.
+fn initial_fleet(files: &[FleetFile]) -> ObservedFleet {
     let hosts = files.iter().flat_map(|f| &f.hosts).map(|h| {
-        let seen = ObservedHost::newly_declared(h);
-        (h.name.clone(), seen)
+        let host = ObservedHost::newly_declared(h);
+        (h.name.clone(), host)
     });
     ObservedFleet { hosts: hosts.collect(), entries: Vec::new() }
 }
 
-/// The list that a platform without faults would show for a state.
+/// The fleet that a platform without faults would report for a state.
 pub fn observed_fleet(state: &State) -> ObservedFleet {
-    let mut seen = ObservedFleet::default();
+    let mut fleet = ObservedFleet::default();
     for (id, h) in &state.hosts {
-        let on = state.by_host.get(id).into_iter().flatten();
+        let instances = state.by_host.get(id).into_iter().flatten();
         let task = |i: &String| ObservedTask {
             id: i.clone(),
-            address: ADDRESS.to_string(),
+            address: INSTANCE_ADDRESS.to_string(),
             ready: true,
             used_millicores: 0,
             ended: None,
@@ -114,22 +116,22 @@
             drained: false,
             boot: "1".to_string(),
             token: h.generation,
-            tasks: on.map(task).collect(),
+            tasks: instances.map(task).collect(),
         };
-        seen.hosts.insert(id.clone(), host);
+        fleet.hosts.insert(id.clone(), host);
     }
-    seen
+    fleet
 }
 
-/// Lets the list show what was decided, as a platform without faults would.
-fn show(seen: &mut ObservedFleet, records: &[Record]) {
+/// Adds the decided placements to the observed fleet, as a platform without faults would.
+fn observe_placements(fleet: &mut ObservedFleet, records: &[Record]) {
     for r in records {
         if let Record::Instance { instance, change: InstanceChange::Place { host }, .. } = r
-            && let Some(h) = seen.hosts.get_mut(host)
+            && let Some(h) = fleet.hosts.get_mut(host)
         {
             h.tasks.push(ObservedTask {
                 id: instance.clone(),
-                address: ADDRESS.to_string(),
+                address: INSTANCE_ADDRESS.to_string(),
                 ready: true,
                 used_millicores: 0,
                 ended: None,
@@ -139,7 +141,7 @@
     }
 }
 
-/// Plans all maintenance of files.
+/// Plans all maintenance of the files. Returns the settled state too.
 pub fn run(files: &[FleetFile], now: UnixMs) -> (State, Vec<MaintenancePlan>) {
     let state = settled_state(files, now);
     let all = files.iter().flat_map(|f| &f.maintenance);
@@ -153,15 +155,16 @@
     (state, plans)
 }
 
-/// Refuses maintenance that can't finish; names the nearest plan that can.
+/// Fails if a maintenance can't finish before its deadline; the error names the nearest feasible
+/// plan.
 pub fn refuse_impossible(files: &[FleetFile], now: UnixMs) -> Result<()> {
     let (state, plans) = run(files, now);
     for p in &plans {
         if p.maintenance.paused || p.waves.not_maintained.is_empty() {
             continue;
         }
-        let free = Maintenance { deadline: 0, ..p.maintenance.clone() };
-        let nearest = simulate_rollout(&state, &free, Strategy::Waves, now);
+        let without_deadline = Maintenance { deadline: 0, ..p.maintenance.clone() };
+        let nearest = simulate_rollout(&state, &without_deadline, Strategy::Waves, now);
         let start = now.max(p.maintenance.start);
         let hint = match nearest.not_maintained.is_empty() {
             true => {
@@ -169,14 +172,11 @@
                 format!("the nearest deadline that can be kept is {}", rfc3339_ms(end + 1_000))
             }
             false => {
-                format!(
-                    "host `{}` can't leave at all: the budgets allow no maintenance",
-                    nearest.not_maintained[0]
-                )
+                format!("the budgets never allow maintenance of host `{}`", nearest.not_maintained[0])
             }
         };
         let message = format!(
-            "maintenance `{}` leaves {} host(s) undone; {hint}",
+            "maintenance `{}` can't finish {} host(s) before its deadline; {hint}",
             p.maintenance.name,
             p.waves.not_maintained.len()
         );
@@ -185,18 +185,18 @@
     Ok(())
 }
 
-fn show_time(t: Duration) -> String {
+fn format_duration(t: Duration) -> String {
     humantime::format_duration(Duration::from_secs(t.as_secs())).to_string()
 }
 
-/// The plan as text.
+/// Formats the placements of the settled state and the maintenance plans.
 pub fn text(state: &State, plans: &[MaintenancePlan]) -> String {
     let mut out = String::new();
     for (id, i) in &state.instances {
         let h = state.hosts.get(&i.host);
-        let (centre, rack) =
+        let (data_centre, rack) =
             h.map(|h| (h.location.data_centre.as_str(), h.location.rack.as_str())).unwrap_or_default();
-        out += &format!("place {id} host={} data_centre={centre} rack={rack}\n", i.host);
+        out += &format!("place {id} host={} data_centre={data_centre} rack={rack}\n", i.host);
     }
     for p in plans {
         out += &format!("\nmaintenance {}\n", p.maintenance.name);
@@ -209,7 +209,7 @@
         let line = |name: &str, m: &SimulatedRollout| {
             format!(
                 "  {name}: rollout={} host_moves={} instance_moves={} spare_instances={}\n",
-                show_time(m.rollout),
+                format_duration(m.rollout),
                 m.host_moves,
                 m.instance_moves,
                 m.spare_instances
@@ -217,8 +217,11 @@
         };
         out += &line("waves", &p.waves);
         out += &line("rack by rack", &p.racks);
-        out +=
-            &format!("  lower bound: rollout={} in {} rounds\n", show_time(p.bound.rollout), p.bound.rounds);
+        out += &format!(
+            "  lower bound: rollout={} in {} rounds\n",
+            format_duration(p.bound.rollout),
+            p.bound.rounds
+        );
     }
     out
 }
