--- a/src/workswood/ops/apply.rs
+++ b/src/workswood/ops/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: puts fleet files in force through an entry host.
+//! `apply`: applies fleet files through an entry.
 
 use std::time::Duration;
 
@@ -8,21 +8,21 @@
 use crate::ops::check;
 use crate::util::errors::{CallSnafu, Error, ReadFileSnafu, Result};
 
-/// How `apply` is called.
+/// Options of `apply`.
 pub struct ApplyOptions {
-    /// Address of an entry host's listener for operators.
+    /// Address of an entry's listener for operators.
     pub address: String,
-    /// The operators' token.
+    /// Token of the operators.
     pub token: String,
-    /// Version that the change was made on.
+    /// Version of the file on which the change is based; 0 for a new file.
     pub base: u64,
-    /// Who applies it.
+    /// Name of the operator who applies the change.
     pub author: String,
-    /// How long to wait until it is in force everywhere.
+    /// How long to wait until all entries confirm the change.
     pub wait: Duration,
 }
 
-/// Applies one file; the reply is an accepted one.
+/// Applies one file. A reply that does not accept it is returned as an error.
 pub async fn run(path: &str, opts: &ApplyOptions) -> Result<ApplyReply> {
     let text = std::fs::read_to_string(path).context(ReadFileSnafu { path })?;
     check::read_text(path, &text)?;
--- a/src/workswood/ops/status.rs
+++ b/src/workswood/ops/status.rs
@@ -1,4 +1,4 @@
-//! `status`: what an entry host knows, for people.
+//! `status`: shows the state that an entry knows.
 
 use snafu::ResultExt;
 use workswood_operators::{OperatorClient, Status};
@@ -6,7 +6,7 @@
 use crate::util::errors::{CallSnafu, Result};
 use crate::util::table::columns;
 
-/// Asks an entry host.
+/// Requests the status of an entry.
 pub async fn run(address: &str, token: &str) -> Result<Status> {
     OperatorClient::new(address, token).status().await.context(CallSnafu)
 }
@@ -15,7 +15,7 @@
     cells.iter().map(|c| c.to_string()).collect()
 }
 
-/// The status as text.
+/// Formats a status for people to read.
 pub fn text(s: &Status) -> String {
     let log = if s.log_up { "up" } else { "down" };
     let mut out = format!("entry {} ready={} log={log} next={}\n\n", s.entry, s.ready, s.next);
--- a/tests/testsuite/fleet_files.rs
+++ b/tests/testsuite/fleet_files.rs
@@ -97,7 +97,7 @@
         .collect();
     let (_, errors) = check::run(&paths);
     let text: String = errors.iter().map(Error::report).collect();
-    assert!(text.contains("host `h0` also stands in file `small`"), "{text}");
+    assert!(text.contains("host `h0` is also declared in file `small`"), "{text}");
     std::fs::remove_dir_all(folder).expect("it is ours");
 }
 
