--- a/src/workswood/ops/mod.rs
+++ b/src/workswood/ops/mod.rs
@@ -1,4 +1,4 @@
-//! One operation for each command.
+//! The operations of the commands, one module for each command.
 
 pub mod apply;
 pub mod bench;
