--- a/src/bin/workswood/commands/soak.rs
+++ b/src/bin/workswood/commands/soak.rs
@@ -24,6 +24,6 @@
         None => ops::check::read_text("factoring.json", ops::dev::DEFAULT_FILE)?,
     };
     let number = |name: &str| args.get_one::<u64>(name).copied().unwrap_or(1);
-    let opts = SoakOptions { time: Duration::from_secs(number("seconds")), seed: number("seed") };
+    let opts = SoakOptions { duration: Duration::from_secs(number("seconds")), seed: number("seed") };
     super::block_on(run(file, &opts))
 }
--- a/src/workswood/ops/soak.rs
+++ b/src/workswood/ops/soak.rs
@@ -1,9 +1,9 @@
 //! `soak`: a long randomised run of six entries on a stand-in platform.
 //!
-//! Callers, operators and faults are drawn from one seed. What was told to
-//! callers is checked against the ledger that the stand-in endpoints keep; the
-//! program's own invariants are read at the end. Timing is that of the machine,
-//! so two runs of one seed draw the same choices but may interleave otherwise.
+//! A seed determines the choices of callers, operators and faults. The responses to callers are
+//! checked against the ledger of the stand-in endpoints, and the program's own invariants are
+//! checked at the end. Timing depends on the machine, so two runs with the same seed make the same
+//! choices but may interleave them differently.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,35 +25,39 @@
 use super::entry::Entry;
 use crate::util::errors::{Error, Result};
 
+/// Number of entries.
 const ENTRIES: usize = 6;
-/// Callers of each kind.
+/// Number of concurrent callers.
 const CALLERS: u64 = 8;
-/// Longest time for everything to settle after the last fault.
-const HEAL: Duration = Duration::from_secs(180);
-/// Time between a planned stop's first sign and its callers going elsewhere.
-const BALANCER: Duration = Duration::from_millis(100);
-/// How long keys may be used.
-const KEY_MS: u64 = 30_000;
-
-/// How a run is made.
+/// Longest time until everything has settled after the last fault.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(180);
+/// Time from the start of a planned stop until the load balancer sends no more requests to the
+/// entry.
+const BALANCER_DELAY: Duration = Duration::from_millis(100);
+/// How long the idempotency key of a request may be used, in milliseconds.
+const KEY_VALIDITY_MS: u64 = 30_000;
+
+/// Options of `soak`.
 pub struct SoakOptions {
-    /// How long faults go on.
-    pub time: Duration,
+    /// How long faults are injected.
+    pub duration: Duration,
     /// Seed of all choices.
     pub seed: u64,
 }
 
-/// What a run did and found.
+/// What happened in a run.
 #[derive(Default)]
 struct Tally {
+    /// Numbers of events by name.
     counts: Mutex<BTreeMap<&'static str, u64>>,
     violations: Mutex<Vec<String>>,
+    /// Keys of deferred requests that were accepted, and whether the requests are repeatable.
     accepted: Mutex<Vec<(String, bool)>>,
 }
 
 impl Tally {
-    fn count(&self, what: &'static str) {
-        *self.counts.lock().entry(what).or_default() += 1;
+    fn count(&self, event: &'static str) {
+        *self.counts.lock().entry(event).or_default() += 1;
     }
 
     fn violation(&self, text: String) {
@@ -62,7 +66,7 @@
     }
 }
 
-/// What callers see of the entries: those that the balancer sends them to.
+/// A load balancer, which sends callers to the entries that are ready.
 #[derive(Default)]
 struct Balancer {
     ready: Mutex<Vec<(u64, Caller)>>,
@@ -95,10 +99,11 @@
     tally: Arc<Tally>,
     balancer: Arc<Balancer>,
     stop: Arc<AtomicBool>,
+    /// Path and class of each route, and whether its requests are repeatable.
     routes: Vec<(String, PriorityClass, bool)>,
 }
 
-/// Runs a soak on a file; fails if anything was broken.
+/// Runs the entries with a fleet file; fails if a check was violated.
 pub async fn run(mut file: FleetFile, opts: &SoakOptions) -> Result<()> {
     let declared = std::mem::take(&mut file.maintenance);
     let mut dev = DevCluster::start(std::slice::from_ref(&file), ENTRIES).await?;
@@ -109,25 +114,25 @@
     dev.wait_until_settled().await?;
     let soak = Soak::new(&dev, &file);
     let mut ids: Vec<u64> = (0..ENTRIES).map(|i| soak.balancer.add(dev.caller(i))).collect();
-    let callers = soak.callers(opts.seed);
+    let callers = soak.spawn_callers(opts.seed);
     let mut rng = StdRng::seed_from_u64(opts.seed);
     let started = Instant::now();
     let mut round = 0;
-    while started.elapsed() < opts.time {
+    while started.elapsed() < opts.duration {
         round += 1;
-        soak.fault(&mut dev, &mut ids, &mut rng).await?;
+        soak.inject_fault(&mut dev, &mut ids, &mut rng).await?;
         if round % 2 == 0 {
-            soak.operate(&dev, &mut file, &declared, &mut rng).await?;
+            soak.race_operators(&dev, &mut file, &declared, &mut rng).await?;
         }
         tokio::time::sleep(Duration::from_millis(rng.random_range(100..1_500))).await;
         if round % 50 == 0 {
-            crate::outln!("t={:.0}s {}", started.elapsed().as_secs_f64(), soak.line());
+            crate::outln!("t={:.0}s {}", started.elapsed().as_secs_f64(), soak.summary());
         }
     }
     soak.stop.store(true, Ordering::Relaxed);
     futures::future::join_all(callers).await;
-    soak.heal(&dev).await?;
-    soak.judge(&dev).await
+    soak.wait_until_healed(&dev).await?;
+    soak.check_results(&dev).await
 }
 
 impl Soak {
@@ -142,15 +147,15 @@
         }
     }
 
-    fn line(&self) -> String {
+    fn summary(&self) -> String {
         let counts = self.tally.counts.lock();
         let parts: Vec<String> = counts.iter().map(|(k, v)| format!("{k}={v}")).collect();
         format!("{} violations={}", parts.join(" "), self.tally.violations.lock().len())
     }
 
-    fn callers(&self, seed: u64) -> Vec<tokio::task::JoinHandle<()>> {
-        let one = |n: u64| {
-            let c = OneCaller {
+    fn spawn_callers(&self, seed: u64) -> Vec<tokio::task::JoinHandle<()>> {
+        let spawn = |n: u64| {
+            let caller = SimulatedCaller {
                 platform: self.platform.clone(),
                 tally: self.tally.clone(),
                 balancer: self.balancer.clone(),
@@ -158,33 +163,33 @@
                 rng: StdRng::seed_from_u64(seed.wrapping_mul(1_000) + n),
                 number: n,
             };
-            tokio::spawn(c.run(self.stop.clone()))
+            tokio::spawn(caller.run(self.stop.clone()))
         };
-        (1..=CALLERS).map(one).collect()
+        (1..=CALLERS).map(spawn).collect()
     }
 
-    /// One fault, drawn at random.
-    async fn fault(&self, dev: &mut DevCluster, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
+    /// Injects a random fault.
+    async fn inject_fault(&self, dev: &mut DevCluster, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
         let kind = rng.random_range(0..14);
         let name = match kind {
-            0 => self.set("lost_appends", |f| f.lose_appends = 3),
-            1 => self.set("doubled_appends", |f| f.double_appends = 3),
-            2 => self.outage(Duration::from_millis(rng.random_range(300..6_000))),
-            3 => self.set("slow_log", |f| f.append_delay = Duration::from_millis(150)),
-            4 => self.set("log_well", |f| f.append_delay = Duration::from_millis(2)),
-            5 => self.set("lost_acts", |f| f.lose_acts = 5),
-            6 => self.set("refused_acts", |f| f.refuse_acts = 5),
-            7 => self.set("lagging_list", |f| f.list_lag = Duration::from_millis(1_500)),
-            8 => self.set("fresh_list", |f| f.list_lag = Duration::from_millis(100)),
+            0 => self.set_fault("lost_appends", |f| f.lose_appends = 3),
+            1 => self.set_fault("doubled_appends", |f| f.double_appends = 3),
+            2 => self.start_log_outage(Duration::from_millis(rng.random_range(300..6_000))),
+            3 => self.set_fault("slow_log", |f| f.append_delay = Duration::from_millis(150)),
+            4 => self.set_fault("log_well", |f| f.append_delay = Duration::from_millis(2)),
+            5 => self.set_fault("lost_acts", |f| f.lose_acts = 5),
+            6 => self.set_fault("refused_acts", |f| f.refuse_acts = 5),
+            7 => self.set_fault("lagging_list", |f| f.list_lag = Duration::from_millis(1_500)),
+            8 => self.set_fault("fresh_list", |f| f.list_lag = Duration::from_millis(100)),
             9 => self.fail_hosts(rng, false),
             10 => self.fail_hosts(rng, true),
-            11 => self.bad_endpoint(rng),
+            11 => self.break_endpoint(rng),
             12 => {
-                self.kill(dev, ids, rng).await?;
+                self.kill_entry(dev, ids, rng).await?;
                 "entry_killed"
             }
             _ => {
-                self.replace(dev, ids, rng).await?;
+                self.replace_entry(dev, ids, rng).await?;
                 "entry_replaced"
             }
         };
@@ -192,16 +197,20 @@
         Ok(())
     }
 
-    fn set(&self, name: &'static str, change: impl FnOnce(&mut workswood_standin::Faults)) -> &'static str {
+    fn set_fault(
+        &self,
+        name: &'static str,
+        change: impl FnOnce(&mut workswood_standin::Faults),
+    ) -> &'static str {
         self.platform.faults(change);
         name
     }
 
-    fn outage(&self, time: Duration) -> &'static str {
+    fn start_log_outage(&self, duration: Duration) -> &'static str {
         self.platform.faults(|f| f.log_down = true);
         let platform = self.platform.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(time).await;
+            tokio::time::sleep(duration).await;
             platform.faults(|f| f.log_down = false);
         });
         "log_outage"
@@ -212,16 +221,16 @@
         let truth = self.platform.truth();
         let names: Vec<&String> = truth.hosts.keys().collect();
         let Some(first) = names.choose(rng).copied() else { return "host_failed" };
-        let place = &truth.hosts[first].place.rack;
+        let rack_name = &truth.hosts[first].place.rack;
         let failed =
-            names.into_iter().filter(|n| *n == first || (rack && truth.hosts[*n].place.rack == *place));
+            names.into_iter().filter(|n| *n == first || (rack && truth.hosts[*n].place.rack == *rack_name));
         let failed: Vec<String> = failed.cloned().collect();
         for name in &failed {
             self.platform.fail_host(name);
         }
-        let (platform, time) = (self.platform.clone(), Duration::from_millis(rng.random_range(500..8_000)));
+        let (platform, outage) = (self.platform.clone(), Duration::from_millis(rng.random_range(500..8_000)));
         tokio::spawn(async move {
-            tokio::time::sleep(time).await;
+            tokio::time::sleep(outage).await;
             for name in failed {
                 platform.recover_host(&name).await;
             }
@@ -229,41 +238,43 @@
         if rack { "rack_failed" } else { "host_failed" }
     }
 
-    fn bad_endpoint(&self, rng: &mut StdRng) -> &'static str {
+    /// Makes an endpoint misbehave for some seconds.
+    fn break_endpoint(&self, rng: &mut StdRng) -> &'static str {
         let truth = self.platform.truth();
         let tasks = truth.hosts.values().filter(|h| h.state == HostState::Live).flat_map(|h| &h.tasks);
         let ids: Vec<&String> = tasks.map(|t| &t.id).collect();
-        let Some(e) = ids.choose(rng).and_then(|id| self.platform.endpoint(id)) else {
+        let Some(endpoint) = ids.choose(rng).and_then(|id| self.platform.endpoint(id)) else {
             return "endpoint_bad";
         };
-        let all = [
+        let behaviours = [
             Behaviour::FailsAll,
             Behaviour::Frozen,
             Behaviour::Slow(10),
             Behaviour::CutsBody,
             Behaviour::Resets,
         ];
-        e.behave(*all.choose(rng).unwrap_or(&Behaviour::FailsAll));
-        let time = Duration::from_millis(rng.random_range(500..5_000));
+        endpoint.behave(*behaviours.choose(rng).unwrap_or(&Behaviour::FailsAll));
+        let duration = Duration::from_millis(rng.random_range(500..5_000));
         tokio::spawn(async move {
-            tokio::time::sleep(time).await;
-            e.behave(Behaviour::Well);
+            tokio::time::sleep(duration).await;
+            endpoint.behave(Behaviour::Well);
         });
         "endpoint_bad"
     }
 
-    async fn kill(&self, dev: &mut DevCluster, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
+    /// Kills an entry without a planned stop and starts another one.
+    async fn kill_entry(&self, dev: &mut DevCluster, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
         let i = rng.random_range(0..dev.entries.len());
         let id = ids.remove(i);
         self.balancer.killed.lock().push(id);
         self.balancer.remove(id);
-        let dead = dev.entries.remove(i);
-        dead.kill();
-        self.start_another(dev, ids, rng).await
+        let entry = dev.entries.remove(i);
+        entry.kill();
+        self.start_entry(dev, ids, rng).await
     }
 
-    /// A planned stop, with a replacement that starts beside it.
-    async fn replace(&self, dev: &mut DevCluster, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
+    /// Stops an entry as planned and starts its replacement at the same time.
+    async fn replace_entry(&self, dev: &mut DevCluster, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
         let i = rng.random_range(0..dev.entries.len());
         let (id, old) = (ids.remove(i), dev.entries.remove(i));
         let (balancer, node) = (self.balancer.clone(), old.node.clone());
@@ -272,27 +283,28 @@
             while !node.is_set(&node.shutting_down) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
-            tokio::time::sleep(BALANCER).await;
+            tokio::time::sleep(BALANCER_DELAY).await;
             balancer.remove(id);
             let _ = stop.await;
         });
-        self.start_another(dev, ids, rng).await
+        self.start_entry(dev, ids, rng).await
     }
 
-    async fn start_another(&self, dev: &mut DevCluster, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
+    async fn start_entry(&self, dev: &mut DevCluster, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
         let name = format!("entry-{}", rng.random_range(100..1_000_000));
-        let place = dev.entries.first().map(|e| e.node.settings.data_centre.clone()).unwrap_or_default();
-        dev.add_entry(&name, &place).await?;
+        let data_centre =
+            dev.entries.first().map(|e| e.node.settings.data_centre.clone()).unwrap_or_default();
+        dev.add_entry(&name, &data_centre).await?;
         let node = dev.entries[dev.entries.len() - 1].node.clone();
         let caller = dev.caller(dev.entries.len() - 1);
         ids.push(self.balancer.next.fetch_add(1, Ordering::Relaxed));
         let (balancer, id) = (self.balancer.clone(), ids[ids.len() - 1]);
-        // The balancer sends callers when it says that it is ready.
+        // The balancer sends callers to an entry once it reports that it is ready.
         tokio::spawn(async move {
             while !node.is_set(&node.ready) {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
-            // It may be gone again by now.
+            // By now it may have been stopped or killed.
             let mut ready = balancer.ready.lock();
             if !node.is_set(&node.shutting_down) && !balancer.was_killed(id) {
                 ready.push((id, caller));
@@ -301,8 +313,9 @@
         Ok(())
     }
 
-    /// Operators race on one base; now and then they plan new maintenance.
-    async fn operate(
+    /// Two operators apply different changes on the same base version; at most one may be accepted.
+    /// Sometimes the changes declare new maintenance.
+    async fn race_operators(
         &self,
         dev: &DevCluster,
         file: &mut FleetFile,
@@ -310,56 +323,62 @@
         rng: &mut StdRng,
     ) -> Result<()> {
         let node = &dev.entries[0].node;
-        let Some((base, mut now)) =
+        let Some((base, mut first)) =
             node.state.read().files.get(&file.file).map(|f| (f.version, f.file.clone()))
         else {
             return Ok(());
         };
         if rng.random_ratio(1, 12) {
-            let named = |m: &Maintenance| Maintenance {
+            let renamed = |m: &Maintenance| Maintenance {
                 name: format!("{}-{base}", m.name),
                 start: 0,
                 deadline: 0,
                 blackout_windows: Vec::new(),
                 ..m.clone()
             };
-            now.maintenance = declared.iter().map(named).collect();
+            first.maintenance = declared.iter().map(renamed).collect();
             self.tally.count("maintenance_planned");
         }
-        now.objective.moves = 1_000 + base as u32;
-        let mut other = now.clone();
-        other.objective.moves += 500_000;
-        let b = dev.entries.len() - 1;
+        first.objective.moves = 1_000 + base as u32;
+        let mut second = first.clone();
+        second.objective.moves += 500_000;
+        let last_entry = dev.entries.len() - 1;
         let both = futures::future::join(
-            dev.apply_within(0, &now, base, Duration::ZERO),
-            dev.apply_within(b, &other, base, Duration::ZERO),
+            dev.apply_within(0, &first, base, Duration::ZERO),
+            dev.apply_within(last_entry, &second, base, Duration::ZERO),
         );
         let (x, y) = both.await;
         let won = |r: &Result<ApplyReply>| matches!(r, Ok(ApplyReply::Accepted { version, .. }) if *version == base + 1);
         let wins = usize::from(won(&x)) + usize::from(won(&y));
         self.tally.count("operator_races");
         if wins > 1 {
-            self.tally.violation(format!("two changes won on base {base}: {x:?} {y:?}"));
+            self.tally.violation(format!("two changes were accepted on base version {base}: {x:?} {y:?}"));
         }
-        *file = now;
+        *file = first;
         Ok(())
     }
 
-    async fn heal(&self, dev: &DevCluster) -> Result<()> {
+    /// Ends all faults and waits until everything has settled.
+    async fn wait_until_healed(&self, dev: &DevCluster) -> Result<()> {
         self.platform.faults(|f| *f = workswood_standin::Faults::default());
         for name in self.platform.hosts() {
             self.platform.recover_host(&name).await;
         }
-        let until = Instant::now() + HEAL;
+        let deadline = Instant::now() + SETTLE_TIMEOUT;
         loop {
             let s = dev.status(0).await?;
-            let waves = s.waves.as_array().is_some_and(|w| w.iter().all(|w| w["stop"]["stop"] == "finished"));
-            let budgets =
+            let waves_finished =
+                s.waves.as_array().is_some_and(|w| w.iter().all(|w| w["stop"]["stop"] == "finished"));
+            let budgets_met =
                 s.budgets.as_array().is_some_and(|b| b.iter().all(|b| b["slack"].as_i64() >= Some(0)));
-            if waves && budgets && s.open_deferred == 0 && s.hosts.iter().all(|p| p.away.is_empty()) {
+            if waves_finished
+                && budgets_met
+                && s.open_deferred == 0
+                && s.hosts.iter().all(|p| p.away.is_empty())
+            {
                 return Ok(());
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 self.tally.violation(format!("did not settle:\n{}", super::status::text(&s)));
                 return Ok(());
             }
@@ -367,11 +386,12 @@
         }
     }
 
-    async fn judge(&self, dev: &DevCluster) -> Result<()> {
+    /// Checks the ledger and the invariants, and prints the result.
+    async fn check_results(&self, dev: &DevCluster) -> Result<()> {
         for key in self.platform.ledger.doubled() {
-            // Keys of repeatable requests begin with another letter.
+            // Keys of requests that are not repeatable start with `o`.
             if key.starts_with('o') {
-                self.tally.violation(format!("{key} ran twice"));
+                self.tally.violation(format!("request {key} ran twice"));
             }
         }
         let accepted = self.tally.accepted.lock().clone();
@@ -382,7 +402,7 @@
             let lost =
                 if *repeatable { ran != "run" } else { self.platform.ledger.runs(key) == 0 && ran == "run" };
             if lost {
-                self.tally.violation(format!("deferred {key} was lost: {ran}"));
+                self.tally.violation(format!("deferred request {key} was lost: {ran}"));
             }
         }
         let broken = invariant::failed_checks();
@@ -393,7 +413,7 @@
         let c = self.platform.counters();
         crate::outln!(
             "end {} accepted_deferred={} appends={} acts={} fenced={} reboots={} most_connections={} over_slots={}",
-            self.line(),
+            self.summary(),
             accepted.len(),
             c.appends,
             c.acts,
@@ -412,8 +432,8 @@
     }
 }
 
-/// One caller.
-struct OneCaller {
+/// A caller that sends random requests.
+struct SimulatedCaller {
     platform: Arc<PlatformStandin>,
     tally: Arc<Tally>,
     balancer: Arc<Balancer>,
@@ -422,7 +442,7 @@
     number: u64,
 }
 
-impl OneCaller {
+impl SimulatedCaller {
     async fn run(mut self, stop: Arc<AtomicBool>) {
         let mut n = 0;
         while !stop.load(Ordering::Relaxed) {
@@ -430,14 +450,17 @@
             let Some((path, class, repeatable)) = self.routes.choose(&mut self.rng).cloned() else { return };
             let key = format!("{}{}-{n}", if repeatable { 'r' } else { 'o' }, self.number);
             let copies = if repeatable { 1 } else { self.rng.random_range(1..=3) };
-            let last = now_ms() + KEY_MS;
+            let last_moment = now_ms() + KEY_VALIDITY_MS;
             let body = Bytes::from(format!("{key} {}", "x".repeat(self.rng.random_range(0..2_000))));
             let path = format!("{path}?ms={}", self.rng.random_range(0..15));
             for copy in 0..copies {
                 let req = CallerRequest::to(&path).with_body(body.clone());
-                let req =
-                    if class == PriorityClass::Later || !repeatable { req.with_key(&key, last) } else { req };
-                self.one(req, &key, class, repeatable, &body).await;
+                let req = if class == PriorityClass::Later || !repeatable {
+                    req.with_key(&key, last_moment)
+                } else {
+                    req
+                };
+                self.send(req, &key, class, repeatable, &body).await;
                 if copy + 1 < copies {
                     tokio::time::sleep(Duration::from_millis(self.rng.random_range(0..200))).await;
                 }
@@ -446,7 +469,8 @@
         }
     }
 
-    async fn one(
+    /// Sends a request and checks the response.
+    async fn send(
         &mut self,
         req: CallerRequest,
         key: &str,
@@ -462,15 +486,17 @@
                 if self.balancer.was_killed(id) {
                     return self.tally.count("cut_by_kill");
                 }
-                return self.tally.violation(format!("cut off without a kill: {key} {e:?}"));
+                return self
+                    .tally
+                    .violation(format!("request {key} failed although its entry was not killed: {e:?}"));
             }
         };
         let ran = res.headers().get("x-workswood-ran").and_then(|v| v.to_str().ok()).unwrap_or("-");
         match ran {
             "run" if res.status() == 200 && res.body() != body => {
-                let kept = !res.headers().contains_key("x-workswood-body");
-                if kept {
-                    self.tally.violation(format!("{key} got another answer"));
+                let body_kept = !res.headers().contains_key("x-workswood-body");
+                if body_kept {
+                    self.tally.violation(format!("request {key} got a response body that is not its own"));
                 }
             }
             "run" if res.status() == 200 => self.tally.count("run"),
@@ -482,7 +508,9 @@
             "not-run" => {
                 self.tally.count("not_run");
                 if !repeatable && self.platform.ledger.runs(key) > 0 {
-                    self.tally.violation(format!("{key} was told not run, and ran ({class:?})"));
+                    self.tally.violation(format!(
+                        "request {key} ran although its response says that it did not ({class:?})"
+                    ));
                 }
             }
             _ => self.tally.count("unknown"),
