--- a/src/bin/workswood/cli.rs
+++ b/src/bin/workswood/cli.rs
@@ -5,7 +5,7 @@
 
 use crate::commands;
 
-/// The program with all its commands.
+/// Builds the command line of the program with all commands.
 pub fn cli() -> Command {
     Command::new("workswood")
         .about("Fleet capacity and maintenance manager")
@@ -15,10 +15,10 @@
         .subcommands(commands::all().into_iter().map(|c| (c.cli)()))
 }
 
-/// Runs the command that was named.
+/// Runs the given command.
 pub fn exec(matches: &ArgMatches) -> Result<()> {
     let Some((name, args)) = matches.subcommand() else { return Ok(()) };
     let all = commands::all();
-    let found = all.into_iter().find(|c| (c.cli)().get_name() == name);
-    found.map_or(Ok(()), |c| (c.exec)(args))
+    let command = all.into_iter().find(|c| (c.cli)().get_name() == name);
+    command.map_or(Ok(()), |c| (c.exec)(args))
 }
--- a/src/bin/workswood/commands/check.rs
+++ b/src/bin/workswood/commands/check.rs
@@ -3,10 +3,10 @@
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use workswood::{Error, Result, ops};
 
-/// Its command line.
+/// Builds the command line of the command.
 pub fn cli() -> Command {
     Command::new("check")
-        .about("Check fleet files offline; prints every error with its path")
+        .about("Check fleet files offline, and print every error with its path")
         .arg(Arg::new("files").value_name("FILE").required(true).action(ArgAction::Append).num_args(1..))
         .arg(
             Arg::new("jobs")
@@ -17,19 +17,19 @@
         .after_help("Example: workswood check examples/factoring.json examples/gridlark.json")
 }
 
-/// Runs it.
+/// Runs the command.
 pub fn exec(args: &ArgMatches) -> Result<()> {
-    let paths = super::texts(args, "files");
+    let paths = super::string_args(args, "files");
     if args.get_flag("jobs") {
         let (settings, errors) = ops::check::job_settings(&paths);
-        all_good(errors)?;
+        report_errors(errors)?;
         settings
             .iter()
             .for_each(|s| workswood::outln!("{}: {}, callers at {}", s.name, s.data_centre, s.callers));
         return Ok(());
     }
     let (files, errors) = ops::check::run(&paths);
-    all_good(errors)?;
+    report_errors(errors)?;
     for f in files {
         workswood::outln!(
             "{}: {} hosts, {} pools, {} services",
@@ -42,8 +42,8 @@
     Ok(())
 }
 
-/// Reports all errors but the last, which becomes the command's own.
-fn all_good(mut errors: Vec<Error>) -> Result<()> {
+/// Prints all errors but the last, which is returned.
+fn report_errors(mut errors: Vec<Error>) -> Result<()> {
     let last = errors.pop();
     for e in &errors {
         workswood::errout!("{}", e.report());
--- a/src/bin/workswood/commands/dev.rs
+++ b/src/bin/workswood/commands/dev.rs
@@ -3,7 +3,7 @@
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use workswood::{Result, ops};
 
-/// Its command line.
+/// Builds the command line of the command.
 pub fn cli() -> Command {
     Command::new("dev")
         .about("Run entries, a stand-in platform and stand-in endpoints in one process")
@@ -12,7 +12,7 @@
                 .value_name("FILE")
                 .action(ArgAction::Append)
                 .num_args(0..)
-                .help("default: factoring"),
+                .help("fleet file [default: the factoring example]"),
         )
         .arg(
             Arg::new("entries")
@@ -21,7 +21,7 @@
                 .value_parser(value_parser!(u64).range(1..=32))
                 .default_value("2"),
         )
-        .arg(Arg::new("keep").long("keep").action(ArgAction::SetTrue).help("go on serving afterwards"))
+        .arg(Arg::new("keep").long("keep").action(ArgAction::SetTrue).help("keep serving afterwards"))
         .arg(
             Arg::new("log")
                 .long("log")
@@ -32,10 +32,10 @@
         .after_help("Example: workswood dev examples/gridlark.json --entries 6")
 }
 
-/// Runs it.
+/// Runs the command.
 pub fn exec(args: &ArgMatches) -> Result<()> {
-    workswood::util::logs::start(super::text(args, "log").parse().unwrap_or(log::LevelFilter::Warn));
-    let paths = super::texts(args, "files");
+    workswood::util::logs::start(super::string_arg(args, "log").parse().unwrap_or(log::LevelFilter::Warn));
+    let paths = super::string_args(args, "files");
     let mut files = Vec::new();
     if paths.is_empty() {
         files.push(ops::check::read_text("factoring.json", ops::dev::DEFAULT_FILE)?);
--- a/src/bin/workswood/commands/entry.rs
+++ b/src/bin/workswood/commands/entry.rs
@@ -3,10 +3,10 @@
 use clap::{Arg, ArgMatches, Command};
 use workswood::{Result, ops};
 
-/// Its command line.
+/// Builds the command line of the command.
 pub fn cli() -> Command {
     Command::new("entry")
-        .about("Run the process of an entry host")
+        .about("Run the process of an entry that routes requests and manages hosts")
         .arg(
             Arg::new("settings")
                 .value_name("SETTINGS")
@@ -16,7 +16,7 @@
         .after_help("Example: workswood entry /etc/workswood/settings.json")
 }
 
-/// Runs it.
+/// Runs the command.
 pub fn exec(args: &ArgMatches) -> Result<()> {
-    super::block_on(ops::entry::run(&super::text(args, "settings")))
+    super::block_on(ops::entry::run(&super::string_arg(args, "settings")))
 }
--- a/src/bin/workswood/commands/explain.rs
+++ b/src/bin/workswood/commands/explain.rs
@@ -4,10 +4,10 @@
 use workswood::{Result, ops};
 use workswood_core::jobs::spec::parse_job_key;
 
-/// Its command line.
+/// Builds the command line of the command.
 pub fn cli() -> Command {
     Command::new("explain")
-        .about("Explain a result code, or the way of a job through the logs of all hosts")
+        .about("Explain a result code, or show the history of a job from the logs of all entries")
         .arg(
             Arg::new("what")
                 .value_name("CODE|JOB")
@@ -19,27 +19,27 @@
                 .value_name("LOG")
                 .action(ArgAction::Append)
                 .num_args(0..)
-                .help("logs of `workswood jobs`, of as many hosts as there are"),
+                .help("logs of `workswood jobs` from all entries"),
         )
-        .arg(Arg::new("all").long("all").action(ArgAction::SetTrue).help("print the page of all codes"))
+        .arg(Arg::new("all").long("all").action(ArgAction::SetTrue).help("print the documentation of all codes"))
         .arg(super::json_arg())
         .after_help(
             "Example: workswood explain 124\n         workswood explain 39dc4f63bf46e8e4 entry-1.log entry-2.log",
         )
 }
 
-/// Runs it.
+/// Runs the command.
 pub fn exec(args: &ArgMatches) -> Result<()> {
     if args.get_flag("all") {
         workswood::out!("{}", ops::explain::page());
         return Ok(());
     }
-    let what = super::text(args, "what");
+    let what = super::string_arg(args, "what");
     let Some(job) = parse_job_key(&what) else {
         workswood::out!("{}", ops::explain::run(&what)?);
         return Ok(());
     };
-    let account = ops::explain::job::run(job, &super::texts(args, "logs"))?;
-    super::show(args, &account, || account.text());
+    let account = ops::explain::job::run(job, &super::string_args(args, "logs"))?;
+    super::print_value(args, &account, || account.text());
     Ok(())
 }
--- a/src/bin/workswood/commands/jobs.rs
+++ b/src/bin/workswood/commands/jobs.rs
@@ -3,10 +3,10 @@
 use clap::{Arg, ArgMatches, Command};
 use workswood::{Result, ops};
 
-/// Its command line.
+/// Builds the command line of the command.
 pub fn cli() -> Command {
     Command::new("jobs")
-        .about("Run the process of an entry host that queues and runs jobs")
+        .about("Run the process of an entry that queues and runs jobs")
         .arg(
             Arg::new("settings")
                 .value_name("SETTINGS")
@@ -15,8 +15,8 @@
         .after_help("Example: workswood jobs /etc/workswood/jobs.json")
 }
 
-/// Runs it.
+/// Runs the command.
 pub fn exec(args: &ArgMatches) -> Result<()> {
-    let named = args.get_one::<String>("settings").cloned();
-    super::block_on(ops::jobs::run(named))
+    let path = args.get_one::<String>("settings").cloned();
+    super::block_on(ops::jobs::run(path))
 }
--- a/src/bin/workswood/commands/mod.rs
+++ b/src/bin/workswood/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One module for each command.
+//! The commands, one module for each.
 
 pub mod apply;
 pub mod bench;
@@ -19,40 +19,40 @@
 use workswood::Result;
 use workswood::util::errors::ReadFileSnafu;
 
-/// A command: how it is called and what it does.
-pub struct Entry {
-    /// Its command line.
+/// A command of the program.
+pub struct Subcommand {
+    /// Builds the command line.
     pub cli: fn() -> Command,
-    /// What it does.
+    /// Runs the command.
     pub exec: fn(&ArgMatches) -> Result<()>,
 }
 
 /// All commands.
-pub fn all() -> Vec<Entry> {
+pub fn all() -> Vec<Subcommand> {
     vec![
-        Entry { cli: entry::cli, exec: entry::exec },
-        Entry { cli: jobs::cli, exec: jobs::exec },
-        Entry { cli: check::cli, exec: check::exec },
-        Entry { cli: plan::cli, exec: plan::exec },
-        Entry { cli: apply::cli, exec: apply::exec },
-        Entry { cli: status::cli, exec: status::exec },
-        Entry { cli: explain::cli, exec: explain::exec },
-        Entry { cli: late::cli, exec: late::exec },
-        Entry { cli: model::cli, exec: model::exec },
-        Entry { cli: dev::cli, exec: dev::exec },
-        Entry { cli: bench::cli, exec: bench::exec },
-        Entry { cli: soak::cli, exec: soak::exec },
+        Subcommand { cli: entry::cli, exec: entry::exec },
+        Subcommand { cli: jobs::cli, exec: jobs::exec },
+        Subcommand { cli: check::cli, exec: check::exec },
+        Subcommand { cli: plan::cli, exec: plan::exec },
+        Subcommand { cli: apply::cli, exec: apply::exec },
+        Subcommand { cli: status::cli, exec: status::exec },
+        Subcommand { cli: explain::cli, exec: explain::exec },
+        Subcommand { cli: late::cli, exec: late::exec },
+        Subcommand { cli: model::cli, exec: model::exec },
+        Subcommand { cli: dev::cli, exec: dev::exec },
+        Subcommand { cli: bench::cli, exec: bench::exec },
+        Subcommand { cli: soak::cli, exec: soak::exec },
     ]
 }
 
-/// Arguments that name an entry host.
+/// Arguments to call an entry as an operator.
 fn entry_args() -> [Arg; 2] {
     [
         Arg::new("entry")
             .long("entry")
             .value_name("IP:PORT")
             .required(true)
-            .help("listener for operators of any entry host"),
+            .help("listener for operators of any entry"),
         Arg::new("token-file")
             .long("token-file")
             .value_name("FILE")
@@ -61,13 +61,13 @@
     ]
 }
 
-/// The argument that asks for JSON.
+/// The flag for output as JSON.
 fn json_arg() -> Arg {
     Arg::new("json").long("json").action(ArgAction::SetTrue).help("print JSON")
 }
 
-/// Prints a value as JSON if that was asked for, else as text.
-fn show<T: Serialize>(args: &ArgMatches, value: &T, text: impl Fn() -> String) {
+/// Prints a value as JSON if the flag is set, otherwise as text.
+fn print_value<T: Serialize>(args: &ArgMatches, value: &T, text: impl Fn() -> String) {
     if args.get_flag("json") {
         workswood::outln!("{}", serde_json::to_string_pretty(value).unwrap_or_default());
     } else {
@@ -75,16 +75,16 @@
     }
 }
 
-fn text(args: &ArgMatches, name: &str) -> String {
+fn string_arg(args: &ArgMatches, name: &str) -> String {
     args.get_one::<String>(name).cloned().unwrap_or_default()
 }
 
-fn texts(args: &ArgMatches, name: &str) -> Vec<String> {
+fn string_args(args: &ArgMatches, name: &str) -> Vec<String> {
     args.get_many::<String>(name).into_iter().flatten().cloned().collect()
 }
 
-fn token(args: &ArgMatches) -> Result<String> {
-    let path = text(args, "token-file");
+fn read_token(args: &ArgMatches) -> Result<String> {
+    let path = string_arg(args, "token-file");
     let token = std::fs::read_to_string(&path).context(ReadFileSnafu { path })?;
     Ok(token.trim().to_string())
 }
@@ -92,11 +92,11 @@
 /// Runs a future on a runtime with several threads.
 fn block_on<T>(f: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    runtime.expect("the system gives threads").block_on(f)
+    runtime.expect("the system can start threads").block_on(f)
 }
 
-/// The clock, in milliseconds since 1970.
-fn now() -> u64 {
+/// The time in milliseconds since 1970.
+fn now_ms() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.unwrap_or_default().as_millis() as u64
 }
--- a/src/bin/workswood/commands/soak.rs
+++ b/src/bin/workswood/commands/soak.rs
@@ -6,17 +6,17 @@
 use workswood::ops::soak::{SoakOptions, run};
 use workswood::{Result, ops};
 
-/// Its command line.
+/// Builds the command line of the command.
 pub fn cli() -> Command {
     Command::new("soak")
-        .about("Run six entries under random faults for a long time and check what callers were told")
-        .arg(Arg::new("file").value_name("FILE").help("default: factoring"))
+        .about("Run six entries under random faults and check the responses to callers")
+        .arg(Arg::new("file").value_name("FILE").help("fleet file [default: the factoring example]"))
         .arg(Arg::new("seconds").long("seconds").value_parser(value_parser!(u64)).default_value("60"))
         .arg(Arg::new("seed").long("seed").value_parser(value_parser!(u64)).default_value("1"))
         .after_help("Example: workswood soak examples/gridlark.json --seconds 1200 --seed 7")
 }
 
-/// Runs it.
+/// Runs the command.
 pub fn exec(args: &ArgMatches) -> Result<()> {
     workswood::util::logs::start(log::LevelFilter::Error);
     let file = match args.get_one::<String>("file") {
--- a/src/bin/workswood/commands/status.rs
+++ b/src/bin/workswood/commands/status.rs
@@ -3,11 +3,11 @@
 use clap::{Arg, ArgMatches, Command};
 use workswood::{Result, ops};
 
-/// Its command line.
+/// Builds the command line of the command.
 pub fn cli() -> Command {
     let entry_args = super::entry_args().map(|a| a.required(false).required_unless_present("jobs"));
     Command::new("status")
-        .about("Show what is in force where, duties, waves, budgets and what is stuck; or how jobs stand")
+        .about("Show applied files, duties, maintenance waves, budgets and stuck work; or the status of jobs")
         .args(entry_args)
         .arg(
             Arg::new("jobs")
@@ -15,7 +15,7 @@
                 .value_name("SETTINGS")
                 .conflicts_with_all(["entry", "token-file"])
                 .help(
-                    "settings of `workswood jobs` of any host: show the lease holder, jobs, pools and waves",
+                    "settings file of `workswood jobs` of any entry: show the lease holder, jobs, pools and waves",
                 ),
         )
         .arg(super::json_arg())
@@ -25,15 +25,15 @@
         )
 }
 
-/// Runs it.
+/// Runs the command.
 pub fn exec(args: &ArgMatches) -> Result<()> {
     if let Some(settings) = args.get_one::<String>("jobs") {
         let status = super::block_on(ops::job_status::run(settings))?;
-        super::show(args, &status, || ops::job_status::text(&status));
+        super::print_value(args, &status, || ops::job_status::text(&status));
         return Ok(());
     }
-    let token = super::token(args)?;
-    let status = super::block_on(ops::status::run(&super::text(args, "entry"), &token))?;
-    super::show(args, &status, || ops::status::text(&status));
+    let token = super::read_token(args)?;
+    let status = super::block_on(ops::status::run(&super::string_arg(args, "entry"), &token))?;
+    super::print_value(args, &status, || ops::status::text(&status));
     Ok(())
 }
--- a/src/bin/workswood/main.rs
+++ b/src/bin/workswood/main.rs
@@ -1,4 +1,4 @@
-//! The `workswood` program: parses the command line and calls an operation.
+//! The `workswood` program: parses the command line and runs the operation of the command.
 
 #![warn(clippy::print_stdout, clippy::print_stderr)]
 
