--- a/src/workswood/util/job_metrics.rs
+++ b/src/workswood/util/job_metrics.rs
@@ -5,7 +5,9 @@
 use workswood_traffic::Traffic;
 
 use super::logs;
-use super::metrics::{counter, counters, gauge, gauges, histogram, text};
+use super::metrics::{
+    encode, register_counter, register_counter_vec, register_gauge, register_gauge_vec, register_histogram,
+};
 
 /// Bucket bounds of the histograms, in seconds: from one call to the store to the longest wait of
 /// a caller.
@@ -68,132 +70,148 @@
 
 impl Default for JobMetrics {
     fn default() -> JobMetrics {
-        let r = Registry::new();
+        let registry = Registry::new();
         JobMetrics {
-            submissions: counters(
-                &r,
+            submissions: register_counter_vec(
+                &registry,
                 "workswood_jobs_handed_in_total",
                 "submitted jobs, by result",
                 &["result"],
             ),
-            submission_seconds: histogram(
-                &r,
+            submission_seconds: register_histogram(
+                &registry,
                 "workswood_hand_in_seconds",
                 "time to respond to the submission of a job",
                 &BUCKETS_S,
             ),
-            status_queries: counters(
-                &r,
+            status_queries: register_counter_vec(
+                &registry,
                 "workswood_jobs_asked_total",
                 "queries for the status of a job, by result",
                 &["result"],
             ),
-            rejected_keys: counters(
-                &r,
+            rejected_keys: register_counter_vec(
+                &registry,
                 "workswood_keys_refused_total",
                 "calls rejected for their API key, by reason",
                 &["reason"],
             ),
-            max_workspace_usage_percent: gauge(
-                &r,
+            max_workspace_usage_percent: register_gauge(
+                &registry,
                 "workswood_fullest_workspace_percent",
                 "largest share of its limit that a workspace uses, in percent",
             ),
-            active_workspaces: gauge(&r, "workswood_workspaces_at_work", "workspaces that use resources"),
-            task_starts: counters(
-                &r,
+            active_workspaces: register_gauge(
+                &registry,
+                "workswood_workspaces_at_work",
+                "workspaces that use resources",
+            ),
+            task_starts: register_counter_vec(
+                &registry,
                 "workswood_task_starts_total",
                 "start orders for tasks, by outcome",
                 &["outcome"],
             ),
-            batch_seconds: histogram(
-                &r,
+            batch_seconds: register_histogram(
+                &registry,
                 "workswood_batch_seconds",
                 "time to store a batch of the scheduler's records",
                 &BUCKETS_S,
             ),
-            advice_calls: counters(
-                &r,
+            advice_calls: register_counter_vec(
+                &registry,
                 "workswood_advice_calls_total",
                 "calls to the adviser, by outcome",
                 &["outcome"],
             ),
-            lease_terms: counter(
-                &r,
+            lease_terms: register_counter(
+                &registry,
                 "workswood_lease_terms_total",
                 "terms of the scheduler lease that this process has started",
             ),
-            relayed_workers: gauge(
-                &r,
+            relayed_workers: register_gauge(
+                &registry,
                 "workswood_relayed_workers",
                 "workers relayed for a lease holder in another process",
             ),
-            active_relays: gauge(
-                &r,
+            active_relays: register_gauge(
+                &registry,
                 "workswood_relays",
                 "other entries that relay workers for this lease holder",
             ),
-            leading: gauge(&r, "workswood_leading", "1 while this process runs the scheduler"),
-            lease_term: gauge(&r, "workswood_lease_term", "term of the scheduler lease as last read"),
-            config_version: gauge(
-                &r,
+            leading: register_gauge(
+                &registry,
+                "workswood_leading",
+                "1 while this process runs the scheduler",
+            ),
+            lease_term: register_gauge(
+                &registry,
+                "workswood_lease_term",
+                "term of the scheduler lease as last read",
+            ),
+            config_version: register_gauge(
+                &registry,
                 "workswood_config_version",
                 "version of the configuration that this process uses",
             ),
-            evacuated_data_centres: gauge(
-                &r,
+            evacuated_data_centres: register_gauge(
+                &registry,
                 "workswood_evacuated_data_centres",
                 "data centres that are evacuated",
             ),
-            store_silence_ms: gauge(
-                &r,
+            store_silence_ms: register_gauge(
+                &registry,
                 "workswood_store_silence_ms",
                 "time since the store last answered, in milliseconds",
             ),
-            half_open_connections: gauge(
-                &r,
+            half_open_connections: register_gauge(
+                &registry,
                 "workswood_connections_half_open",
                 "connections found half-open since the start",
             ),
-            stalled_ms: gauge(
-                &r,
+            stalled_ms: register_gauge(
+                &registry,
                 "workswood_stood_still_ms",
                 "time in which this process was stalled while it led or relayed, in milliseconds",
             ),
-            lost_workers: gauge(
-                &r,
+            lost_workers: register_gauge(
+                &registry,
                 "workswood_worker_lives_lost",
                 "worker incarnations that ended while tasks ran there, in this term",
             ),
-            lost_runs: gauge(
-                &r,
+            lost_runs: register_gauge(
+                &registry,
                 "workswood_runs_lost",
                 "task runs that were lost with their workers, in this term",
             ),
-            abandoned_tasks: gauge(
-                &r,
+            abandoned_tasks: register_gauge(
+                &registry,
                 "workswood_tasks_given_up",
                 "tasks not started again because they crash their workers, in this term",
             ),
-            link_bytes: gauges(
-                &r,
+            link_bytes: register_gauge_vec(
+                &registry,
                 "workswood_link_bytes",
                 "bytes over the network link since the start, without headers of lower layers",
                 &["purpose", "direction"],
             ),
-            link_calls: gauges(
-                &r,
+            link_calls: register_gauge_vec(
+                &registry,
                 "workswood_link_calls",
                 "calls and messages over the network link since the start",
                 &["purpose"],
             ),
-            failed_invariants: gauge(&r, "workswood_invariants_broken", "invariant checks that failed"),
-            dropped_log_lines: gauge(
-                &r,
+            failed_invariants: register_gauge(
+                &registry,
+                "workswood_invariants_broken",
+                "invariant checks that failed",
+            ),
+            dropped_log_lines: register_gauge(
+                &registry,
                 "workswood_log_lines_dropped",
                 "log lines dropped because the queue was full",
             ),
-            registry: r,
+            registry,
         }
     }
 }
@@ -212,6 +230,6 @@
     pub fn text(&self) -> String {
         self.failed_invariants.set(invariant::failed_checks() as i64);
         self.dropped_log_lines.set(logs::dropped_lines() as i64);
-        text(&self.registry)
+        encode(&self.registry)
     }
 }
--- a/src/workswood/util/metrics.rs
+++ b/src/workswood/util/metrics.rs
@@ -39,31 +39,41 @@
     pub dropped_log_lines: IntGauge,
 }
 
-pub(super) fn counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
+pub(super) fn register_counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
     let c = IntCounter::with_opts(Opts::new(name, help)).expect("metric names are constants");
     registry.register(Box::new(c.clone())).expect("each metric is registered once");
     c
 }
 
-pub(super) fn gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
+pub(super) fn register_gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
     let g = IntGauge::with_opts(Opts::new(name, help)).expect("metric names are constants");
     registry.register(Box::new(g.clone())).expect("each metric is registered once");
     g
 }
 
-pub(super) fn gauges(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
+pub(super) fn register_gauge_vec(
+    registry: &Registry,
+    name: &str,
+    help: &str,
+    labels: &[&str],
+) -> IntGaugeVec {
     let g = IntGaugeVec::new(Opts::new(name, help), labels).expect("metric names are constants");
     registry.register(Box::new(g.clone())).expect("each metric is registered once");
     g
 }
 
-pub(super) fn counters(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
+pub(super) fn register_counter_vec(
+    registry: &Registry,
+    name: &str,
+    help: &str,
+    labels: &[&str],
+) -> IntCounterVec {
     let c = IntCounterVec::new(Opts::new(name, help), labels).expect("metric names are constants");
     registry.register(Box::new(c.clone())).expect("each metric is registered once");
     c
 }
 
-pub(super) fn histogram(registry: &Registry, name: &str, help: &str, buckets: &[f64]) -> Histogram {
+pub(super) fn register_histogram(registry: &Registry, name: &str, help: &str, buckets: &[f64]) -> Histogram {
     let opts = HistogramOpts::new(name, help).buckets(buckets.to_vec());
     let h = Histogram::with_opts(opts).expect("metric names are constants");
     registry.register(Box::new(h.clone())).expect("each metric is registered once");
@@ -71,7 +81,7 @@
 }
 
 /// All metrics of a registry in the Prometheus text format.
-pub(super) fn text(registry: &Registry) -> String {
+pub(super) fn encode(registry: &Registry) -> String {
     let mut buf = Vec::new();
     match TextEncoder::new().encode(&registry.gather(), &mut buf) {
         Ok(()) => String::from_utf8_lossy(&buf).into_owned(),
@@ -83,33 +93,49 @@
     fn default() -> Self {
         let registry = Registry::new();
         Metrics {
-            requests: counters(
+            requests: register_counter_vec(
                 &registry,
                 "workswood_requests_total",
                 "requests by service, class and result",
                 &["service", "class", "result"],
             ),
-            urgent_seconds: histogram(
+            urgent_seconds: register_histogram(
                 &registry,
                 "workswood_urgent_seconds",
                 "time to respond to urgent requests",
                 &URGENT_BUCKETS_S,
             ),
-            endpoint_requests: counter(&registry, "workswood_sends_total", "requests sent to endpoints"),
-            retries: counter(&registry, "workswood_retries_total", "requests sent to an endpoint again"),
-            borrowed_slots: counter(&registry, "workswood_loans_total", "slots borrowed from other entries"),
-            appends: counter(&registry, "workswood_appends_total", "envelopes appended"),
-            appended_records: counter(&registry, "workswood_records_total", "records appended"),
-            append_retries: counter(&registry, "workswood_append_retries_total", "appends retried"),
-            folded_envelopes: counter(&registry, "workswood_folded_total", "envelopes folded"),
-            platform_actions: counter(&registry, "workswood_acts_total", "actions on the platform"),
-            next_offset: gauge(&registry, "workswood_next_offset", "offset of the next envelope to fold"),
-            failed_invariants: gauge(
+            endpoint_requests: register_counter(
+                &registry,
+                "workswood_sends_total",
+                "requests sent to endpoints",
+            ),
+            retries: register_counter(
+                &registry,
+                "workswood_retries_total",
+                "requests sent to an endpoint again",
+            ),
+            borrowed_slots: register_counter(
+                &registry,
+                "workswood_loans_total",
+                "slots borrowed from other entries",
+            ),
+            appends: register_counter(&registry, "workswood_appends_total", "envelopes appended"),
+            appended_records: register_counter(&registry, "workswood_records_total", "records appended"),
+            append_retries: register_counter(&registry, "workswood_append_retries_total", "appends retried"),
+            folded_envelopes: register_counter(&registry, "workswood_folded_total", "envelopes folded"),
+            platform_actions: register_counter(&registry, "workswood_acts_total", "actions on the platform"),
+            next_offset: register_gauge(
+                &registry,
+                "workswood_next_offset",
+                "offset of the next envelope to fold",
+            ),
+            failed_invariants: register_gauge(
                 &registry,
                 "workswood_invariants_broken",
                 "invariant checks that failed",
             ),
-            dropped_log_lines: gauge(
+            dropped_log_lines: register_gauge(
                 &registry,
                 "workswood_log_lines_dropped",
                 "log lines dropped because the queue was full",
@@ -122,6 +148,6 @@
 impl Metrics {
     /// All metrics in the Prometheus text format.
     pub fn text(&self) -> String {
-        text(&self.registry)
+        encode(&self.registry)
     }
 }
