--- a/src/workswood/ops/soak.rs
+++ b/src/workswood/ops/soak.rs
@@ -69,14 +69,16 @@
 /// A load balancer, which sends callers to the entries that are ready.
 #[derive(Default)]
 struct Balancer {
+    /// Numbers of the entries that are ready, each with a caller that sends to it.
     ready: Mutex<Vec<(u64, Caller)>>,
+    /// Numbers of the entries that were killed.
     killed: Mutex<Vec<u64>>,
-    next: AtomicU64,
+    next_id: AtomicU64,
 }
 
 impl Balancer {
     fn add(&self, caller: Caller) -> u64 {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         self.ready.lock().push((id, caller));
         id
     }
@@ -113,14 +115,14 @@
     dev.apply(0, &file, 0).await?;
     dev.wait_until_settled().await?;
     let soak = Soak::new(&dev, &file);
-    let mut ids: Vec<u64> = (0..ENTRIES).map(|i| soak.balancer.add(dev.caller(i))).collect();
+    let mut balancer_ids: Vec<u64> = (0..ENTRIES).map(|i| soak.balancer.add(dev.caller(i))).collect();
     let callers = soak.spawn_callers(opts.seed);
     let mut rng = StdRng::seed_from_u64(opts.seed);
     let started = Instant::now();
     let mut round = 0;
     while started.elapsed() < opts.duration {
         round += 1;
-        soak.inject_fault(&mut dev, &mut ids, &mut rng).await?;
+        soak.inject_fault(&mut dev, &mut balancer_ids, &mut rng).await?;
         if round % 2 == 0 {
             soak.race_operators(&dev, &mut file, &declared, &mut rng).await?;
         }
@@ -169,7 +171,12 @@
     }
 
     /// Injects a random fault.
-    async fn inject_fault(&self, dev: &mut DevCluster, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
+    async fn inject_fault(
+        &self,
+        dev: &mut DevCluster,
+        balancer_ids: &mut Vec<u64>,
+        rng: &mut StdRng,
+    ) -> Result<()> {
         let kind = rng.random_range(0..14);
         let name = match kind {
             0 => self.set_fault("lost_appends", |f| f.lose_appends = 3),
@@ -185,11 +192,11 @@
             10 => self.fail_hosts(rng, true),
             11 => self.break_endpoint(rng),
             12 => {
-                self.kill_entry(dev, ids, rng).await?;
+                self.kill_entry(dev, balancer_ids, rng).await?;
                 "entry_killed"
             }
             _ => {
-                self.replace_entry(dev, ids, rng).await?;
+                self.replace_entry(dev, balancer_ids, rng).await?;
                 "entry_replaced"
             }
         };
@@ -263,20 +270,30 @@
     }
 
     /// Kills an entry without a planned stop and starts another one.
-    async fn kill_entry(&self, dev: &mut DevCluster, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
+    async fn kill_entry(
+        &self,
+        dev: &mut DevCluster,
+        balancer_ids: &mut Vec<u64>,
+        rng: &mut StdRng,
+    ) -> Result<()> {
         let i = rng.random_range(0..dev.entries.len());
-        let id = ids.remove(i);
+        let id = balancer_ids.remove(i);
         self.balancer.killed.lock().push(id);
         self.balancer.remove(id);
         let entry = dev.entries.remove(i);
         entry.kill();
-        self.start_entry(dev, ids, rng).await
+        self.start_entry(dev, balancer_ids, rng).await
     }
 
     /// Stops an entry as planned and starts its replacement at the same time.
-    async fn replace_entry(&self, dev: &mut DevCluster, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
+    async fn replace_entry(
+        &self,
+        dev: &mut DevCluster,
+        balancer_ids: &mut Vec<u64>,
+        rng: &mut StdRng,
+    ) -> Result<()> {
         let i = rng.random_range(0..dev.entries.len());
-        let (id, old) = (ids.remove(i), dev.entries.remove(i));
+        let (id, old) = (balancer_ids.remove(i), dev.entries.remove(i));
         let (balancer, node) = (self.balancer.clone(), old.node.clone());
         let stop: tokio::task::JoinHandle<()> = tokio::spawn(Entry::stop(old));
         tokio::spawn(async move {
@@ -287,18 +304,23 @@
             balancer.remove(id);
             let _ = stop.await;
         });
-        self.start_entry(dev, ids, rng).await
+        self.start_entry(dev, balancer_ids, rng).await
     }
 
-    async fn start_entry(&self, dev: &mut DevCluster, ids: &mut Vec<u64>, rng: &mut StdRng) -> Result<()> {
+    async fn start_entry(
+        &self,
+        dev: &mut DevCluster,
+        balancer_ids: &mut Vec<u64>,
+        rng: &mut StdRng,
+    ) -> Result<()> {
         let name = format!("entry-{}", rng.random_range(100..1_000_000));
         let data_centre =
             dev.entries.first().map(|e| e.node.settings.data_centre.clone()).unwrap_or_default();
         dev.add_entry(&name, &data_centre).await?;
         let node = dev.entries[dev.entries.len() - 1].node.clone();
         let caller = dev.caller(dev.entries.len() - 1);
-        ids.push(self.balancer.next.fetch_add(1, Ordering::Relaxed));
-        let (balancer, id) = (self.balancer.clone(), ids[ids.len() - 1]);
+        balancer_ids.push(self.balancer.next_id.fetch_add(1, Ordering::Relaxed));
+        let (balancer, id) = (self.balancer.clone(), balancer_ids[balancer_ids.len() - 1]);
         // The balancer sends callers to an entry once it reports that it is ready.
         tokio::spawn(async move {
             while !node.is_set(&node.ready) {
