--- a/src/workswood/ops/jobs/advice.rs
+++ b/src/workswood/ops/jobs/advice.rs
@@ -40,7 +40,7 @@
         AdviceReply::Answered(advice) => advice.tickets.len(),
         _ => 0,
     };
-    node.metrics.advice.with_label_values(&[outcome]).inc();
+    node.metrics.advice_calls.with_label_values(&[outcome]).inc();
     log::info!(
         "event=advice step={} lane={} outcome={outcome} workers={} good={suitable} took_ms={} patience_ms={}",
         call.step,
@@ -83,7 +83,7 @@
     let workers: Vec<WorkerId> = req.workers.iter().map(|id| id.as_str().into()).collect();
     let timeout = Duration::from_millis(u64::from(req.timeout_ms));
     let reply = node.platform.advise(step, &workers, timeout).await;
-    node.metrics.advice.with_label_values(&[label(&reply)]).inc();
+    node.metrics.advice_calls.with_label_values(&[label(&reply)]).inc();
     log::info!("event=helped_advice step={step} outcome={} workers={}", label(&reply), workers.len());
     to_wire(reply)
 }
--- a/src/workswood/ops/jobs/inbox.rs
+++ b/src/workswood/ops/jobs/inbox.rs
@@ -231,7 +231,7 @@
 /// Writes queued records until the task is aborted.
 pub async fn run(node: Arc<Node>) {
     let Some(mut rx) = node.inbox.rx.lock().take() else { return };
-    let partition = partition_of(&node.settings.name, node.settings.store_parts);
+    let partition = partition_of(&node.settings.name, node.settings.store_partitions);
     let mut queue: Vec<QueuedRecord> = Vec::new();
     let mut appends: JoinSet<Vec<QueuedRecord>> = JoinSet::new();
     let mut last_start = node.now();
--- a/src/workswood/ops/jobs/inbox_cleanup.rs
+++ b/src/workswood/ops/jobs/inbox_cleanup.rs
@@ -46,7 +46,7 @@
     if jobs.is_empty() {
         return;
     }
-    for partition in inbox::partitions(node.settings.store_parts) {
+    for partition in inbox::partitions(node.settings.store_partitions) {
         let deletions: Vec<KeyedRecord> = {
             let known = handle.inbox_keys.lock();
             let keys = jobs.iter().flat_map(|job| known.keys_of_job(partition, *job));
--- a/src/workswood/ops/jobs/job_api.rs
+++ b/src/workswood/ops/jobs/job_api.rs
@@ -50,7 +50,7 @@
     let workspace = match calling_workspace(&cfg, queue, &req) {
         Ok(workspace) => workspace,
         Err(reason) => {
-            node.metrics.keys_refused.with_label_values(&[reason.label()]).inc();
+            node.metrics.rejected_keys.with_label_values(&[reason.label()]).inc();
             log::info!(
                 "event=key_refused code={} reason={} queue={} version={}",
                 Code::ApiKey.number(),
@@ -139,7 +139,7 @@
 
 async fn get_job_state(node: &Arc<Node>, job: JobKey, owner: Owner) -> Response<ReplyBody> {
     let status = job_queries::job_status(node, job, owner).await;
-    node.metrics.asked.with_label_values(&[status.label()]).inc();
+    node.metrics.status_queries.with_label_values(&[status.label()]).inc();
     match status {
         Lookup::Found(s) => json_response(wire::state_body(s)),
         Lookup::NotFound => refusal(Code::JobUnknown, ExecutionStatus::NotRun, None),
@@ -199,8 +199,8 @@
         (node.now() - start).as_millis(),
         node.store_silence().as_millis()
     );
-    node.metrics.handed_in.with_label_values(&[stored.label()]).inc();
-    node.metrics.hand_in_seconds.observe((node.now() - start).as_secs_f64());
+    node.metrics.submissions.with_label_values(&[stored.label()]).inc();
+    node.metrics.submission_seconds.observe((node.now() - start).as_secs_f64());
     stored.into_response()
 }
 
--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -67,7 +67,7 @@
 
 use crate::util::clock::Clock;
 use crate::util::errors::{Error, ListenSnafu, Result};
-use crate::util::job_settings::{JobSettings, PATH_VARIABLE};
+use crate::util::job_settings::{JobSettings, PATH_ENV_VAR};
 use crate::util::signals;
 
 async fn listen(address: SocketAddr) -> Result<TcpListener> {
@@ -78,9 +78,9 @@
 /// the environment variable names.
 pub async fn run(settings_path: Option<String>) -> Result<()> {
     let path =
-        settings_path.or_else(|| std::env::var(PATH_VARIABLE).ok()).ok_or_else(|| Error::Settings {
+        settings_path.or_else(|| std::env::var(PATH_ENV_VAR).ok()).ok_or_else(|| Error::InvalidSettings {
             path: String::new(),
-            text: format!("no settings file: name one, or set {PATH_VARIABLE}"),
+            text: format!("no settings file: name one, or set {PATH_ENV_VAR}"),
         })?;
     let settings = JobSettings::read(&path)?;
     crate::util::logs::start(settings.log_level);
@@ -96,8 +96,8 @@
     let (half_open, traffic) = (HalfOpenDetector::default(), Traffic::default());
     let platform: Arc<dyn JobPlatform> =
         Arc::new(PlatformClient::sharing(addresses, half_open.clone(), traffic.clone()));
-    let clock = Clock::of_host();
-    tokio::spawn(clock.clone().watch());
+    let clock = Clock::since_boot();
+    tokio::spawn(clock.clone().log_suspensions());
     let node = Arc::new(Node::with_shared(settings, platform, clock, half_open, traffic));
     log::info!(
         "event=started id={} name={} data_centre={} callers={} peers={}",
@@ -114,7 +114,7 @@
         peer_listener,
         peers::TOKEN.to_string(),
         peer_requests::handler(node.clone()),
-        relay::serve::handler(node.clone()),
+        relay::session::handler(node.clone()),
         node.traffic.clone(),
     ));
     tokio::spawn(inbox::run(node.clone()));
@@ -129,7 +129,7 @@
         job_api::handler(node.clone()),
         callers_stopped,
     ));
-    signals::stop().await;
+    signals::wait_for_stop().await;
     shutdown::run(&node, &stop_callers, callers).await;
     Ok(())
 }
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -20,7 +20,7 @@
 use super::operator_state::OperatorState;
 use super::peers::Peers;
 use super::relay::Grant;
-use super::relay::serve::Session;
+use super::relay::session::SessionId;
 use crate::util::clock::Clock;
 use crate::util::job_metrics::JobMetrics;
 use crate::util::job_settings::JobSettings;
@@ -117,7 +117,7 @@
     /// Measures how late timers of this process fire.
     pub timer_lag: TimerLag,
     /// The newest session of a lease holder that this process serves as a relay.
-    pub relay_session: watch::Sender<Session>,
+    pub relay_session: watch::Sender<SessionId>,
     /// Metrics of the process.
     pub metrics: JobMetrics,
     /// Whether a graceful shutdown has begun.
@@ -142,7 +142,7 @@
         Node::with_shared(
             settings,
             platform,
-            Clock::of_runtime(),
+            Clock::runtime(),
             HalfOpenDetector::default(),
             Traffic::default(),
         )
@@ -157,7 +157,7 @@
         half_open: HalfOpenDetector,
         traffic: Traffic,
     ) -> Node {
-        let operator_state = OperatorState::new(settings.news_wait());
+        let operator_state = OperatorState::new(settings.long_poll_wait());
         Node {
             settings,
             platform,
@@ -228,7 +228,7 @@
     pub fn store_silence(&self) -> Duration {
         let answered = self.store_answered_ms.load(Ordering::Relaxed);
         let due = match self.store_polled_since_ms.load(Ordering::Relaxed) {
-            NOT_POLLED => answered + self.settings.news_wait().as_millis() as u64,
+            NOT_POLLED => answered + self.settings.long_poll_wait().as_millis() as u64,
             since => answered.max(since),
         };
         Duration::from_millis(self.now_ms().saturating_sub(due))
@@ -267,10 +267,10 @@
         m.leading.set(i64::from(self.scheduler.load().is_some()));
         m.lease_term.set(self.holder.load().as_ref().map_or(0, |h| h.term as i64));
         m.config_version.set(self.config.load().as_ref().map_or(0, |c| c.version as i64));
-        m.evacuated.set(self.operator_state.evacuations().data_centres.len() as i64);
-        m.half_open.set(self.half_open.count() as i64);
+        m.evacuated_data_centres.set(self.operator_state.evacuations().data_centres.len() as i64);
+        m.half_open_connections.set(self.half_open.count() as i64);
         m.store_silence_ms.set(self.store_silence().as_millis() as i64);
-        m.stood_still_ms.set(self.timer_lag.total().as_millis() as i64);
+        m.stalled_ms.set(self.timer_lag.total().as_millis() as i64);
         m.set_traffic(&self.traffic);
         m.text()
     }
--- /dev/null
+++ b/src/workswood/ops/jobs/relay/assigned_worker.rs
@@ -0,0 +1,114 @@
+//! State that the tasks of a relay share about one worker.
+
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::time::Duration;
+
+use parking_lot::Mutex;
+use tokio::sync::{Semaphore, watch};
+use workswood_core::ids::Term;
+use workswood_core::jobs::{RunTracker, WorkerAddress};
+use workswood_platform::jobs::WorkerClock;
+
+use super::messages::WorkerNumber;
+
+/// Orders under way to one worker at a time. Together with the poll this bounds the number of
+/// connections to the worker.
+const MAX_CONCURRENT_ORDERS: usize = 2;
+
+/// A worker that is assigned to this relay.
+pub struct AssignedWorker {
+    /// Number that the lease holder gave it.
+    pub number: WorkerNumber,
+    /// Identity and address of the worker.
+    pub address: WorkerAddress,
+    /// Fencing token of the orders to the worker.
+    pub token: Term,
+    /// Highest number of an ended task that is recorded and may be acknowledged to the worker.
+    pub recorded_end: watch::Sender<u64>,
+    /// Limits the number of concurrent orders.
+    pub order_permits: Semaphore,
+    /// The runs as they were last reported to the scheduler.
+    pub run_tracker: Mutex<RunTracker>,
+    /// The worker's clock, and the clock of this process when the worker sent it.
+    clock: Mutex<Option<(WorkerClock, Duration)>>,
+    /// Latest end of the leases that were sent, in milliseconds since this process started.
+    leased_until_ms: AtomicU64,
+    /// When the worker last answered anything, in milliseconds since this process started.
+    heard_at_ms: AtomicU64,
+    unassigned: AtomicBool,
+    silent: AtomicBool,
+}
+
+impl AssignedWorker {
+    /// Creates the state of a worker to which nothing was sent yet.
+    pub fn new(number: WorkerNumber, address: WorkerAddress, token: Term) -> AssignedWorker {
+        AssignedWorker {
+            number,
+            address,
+            token,
+            recorded_end: watch::Sender::new(0),
+            order_permits: Semaphore::new(MAX_CONCURRENT_ORDERS),
+            run_tracker: Mutex::default(),
+            clock: Mutex::new(None),
+            leased_until_ms: AtomicU64::new(0),
+            heard_at_ms: AtomicU64::new(0),
+            unassigned: AtomicBool::new(false),
+            silent: AtomicBool::new(false),
+        }
+    }
+
+    /// Ends the assignment: the worker is no longer polled, and its events are dropped.
+    pub fn unassign(&self) {
+        self.unassigned.store(true, Ordering::SeqCst);
+    }
+
+    /// Whether the assignment has ended.
+    pub fn is_unassigned(&self) -> bool {
+        self.unassigned.load(Ordering::SeqCst)
+    }
+
+    /// Whether the last poll had no answer.
+    pub fn is_silent(&self) -> bool {
+        self.silent.load(Ordering::SeqCst)
+    }
+
+    /// Records that this incarnation of the worker answered a call.
+    pub(super) fn record_answer(&self, now: Duration) {
+        self.heard_at_ms.fetch_max(now.as_millis() as u64, Ordering::SeqCst);
+    }
+
+    /// How long ago the worker last answered.
+    pub(super) fn silent_for(&self, now: Duration) -> Duration {
+        now.saturating_sub(Duration::from_millis(self.heard_at_ms.load(Ordering::SeqCst)))
+    }
+
+    /// Records the answer to a poll, with the clock of the worker.
+    pub(super) fn record_poll_answer(&self, clock: WorkerClock, now: Duration) {
+        self.record_answer(now);
+        *self.clock.lock() = Some((clock, now));
+        self.silent.store(false, Ordering::SeqCst);
+    }
+
+    /// Records that a poll had no answer. No lease is sent until another poll is answered.
+    /// Returns the latest end of the leases that were sent.
+    pub(super) fn record_poll_failure(&self) -> Duration {
+        self.silent.store(true, Ordering::SeqCst);
+        Duration::from_millis(self.leased_until_ms.load(Ordering::SeqCst))
+    }
+
+    /// End of a lease that begins now, on the worker's clock; `None` until the worker has
+    /// answered a poll.
+    pub fn lease_end(&self, now: Duration, lease: Duration) -> Option<WorkerClock> {
+        let (worker_clock, own_clock) = (*self.clock.lock())?;
+        Some(worker_clock + now.saturating_sub(own_clock) + lease)
+    }
+
+    /// Records that a lease is about to be sent that may last until a time on the clock of this
+    /// process; returns whether it may be sent. After an unanswered poll it may not, since it
+    /// would outlast the end that [`Self::record_poll_failure`] returned. The end is recorded
+    /// before the check, so that a poll that fails at the same time takes it into account.
+    pub(super) fn may_lease_until(&self, until: Duration) -> bool {
+        self.leased_until_ms.fetch_max(until.as_millis() as u64 + 1, Ordering::SeqCst);
+        !self.is_silent() && !self.is_unassigned()
+    }
+}
--- /dev/null
+++ b/src/workswood/ops/jobs/relay/poll.rs
@@ -0,0 +1,198 @@
+//! Polls one worker: extends its lease and learns which tasks run there and which have ended.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use workswood_core::jobs::Listing;
+use workswood_liveness::AdaptiveTimeout;
+use workswood_platform::jobs::{WorkerClock, WorkerError};
+
+use super::RelayContext;
+use super::assigned_worker::AssignedWorker;
+use super::messages::WorkerEvent;
+
+/// How long a poll waits at the worker for a task to end.
+const POLL_WAIT: Duration = Duration::from_millis(900);
+/// Shortest time between the starts of two polls, so that tasks that end together are reported
+/// together.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The reply to a poll is late after this multiple of the mean time of earlier replies.
+const LATE_MULTIPLE: f64 = 4.0;
+/// Lower bound of the time after which a reply is late.
+const MIN_LATE_AFTER: Duration = Duration::from_millis(250);
+/// Upper bound of the time after which a reply is late, beyond the wait at the worker.
+const MAX_LATE_AFTER_WAIT: Duration = Duration::from_millis(200);
+/// Delay after an unanswered poll.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Longest wait until the ends that a poll has reported are recorded, before the next poll.
+const RECORD_TIMEOUT: Duration = Duration::from_millis(1500);
+
+/// Ends are acknowledged only if the previous poll was answered and was sent no longer ago than
+/// this. The sequence numbers of ends start again with each incarnation of a worker, so an
+/// acknowledgement that reaches the next incarnation would drop its ends. An incarnation needs
+/// longer than this to start and to end a task.
+const ACK_WINDOW: Duration = Duration::from_millis(600);
+
+/// Polls a worker until its assignment ends.
+pub async fn run(cx: Arc<RelayContext>, worker: Arc<AssignedWorker>) {
+    let late_timeout = AdaptiveTimeout::new(LATE_MULTIPLE, MIN_LATE_AFTER).with_initial_mean(POLL_WAIT);
+    let mut poller =
+        Poller { cx, worker, late_timeout, reported_reachable: false, last_answered: None, acked_end: 0 };
+    while !poller.worker.is_unassigned() {
+        if !poller.poll().await {
+            return;
+        }
+    }
+}
+
+/// Polls one worker.
+struct Poller {
+    cx: Arc<RelayContext>,
+    worker: Arc<AssignedWorker>,
+    /// When the reply to a poll is late.
+    late_timeout: AdaptiveTimeout,
+    /// Whether the latest events reported that the worker answers.
+    reported_reachable: bool,
+    /// When the last poll was sent, if it was answered.
+    last_answered: Option<Duration>,
+    /// Highest number of an end that was acknowledged with an answered poll.
+    acked_end: u64,
+}
+
+/// The reply to a poll.
+struct PollReply {
+    /// When the poll was sent.
+    sent: Duration,
+    /// Highest number of an end that the poll acknowledged; 0 for none.
+    acked_end: u64,
+    clock: WorkerClock,
+    listing: Listing,
+}
+
+impl Poller {
+    fn now(&self) -> Duration {
+        self.cx.node.now()
+    }
+
+    fn report(&self, event: WorkerEvent) {
+        self.cx.sink.report(&self.cx.node, &self.worker, event);
+    }
+
+    /// Polls once and reports what has changed; returns whether to continue.
+    async fn poll(&mut self) -> bool {
+        let started = self.now();
+        let res = self.request_with_resend().await;
+        if self.worker.is_unassigned() {
+            return false;
+        }
+        match res {
+            Ok(reply) => self.handle_reply(reply, started).await,
+            Err(WorkerError::OtherLife) => {
+                self.report(WorkerEvent::IncarnationEnded(self.worker.silent_for(self.now())));
+                return false;
+            }
+            Err(WorkerError::Restarted(restarted_at)) => {
+                // Pending orders were meant for the previous incarnation.
+                self.worker.unassign();
+                self.report(WorkerEvent::Restarted(restarted_at, self.worker.silent_for(self.now())));
+                return false;
+            }
+            Err(WorkerError::Fenced) => {
+                let (worker, token) = (&self.worker.address.id, self.worker.token);
+                log::warn!("event=fenced_by_worker worker={worker} token={token}");
+                self.report(WorkerEvent::Fenced);
+                return false;
+            }
+            Err(e) => {
+                log::debug!("event=look_failed worker={} error={e:?}", self.worker.address.id);
+                let leased_until = self.worker.record_poll_failure();
+                self.reported_reachable = false;
+                let now = self.now();
+                let lease_left = leased_until.saturating_sub(now);
+                let silent_for = self.worker.silent_for(now);
+                self.report(WorkerEvent::Unanswered { lease_left, silent_for });
+                tokio::time::sleep(RETRY_DELAY).await;
+            }
+        }
+        true
+    }
+
+    /// Sends a poll, and another one if the first or its connection seems to be lost. On a busy
+    /// worker tasks end all the time, so replies are frequent; waiting for the full timeout of a
+    /// lost poll would delay the reports of all these ends.
+    async fn request_with_resend(&mut self) -> Result<PollReply, WorkerError> {
+        let wait = if self.may_extend_lease() { POLL_WAIT } else { Duration::ZERO };
+        if !self.cx.node.settings.policy.calls.resend_probe {
+            return self.request(wait).await;
+        }
+        let late_after = self.late_timeout.late_after().min(wait + MAX_LATE_AFTER_WAIT);
+        match tokio::time::timeout(late_after, self.request(wait)).await {
+            Ok(Err(WorkerError::NoAnswer)) | Err(_) => {
+                if std::mem::take(&mut self.reported_reachable) {
+                    self.report(WorkerEvent::ReplyLate);
+                }
+                self.request(Duration::ZERO).await
+            }
+            Ok(res) => res,
+        }
+    }
+
+    /// Whether the lease of the worker may be extended now.
+    fn may_extend_lease(&self) -> bool {
+        !self.worker.is_silent() && self.cx.grant.holds(self.now())
+    }
+
+    /// Sends one poll, which waits at the worker up to `wait` for a task to end.
+    async fn request(&mut self, wait: Duration) -> Result<PollReply, WorkerError> {
+        let sent = self.now();
+        let acked_end = self.end_to_ack(sent);
+        self.last_answered = None;
+        let times = &self.cx.times;
+        // The end of the lease is computed before the permission to send it is checked. If the
+        // process is paused in between, it sends a lease that has ended.
+        let lease_end = self.worker.lease_end(sent, times.lease).filter(|_| self.may_extend_lease());
+        let lease_end = lease_end.filter(|_| self.worker.may_lease_until(sent + times.longest_duration()));
+        let wait = if lease_end.is_some() { wait } else { Duration::ZERO };
+        let platform = &self.cx.node.platform;
+        let reply = platform.poll_worker(&self.worker.address, self.worker.token, acked_end, lease_end, wait);
+        let (clock, listing) = reply.await?;
+        Ok(PollReply { sent, acked_end, clock, listing })
+    }
+
+    /// Highest number of an end to acknowledge with a poll that is sent now; 0 if there is none,
+    /// or if the worker may have restarted since the previous poll.
+    fn end_to_ack(&self, now: Duration) -> u64 {
+        let recorded = *self.worker.recorded_end.borrow();
+        let answered_recently = self.last_answered.is_some_and(|sent| now < sent + ACK_WINDOW);
+        if answered_recently && recorded > self.acked_end { recorded } else { 0 }
+    }
+
+    /// Reports what has changed according to a reply, and waits until the next poll is due.
+    async fn handle_reply(&mut self, reply: PollReply, started: Duration) {
+        let PollReply { sent, acked_end, clock, listing } = reply;
+        let now = self.now();
+        self.last_answered = Some(sent);
+        self.acked_end = self.acked_end.max(acked_end);
+        self.late_timeout.record(now - started);
+        self.worker.record_poll_answer(clock, now);
+        let last_end = listing.ended.iter().map(|e| e.sequence_number).max().unwrap_or(0);
+        let report = self.worker.run_tracker.lock().diff_listing(listing, sent, now);
+        if !self.reported_reachable || !report.is_empty() {
+            self.reported_reachable = true;
+            self.report(WorkerEvent::Reported(report));
+        }
+        if last_end > *self.worker.recorded_end.borrow() {
+            wait_until_recorded(&self.worker, last_end).await;
+        }
+        tokio::time::sleep(MIN_POLL_INTERVAL.saturating_sub(self.now() - started)).await;
+    }
+}
+
+/// Waits until ends up to a number are recorded, so that the next poll can acknowledge them.
+async fn wait_until_recorded(worker: &AssignedWorker, last_end: u64) {
+    let mut recorded_end = worker.recorded_end.subscribe();
+    let res = tokio::time::timeout(RECORD_TIMEOUT, recorded_end.wait_for(|n| *n >= last_end)).await;
+    if res.is_err() {
+        log::debug!("event=ends_not_recorded worker={} last={last_end}", worker.address.id);
+    }
+}
--- a/src/workswood/ops/jobs/relay_sessions.rs
+++ b/src/workswood/ops/jobs/relay_sessions.rs
@@ -20,22 +20,22 @@
 use super::limits::LeaseTimes;
 use super::node::{Node, SchedulerHandle};
 use super::peers::TOKEN;
-use super::relay::order::{Number, Order, StartTask};
-use super::relay::serve::BEAT_EVERY;
-use super::relay::{Relay, Sink, wire as codec};
+use super::relay::messages::{StartTask, WorkerNumber, WorkerOrder};
+use super::relay::session::HEARTBEAT_INTERVAL;
+use super::relay::{EventSink, Relay, codec};
 
 /// Timeout for opening a session, until the relay reports that it takes orders.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 /// A relay from which no message came for this long is lost: five heartbeats.
-const SILENCE_TIMEOUT: Duration = BEAT_EVERY.saturating_mul(5);
+const SILENCE_TIMEOUT: Duration = HEARTBEAT_INTERVAL.saturating_mul(5);
 
 /// The workers of one session by their numbers, with the fencing tokens of the orders to them.
-type WorkersByNumber = Arc<Mutex<HashMap<Number, (WorkerId, Term)>>>;
+type WorkersByNumber = Arc<Mutex<HashMap<WorkerNumber, (WorkerId, Term)>>>;
 
 /// A session with the relay of another entry.
 struct Session {
     /// Orders that wait to be sent.
-    waiting: Vec<(Number, Order)>,
+    waiting: Vec<(WorkerNumber, WorkerOrder)>,
     tx: mpsc::UnboundedSender<wire::RelayOrders>,
     workers: WorkersByNumber,
     task: AbortHandle,
@@ -46,7 +46,7 @@
     /// Name of the relay's entry.
     relay: HostId,
     /// Number of the worker there.
-    number: Number,
+    number: WorkerNumber,
     /// Fencing token of the relay's orders to the worker.
     token: Term,
 }
@@ -60,7 +60,7 @@
     sessions: HashMap<HostId, Session>,
     assignments: HashMap<WorkerId, Assignment>,
     /// Number that was last given to a worker.
-    last_number: Number,
+    last_number: WorkerNumber,
     /// Number of sessions opened in this term.
     opened: u64,
 }
@@ -72,7 +72,7 @@
         handle: Arc<SchedulerHandle>,
         tasks: &mut JoinSet<()>,
     ) -> RelaySessions {
-        let own_relay = Relay::new(node.clone(), handle.grant.clone(), Sink::Here(handle.tx.clone()));
+        let own_relay = Relay::new(node.clone(), handle.grant.clone(), EventSink::Local(handle.tx.clone()));
         tasks.spawn(send_own_heartbeats(node.settings.name.clone(), handle.clone()));
         tasks.spawn(node.timer_lag.clone().measure());
         let (sessions, assignments) = (HashMap::new(), HashMap::new());
@@ -91,17 +91,17 @@
                     self.end_assignment(&a);
                 }
             }
-            Action::ReportFigures(id, wanted) => self.order(&id, Order::Figures(wanted)),
-            Action::Stop(id, task, attempt) => self.order(&id, Order::Stop { task, attempt }),
+            Action::ReportFigures(id, wanted) => self.order(&id, WorkerOrder::ReportLoad(wanted)),
+            Action::Stop(id, task, attempt) => self.order(&id, WorkerOrder::Stop { task, attempt }),
             Action::SetPace(id, task, attempt, percent) => {
-                self.order(&id, Order::Pace { task, attempt, percent });
+                self.order(&id, WorkerOrder::Throttle { task, attempt, percent });
             }
             Action::Start { worker, token, task, attempt, text, checkpoint, ticket } => {
                 // The worker may have another relay since the start was decided. The first report
                 // from that relay shows that the task does not run, and the scheduler decides again.
                 if self.assignments.get(&worker).is_some_and(|a| a.token == token) {
-                    let start = StartTask { task, attempt, text, checkpoint, ticket };
-                    self.order(&worker, Order::Start(start));
+                    let start = StartTask { task, attempt, spec: text, checkpoint, ticket };
+                    self.order(&worker, WorkerOrder::Start(start));
                 }
             }
             Action::Advise { .. } | Action::MaintainHost(..) | Action::MoveHost(..) => {}
@@ -110,14 +110,14 @@
 
     /// Lets a worker forget its ends of runs up to a number.
     pub(super) fn forget_ends(&mut self, id: &WorkerId, number: u64) {
-        self.order(id, Order::Forget(number));
+        self.order(id, WorkerOrder::AckEnds(number));
     }
 
     /// Gives an order on a worker to the relay that attends it.
-    fn order(&mut self, id: &WorkerId, order: Order) {
+    fn order(&mut self, id: &WorkerId, order: WorkerOrder) {
         let Some(a) = self.assignments.get(id) else { return };
         if a.relay == self.node.settings.name {
-            self.own_relay.take(a.number, order);
+            self.own_relay.execute(a.number, order);
         } else if let Some(s) = self.sessions.get_mut(&a.relay) {
             s.waiting.push((a.number, order));
         }
@@ -134,17 +134,17 @@
         if let Some(before) = self.assignments.insert(info.id.clone(), Assignment { relay, number, token }) {
             self.end_assignment(&before);
         }
-        self.order(&info.id, Order::Attend { worker, token });
+        self.order(&info.id, WorkerOrder::Assign { worker, token });
     }
 
     /// Has a relay no longer attend a worker.
     fn end_assignment(&mut self, a: &Assignment) {
         if a.relay == self.node.settings.name {
-            self.own_relay.take(a.number, Order::Leave);
+            self.own_relay.execute(a.number, WorkerOrder::Unassign);
         } else if let Some(s) = self.sessions.get_mut(&a.relay) {
             // Updates on the worker that are still in transit are ignored.
             s.workers.lock().remove(&a.number);
-            s.waiting.push((a.number, Order::Leave));
+            s.waiting.push((a.number, WorkerOrder::Unassign));
         }
     }
 
@@ -172,7 +172,7 @@
         };
         let task = tasks.spawn(session_task.run(tx.clone(), rx));
         self.sessions.insert(entry, Session { waiting: Vec::new(), tx, workers, task });
-        self.node.metrics.relays.set(self.sessions.len() as i64);
+        self.node.metrics.active_relays.set(self.sessions.len() as i64);
     }
 
     fn close(&mut self, entry: &HostId) {
@@ -180,7 +180,7 @@
             s.task.abort();
             self.assignments.retain(|_, a| a.relay != *entry);
         }
-        self.node.metrics.relays.set(self.sessions.len() as i64);
+        self.node.metrics.active_relays.set(self.sessions.len() as i64);
     }
 }
 
@@ -190,7 +190,7 @@
         if handle.tx.send(Event::RelayHeard(own.clone())).is_err() {
             return;
         }
-        tokio::time::sleep(BEAT_EVERY).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
@@ -311,8 +311,8 @@
     fn handle_update(&self, update: wire::WorkerUpdate) {
         let number = update.worker;
         let Some((id, token)) = self.workers.lock().get(&number).cloned() else { return };
-        match codec::read_news(update) {
-            Some((_, what)) => self.notify(what.event(id, token, self.node.now())),
+        match codec::read_event(update) {
+            Some((_, what)) => self.notify(what.into_scheduler_event(id, token, self.node.now())),
             None => log::error!("event=relay_news_not_read code=203 relay={} worker={id}", self.entry),
         }
     }
--- a/src/workswood/ops/jobs/restore_state.rs
+++ b/src/workswood/ops/jobs/restore_state.rs
@@ -36,7 +36,7 @@
     node.platform.append(Topic::State, Vec::new(), Guard::Term(term, 0)).await?;
     let fenced = node.now();
     // No other process writes state from here on, so these reads may run in any order.
-    let partitions: Vec<Partition> = inbox::partitions(node.settings.store_parts).collect();
+    let partitions: Vec<Partition> = inbox::partitions(node.settings.store_partitions).collect();
     let inbox = try_join_all(partitions.iter().map(|p| node.platform.latest(Topic::Inbox(*p))));
     let (inbox, state) = tokio::try_join!(inbox, node.platform.latest(Topic::State))?;
     node.note_store_answer();
--- a/src/workswood/ops/jobs/scheduler_task.rs
+++ b/src/workswood/ops/jobs/scheduler_task.rs
@@ -45,7 +45,7 @@
     let (stop, stopped) = watch::channel(false);
     let handle = Arc::new(SchedulerHandle::new(term, node.now(), lease_renewal::EXTENSION_GRACE, tx, stop));
     node.scheduler.store(Some(handle.clone()));
-    node.metrics.terms.inc();
+    node.metrics.lease_terms.inc();
     node.peers.request_read();
     log::info!("event=scheduler_started term={term}");
     tokio::spawn(supervise(node.clone(), tokio::spawn(run(node.clone(), handle, rx, stopped))));
@@ -206,12 +206,12 @@
         self.update_relay_entries();
         self.sched.handle(Event::Tick);
         let (m, counters) = (&self.node.metrics, &self.sched.counters);
-        m.lives_lost.set(counters.lives_lost as i64);
-        m.runs_lost.set(counters.runs_lost as i64);
-        m.given_up.set(counters.tasks_given_up as i64);
+        m.lost_workers.set(counters.lives_lost as i64);
+        m.lost_runs.set(counters.runs_lost as i64);
+        m.abandoned_tasks.set(counters.tasks_given_up as i64);
         let (largest_share, active) = self.sched.workspace_limit_usage();
-        m.fullest_workspace.set((largest_share * 100.0) as i64);
-        m.workspaces_at_work.set(active as i64);
+        m.max_workspace_usage_percent.set((largest_share * 100.0) as i64);
+        m.active_workspaces.set(active as i64);
         if self.sched.needs_host_list() && self.node.now() > self.hosts_requested_at + HOST_LIST_INTERVAL {
             self.hosts_requested_at = self.node.now();
             tasks.spawn(list_hosts_once(self.node.clone(), self.handle.clone()));
--- a/src/workswood/ops/jobs/shutdown.rs
+++ b/src/workswood/ops/jobs/shutdown.rs
@@ -43,7 +43,7 @@
     }
     tokio::time::sleep(BALANCER_DELAY.saturating_sub(node.now() - started)).await;
     let _ = stop_callers.send(true);
-    let left = node.settings.stop_within().saturating_sub(SHUTDOWN_MARGIN + (node.now() - started));
+    let left = node.settings.stop_timeout().saturating_sub(SHUTDOWN_MARGIN + (node.now() - started));
     if tokio::time::timeout(left, callers).await.is_err() {
         log::warn!("event=stop_limit");
     }
--- a/src/workswood/ops/jobs/topic_reader.rs
+++ b/src/workswood/ops/jobs/topic_reader.rs
@@ -42,7 +42,7 @@
 /// How long the next read of a topic waits for records.
 fn read_wait(node: &Node, topic: Topic) -> Duration {
     match topic {
-        Topic::Operators if node.scheduler.load().is_none() => node.settings.news_wait(),
+        Topic::Operators if node.scheduler.load().is_none() => node.settings.long_poll_wait(),
         _ => HOLDER_READ_WAIT,
     }
 }
@@ -129,7 +129,7 @@
         tokio::time::sleep(PEER_POLL_INTERVAL).await;
         let age = node.operator_state.age(node.now());
         let is_stale = node.operator_state.last_read_failed() && age > MAX_AGE_ON_FAILURE;
-        if !is_stale && age < node.settings.news_wait() + LATE_READ_SLACK {
+        if !is_stale && age < node.settings.long_poll_wait() + LATE_READ_SLACK {
             continue;
         }
         let known_version = node.config.load().as_ref().map_or(0, |c| c.version);
--- a/tests/testsuite/suspended_host.rs
+++ b/tests/testsuite/suspended_host.rs
@@ -11,8 +11,8 @@
 use workswood::ops::jobs::host_orders::{HostOrder, send_order};
 use workswood::ops::jobs::limits::LeaseTimes;
 use workswood::ops::jobs::node::SchedulerHandle;
-use workswood::ops::jobs::relay::link::WorkerLink;
-use workswood::ops::jobs::relay::{Grant, Shared, Sink, look};
+use workswood::ops::jobs::relay::assigned_worker::AssignedWorker;
+use workswood::ops::jobs::relay::{EventSink, Grant, RelayContext, poll};
 use workswood::util::clock::Clock;
 use workswood_core::jobs::{Event, HostReply};
 use workswood_test_support::host_world::worker;
@@ -30,7 +30,7 @@
 
 #[test]
 fn host_clock_goes_on() {
-    let clock = Clock::of_host();
+    let clock = Clock::since_boot();
     let before = clock.now();
     std::hint::black_box((0..10_000u64).sum::<u64>());
     assert!(clock.now() >= before && clock.now() < Duration::from_secs(3600));
@@ -42,20 +42,20 @@
     let grant = Grant::until(node.now() + RIGHT);
     let (tx, mut rx) = mpsc::unbounded_channel();
     let times = LeaseTimes::of(&node.settings);
-    let shared = Shared { node: node.clone(), grant: grant.clone(), times, sink: Sink::Here(tx) };
-    let link = Arc::new(WorkerLink::new(1, worker(0, 0).worker_address(), 1));
-    tokio::spawn(look::run(Arc::new(shared), link.clone()));
+    let shared = RelayContext { node: node.clone(), grant: grant.clone(), times, sink: EventSink::Local(tx) };
+    let assigned = Arc::new(AssignedWorker::new(1, worker(0, 0).worker_address(), 1));
+    tokio::spawn(poll::run(Arc::new(shared), assigned.clone()));
     tokio::time::sleep(Duration::from_secs(1)).await;
     let before = store.leases();
     assert!(before > 0);
-    node.clock().suspend(SUSPENDED);
+    node.clock().simulate_suspension(SUSPENDED);
     tokio::time::sleep(Duration::from_secs(2)).await;
     // One may have been on its way.
     assert!(store.leases() <= before + 1, "{} leases after it woke up", store.leases() - before);
     grant.extend(node.now() + RIGHT);
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert!(store.leases() > before + 1, "its lease was renewed");
-    link.close();
+    assigned.unassign();
     rx.close();
 }
 
@@ -68,7 +68,7 @@
     order().await;
     assert_eq!(store.orders(), 1);
     assert!(matches!(rx.recv().await, Some(Event::HostOrderAnswered(..))));
-    node.clock().suspend(SUSPENDED);
+    node.clock().simulate_suspension(SUSPENDED);
     order().await;
     assert_eq!(store.orders(), 1, "a successor may have ordered it");
     let outcome = rx.recv().await;
