--- a/src/workswood/ops/job_status/sum.rs
+++ b/src/workswood/ops/job_status/aggregate.rs
@@ -10,7 +10,7 @@
 };
 use workswood_platform::jobs::{JobPlatform, KeyedRecord, OperatorRecord};
 
-use super::Seen;
+use super::StatusInputs;
 use crate::ops::jobs::record::{InboxItem, InboxKey, inbox_key};
 use crate::ops::jobs::{job_spec, job_state};
 
@@ -202,7 +202,7 @@
 }
 
 /// Makes the status of what was read.
-pub fn sum(platform: &dyn JobPlatform, seen: &Seen) -> JobsStatus {
+pub fn aggregate_status(platform: &dyn JobPlatform, seen: &StatusInputs) -> JobsStatus {
     let mut reader = Reader { unread: 0 };
     let holder = seen.lease.as_ref().and_then(|rec| reader.read::<HolderStatus>(rec));
     let Wishes { cfg, waves, evacuated } = reader.items(platform, &seen.operators);
@@ -216,7 +216,7 @@
         }
     }
     let handed_in = handed_in(&mut reader, seen);
-    let queues = queues(&cfg, seen.at, &handed_in, &jobs);
+    let queues = queues(&cfg, seen.read_at, &handed_in, &jobs);
     let workspaces = workspaces(&cfg, &handed_in, &jobs);
     let pools = pools(&mut reader, platform, &cfg, seen);
     let wave = |w: Wave| {
@@ -224,7 +224,7 @@
         wave_status(&w, progress.get(&w.number).cloned().unwrap_or_default(), told)
     };
     JobsStatus {
-        at: seen.at,
+        at: seen.read_at,
         config_version: cfg.version,
         evacuated,
         holder: holder.map(|h| HolderStatus { renewing: seen.renewed && !h.released, ..h }),
@@ -238,7 +238,7 @@
 }
 
 /// Jobs as they were handed in; of several under one number, that which came first.
-fn handed_in(reader: &mut Reader, seen: &Seen) -> BTreeMap<JobKey, JobSpec> {
+fn handed_in(reader: &mut Reader, seen: &StatusInputs) -> BTreeMap<JobKey, JobSpec> {
     let mut all: BTreeMap<JobKey, JobSpec> = BTreeMap::new();
     for rec in &seen.inbox {
         let Some(InboxKey { job, what: InboxItem::Job, .. }) = inbox_key(&rec.key) else { continue };
@@ -336,7 +336,12 @@
     }
 }
 
-fn pools(reader: &mut Reader, platform: &dyn JobPlatform, cfg: &SchedConfig, seen: &Seen) -> Vec<PoolStatus> {
+fn pools(
+    reader: &mut Reader,
+    platform: &dyn JobPlatform,
+    cfg: &SchedConfig,
+    seen: &StatusInputs,
+) -> Vec<PoolStatus> {
     let mut all: BTreeMap<String, PoolStatus> = BTreeMap::new();
     for s in cfg.services.values() {
         all.entry(s.name.clone()).or_default().spare = s.spare;
--- a/src/workswood/ops/job_status/mod.rs
+++ b/src/workswood/ops/job_status/mod.rs
@@ -2,10 +2,10 @@
 //! stand.
 //!
 //! It is read from the store and the host service, not from a process: it tells
-//! as much while no process holds the lease. Nothing is written. [`sum()`] makes the
+//! as much while no process holds the lease. Nothing is written. [`aggregate_status`] makes the
 //! status of what was read.
 
-mod sum;
+mod aggregate;
 mod text;
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -16,7 +16,7 @@
 use workswood_core::jobs::Host;
 use workswood_platform::jobs::{JobPlatform, KeyedRecord, Partition, StoreError, Topic};
 
-pub use sum::{HolderStatus, JobsStatus, PoolStatus, QueueStatus, WaveStatus, sum};
+pub use aggregate::{HolderStatus, JobsStatus, PoolStatus, QueueStatus, WaveStatus, aggregate_status};
 pub use text::text;
 
 use crate::ops::jobs::inbox;
@@ -29,9 +29,9 @@
 
 /// All that the status is made of.
 #[derive(Debug)]
-pub struct Seen {
+pub struct StatusInputs {
     /// The time of day, in milliseconds since 1970.
-    pub at: u64,
+    pub read_at: u64,
     /// The newest record of the lease.
     pub lease: Option<KeyedRecord>,
     /// Whether the holder renewed while we watched.
@@ -58,10 +58,13 @@
     let platform = PlatformClient::new(addresses);
     let parts: Vec<Partition> = inbox::parts(settings.store_parts).collect();
     let seen = read(&platform, &parts).await.context(StoreSnafu { address: &settings.store })?;
-    Ok(sum(&platform, &seen))
+    Ok(aggregate_status(&platform, &seen))
 }
 
-async fn read(platform: &PlatformClient, parts: &[Partition]) -> std::result::Result<Seen, StoreError> {
+async fn read(
+    platform: &PlatformClient,
+    parts: &[Partition],
+) -> std::result::Result<StatusInputs, StoreError> {
     let lease = platform.latest(Topic::Lease).await?;
     let renewed = async { platform.tail(Topic::Lease, lease.next, RENEWAL_WAIT).await };
     let inbox = try_join_all(parts.iter().map(|p| platform.latest(Topic::Inbox(*p))));
@@ -75,8 +78,8 @@
     )?;
     // The store may do without the host service; the rest is told all the same.
     let hosts = platform.list_hosts().await.map_err(why_unknown);
-    Ok(Seen {
-        at: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64,
+    Ok(StatusInputs {
+        read_at: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64,
         lease: lease.records.into_iter().next_back(),
         renewed: !renewed.records.is_empty(),
         operators: operators.records,
--- a/src/workswood/ops/job_status/text.rs
+++ b/src/workswood/ops/job_status/text.rs
@@ -1,6 +1,6 @@
 //! The status for terminals.
 
-use super::sum::{HolderStatus, JobsStatus, PoolStatus, QueueStatus, WaveStatus, WorkspaceStatus};
+use super::aggregate::{HolderStatus, JobsStatus, PoolStatus, QueueStatus, WaveStatus, WorkspaceStatus};
 use crate::util::table::columns;
 
 /// Names of hosts that are shown of each wave.
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -15,7 +15,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use workswood::ops::explain::job::{HostLog, account};
-use workswood::ops::job_status::{self, sum};
+use workswood::ops::job_status::{self, aggregate_status};
 use workswood::ops::jobs::inbox::Stored;
 use workswood::ops::jobs::node::Holder;
 use workswood::ops::jobs::operators::Evacuations;
@@ -1039,8 +1039,8 @@
     let platform = PlatformClient::new(Addresses { store: away.clone(), machines: away, adviser: None });
     let records = |file| lines(file).into_iter().map(keyed).collect();
     let states = [JobHostState::Up, JobHostState::Moving, JobHostState::Upkeep, JobHostState::Down];
-    let mut seen = job_status::Seen {
-        at: 1_700_000_100_000,
+    let mut seen = job_status::StatusInputs {
+        read_at: 1_700_000_100_000,
         lease: Some(keyed(("holder", text(LEASE_AND_PEERS, "lease-held")))),
         renewed: true,
         operators: records(OPERATOR_RECORDS),
@@ -1050,7 +1050,7 @@
         published: vec![platform.wave_status_record(12, true)],
         hosts: Ok(states.map(|state| host("m-1", state)).into()),
     };
-    assert_eq!(to_json(&sum(&platform, &seen)), text(JOBS_SHOWN, "status"));
+    assert_eq!(to_json(&aggregate_status(&platform, &seen)), text(JOBS_SHOWN, "status"));
     let open = JobRecord { outcome: None, ..job_state_of("00000000000000ab") };
     let spec = inbox_spec("00000000000000ab-828a5f41ad4304c3");
     seen.inbox.extend([1, 2, 3, 4, 5, 6].map(|job| job_record(job, &spec)));
@@ -1058,7 +1058,7 @@
     seen.state.push(state_record(&Record::Job(6, open)));
     seen.hosts = Err("no answer: late".to_string());
     seen.lease = Some(keyed(("holder", text(LEASE_AND_PEERS, "lease-released"))));
-    assert_eq!(to_json(&sum(&platform, &seen)), text(JOBS_SHOWN, "status-with-open-jobs"));
+    assert_eq!(to_json(&aggregate_status(&platform, &seen)), text(JOBS_SHOWN, "status-with-open-jobs"));
 }
 
 /// Operators' tools that read `explain --json` of a job.
