--- a/src/workswood/ops/job_status/aggregate.rs
+++ b/src/workswood/ops/job_status/aggregate.rs
@@ -1,4 +1,4 @@
-//! Makes the status of what was read.
+//! Computes the status from the records that were read.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,235 +14,251 @@
 use crate::ops::jobs::record::{InboxItem, InboxKey, inbox_key};
 use crate::ops::jobs::{job_spec, job_state};
 
-/// Start of the key under which the scheduler keeps the progress of a wave.
-const WAVE: &str = "wave-";
+/// Prefix of the state keys under which the scheduler stores the progress of waves.
+const WAVE_KEY_PREFIX: &str = "wave-";
 
-/// How jobs, pools and waves stand.
+/// State of the lease, queues, workspaces, pools and waves.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct JobsStatus {
-    /// When it was read, in milliseconds since 1970.
-    pub at: UnixMs,
+    /// When the status was read, in milliseconds since 1970.
+    #[serde(rename = "at")]
+    pub read_at: UnixMs,
     /// Version of the configuration in force; 0 for none.
     pub config_version: u64,
-    /// Data centres that operators have evacuated.
+    /// Data centres that are evacuated.
     pub evacuated: BTreeSet<DataCentre>,
-    /// Who holds the scheduler lease.
+    /// Holder of the scheduler lease; `None` if the topic has no readable record.
     pub holder: Option<HolderStatus>,
     /// Jobs by queue.
     pub queues: Vec<QueueStatus>,
-    /// Workspaces in force.
+    /// Workspaces of the configuration in force.
     pub workspaces: Vec<WorkspaceStatus>,
     /// Hosts and workers by pool.
     pub pools: Vec<PoolStatus>,
-    /// Why hosts are not known, if they are not.
+    /// Why the host list could not be read.
     #[serde(rename = "machines_error")]
     pub hosts_error: Option<String>,
-    /// Waves that operators asked for.
+    /// Maintenance waves that operators requested.
     pub waves: Vec<WaveStatus>,
-    /// Records that can't be read.
-    pub unread: usize,
+    /// Number of records that could not be decoded.
+    #[serde(rename = "unread")]
+    pub undecodable_records: usize,
 }
 
-/// The lease holder, as the store has it.
+/// The lease holder, as recorded in the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HolderStatus {
-    /// Name of its entry.
+    /// Name of the holder's entry.
     pub name: String,
-    /// This life of its process.
-    pub id: String,
-    /// Its peer listener.
-    pub peers: String,
-    /// Its term.
+    /// Incarnation of the holder's process.
+    #[serde(rename = "id")]
+    pub incarnation: String,
+    /// Address of its peer listener.
+    #[serde(rename = "peers")]
+    pub peer_address: String,
+    /// Term of the lease.
     pub term: Term,
-    /// Whether it gave the lease back.
+    /// Whether the holder released the lease.
     #[serde(default)]
     pub released: bool,
-    /// Whether it renewed the lease while the status was read.
+    /// Whether the holder renewed the lease while the status was read.
     #[serde(default)]
     pub renewing: bool,
 }
 
-/// Jobs of a queue.
+/// Jobs of one queue.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct QueueStatus {
-    /// The queue; one that is no longer in force may still have jobs.
+    /// Name of the queue. A queue that was removed from the configuration may still have jobs.
     pub queue: String,
-    /// Service whose workers run its jobs.
+    /// Service whose workers run the jobs.
     pub service: String,
-    /// Accepted jobs that no lease holder has taken in.
-    pub not_taken_in: usize,
-    /// Jobs of which nothing has begun.
+    /// Accepted jobs that no lease holder has loaded yet.
+    #[serde(rename = "not_taken_in")]
+    pub not_yet_loaded: usize,
+    /// Loaded jobs none of whose tasks has started.
     pub queued: usize,
-    /// Jobs of which something has begun.
+    /// Unfinished jobs of which at least one task has started.
     pub running: usize,
-    /// Ended jobs that are still kept.
+    /// Completed jobs that are still retained.
     pub completed: usize,
-    /// Likewise, failed ones.
+    /// Failed jobs that are still retained.
     pub failed: usize,
-    /// Likewise, cancelled ones.
+    /// Cancelled jobs that are still retained.
     pub canceled: usize,
-    /// Tasks of open jobs that run somewhere.
+    /// Running tasks of unfinished jobs.
     pub tasks_running: usize,
-    /// Tasks of open jobs, of the rounds that are due, that are not done.
+    /// Unfinished tasks of unfinished jobs, in the rounds that are due.
     pub tasks_open: usize,
-    /// How long ago the oldest job that has not begun was accepted.
+    /// Time since the oldest job without a started task was accepted, in milliseconds.
     pub longest_wait_ms: u64,
 }
 
-/// A workspace that is in force.
+/// A workspace of the configuration in force.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct WorkspaceStatus {
-    /// Its name.
+    /// Name of the workspace.
     pub workspace: WorkspaceId,
-    /// Jobs a second that it may count on.
-    pub weight: f64,
-    /// Its jobs that are not over.
-    pub open: usize,
-    /// Tasks of them that run somewhere.
+    /// Guaranteed rate in jobs per second.
+    #[serde(rename = "weight")]
+    pub guaranteed_jobs_per_s: f64,
+    /// Unfinished jobs of the workspace.
+    #[serde(rename = "open")]
+    pub open_jobs: usize,
+    /// Running tasks of these jobs.
     pub tasks_running: usize,
-    /// What those take.
-    pub at_work: Resources,
-    /// What they may take; what is 0 has no limit.
+    /// Resources that the running tasks use.
+    #[serde(rename = "at_work")]
+    pub resources_in_use: Resources,
+    /// Limit on the resources in use; 0 means no limit.
     pub limit: Resources,
 }
 
-/// Hosts and workers of a pool.
+/// Hosts and workers of one pool.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct PoolStatus {
-    /// The service whose pool it is.
+    /// Service that owns the pool.
     pub pool: String,
-    /// Whether its hosts are off.
+    /// Whether the hosts of the pool are switched off.
     pub spare: bool,
     /// Hosts that are up.
     pub up: usize,
-    /// Hosts that change their pool.
+    /// Hosts that are changing their pool.
     pub moving: usize,
-    /// Hosts that are being maintained.
-    pub upkeep: usize,
+    /// Hosts in maintenance.
+    #[serde(rename = "upkeep")]
+    pub in_maintenance: usize,
     /// Hosts that are down.
     pub down: usize,
-    /// Workers that are listed.
+    /// Registered workers.
     pub workers: usize,
-    /// Of these, workers that are leaving.
+    /// Registered workers that are draining.
     pub draining: usize,
 }
 
 /// A maintenance wave.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct WaveStatus {
-    /// Its number.
+    /// Number of the wave.
     pub wave: u64,
-    /// Hosts to maintain.
+    /// Number of hosts to maintain.
     #[serde(rename = "machines")]
     pub hosts: usize,
-    /// How many may be down at once.
-    pub most_at_once: usize,
-    /// Time allowed for all of them.
-    pub within_ms: u64,
-    /// Hosts with which nothing has begun that is on record.
+    /// Most hosts that may be down at the same time.
+    #[serde(rename = "most_at_once")]
+    pub max_down: usize,
+    /// Time allowed for the whole wave, in milliseconds.
+    #[serde(rename = "within_ms")]
+    pub time_allowed_ms: u64,
+    /// Hosts without a recorded maintenance order.
     pub waiting: Vec<HostId>,
-    /// Hosts that are, or may be, down for it.
+    /// Hosts whose maintenance was ordered and has not finished.
     pub down: Vec<HostId>,
-    /// How many are up again.
+    /// Number of hosts that are up again after maintenance.
     pub finished: usize,
-    /// Whether operators were told that it is complete.
+    /// Whether the wave was published as complete.
     pub complete: bool,
 }
 
-/// What operators wrote.
+/// Configuration, waves and evacuations from the operators' records.
 #[derive(Default)]
-struct Wishes {
+struct OperatorState {
     cfg: SchedConfig,
     waves: Vec<Wave>,
     evacuated: BTreeSet<DataCentre>,
 }
 
-/// What is told by the records of one kind.
-struct Reader {
-    unread: usize,
+/// Decodes records and counts those that can't be decoded.
+struct RecordDecoder {
+    undecodable: usize,
 }
 
-impl Reader {
-    fn read<T: for<'a> Deserialize<'a>>(&mut self, rec: &KeyedRecord) -> Option<T> {
+impl RecordDecoder {
+    fn decode_json<T: for<'a> Deserialize<'a>>(&mut self, rec: &KeyedRecord) -> Option<T> {
         let value = rec.value.as_deref()?;
-        let read = serde_json::from_slice(value).ok();
-        self.unread += usize::from(read.is_none());
-        read
+        let decoded = serde_json::from_slice(value).ok();
+        self.undecodable += usize::from(decoded.is_none());
+        decoded
     }
 
-    fn spec(&mut self, rec: &KeyedRecord) -> Option<JobSpec> {
-        let read = job_spec::decode(rec.value.as_deref()?).ok();
-        self.unread += usize::from(read.is_none());
-        read
+    fn decode_job_spec(&mut self, rec: &KeyedRecord) -> Option<JobSpec> {
+        let decoded = job_spec::decode(rec.value.as_deref()?).ok();
+        self.undecodable += usize::from(decoded.is_none());
+        decoded
     }
 
-    fn job(&mut self, rec: &KeyedRecord) -> Option<JobRecord> {
-        let read = job_state::decode(rec.value.as_deref()?).ok();
-        self.unread += usize::from(read.is_none());
-        read
+    fn decode_job_state(&mut self, rec: &KeyedRecord) -> Option<JobRecord> {
+        let decoded = job_state::decode(rec.value.as_deref()?).ok();
+        self.undecodable += usize::from(decoded.is_none());
+        decoded
     }
 
-    fn items(&mut self, platform: &dyn JobPlatform, records: &[KeyedRecord]) -> Wishes {
-        let mut wishes = Wishes::default();
+    fn decode_operator_records(
+        &mut self,
+        platform: &dyn JobPlatform,
+        records: &[KeyedRecord],
+    ) -> OperatorState {
+        let mut operator_state = OperatorState::default();
         for rec in records {
             match platform.parse_operator_record(rec) {
-                Ok(Some(OperatorRecord::Config(c))) => wishes.cfg = c,
-                Ok(Some(OperatorRecord::Wave(w))) => wishes.waves.push(w),
+                Ok(Some(OperatorRecord::Config(c))) => operator_state.cfg = c,
+                Ok(Some(OperatorRecord::Wave(w))) => operator_state.waves.push(w),
                 Ok(Some(OperatorRecord::Evacuation { data_centre, evacuated: true })) => {
-                    wishes.evacuated.insert(data_centre);
+                    operator_state.evacuated.insert(data_centre);
                 }
                 Ok(Some(OperatorRecord::Evacuation { evacuated: false, .. })) => {}
                 Ok(None) => {}
-                Err(_) => self.unread += 1,
+                Err(_) => self.undecodable += 1,
             }
         }
-        wishes.waves.sort_by_key(|w| w.number);
-        wishes
+        operator_state.waves.sort_by_key(|w| w.number);
+        operator_state
     }
 }
 
-/// Makes the status of what was read.
-pub fn aggregate_status(platform: &dyn JobPlatform, seen: &StatusInputs) -> JobsStatus {
-    let mut reader = Reader { unread: 0 };
-    let holder = seen.lease.as_ref().and_then(|rec| reader.read::<HolderStatus>(rec));
-    let Wishes { cfg, waves, evacuated } = reader.items(platform, &seen.operators);
+/// Computes the status from the records that were read.
+pub fn aggregate_status(platform: &dyn JobPlatform, inputs: &StatusInputs) -> JobsStatus {
+    let mut decoder = RecordDecoder { undecodable: 0 };
+    let holder = inputs.lease.as_ref().and_then(|rec| decoder.decode_json::<HolderStatus>(rec));
+    let OperatorState { cfg, waves, evacuated } =
+        decoder.decode_operator_records(platform, &inputs.operators);
     let mut jobs: BTreeMap<JobKey, JobRecord> = BTreeMap::new();
     let mut progress: BTreeMap<u64, WaveRecord> = BTreeMap::new();
-    for rec in &seen.state {
+    for rec in &inputs.state {
         if let Some(key) = parse_job_key(&rec.key) {
-            jobs.extend(reader.job(rec).map(|j| (key, j)));
-        } else if let Some(n) = rec.key.strip_prefix(WAVE).and_then(|n| n.parse().ok()) {
-            progress.extend(reader.read(rec).map(|w| (n, w)));
+            jobs.extend(decoder.decode_job_state(rec).map(|j| (key, j)));
+        } else if let Some(n) = rec.key.strip_prefix(WAVE_KEY_PREFIX).and_then(|n| n.parse().ok()) {
+            progress.extend(decoder.decode_json(rec).map(|w| (n, w)));
         }
     }
-    let handed_in = handed_in(&mut reader, seen);
-    let queues = queues(&cfg, seen.read_at, &handed_in, &jobs);
-    let workspaces = workspaces(&cfg, &handed_in, &jobs);
-    let pools = pools(&mut reader, platform, &cfg, seen);
+    let submitted = submitted_jobs(&mut decoder, inputs);
+    let queues = queues(&cfg, inputs.read_at, &submitted, &jobs);
+    let workspaces = workspaces(&cfg, &submitted, &jobs);
+    let pools = pools(&mut decoder, platform, &cfg, inputs);
     let wave = |w: Wave| {
-        let told = seen.published.contains(&platform.wave_status_record(w.number, true));
-        wave_status(&w, progress.get(&w.number).cloned().unwrap_or_default(), told)
+        let complete = inputs.published.contains(&platform.wave_status_record(w.number, true));
+        wave_status(&w, progress.get(&w.number).cloned().unwrap_or_default(), complete)
     };
     JobsStatus {
-        at: seen.read_at,
+        read_at: inputs.read_at,
         config_version: cfg.version,
         evacuated,
-        holder: holder.map(|h| HolderStatus { renewing: seen.renewed && !h.released, ..h }),
+        holder: holder.map(|h| HolderStatus { renewing: inputs.renewed && !h.released, ..h }),
         queues,
         workspaces,
         pools,
-        hosts_error: seen.hosts.as_ref().err().cloned(),
+        hosts_error: inputs.hosts.as_ref().err().cloned(),
         waves: waves.into_iter().map(wave).collect(),
-        unread: reader.unread,
+        undecodable_records: decoder.undecodable,
     }
 }
 
-/// Jobs as they were handed in; of several under one number, that which came first.
-fn handed_in(reader: &mut Reader, seen: &StatusInputs) -> BTreeMap<JobKey, JobSpec> {
+/// Submitted jobs by key; of several records for one key, the one accepted first.
+fn submitted_jobs(decoder: &mut RecordDecoder, inputs: &StatusInputs) -> BTreeMap<JobKey, JobSpec> {
     let mut all: BTreeMap<JobKey, JobSpec> = BTreeMap::new();
-    for rec in &seen.inbox {
+    for rec in &inputs.inbox {
         let Some(InboxKey { job, what: InboxItem::Job, .. }) = inbox_key(&rec.key) else { continue };
-        let Some(spec) = reader.spec(rec) else { continue };
+        let Some(spec) = decoder.decode_job_spec(rec) else { continue };
         if all.get(&job).is_none_or(|first| spec.accepted_at < first.accepted_at) {
             all.insert(job, spec);
         }
@@ -252,31 +268,31 @@
 
 fn workspaces(
     cfg: &SchedConfig,
-    handed_in: &BTreeMap<JobKey, JobSpec>,
+    submitted: &BTreeMap<JobKey, JobSpec>,
     jobs: &BTreeMap<JobKey, JobRecord>,
 ) -> Vec<WorkspaceStatus> {
     let declared = cfg.workspaces.by_owner.values().map(|w| WorkspaceStatus {
         workspace: w.name.clone(),
-        weight: w.jobs_per_s,
+        guaranteed_jobs_per_s: w.jobs_per_s,
         limit: w.limit,
         ..WorkspaceStatus::default()
     });
     let mut all: BTreeMap<WorkspaceId, WorkspaceStatus> =
         declared.map(|w| (w.workspace.clone(), w)).collect();
-    for (key, spec) in handed_in {
+    for (key, spec) in submitted {
         let Some(w) = spec.workspace.as_ref().and_then(|name| all.get_mut(name)) else { continue };
-        w.count(spec, jobs.get(key));
+        w.count_job(spec, jobs.get(key));
     }
     all.into_values().collect()
 }
 
 impl WorkspaceStatus {
-    fn count(&mut self, spec: &JobSpec, rec: Option<&JobRecord>) {
-        self.open += usize::from(rec.is_none_or(|r| r.outcome.is_none()));
+    fn count_job(&mut self, spec: &JobSpec, rec: Option<&JobRecord>) {
+        self.open_jobs += usize::from(rec.is_none_or(|r| r.outcome.is_none()));
         for (step, tasks) in rec.into_iter().flat_map(|r| &r.rounds).flat_map(|r| spec.steps.iter().zip(r)) {
             let running = tasks.iter().filter(|t| !t.done && !t.runs.is_empty()).count();
             self.tasks_running += running;
-            self.at_work.add(&step.resources.times(running as u64));
+            self.resources_in_use.add(&step.resources.times(running as u64));
         }
     }
 }
@@ -284,7 +300,7 @@
 fn queues(
     cfg: &SchedConfig,
     now: UnixMs,
-    handed_in: &BTreeMap<JobKey, JobSpec>,
+    submitted: &BTreeMap<JobKey, JobSpec>,
     jobs: &BTreeMap<JobKey, JobRecord>,
 ) -> Vec<QueueStatus> {
     let empty = |queue: &String, service: &String| QueueStatus {
@@ -294,21 +310,21 @@
     };
     let mut all: BTreeMap<String, QueueStatus> =
         cfg.queues.values().map(|q| (q.name.clone(), empty(&q.name, &q.service))).collect();
-    for (key, spec) in handed_in {
+    for (key, spec) in submitted {
         let q = all.entry(spec.queue.clone()).or_insert_with(|| empty(&spec.queue, &spec.service));
-        q.count(spec, jobs.get(key), now);
+        q.count_job(spec, jobs.get(key), now);
     }
-    // Of jobs that are over, only their state is stored.
-    let over = jobs.iter().filter(|(key, _)| !handed_in.contains_key(*key));
-    for (rec, over) in over.filter_map(|(_, rec)| Some((rec, rec.over.as_ref()?))) {
+    // Only the state records of ended jobs are still stored.
+    let ended = jobs.iter().filter(|(key, _)| !submitted.contains_key(*key));
+    for (rec, over) in ended.filter_map(|(_, rec)| Some((rec, rec.over.as_ref()?))) {
         let q = all.entry(over.queue.clone()).or_insert_with(|| empty(&over.queue, &over.service));
-        q.count_end(rec.outcome);
+        q.count_outcome(rec.outcome);
     }
     all.into_values().collect()
 }
 
 impl QueueStatus {
-    fn count_end(&mut self, outcome: Option<Outcome>) {
+    fn count_outcome(&mut self, outcome: Option<Outcome>) {
         match outcome {
             Some(Outcome::Completed) => self.completed += 1,
             Some(Outcome::Failed) => self.failed += 1,
@@ -317,18 +333,18 @@
         }
     }
 
-    fn count(&mut self, spec: &JobSpec, rec: Option<&JobRecord>, now: UnixMs) {
+    fn count_job(&mut self, spec: &JobSpec, rec: Option<&JobRecord>, now: UnixMs) {
         if rec.is_none_or(|r| r.outcome.is_none() && !r.begun) {
             self.longest_wait_ms = self.longest_wait_ms.max(now.saturating_sub(spec.accepted_at));
         }
         let Some(rec) = rec else {
-            self.not_taken_in += 1;
+            self.not_yet_loaded += 1;
             return;
         };
-        self.count_end(rec.outcome);
+        self.count_outcome(rec.outcome);
         if rec.outcome.is_none() {
-            let begun = if rec.begun { &mut self.running } else { &mut self.queued };
-            *begun += 1;
+            let count = if rec.begun { &mut self.running } else { &mut self.queued };
+            *count += 1;
             let tasks = || rec.rounds.iter().flatten().flatten();
             self.tasks_running += tasks().filter(|t| !t.done && !t.runs.is_empty()).count();
             self.tasks_open += tasks().filter(|t| !t.done).count();
@@ -337,21 +353,21 @@
 }
 
 fn pools(
-    reader: &mut Reader,
+    decoder: &mut RecordDecoder,
     platform: &dyn JobPlatform,
     cfg: &SchedConfig,
-    seen: &StatusInputs,
+    inputs: &StatusInputs,
 ) -> Vec<PoolStatus> {
     let mut all: BTreeMap<String, PoolStatus> = BTreeMap::new();
     for s in cfg.services.values() {
         all.entry(s.name.clone()).or_default().spare = s.spare;
     }
-    for m in seen.hosts.iter().flatten() {
-        all.entry(m.pool.clone()).or_default().count(m);
+    for host in inputs.hosts.iter().flatten() {
+        all.entry(host.pool.clone()).or_default().count_host(host);
     }
-    for rec in &seen.workers {
+    for rec in &inputs.workers {
         let Ok(w) = platform.parse_worker_info(rec) else {
-            reader.unread += 1;
+            decoder.undecodable += 1;
             continue;
         };
         let p = all.entry(w.service).or_default();
@@ -362,25 +378,25 @@
 }
 
 impl PoolStatus {
-    fn count(&mut self, m: &Host) {
-        match m.state {
+    fn count_host(&mut self, host: &Host) {
+        match host.state {
             HostState::Up => self.up += 1,
             HostState::Moving => self.moving += 1,
-            HostState::Upkeep => self.upkeep += 1,
+            HostState::Upkeep => self.in_maintenance += 1,
             HostState::Down => self.down += 1,
         }
     }
 }
 
 fn wave_status(w: &Wave, rec: WaveRecord, complete: bool) -> WaveStatus {
-    let finished = |m: &&HostId| rec.finished.contains(*m);
-    let down = rec.ordered.keys().filter(|m| !rec.finished.contains(*m));
-    let waiting = w.hosts.iter().filter(|m| !rec.ordered.contains_key(*m) && !finished(m));
+    let finished = |host: &&HostId| rec.finished.contains(*host);
+    let down = rec.ordered.keys().filter(|host| !rec.finished.contains(*host));
+    let waiting = w.hosts.iter().filter(|host| !rec.ordered.contains_key(*host) && !finished(host));
     WaveStatus {
         wave: w.number,
         hosts: w.hosts.len(),
-        most_at_once: w.max_down,
-        within_ms: w.time_allowed.as_millis() as u64,
+        max_down: w.max_down,
+        time_allowed_ms: w.time_allowed.as_millis() as u64,
         waiting: waiting.cloned().collect(),
         down: down.cloned().collect(),
         finished: w.hosts.iter().filter(finished).count(),
--- a/src/workswood/ops/job_status/mod.rs
+++ b/src/workswood/ops/job_status/mod.rs
@@ -1,9 +1,9 @@
-//! `status` of `workswood jobs`: who holds the lease, and how jobs, pools and waves
-//! stand.
+//! `workswood status --jobs`: the lease holder and the state of queues, workspaces,
+//! pools and maintenance waves.
 //!
-//! It is read from the store and the host service, not from a process: it tells
-//! as much while no process holds the lease. Nothing is written. [`aggregate_status`] makes the
-//! status of what was read.
+//! The status is read from the store and the host service and not from a process,
+//! so it is also available while no process holds the lease. Nothing is written.
+//! [`aggregate_status`] computes the status from the records that were read.
 
 mod aggregate;
 mod text;
@@ -23,51 +23,54 @@
 use crate::util::errors::{Result, StoreSnafu};
 use crate::util::job_settings::JobSettings;
 
-/// How long a renewal of the lease is waited for: the holder renews every 0.45 s and
-/// is replaced after 1.8 s without.
-const RENEWAL_WAIT: Duration = Duration::from_millis(1800);
+/// How long to wait for a renewal of the lease. The holder renews it every 0.45 s and
+/// loses it after 1.8 s without a renewal.
+const RENEWAL_TIMEOUT: Duration = Duration::from_millis(1800);
 
-/// All that the status is made of.
+/// Records and host list from which the status is computed.
 #[derive(Debug)]
 pub struct StatusInputs {
-    /// The time of day, in milliseconds since 1970.
+    /// Wall-clock time of the read, in milliseconds since 1970.
     pub read_at: u64,
-    /// The newest record of the lease.
+    /// Newest record of the lease topic.
     pub lease: Option<KeyedRecord>,
-    /// Whether the holder renewed while we watched.
+    /// Whether the lease was renewed during the read.
     pub renewed: bool,
-    /// What operators wrote.
+    /// Records that operators wrote: configuration, waves and evacuations.
     pub operators: Vec<KeyedRecord>,
-    /// Jobs and cancels of all parts of the inbox.
+    /// Submitted jobs and cancellations of all inbox partitions.
     pub inbox: Vec<KeyedRecord>,
-    /// State of the scheduler.
+    /// State records of the scheduler.
     pub state: Vec<KeyedRecord>,
-    /// What workers say of themselves.
+    /// Worker registrations.
     pub workers: Vec<KeyedRecord>,
-    /// What operators are told.
+    /// Status records published to operators.
     pub published: Vec<KeyedRecord>,
-    /// Hosts, or why they are not known.
+    /// The host list, or why it could not be read.
     pub hosts: std::result::Result<Vec<Host>, String>,
 }
 
-/// Reads the status with the settings of any entry.
+/// Reads the status from the store and host service named in the settings file at `path`.
+///
+/// Returns an error if the settings or the store can't be read.
 pub async fn run(path: &str) -> Result<JobsStatus> {
     let settings = JobSettings::read(path)?;
     let addresses =
         Addresses { store: settings.store.clone(), machines: settings.hosts.clone(), adviser: None };
     let platform = PlatformClient::new(addresses);
-    let parts: Vec<Partition> = inbox::parts(settings.store_parts).collect();
-    let seen = read(&platform, &parts).await.context(StoreSnafu { address: &settings.store })?;
-    Ok(aggregate_status(&platform, &seen))
+    let partitions: Vec<Partition> = inbox::parts(settings.store_parts).collect();
+    let inputs =
+        read_inputs(&platform, &partitions).await.context(StoreSnafu { address: &settings.store })?;
+    Ok(aggregate_status(&platform, &inputs))
 }
 
-async fn read(
+async fn read_inputs(
     platform: &PlatformClient,
-    parts: &[Partition],
+    partitions: &[Partition],
 ) -> std::result::Result<StatusInputs, StoreError> {
     let lease = platform.latest(Topic::Lease).await?;
-    let renewed = async { platform.tail(Topic::Lease, lease.next, RENEWAL_WAIT).await };
-    let inbox = try_join_all(parts.iter().map(|p| platform.latest(Topic::Inbox(*p))));
+    let renewed = async { platform.tail(Topic::Lease, lease.next, RENEWAL_TIMEOUT).await };
+    let inbox = try_join_all(partitions.iter().map(|p| platform.latest(Topic::Inbox(*p))));
     let (renewed, inbox, state, operators, workers, published) = tokio::try_join!(
         renewed,
         inbox,
@@ -76,14 +79,14 @@
         platform.latest(Topic::Workers),
         platform.latest(Topic::Status),
     )?;
-    // The store may do without the host service; the rest is told all the same.
-    let hosts = platform.list_hosts().await.map_err(why_unknown);
+    // The status is reported without hosts if only the host service is unavailable.
+    let hosts = platform.list_hosts().await.map_err(host_list_error);
     Ok(StatusInputs {
         read_at: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64,
         lease: lease.records.into_iter().next_back(),
         renewed: !renewed.records.is_empty(),
         operators: operators.records,
-        inbox: inbox.into_iter().flat_map(|n| n.records).collect(),
+        inbox: inbox.into_iter().flat_map(|page| page.records).collect(),
         state: state.records,
         workers: workers.records,
         published: published.records,
@@ -91,8 +94,8 @@
     })
 }
 
-/// Why the host service told nothing.
-fn why_unknown(e: StoreError) -> String {
+/// Describes why the host list could not be read.
+fn host_list_error(e: StoreError) -> String {
     match e {
         StoreError::NotDone { text } => format!("refused: {text}"),
         StoreError::Unknown { text } => format!("no answer: {text}"),
