--- a/src/bin/workswood/commands/explain.rs
+++ b/src/bin/workswood/commands/explain.rs
@@ -31,7 +31,7 @@
 /// Runs it.
 pub fn exec(args: &ArgMatches) -> Result<()> {
     if args.get_flag("all") {
-        workswood::out!("{}", ops::explain::page());
+        workswood::out!("{}", ops::explain::errors_page());
         return Ok(());
     }
     let what = super::text(args, "what");
@@ -39,7 +39,7 @@
         workswood::out!("{}", ops::explain::run(&what)?);
         return Ok(());
     };
-    let account = ops::explain::job::run(job, &super::texts(args, "logs"))?;
-    super::show(args, &account, || account.text());
+    let history = ops::explain::job_history::run(job, &super::texts(args, "logs"))?;
+    super::show(args, &history, || history.text());
     Ok(())
 }
--- a/src/workswood/ops/explain/job.rs
+++ b/src/workswood/ops/explain/job_history.rs
@@ -70,16 +70,17 @@
 
 /// Time that went into one thing.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Spent {
+pub struct TimeSpent {
     /// What it went into.
-    pub on: String,
+    #[serde(rename = "on")]
+    pub cause: String,
     /// How much.
     pub ms: u64,
 }
 
 /// What the logs tell of one job.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct JobAccount {
+pub struct JobHistory {
     /// The job.
     pub job: String,
     /// What became of it, as far as the logs tell.
@@ -88,13 +89,14 @@
     /// job that is not done.
     pub verdict: String,
     /// What its time went into along its longest chain, if it is done.
-    pub spent: Vec<Spent>,
+    #[serde(rename = "spent")]
+    pub time_spent: Vec<TimeSpent>,
     /// All lines that concern it, in order.
     pub lines: Vec<Told>,
 }
 
 /// Reads logs and tells the way of a job.
-pub fn run(job: JobKey, paths: &[String]) -> Result<JobAccount> {
+pub fn run(job: JobKey, paths: &[String]) -> Result<JobHistory> {
     if paths.is_empty() {
         return Err(Error::Logs { message: "name the logs of the hosts after the job".to_string() });
     }
@@ -103,7 +105,7 @@
         .zip(paths)
         .map(|(host, path)| Ok(HostLog { host, text: read_log(path)? }))
         .collect();
-    account(job, &logs?).ok_or_else(|| Error::Logs {
+    job_history(job, &logs?).ok_or_else(|| Error::Logs {
         message: format!("no line about job {} in {} log(s)", format_job_key(job), paths.len()),
     })
 }
@@ -130,7 +132,7 @@
 }
 
 /// The way of a job; `None` if no line names it.
-pub fn account(job: JobKey, logs: &[HostLog]) -> Option<JobAccount> {
+pub fn job_history(job: JobKey, logs: &[HostLog]) -> Option<JobHistory> {
     let mut all: Vec<Read<'_>> = logs.iter().flat_map(read).collect();
     all.sort_by_key(|r| r.line.at);
     let own: Vec<&Read<'_>> = all.iter().filter(|r| r.is_about(job)).collect();
@@ -148,11 +150,11 @@
     };
     let lines = all.iter().filter(|r| r.is_about(job) || meanwhile(r)).map(|r| told(r, first));
     let spent = way.spent().unwrap_or_default().into_iter();
-    Some(JobAccount {
+    Some(JobHistory {
         job: format_job_key(job),
         state: state(&own),
         verdict: verdict(way.verdict()),
-        spent: spent.map(|(on, ms)| Spent { on: on.to_string(), ms }).collect(),
+        time_spent: spent.map(|(on, ms)| TimeSpent { cause: on.to_string(), ms }).collect(),
         lines: lines.collect(),
     })
 }
@@ -212,15 +214,15 @@
     format!("{}.{:03}", ms / 1000, ms % 1000)
 }
 
-impl JobAccount {
+impl JobHistory {
     /// The account for terminals.
     pub fn text(&self) -> String {
         let mut head = format!("job {}: {}", self.job, self.state);
         if !self.verdict.is_empty() {
             head += &format!(", {}", self.verdict);
         }
-        let spent = self.spent.iter().filter(|s| s.ms > 0 || s.on == Cause::Work.to_string());
-        let spent: Vec<String> = spent.map(|s| format!("{} {} s", s.on, seconds(s.ms))).collect();
+        let spent = self.time_spent.iter().filter(|s| s.ms > 0 || s.cause == Cause::Work.to_string());
+        let spent: Vec<String> = spent.map(|s| format!("{} {} s", s.cause, seconds(s.ms))).collect();
         if !spent.is_empty() {
             head += &format!("\nits time: {}", spent.join(", "));
         }
--- a/src/workswood/ops/explain/mod.rs
+++ b/src/workswood/ops/explain/mod.rs
@@ -1,7 +1,7 @@
-//! `explain`: what a code means, the table of all codes, and in [`job`] the way of
+//! `explain`: what a code means, the table of all codes, and in [`job_history`] the way of
 //! a job through the logs.
 
-pub mod job;
+pub mod job_history;
 
 use workswood_core::code::Code;
 
@@ -17,7 +17,7 @@
 }
 
 /// The content of `docs/ERRORS.md`.
-pub fn page() -> String {
+pub fn errors_page() -> String {
     let mut page = String::from(
         "# Result codes\n\nMade by `workswood explain --all`; a test compares the two. Answers to callers carry \
          the code in `x-workswood-code` and, in `x-workswood-ran`, whether the request was `run`, `not-run` or \
--- a/tests/testsuite/job_account.rs
+++ b/tests/testsuite/job_account.rs
@@ -2,7 +2,7 @@
 
 use std::process::Command;
 
-use workswood::ops::explain::job::{HostLog, JobAccount, account};
+use workswood::ops::explain::job_history::{HostLog, JobHistory, job_history};
 
 const JOB: u64 = 0xa1;
 
@@ -40,8 +40,8 @@
     vec![log("c", &second), log("a", &entry), log("b", &first)]
 }
 
-fn told() -> JobAccount {
-    account(JOB, &hosts()).expect("there are lines about it")
+fn told() -> JobHistory {
+    job_history(JOB, &hosts()).expect("there are lines about it")
 }
 
 #[test]
@@ -68,7 +68,7 @@
 fn verdict_and_times() {
     let a = told();
     assert_eq!((a.state.as_str(), a.verdict.as_str()), ("completed", "late: lost runs"));
-    let of = |on: &str| a.spent.iter().find(|s| s.on == on).map(|s| s.ms);
+    let of = |cause: &str| a.time_spent.iter().find(|s| s.cause == cause).map(|s| s.ms);
     assert_eq!((of("lost runs"), of("work itself"), of("hand-in")), (Some(3160), Some(1000), Some(10)));
     let text = a.text();
     assert!(text.starts_with("job 00000000000000a1: completed, late: lost runs\nits time: hand-in 0.010 s"));
@@ -77,7 +77,7 @@
 
 #[test]
 fn states_of_open_jobs() {
-    let state = |lines: &[String]| account(JOB, &[log("a", lines)]).map(|a| a.state);
+    let state = |lines: &[String]| job_history(JOB, &[log("a", lines)]).map(|a| a.state);
     let handed_in =
         |how: &str| at(0, &format!("event=job_handed_in job=00000000000000a1 stored={how} took_ms=3"));
     let known = at(5, "event=job_known job=00000000000000a1 queue=q stretch=1.5 target_ms=600");
@@ -126,7 +126,7 @@
         at(50, "event=task_placed worker=w1@9 task=00000000000000a1.0.0.0 attempt=2"),
         at(900, "event=job_ended job=00000000000000a1 outcome=Completed age_ms=900"),
     ];
-    let a = account(JOB, &[log("a", &lines)]).expect("there are lines about it");
+    let a = job_history(JOB, &[log("a", &lines)]).expect("there are lines about it");
     let events: Vec<&str> = a.lines.iter().map(|l| l.event.as_str()).collect();
     assert!(events.contains(&"evacuations_known") && events.contains(&"worker_restarted"), "{events:?}");
 }
--- a/tests/testsuite/result_codes.rs
+++ b/tests/testsuite/result_codes.rs
@@ -8,7 +8,7 @@
 #[test]
 fn page_in_step() {
     let page = include_str!("../../docs/ERRORS.md");
-    assert_eq!(page, explain::page(), "run: cargo run -- explain --all > docs/ERRORS.md");
+    assert_eq!(page, explain::errors_page(), "run: cargo run -- explain --all > docs/ERRORS.md");
 }
 
 #[test]
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
-use workswood::ops::explain::job::{HostLog, account};
+use workswood::ops::explain::job_history::{HostLog, job_history};
 use workswood::ops::job_status::{self, aggregate_status};
 use workswood::ops::jobs::inbox::Stored;
 use workswood::ops::jobs::node::Holder;
@@ -1065,7 +1065,7 @@
 #[test]
 fn job_account() {
     let log = HostLog { host: "entry-1".to_string(), text: JOB_LOG.to_string() };
-    let told = account(0xa1, &[log]).expect("there are lines about it");
+    let told = job_history(0xa1, &[log]).expect("there are lines about it");
     assert_eq!(to_json(&told), text(JOBS_SHOWN, "account"));
 }
 
