--- a/src/workswood/ops/explain/job_history.rs
+++ b/src/workswood/ops/explain/job_history.rs
@@ -1,8 +1,8 @@
-//! The way of one job through the logs of several hosts.
+//! The history of one job, from the logs of several hosts.
 //!
-//! Lines about the job are put in order, together with what happened meanwhile to
-//! the workers that ran it, to the lease holder and to the store. Times are each
-//! host's own.
+//! The lines about the job are sorted by time, together with the lines of the same period
+//! about the workers that ran it, the lease holder and the store. Times are those of each
+//! host's own clock.
 
 use std::collections::HashSet;
 use std::path::Path;
@@ -18,8 +18,8 @@
 use crate::util::errors::{Error, Result};
 use crate::util::table::columns;
 
-/// What happens to workers, apart from the job's own runs.
-const OF_WORKERS: [&str; 8] = [
+/// Events of workers that are not about a run of the job.
+const WORKER_EVENTS: [&str; 8] = [
     "worker_unreachable",
     "worker_reached",
     "worker_life_over",
@@ -29,8 +29,8 @@
     "worker_unlisted",
     "fenced_by_worker",
 ];
-/// What happens to the lease and the store, and what operators evacuate.
-const OF_HOLDERS: [&str; 11] = [
+/// Events of the lease, the scheduler, the store and evacuations.
+const SYSTEM_EVENTS: [&str; 11] = [
     "lease_claimed",
     "lease_lost",
     "lease_overtaken",
@@ -47,60 +47,62 @@
 /// The log of one host.
 #[derive(Clone, Debug)]
 pub struct HostLog {
-    /// Name of the host, as far as the file tells.
+    /// Name of the host, taken from the name of the log file.
     pub host: String,
-    /// Its text.
+    /// Content of the log.
     pub text: String,
 }
 
-/// One line that concerns the job.
+/// A log line of the job's history.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Told {
-    /// When it was written, in milliseconds since 1970.
+pub struct HistoryLine {
+    /// When the line was written, in milliseconds since 1970.
     pub at: UnixMs,
-    /// Milliseconds since the first line.
+    /// Milliseconds since the first line about the job.
     pub after_ms: u64,
-    /// The host that wrote it.
+    /// Host that wrote the line.
     pub host: String,
-    /// The event.
+    /// Value of the `event` field.
     pub event: String,
-    /// The rest of the line.
+    /// The fields after `event`, as written.
     pub text: String,
 }
 
-/// Time that went into one thing.
+/// Time that a job spent on one cause.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TimeSpent {
-    /// What it went into.
+    /// What the time was spent on, as [`Cause`] displays it.
     #[serde(rename = "on")]
     pub cause: String,
-    /// How much.
+    /// The time in milliseconds.
     pub ms: u64,
 }
 
-/// What the logs tell of one job.
+/// The history of one job.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct JobHistory {
-    /// The job.
+    /// Key of the job in hexadecimal.
     pub job: String,
-    /// What became of it, as far as the logs tell.
+    /// Last state of the job that the logs show.
     pub state: String,
-    /// Whether it was in time, and what it lost most time by if not; empty for a
-    /// job that is not done.
+    /// Whether the job was done by its deadline, and the main cause if it was late; empty for
+    /// a job that is not done.
     pub verdict: String,
-    /// What its time went into along its longest chain, if it is done.
+    /// Time spent by cause along the critical path; empty for a job that is not done.
     #[serde(rename = "spent")]
     pub time_spent: Vec<TimeSpent>,
-    /// All lines that concern it, in order.
-    pub lines: Vec<Told>,
+    /// All lines of the history, sorted by time.
+    pub lines: Vec<HistoryLine>,
 }
 
-/// Reads logs and tells the way of a job.
+/// Reads the log files at `paths` and returns the history of a job.
+///
+/// Returns an error if a file can't be read or no line is about the job.
 pub fn run(job: JobKey, paths: &[String]) -> Result<JobHistory> {
     if paths.is_empty() {
-        return Err(Error::Logs { message: "name the logs of the hosts after the job".to_string() });
+        return Err(Error::Logs { message: "name at least one log file after the job".to_string() });
     }
-    let logs: Result<Vec<HostLog>> = hosts(paths)
+    let logs: Result<Vec<HostLog>> = host_names(paths)
         .into_iter()
         .zip(paths)
         .map(|(host, path)| Ok(HostLog { host, text: read_log(path)? }))
@@ -110,79 +112,80 @@
     })
 }
 
-/// Names for hosts: those of the files, or whole paths where these are alike.
-fn hosts(paths: &[String]) -> Vec<String> {
+/// Names the hosts after the stems of the log files, or after the whole paths if two stems
+/// are the same.
+fn host_names(paths: &[String]) -> Vec<String> {
     let stem = |p: &String| Path::new(p).file_stem().map(|s| s.to_string_lossy().into_owned());
     let stems: Vec<String> = paths.iter().map(|p| stem(p).unwrap_or_else(|| p.clone())).collect();
-    let different: HashSet<&String> = stems.iter().collect();
-    if different.len() == paths.len() { stems } else { paths.to_vec() }
+    let distinct: HashSet<&String> = stems.iter().collect();
+    if distinct.len() == paths.len() { stems } else { paths.to_vec() }
 }
 
-/// A line with where it was read.
-struct Read<'a> {
+/// A parsed log line with its host and its fields after `event`.
+struct HostLine<'a> {
     host: &'a str,
     line: Line<'a>,
-    rest: &'a str,
+    fields: &'a str,
 }
 
-impl Read<'_> {
+impl HostLine<'_> {
     fn is_about(&self, job: JobKey) -> bool {
         self.line.job().and_then(parse_job_key) == Some(job)
     }
 }
 
-/// The way of a job; `None` if no line names it.
+/// Collects the history of a job; `None` if no line is about it.
 pub fn job_history(job: JobKey, logs: &[HostLog]) -> Option<JobHistory> {
-    let mut all: Vec<Read<'_>> = logs.iter().flat_map(read).collect();
+    let mut all: Vec<HostLine<'_>> = logs.iter().flat_map(parse_log).collect();
     all.sort_by_key(|r| r.line.at);
-    let own: Vec<&Read<'_>> = all.iter().filter(|r| r.is_about(job)).collect();
+    let own: Vec<&HostLine<'_>> = all.iter().filter(|r| r.is_about(job)).collect();
     let first = own.first()?.line.at;
     let ended = own.iter().any(|r| r.line.event == "job_ended");
     let last = if ended { own.last()?.line.at } else { UnixMs::MAX };
     let workers: HashSet<&str> = own.iter().filter_map(|r| r.line.text("worker")).collect();
-    let mut way = JobWay::default();
-    own.iter().for_each(|r| way.take(&r.line));
-    let meanwhile = |r: &&Read<'_>| {
-        let of_worker = || r.line.text("worker").is_some_and(|w| workers.contains(w));
-        let concerns =
-            OF_HOLDERS.contains(&r.line.event) || OF_WORKERS.contains(&r.line.event) && of_worker();
-        concerns && (first..=last).contains(&r.line.at)
+    let mut timeline = JobWay::default();
+    own.iter().for_each(|r| timeline.take(&r.line));
+    let is_related = |r: &&HostLine<'_>| {
+        let is_about_its_worker = || r.line.text("worker").is_some_and(|w| workers.contains(w));
+        let relevant = SYSTEM_EVENTS.contains(&r.line.event)
+            || WORKER_EVENTS.contains(&r.line.event) && is_about_its_worker();
+        relevant && (first..=last).contains(&r.line.at)
     };
-    let lines = all.iter().filter(|r| r.is_about(job) || meanwhile(r)).map(|r| told(r, first));
-    let spent = way.spent().unwrap_or_default().into_iter();
+    let lines = all.iter().filter(|r| r.is_about(job) || is_related(r)).map(|r| history_line(r, first));
+    let spent = timeline.spent().unwrap_or_default().into_iter();
     Some(JobHistory {
         job: format_job_key(job),
         state: state(&own),
-        verdict: verdict(way.verdict()),
-        time_spent: spent.map(|(on, ms)| TimeSpent { cause: on.to_string(), ms }).collect(),
+        verdict: verdict_text(timeline.verdict()),
+        time_spent: spent.map(|(cause, ms)| TimeSpent { cause: cause.to_string(), ms }).collect(),
         lines: lines.collect(),
     })
 }
 
-fn read(log: &HostLog) -> impl Iterator<Item = Read<'_>> {
-    let one = |text| {
+fn parse_log(log: &HostLog) -> impl Iterator<Item = HostLine<'_>> {
+    let parse_line = |text| {
         let line = line::parse(text)?;
         let event = text.find("event=").map_or("", |at| &text[at..]);
-        let rest = event.split_once(' ').map_or("", |(_, rest)| rest);
-        Some(Read { host: &log.host, line, rest })
+        let fields = event.split_once(' ').map_or("", |(_, fields)| fields);
+        Some(HostLine { host: &log.host, line, fields })
     };
-    log.text.lines().filter_map(one)
+    log.text.lines().filter_map(parse_line)
 }
 
-fn told(r: &Read<'_>, first: UnixMs) -> Told {
-    Told {
+fn history_line(r: &HostLine<'_>, first: UnixMs) -> HistoryLine {
+    HistoryLine {
         at: r.line.at,
         after_ms: r.line.at - first,
         host: r.host.to_string(),
         event: r.line.event.to_string(),
-        text: r.rest.to_string(),
+        text: r.fields.to_string(),
     }
 }
 
-/// What became of a job, from its own lines in order.
-fn state(own: &[&Read<'_>]) -> String {
-    let ends = own.iter().filter(|r| r.line.event == "job_ended");
-    if let Some(outcome) = ends.filter_map(|r| r.line.text("outcome")).next_back() {
+/// Determines the last known state of a job from its own lines, sorted by time.
+fn state(own: &[&HostLine<'_>]) -> String {
+    let end_lines = own.iter().filter(|r| r.line.event == "job_ended");
+    if let Some(outcome) = end_lines.filter_map(|r| r.line.text("outcome")).next_back() {
         return outcome.to_lowercase();
     }
     let has = |event: &str| own.iter().any(|r| r.line.event == event);
@@ -192,7 +195,7 @@
     if has("job_known") {
         return "queued".to_string();
     }
-    let stored = |how: &str| own.iter().any(|r| r.line.text("stored") == Some(how));
+    let stored = |answer: &str| own.iter().any(|r| r.line.text("stored") == Some(answer));
     if stored("Yes") {
         "accepted, not yet taken in by the lease holder".to_string()
     } else if stored("Unknown") {
@@ -202,7 +205,7 @@
     }
 }
 
-fn verdict(v: Verdict) -> String {
+fn verdict_text(v: Verdict) -> String {
     match v {
         Verdict::InTime => "in time".to_string(),
         Verdict::Late(cause) => format!("late: {cause}"),
@@ -215,22 +218,22 @@
 }
 
 impl JobHistory {
-    /// The account for terminals.
+    /// Formats the history for a terminal.
     pub fn text(&self) -> String {
-        let mut head = format!("job {}: {}", self.job, self.state);
+        let mut summary = format!("job {}: {}", self.job, self.state);
         if !self.verdict.is_empty() {
-            head += &format!(", {}", self.verdict);
+            summary += &format!(", {}", self.verdict);
         }
         let spent = self.time_spent.iter().filter(|s| s.ms > 0 || s.cause == Cause::Work.to_string());
         let spent: Vec<String> = spent.map(|s| format!("{} {} s", s.cause, seconds(s.ms))).collect();
         if !spent.is_empty() {
-            head += &format!("\nits time: {}", spent.join(", "));
+            summary += &format!("\nits time: {}", spent.join(", "));
         }
         let mut rows = vec![[" after s", "host", "event", ""].map(str::to_string).to_vec()];
-        let row = |l: &Told| {
+        let row = |l: &HistoryLine| {
             vec![format!("{:>8}", seconds(l.after_ms)), l.host.clone(), l.event.clone(), l.text.clone()]
         };
         rows.extend(self.lines.iter().map(row));
-        format!("{head}\n\n{}", columns(&rows))
+        format!("{summary}\n\n{}", columns(&rows))
     }
 }
--- a/src/workswood/ops/explain/mod.rs
+++ b/src/workswood/ops/explain/mod.rs
@@ -1,5 +1,5 @@
-//! `explain`: what a code means, the table of all codes, and in [`job_history`] the way of
-//! a job through the logs.
+//! `workswood explain`: describes a result code, prints the table of all codes, or, in
+//! [`job_history`], shows the history of a job from the logs.
 
 pub mod job_history;
 
@@ -7,16 +7,18 @@
 
 use crate::util::errors::{Error, Result};
 
-/// Text about one code.
+/// Describes the result code with the number in `text`.
+///
+/// Returns an error if there is no such code.
 pub fn run(text: &str) -> Result<String> {
-    let found = Code::ALL.iter().find(|c| c.number().to_string() == text);
-    let Some(c) = found else {
+    let code = Code::ALL.iter().find(|c| c.number().to_string() == text);
+    let Some(c) = code else {
         return Err(Error::NoCode { text: text.to_string() });
     };
     Ok(format!("{} {c:?}: {}\nwhat to do: {}\n", c.number(), c.text(), c.advice()))
 }
 
-/// The content of `docs/ERRORS.md`.
+/// Returns the content of `docs/ERRORS.md`: a table of all result codes.
 pub fn errors_page() -> String {
     let mut page = String::from(
         "# Result codes\n\nMade by `workswood explain --all`; a test compares the two. Answers to callers carry \
