--- a/src/bin/workswood/commands/late.rs
+++ b/src/bin/workswood/commands/late.rs
@@ -24,7 +24,7 @@
 /// Runs it.
 pub fn exec(args: &ArgMatches) -> Result<()> {
     let seconds = args.get_one::<f64>("span").copied().unwrap_or(2.0).clamp(0.1, 3600.0);
-    let account = ops::late::run(&super::texts(args, "logs"), Duration::from_secs_f64(seconds))?;
-    workswood::out!("{}", account.table());
+    let report = ops::late::run(&super::texts(args, "logs"), Duration::from_secs_f64(seconds))?;
+    workswood::out!("{}", report.table());
     Ok(())
 }
--- a/src/workswood/ops/explain/job_history.rs
+++ b/src/workswood/ops/explain/job_history.rs
@@ -12,9 +12,9 @@
 use workswood_core::jobs::JobKey;
 use workswood_core::jobs::spec::{format_job_key, parse_job_key};
 
-use crate::ops::late::job::{Cause, JobWay, Verdict};
-use crate::ops::late::line::{self, Line};
+use crate::ops::late::log_line::{self, LogLine};
 use crate::ops::late::read_log;
+use crate::ops::late::timeline::{Cause, JobTimeline, Verdict};
 use crate::util::errors::{Error, Result};
 use crate::util::table::columns;
 
@@ -124,7 +124,7 @@
 /// A parsed log line with its host and its fields after `event`.
 struct HostLine<'a> {
     host: &'a str,
-    line: Line<'a>,
+    line: LogLine<'a>,
     fields: &'a str,
 }
 
@@ -143,8 +143,8 @@
     let ended = own.iter().any(|r| r.line.event == "job_ended");
     let last = if ended { own.last()?.line.at } else { UnixMs::MAX };
     let workers: HashSet<&str> = own.iter().filter_map(|r| r.line.text("worker")).collect();
-    let mut timeline = JobWay::default();
-    own.iter().for_each(|r| timeline.take(&r.line));
+    let mut timeline = JobTimeline::default();
+    own.iter().for_each(|r| timeline.add_line(&r.line));
     let is_related = |r: &&HostLine<'_>| {
         let is_about_its_worker = || r.line.text("worker").is_some_and(|w| workers.contains(w));
         let relevant = SYSTEM_EVENTS.contains(&r.line.event)
@@ -164,7 +164,7 @@
 
 fn parse_log(log: &HostLog) -> impl Iterator<Item = HostLine<'_>> {
     let parse_line = |text| {
-        let line = line::parse(text)?;
+        let line = log_line::parse(text)?;
         let event = text.find("event=").map_or("", |at| &text[at..]);
         let fields = event.split_once(' ').map_or("", |(_, fields)| fields);
         Some(HostLine { host: &log.host, line, fields })
@@ -209,7 +209,7 @@
     match v {
         Verdict::InTime => "in time".to_string(),
         Verdict::Late(cause) => format!("late: {cause}"),
-        Verdict::Open => String::new(),
+        Verdict::NotCounted => String::new(),
     }
 }
 
@@ -224,7 +224,7 @@
         if !self.verdict.is_empty() {
             summary += &format!(", {}", self.verdict);
         }
-        let spent = self.time_spent.iter().filter(|s| s.ms > 0 || s.cause == Cause::Work.to_string());
+        let spent = self.time_spent.iter().filter(|s| s.ms > 0 || s.cause == Cause::RunTime.to_string());
         let spent: Vec<String> = spent.map(|s| format!("{} {} s", s.cause, seconds(s.ms))).collect();
         if !spent.is_empty() {
             summary += &format!("\nits time: {}", spent.join(", "));
--- a/src/workswood/ops/late/line.rs
+++ b/src/workswood/ops/late/log_line.rs
@@ -7,7 +7,7 @@
 
 /// A line of a log: an event, and what it says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line<'a> {
+pub struct LogLine<'a> {
     /// When it was written, on the clock of its host.
     pub at: UnixMs,
     /// The event.
@@ -15,7 +15,7 @@
     fields: HashMap<&'a str, &'a str>,
 }
 
-impl Line<'_> {
+impl LogLine<'_> {
     /// The text of a field, if the line has it.
     pub fn text(&self, field: &str) -> Option<&str> {
         self.fields.get(field).copied()
@@ -39,12 +39,12 @@
 
 /// Reads a line; whatever stands before its time is passed over. Lines that are
 /// not ours are `None`.
-pub fn parse(text: &str) -> Option<Line<'_>> {
+pub fn parse(text: &str) -> Option<LogLine<'_>> {
     let begin = text.find("ts=")?;
     let fields: HashMap<&str, &str> =
         text[begin..].split_ascii_whitespace().filter_map(|word| word.split_once('=')).collect();
     let at = humantime::parse_rfc3339(fields.get("ts")?).ok()?;
     let at = at.duration_since(UNIX_EPOCH).ok()?.as_millis() as UnixMs;
     let event = fields.get("event").copied()?;
-    Some(Line { at, event, fields })
+    Some(LogLine { at, event, fields })
 }
--- a/src/workswood/ops/late/mod.rs
+++ b/src/workswood/ops/late/mod.rs
@@ -1,28 +1,28 @@
 //! `late`: why jobs were late, told from the log lines of one or more hosts.
 //!
-//! [`mod@line`] reads lines, [`job`] follows the way of one job and names what it
-//! lost most time by, and [`account`] sums that up by the second in which jobs
+//! [`log_line`] reads lines, [`timeline`] follows the way of one job and names what it
+//! lost most time by, and [`report`] sums that up by the second in which jobs
 //! were handed in.
 
-pub mod account;
-pub mod job;
-pub mod line;
+pub mod log_line;
+pub mod report;
+pub mod timeline;
 
 use std::time::Duration;
 
 use snafu::ResultExt;
 
-pub use account::Account;
+pub use report::LatenessReport;
 
 use crate::util::errors::{ReadFileSnafu, Result};
 
 /// Reads log files and sums up, by spans of time, why jobs were late.
-pub fn run(paths: &[String], span: Duration) -> Result<Account> {
-    let mut account = Account::new(span);
+pub fn run(paths: &[String], span: Duration) -> Result<LatenessReport> {
+    let mut report = LatenessReport::new(span);
     for path in paths {
-        read_log(path)?.lines().filter_map(line::parse).for_each(|l| account.take(&l));
+        read_log(path)?.lines().filter_map(log_line::parse).for_each(|l| report.add_line(&l));
     }
-    Ok(account)
+    Ok(report)
 }
 
 /// Reads the log of a host; lines of other programs may stand between ours.
--- a/src/workswood/ops/late/account.rs
+++ b/src/workswood/ops/late/report.rs
@@ -7,8 +7,8 @@
 use workswood_core::jobs::JobKey;
 use workswood_core::jobs::spec::parse_job_key;
 
-use super::job::{Cause, JobWay, Verdict};
-use super::line::Line;
+use super::log_line::LogLine;
+use super::timeline::{Cause, JobTimeline, Verdict};
 use crate::util::table;
 
 /// Hosts of all pools in one second, and what they need; summed up over the
@@ -21,55 +21,55 @@
 
 /// Jobs that were handed in within one span of time.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Span {
+pub struct TimeWindow {
     /// Jobs that count.
     pub jobs: usize,
     /// Late ones by cause.
-    pub late: BTreeMap<Cause, usize>,
+    pub late_by_cause: BTreeMap<Cause, usize>,
 }
 
 /// What the logs tell of all jobs.
 #[derive(Debug)]
-pub struct Account {
+pub struct LatenessReport {
     span: Duration,
-    jobs: HashMap<JobKey, JobWay>,
+    jobs: HashMap<JobKey, JobTimeline>,
     pools: BTreeMap<UnixMs, PoolSecond>,
 }
 
-impl Account {
+impl LatenessReport {
     /// An account by spans of this length.
-    pub fn new(span: Duration) -> Account {
-        Account { span, jobs: HashMap::new(), pools: BTreeMap::new() }
+    pub fn new(span: Duration) -> LatenessReport {
+        LatenessReport { span, jobs: HashMap::new(), pools: BTreeMap::new() }
     }
 
     /// Takes a line in.
-    pub fn take(&mut self, line: &Line<'_>) {
+    pub fn add_line(&mut self, line: &LogLine<'_>) {
         if line.event == "pool_state" {
             self.take_pool(line);
             return;
         }
         if let Some(key) = line.job().and_then(parse_job_key) {
-            self.jobs.entry(key).or_default().take(line);
+            self.jobs.entry(key).or_default().add_line(line);
         }
     }
 
-    fn take_pool(&mut self, line: &Line<'_>) {
+    fn take_pool(&mut self, line: &LogLine<'_>) {
         let second = self.pools.entry(line.at / 1000).or_default();
         second.have += line.value::<f64>("have").unwrap_or(0.0);
         second.need += line.value::<f64>("need_now").unwrap_or(0.0);
     }
 
     /// The spans of time in which jobs were handed in, by their beginning.
-    pub fn spans(&self) -> BTreeMap<UnixMs, Span> {
+    pub fn windows(&self) -> BTreeMap<UnixMs, TimeWindow> {
         let length = self.span.as_millis().max(1) as UnixMs;
-        let mut spans: BTreeMap<UnixMs, Span> = BTreeMap::new();
+        let mut spans: BTreeMap<UnixMs, TimeWindow> = BTreeMap::new();
         for job in self.jobs.values() {
             let verdict = job.verdict();
-            let Some(at) = job.handed_in().filter(|_| verdict != Verdict::Open) else { continue };
+            let Some(at) = job.handed_in().filter(|_| verdict != Verdict::NotCounted) else { continue };
             let span = spans.entry(at / length * length).or_default();
             span.jobs += 1;
             if let Verdict::Late(cause) = verdict {
-                *span.late.entry(cause).or_default() += 1;
+                *span.late_by_cause.entry(cause).or_default() += 1;
             }
         }
         spans
@@ -77,13 +77,15 @@
 
     /// The table that is printed: a row a span, and a last one for all.
     pub fn table(&self) -> String {
-        let spans = self.spans();
-        let mut all = Span::default();
+        let spans = self.windows();
+        let mut all = TimeWindow::default();
         let mut rows = vec![head()];
         let first = spans.keys().next().copied().unwrap_or(0);
         for (at, span) in &spans {
             all.jobs += span.jobs;
-            span.late.iter().for_each(|(cause, n)| *all.late.entry(*cause).or_default() += n);
+            span.late_by_cause
+                .iter()
+                .for_each(|(cause, n)| *all.late_by_cause.entry(*cause).or_default() += n);
             rows.push(row(&format!("{:.1}", (at - first) as f64 / 1000.0), span));
         }
         rows.push(row("all", &all));
@@ -104,8 +106,8 @@
     fixed.into_iter().chain(Cause::ALL.iter().map(Cause::to_string)).collect()
 }
 
-fn row(from: &str, span: &Span) -> Vec<String> {
-    let late: usize = span.late.values().sum();
-    let by_cause = Cause::ALL.iter().map(|c| span.late.get(c).copied().unwrap_or(0).to_string());
+fn row(from: &str, span: &TimeWindow) -> Vec<String> {
+    let late: usize = span.late_by_cause.values().sum();
+    let by_cause = Cause::ALL.iter().map(|c| span.late_by_cause.get(c).copied().unwrap_or(0).to_string());
     [from.to_string(), span.jobs.to_string(), late.to_string()].into_iter().chain(by_cause).collect()
 }
--- a/src/workswood/ops/late/job.rs
+++ b/src/workswood/ops/late/timeline.rs
@@ -7,50 +7,50 @@
 use workswood_core::ids::UnixMs;
 use workswood_core::jobs::TaskId;
 
-use super::line::Line;
+use super::log_line::LogLine;
 
 /// What a job lost most time by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
     /// Handing it in took long, or it was refused.
-    HandIn,
+    Submission,
     /// It was accepted, but no lease holder took it in.
-    Holder,
+    NoLeaseHolder,
     /// Its first task waited for room.
-    Room,
+    NoCapacity,
     /// Tasks of later steps waited.
     LaterSteps,
     /// Runs were lost, stuck or failed, and the task was started again.
     LostRuns,
     /// Its last end was shown late.
-    Shown,
+    LateCompletion,
     /// None of these: its runs alone took longer than it was owed.
-    Work,
+    RunTime,
 }
 
 impl Cause {
     /// All of them, in the order of a job's way.
     pub const ALL: [Cause; 7] = [
-        Cause::HandIn,
-        Cause::Holder,
-        Cause::Room,
+        Cause::Submission,
+        Cause::NoLeaseHolder,
+        Cause::NoCapacity,
         Cause::LaterSteps,
         Cause::LostRuns,
-        Cause::Shown,
-        Cause::Work,
+        Cause::LateCompletion,
+        Cause::RunTime,
     ];
 }
 
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
-            Cause::HandIn => "hand-in",
-            Cause::Holder => "no holder",
-            Cause::Room => "no room",
+            Cause::Submission => "hand-in",
+            Cause::NoLeaseHolder => "no holder",
+            Cause::NoCapacity => "no room",
             Cause::LaterSteps => "later steps",
             Cause::LostRuns => "lost runs",
-            Cause::Shown => "shown late",
-            Cause::Work => "work itself",
+            Cause::LateCompletion => "shown late",
+            Cause::RunTime => "work itself",
         };
         f.write_str(text)
     }
@@ -64,7 +64,7 @@
     /// Done later, or never accepted.
     Late(Cause),
     /// It does not count: cancelled, failed, lasting, or not yet done.
-    Open,
+    NotCounted,
 }
 
 /// Starts and the end of one task.
@@ -76,7 +76,7 @@
 
 /// What the logs tell of one job.
 #[derive(Clone, Debug, Default)]
-pub struct JobWay {
+pub struct JobTimeline {
     /// When a host began to take it in, for the first time.
     handed_in: Option<UnixMs>,
     accepted: Option<UnixMs>,
@@ -99,9 +99,9 @@
     work: u64,
 }
 
-impl JobWay {
+impl JobTimeline {
     /// Takes a line about this job in.
-    pub fn take(&mut self, line: &Line<'_>) {
+    pub fn add_line(&mut self, line: &LogLine<'_>) {
         match line.event {
             "job_handed_in" => self.take_hand_in(line),
             "job_known" => {
@@ -127,7 +127,7 @@
         }
     }
 
-    fn take_hand_in(&mut self, line: &Line<'_>) {
+    fn take_hand_in(&mut self, line: &LogLine<'_>) {
         let took = line.value("took_ms").unwrap_or(0);
         let begun = line.at.saturating_sub(took);
         self.handed_in = Some(self.handed_in.map_or(begun, |at| at.min(begun)));
@@ -136,7 +136,7 @@
         }
     }
 
-    fn task(&mut self, line: &Line<'_>) -> Option<&mut TaskWay> {
+    fn task(&mut self, line: &LogLine<'_>) -> Option<&mut TaskWay> {
         let id: TaskId = line.value("task")?;
         Some(self.tasks.entry(id).or_default())
     }
@@ -148,25 +148,25 @@
 
     /// How it went.
     pub fn verdict(&self) -> Verdict {
-        let Some(handed_in) = self.handed_in else { return Verdict::Open };
+        let Some(handed_in) = self.handed_in else { return Verdict::NotCounted };
         if self.ended_otherwise || self.tasks.keys().any(|t| t.round > 0) {
-            return Verdict::Open;
+            return Verdict::NotCounted;
         }
         if self.accepted.is_none() && self.known.is_none() {
-            return Verdict::Late(Cause::HandIn);
+            return Verdict::Late(Cause::Submission);
         }
         let (Some(completed), Some((stretch, target))) = (self.completed, self.owed) else {
-            return Verdict::Open;
+            return Verdict::NotCounted;
         };
-        let Some(spent) = self.spent() else { return Verdict::Open };
-        let (work, lost): (Vec<_>, Vec<_>) = spent.into_iter().partition(|(on, _)| *on == Cause::Work);
+        let Some(spent) = self.spent() else { return Verdict::NotCounted };
+        let (work, lost): (Vec<_>, Vec<_>) = spent.into_iter().partition(|(on, _)| *on == Cause::RunTime);
         let work: u64 = work.iter().map(|(_, ms)| ms).sum();
         let owed = work as f64 * stretch + target.as_millis() as f64;
         if (completed.saturating_sub(handed_in)) as f64 <= owed {
             return Verdict::InTime;
         }
         let most = lost.into_iter().filter(|(_, ms)| *ms > 0).max_by_key(|(_, ms)| *ms);
-        Verdict::Late(most.map_or(Cause::Work, |(cause, _)| cause))
+        Verdict::Late(most.map_or(Cause::RunTime, |(cause, _)| cause))
     }
 
     /// What the time of a done job went into along its longest chain, in
@@ -177,13 +177,13 @@
         let accepted = self.accepted.or(self.known).unwrap_or(handed_in);
         let known = self.known.unwrap_or(accepted);
         Some(vec![
-            (Cause::HandIn, accepted.saturating_sub(handed_in)),
-            (Cause::Holder, known.saturating_sub(accepted)),
-            (Cause::Room, times.room),
+            (Cause::Submission, accepted.saturating_sub(handed_in)),
+            (Cause::NoLeaseHolder, known.saturating_sub(accepted)),
+            (Cause::NoCapacity, times.room),
             (Cause::LaterSteps, times.later_steps),
             (Cause::LostRuns, times.lost_runs),
-            (Cause::Shown, completed.saturating_sub(last_done)),
-            (Cause::Work, times.work),
+            (Cause::LateCompletion, completed.saturating_sub(last_done)),
+            (Cause::RunTime, times.work),
         ])
     }
 
--- a/tests/testsuite/late_jobs.rs
+++ b/tests/testsuite/late_jobs.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use workswood::ops::late::job::Cause;
-use workswood::ops::late::{Account, line};
+use workswood::ops::late::timeline::Cause;
+use workswood::ops::late::{LatenessReport, log_line};
 
 /// A line written so many milliseconds after a fixed second.
 fn at(ms: u64, rest: &str) -> String {
@@ -33,11 +33,11 @@
 
 /// Jobs that count, and the cause of each that was late.
 fn causes(lines: &[String]) -> (usize, Vec<Cause>) {
-    let mut account = Account::new(Duration::from_secs(2));
-    lines.iter().filter_map(|l| line::parse(l)).for_each(|l| account.take(&l));
-    let spans = account.spans();
-    let jobs = spans.values().map(|s| s.jobs).sum();
-    (jobs, spans.values().flat_map(|s| s.late.keys().copied()).collect())
+    let mut report = LatenessReport::new(Duration::from_secs(2));
+    lines.iter().filter_map(|l| log_line::parse(l)).for_each(|l| report.add_line(&l));
+    let windows = report.windows();
+    let jobs = windows.values().map(|s| s.jobs).sum();
+    (jobs, windows.values().flat_map(|s| s.late_by_cause.keys().copied()).collect())
 }
 
 fn with(more: &[String]) -> Vec<String> {
@@ -54,7 +54,7 @@
 #[test]
 fn no_room() {
     let lines = with(&[placed(1900, "0.0"), ended(2900, "0.0", "Done"), completed(2950)]);
-    assert_eq!(causes(&lines), (1, vec![Cause::Room]));
+    assert_eq!(causes(&lines), (1, vec![Cause::NoCapacity]));
 }
 
 #[test]
@@ -88,13 +88,13 @@
         vec![at(10, "event=job_handed_in job=00000000000000a1 queue=q version=4 stored=Yes took_ms=10")];
     lines.push(at(2500, "event=job_known job=00000000000000a1 queue=q stretch=1.5 target_ms=600"));
     lines.extend([placed(2520, "0.0"), ended(3000, "0.0", "Done"), completed(3010)]);
-    assert_eq!(causes(&lines), (1, vec![Cause::Holder]));
+    assert_eq!(causes(&lines), (1, vec![Cause::NoLeaseHolder]));
 }
 
 #[test]
 fn never_accepted() {
     let lines = [at(10, "event=job_handed_in job=00000000000000a1 queue=q version=4 stored=No took_ms=10")];
-    assert_eq!(causes(&lines), (1, vec![Cause::HandIn]));
+    assert_eq!(causes(&lines), (1, vec![Cause::Submission]));
 }
 
 #[test]
@@ -105,13 +105,13 @@
 
 #[test]
 fn table_and_pools() {
-    let mut account = Account::new(Duration::from_secs(2));
+    let mut report = LatenessReport::new(Duration::from_secs(2));
     let mut lines = with(&[placed(1900, "0.0"), ended(2900, "0.0", "Done"), completed(2950)]);
     lines.push(at(1000, "event=pool_state service=a have=5 busy=1.0 need_now=3.0 need_soon=3.0"));
     lines.push(at(1000, "event=pool_state service=b have=7 busy=1.0 need_now=4.5 need_soon=9.0"));
     lines.push("something else that stands in the file".to_string());
-    lines.iter().filter_map(|l| line::parse(l)).for_each(|l| account.take(&l));
-    let table = account.table();
+    lines.iter().filter_map(|l| log_line::parse(l)).for_each(|l| report.add_line(&l));
+    let table = report.table();
     let last: Vec<&str> = table.lines().rev().take(2).collect();
     assert_eq!(last[0], "hosts in pools, mean of 1 s: 12.0, needed 7.5");
     assert!(last[1].starts_with("all     1     1"), "{table}");
