--- a/src/workswood/ops/explain/job_history.rs
+++ b/src/workswood/ops/explain/job_history.rs
@@ -152,7 +152,7 @@
         relevant && (first..=last).contains(&r.line.at)
     };
     let lines = all.iter().filter(|r| r.is_about(job) || is_related(r)).map(|r| history_line(r, first));
-    let spent = timeline.spent().unwrap_or_default().into_iter();
+    let spent = timeline.time_by_cause().unwrap_or_default().into_iter();
     Some(JobHistory {
         job: format_job_key(job),
         state: state(&own),
--- a/src/workswood/ops/late/report.rs
+++ b/src/workswood/ops/late/report.rs
@@ -1,4 +1,4 @@
-//! Sums up why jobs were late.
+//! Counts the causes of late jobs by time window.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -11,41 +11,42 @@
 use super::timeline::{Cause, JobTimeline, Verdict};
 use crate::util::table;
 
-/// Hosts of all pools in one second, and what they need; summed up over the
-/// lines of that second.
+/// Hosts of all pools and the hosts that they need, summed over the `pool_state` lines of
+/// one second.
 #[derive(Clone, Copy, Debug, Default)]
-struct PoolSecond {
-    have: f64,
-    need: f64,
+struct PoolTotals {
+    available: f64,
+    needed: f64,
 }
 
-/// Jobs that were handed in within one span of time.
+/// Jobs that were submitted within one time window.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TimeWindow {
-    /// Jobs that count.
+    /// Number of counted jobs, on time or late.
     pub jobs: usize,
-    /// Late ones by cause.
+    /// Number of late jobs by main cause.
     pub late_by_cause: BTreeMap<Cause, usize>,
 }
 
-/// What the logs tell of all jobs.
+/// Timelines of all jobs and totals of all pools, collected from log lines.
 #[derive(Debug)]
 pub struct LatenessReport {
-    span: Duration,
+    window: Duration,
     jobs: HashMap<JobKey, JobTimeline>,
-    pools: BTreeMap<UnixMs, PoolSecond>,
+    /// Totals by the second of the lines, in seconds since 1970.
+    pools: BTreeMap<UnixMs, PoolTotals>,
 }
 
 impl LatenessReport {
-    /// An account by spans of this length.
-    pub fn new(span: Duration) -> LatenessReport {
-        LatenessReport { span, jobs: HashMap::new(), pools: BTreeMap::new() }
+    /// Creates an empty report with time windows of length `window`.
+    pub fn new(window: Duration) -> LatenessReport {
+        LatenessReport { window, jobs: HashMap::new(), pools: BTreeMap::new() }
     }
 
-    /// Takes a line in.
+    /// Adds a log line. Lines about neither a pool nor a job are ignored.
     pub fn add_line(&mut self, line: &LogLine<'_>) {
         if line.event == "pool_state" {
-            self.take_pool(line);
+            self.add_pool_line(line);
             return;
         }
         if let Some(key) = line.job().and_then(parse_job_key) {
@@ -53,61 +54,68 @@
         }
     }
 
-    fn take_pool(&mut self, line: &LogLine<'_>) {
-        let second = self.pools.entry(line.at / 1000).or_default();
-        second.have += line.value::<f64>("have").unwrap_or(0.0);
-        second.need += line.value::<f64>("need_now").unwrap_or(0.0);
+    fn add_pool_line(&mut self, line: &LogLine<'_>) {
+        let totals = self.pools.entry(line.at / 1000).or_default();
+        totals.available += line.value::<f64>("have").unwrap_or(0.0);
+        totals.needed += line.value::<f64>("need_now").unwrap_or(0.0);
     }
 
-    /// The spans of time in which jobs were handed in, by their beginning.
+    /// Counted jobs by the start of the time window in which they were submitted, in
+    /// milliseconds since 1970.
     pub fn windows(&self) -> BTreeMap<UnixMs, TimeWindow> {
-        let length = self.span.as_millis().max(1) as UnixMs;
-        let mut spans: BTreeMap<UnixMs, TimeWindow> = BTreeMap::new();
+        let length = self.window.as_millis().max(1) as UnixMs;
+        let mut windows: BTreeMap<UnixMs, TimeWindow> = BTreeMap::new();
         for job in self.jobs.values() {
             let verdict = job.verdict();
-            let Some(at) = job.handed_in().filter(|_| verdict != Verdict::NotCounted) else { continue };
-            let span = spans.entry(at / length * length).or_default();
-            span.jobs += 1;
+            let Some(at) = job.submitted_at().filter(|_| verdict != Verdict::NotCounted) else { continue };
+            let window = windows.entry(at / length * length).or_default();
+            window.jobs += 1;
             if let Verdict::Late(cause) = verdict {
-                *span.late_by_cause.entry(cause).or_default() += 1;
+                *window.late_by_cause.entry(cause).or_default() += 1;
             }
         }
-        spans
+        windows
     }
 
-    /// The table that is printed: a row a span, and a last one for all.
+    /// Formats a table with one row per time window and a last row for all jobs, followed by
+    /// the mean number of hosts in pools.
     pub fn table(&self) -> String {
-        let spans = self.windows();
+        let windows = self.windows();
         let mut all = TimeWindow::default();
-        let mut rows = vec![head()];
-        let first = spans.keys().next().copied().unwrap_or(0);
-        for (at, span) in &spans {
-            all.jobs += span.jobs;
-            span.late_by_cause
+        let mut rows = vec![header()];
+        let first = windows.keys().next().copied().unwrap_or(0);
+        for (at, window) in &windows {
+            all.jobs += window.jobs;
+            window
+                .late_by_cause
                 .iter()
                 .for_each(|(cause, n)| *all.late_by_cause.entry(*cause).or_default() += n);
-            rows.push(row(&format!("{:.1}", (at - first) as f64 / 1000.0), span));
+            rows.push(row(&format!("{:.1}", (at - first) as f64 / 1000.0), window));
         }
         rows.push(row("all", &all));
-        format!("{}{}", table::columns(&rows), self.pool_line())
+        format!("{}{}", table::columns(&rows), self.pool_means())
     }
 
-    /// One line about hosts in pools.
-    fn pool_line(&self) -> String {
+    /// Formats the mean number of hosts in pools, and of hosts needed, over all seconds with pool lines.
+    fn pool_means(&self) -> String {
         let seconds = self.pools.len().max(1) as f64;
-        let have: f64 = self.pools.values().map(|p| p.have).sum();
-        let need: f64 = self.pools.values().map(|p| p.need).sum();
-        format!("hosts in pools, mean of {seconds} s: {:.1}, needed {:.1}\n", have / seconds, need / seconds)
+        let available: f64 = self.pools.values().map(|p| p.available).sum();
+        let needed: f64 = self.pools.values().map(|p| p.needed).sum();
+        format!(
+            "hosts in pools, mean of {seconds} s: {:.1}, needed {:.1}\n",
+            available / seconds,
+            needed / seconds
+        )
     }
 }
 
-fn head() -> Vec<String> {
+fn header() -> Vec<String> {
     let fixed = ["from s", "jobs", "late"].map(str::to_string);
     fixed.into_iter().chain(Cause::ALL.iter().map(Cause::to_string)).collect()
 }
 
-fn row(from: &str, span: &TimeWindow) -> Vec<String> {
-    let late: usize = span.late_by_cause.values().sum();
-    let by_cause = Cause::ALL.iter().map(|c| span.late_by_cause.get(c).copied().unwrap_or(0).to_string());
-    [from.to_string(), span.jobs.to_string(), late.to_string()].into_iter().chain(by_cause).collect()
+fn row(from: &str, window: &TimeWindow) -> Vec<String> {
+    let late: usize = window.late_by_cause.values().sum();
+    let by_cause = Cause::ALL.iter().map(|c| window.late_by_cause.get(c).copied().unwrap_or(0).to_string());
+    [from.to_string(), window.jobs.to_string(), late.to_string()].into_iter().chain(by_cause).collect()
 }
--- a/src/workswood/ops/late/timeline.rs
+++ b/src/workswood/ops/late/timeline.rs
@@ -1,4 +1,4 @@
-//! The way of one job through the logs.
+//! The timeline of one job, collected from log lines, and what delayed it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,27 +9,27 @@
 
 use super::log_line::LogLine;
 
-/// What a job lost most time by.
+/// What a job spent its time on, and the main cause of its delay if it was late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
-    /// Handing it in took long, or it was refused.
+    /// Submission took long or was refused.
     Submission,
-    /// It was accepted, but no lease holder took it in.
+    /// The job was accepted, but no lease holder had loaded it.
     NoLeaseHolder,
-    /// Its first task waited for room.
+    /// The first task waited for free capacity.
     NoCapacity,
-    /// Tasks of later steps waited.
+    /// Tasks of later steps waited after their predecessors were done.
     LaterSteps,
-    /// Runs were lost, stuck or failed, and the task was started again.
+    /// Runs were lost, stalled or failed, and their tasks were started again.
     LostRuns,
-    /// Its last end was shown late.
+    /// The job was reported as completed some time after its last task was done.
     LateCompletion,
-    /// None of these: its runs alone took longer than it was owed.
+    /// The final runs of the tasks. As the cause of a delay: there was no other loss of time.
     RunTime,
 }
 
 impl Cause {
-    /// All of them, in the order of a job's way.
+    /// All causes, in the order in which a job can meet them.
     pub const ALL: [Cause; 7] = [
         Cause::Submission,
         Cause::NoLeaseHolder,
@@ -56,162 +56,169 @@
     }
 }
 
-/// How a job went.
+/// Whether a job was done by its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Done in the time that it was owed.
+    /// Done by its deadline.
     InTime,
-    /// Done later, or never accepted.
+    /// Done after its deadline, or never accepted.
     Late(Cause),
-    /// It does not count: cancelled, failed, lasting, or not yet done.
+    /// Not counted: cancelled, failed, repeated, or not yet done.
     NotCounted,
 }
 
-/// Starts and the end of one task.
+/// When one task was placed, once per attempt, and when it was done.
 #[derive(Clone, Debug, Default)]
-struct TaskWay {
+struct TaskTimeline {
     placed: Vec<UnixMs>,
     done: Option<UnixMs>,
 }
 
-/// What the logs tell of one job.
+/// Events of one job, in milliseconds since 1970.
 #[derive(Clone, Debug, Default)]
 pub struct JobTimeline {
-    /// When a host began to take it in, for the first time.
-    handed_in: Option<UnixMs>,
-    accepted: Option<UnixMs>,
-    known: Option<UnixMs>,
-    /// Multiple of its longest chain of work that it is owed within, and a fixed
-    /// time on top.
-    owed: Option<(f64, Duration)>,
-    tasks: BTreeMap<TaskId, TaskWay>,
-    completed: Option<UnixMs>,
-    /// It was cancelled or failed.
+    /// When a host first received the job.
+    submitted_at: Option<UnixMs>,
+    /// When the job was first reported as stored.
+    accepted_at: Option<UnixMs>,
+    /// When a lease holder first loaded the job.
+    loaded_at: Option<UnixMs>,
+    /// The time allowed for the job: a multiple of its work along the critical path, plus a
+    /// fixed time.
+    allowance: Option<(f64, Duration)>,
+    tasks: BTreeMap<TaskId, TaskTimeline>,
+    completed_at: Option<UnixMs>,
+    /// The job was cancelled or failed.
     ended_otherwise: bool,
 }
 
-/// Times that a done job lost, and spent at work, in milliseconds.
+/// Times along the critical path of a completed job, in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
-struct Times {
-    room: u64,
-    later_steps: u64,
+struct CriticalPathTimes {
+    capacity_wait: u64,
+    later_step_wait: u64,
     lost_runs: u64,
-    work: u64,
+    run_time: u64,
 }
 
 impl JobTimeline {
-    /// Takes a line about this job in.
+    /// Adds a log line about this job. Unrelated events are ignored.
     pub fn add_line(&mut self, line: &LogLine<'_>) {
         match line.event {
-            "job_handed_in" => self.take_hand_in(line),
+            "job_handed_in" => self.add_submission(line),
             "job_known" => {
-                self.known.get_or_insert(line.at);
-                let owed = line.value("stretch").zip(line.millis("target_ms"));
-                self.owed = self.owed.or(owed);
+                self.loaded_at.get_or_insert(line.at);
+                let allowance = line.value("stretch").zip(line.millis("target_ms"));
+                self.allowance = self.allowance.or(allowance);
             }
             "task_placed" => {
-                if let Some(t) = self.task(line) {
+                if let Some(t) = self.task_of(line) {
                     t.placed.push(line.at);
                 }
             }
             "run_ended" if line.text("how") == Some("Done") => {
-                if let Some(t) = self.task(line) {
+                if let Some(t) = self.task_of(line) {
                     t.done.get_or_insert(line.at);
                 }
             }
             "job_ended" if line.text("outcome") == Some("Completed") => {
-                self.completed.get_or_insert(line.at);
+                self.completed_at.get_or_insert(line.at);
             }
             "job_ended" => self.ended_otherwise = true,
             _ => {}
         }
     }
 
-    fn take_hand_in(&mut self, line: &LogLine<'_>) {
-        let took = line.value("took_ms").unwrap_or(0);
-        let begun = line.at.saturating_sub(took);
-        self.handed_in = Some(self.handed_in.map_or(begun, |at| at.min(begun)));
+    fn add_submission(&mut self, line: &LogLine<'_>) {
+        let took_ms = line.value("took_ms").unwrap_or(0);
+        let received_at = line.at.saturating_sub(took_ms);
+        self.submitted_at = Some(self.submitted_at.map_or(received_at, |at| at.min(received_at)));
         if line.text("stored") == Some("Yes") {
-            self.accepted.get_or_insert(line.at);
+            self.accepted_at.get_or_insert(line.at);
         }
     }
 
-    fn task(&mut self, line: &LogLine<'_>) -> Option<&mut TaskWay> {
+    fn task_of(&mut self, line: &LogLine<'_>) -> Option<&mut TaskTimeline> {
         let id: TaskId = line.value("task")?;
         Some(self.tasks.entry(id).or_default())
     }
 
-    /// When it was handed in.
-    pub fn handed_in(&self) -> Option<UnixMs> {
-        self.handed_in
+    /// When the job was submitted, in milliseconds since 1970.
+    pub fn submitted_at(&self) -> Option<UnixMs> {
+        self.submitted_at
     }
 
-    /// How it went.
+    /// Decides whether the job was done by its deadline, and if not, names the main cause.
     pub fn verdict(&self) -> Verdict {
-        let Some(handed_in) = self.handed_in else { return Verdict::NotCounted };
+        let Some(submitted_at) = self.submitted_at else { return Verdict::NotCounted };
         if self.ended_otherwise || self.tasks.keys().any(|t| t.round > 0) {
             return Verdict::NotCounted;
         }
-        if self.accepted.is_none() && self.known.is_none() {
+        if self.accepted_at.is_none() && self.loaded_at.is_none() {
             return Verdict::Late(Cause::Submission);
         }
-        let (Some(completed), Some((stretch, target))) = (self.completed, self.owed) else {
+        let (Some(completed_at), Some((stretch, target))) = (self.completed_at, self.allowance) else {
             return Verdict::NotCounted;
         };
-        let Some(spent) = self.spent() else { return Verdict::NotCounted };
-        let (work, lost): (Vec<_>, Vec<_>) = spent.into_iter().partition(|(on, _)| *on == Cause::RunTime);
-        let work: u64 = work.iter().map(|(_, ms)| ms).sum();
-        let owed = work as f64 * stretch + target.as_millis() as f64;
-        if (completed.saturating_sub(handed_in)) as f64 <= owed {
+        let Some(times) = self.time_by_cause() else { return Verdict::NotCounted };
+        let (run_time, lost): (Vec<_>, Vec<_>) =
+            times.into_iter().partition(|(cause, _)| *cause == Cause::RunTime);
+        let run_time: u64 = run_time.iter().map(|(_, ms)| ms).sum();
+        let allowed_ms = run_time as f64 * stretch + target.as_millis() as f64;
+        if (completed_at.saturating_sub(submitted_at)) as f64 <= allowed_ms {
             return Verdict::InTime;
         }
-        let most = lost.into_iter().filter(|(_, ms)| *ms > 0).max_by_key(|(_, ms)| *ms);
-        Verdict::Late(most.map_or(Cause::RunTime, |(cause, _)| cause))
+        let main_cause = lost.into_iter().filter(|(_, ms)| *ms > 0).max_by_key(|(_, ms)| *ms);
+        Verdict::Late(main_cause.map_or(Cause::RunTime, |(cause, _)| cause))
     }
 
-    /// What the time of a done job went into along its longest chain, in
-    /// milliseconds.
-    pub fn spent(&self) -> Option<Vec<(Cause, u64)>> {
-        let (handed_in, completed) = (self.handed_in?, self.completed?);
-        let (times, last_done) = self.times()?;
-        let accepted = self.accepted.or(self.known).unwrap_or(handed_in);
-        let known = self.known.unwrap_or(accepted);
+    /// The time that a completed job spent by cause along its critical path, in milliseconds;
+    /// `None` if it is not completed.
+    pub fn time_by_cause(&self) -> Option<Vec<(Cause, u64)>> {
+        let (submitted_at, completed_at) = (self.submitted_at?, self.completed_at?);
+        let (times, last_done) = self.critical_path_times()?;
+        let accepted_at = self.accepted_at.or(self.loaded_at).unwrap_or(submitted_at);
+        let loaded_at = self.loaded_at.unwrap_or(accepted_at);
         Some(vec![
-            (Cause::Submission, accepted.saturating_sub(handed_in)),
-            (Cause::NoLeaseHolder, known.saturating_sub(accepted)),
-            (Cause::NoCapacity, times.room),
-            (Cause::LaterSteps, times.later_steps),
+            (Cause::Submission, accepted_at.saturating_sub(submitted_at)),
+            (Cause::NoLeaseHolder, loaded_at.saturating_sub(accepted_at)),
+            (Cause::NoCapacity, times.capacity_wait),
+            (Cause::LaterSteps, times.later_step_wait),
             (Cause::LostRuns, times.lost_runs),
-            (Cause::LateCompletion, completed.saturating_sub(last_done)),
-            (Cause::RunTime, times.work),
+            (Cause::LateCompletion, completed_at.saturating_sub(last_done)),
+            (Cause::RunTime, times.run_time),
         ])
     }
 
-    /// Follows the tasks back from the one that was done last; also tells when
-    /// that was.
-    fn times(&self) -> Option<(Times, UnixMs)> {
+    /// Follows the critical path backwards from the task that was done last. Also returns when
+    /// that task was done.
+    fn critical_path_times(&self) -> Option<(CriticalPathTimes, UnixMs)> {
         let (mut id, mut task, last_done) = self.last_done_before(None)?;
         let mut done = last_done;
-        let mut times = Times::default();
+        let mut times = CriticalPathTimes::default();
         loop {
-            let first = task.placed.iter().copied().filter(|at| *at <= done).min()?;
-            let last = task.placed.iter().copied().filter(|at| *at <= done).max()?;
-            times.work += done - last;
-            times.lost_runs += last - first;
-            let Some((before, way, ended)) = self.last_done_before(Some((id, first))) else {
-                times.room = first.saturating_sub(self.known.or(self.accepted).unwrap_or(first));
+            let first_placed = task.placed.iter().copied().filter(|at| *at <= done).min()?;
+            let last_placed = task.placed.iter().copied().filter(|at| *at <= done).max()?;
+            times.run_time += done - last_placed;
+            times.lost_runs += last_placed - first_placed;
+            let Some((previous_id, previous, previous_done)) =
+                self.last_done_before(Some((id, first_placed)))
+            else {
+                times.capacity_wait =
+                    first_placed.saturating_sub(self.loaded_at.or(self.accepted_at).unwrap_or(first_placed));
                 return Some((times, last_done));
             };
-            times.later_steps += first - ended;
-            (id, task, done) = (before, way, ended);
+            times.later_step_wait += first_placed - previous_done;
+            (id, task, done) = (previous_id, previous, previous_done);
         }
     }
 
-    /// The task that was done last; with a bound, of earlier steps than that
-    /// task's, and not after that moment.
-    fn last_done_before(&self, bound: Option<(TaskId, UnixMs)>) -> Option<(TaskId, &TaskWay, UnixMs)> {
+    /// Returns the task that was done last. With a bound, only tasks of earlier steps than the
+    /// bound's task that were done by the bound's time are considered.
+    fn last_done_before(&self, bound: Option<(TaskId, UnixMs)>) -> Option<(TaskId, &TaskTimeline, UnixMs)> {
         let done = self.tasks.iter().filter_map(|(id, t)| Some((*id, t, t.done?)));
-        let within = done.filter(|(id, _, at)| bound.is_none_or(|(b, by)| id.step < b.step && *at <= by));
+        let within =
+            done.filter(|(id, _, at)| bound.is_none_or(|(next, by)| id.step < next.step && *at <= by));
         within.max_by_key(|(_, _, at)| *at)
     }
 }
