--- a/src/bin/workswood/commands/model.rs
+++ b/src/bin/workswood/commands/model.rs
@@ -2,7 +2,7 @@
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use workswood::Result;
-use workswood::ops::model::{self, Vary};
+use workswood::ops::model::{self, PolicyVariants};
 
 /// Its command line.
 pub fn cli() -> Command {
@@ -40,17 +40,17 @@
 /// Runs it.
 pub fn exec(args: &ArgMatches) -> Result<()> {
     let spec = model::read(&super::text(args, "file"))?;
-    let vary = args.get_one::<String>("vary").map(|text| Vary::parse(text)).transpose()?;
+    let variants = args.get_one::<String>("vary").map(|text| PolicyVariants::parse(text)).transpose()?;
     let count = args.get_one::<u64>("seeds").copied().unwrap_or(10);
     let first = args.get_one::<u64>("first-seed").copied().unwrap_or(1);
-    let found = model::run(&spec, vary.as_ref(), first..first + count, |name, seed| {
+    let comparison = model::run(&spec, variants.as_ref(), first..first + count, |name, seed| {
         workswood::errout!("\r{name}: {} of {count}   ", seed - first + 1);
     })?;
     workswood::errout!("\n");
     if args.get_flag("json") {
-        workswood::outln!("{}", found.json());
+        workswood::outln!("{}", comparison.json());
     } else {
-        workswood::out!("{}", found.table());
+        workswood::out!("{}", comparison.table());
     }
     Ok(())
 }
--- a/src/workswood/ops/model/carry.rs
+++ b/src/workswood/ops/model/batches.rs
@@ -9,9 +9,9 @@
     WaveRecord, WorkerRecord,
 };
 
-use super::agenda::{Happening, Order};
-use super::deployment::{APPEND, WAY};
-use super::world::World;
+use super::event_queue::{Happening, Order};
+use super::parameters::{APPEND, WAY};
+use super::simulation::World;
 
 /// What the scheduler has on record.
 #[derive(Default)]
--- a/src/workswood/ops/model/compare.rs
+++ b/src/workswood/ops/model/compare.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use super::figures::Figures;
+use super::run_metrics::RunMetrics;
 use crate::util::table;
 
 /// The runs of one variant, in the order of their seeds.
@@ -11,21 +11,23 @@
     /// Its name: the field and its value.
     pub name: String,
     /// The mean of its runs.
-    pub mean: Figures,
+    pub mean: RunMetrics,
     /// What sets it apart from the first variant on the same seeds; `None` for
     /// the first.
     pub gain: Option<Gain>,
     /// Each run.
-    pub runs: Vec<Figures>,
+    pub runs: Vec<RunMetrics>,
 }
 
 /// How much more was done in time than by the first variant on the same seeds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Gain {
     /// Mean of the differences.
-    pub in_time: f64,
+    #[serde(rename = "in_time")]
+    pub on_time_share: f64,
     /// Standard error of that mean: a gain below twice this is none.
-    pub error: f64,
+    #[serde(rename = "error")]
+    pub standard_error: f64,
 }
 
 /// All variants, with the seeds that they were played on.
@@ -41,21 +43,22 @@
 
 impl Gain {
     /// The gain of some runs over others on the same seeds.
-    pub fn of(runs: &[Figures], over: &[Figures]) -> Gain {
-        let differences: Vec<f64> = runs.iter().zip(over).map(|(a, b)| a.in_time - b.in_time).collect();
+    pub fn between(runs: &[RunMetrics], over: &[RunMetrics]) -> Gain {
+        let differences: Vec<f64> =
+            runs.iter().zip(over).map(|(a, b)| a.on_time_share - b.on_time_share).collect();
         let count = differences.len().max(1) as f64;
         let mean = differences.iter().sum::<f64>() / count;
         let squares = differences.iter().map(|d| (d - mean).powi(2)).sum::<f64>();
         let variance = squares / (count - 1.0).max(1.0);
-        Gain { in_time: mean, error: (variance / count).sqrt() }
+        Gain { on_time_share: mean, standard_error: (variance / count).sqrt() }
     }
 }
 
 impl Comparison {
     /// Puts the runs of a variant beside those of the first.
-    pub fn add(&mut self, name: String, runs: Vec<Figures>) {
-        let gain = self.variants.first().map(|first| Gain::of(&runs, &first.runs));
-        self.variants.push(Variant { name, mean: Figures::mean(&runs), gain, runs });
+    pub fn add(&mut self, name: String, runs: Vec<RunMetrics>) {
+        let gain = self.variants.first().map(|first| Gain::between(&runs, &first.runs));
+        self.variants.push(Variant { name, mean: RunMetrics::mean(&runs), gain, runs });
     }
 
     /// The same as JSON, with each run.
@@ -94,17 +97,17 @@
         vec![
             self.name.clone(),
             format!("{:.0}", f.jobs),
-            format!("{:.3}", f.in_time),
-            gain(|g| g.in_time),
-            gain(|g| g.error),
-            format!("{:.3}", f.worst),
-            format!("{:.3}", f.worst_spread),
+            format!("{:.3}", f.on_time_share),
+            gain(|g| g.on_time_share),
+            gain(|g| g.standard_error),
+            format!("{:.3}", f.worst_windows_share),
+            format!("{:.3}", f.worst_windows_std_dev),
             format!("{:.1}", f.hosts),
-            format!("{:.1}", f.busy),
-            format!("{:.1}", f.forecast),
-            format!("{:.1}", f.least),
-            format!("{:.0}", f.moves),
-            format!("{:.0}", f.crashes),
+            format!("{:.1}", f.busy_hosts),
+            format!("{:.1}", f.forecast_hosts),
+            format!("{:.1}", f.min_hosts),
+            format!("{:.0}", f.host_moves),
+            format!("{:.0}", f.worker_crashes),
         ]
     }
 }
--- a/src/workswood/ops/model/faults.rs
+++ b/src/workswood/ops/model/faults.rs
@@ -7,11 +7,11 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{Event, HostState, Scheduler, WorkerUpdate};
 
-use super::agenda::Happening;
-use super::deployment::{CRASH_AWAY, LEASE, TAKEOVER, config, limits};
-use super::fleet::data_centre;
+use super::event_queue::Happening;
+use super::model_host::data_centre;
+use super::parameters::{CRASH_AWAY, LEASE, TAKEOVER, config, limits};
+use super::simulation::World;
 use super::spec::FaultKind;
-use super::world::World;
 
 impl World<'_> {
     /// A scheduler takes over with what is on record.
@@ -40,7 +40,7 @@
         for (host, holder) in &self.stored.ordered {
             s.restore_order_mark(host.clone(), holder);
         }
-        for j in self.jobs.iter().filter(|j| j.at <= self.now) {
+        for j in self.jobs.iter().filter(|j| j.submitted_at <= self.now) {
             s.restore_job(j.key, Some(Arc::clone(&j.spec)), self.stored.jobs.get(&j.key).cloned());
         }
         s.restore_demand();
@@ -63,7 +63,7 @@
             FaultKind::ReportsLate(share) => self.late_reports = share,
             // Jobs were made so before.
             FaultKind::TasksCrash(_) => {}
-            FaultKind::MachinesDark(count) => self.darken(count, self.spec.faults[n].lasts),
+            FaultKind::MachinesDark(count) => self.darken(count, self.spec.faults[n].duration),
             FaultKind::Evacuated(number) => {
                 self.evacuated.insert(data_centre(number), self.now);
                 self.tell_evacuated();
--- a/src/workswood/ops/model/hosts.rs
+++ b/src/workswood/ops/model/host_events.rs
@@ -9,12 +9,12 @@
     EndKind, Event, HostReply, HostState, StartReply, StopReply, TaskId, WorkerUpdate,
 };
 
-use super::agenda::{Happening, Order};
-use super::deployment::{
+use super::event_queue::{Happening, Order};
+use super::model_host::{ModelHost, ModelRun};
+use super::parameters::{
     CRASH_AFTER, EVACUATED_WITHIN, LATE_REPORT, LIST, LOOK, MOVE, SPARE, UPKEEP, WARM_UP, WAY,
 };
-use super::fleet::{ModelHost, ModelRun};
-use super::world::World;
+use super::simulation::World;
 
 impl World<'_> {
     pub(super) fn make_hosts(&mut self) {
@@ -96,10 +96,10 @@
         let job = &self.jobs[task.job as usize - 1];
         let step = usize::from(task.step);
         let asked = &job.spec.steps[step];
-        let ends_after = job.takes[step];
+        let ends_after = job.step_durations[step];
         let takes = if asked.long_running { WARM_UP } else { ends_after };
         let run = ModelRun { attempt, cpu_millis: asked.resources.cpu_millis, since: self.now, takes };
-        if job.crashes && task.step == 0 && task.index == 0 {
+        if job.crashes_workers && task.step == 0 && task.index == 0 {
             self.after(CRASH_AFTER, Happening::Crashes(n, worker.clone()));
         }
         self.hosts[n].begin_task(task, run);
--- a/src/workswood/ops/model/mod.rs
+++ b/src/workswood/ops/model/mod.rs
@@ -5,38 +5,38 @@
 //! is measured on real processes; `docs/MODEL.md` says what it leaves out.
 //!
 //! * [`spec`] is the file that describes a fleet, its load and its faults.
-//! * [`load`] draws the jobs that callers hand in.
-//! * [`deployment`] holds times and bounds of the deployments known to us.
-//! * [`fleet`] is hosts and the tasks that run on them.
-//! * [`agenda`] is what is to happen in a run, and when.
-//! * [`world`] is a run: its scheduler decides, [`carry`] carries out what it says,
-//!   [`hosts`] do as they are told, and [`faults`] come in between.
-//! * [`figures`] is what one run showed, and [`bound`] how few hosts would do.
-//! * [`vary`] is one value of a policy, in several variants, and [`compare`] their
+//! * [`workload`] draws the jobs that callers hand in.
+//! * [`parameters`] holds times and bounds of the deployments known to us.
+//! * [`model_host`] is hosts and the tasks that run on them.
+//! * [`event_queue`] is what is to happen in a run, and when.
+//! * [`simulation`] is a run: its scheduler decides, [`batches`] carries out what it says,
+//!   [`host_events`] do as they are told, and [`faults`] come in between.
+//! * [`run_metrics`] is what one run showed, and [`lower_bound`] how few hosts would do.
+//! * [`policy_variants`] is one value of a policy, in several variants, and [`compare`] their
 //!   figures side by side.
 
-pub mod agenda;
-pub mod bound;
-mod carry;
+mod batches;
 pub mod compare;
-pub mod deployment;
+pub mod event_queue;
 mod faults;
-pub mod figures;
-pub mod fleet;
-mod hosts;
-pub mod load;
+mod host_events;
+pub mod lower_bound;
+pub mod model_host;
+pub mod parameters;
+pub mod policy_variants;
+pub mod run_metrics;
+pub mod simulation;
 pub mod spec;
-pub mod vary;
-pub mod world;
+pub mod workload;
 
 use std::ops::Range;
 
 use snafu::ResultExt;
 
 pub use compare::Comparison;
-pub use figures::Figures;
+pub use policy_variants::PolicyVariants;
+pub use run_metrics::RunMetrics;
 pub use spec::ModelSpec;
-pub use vary::Vary;
 
 use crate::util::errors::{Error, ReadFileSnafu, Result};
 
@@ -52,11 +52,11 @@
 /// Plays each variant on the same seeds, and tells of each run that is over.
 pub fn run(
     spec: &ModelSpec,
-    vary: Option<&Vary>,
+    variants: Option<&PolicyVariants>,
     seeds: Range<u64>,
-    mut told: impl FnMut(&str, u64),
+    mut on_run_done: impl FnMut(&str, u64),
 ) -> Result<Comparison> {
-    let variants = match vary {
+    let variants = match variants {
         Some(v) => v.policies(&spec.policy)?,
         None => vec![("as it is".to_string(), spec.policy.clone())],
     };
@@ -65,8 +65,8 @@
     for (name, policy) in variants {
         let mut runs = Vec::new();
         for seed in seeds.clone() {
-            runs.push(world::play(spec, &policy, seed));
-            told(&name, seed);
+            runs.push(simulation::simulate(spec, &policy, seed));
+            on_run_done(&name, seed);
         }
         found.add(name, runs);
     }
--- a/src/workswood/ops/model/fleet.rs
+++ b/src/workswood/ops/model/model_host.rs
@@ -10,7 +10,7 @@
     EndKind, Host, HostState, Listing, Report, ReportedEnd, ReportedRun, RunTracker, TaskId, WorkerInfo,
 };
 
-use super::deployment::{DATA_CENTRES, SPARE};
+use super::parameters::{DATA_CENTRES, SPARE};
 
 /// A task that runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/workswood/ops/model/vary.rs
+++ b/src/workswood/ops/model/policy_variants.rs
@@ -7,15 +7,15 @@
 
 /// One value of a policy, in several variants: `need.full=0.7,0.85`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Vary {
+pub struct PolicyVariants {
     /// Its place: names of tables and of the field.
     path: Vec<String>,
     values: Vec<Value>,
 }
 
-impl Vary {
+impl PolicyVariants {
     /// Reads `PLACE=VALUE,VALUE`.
-    pub fn parse(text: &str) -> Result<Vary> {
+    pub fn parse(text: &str) -> Result<PolicyVariants> {
         let bad = || Error::BadVary { text: text.to_string() };
         let (path, values) = text.split_once('=').ok_or_else(bad)?;
         let path: Vec<String> = path.split('.').map(str::to_string).collect();
@@ -24,7 +24,7 @@
         }
         // What is no JSON is text: `1500ms`.
         let value = |v: &str| serde_json::from_str(v).unwrap_or_else(|_| Value::from(v));
-        Ok(Vary { path, values: values.split(',').map(value).collect() })
+        Ok(PolicyVariants { path, values: values.split(',').map(value).collect() })
     }
 
     /// A policy for each value, each under its name.
--- a/src/workswood/ops/model/world.rs
+++ b/src/workswood/ops/model/simulation.rs
@@ -10,14 +10,14 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{EndKind, Event, JobKey, Policy, Scheduler, Wave, WorkerUpdate};
 
-use super::agenda::{Agenda, Happening};
-use super::bound;
-use super::carry::Stored;
-use super::deployment::{AFTER, SPARE, TICK};
-use super::figures::Figures;
-use super::fleet::ModelHost;
-use super::load::{self, BEFORE, ModelJob};
+use super::batches::Stored;
+use super::event_queue::{Agenda, Happening};
+use super::lower_bound;
+use super::model_host::ModelHost;
+use super::parameters::{AFTER, SPARE, TICK};
+use super::run_metrics::RunMetrics;
 use super::spec::ModelSpec;
+use super::workload::{self, LEAD_TIME, ModelJob};
 
 /// Sets the luck of faults apart from the load of the same seed.
 const FAULT_SEED: u64 = 0x5eed;
@@ -56,9 +56,9 @@
 }
 
 /// Plays one run.
-pub fn play(spec: &ModelSpec, policy: &Policy, seed: u64) -> Figures {
+pub fn simulate(spec: &ModelSpec, policy: &Policy, seed: u64) -> RunMetrics {
     let mut w = World::new(spec, policy, seed);
-    let end = BEFORE + spec.lasts + AFTER;
+    let end = LEAD_TIME + spec.duration + AFTER;
     while let Some((at, what)) = w.agenda.take_next() {
         if at > end {
             break;
@@ -69,21 +69,21 @@
         w.decide();
     }
     let seconds = w.now.as_secs_f64().max(1.0);
-    let bound = bound::of(spec, &w.jobs, end);
-    Figures {
+    let bound = lower_bound::lower_bounds(spec, &w.jobs, end);
+    RunMetrics {
         hosts: w.on / seconds,
-        busy: w.busy / seconds,
-        least: bound.least,
-        forecast: bound.forecast,
-        moves: w.moves as f64,
-        crashes: w.crashes as f64,
-        ..Figures::of(&w.jobs, &w.done)
+        busy_hosts: w.busy / seconds,
+        min_hosts: bound.any_policy,
+        forecast_hosts: bound.perfect_forecast,
+        host_moves: w.moves as f64,
+        worker_crashes: w.crashes as f64,
+        ..RunMetrics::from_jobs(&w.jobs, &w.done)
     }
 }
 
 impl<'a> World<'a> {
     fn new(spec: &'a ModelSpec, policy: &'a Policy, seed: u64) -> World<'a> {
-        let jobs = load::jobs(spec, seed);
+        let jobs = workload::generate_jobs(spec, seed);
         let mut w = World {
             spec,
             policy,
@@ -118,12 +118,12 @@
         self.after(TICK, Happening::Tick);
         self.after(Duration::ZERO, Happening::List);
         for n in 0..self.jobs.len() {
-            let at = self.jobs[n].at;
+            let at = self.jobs[n].submitted_at;
             self.after(at, Happening::HandIn(n));
         }
         for (n, f) in self.spec.faults.iter().enumerate() {
-            self.after(BEFORE + f.at, Happening::FaultBegins(n));
-            self.after(BEFORE + f.at + f.lasts, Happening::FaultEnds(n));
+            self.after(LEAD_TIME + f.at, Happening::FaultBegins(n));
+            self.after(LEAD_TIME + f.at + f.duration, Happening::FaultEnds(n));
         }
     }
 
@@ -183,7 +183,7 @@
 
     fn ask_for_wave(&mut self) {
         let Some(w) = &self.spec.wave else { return };
-        if self.wave.is_some() || self.now < BEFORE + w.at {
+        if self.wave.is_some() || self.now < LEAD_TIME + w.at {
             return;
         }
         let count = (self.hosts.len() as f64 * w.share) as usize;
@@ -191,7 +191,7 @@
         let stride = self.hosts.len() / count.max(1);
         let hosts = self.hosts.iter().step_by(stride.max(1)).take(count).map(|m| m.name().clone());
         let wave =
-            Wave { number: 1, hosts: hosts.collect(), time_allowed: w.within, max_down: w.most_at_once };
+            Wave { number: 1, hosts: hosts.collect(), time_allowed: w.time_allowed, max_down: w.max_down };
         self.wave = Some(wave.clone());
         self.tell(Event::WaveRequested(wave, None));
     }
--- a/src/workswood/ops/model/spec.rs
+++ b/src/workswood/ops/model/spec.rs
@@ -6,7 +6,7 @@
 use workswood_core::ids::ServiceId;
 use workswood_core::jobs::Policy;
 
-use super::deployment::DATA_CENTRES;
+use super::parameters::DATA_CENTRES;
 
 /// Longest time that may be played.
 const LONGEST: Duration = Duration::from_secs(3600);
@@ -14,12 +14,12 @@
 const MOST_HOSTS: usize = 10_000;
 
 /// As on the deployments known to us.
-fn default_peak() -> f64 {
+fn default_peak_factor() -> f64 {
     5.0
 }
 
 /// Likewise.
-fn default_rest() -> f64 {
+fn default_off_peak_factor() -> f64 {
     0.05
 }
 
@@ -28,17 +28,17 @@
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
     /// How long callers hand jobs in.
-    #[serde(with = "humantime_serde")]
-    pub lasts: Duration,
+    #[serde(rename = "lasts", with = "humantime_serde")]
+    pub duration: Duration,
     /// How long the turn of one service lasts.
-    #[serde(with = "humantime_serde")]
-    pub turn: Duration,
+    #[serde(rename = "turn", with = "humantime_serde")]
+    pub peak_duration: Duration,
     /// In its turn a service asks for this many times its mean.
-    #[serde(default = "default_peak")]
-    pub peak: f64,
+    #[serde(rename = "peak", default = "default_peak_factor")]
+    pub peak_factor: f64,
     /// Outside its turn it asks for this share of its mean.
-    #[serde(default = "default_rest")]
-    pub rest: f64,
+    #[serde(rename = "rest", default = "default_off_peak_factor")]
+    pub off_peak_factor: f64,
     /// Thousandths of a core of each host.
     pub cpu_millis: u64,
     /// Memory of each host in MB.
@@ -74,8 +74,8 @@
     /// Mean number of tasks of a step.
     pub tasks: f64,
     /// Mean time that a task takes.
-    #[serde(with = "humantime_serde")]
-    pub takes: Duration,
+    #[serde(rename = "takes", with = "humantime_serde")]
+    pub task_duration: Duration,
     /// Mean room of a task in thousandths of a core.
     pub task_cpu_millis: u64,
     /// A job is owed within this multiple of its longest chain of work.
@@ -84,8 +84,8 @@
     #[serde(with = "humantime_serde")]
     pub target: Duration,
     /// Tasks of a job that lasts.
-    #[serde(default)]
-    pub lasting: u32,
+    #[serde(rename = "lasting", default)]
+    pub long_running_tasks: u32,
 }
 
 /// A maintenance wave.
@@ -98,10 +98,11 @@
     /// Share of all hosts.
     pub share: f64,
     /// Time allowed for all of them.
-    #[serde(with = "humantime_serde")]
-    pub within: Duration,
+    #[serde(rename = "within", with = "humantime_serde")]
+    pub time_allowed: Duration,
     /// How many may be down at once.
-    pub most_at_once: usize,
+    #[serde(rename = "most_at_once")]
+    pub max_down: usize,
 }
 
 /// What goes wrong.
@@ -112,8 +113,8 @@
     #[serde(with = "humantime_serde")]
     pub at: Duration,
     /// How long it lasts.
-    #[serde(with = "humantime_serde", default)]
-    pub lasts: Duration,
+    #[serde(rename = "lasts", with = "humantime_serde", default)]
+    pub duration: Duration,
     /// What it is.
     pub kind: FaultKind,
 }
@@ -141,7 +142,7 @@
     /// Time from the beginning of a service's turn to that of its next one: what
     /// makes its mean over both what the file says.
     pub fn period(&self) -> Duration {
-        self.turn.mul_f64((self.peak - self.rest) / (1.0 - self.rest))
+        self.peak_duration.mul_f64((self.peak_factor - self.off_peak_factor) / (1.0 - self.off_peak_factor))
     }
 
     /// Checks what the model relies on.
@@ -164,17 +165,17 @@
     }
 
     fn check_turns(&self) -> Result<(), String> {
-        if self.lasts > LONGEST || self.turn > LONGEST || self.turn.is_zero() {
+        if self.duration > LONGEST || self.peak_duration > LONGEST || self.peak_duration.is_zero() {
             return Err(format!(
                 "`lasts` must be at most {0} s, and `turn` above 0 and at most {0} s",
                 LONGEST.as_secs()
             ));
         }
-        if !(self.peak > 1.0 && self.peak.is_finite()) {
-            return Err(format!("`peak` must be above 1, not {}", self.peak));
+        if !(self.peak_factor > 1.0 && self.peak_factor.is_finite()) {
+            return Err(format!("`peak` must be above 1, not {}", self.peak_factor));
         }
-        if !(0.0..1.0).contains(&self.rest) {
-            return Err(format!("`rest` must be at least 0 and below 1, not {}", self.rest));
+        if !(0.0..1.0).contains(&self.off_peak_factor) {
+            return Err(format!("`rest` must be at least 0 and below 1, not {}", self.off_peak_factor));
         }
         Ok(())
     }
@@ -202,7 +203,7 @@
         if !(0.0..=1.0).contains(&self.share) {
             return Err(format!("`wave.share` must lie between 0 and 1, not {}", self.share));
         }
-        if self.most_at_once == 0 {
+        if self.max_down == 0 {
             return Err("`wave.most_at_once` must be at least 1".to_string());
         }
         Ok(())
--- a/src/workswood/ops/model/load.rs
+++ b/src/workswood/ops/model/workload.rs
@@ -8,7 +8,7 @@
 use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{JobKey, JobSpec, StepSpec};
 
-use super::deployment::MAX_ATTEMPTS;
+use super::parameters::MAX_ATTEMPTS;
 use super::spec::{FaultKind, ModelSpec, ServiceSpec};
 
 /// Sets the luck of jobs that crash their workers apart from the load of the same seed.
@@ -20,7 +20,7 @@
 /// A size is at most this many times its mean.
 const LARGEST: f64 = 3.0;
 /// Time before the first turn, in which lasting jobs begin.
-pub const BEFORE: Duration = Duration::from_secs(8);
+pub const LEAD_TIME: Duration = Duration::from_secs(8);
 /// Jobs come at most one a service in this time, or in a part of it where they come
 /// faster.
 const STEP: Duration = Duration::from_millis(10);
@@ -34,11 +34,11 @@
 /// Lasting tasks of a service that may share a host.
 const LASTING_SHARE: u32 = 2;
 /// Worth of a job for itself; its work adds to it,
-const WORTH: f64 = 0.3;
+const BASE_VALUE: f64 = 0.3;
 /// by this for the mean work of its queue,
-const WORTH_OF_WORK: f64 = 0.7;
+const VALUE_OF_MEAN_WORK: f64 = 0.7;
 /// up to so many times the mean.
-const MOST_WORK: f64 = 4.0;
+const MAX_RELATIVE_WORK: f64 = 4.0;
 
 /// A job, with how long each of its steps really takes.
 #[derive(Clone, Debug)]
@@ -46,17 +46,17 @@
     /// Its number.
     pub key: JobKey,
     /// When it is handed in.
-    pub at: Duration,
+    pub submitted_at: Duration,
     /// What is asked for.
     pub spec: Arc<JobSpec>,
     /// How long a task of each step takes.
-    pub takes: Vec<Duration>,
+    pub step_durations: Vec<Duration>,
     /// It is owed by then.
-    pub owed: Duration,
+    pub deadline: Duration,
     /// What it is worth: a part for itself, and one by its work; nothing if it can't be done.
-    pub worth: f64,
+    pub value: f64,
     /// Whether its first task crashes each worker that starts it.
-    pub crashes: bool,
+    pub crashes_workers: bool,
 }
 
 /// Draws numbers for one run.
@@ -84,20 +84,20 @@
 }
 
 /// All jobs of a run, by the time of their handing in.
-pub fn jobs(spec: &ModelSpec, seed: u64) -> Vec<ModelJob> {
+pub fn generate_jobs(spec: &ModelSpec, seed: u64) -> Vec<ModelJob> {
     let mut draw = Draw(StdRng::seed_from_u64(seed));
     let mut jobs = Vec::new();
     for s in &spec.services {
-        if s.lasting > 0 {
+        if s.long_running_tasks > 0 {
             let key = jobs.len() as JobKey + 1;
             jobs.push(lasting_job(key, s));
         }
     }
-    let mut at = BEFORE;
+    let mut at = LEAD_TIME;
     let step = step_of(spec);
-    while at < BEFORE + spec.lasts {
+    while at < LEAD_TIME + spec.duration {
         for (n, s) in spec.services.iter().enumerate() {
-            if draw.happens(rate(spec, n, s, at - BEFORE) * step.as_secs_f64()) {
+            if draw.happens(rate(spec, n, s, at - LEAD_TIME) * step.as_secs_f64()) {
                 let key = jobs.len() as JobKey + 1;
                 jobs.push(job(&mut draw, key, s, at));
             }
@@ -113,12 +113,12 @@
     let mut draw = Draw(StdRng::seed_from_u64(seed ^ CRASH_SEED));
     for f in &spec.faults {
         let FaultKind::TasksCrash(share) = f.kind else { continue };
-        let from = BEFORE + f.at;
-        let within = |j: &&mut ModelJob| j.at >= from && j.at < from + f.lasts;
+        let from = LEAD_TIME + f.at;
+        let within = |j: &&mut ModelJob| j.submitted_at >= from && j.submitted_at < from + f.duration;
         for j in jobs.iter_mut().filter(within) {
             if draw.happens(share) {
-                j.crashes = true;
-                j.worth = 0.0;
+                j.crashes_workers = true;
+                j.value = 0.0;
             }
         }
     }
@@ -126,7 +126,7 @@
 
 /// The time in which one job a service comes at most.
 fn step_of(spec: &ModelSpec) -> Duration {
-    let highest = spec.services.iter().map(|s| s.jobs_per_s * spec.peak).fold(0.0, f64::max);
+    let highest = spec.services.iter().map(|s| s.jobs_per_s * spec.peak_factor).fold(0.0, f64::max);
     let cuts = highest * STEP.as_secs_f64() / MOST_A_STEP;
     STEP / (cuts.ceil() as u32).max(1)
 }
@@ -137,38 +137,42 @@
     let period = spec.period().as_secs_f64();
     let begins = period * n as f64 / spec.services.len() as f64;
     let since = (at.as_secs_f64() - begins).rem_euclid(period);
-    if since < spec.turn.as_secs_f64() { s.jobs_per_s * spec.peak } else { s.jobs_per_s * spec.rest }
+    if since < spec.peak_duration.as_secs_f64() {
+        s.jobs_per_s * spec.peak_factor
+    } else {
+        s.jobs_per_s * spec.off_peak_factor
+    }
 }
 
 fn lasting_job(key: JobKey, s: &ServiceSpec) -> ModelJob {
     let step = StepSpec {
-        count: s.lasting,
+        count: s.long_running_tasks,
         resources: Resources { cpu_millis: s.task_cpu_millis, mem_mb: TASK_MEM_MB, gpus: 0 },
         long_running: true,
         max_per_worker: LASTING_SHARE,
         max_unavailable: 1,
         ..StepSpec::default()
     };
-    let takes = vec![FOREVER];
+    let step_durations = vec![FOREVER];
     ModelJob {
         key,
-        at: BEFORE / 2,
-        spec: Arc::new(job_spec(s, BEFORE / 2, vec![step])),
-        takes,
-        owed: Duration::MAX,
-        worth: 0.0,
-        crashes: false,
+        submitted_at: LEAD_TIME / 2,
+        spec: Arc::new(job_spec(s, LEAD_TIME / 2, vec![step])),
+        step_durations,
+        deadline: Duration::MAX,
+        value: 0.0,
+        crashes_workers: false,
     }
 }
 
 fn job(draw: &mut Draw, key: JobKey, s: &ServiceSpec, at: Duration) -> ModelJob {
     let count = draw.count(s.steps);
     let mut steps = Vec::new();
-    let mut takes = Vec::new();
+    let mut step_durations = Vec::new();
     let mut work = 0.0;
     for n in 0..count {
         let cpu_millis = (s.task_cpu_millis as f64 * draw.factor(SPREAD)) as u64;
-        let time = s.takes.mul_f64(draw.factor(SPREAD));
+        let time = s.task_duration.mul_f64(draw.factor(SPREAD));
         let tasks = draw.count(s.tasks);
         work += f64::from(tasks) * cpu_millis as f64 / 1000.0 * time.as_secs_f64();
         steps.push(StepSpec {
@@ -178,18 +182,18 @@
             after: if n == 0 { Vec::new() } else { vec![n as u16 - 1] },
             ..StepSpec::default()
         });
-        takes.push(time);
+        step_durations.push(time);
     }
-    let mean = s.steps * s.tasks * s.task_cpu_millis as f64 / 1000.0 * s.takes.as_secs_f64();
-    let chain: Duration = takes.iter().sum();
+    let mean = s.steps * s.tasks * s.task_cpu_millis as f64 / 1000.0 * s.task_duration.as_secs_f64();
+    let chain: Duration = step_durations.iter().sum();
     ModelJob {
         key,
-        at,
+        submitted_at: at,
         spec: Arc::new(job_spec(s, at, steps)),
-        takes,
-        owed: at + chain.mul_f64(s.stretch) + s.target,
-        worth: WORTH + WORTH_OF_WORK * (work / mean).min(MOST_WORK),
-        crashes: false,
+        step_durations,
+        deadline: at + chain.mul_f64(s.stretch) + s.target,
+        value: BASE_VALUE + VALUE_OF_MEAN_WORK * (work / mean).min(MAX_RELATIVE_WORK),
+        crashes_workers: false,
     }
 }
 
--- a/tests/testsuite/policy_model.rs
+++ b/tests/testsuite/policy_model.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use workswood::ops::model::compare::Gain;
-use workswood::ops::model::load::{self, ModelJob};
 use workswood::ops::model::spec::{FaultKind, FaultSpec};
-use workswood::ops::model::{Figures, ModelSpec, Vary, bound, read, run, world};
+use workswood::ops::model::workload::{self, ModelJob};
+use workswood::ops::model::{ModelSpec, PolicyVariants, RunMetrics, lower_bound, read, run, simulation};
 use workswood_core::invariant;
 use workswood_core::jobs::Policy;
 use workswood_core::jobs::policy::OrderPolicy;
@@ -28,7 +28,7 @@
 }
 
 /// Mean of some runs of a spec.
-fn mean(spec: &ModelSpec, seeds: u64) -> Figures {
+fn mean(spec: &ModelSpec, seeds: u64) -> RunMetrics {
     let found = run(spec, None, 1..seeds + 1, |_, _| {}).expect("one variant");
     found.variants[0].mean
 }
@@ -36,7 +36,7 @@
 #[test]
 fn calm_fleet_is_in_time() {
     let f = mean(&calm(), 3);
-    assert!(f.in_time > 0.99, "{f:?}");
+    assert!(f.on_time_share > 0.99, "{f:?}");
     assert!(f.jobs > 50.0 && f.hosts < 41.0, "{f:?}");
     assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
@@ -46,11 +46,11 @@
     let calm = mean(&calm(), 3);
     for kind in [FaultKind::HolderDies, FaultKind::MachinesDark(4), FaultKind::StoreSlow(150.0)] {
         let mut spec = self::calm();
-        let lasts = Duration::from_secs(6);
-        spec.faults = vec![FaultSpec { at: Duration::from_secs(4), lasts, kind }];
+        let duration = Duration::from_secs(6);
+        spec.faults = vec![FaultSpec { at: Duration::from_secs(4), duration, kind }];
         let f = mean(&spec, 3);
-        assert!(f.in_time < calm.in_time, "{kind:?}: {f:?} against {calm:?}");
-        assert!(f.in_time > 0.5, "{kind:?}: {f:?}, it has to come back");
+        assert!(f.on_time_share < calm.on_time_share, "{kind:?}: {f:?} against {calm:?}");
+        assert!(f.on_time_share > 0.5, "{kind:?}: {f:?}, it has to come back");
     }
     assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
@@ -60,15 +60,18 @@
 #[test]
 fn evacuated_centres() {
     let mut spec = calm();
-    let fault =
-        |at, lasts, kind| FaultSpec { at: Duration::from_secs(at), lasts: Duration::from_secs(lasts), kind };
+    let fault = |at, duration, kind| FaultSpec {
+        at: Duration::from_secs(at),
+        duration: Duration::from_secs(duration),
+        kind,
+    };
     spec.faults = vec![
         fault(3, 12, FaultKind::Evacuated(0)),
         fault(6, 12, FaultKind::Evacuated(2)),
         fault(8, 0, FaultKind::HolderDies),
     ];
     let f = mean(&spec, 3);
-    assert!(f.in_time > 0.5, "{f:?}");
+    assert!(f.on_time_share > 0.5, "{f:?}");
     assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
 
@@ -77,20 +80,25 @@
 fn turns_known_or_not() {
     let mut spec = example();
     (spec.wave, spec.faults) = (None, Vec::new());
-    let vary = Vary::parse("need.turn_share=0,0.8").expect("a field and values");
-    let found = run(&spec, Some(&vary), 1..7, |_, _| {}).expect("both are good");
+    let variants = PolicyVariants::parse("need.turn_share=0,0.8").expect("a field and values");
+    let found = run(&spec, Some(&variants), 1..7, |_, _| {}).expect("both are good");
     let [without, with] = &found.variants[..] else { panic!("{found:?}") };
     assert_eq!(without.name, "need.turn_share=0");
     let gain = with.gain.expect("it is the second");
-    assert!(gain.in_time > 2.0 * gain.error, "{gain:?}: {:?} against {:?}", with.mean, without.mean);
-    let late = 1.0 - without.mean.in_time;
-    assert!(gain.in_time > late / 4.0, "{gain:?} of {late} that is late without it");
+    assert!(
+        gain.on_time_share > 2.0 * gain.standard_error,
+        "{gain:?}: {:?} against {:?}",
+        with.mean,
+        without.mean
+    );
+    let late = 1.0 - without.mean.on_time_share;
+    assert!(gain.on_time_share > late / 4.0, "{gain:?} of {late} that is late without it");
 }
 
 #[test]
 fn same_seed_same_run() {
     let spec = example();
-    let once = |seed| world::play(&spec, &Policy::default(), seed);
+    let once = |seed| simulation::simulate(&spec, &Policy::default(), seed);
     assert_eq!(once(3), once(3));
     assert_ne!(once(3), once(4));
 }
@@ -98,13 +106,14 @@
 #[test]
 fn load_by_turns() {
     let mut spec = example();
-    spec.lasts = spec.period() * 20;
-    let jobs = load::jobs(&spec, 1);
-    let (period, turn) = (spec.period().as_secs_f64(), spec.turn.as_secs_f64());
+    spec.duration = spec.period() * 20;
+    let jobs = workload::generate_jobs(&spec, 1);
+    let (period, turn) = (spec.period().as_secs_f64(), spec.peak_duration.as_secs_f64());
     for (n, s) in spec.services.iter().enumerate() {
         let begins = period * n as f64 / spec.services.len() as f64;
-        let own = jobs.iter().filter(|j| j.spec.queue == s.name && j.worth > 0.0);
-        let since = |j: &ModelJob| ((j.at - load::BEFORE).as_secs_f64() - begins).rem_euclid(period);
+        let own = jobs.iter().filter(|j| j.spec.queue == s.name && j.value > 0.0);
+        let since =
+            |j: &ModelJob| ((j.submitted_at - workload::LEAD_TIME).as_secs_f64() - begins).rem_euclid(period);
         let (within, between): (Vec<f64>, Vec<f64>) = own.map(since).partition(|at| *at < turn);
         let (in_turn, out) = (within.len() as f64 / turn, between.len() as f64 / (period - turn));
         let (peak, rest) = (in_turn / 20.0 / s.jobs_per_s, out / 20.0 / s.jobs_per_s);
@@ -117,8 +126,8 @@
 
 /// Jobs a second of a queue.
 fn own_mean(jobs: &[ModelJob], queue: &str, spec: &ModelSpec) -> f64 {
-    let own = jobs.iter().filter(|j| j.spec.queue == *queue && j.worth > 0.0);
-    own.count() as f64 / spec.lasts.as_secs_f64()
+    let own = jobs.iter().filter(|j| j.spec.queue == *queue && j.value > 0.0);
+    own.count() as f64 / spec.duration.as_secs_f64()
 }
 
 /// A job of two steps, one after the other, of so many thousandths of a core each.
@@ -127,12 +136,12 @@
     spec.steps.iter_mut().for_each(|s| s.resources.cpu_millis = cpu_millis);
     ModelJob {
         key,
-        at: Duration::from_millis(handed_in),
+        submitted_at: Duration::from_millis(handed_in),
         spec: Arc::new(spec),
-        takes: takes.map(Duration::from_millis).to_vec(),
-        owed: Duration::from_secs(3600),
-        worth: 1.0,
-        crashes: false,
+        step_durations: takes.map(Duration::from_millis).to_vec(),
+        deadline: Duration::from_secs(3600),
+        value: 1.0,
+        crashes_workers: false,
     }
 }
 
@@ -142,37 +151,41 @@
     spec.cpu_millis = 1000;
     let end = Duration::from_secs(10);
     // Two tasks of 0.8 cores for two seconds, then one for a second: 4 core-seconds.
-    let one = bound::of(&spec, &[two_steps(1, 4000, 800, [2000, 1000])], end);
-    assert!((one.least - 0.4).abs() < 1e-9, "{one:?}");
+    let one = lower_bound::lower_bounds(&spec, &[two_steps(1, 4000, 800, [2000, 1000])], end);
+    assert!((one.any_policy - 0.4).abs() < 1e-9, "{one:?}");
     // 1.6 cores take two hosts, sent for 1.5 s ahead; then one for a second.
-    assert!((one.forecast - (2.0 * 3.5 + 1.0) / 10.0).abs() < 1e-9, "{one:?}");
+    assert!((one.perfect_forecast - (2.0 * 3.5 + 1.0) / 10.0).abs() < 1e-9, "{one:?}");
     // What goes on at the end of the run counts up to it.
-    let cut = bound::of(&spec, &[two_steps(1, 9000, 500, [2000, 1000])], end);
-    assert!((cut.least - 0.1).abs() < 1e-9 && (cut.forecast - 0.25).abs() < 1e-9, "{cut:?}");
+    let cut = lower_bound::lower_bounds(&spec, &[two_steps(1, 9000, 500, [2000, 1000])], end);
+    assert!((cut.any_policy - 0.1).abs() < 1e-9 && (cut.perfect_forecast - 0.25).abs() < 1e-9, "{cut:?}");
 }
 
 #[test]
 fn bound_below_run() {
     for seed in 1..4 {
-        let f = world::play(&calm(), &Policy::default(), seed);
-        assert!(f.least <= f.busy && f.least <= f.forecast && f.forecast <= f.hosts, "{f:?}");
+        let f = simulation::simulate(&calm(), &Policy::default(), seed);
+        assert!(
+            f.min_hosts <= f.busy_hosts && f.min_hosts <= f.forecast_hosts && f.forecast_hosts <= f.hosts,
+            "{f:?}"
+        );
     }
 }
 
 #[test]
 fn gain_on_same_seeds() {
-    let runs = |shares: [f64; 4]| shares.map(|in_time| Figures { in_time, ..Figures::default() });
-    let gain = Gain::of(&runs([0.9, 0.8, 0.7, 0.6]), &runs([0.8, 0.7, 0.6, 0.5]));
-    assert!((gain.in_time - 0.1).abs() < 1e-9 && gain.error < 1e-9, "{gain:?}");
-    let gain = Gain::of(&runs([0.9, 0.7, 0.9, 0.7]), &runs([0.8, 0.8, 0.8, 0.8]));
-    assert!(gain.in_time.abs() < 1e-9 && (gain.error - 0.0577).abs() < 1e-4, "{gain:?}");
+    let runs =
+        |shares: [f64; 4]| shares.map(|on_time_share| RunMetrics { on_time_share, ..RunMetrics::default() });
+    let gain = Gain::between(&runs([0.9, 0.8, 0.7, 0.6]), &runs([0.8, 0.7, 0.6, 0.5]));
+    assert!((gain.on_time_share - 0.1).abs() < 1e-9 && gain.standard_error < 1e-9, "{gain:?}");
+    let gain = Gain::between(&runs([0.9, 0.7, 0.9, 0.7]), &runs([0.8, 0.8, 0.8, 0.8]));
+    assert!(gain.on_time_share.abs() < 1e-9 && (gain.standard_error - 0.0577).abs() < 1e-4, "{gain:?}");
 }
 
 #[test]
 fn table_and_json() {
-    let vary = Vary::parse("need.full=0.7,0.85").expect("a field and values");
+    let variants = PolicyVariants::parse("need.full=0.7,0.85").expect("a field and values");
     let mut told = Vec::new();
-    let found = run(&calm(), Some(&vary), 5..7, |name, seed| told.push((name.to_string(), seed)));
+    let found = run(&calm(), Some(&variants), 5..7, |name, seed| told.push((name.to_string(), seed)));
     let found = found.expect("both are good");
     let seeds: Vec<u64> = told.iter().map(|(_, seed)| *seed).collect();
     assert_eq!(seeds, [5, 6, 5, 6]);
@@ -187,16 +200,16 @@
 
 #[test]
 fn values_of_a_field() {
-    let vary = Vary::parse("need.arrivals=1s,1500ms").expect("a field and values");
-    let policies = vary.policies(&Policy::default()).expect("both are good");
+    let variants = PolicyVariants::parse("need.arrivals=1s,1500ms").expect("a field and values");
+    let policies = variants.policies(&Policy::default()).expect("both are good");
     let spans: Vec<Duration> = policies.iter().map(|(_, p)| p.need.arrival_window).collect();
     assert_eq!(spans, [Duration::from_secs(1), Duration::from_millis(1500)]);
     for bad in ["need.full", "=1", "need.full="] {
-        let report = Vary::parse(bad).expect_err("not of that form").report();
+        let report = PolicyVariants::parse(bad).expect_err("not of that form").report();
         assert!(report.starts_with("error ") && report.contains("FIELD=VALUE"), "{report}");
     }
     for bad in ["need.colour=1", "need.full=2", "need.full=\"much\""] {
-        let report = Vary::parse(bad).expect("the form is good").policies(&Policy::default());
+        let report = PolicyVariants::parse(bad).expect("the form is good").policies(&Policy::default());
         let report = report.expect_err("no such policy").report();
         assert!(report.starts_with("error 300"), "{report}");
     }
@@ -230,27 +243,27 @@
     let at = |ms: u64| Duration::from_millis(ms);
     let one = |key: u64, handed_in: u64| ModelJob {
         key,
-        at: at(handed_in),
+        submitted_at: at(handed_in),
         spec: Arc::new(job(vec![step(1, vec![])], handed_in)),
-        takes: vec![at(500)],
-        owed: at(handed_in + 1000),
-        worth: 1.0,
-        crashes: false,
+        step_durations: vec![at(500)],
+        deadline: at(handed_in + 1000),
+        value: 1.0,
+        crashes_workers: false,
     };
     // Two in each of three spans; one of the first is late, both of the last.
     let jobs: Vec<ModelJob> = (0..6).map(|n| one(n, n / 2 * 2000)).collect();
     let done: BTreeMap<u64, Duration> = jobs
         .iter()
-        .map(|j| (j.key, j.at + at(if [0, 4, 5].contains(&j.key) { 1001 } else { 999 })))
+        .map(|j| (j.key, j.submitted_at + at(if [0, 4, 5].contains(&j.key) { 1001 } else { 999 })))
         .collect();
-    let f = Figures::of(&jobs, &done);
-    assert_eq!((f.jobs, f.in_time, f.worst), (6.0, 0.5, 0.25));
+    let f = RunMetrics::from_jobs(&jobs, &done);
+    assert_eq!((f.jobs, f.on_time_share, f.worst_windows_share), (6.0, 0.5, 0.25));
 }
 
 #[test]
 fn one_run_plays() {
-    let f = world::play(&example(), &Policy::default(), 1);
-    assert!(f.moves > 10.0 && f.busy > 5.0 && f.busy < f.hosts, "{f:?}");
+    let f = simulation::simulate(&example(), &Policy::default(), 1);
+    assert!(f.host_moves > 10.0 && f.busy_hosts > 5.0 && f.busy_hosts < f.hosts, "{f:?}");
 }
 
 /// In time at four times the load of the example: 0.21 where those always go first that must begin
@@ -259,13 +272,13 @@
 fn overload_serves_more() {
     let mut spec = calm();
     spec.services.iter_mut().for_each(|s| s.jobs_per_s *= 16.0);
-    spec.lasts = Duration::from_secs(24);
+    spec.duration = Duration::from_secs(24);
     let first_due = Policy {
         order: OrderPolicy { overload_share: f64::MAX, ..OrderPolicy::default() },
         ..spec.policy.clone()
     };
     let before = mean(&ModelSpec { policy: first_due, ..spec.clone() }, 2);
     let f = mean(&spec, 2);
-    assert!(f.in_time > before.in_time * 1.8, "{f:?} against {before:?}");
+    assert!(f.on_time_share > before.on_time_share * 1.8, "{f:?} against {before:?}");
     assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -28,7 +28,7 @@
 use workswood::ops::model;
 use workswood::ops::model::compare::{Gain, Variant};
 use workswood::ops::model::spec::FaultKind;
-use workswood::ops::model::{Comparison, Figures};
+use workswood::ops::model::{Comparison, RunMetrics};
 use workswood::util::job_settings::JobSettings;
 use workswood::util::settings::Settings;
 use workswood_adapter::{Addresses, PlatformClient};
@@ -712,7 +712,10 @@
     assert_eq!(kinds[..2], [FaultKind::HolderDies, FaultKind::StoreSlow(2.5)]);
     assert_eq!(kinds[2..4], [FaultKind::MachinesDark(3), FaultKind::ReportsLate(0.25)]);
     assert_eq!(kinds[4..], [FaultKind::TasksCrash(0.125), FaultKind::Evacuated(1)]);
-    assert_eq!((spec.lasts, spec.turn, spec.peak, spec.rest), (millis(42_500), millis(8_250), 4.5, 0.0625));
+    assert_eq!(
+        (spec.duration, spec.peak_duration, spec.peak_factor, spec.off_peak_factor),
+        (millis(42_500), millis(8_250), 4.5, 0.0625)
+    );
     for name in ["model-crashes", "model-overload", "model-turns"] {
         let spec = model::read(&path(&format!("examples/{name}.json"))).expect("a good file");
         assert!(holds(&json(&to_json(&spec)), &json(&example(name))), "{name}");
@@ -812,22 +815,22 @@
     );
 }
 
-/// Figures of the model as `--json` tells them.
+/// Metrics of the model as `--json` prints them.
 #[test]
 fn model_comparison() {
-    let figures = |n: f64| Figures {
+    let figures = |n: f64| RunMetrics {
         jobs: n,
-        in_time: n + 0.5,
-        worst: n + 1.0,
-        worst_spread: n + 1.5,
+        on_time_share: n + 0.5,
+        worst_windows_share: n + 1.0,
+        worst_windows_std_dev: n + 1.5,
         hosts: n + 2.0,
-        busy: n + 2.5,
-        least: n + 3.0,
-        forecast: n + 3.5,
-        moves: n + 4.0,
-        crashes: n + 4.5,
+        busy_hosts: n + 2.5,
+        min_hosts: n + 3.0,
+        forecast_hosts: n + 3.5,
+        host_moves: n + 4.0,
+        worker_crashes: n + 4.5,
     };
-    let gain = Some(Gain { in_time: 0.25, error: 0.125 });
+    let gain = Some(Gain { on_time_share: 0.25, standard_error: 0.125 });
     let variant =
         Variant { name: "full=0.5".to_string(), mean: figures(1.0), gain, runs: vec![figures(2.0)] };
     let told = Comparison { first_seed: 3, seeds: 2, variants: vec![variant] };
