--- a/src/workswood/ops/model/batches.rs
+++ b/src/workswood/ops/model/batches.rs
@@ -1,4 +1,4 @@
-//! What follows from the scheduler's batches: records, and orders on their way.
+//! Applies the scheduler's batches: stores their records and schedules their actions.
 
 use std::collections::BTreeMap;
 
@@ -9,25 +9,25 @@
     WaveRecord, WorkerRecord,
 };
 
-use super::event_queue::{Happening, Order};
-use super::parameters::{APPEND, WAY};
-use super::simulation::World;
+use super::event_queue::{HostOrder, ModelEvent};
+use super::parameters::{APPEND_TIME, MESSAGE_DELAY};
+use super::simulation::Simulation;
 
-/// What the scheduler has on record.
+/// Records that the scheduler has stored.
 #[derive(Default)]
-pub(super) struct Stored {
-    /// States of jobs.
+pub(super) struct StoredRecords {
+    /// States of jobs by key.
     pub jobs: BTreeMap<JobKey, JobRecord>,
-    /// Lives of workers.
+    /// Worker records by incarnation.
     pub workers: BTreeMap<WorkerId, WorkerRecord>,
-    /// Progress of waves.
+    /// Progress of waves by number.
     pub waves: BTreeMap<u64, WaveRecord>,
-    /// Who ordered hosts lately.
+    /// Lease holder that last ordered each host.
     pub ordered: BTreeMap<HostId, String>,
 }
 
-impl Stored {
-    fn take(&mut self, rec: Record) {
+impl StoredRecords {
+    fn apply(&mut self, rec: Record) {
         match rec {
             Record::Job(key, job) => drop(self.jobs.insert(key, job)),
             Record::DropJob(key) => drop(self.jobs.remove(&key)),
@@ -40,67 +40,72 @@
     }
 }
 
-impl World<'_> {
-    /// Has the scheduler decide, if nothing is being written.
-    pub(super) fn decide(&mut self) {
+impl Simulation<'_> {
+    /// Assigns relays, then takes the scheduler's next batch and starts to write its records. A
+    /// batch without records is applied at once. Does nothing while a batch is being written.
+    pub(super) fn take_batch(&mut self) {
         if self.writing {
             return;
         }
-        self.attend();
-        let Some(s) = &mut self.sched else { return };
+        self.assign_relays();
+        let Some(s) = &mut self.scheduler else { return };
         let batch = s.take_batch();
         s.notes.clear();
         if batch.records.is_empty() {
-            self.carry_out(batch);
+            self.apply_batch(batch);
             return;
         }
         self.writing = true;
-        self.after(APPEND.mul_f64(self.store_factor), Happening::Stored(batch));
+        self.schedule_after(APPEND_TIME.mul_f64(self.append_slowdown), ModelEvent::BatchStored(batch));
     }
 
-    /// Has workers attended: the model has no relays.
-    fn attend(&mut self) {
-        let orders = self.sched.as_mut().map(Scheduler::assign_relays).unwrap_or_default();
-        orders.into_iter().for_each(|action| self.act(action));
+    /// Assigns relays to workers and performs the resulting actions at once, as the model has no
+    /// relays.
+    fn assign_relays(&mut self) {
+        let actions = self.scheduler.as_mut().map(Scheduler::assign_relays).unwrap_or_default();
+        actions.into_iter().for_each(|action| self.perform(action));
     }
 
-    /// Carries out what a batch says whose records are stored.
-    pub(super) fn carry_out(&mut self, batch: Batch) {
-        batch.records.into_iter().for_each(|r| self.stored.take(r));
-        batch.status_updates.iter().for_each(|shown| self.show(shown));
+    /// Stores the records of a batch, then applies its status updates, acknowledgements and
+    /// actions.
+    pub(super) fn apply_batch(&mut self, batch: Batch) {
+        batch.records.into_iter().for_each(|r| self.stored.apply(r));
+        batch.status_updates.iter().for_each(|update| self.record_completion(update));
         for (worker, number) in batch.acked_ends {
             if let Some(n) = self.host_of(&worker) {
-                self.hosts[n].forget(number);
+                self.hosts[n].acknowledge_ends(number);
             }
         }
-        batch.actions.into_iter().for_each(|action| self.act(action));
+        batch.actions.into_iter().for_each(|action| self.perform(action));
     }
 
-    fn show(&mut self, shown: &JobStatusUpdate) {
-        if shown.state == Some(JobStatus::Ended(Outcome::Completed)) {
-            self.done.entry(shown.key).or_insert(self.now);
+    fn record_completion(&mut self, update: &JobStatusUpdate) {
+        if update.state == Some(JobStatus::Ended(Outcome::Completed)) {
+            self.completed_at.entry(update.key).or_insert(self.now);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Start { worker, task, attempt, .. } => {
-                self.after(WAY, Happening::Starts(worker, task, attempt));
+                self.schedule_after(MESSAGE_DELAY, ModelEvent::StartReachesWorker(worker, task, attempt));
             }
             Action::Stop(worker, task, attempt) => {
-                self.after(WAY, Happening::Stops(worker, task, attempt));
+                self.schedule_after(MESSAGE_DELAY, ModelEvent::StopReachesWorker(worker, task, attempt));
             }
             Action::Watch { info, .. } => {
                 if let Some(n) = self.host_of(&info.id) {
-                    self.hosts[n].follow = RunTracker::default();
-                    self.after(WAY, Happening::Look(n, info.id, true));
+                    self.hosts[n].run_tracker = RunTracker::default();
+                    self.schedule_after(MESSAGE_DELAY, ModelEvent::PollWorker(n, info.id, true));
                 }
             }
             Action::MoveHost(host, pool) => {
-                self.after(WAY, Happening::Ordered(host, Order::Move(pool)));
+                self.schedule_after(MESSAGE_DELAY, ModelEvent::OrderReachesHost(host, HostOrder::Move(pool)));
             }
-            Action::MaintainHost(host, _) => self.after(WAY, Happening::Ordered(host, Order::Upkeep)),
-            // No queue of the model has advice.
+            Action::MaintainHost(host, _) => {
+                self.schedule_after(MESSAGE_DELAY, ModelEvent::OrderReachesHost(host, HostOrder::Maintain))
+            }
+            // The model has no advice, pacing or relays.
             Action::Unwatch(_)
             | Action::SetPace(..)
             | Action::Advise { .. }
--- a/src/workswood/ops/model/compare.rs
+++ b/src/workswood/ops/model/compare.rs
@@ -1,4 +1,4 @@
-//! Variants side by side: a table for people, and JSON for programs.
+//! Compares the metrics of policy variants, as a table or as JSON.
 
 use serde::Serialize;
 
@@ -8,44 +8,43 @@
 /// The runs of one variant, in the order of their seeds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Variant {
-    /// Its name: the field and its value.
+    /// Name of the variant: the field and its value.
     pub name: String,
-    /// The mean of its runs.
+    /// Mean of the runs.
     pub mean: RunMetrics,
-    /// What sets it apart from the first variant on the same seeds; `None` for
-    /// the first.
+    /// Gain over the first variant on the same seeds; `None` for the first variant.
     pub gain: Option<Gain>,
-    /// Each run.
+    /// Metrics of each run.
     pub runs: Vec<RunMetrics>,
 }
 
-/// How much more was done in time than by the first variant on the same seeds.
+/// Difference in the on-time share to the first variant on the same seeds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Gain {
     /// Mean of the differences.
     #[serde(rename = "in_time")]
     pub on_time_share: f64,
-    /// Standard error of that mean: a gain below twice this is none.
+    /// Standard error of the mean. A gain below twice this is not significant.
     #[serde(rename = "error")]
     pub standard_error: f64,
 }
 
-/// All variants, with the seeds that they were played on.
+/// The compared variants and the seeds of their runs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Comparison {
     /// The first seed.
     pub first_seed: u64,
-    /// How many seeds from it on.
+    /// Number of consecutive seeds.
     pub seeds: u64,
     /// The variants.
     pub variants: Vec<Variant>,
 }
 
 impl Gain {
-    /// The gain of some runs over others on the same seeds.
-    pub fn between(runs: &[RunMetrics], over: &[RunMetrics]) -> Gain {
+    /// Computes the gain of `runs` over `baseline`. Both are in the order of the same seeds.
+    pub fn between(runs: &[RunMetrics], baseline: &[RunMetrics]) -> Gain {
         let differences: Vec<f64> =
-            runs.iter().zip(over).map(|(a, b)| a.on_time_share - b.on_time_share).collect();
+            runs.iter().zip(baseline).map(|(a, b)| a.on_time_share - b.on_time_share).collect();
         let count = differences.len().max(1) as f64;
         let mean = differences.iter().sum::<f64>() / count;
         let squares = differences.iter().map(|d| (d - mean).powi(2)).sum::<f64>();
@@ -55,20 +54,20 @@
 }
 
 impl Comparison {
-    /// Puts the runs of a variant beside those of the first.
+    /// Adds a variant and computes its gain over the first one.
     pub fn add(&mut self, name: String, runs: Vec<RunMetrics>) {
         let gain = self.variants.first().map(|first| Gain::between(&runs, &first.runs));
         self.variants.push(Variant { name, mean: RunMetrics::mean(&runs), gain, runs });
     }
 
-    /// The same as JSON, with each run.
+    /// Formats the comparison as JSON, with each run.
     pub fn json(&self) -> String {
-        serde_json::to_string_pretty(self).expect("figures and names can be JSON")
+        serde_json::to_string_pretty(self).expect("metrics and names can be JSON")
     }
 
-    /// The table for people.
+    /// Formats the comparison as a table with one row per variant.
     pub fn table(&self) -> String {
-        let head = [
+        let header = [
             "variant",
             "jobs",
             "in time",
@@ -83,7 +82,7 @@
             "moves",
             "crashes",
         ];
-        let mut rows = vec![head.map(str::to_string).to_vec()];
+        let mut rows = vec![header.map(str::to_string).to_vec()];
         rows.extend(self.variants.iter().map(Variant::row));
         table::columns(&rows)
     }
@@ -92,8 +91,9 @@
 impl Variant {
     fn row(&self) -> Vec<String> {
         let f = &self.mean;
-        let gain =
-            |of: fn(&Gain) -> f64| self.gain.as_ref().map_or("-".to_string(), |g| format!("{:.3}", of(g)));
+        let gain = |field: fn(&Gain) -> f64| {
+            self.gain.as_ref().map_or("-".to_string(), |g| format!("{:.3}", field(g)))
+        };
         vec![
             self.name.clone(),
             format!("{:.0}", f.jobs),
--- a/src/workswood/ops/model/event_queue.rs
+++ b/src/workswood/ops/model/event_queue.rs
@@ -1,4 +1,4 @@
-//! What is to happen in a run, and when.
+//! Events of a simulation, ordered by time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,68 +7,68 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{Batch, TaskId};
 
-/// What happens at some time.
-pub enum Happening {
-    /// The scheduler is told that time has passed.
+/// An event of the simulation.
+pub enum ModelEvent {
+    /// The scheduler receives a tick.
     Tick,
-    /// The scheduler reads the list of hosts.
-    List,
-    /// A job is handed in, by its place among the jobs of the run.
-    HandIn(usize),
-    /// A host arrives in its pool, or is up again.
-    Arrives(usize),
-    /// A worker is looked at; `true` goes on looking for ever.
-    Look(usize, WorkerId, bool),
-    /// The start of a task reaches its worker.
-    Starts(WorkerId, TaskId, u32),
-    /// A task has done its work.
-    Ends(WorkerId, TaskId, u32),
-    /// A worker crashes on its host.
-    Crashes(usize, WorkerId),
-    /// The stop of a task reaches its worker.
-    Stops(WorkerId, TaskId, u32),
+    /// The scheduler receives the host list.
+    ListHosts,
+    /// The job with this index is submitted.
+    SubmitJob(usize),
+    /// The host with this index is up, in its old or new pool.
+    HostUp(usize),
+    /// The worker on the host with this index is polled. If the flag is set, polling repeats.
+    PollWorker(usize, WorkerId, bool),
+    /// The order to start an attempt of a task reaches its worker.
+    StartReachesWorker(WorkerId, TaskId, u32),
+    /// An attempt of a task has done its work.
+    TaskEnds(WorkerId, TaskId, u32),
+    /// The worker on the host with this index crashes.
+    WorkerCrashes(usize, WorkerId),
+    /// The order to stop an attempt of a task reaches its worker.
+    StopReachesWorker(WorkerId, TaskId, u32),
     /// An order reaches a host.
-    Ordered(HostId, Order),
-    /// The store has the records of a batch.
-    Stored(Batch),
-    /// A fault begins, by its place in the file.
+    OrderReachesHost(HostId, HostOrder),
+    /// The records of a batch are stored.
+    BatchStored(Batch),
+    /// The fault with this index in the spec begins.
     FaultBegins(usize),
-    /// It ends.
+    /// The fault with this index in the spec ends.
     FaultEnds(usize),
-    /// Another process holds the lease.
-    TakesOver,
+    /// Another process has acquired the scheduler lease.
+    SchedulerTakesOver,
 }
 
 /// An order to a host.
 #[derive(Clone)]
-pub enum Order {
-    /// Change the pool.
+pub enum HostOrder {
+    /// Move to a pool.
     Move(ServiceId),
-    /// Be maintained.
-    Upkeep,
+    /// Go into maintenance.
+    Maintain,
 }
 
-/// What is to happen, by time and in the order in which it was planned.
+/// Pending events by time. Events at the same time keep the order in which they were scheduled.
 #[derive(Default)]
-pub struct Agenda {
-    queue: BTreeMap<(Duration, u64), Happening>,
-    planned: u64,
+pub struct EventQueue {
+    events: BTreeMap<(Duration, u64), ModelEvent>,
+    last_sequence: u64,
 }
 
-impl Agenda {
-    /// Plans something.
-    pub fn plan(&mut self, at: Duration, what: Happening) {
-        self.planned += 1;
-        self.queue.insert((at, self.planned), what);
+impl EventQueue {
+    /// Schedules an event at a time since the start of the run.
+    pub fn schedule(&mut self, at: Duration, event: ModelEvent) {
+        self.last_sequence += 1;
+        self.events.insert((at, self.last_sequence), event);
     }
 
-    /// Takes out what happens next.
-    pub fn take_next(&mut self) -> Option<(Duration, Happening)> {
-        self.queue.pop_first().map(|((at, _), what)| (at, what))
+    /// Removes and returns the next event and its time.
+    pub fn pop_next(&mut self) -> Option<(Duration, ModelEvent)> {
+        self.events.pop_first().map(|((at, _), event)| (at, event))
     }
 
-    /// Drops all that does not stay.
-    pub fn retain(&mut self, stays: impl Fn(&Happening) -> bool) {
-        self.queue.retain(|_, what| stays(what));
+    /// Removes all events for which `keep` returns false.
+    pub fn retain(&mut self, keep: impl Fn(&ModelEvent) -> bool) {
+        self.events.retain(|_, event| keep(event));
     }
 }
--- a/src/workswood/ops/model/faults.rs
+++ b/src/workswood/ops/model/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run, and how a scheduler takes over.
+//! Injects the faults of a run, and starts a scheduler after a failover.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -7,15 +7,15 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{Event, HostState, Scheduler, WorkerUpdate};
 
-use super::event_queue::Happening;
+use super::event_queue::ModelEvent;
 use super::model_host::data_centre;
-use super::parameters::{CRASH_AWAY, LEASE, TAKEOVER, config, limits};
-use super::simulation::World;
+use super::parameters::{CRASH_DOWNTIME, TAKEOVER_TIME, WORKER_LEASE, config, limits};
+use super::simulation::Simulation;
 use super::spec::FaultKind;
 
-impl World<'_> {
-    /// A scheduler takes over with what is on record.
-    pub(super) fn take_over(&mut self) {
+impl Simulation<'_> {
+    /// Starts a new scheduler from the stored records.
+    pub(super) fn start_scheduler(&mut self) {
         self.term += 1;
         self.writing = false;
         let wall = self.now.as_millis() as u64;
@@ -25,10 +25,10 @@
         s.handle(Event::ConfigChanged(Arc::new(config(self.spec))));
         s.handle(Event::Evacuated(self.evacuated.keys().cloned().collect()));
         self.restore(&mut s);
-        self.sched = Some(s);
+        self.scheduler = Some(s);
         for n in 0..self.hosts.len() {
             if self.hosts[n].serves() {
-                self.list_worker(n);
+                self.register_worker(n);
             }
         }
     }
@@ -53,62 +53,64 @@
     pub(super) fn fault_begins(&mut self, n: usize) {
         match self.spec.faults[n].kind {
             FaultKind::HolderDies => {
-                self.sched = None;
-                // What it was writing is stored or not; here it is not.
-                let lost = |what: &Happening| matches!(what, Happening::Stored(_) | Happening::Look(..));
-                self.agenda.retain(|what| !lost(what));
-                self.after(TAKEOVER, Happening::TakesOver);
+                self.scheduler = None;
+                // A batch in flight is lost. Polling ends too, as the next scheduler starts its own.
+                let lost = |event: &ModelEvent| {
+                    matches!(event, ModelEvent::BatchStored(_) | ModelEvent::PollWorker(..))
+                };
+                self.event_queue.retain(|event| !lost(event));
+                self.schedule_after(TAKEOVER_TIME, ModelEvent::SchedulerTakesOver);
             }
-            FaultKind::StoreSlow(x) => self.store_factor = x,
-            FaultKind::ReportsLate(share) => self.late_reports = share,
-            // Jobs were made so before.
+            FaultKind::StoreSlow(x) => self.append_slowdown = x,
+            FaultKind::ReportsLate(share) => self.late_report_share = share,
+            // The workload already contains the crashing jobs.
             FaultKind::TasksCrash(_) => {}
-            FaultKind::MachinesDark(count) => self.darken(count, self.spec.faults[n].duration),
+            FaultKind::MachinesDark(count) => self.silence_busiest_hosts(count, self.spec.faults[n].duration),
             FaultKind::Evacuated(number) => {
                 self.evacuated.insert(data_centre(number), self.now);
-                self.tell_evacuated();
+                self.send_evacuations();
             }
         }
     }
 
     pub(super) fn fault_ends(&mut self, n: usize) {
         match self.spec.faults[n].kind {
-            FaultKind::StoreSlow(_) => self.store_factor = 1.0,
-            FaultKind::ReportsLate(_) => self.late_reports = 0.0,
+            FaultKind::StoreSlow(_) => self.append_slowdown = 1.0,
+            FaultKind::ReportsLate(_) => self.late_report_share = 0.0,
             FaultKind::Evacuated(number) => {
                 self.evacuated.remove(&data_centre(number));
-                self.tell_evacuated();
+                self.send_evacuations();
             }
             FaultKind::HolderDies | FaultKind::MachinesDark(_) | FaultKind::TasksCrash(_) => {}
         }
     }
 
-    fn tell_evacuated(&mut self) {
+    fn send_evacuations(&mut self) {
         let evacuated = self.evacuated.keys().cloned().collect();
-        self.tell(Event::Evacuated(evacuated));
+        self.send_event(Event::Evacuated(evacuated));
     }
 
-    /// The hosts on which most runs fall silent, and come back as another life.
-    fn darken(&mut self, count: usize, lasts: Duration) {
+    /// The hosts with most runs stop answering, and come back with new incarnations of their workers.
+    fn silence_busiest_hosts(&mut self, count: usize, duration: Duration) {
         let mut busiest: Vec<usize> = (0..self.hosts.len()).filter(|n| self.hosts[*n].serves()).collect();
-        busiest.sort_by_key(|n| Reverse(self.hosts[*n].runs()));
-        busiest.into_iter().take(count).for_each(|n| self.end_worker(n, lasts));
+        busiest.sort_by_key(|n| Reverse(self.hosts[*n].running_tasks()));
+        busiest.into_iter().take(count).for_each(|n| self.end_worker(n, duration));
     }
 
-    /// A worker crashes, unless it is gone already.
+    /// Crashes a worker, unless it is gone already.
     pub(super) fn crash(&mut self, n: usize, worker: &WorkerId) {
         if self.host_of(worker) == Some(n) {
-            self.crashes += 1;
-            self.end_worker(n, CRASH_AWAY);
+            self.worker_crashes += 1;
+            self.end_worker(n, CRASH_DOWNTIME);
         }
     }
 
-    /// A worker's life ends, and the host comes back with another one.
-    fn end_worker(&mut self, n: usize, away: Duration) {
+    /// Ends a worker's incarnation. Its host is up again with a new one after `downtime`.
+    fn end_worker(&mut self, n: usize, downtime: Duration) {
         let worker = self.hosts[n].worker().clone();
-        self.hosts[n].end_life(HostState::Down);
-        let (lease_end, heard) = (self.now + LEASE, self.now);
-        self.tell_of(worker, WorkerUpdate::Unanswered { lease_end, heard });
-        self.after(away, Happening::Arrives(n));
+        self.hosts[n].end_incarnation(HostState::Down);
+        let (lease_end, heard) = (self.now + WORKER_LEASE, self.now);
+        self.send_worker_update(worker, WorkerUpdate::Unanswered { lease_end, heard });
+        self.schedule_after(downtime, ModelEvent::HostUp(n));
     }
 }
--- a/src/workswood/ops/model/host_events.rs
+++ b/src/workswood/ops/model/host_events.rs
@@ -1,4 +1,4 @@
-//! What hosts and their workers do in a run.
+//! Reactions of hosts and workers to the events of a simulation.
 
 use rand::Rng;
 use workswood_core::ids::HostId;
@@ -9,138 +9,140 @@
     EndKind, Event, HostReply, HostState, StartReply, StopReply, TaskId, WorkerUpdate,
 };
 
-use super::event_queue::{Happening, Order};
+use super::event_queue::{HostOrder, ModelEvent};
 use super::model_host::{ModelHost, ModelRun};
 use super::parameters::{
-    CRASH_AFTER, EVACUATED_WITHIN, LATE_REPORT, LIST, LOOK, MOVE, SPARE, UPKEEP, WARM_UP, WAY,
+    CRASH_DELAY, EVACUATION_GRACE, HOST_LIST_INTERVAL, LATE_REPORT_DELAY, MAINTENANCE_TIME, MESSAGE_DELAY,
+    MOVE_TIME, POLL_INTERVAL, SPARE_POOL, WARM_UP_TIME,
 };
-use super::simulation::World;
+use super::simulation::Simulation;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn make_hosts(&mut self) {
         let pools = self.spec.services.iter().map(|s| (s.name.clone(), s.hosts));
-        let pools = pools.chain([(SPARE.to_string(), self.spec.spare)]);
+        let pools = pools.chain([(SPARE_POOL.to_string(), self.spec.spare)]);
         for pool in pools.flat_map(|(name, count)| std::iter::repeat_n(name, count)) {
             self.hosts.push(ModelHost::new(self.hosts.len(), pool));
         }
     }
 
-    fn room(&self) -> Resources {
+    fn host_capacity(&self) -> Resources {
         Resources { cpu_millis: self.spec.cpu_millis, mem_mb: self.spec.mem_mb, gpus: 0 }
     }
 
-    /// The host on which a life of a worker runs, if it still does.
+    /// Returns the index of the host on which an incarnation of a worker runs, if it still does.
     pub(super) fn host_of(&self, worker: &WorkerId) -> Option<usize> {
         let number = worker.split('-').nth(1)?.parse::<usize>().ok()?;
-        let m = self.hosts.get(number)?;
-        (m.worker() == worker && m.serves()).then_some(number)
+        let host = self.hosts.get(number)?;
+        (host.worker() == worker && host.serves()).then_some(number)
     }
 
-    /// A worker that is up is listed, and looked at from then on.
-    pub(super) fn list_worker(&mut self, n: usize) {
-        let info = self.hosts[n].info(self.room());
-        self.tell(Event::WorkerListed(info));
+    /// Registers the worker of a host with the scheduler, which polls it from then on.
+    pub(super) fn register_worker(&mut self, n: usize) {
+        let info = self.hosts[n].worker_info(self.host_capacity());
+        self.send_event(Event::WorkerListed(info));
     }
 
-    pub(super) fn list(&mut self) {
-        let room = self.room();
-        let list = self.hosts.iter().map(|m| m.listed(room)).collect();
-        self.tell(Event::HostsListed(list, self.now));
-        self.after(LIST, Happening::List);
+    pub(super) fn list_hosts(&mut self) {
+        let capacity = self.host_capacity();
+        let list = self.hosts.iter().map(|host| host.list_entry(capacity)).collect();
+        self.send_event(Event::HostsListed(list, self.now));
+        self.schedule_after(HOST_LIST_INTERVAL, ModelEvent::ListHosts);
     }
 
-    pub(super) fn arrives(&mut self, n: usize) {
+    pub(super) fn host_up(&mut self, n: usize) {
         self.hosts[n].state = HostState::Up;
         if self.hosts[n].serves() {
-            self.list_worker(n);
+            self.register_worker(n);
         }
     }
 
-    pub(super) fn look(&mut self, n: usize, worker: WorkerId, again: bool) {
+    pub(super) fn poll_worker(&mut self, n: usize, worker: WorkerId, repeat: bool) {
         if self.host_of(&worker) != Some(n) {
             return;
         }
         let report = self.hosts[n].report(self.now);
-        self.tell_of(worker.clone(), WorkerUpdate::Reported(report));
-        if again && self.sched.is_some() {
-            self.after(LOOK, Happening::Look(n, worker, true));
+        self.send_worker_update(worker.clone(), WorkerUpdate::Reported(report));
+        if repeat && self.scheduler.is_some() {
+            self.schedule_after(POLL_INTERVAL, ModelEvent::PollWorker(n, worker, true));
         }
     }
 
-    pub(super) fn starts(&mut self, worker: WorkerId, task: TaskId, attempt: u32) {
+    pub(super) fn start_reaches_worker(&mut self, worker: WorkerId, task: TaskId, attempt: u32) {
         let reply = match self.host_of(&worker) {
             Some(n) => {
-                self.run(n, worker.clone(), task, attempt);
+                self.start_task(n, worker.clone(), task, attempt);
                 StartReply::Taken
             }
             None => StartReply::NotSent,
         };
         let now = self.now;
         if let Some(n) = self.host_of(&worker) {
-            self.hosts[n].follow.start_answered(task, attempt, reply, now);
+            self.hosts[n].run_tracker.start_answered(task, attempt, reply, now);
         }
-        self.tell_of(worker, WorkerUpdate::Started(task, attempt, reply));
+        self.send_worker_update(worker, WorkerUpdate::Started(task, attempt, reply));
     }
 
-    /// Nothing that was decided after a data centre was evacuated begins there.
-    fn check_evacuated(&self, n: usize, task: &TaskId) {
-        let since = self.evacuated.get(&self.hosts[n].data_centre());
-        let late = since.is_some_and(|at| self.now > *at + EVACUATED_WITHIN);
+    /// Checks that no task decided after the evacuation of a data centre starts there.
+    fn check_evacuation(&self, n: usize, task: &TaskId) {
+        let evacuated_at = self.evacuated.get(&self.hosts[n].data_centre());
+        let late = evacuated_at.is_some_and(|at| self.now > *at + EVACUATION_GRACE);
         invariant::check(!late, || format!("{task} begins in an evacuated data centre"));
     }
 
-    /// A task runs on a host, and ends when it really does.
-    fn run(&mut self, n: usize, worker: WorkerId, task: TaskId, attempt: u32) {
-        self.check_evacuated(n, &task);
-        // Jobs are numbered from 1 on, in the order in which they are kept.
+    /// Starts a task on a host and schedules its end, or the crash of its worker.
+    fn start_task(&mut self, n: usize, worker: WorkerId, task: TaskId, attempt: u32) {
+        self.check_evacuation(n, &task);
+        // Job keys are one-based indexes into `jobs`.
         let job = &self.jobs[task.job as usize - 1];
         let step = usize::from(task.step);
-        let asked = &job.spec.steps[step];
+        let step_spec = &job.spec.steps[step];
         let ends_after = job.step_durations[step];
-        let takes = if asked.long_running { WARM_UP } else { ends_after };
-        let run = ModelRun { attempt, cpu_millis: asked.resources.cpu_millis, since: self.now, takes };
+        let duration = if step_spec.long_running { WARM_UP_TIME } else { ends_after };
+        let run =
+            ModelRun { attempt, cpu_millis: step_spec.resources.cpu_millis, started_at: self.now, duration };
         if job.crashes_workers && task.step == 0 && task.index == 0 {
-            self.after(CRASH_AFTER, Happening::Crashes(n, worker.clone()));
+            self.schedule_after(CRASH_DELAY, ModelEvent::WorkerCrashes(n, worker.clone()));
         }
-        self.hosts[n].begin_task(task, run);
-        self.after(ends_after, Happening::Ends(worker, task, attempt));
+        self.hosts[n].start_task(task, run);
+        self.schedule_after(ends_after, ModelEvent::TaskEnds(worker, task, attempt));
     }
 
-    pub(super) fn ends(&mut self, worker: WorkerId, task: TaskId, attempt: u32, kind: EndKind) {
+    pub(super) fn end_task(&mut self, worker: WorkerId, task: TaskId, attempt: u32, kind: EndKind) {
         let Some(n) = self.host_of(&worker) else { return };
         if !self.hosts[n].end_task(task, attempt, kind) {
             return;
         }
-        let late = self.luck.random::<f64>() < self.late_reports;
-        let wait = if late { WAY + LATE_REPORT } else { WAY };
-        self.after(wait, Happening::Look(n, worker, false));
+        let late = self.fault_rng.random::<f64>() < self.late_report_share;
+        let delay = if late { MESSAGE_DELAY + LATE_REPORT_DELAY } else { MESSAGE_DELAY };
+        self.schedule_after(delay, ModelEvent::PollWorker(n, worker, false));
     }
 
-    pub(super) fn stops(&mut self, worker: WorkerId, task: TaskId, attempt: u32) {
-        self.ends(worker.clone(), task, attempt, EndKind::Stopped);
+    pub(super) fn stop_reaches_worker(&mut self, worker: WorkerId, task: TaskId, attempt: u32) {
+        self.end_task(worker.clone(), task, attempt, EndKind::Stopped);
         let now = self.now;
         if let Some(n) = self.host_of(&worker) {
-            self.hosts[n].follow.stop_accepted(task, attempt, now);
+            self.hosts[n].run_tracker.stop_accepted(task, attempt, now);
         }
-        self.tell_of(worker, WorkerUpdate::Stopped(task, attempt, StopReply::Taken));
+        self.send_worker_update(worker, WorkerUpdate::Stopped(task, attempt, StopReply::Taken));
     }
 
-    pub(super) fn ordered(&mut self, host: HostId, order: Order) {
-        let Some(n) = self.hosts.iter().position(|m| *m.name() == host) else { return };
+    pub(super) fn order_reaches_host(&mut self, host: HostId, order: HostOrder) {
+        let Some(n) = self.hosts.iter().position(|h| *h.name() == host) else { return };
         if self.hosts[n].state != HostState::Up {
-            self.tell(Event::HostOrderAnswered(host, HostReply::Busy));
+            self.send_event(Event::HostOrderAnswered(host, HostReply::Busy));
             return;
         }
-        let (state, takes) = match &order {
-            Order::Move(_) => (HostState::Moving, MOVE),
-            Order::Upkeep => (HostState::Upkeep, UPKEEP),
+        let (state, duration) = match &order {
+            HostOrder::Move(_) => (HostState::Moving, MOVE_TIME),
+            HostOrder::Maintain => (HostState::Upkeep, MAINTENANCE_TIME),
         };
-        self.hosts[n].end_life(state);
-        if let Order::Move(pool) = order {
+        self.hosts[n].end_incarnation(state);
+        if let HostOrder::Move(pool) = order {
             self.hosts[n].pool = pool;
-            self.moves += 1;
+            self.host_moves += 1;
         }
-        self.after(takes, Happening::Arrives(n));
-        self.tell(Event::HostOrderAnswered(host, HostReply::Done));
+        self.schedule_after(duration, ModelEvent::HostUp(n));
+        self.send_event(Event::HostOrderAnswered(host, HostReply::Done));
     }
 }
--- a/src/workswood/ops/model/mod.rs
+++ b/src/workswood/ops/model/mod.rs
@@ -1,19 +1,21 @@
-//! `model`: the scheduler against simulated workers, hosts, store and callers.
+//! `workswood model`: a discrete-event simulation of the scheduler with model workers, hosts,
+//! store and callers.
 //!
-//! The real scheduler decides, on injected time. The same file and seed give the
-//! same figures. It is the place where a policy is tried on many seeds before it
-//! is measured on real processes; `docs/MODEL.md` says what it leaves out.
+//! The real scheduler runs on simulated time. The same spec and seed give the same
+//! metrics. Policies are compared here on many seeds; `docs/MODEL.md` lists what the model
+//! leaves out.
 //!
-//! * [`spec`] is the file that describes a fleet, its load and its faults.
-//! * [`workload`] draws the jobs that callers hand in.
-//! * [`parameters`] holds times and bounds of the deployments known to us.
-//! * [`model_host`] is hosts and the tasks that run on them.
-//! * [`event_queue`] is what is to happen in a run, and when.
-//! * [`simulation`] is a run: its scheduler decides, [`batches`] carries out what it says,
-//!   [`host_events`] do as they are told, and [`faults`] come in between.
-//! * [`run_metrics`] is what one run showed, and [`lower_bound`] how few hosts would do.
-//! * [`policy_variants`] is one value of a policy, in several variants, and [`compare`] their
-//!   figures side by side.
+//! * [`spec`] is the file format that describes a fleet, its workload and its faults.
+//! * [`workload`] generates the jobs that callers submit.
+//! * [`parameters`] holds the time constants and limits of the model.
+//! * [`model_host`] models a host and the tasks that run on it.
+//! * [`event_queue`] holds the pending events of a run.
+//! * [`simulation`] runs the event loop; [`batches`] applies the scheduler's batches,
+//!   [`host_events`] models the reactions of hosts and workers, and [`faults`] injects faults.
+//! * [`run_metrics`] computes the metrics of a run, and [`lower_bound`] the least number of hosts
+//!   for its workload.
+//! * [`policy_variants`] makes policies that differ in one field, and [`compare`] compares their
+//!   metrics.
 
 mod batches;
 pub mod compare;
@@ -40,7 +42,7 @@
 
 use crate::util::errors::{Error, ReadFileSnafu, Result};
 
-/// Reads and checks the file that describes a fleet.
+/// Reads and validates the spec at `path`.
 pub fn read(path: &str) -> Result<ModelSpec> {
     let text = std::fs::read_to_string(path).context(ReadFileSnafu { path })?;
     let bad = |text: String| Error::Settings { path: path.to_string(), text };
@@ -49,7 +51,8 @@
     Ok(spec)
 }
 
-/// Plays each variant on the same seeds, and tells of each run that is over.
+/// Simulates each variant on the same seeds. Calls `on_run_done` with the variant's name and
+/// the seed after each run. Without variants, only the policy of the spec is simulated.
 pub fn run(
     spec: &ModelSpec,
     variants: Option<&PolicyVariants>,
@@ -61,14 +64,14 @@
         None => vec![("as it is".to_string(), spec.policy.clone())],
     };
     let count = seeds.end.saturating_sub(seeds.start);
-    let mut found = Comparison { first_seed: seeds.start, seeds: count, variants: Vec::new() };
+    let mut comparison = Comparison { first_seed: seeds.start, seeds: count, variants: Vec::new() };
     for (name, policy) in variants {
         let mut runs = Vec::new();
         for seed in seeds.clone() {
             runs.push(simulation::simulate(spec, &policy, seed));
             on_run_done(&name, seed);
         }
-        found.add(name, runs);
+        comparison.add(name, runs);
     }
-    Ok(found)
+    Ok(comparison)
 }
--- a/src/workswood/ops/model/model_host.rs
+++ b/src/workswood/ops/model/model_host.rs
@@ -1,4 +1,4 @@
-//! Hosts, and the tasks that run on them.
+//! Model hosts and the tasks that run on them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,159 +10,160 @@
     EndKind, Host, HostState, Listing, Report, ReportedEnd, ReportedRun, RunTracker, TaskId, WorkerInfo,
 };
 
-use super::parameters::{DATA_CENTRES, SPARE};
+use super::parameters::{DATA_CENTRES, SPARE_POOL};
 
-/// A task that runs.
+/// A running attempt of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ModelRun {
-    /// Number of its try.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// Room that it takes, in thousandths of a core.
+    /// CPU capacity that it uses, in thousandths of a core.
     pub cpu_millis: u64,
-    /// When it began.
-    pub since: Duration,
-    /// How long its work takes, or the warm-up of a task that lasts.
-    pub takes: Duration,
+    /// When it started.
+    pub started_at: Duration,
+    /// How long its work takes, or the warm-up of a long-running task.
+    pub duration: Duration,
 }
 
 impl ModelRun {
-    /// Share of its work that is done, in whole percent.
+    /// Returns the share of its work that is done, in whole percent.
     pub fn percent(&self, now: Duration) -> u32 {
-        let done = (now - self.since).as_secs_f64() / self.takes.as_secs_f64().max(f64::MIN_POSITIVE);
+        let done = (now - self.started_at).as_secs_f64() / self.duration.as_secs_f64().max(f64::MIN_POSITIVE);
         (done * 100.0).min(100.0) as u32
     }
 }
 
-/// A host of the model, with the present life of its worker.
+/// A host of the model, with the current incarnation of its worker.
 pub struct ModelHost {
     number: usize,
     name: HostId,
     worker: WorkerId,
-    /// Its pool.
+    /// Pool of the host.
     pub pool: ServiceId,
-    /// Its state.
+    /// State of the host.
     pub state: HostState,
-    /// Its worker has had so many lives.
-    life: u32,
-    /// Tasks that run.
+    /// Number of earlier incarnations of the worker.
+    incarnation: u32,
+    /// Running tasks.
     running: BTreeMap<TaskId, ModelRun>,
-    /// Room that they take, in thousandths of a core.
-    used: u64,
-    /// Ends that were not reported yet.
-    ended: Vec<ReportedEnd>,
-    ends: u64,
-    /// What the scheduler knows of its runs.
-    pub follow: RunTracker,
+    /// CPU capacity that they use, in thousandths of a core.
+    used_cpu_millis: u64,
+    /// Ends that the scheduler has not acknowledged.
+    unacked_ends: Vec<ReportedEnd>,
+    /// Number of ends in this incarnation.
+    end_count: u64,
+    /// Tracks what the scheduler knows of the runs on this host.
+    pub run_tracker: RunTracker,
 }
 
-/// The data centre of a number.
+/// Returns the name of the data centre with this number.
 pub fn data_centre(number: usize) -> DataCentre {
     format!("model-{number}")
 }
 
 impl ModelHost {
-    /// A host that is up.
+    /// Creates a host that is up.
     pub fn new(number: usize, pool: ServiceId) -> ModelHost {
         ModelHost {
             number,
             name: format!("m-{number:05}"),
-            worker: worker_of(number, 0),
+            worker: worker_id(number, 0),
             pool,
             state: HostState::Up,
-            life: 0,
+            incarnation: 0,
             running: BTreeMap::new(),
-            used: 0,
-            ended: Vec::new(),
-            ends: 0,
-            follow: RunTracker::default(),
+            used_cpu_millis: 0,
+            unacked_ends: Vec::new(),
+            end_count: 0,
+            run_tracker: RunTracker::default(),
         }
     }
 
-    /// Its name.
+    /// Name of the host.
     pub fn name(&self) -> &HostId {
         &self.name
     }
 
-    /// Where it stands.
+    /// Data centre of the host.
     pub fn data_centre(&self) -> DataCentre {
         data_centre(self.number % DATA_CENTRES)
     }
 
-    /// The present life of its worker.
+    /// Current incarnation of the worker.
     pub fn worker(&self) -> &WorkerId {
         &self.worker
     }
 
-    /// What its worker says of itself.
-    pub fn info(&self, room: Resources) -> WorkerInfo {
+    /// Registration of the worker.
+    pub fn worker_info(&self, capacity: Resources) -> WorkerInfo {
         WorkerInfo {
             id: self.worker.clone(),
             service: self.pool.clone(),
             address: self.name.clone(),
             data_centre: self.data_centre(),
             host: self.name.clone(),
-            capacity: room,
+            capacity,
             labels: Vec::new(),
             draining: false,
         }
     }
 
-    /// Whether its worker is there: it is up, and on.
+    /// Whether the worker runs: the host is up and not in the spare pool.
     pub fn serves(&self) -> bool {
-        self.state == HostState::Up && self.pool != SPARE
+        self.state == HostState::Up && self.pool != SPARE_POOL
     }
 
-    /// Room that its tasks take, in thousandths of a core.
-    pub fn used(&self) -> u64 {
-        self.used
+    /// CPU capacity that the running tasks use, in thousandths of a core.
+    pub fn used_cpu_millis(&self) -> u64 {
+        self.used_cpu_millis
     }
 
-    /// How the platform lists it.
-    pub fn listed(&self, room: Resources) -> Host {
+    /// Entry of the host in the platform's host list.
+    pub fn list_entry(&self, capacity: Resources) -> Host {
         Host {
             name: self.name.clone(),
             pool: self.pool.clone(),
             state: self.state,
             data_centre: self.data_centre(),
             labels: Vec::new(),
-            capacity: room,
+            capacity,
             worker: self.serves().then(|| self.worker.clone()),
         }
     }
 
-    /// Its worker's life is over, with all that ran.
-    pub fn end_life(&mut self, state: HostState) {
+    /// Ends the incarnation of the worker and all its runs.
+    pub fn end_incarnation(&mut self, state: HostState) {
         self.state = state;
-        self.life += 1;
-        self.worker = worker_of(self.number, self.life);
+        self.incarnation += 1;
+        self.worker = worker_id(self.number, self.incarnation);
         self.running.clear();
-        self.used = 0;
-        self.ended.clear();
-        self.ends = 0;
-        self.follow = RunTracker::default();
+        self.used_cpu_millis = 0;
+        self.unacked_ends.clear();
+        self.end_count = 0;
+        self.run_tracker = RunTracker::default();
     }
 
-    /// How many tasks run.
-    pub fn runs(&self) -> usize {
+    /// Number of running tasks.
+    pub fn running_tasks(&self) -> usize {
         self.running.len()
     }
 
-    /// A task begins.
-    pub fn begin_task(&mut self, task: TaskId, run: ModelRun) {
-        self.used += run.cpu_millis;
-        if let Some(before) = self.running.insert(task, run) {
-            self.used -= before.cpu_millis;
+    /// Starts an attempt of a task, in place of an earlier attempt that still runs.
+    pub fn start_task(&mut self, task: TaskId, run: ModelRun) {
+        self.used_cpu_millis += run.cpu_millis;
+        if let Some(replaced) = self.running.insert(task, run) {
+            self.used_cpu_millis -= replaced.cpu_millis;
         }
     }
 
-    /// A task ends; returns whether it still ran.
+    /// Ends an attempt of a task. Returns whether it was still running.
     pub fn end_task(&mut self, task: TaskId, attempt: u32, kind: EndKind) -> bool {
         let Some(run) = self.running.get(&task).filter(|r| r.attempt == attempt) else { return false };
-        self.used -= run.cpu_millis;
+        self.used_cpu_millis -= run.cpu_millis;
         self.running.remove(&task);
-        self.ends += 1;
-        self.ended.push(ReportedEnd {
-            sequence_number: self.ends,
+        self.end_count += 1;
+        self.unacked_ends.push(ReportedEnd {
+            sequence_number: self.end_count,
             task,
             attempt,
             kind,
@@ -171,32 +172,32 @@
         true
     }
 
-    /// What is new in what its worker answers when it is looked at.
+    /// Polls the worker and returns what changed since the last poll.
     pub fn report(&mut self, now: Duration) -> Report {
         let listing = self.listing(now);
-        self.follow.diff_listing(listing, now, now)
+        self.run_tracker.diff_listing(listing, now, now)
     }
 
-    /// What its worker answers: all ends that it has not been told to forget, too.
-    fn listing(&self, asked: Duration) -> Listing {
+    /// Answer of the worker to a poll: running tasks and unacknowledged ends.
+    fn listing(&self, now: Duration) -> Listing {
         let running = self.running.iter().map(|(task, run)| ReportedRun {
             task: *task,
             attempt: run.attempt,
             checkpoint: String::new(),
-            percent: run.percent(asked),
+            percent: run.percent(now),
             load: 0,
             stalled_for: Duration::ZERO,
         });
-        Listing { running: running.collect(), ended: self.ended.clone() }
+        Listing { running: running.collect(), ended: self.unacked_ends.clone() }
     }
 
-    /// The scheduler has on record all ends up to a number.
-    pub fn forget(&mut self, number: u64) {
-        self.ended.retain(|e| e.sequence_number > number);
+    /// Drops the ends up to a sequence number, as the scheduler has stored them.
+    pub fn acknowledge_ends(&mut self, sequence_number: u64) {
+        self.unacked_ends.retain(|e| e.sequence_number > sequence_number);
     }
 }
 
-/// A life of the worker on a host.
-fn worker_of(host: usize, life: u32) -> WorkerId {
-    format!("w-{host:05}-{life}").into()
+/// Returns the id of an incarnation of the worker on a host.
+fn worker_id(host: usize, incarnation: u32) -> WorkerId {
+    format!("w-{host:05}-{incarnation}").into()
 }
--- a/src/workswood/ops/model/parameters.rs
+++ b/src/workswood/ops/model/parameters.rs
@@ -1,4 +1,4 @@
-//! What the model takes from the deployments known to us: times and bounds.
+//! Time constants, limits and scheduler configuration of the model.
 
 use std::time::Duration;
 
@@ -6,50 +6,48 @@
 
 use super::spec::{ModelSpec, ServiceSpec};
 
-/// Name of the pool whose hosts are off.
-pub const SPARE: &str = "off";
-/// Data centres that the hosts stand in, by turns.
+/// Name of the pool whose hosts are switched off.
+pub const SPARE_POOL: &str = "off";
+/// Number of data centres. Hosts are assigned to them in turn.
 pub const DATA_CENTRES: usize = 4;
-/// A start that reaches a worker later than this after its data centre was evacuated was decided in spite of that:
-/// several times what a write and the way there take.
-pub const EVACUATED_WITHIN: Duration = Duration::from_millis(500);
-/// Time of an append when the store is well; median of the prepared platform.
-pub const APPEND: Duration = Duration::from_millis(8);
-/// Way of an order to a worker, and of an end to the scheduler; likewise.
-pub const WAY: Duration = Duration::from_millis(8);
-/// Time between two ticks of the scheduler, as the process has it.
-pub const TICK: Duration = Duration::from_millis(150);
-/// Time between two lists of hosts, as the process has it.
-pub const LIST: Duration = Duration::from_millis(600);
-/// Time between two looks at a worker that has nothing to tell, as the process
-/// has it.
-pub const LOOK: Duration = Duration::from_millis(900);
-/// How long a host takes to another pool; seen on the prepared platform.
-pub const MOVE: Duration = Duration::from_millis(1500);
-/// How long its maintenance takes; likewise.
-pub const UPKEEP: Duration = Duration::from_millis(2000);
-/// How long it takes to notice that a lease holder is gone (1.8 s without a
-/// renewal), and to load its state.
-pub const TAKEOVER: Duration = Duration::from_millis(2000);
-/// How long a lasting task takes before it serves.
-pub const WARM_UP: Duration = Duration::from_millis(1000);
-/// How long after its start a task crashes its worker that does so; seen on the prepared
-/// platform.
-pub const CRASH_AFTER: Duration = Duration::from_millis(10);
-/// How long a worker is away that has crashed; between 1 and 5 s there.
-pub const CRASH_AWAY: Duration = Duration::from_secs(3);
-/// How much later a report is heard that is late.
-pub const LATE_REPORT: Duration = Duration::from_millis(500);
-/// How long a lease of a worker lasts from its last answer on.
-pub const LEASE: Duration = Duration::from_secs(6);
-/// How long a run goes on after the last job.
-pub const AFTER: Duration = Duration::from_secs(12);
-/// Tries that a task may have; no task of the model fails by itself.
+/// A start may still reach a worker for this long after its data centre was evacuated, as it
+/// may have been decided before. A later start violates an invariant.
+pub const EVACUATION_GRACE: Duration = Duration::from_millis(500);
+/// Time of an append while the store is healthy.
+pub const APPEND_TIME: Duration = Duration::from_millis(8);
+/// Delay of an order to a worker or host, and of a report to the scheduler.
+pub const MESSAGE_DELAY: Duration = Duration::from_millis(8);
+/// Time between two ticks of the scheduler.
+pub const TICK_INTERVAL: Duration = Duration::from_millis(150);
+/// Time between two reads of the host list.
+pub const HOST_LIST_INTERVAL: Duration = Duration::from_millis(600);
+/// Time between two polls of a worker.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(900);
+/// Time that a host takes to move to another pool.
+pub const MOVE_TIME: Duration = Duration::from_millis(1500);
+/// Time that the maintenance of a host takes.
+pub const MAINTENANCE_TIME: Duration = Duration::from_millis(2000);
+/// Time from the death of a lease holder until its successor has loaded the state. Includes
+/// the 1.8 s without a renewal after which a lease is taken over.
+pub const TAKEOVER_TIME: Duration = Duration::from_millis(2000);
+/// Time that a long-running task takes to warm up.
+pub const WARM_UP_TIME: Duration = Duration::from_millis(1000);
+/// Time from the start of a crashing task to the crash of its worker.
+pub const CRASH_DELAY: Duration = Duration::from_millis(10);
+/// Time that a crashed worker is down.
+pub const CRASH_DOWNTIME: Duration = Duration::from_secs(3);
+/// Additional delay of a late report.
+pub const LATE_REPORT_DELAY: Duration = Duration::from_millis(500);
+/// Time that the lease of a worker lasts after its last answer.
+pub const WORKER_LEASE: Duration = Duration::from_secs(6);
+/// Time that a run continues after the last submission.
+pub const TAIL_TIME: Duration = Duration::from_secs(12);
+/// Most attempts of a task. No task of the model fails by itself.
 pub const MAX_ATTEMPTS: u32 = 3;
-/// Most bytes of a request's body; the model sends none.
+/// Largest body of a request in bytes. The model sends no requests.
 const MAX_BODY_BYTES: usize = 65_536;
 
-/// Bounds of the platform on the deployments known to us.
+/// Limits of the scheduler in the model.
 pub fn limits() -> Limits {
     Limits {
         lease: Duration::from_secs(5),
@@ -63,7 +61,7 @@
     }
 }
 
-/// Queues and services of a spec.
+/// Builds the scheduler configuration for the services of a spec.
 pub fn config(spec: &ModelSpec) -> SchedConfig {
     let service = |name: &str, spare: bool| {
         (name.to_string(), ServiceConfig { name: name.to_string(), guards_room: true, spare })
@@ -87,7 +85,7 @@
             .services
             .iter()
             .map(|s| service(&s.name, false))
-            .chain([service(SPARE, true)])
+            .chain([service(SPARE_POOL, true)])
             .collect(),
         workspaces: Workspaces::default(),
         max_body_bytes: MAX_BODY_BYTES,
--- a/src/workswood/ops/model/policy_variants.rs
+++ b/src/workswood/ops/model/policy_variants.rs
@@ -1,48 +1,48 @@
-//! One value of a policy, in several variants.
+//! Policies that differ in the value of one field.
 
 use serde_json::Value;
 use workswood_core::jobs::Policy;
 
 use crate::util::errors::{Error, Result};
 
-/// One value of a policy, in several variants: `need.full=0.7,0.85`.
+/// A field of a policy and the values to compare, such as `need.full=0.7,0.85`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PolicyVariants {
-    /// Its place: names of tables and of the field.
+    /// Path of the field: names of the enclosing objects and of the field.
     path: Vec<String>,
     values: Vec<Value>,
 }
 
 impl PolicyVariants {
-    /// Reads `PLACE=VALUE,VALUE`.
+    /// Parses `FIELD=VALUE,VALUE`.
     pub fn parse(text: &str) -> Result<PolicyVariants> {
-        let bad = || Error::BadVary { text: text.to_string() };
-        let (path, values) = text.split_once('=').ok_or_else(bad)?;
+        let invalid = || Error::BadVary { text: text.to_string() };
+        let (path, values) = text.split_once('=').ok_or_else(invalid)?;
         let path: Vec<String> = path.split('.').map(str::to_string).collect();
         if path.iter().any(String::is_empty) || values.is_empty() {
-            return Err(bad());
+            return Err(invalid());
         }
-        // What is no JSON is text: `1500ms`.
+        // A value that is not JSON is a string, such as `1500ms`.
         let value = |v: &str| serde_json::from_str(v).unwrap_or_else(|_| Value::from(v));
         Ok(PolicyVariants { path, values: values.split(',').map(value).collect() })
     }
 
-    /// A policy for each value, each under its name.
+    /// Returns a named policy for each value, with the other fields as in `base`.
     pub fn policies(&self, base: &Policy) -> Result<Vec<(String, Policy)>> {
         self.values.iter().map(|v| self.policy(base, v)).collect()
     }
 
     fn policy(&self, base: &Policy, value: &Value) -> Result<(String, Policy)> {
         let name = format!("{}={value}", self.path.join("."));
-        let bad = |text: String| Error::Settings { path: name.clone(), text };
-        let mut tree = serde_json::to_value(base).map_err(|e| bad(e.to_string()))?;
-        let mut place = &mut tree;
+        let invalid = |text: String| Error::Settings { path: name.clone(), text };
+        let mut tree = serde_json::to_value(base).map_err(|e| invalid(e.to_string()))?;
+        let mut field = &mut tree;
         for part in &self.path {
-            place = place.get_mut(part).ok_or_else(|| bad(format!("a policy has no `{part}` here")))?;
+            field = field.get_mut(part).ok_or_else(|| invalid(format!("a policy has no `{part}` here")))?;
         }
-        *place = value.clone();
-        let policy: Policy = serde_json::from_value(tree).map_err(|e| bad(e.to_string()))?;
-        policy.check().map_err(bad)?;
+        *field = value.clone();
+        let policy: Policy = serde_json::from_value(tree).map_err(|e| invalid(e.to_string()))?;
+        policy.check().map_err(invalid)?;
         Ok((name, policy))
     }
 }
--- a/src/workswood/ops/model/run_metrics.rs
+++ b/src/workswood/ops/model/run_metrics.rs
@@ -1,4 +1,4 @@
-//! What one run showed.
+//! Metrics of simulation runs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,74 +7,76 @@
 
 use super::workload::ModelJob;
 
-/// Length of the spans of time of which the worst count.
-const SPAN: Duration = Duration::from_secs(2);
-/// How many of them.
-const WORST: usize = 2;
+/// Length of the time windows by submission of which the worst are averaged.
+const WINDOW: Duration = Duration::from_secs(2);
+/// Number of worst time windows that are averaged.
+const WORST_WINDOWS: usize = 2;
 
-/// What one run showed, or the mean of several.
+/// Metrics of one run, or their means over several runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct RunMetrics {
-    /// Jobs that end by themselves.
+    /// Number of jobs that have a value.
     pub jobs: f64,
-    /// Share of their worth that was done in time.
+    /// Share of the total value that was completed by the deadline.
     #[serde(rename = "in_time")]
     pub on_time_share: f64,
-    /// The same of jobs handed in within the two worst spans of 2 s.
+    /// Mean on-time share of the two worst windows of 2 s by submission.
     #[serde(rename = "worst")]
     pub worst_windows_share: f64,
-    /// Standard deviation of `worst` over the runs.
+    /// Standard deviation of `worst_windows_share` over the runs.
     #[serde(rename = "worst_spread")]
     pub worst_windows_std_dev: f64,
-    /// Mean number of hosts that are on.
+    /// Mean number of hosts that are switched on.
     #[serde(rename = "machines")]
     pub hosts: f64,
-    /// Mean number of hosts that the running tasks fill.
+    /// Mean CPU usage of the running tasks, in hosts.
     #[serde(rename = "busy")]
     pub busy_hosts: f64,
-    /// Mean number that no policy can do with less of; see [`Bound`](super::lower_bound::LowerBounds).
+    /// Mean number of hosts that any policy needs; see
+    /// [`LowerBounds::any_policy`](super::lower_bound::LowerBounds::any_policy).
     #[serde(rename = "least")]
     pub min_hosts: f64,
-    /// Mean number with a perfect forecast and no delay; likewise.
+    /// Mean number of hosts with a perfect forecast and no delays; see
+    /// [`LowerBounds::perfect_forecast`](super::lower_bound::LowerBounds::perfect_forecast).
     #[serde(rename = "forecast")]
     pub forecast_hosts: f64,
-    /// Hosts that changed their pool.
+    /// Number of moves of hosts to another pool.
     #[serde(rename = "moves")]
     pub host_moves: f64,
-    /// Workers that crashed under a task.
+    /// Number of worker crashes.
     #[serde(rename = "crashes")]
     pub worker_crashes: f64,
 }
 
-/// Worth in time, and in all.
-type Earned = (f64, f64);
+/// Value completed by the deadline, and total value.
+type Value = (f64, f64);
 
-fn share(earned: Earned) -> f64 {
-    if earned.1 > 0.0 { earned.0 / earned.1 } else { 1.0 }
+fn on_time_share(value: Value) -> f64 {
+    if value.1 > 0.0 { value.0 / value.1 } else { 1.0 }
 }
 
 impl RunMetrics {
-    /// RunMetrics of a run from its jobs and when each was done; hosts and moves
-    /// are filled in by who counted them.
-    pub fn from_jobs(jobs: &[ModelJob], done: &BTreeMap<u64, Duration>) -> RunMetrics {
-        let mut all: Earned = (0.0, 0.0);
-        let mut spans: BTreeMap<u128, Earned> = BTreeMap::new();
+    /// Computes the metrics of a run from its jobs and their completion times. Metrics of hosts
+    /// and workers are left at 0.
+    pub fn from_jobs(jobs: &[ModelJob], completed_at: &BTreeMap<u64, Duration>) -> RunMetrics {
+        let mut all: Value = (0.0, 0.0);
+        let mut windows: BTreeMap<u128, Value> = BTreeMap::new();
         let counted = jobs.iter().filter(|j| j.value > 0.0);
         for j in counted.clone() {
-            let in_time = done.get(&j.key).is_some_and(|at| *at <= j.deadline);
-            let earned = if in_time { j.value } else { 0.0 };
-            let span = spans.entry(j.submitted_at.as_millis() / SPAN.as_millis()).or_default();
-            for sum in [&mut all, span] {
+            let on_time = completed_at.get(&j.key).is_some_and(|at| *at <= j.deadline);
+            let earned = if on_time { j.value } else { 0.0 };
+            let window = windows.entry(j.submitted_at.as_millis() / WINDOW.as_millis()).or_default();
+            for sum in [&mut all, window] {
                 sum.0 += earned;
                 sum.1 += j.value;
             }
         }
-        let mut shares: Vec<f64> = spans.into_values().map(share).collect();
+        let mut shares: Vec<f64> = windows.into_values().map(on_time_share).collect();
         shares.sort_by(f64::total_cmp);
-        let worst = &shares[..shares.len().min(WORST)];
+        let worst = &shares[..shares.len().min(WORST_WINDOWS)];
         RunMetrics {
             jobs: counted.count() as f64,
-            on_time_share: share(all),
+            on_time_share: on_time_share(all),
             worst_windows_share: if worst.is_empty() {
                 1.0
             } else {
@@ -84,10 +86,10 @@
         }
     }
 
-    /// The mean of several runs.
+    /// Computes the means of several runs, and the standard deviation of their worst windows.
     pub fn mean(all: &[RunMetrics]) -> RunMetrics {
         let count = all.len().max(1) as f64;
-        let mean = |of: fn(&RunMetrics) -> f64| all.iter().map(of).sum::<f64>() / count;
+        let mean = |metric: fn(&RunMetrics) -> f64| all.iter().map(metric).sum::<f64>() / count;
         let worst = mean(|f| f.worst_windows_share);
         let variance = all.iter().map(|f| (f.worst_windows_share - worst).powi(2)).sum::<f64>() / count;
         RunMetrics {
--- a/src/workswood/ops/model/simulation.rs
+++ b/src/workswood/ops/model/simulation.rs
@@ -1,4 +1,4 @@
-//! A run: lets the scheduler decide, and time pass.
+//! The event loop of a simulation.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,199 +10,206 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{EndKind, Event, JobKey, Policy, Scheduler, Wave, WorkerUpdate};
 
-use super::batches::Stored;
-use super::event_queue::{Agenda, Happening};
+use super::batches::StoredRecords;
+use super::event_queue::{EventQueue, ModelEvent};
 use super::lower_bound;
 use super::model_host::ModelHost;
-use super::parameters::{AFTER, SPARE, TICK};
+use super::parameters::{SPARE_POOL, TAIL_TIME, TICK_INTERVAL};
 use super::run_metrics::RunMetrics;
 use super::spec::ModelSpec;
 use super::workload::{self, LEAD_TIME, ModelJob};
 
-/// Sets the luck of faults apart from the load of the same seed.
+/// Combined with the seed of a run, so that faults and workload draw independent numbers.
 const FAULT_SEED: u64 = 0x5eed;
 
-/// A run under way.
-pub(super) struct World<'a> {
+/// State of a running simulation.
+pub(super) struct Simulation<'a> {
     pub spec: &'a ModelSpec,
     pub policy: &'a Policy,
     pub now: Duration,
-    pub agenda: Agenda,
-    /// The scheduler; `None` while nobody holds the lease.
-    pub sched: Option<Scheduler>,
+    pub event_queue: EventQueue,
+    /// The scheduler; `None` while no process holds the lease.
+    pub scheduler: Option<Scheduler>,
     pub term: Term,
-    /// Whether a batch is on its way to the store.
+    /// Whether a batch is being written to the store.
     pub writing: bool,
-    pub stored: Stored,
+    pub stored: StoredRecords,
     pub hosts: Vec<ModelHost>,
     pub jobs: Vec<ModelJob>,
-    /// When jobs were done.
-    pub done: BTreeMap<JobKey, Duration>,
+    /// Completion times of jobs, since the start of the run.
+    pub completed_at: BTreeMap<JobKey, Duration>,
     pub wave: Option<Wave>,
-    /// An append takes this many times as long as when the store is well.
-    pub store_factor: f64,
-    /// Share of reports that are late.
-    pub late_reports: f64,
-    /// Data centres that are evacuated, and since when.
+    /// Factor on the time of an append; 1 while the store is healthy.
+    pub append_slowdown: f64,
+    /// Share of the reports that are late.
+    pub late_report_share: f64,
+    /// Evacuated data centres, with the time of the evacuation.
     pub evacuated: BTreeMap<DataCentre, Duration>,
-    pub luck: StdRng,
-    pub moves: usize,
-    pub crashes: usize,
-    /// Seconds of hosts that are on, and that tasks fill.
-    on: f64,
-    busy: f64,
-    /// Until when they are counted.
-    counted: Duration,
+    pub fault_rng: StdRng,
+    pub host_moves: usize,
+    pub worker_crashes: usize,
+    /// Integral over time of the hosts that are switched on, in host-seconds.
+    host_seconds_on: f64,
+    /// Integral over time of the CPU usage of running tasks, in host-seconds.
+    host_seconds_busy: f64,
+    /// Time up to which both integrals are computed.
+    integrated_until: Duration,
 }
 
-/// Plays one run.
+/// Simulates one run and returns its metrics.
 pub fn simulate(spec: &ModelSpec, policy: &Policy, seed: u64) -> RunMetrics {
-    let mut w = World::new(spec, policy, seed);
-    let end = LEAD_TIME + spec.duration + AFTER;
-    while let Some((at, what)) = w.agenda.take_next() {
+    let mut sim = Simulation::new(spec, policy, seed);
+    let end = LEAD_TIME + spec.duration + TAIL_TIME;
+    while let Some((at, event)) = sim.event_queue.pop_next() {
         if at > end {
             break;
         }
-        w.count_hosts(at);
-        w.now = at;
-        w.happens(what);
-        w.decide();
+        sim.integrate_hosts(at);
+        sim.now = at;
+        sim.handle(event);
+        sim.take_batch();
     }
-    let seconds = w.now.as_secs_f64().max(1.0);
-    let bound = lower_bound::lower_bounds(spec, &w.jobs, end);
+    let seconds = sim.now.as_secs_f64().max(1.0);
+    let bound = lower_bound::lower_bounds(spec, &sim.jobs, end);
     RunMetrics {
-        hosts: w.on / seconds,
-        busy_hosts: w.busy / seconds,
+        hosts: sim.host_seconds_on / seconds,
+        busy_hosts: sim.host_seconds_busy / seconds,
         min_hosts: bound.any_policy,
         forecast_hosts: bound.perfect_forecast,
-        host_moves: w.moves as f64,
-        worker_crashes: w.crashes as f64,
-        ..RunMetrics::from_jobs(&w.jobs, &w.done)
+        host_moves: sim.host_moves as f64,
+        worker_crashes: sim.worker_crashes as f64,
+        ..RunMetrics::from_jobs(&sim.jobs, &sim.completed_at)
     }
 }
 
-impl<'a> World<'a> {
-    fn new(spec: &'a ModelSpec, policy: &'a Policy, seed: u64) -> World<'a> {
+impl<'a> Simulation<'a> {
+    fn new(spec: &'a ModelSpec, policy: &'a Policy, seed: u64) -> Simulation<'a> {
         let jobs = workload::generate_jobs(spec, seed);
-        let mut w = World {
+        let mut sim = Simulation {
             spec,
             policy,
             now: Duration::ZERO,
-            agenda: Agenda::default(),
-            sched: None,
+            event_queue: EventQueue::default(),
+            scheduler: None,
             term: 0,
             writing: false,
-            stored: Stored::default(),
+            stored: StoredRecords::default(),
             hosts: Vec::new(),
-            done: BTreeMap::new(),
+            completed_at: BTreeMap::new(),
             wave: None,
-            store_factor: 1.0,
-            late_reports: 0.0,
+            append_slowdown: 1.0,
+            late_report_share: 0.0,
             evacuated: BTreeMap::new(),
-            luck: StdRng::seed_from_u64(seed ^ FAULT_SEED),
-            moves: 0,
-            crashes: 0,
-            on: 0.0,
-            busy: 0.0,
-            counted: Duration::ZERO,
+            fault_rng: StdRng::seed_from_u64(seed ^ FAULT_SEED),
+            host_moves: 0,
+            worker_crashes: 0,
+            host_seconds_on: 0.0,
+            host_seconds_busy: 0.0,
+            integrated_until: Duration::ZERO,
             jobs,
         };
-        w.make_hosts();
-        w.take_over();
-        w.plan();
-        w
+        sim.make_hosts();
+        sim.start_scheduler();
+        sim.schedule_initial_events();
+        sim
     }
 
-    /// Plans all that is known before.
-    fn plan(&mut self) {
-        self.after(TICK, Happening::Tick);
-        self.after(Duration::ZERO, Happening::List);
+    /// Schedules all submissions and faults, the first tick and the first host list.
+    fn schedule_initial_events(&mut self) {
+        self.schedule_after(TICK_INTERVAL, ModelEvent::Tick);
+        self.schedule_after(Duration::ZERO, ModelEvent::ListHosts);
         for n in 0..self.jobs.len() {
             let at = self.jobs[n].submitted_at;
-            self.after(at, Happening::HandIn(n));
+            self.schedule_after(at, ModelEvent::SubmitJob(n));
         }
         for (n, f) in self.spec.faults.iter().enumerate() {
-            self.after(LEAD_TIME + f.at, Happening::FaultBegins(n));
-            self.after(LEAD_TIME + f.at + f.duration, Happening::FaultEnds(n));
+            self.schedule_after(LEAD_TIME + f.at, ModelEvent::FaultBegins(n));
+            self.schedule_after(LEAD_TIME + f.at + f.duration, ModelEvent::FaultEnds(n));
         }
     }
 
-    pub(super) fn after(&mut self, wait: Duration, what: Happening) {
-        self.agenda.plan(self.now + wait, what);
+    pub(super) fn schedule_after(&mut self, delay: Duration, event: ModelEvent) {
+        self.event_queue.schedule(self.now + delay, event);
     }
 
-    pub(super) fn tell(&mut self, ev: Event) {
+    pub(super) fn send_event(&mut self, ev: Event) {
         let now = self.now;
-        if let Some(s) = &mut self.sched {
+        if let Some(s) = &mut self.scheduler {
             s.now = now;
             s.wall = now.as_millis() as u64;
             s.handle(ev);
         }
     }
 
-    /// Tells what is new of a worker.
-    pub(super) fn tell_of(&mut self, id: WorkerId, news: WorkerUpdate) {
-        let token = self.sched.as_ref().and_then(|s| s.token_of(&id)).unwrap_or(0);
-        self.tell(Event::WorkerUpdate(id, token, news));
+    /// Sends an update of a worker to the scheduler, with the worker's current fencing token.
+    pub(super) fn send_worker_update(&mut self, id: WorkerId, update: WorkerUpdate) {
+        let token = self.scheduler.as_ref().and_then(|s| s.token_of(&id)).unwrap_or(0);
+        self.send_event(Event::WorkerUpdate(id, token, update));
     }
 
-    fn happens(&mut self, what: Happening) {
-        match what {
-            Happening::Tick => self.tick(),
-            Happening::List => self.list(),
-            Happening::HandIn(n) => {
+    fn handle(&mut self, event: ModelEvent) {
+        match event {
+            ModelEvent::Tick => self.tick(),
+            ModelEvent::ListHosts => self.list_hosts(),
+            ModelEvent::SubmitJob(n) => {
                 let job = &self.jobs[n];
                 let ev = Event::Submitted(job.key, Arc::clone(&job.spec));
-                self.tell(ev);
+                self.send_event(ev);
             }
-            Happening::Arrives(n) => self.arrives(n),
-            Happening::Look(n, worker, again) => self.look(n, worker, again),
-            Happening::Starts(worker, task, attempt) => self.starts(worker, task, attempt),
-            Happening::Ends(worker, task, attempt) => self.ends(worker, task, attempt, EndKind::Done),
-            Happening::Crashes(n, worker) => self.crash(n, &worker),
-            Happening::Stops(worker, task, attempt) => self.stops(worker, task, attempt),
-            Happening::Ordered(host, order) => self.ordered(host, order),
-            Happening::Stored(batch) => {
+            ModelEvent::HostUp(n) => self.host_up(n),
+            ModelEvent::PollWorker(n, worker, repeat) => self.poll_worker(n, worker, repeat),
+            ModelEvent::StartReachesWorker(worker, task, attempt) => {
+                self.start_reaches_worker(worker, task, attempt)
+            }
+            ModelEvent::TaskEnds(worker, task, attempt) => {
+                self.end_task(worker, task, attempt, EndKind::Done)
+            }
+            ModelEvent::WorkerCrashes(n, worker) => self.crash(n, &worker),
+            ModelEvent::StopReachesWorker(worker, task, attempt) => {
+                self.stop_reaches_worker(worker, task, attempt)
+            }
+            ModelEvent::OrderReachesHost(host, order) => self.order_reaches_host(host, order),
+            ModelEvent::BatchStored(batch) => {
                 self.writing = false;
-                self.carry_out(batch);
+                self.apply_batch(batch);
             }
-            Happening::FaultBegins(n) => self.fault_begins(n),
-            Happening::FaultEnds(n) => self.fault_ends(n),
-            Happening::TakesOver => self.take_over(),
+            ModelEvent::FaultBegins(n) => self.fault_begins(n),
+            ModelEvent::FaultEnds(n) => self.fault_ends(n),
+            ModelEvent::SchedulerTakesOver => self.start_scheduler(),
         }
     }
 
     fn tick(&mut self) {
-        self.ask_for_wave();
-        if let Some(own) = self.sched.as_ref().map(|s| s.holder.clone()) {
-            self.tell(Event::RelayHeard(own));
+        self.request_wave();
+        if let Some(holder) = self.scheduler.as_ref().map(|s| s.holder.clone()) {
+            self.send_event(Event::RelayHeard(holder));
         }
-        self.tell(Event::Tick);
-        self.after(TICK, Happening::Tick);
+        self.send_event(Event::Tick);
+        self.schedule_after(TICK_INTERVAL, ModelEvent::Tick);
     }
 
-    fn ask_for_wave(&mut self) {
+    fn request_wave(&mut self) {
         let Some(w) = &self.spec.wave else { return };
         if self.wave.is_some() || self.now < LEAD_TIME + w.at {
             return;
         }
         let count = (self.hosts.len() as f64 * w.share) as usize;
-        // Every so many hosts, so that each pool has some.
+        // Hosts at even intervals, so that each pool has some.
         let stride = self.hosts.len() / count.max(1);
-        let hosts = self.hosts.iter().step_by(stride.max(1)).take(count).map(|m| m.name().clone());
+        let hosts = self.hosts.iter().step_by(stride.max(1)).take(count).map(|h| h.name().clone());
         let wave =
             Wave { number: 1, hosts: hosts.collect(), time_allowed: w.time_allowed, max_down: w.max_down };
         self.wave = Some(wave.clone());
-        self.tell(Event::WaveRequested(wave, None));
+        self.send_event(Event::WaveRequested(wave, None));
     }
 
-    /// Counts hosts that are on, and what tasks fill of them, until a time.
-    fn count_hosts(&mut self, until: Duration) {
-        let passed = (until - self.counted).as_secs_f64();
-        self.counted = until;
-        let on = self.hosts.iter().filter(|m| m.pool != SPARE).count();
-        self.on += on as f64 * passed;
-        let used: u64 = self.hosts.iter().map(ModelHost::used).sum();
-        self.busy += used as f64 / self.spec.cpu_millis as f64 * passed;
+    /// Advances the integrals of switched-on hosts and CPU usage to `until`.
+    fn integrate_hosts(&mut self, until: Duration) {
+        let elapsed = (until - self.integrated_until).as_secs_f64();
+        self.integrated_until = until;
+        let on = self.hosts.iter().filter(|h| h.pool != SPARE_POOL).count();
+        self.host_seconds_on += on as f64 * elapsed;
+        let used: u64 = self.hosts.iter().map(ModelHost::used_cpu_millis).sum();
+        self.host_seconds_busy += used as f64 / self.spec.cpu_millis as f64 * elapsed;
     }
 }
--- a/src/workswood/ops/model/spec.rs
+++ b/src/workswood/ops/model/spec.rs
@@ -1,4 +1,4 @@
-//! The file that describes a fleet, its load and its faults.
+//! The file format that describes a fleet, its workload and its faults.
 
 use std::time::Duration;
 
@@ -8,52 +8,50 @@
 
 use super::parameters::DATA_CENTRES;
 
-/// Longest time that may be played.
-const LONGEST: Duration = Duration::from_secs(3600);
-/// Most hosts.
-const MOST_HOSTS: usize = 10_000;
+/// Longest simulated time.
+const MAX_DURATION: Duration = Duration::from_secs(3600);
+/// Most hosts of a fleet.
+const MAX_HOSTS: usize = 10_000;
 
-/// As on the deployments known to us.
 fn default_peak_factor() -> f64 {
     5.0
 }
 
-/// Likewise.
 fn default_off_peak_factor() -> f64 {
     0.05
 }
 
-/// A fleet, its load and its faults.
+/// A fleet, its workload and its faults.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
-    /// How long callers hand jobs in.
+    /// How long callers submit jobs.
     #[serde(rename = "lasts", with = "humantime_serde")]
     pub duration: Duration,
-    /// How long the turn of one service lasts.
+    /// How long the load peak of one service lasts.
     #[serde(rename = "turn", with = "humantime_serde")]
     pub peak_duration: Duration,
-    /// In its turn a service asks for this many times its mean.
+    /// Factor on the mean job rate of a service during its peak.
     #[serde(rename = "peak", default = "default_peak_factor")]
     pub peak_factor: f64,
-    /// Outside its turn it asks for this share of its mean.
+    /// Factor on the mean job rate of a service outside its peak.
     #[serde(rename = "rest", default = "default_off_peak_factor")]
     pub off_peak_factor: f64,
-    /// Thousandths of a core of each host.
+    /// CPU capacity of each host, in thousandths of a core.
     pub cpu_millis: u64,
     /// Memory of each host in MB.
     pub mem_mb: u64,
-    /// Hosts that are off at the beginning.
+    /// Hosts that are switched off at the start.
     pub spare: usize,
-    /// Services, in the order of their turns.
+    /// Services, in the order of their peaks.
     pub services: Vec<ServiceSpec>,
     /// A maintenance wave, if there is one.
     #[serde(default)]
     pub wave: Option<WaveSpec>,
-    /// What goes wrong.
+    /// Faults to inject.
     #[serde(default)]
     pub faults: Vec<FaultSpec>,
-    /// What the scheduler's decisions are tuned by.
+    /// Policy of the scheduler.
     #[serde(default)]
     pub policy: Policy,
 }
@@ -62,28 +60,28 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceId,
-    /// Hosts of its pool at the beginning.
+    /// Hosts of its pool at the start.
     #[serde(rename = "machines")]
     pub hosts: usize,
-    /// Mean number of jobs a second over all turns.
+    /// Mean number of jobs per second, over peaks and the time between them.
     pub jobs_per_s: f64,
     /// Mean number of steps of a job.
     pub steps: f64,
     /// Mean number of tasks of a step.
     pub tasks: f64,
-    /// Mean time that a task takes.
+    /// Mean duration of a task.
     #[serde(rename = "takes", with = "humantime_serde")]
     pub task_duration: Duration,
-    /// Mean room of a task in thousandths of a core.
+    /// Mean CPU capacity of a task, in thousandths of a core.
     pub task_cpu_millis: u64,
-    /// A job is owed within this multiple of its longest chain of work.
+    /// The deadline of a job is this multiple of its work along the critical path,
     pub stretch: f64,
-    /// Plus this much.
+    /// plus this time.
     #[serde(with = "humantime_serde")]
     pub target: Duration,
-    /// Tasks of a job that lasts.
+    /// Tasks of the service's long-running job; 0 for no such job.
     #[serde(rename = "lasting", default)]
     pub long_running_tasks: u32,
 }
@@ -92,30 +90,30 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WaveSpec {
-    /// When it is asked for.
+    /// When the wave is requested, counted from the start of the first load peak.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// Share of all hosts.
+    /// Share of all hosts that are maintained.
     pub share: f64,
-    /// Time allowed for all of them.
+    /// Time allowed for the whole wave.
     #[serde(rename = "within", with = "humantime_serde")]
     pub time_allowed: Duration,
-    /// How many may be down at once.
+    /// Most hosts that may be down at the same time.
     #[serde(rename = "most_at_once")]
     pub max_down: usize,
 }
 
-/// What goes wrong.
+/// A fault to inject.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSpec {
-    /// When it begins.
+    /// When the fault begins, counted from the start of the first load peak.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// How long it lasts.
+    /// How long the fault lasts.
     #[serde(rename = "lasts", with = "humantime_serde", default)]
     pub duration: Duration,
-    /// What it is.
+    /// Kind of the fault.
     pub kind: FaultKind,
 }
 
@@ -123,52 +121,53 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum FaultKind {
-    /// The lease holder dies; another one takes over.
+    /// The lease holder dies, and another process takes over.
     HolderDies,
-    /// The store takes this many times as long for an append.
+    /// An append to the store takes this many times as long.
     StoreSlow(f64),
-    /// So many of the busiest hosts fall silent, with what runs there.
+    /// This many of the busiest hosts stop answering, and their runs are lost.
     MachinesDark(usize),
-    /// This share of the workers' reports is heard half a second late.
+    /// This share of the workers' reports arrives half a second late.
     ReportsLate(f64),
-    /// This share of the jobs that are handed in has a task that crashes each worker
-    /// that starts it.
+    /// This share of the submitted jobs has a task that crashes each worker that starts it.
     TasksCrash(f64),
-    /// The data centre of this number, from 0, is evacuated: nothing begins there.
+    /// The data centre with this zero-based number is evacuated, so no task starts there.
     Evacuated(usize),
 }
 
 impl ModelSpec {
-    /// Time from the beginning of a service's turn to that of its next one: what
-    /// makes its mean over both what the file says.
+    /// Time from the start of a service's peak to the start of its next one, such that the mean
+    /// over both phases is the configured rate.
     pub fn period(&self) -> Duration {
         self.peak_duration.mul_f64((self.peak_factor - self.off_peak_factor) / (1.0 - self.off_peak_factor))
     }
 
-    /// Checks what the model relies on.
+    /// Validates the spec.
+    ///
+    /// Returns a message that names the bad setting.
     pub fn check(&self) -> Result<(), String> {
         let hosts = self.spare + self.services.iter().map(|s| s.hosts).sum::<usize>();
         if self.services.is_empty() {
             return Err("name at least one service under `services`".to_string());
         }
-        if hosts == 0 || hosts > MOST_HOSTS {
-            return Err(format!("`spare` and `machines` must come to 1 to {MOST_HOSTS}, not {hosts}"));
+        if hosts == 0 || hosts > MAX_HOSTS {
+            return Err(format!("`spare` and `machines` must come to 1 to {MAX_HOSTS}, not {hosts}"));
         }
         if self.cpu_millis == 0 {
             return Err("`cpu_millis` must be above 0".to_string());
         }
-        self.check_turns()?;
+        self.check_load_phases()?;
         self.services.iter().try_for_each(ServiceSpec::check)?;
         self.wave.as_ref().map_or(Ok(()), WaveSpec::check)?;
         self.faults.iter().try_for_each(FaultSpec::check)?;
         self.policy.check()
     }
 
-    fn check_turns(&self) -> Result<(), String> {
-        if self.duration > LONGEST || self.peak_duration > LONGEST || self.peak_duration.is_zero() {
+    fn check_load_phases(&self) -> Result<(), String> {
+        if self.duration > MAX_DURATION || self.peak_duration > MAX_DURATION || self.peak_duration.is_zero() {
             return Err(format!(
                 "`lasts` must be at most {0} s, and `turn` above 0 and at most {0} s",
-                LONGEST.as_secs()
+                MAX_DURATION.as_secs()
             ));
         }
         if !(self.peak_factor > 1.0 && self.peak_factor.is_finite()) {
