--- a/src/workswood/ops/bench/fold.rs
+++ b/src/workswood/ops/bench/fold.rs
@@ -1,4 +1,4 @@
-//! Time of a fold, and bytes of state.
+//! Measures the time of a fold and the bytes of state.
 
 use std::time::Instant;
 
@@ -6,13 +6,14 @@
 use workswood_core::fold::State;
 use workswood_core::record::{AttemptOutcome, Envelope, FORMAT_VERSION, Record, Role, RosterMember};
 
-use super::stats::median;
+use super::quantiles::median;
 use crate::ops::plan::settled;
 
+/// Runs of which the median is printed.
 const RUNS: usize = 5;
 
-/// A file with hosts in racks of twenty over thirty data centres, and a
-/// service of ten instances for every ten hosts of a pool.
+/// Makes a fleet file with hosts in racks of twenty over thirty data centres, and one service
+/// of ten instances for every ten hosts of a pool.
 pub fn fleet(hosts: usize, pools: usize) -> FleetFile {
     let host = |i: usize| Host {
         name: format!("h{i:05}"),
@@ -69,7 +70,7 @@
     }
 }
 
-/// Prints bytes of state by hosts and keys, and the time of folding claims.
+/// Prints the bytes of state by number of hosts and keys, and the time of folding records.
 pub fn run() {
     crate::outln!("hosts services state_bytes bytes_per_host text_ms resident_mib_with_two_copies");
     for (hosts, pools) in [(50, 2), (500, 4), (5_000, 12), (24_000, 52)] {
@@ -86,8 +87,8 @@
     for keys in [1_000u64, 10_000, 100_000] {
         let mut bytes = 0;
         let times = (0..RUNS).map(|_| {
-            let (ns, b) = claims(keys);
-            bytes = b;
+            let (ns, bytes_per_key) = fold_claims(keys);
+            bytes = bytes_per_key;
             ns
         });
         let ns = median(times.collect());
@@ -95,12 +96,12 @@
     }
     crate::outln!("log_records catch_up_ms (decode and fold, 10 records an envelope)");
     for envelopes in [1_000usize, 10_000] {
-        let texts = log_texts(envelopes);
+        let texts = envelope_texts(envelopes);
         let times = (0..RUNS).map(|_| {
             let started = Instant::now();
             let mut state = State::default();
-            for (i, t) in texts.iter().enumerate() {
-                if let Ok(env) = serde_json::from_str::<Envelope>(t) {
+            for (i, text) in texts.iter().enumerate() {
+                if let Ok(env) = serde_json::from_str::<Envelope>(text) {
                     state.fold(i as u64, &env);
                 }
             }
@@ -110,7 +111,8 @@
     }
 }
 
-fn with_roster() -> State {
+/// Makes a state whose only entry is `me`.
+fn state_with_roster() -> State {
     let mut state = State::default();
     let member = RosterMember { id: "me".to_string(), data_centre: "dc0".to_string() };
     let records = vec![
@@ -130,7 +132,8 @@
     state
 }
 
-fn pair(i: u64) -> [Record; 2] {
+/// Returns the records that claim and finish the key with this number.
+fn claim_and_finish(i: u64) -> [Record; 2] {
     let key = format!("key-{i:020}");
     let claim = Record::Claim {
         key: key.clone(),
@@ -140,12 +143,14 @@
         last_moment: 10_000_000,
         deferred: None,
     };
-    let end = AttemptOutcome::Answered { status: 200, body: Some("b2s=".to_string()) };
-    [claim, Record::Finish { key, holder: "me".to_string(), outcome: end }]
+    let outcome = AttemptOutcome::Answered { status: 200, body: Some("b2s=".to_string()) };
+    [claim, Record::Finish { key, holder: "me".to_string(), outcome }]
 }
 
-fn claims(keys: u64) -> (f64, usize) {
-    let mut state = with_roster();
+/// Folds claims and finishes of `keys` keys. Returns the nanoseconds per record and the bytes of
+/// state per key.
+fn fold_claims(keys: u64) -> (f64, usize) {
+    let mut state = state_with_roster();
     let empty = state.text().len();
     let envelopes: Vec<Envelope> = (0..keys / 10)
         .map(|e| Envelope {
@@ -153,7 +158,7 @@
             sender: "me".to_string(),
             seq: e + 2,
             written_at: 1,
-            records: (0..10).flat_map(|i| pair(e * 10 + i)).collect(),
+            records: (0..10).flat_map(|i| claim_and_finish(e * 10 + i)).collect(),
         })
         .collect();
     let started = Instant::now();
@@ -164,9 +169,10 @@
     (ns, (state.text().len() - empty) / keys as usize)
 }
 
-fn log_texts(envelopes: usize) -> Vec<String> {
+/// Returns envelopes of ten records each, as JSON.
+fn envelope_texts(envelopes: usize) -> Vec<String> {
     let text = |e: usize| {
-        let records = (0..5).flat_map(|i| pair((e * 5 + i) as u64)).collect();
+        let records = (0..5).flat_map(|i| claim_and_finish((e * 5 + i) as u64)).collect();
         let env = Envelope {
             format_version: FORMAT_VERSION,
             sender: "me".to_string(),
@@ -179,7 +185,7 @@
     (0..envelopes).map(text).collect()
 }
 
-/// Memory that this process holds, in MiB.
+/// Returns the resident memory of this process in MiB, or 0 if it is unknown.
 fn resident_mib() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or_default();
