--- a/src/bin/workswood/commands/model.rs
+++ b/src/bin/workswood/commands/model.rs
@@ -2,7 +2,7 @@
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use workswood::Result;
-use workswood::ops::model::{self, Vary};
+use workswood::ops::model::{self, PolicyVariants};
 
 /// Builds the command line of the command.
 pub fn cli() -> Command {
@@ -45,10 +45,10 @@
 /// Runs the command.
 pub fn exec(args: &ArgMatches) -> Result<()> {
     let spec = model::read(&super::string_arg(args, "file"))?;
-    let vary = args.get_one::<String>("vary").map(|text| Vary::parse(text)).transpose()?;
+    let variants = args.get_one::<String>("vary").map(|text| PolicyVariants::parse(text)).transpose()?;
     let count = args.get_one::<u64>("seeds").copied().unwrap_or(10);
     let first = args.get_one::<u64>("first-seed").copied().unwrap_or(1);
-    let comparison = model::run(&spec, vary.as_ref(), first..first + count, |name, seed| {
+    let comparison = model::run(&spec, variants.as_ref(), first..first + count, |name, seed| {
         workswood::errout!("\r{name}: {} of {count}   ", seed - first + 1);
     })?;
     workswood::errout!("\n");
--- a/src/workswood/ops/model/mod.rs
+++ b/src/workswood/ops/model/mod.rs
@@ -1,46 +1,48 @@
-//! `model`: the scheduler against simulated workers, hosts, store and callers.
+//! `workswood model`: a discrete-event simulation of the scheduler with model workers, hosts,
+//! store and callers.
 //!
-//! The real scheduler decides, on injected time. The same file and seed give the
-//! same figures. It is the place where a policy is tried on many seeds before it
-//! is measured on real processes; `docs/MODEL.md` says what it leaves out.
+//! The real scheduler runs on simulated time. The same spec and seed give the same
+//! metrics. Policies are compared here on many seeds; `docs/MODEL.md` lists what the model
+//! leaves out.
 //!
-//! * [`spec`] is the file that describes a fleet, its load and its faults.
-//! * [`load`] draws the jobs that callers hand in.
-//! * [`deployment`] holds times and bounds of the deployments known to us.
-//! * [`fleet`] is hosts and the tasks that run on them.
-//! * [`agenda`] is what is to happen in a run, and when.
-//! * [`world`] is a run: its scheduler decides, [`carry`] carries out what it says,
-//!   [`hosts`] do as they are told, and [`faults`] come in between.
-//! * [`figures`] is what one run showed, and [`bound`] how few hosts would do.
-//! * [`vary`] is one value of a policy, in several variants, and [`compare`] their
-//!   figures side by side.
+//! * [`spec`] is the file format that describes a fleet, its workload and its faults.
+//! * [`workload`] generates the jobs that callers submit.
+//! * [`parameters`] holds the time constants and limits of the model.
+//! * [`model_host`] models a host and the tasks that run on it.
+//! * [`event_queue`] holds the pending events of a run.
+//! * [`simulation`] runs the event loop; [`batches`] applies the scheduler's batches,
+//!   [`host_events`] models the reactions of hosts and workers, and [`faults`] injects faults.
+//! * [`run_metrics`] computes the metrics of a run, and [`lower_bound`] the least number of hosts
+//!   for its workload.
+//! * [`policy_variants`] makes policies that differ in one field, and [`compare`] compares their
+//!   metrics.
 
-pub mod agenda;
-pub mod bound;
-mod carry;
+mod batches;
 pub mod compare;
-pub mod deployment;
+pub mod event_queue;
 mod faults;
-pub mod figures;
-pub mod fleet;
-mod hosts;
-pub mod load;
+mod host_events;
+pub mod lower_bound;
+pub mod model_host;
+pub mod parameters;
+pub mod policy_variants;
+pub mod run_metrics;
+pub mod simulation;
 pub mod spec;
-pub mod vary;
-pub mod world;
+pub mod workload;
 
 use std::ops::Range;
 
 use snafu::ResultExt;
 
 pub use compare::Comparison;
-pub use figures::Figures;
+pub use policy_variants::PolicyVariants;
+pub use run_metrics::RunMetrics;
 pub use spec::ModelSpec;
-pub use vary::Vary;
 
 use crate::util::errors::{Error, ReadFileSnafu, Result};
 
-/// Reads and checks the file that describes a fleet.
+/// Reads and validates the spec at `path`.
 pub fn read(path: &str) -> Result<ModelSpec> {
     let text = std::fs::read_to_string(path).context(ReadFileSnafu { path })?;
     let bad = |text: String| Error::InvalidSettings { path: path.to_string(), text };
@@ -49,26 +51,27 @@
     Ok(spec)
 }
 
-/// Plays each variant on the same seeds, and tells of each run that is over.
+/// Simulates each variant on the same seeds. Calls `on_run_done` with the variant's name and
+/// the seed after each run. Without variants, only the policy of the spec is simulated.
 pub fn run(
     spec: &ModelSpec,
-    vary: Option<&Vary>,
+    variants: Option<&PolicyVariants>,
     seeds: Range<u64>,
-    mut told: impl FnMut(&str, u64),
+    mut on_run_done: impl FnMut(&str, u64),
 ) -> Result<Comparison> {
-    let variants = match vary {
+    let variants = match variants {
         Some(v) => v.policies(&spec.policy)?,
         None => vec![("as it is".to_string(), spec.policy.clone())],
     };
     let count = seeds.end.saturating_sub(seeds.start);
-    let mut found = Comparison { first_seed: seeds.start, seeds: count, variants: Vec::new() };
+    let mut comparison = Comparison { first_seed: seeds.start, seeds: count, variants: Vec::new() };
     for (name, policy) in variants {
         let mut runs = Vec::new();
         for seed in seeds.clone() {
-            runs.push(world::play(spec, &policy, seed));
-            told(&name, seed);
+            runs.push(simulation::simulate(spec, &policy, seed));
+            on_run_done(&name, seed);
         }
-        found.add(name, runs);
+        comparison.add(name, runs);
     }
-    Ok(found)
+    Ok(comparison)
 }
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -14,8 +14,8 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
-use workswood::ops::explain::job::{HostLog, account};
-use workswood::ops::job_status::{self, sum};
+use workswood::ops::explain::job_history::{HostLog, job_history};
+use workswood::ops::job_status::{self, aggregate_status};
 use workswood::ops::jobs::inbox::Stored;
 use workswood::ops::jobs::node::Holder;
 use workswood::ops::jobs::operator_state::Evacuations;
@@ -29,7 +29,7 @@
 use workswood::ops::model;
 use workswood::ops::model::compare::{Gain, Variant};
 use workswood::ops::model::spec::FaultKind;
-use workswood::ops::model::{Comparison, Figures};
+use workswood::ops::model::{Comparison, RunMetrics};
 use workswood::util::job_settings::JobSettings;
 use workswood::util::settings::Settings;
 use workswood_adapter::{Addresses, PlatformClient};
@@ -726,7 +726,10 @@
     assert_eq!(kinds[..2], [FaultKind::HolderDies, FaultKind::StoreSlow(2.5)]);
     assert_eq!(kinds[2..4], [FaultKind::MachinesDark(3), FaultKind::ReportsLate(0.25)]);
     assert_eq!(kinds[4..], [FaultKind::TasksCrash(0.125), FaultKind::Evacuated(1)]);
-    assert_eq!((spec.lasts, spec.turn, spec.peak, spec.rest), (millis(42_500), millis(8_250), 4.5, 0.0625));
+    assert_eq!(
+        (spec.duration, spec.peak_duration, spec.peak_factor, spec.off_peak_factor),
+        (millis(42_500), millis(8_250), 4.5, 0.0625)
+    );
     for name in ["model-crashes", "model-overload", "model-turns"] {
         let spec = model::read(&path(&format!("examples/{name}.json"))).expect("a good file");
         assert!(holds(&json(&to_json(&spec)), &json(&example(name))), "{name}");
@@ -826,22 +829,22 @@
     );
 }
 
-/// Figures of the model as `--json` tells them.
+/// Metrics of the model as `--json` prints them.
 #[test]
 fn model_comparison() {
-    let figures = |n: f64| Figures {
+    let figures = |n: f64| RunMetrics {
         jobs: n,
-        in_time: n + 0.5,
-        worst: n + 1.0,
-        worst_spread: n + 1.5,
+        on_time_share: n + 0.5,
+        worst_windows_share: n + 1.0,
+        worst_windows_std_dev: n + 1.5,
         hosts: n + 2.0,
-        busy: n + 2.5,
-        least: n + 3.0,
-        forecast: n + 3.5,
-        moves: n + 4.0,
-        crashes: n + 4.5,
+        busy_hosts: n + 2.5,
+        min_hosts: n + 3.0,
+        forecast_hosts: n + 3.5,
+        host_moves: n + 4.0,
+        worker_crashes: n + 4.5,
     };
-    let gain = Some(Gain { in_time: 0.25, error: 0.125 });
+    let gain = Some(Gain { on_time_share: 0.25, standard_error: 0.125 });
     let variant =
         Variant { name: "full=0.5".to_string(), mean: figures(1.0), gain, runs: vec![figures(2.0)] };
     let told = Comparison { first_seed: 3, seeds: 2, variants: vec![variant] };
@@ -1053,8 +1056,8 @@
     let platform = PlatformClient::new(Addresses { store: away.clone(), machines: away, adviser: None });
     let records = |file| lines(file).into_iter().map(keyed).collect();
     let states = [JobHostState::Up, JobHostState::Moving, JobHostState::Upkeep, JobHostState::Down];
-    let mut seen = job_status::Seen {
-        at: 1_700_000_100_000,
+    let mut seen = job_status::StatusInputs {
+        read_at: 1_700_000_100_000,
         lease: Some(keyed(("holder", text(LEASE_AND_PEERS, "lease-held")))),
         renewed: true,
         operators: records(OPERATOR_RECORDS),
@@ -1064,7 +1067,7 @@
         published: vec![platform.wave_status_record(12, true)],
         hosts: Ok(states.map(|state| host("m-1", state)).into()),
     };
-    assert_eq!(to_json(&sum(&platform, &seen)), text(JOBS_SHOWN, "status"));
+    assert_eq!(to_json(&aggregate_status(&platform, &seen)), text(JOBS_SHOWN, "status"));
     let open = JobRecord { outcome: None, ..job_state_of("00000000000000ab") };
     let spec = inbox_spec("00000000000000ab-828a5f41ad4304c3");
     seen.inbox.extend([1, 2, 3, 4, 5, 6].map(|job| job_record(job, &spec)));
@@ -1072,14 +1075,14 @@
     seen.state.push(state_record(&Record::Job(6, open)));
     seen.hosts = Err("no answer: late".to_string());
     seen.lease = Some(keyed(("holder", text(LEASE_AND_PEERS, "lease-released"))));
-    assert_eq!(to_json(&sum(&platform, &seen)), text(JOBS_SHOWN, "status-with-open-jobs"));
+    assert_eq!(to_json(&aggregate_status(&platform, &seen)), text(JOBS_SHOWN, "status-with-open-jobs"));
 }
 
 /// Operators' tools that read `explain --json` of a job.
 #[test]
 fn job_account() {
     let log = HostLog { host: "entry-1".to_string(), text: JOB_LOG.to_string() };
-    let told = account(0xa1, &[log]).expect("there are lines about it");
+    let told = job_history(0xa1, &[log]).expect("there are lines about it");
     assert_eq!(to_json(&told), text(JOBS_SHOWN, "account"));
 }
 
