--- a/crates/workswood-core/src/fleet/file.rs
+++ b/crates/workswood-core/src/fleet/file.rs
@@ -266,7 +266,7 @@
 
 /// Location of a host.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct HostLocation {
+pub struct Place {
     /// Data centre of the host.
     pub data_centre: DataCentre,
     /// Rack of the host.
@@ -304,7 +304,7 @@
 
 impl Host {
     /// Data centre and rack of the host.
-    pub fn location(&self) -> HostLocation {
-        HostLocation { data_centre: self.data_centre.clone(), rack: self.rack.clone() }
+    pub fn location(&self) -> Place {
+        Place { data_centre: self.data_centre.clone(), rack: self.rack.clone() }
     }
 }
--- a/crates/workswood-core/src/fold/hosts.rs
+++ b/crates/workswood-core/src/fold/hosts.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{RecordResult, Rejection, State};
-use crate::fleet::{Host, HostLocation};
+use crate::fleet::{Host, Place};
 use crate::ids::{FileId, PoolId, Term};
 use crate::invariant;
 use crate::record::{DrainReason, HostChange, Role};
@@ -58,7 +58,7 @@
     pub action_generation: u64,
     /// Its data centre and rack.
     #[serde(rename = "place")]
-    pub location: HostLocation,
+    pub location: Place,
     /// Processors in cores.
     pub cpus: u32,
     /// Memory in GiB.
@@ -209,8 +209,8 @@
 /// Applies a change to a host; returns true if it moved the host to another pool.
 fn apply_change(host: &mut ManagedHost, change: &HostChange) -> Result<bool, Rejection> {
     match (change, host.phase.clone()) {
-        (HostChange::Seen { location, cpus, memory_gib, accelerators }, _) => {
-            host.location = location.clone();
+        (HostChange::Seen { place, cpus, memory_gib, accelerators }, _) => {
+            host.location = place.clone();
             host.cpus = *cpus;
             host.memory_gib = *memory_gib;
             host.accelerators = *accelerators;
--- a/crates/workswood-core/src/plan/observed.rs
+++ b/crates/workswood-core/src/plan/observed.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fleet::{Host, HostLocation};
+use crate::fleet::{Host, Place};
 use crate::ids::{HostId, PoolId};
 
 /// State of a host in the platform's list.
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObservedHost {
     /// Data centre and rack.
-    pub place: HostLocation,
+    pub place: Place,
     /// Number of processor cores.
     pub cpus: u32,
     /// Memory in GiB.
--- a/crates/workswood-core/src/plan/transitions.rs
+++ b/crates/workswood-core/src/plan/transitions.rs
@@ -34,7 +34,7 @@
         && (s.cpus, s.memory_gib, s.accelerators) == (rec.cpus, rec.memory_gib, rec.accelerators);
     if !unchanged {
         steps.push(HostChange::Seen {
-            location: s.place.clone(),
+            place: s.place.clone(),
             cpus: s.cpus,
             memory_gib: s.memory_gib,
             accelerators: s.accelerators,
--- a/crates/workswood-core/src/record.rs
+++ b/crates/workswood-core/src/record.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::fleet::{FleetFile, HostLocation};
+use crate::fleet::{FleetFile, Place};
 use crate::ids::*;
 
 /// Version of the record format that this program writes.
@@ -228,8 +228,7 @@
     /// Records the location and the resources of the host, as the platform lists them.
     Seen {
         /// Data centre and rack.
-        #[serde(rename = "place")]
-        location: HostLocation,
+        place: Place,
         /// Processors in cores.
         cpus: u32,
         /// Memory in GiB.
