--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -1,4 +1,4 @@
-//! The dispatcher of one service on one entry host.
+//! The dispatcher of one service on one entry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::ids::{DataCentre, InstanceId};
 use crate::invariant;
 
-/// Number of a request, unique on this entry host.
+/// Number of one attempt to get a slot for a request, unique on this entry.
 pub type RequestId = u64;
 
 /// Minimum time between borrowing a slot and returning it because it is free.
@@ -26,7 +26,9 @@
 const MAX_SLOT_DEMAND: u32 = 8;
 /// Initial estimate of the mean time that a request holds a slot, in seconds.
 const INITIAL_MEAN_SECS: f64 = 0.02;
-/// At most one in this many endpoints of a service is ejected.
+/// Weight of a new sample in the moving average of that time.
+const MEAN_REQUEST_WEIGHT: f64 = 0.02;
+/// At most one in this many endpoints of a service is ejected, but one is always allowed.
 const ENDPOINTS_PER_EJECTION: usize = 3;
 /// Lower bound of the limit on queued urgent requests; that of normal ones is a multiple of it.
 const MIN_QUEUE_LIMIT: usize = 16;
@@ -38,7 +40,7 @@
 /// the routing table says whether it is open.
 const LEAVING_DURATION: Duration = Duration::from_secs(10);
 
-/// What an entry host has to do for the dispatcher.
+/// What an entry has to do for the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Sends a request to an endpoint.
@@ -49,7 +51,7 @@
         endpoint: InstanceId,
         /// Its address.
         address: String,
-        /// Whether the endpoint has more requests in flight than this entry host owns slots.
+        /// Whether this entry has more requests in flight to the endpoint than it owns slots there.
         borrowed: bool,
         /// Number of open endpoints that get no requests because of their health.
         passed_over: usize,
@@ -79,7 +81,7 @@
     Neutral,
 }
 
-/// Slots that an entry host wants to borrow.
+/// Slots that an entry wants to borrow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotDemand {
     /// Number of slots.
@@ -109,7 +111,7 @@
     sent_at: Duration,
 }
 
-/// The dispatcher of one service on one entry host.
+/// The dispatcher of one service on one entry.
 #[derive(Clone, Debug)]
 pub struct Dispatcher {
     config: DispatcherConfig,
@@ -118,12 +120,13 @@
     queues: ClassQueues,
     in_flight: BTreeMap<RequestId, InFlightRequest>,
     retry_budget: RetryBudget,
-    /// Moving average of the time that a request holds a slot.
+    /// Moving average of the time that a request holds a slot, in seconds, over the successful
+    /// requests of all classes but `long`.
     mean_request_secs: f64,
     last_backoff_reset: Duration,
     /// Number of endpoints chosen so far.
     round_robin: usize,
-    /// Index on the roster, if this entry host is on it, and the length of the roster.
+    /// Index on the roster, if this entry is on it, and the length of the roster.
     roster_position: (Option<usize>, usize),
     last_loan_id: u64,
     borrow_not_before: Duration,
@@ -141,7 +144,7 @@
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher without endpoints for an entry host in a data centre.
+    /// Creates a dispatcher without endpoints for an entry in a data centre.
     pub fn new(data_centre: &str, config: DispatcherConfig) -> Dispatcher {
         Dispatcher {
             config,
@@ -159,8 +162,8 @@
         }
     }
 
-    /// Applies a new routing table: the service, this entry host's index on the roster if it is
-    /// there, and the length of the roster.
+    /// Applies a new routing table: the service, this entry's index on the roster if it is there,
+    /// and the length of the roster.
     pub fn update(
         &mut self,
         now: Duration,
@@ -175,8 +178,8 @@
             let kept = previous.remove(&e.id).filter(|p| p.address == e.address);
             let mut ep = kept.unwrap_or_else(|| EndpointView::new(e));
             ep.open = e.open;
-            let share = member_index.map_or(0, |m| owned_slots(view.window, e.number, m, member_count));
-            ep.set_share(now, share, roster_changed);
+            let owned = member_index.map_or(0, |m| owned_slots(view.window, e.number, m, member_count));
+            ep.set_owned(now, owned, roster_changed);
             self.endpoints.insert(e.id.clone(), ep);
         }
         self.dispatch_queued(now)
@@ -288,7 +291,7 @@
             }
         }
         if outcome == Outcome::Success && request.class != PriorityClass::Long {
-            self.mean_request_secs += 0.02 * (took.as_secs_f64() - self.mean_request_secs);
+            self.mean_request_secs += MEAN_REQUEST_WEIGHT * (took.as_secs_f64() - self.mean_request_secs);
         }
         if eject {
             self.eject(now, &request.endpoint);
@@ -337,9 +340,9 @@
         if now < self.borrow_not_before {
             return None;
         }
-        let waiting = self.queues.total_len() as u32;
+        let queued = self.queues.total_len() as u32;
         let free: u32 = self.usable_endpoints(now).map(|e| e.free_slots(now)).sum();
-        let slots = waiting.saturating_sub(free).min(MAX_SLOT_DEMAND);
+        let slots = queued.saturating_sub(free).min(MAX_SLOT_DEMAND);
         (slots > 0 && self.config.lend).then_some(SlotDemand { slots })
     }
 
@@ -400,7 +403,7 @@
         }
     }
 
-    /// Loans from peers that this entry host holds.
+    /// Loans from peers that this entry holds.
     pub fn borrowed_loans(&self) -> impl Iterator<Item = &Loan> {
         self.endpoints.values().flat_map(|e| e.borrowed.iter().map(|(l, _)| l))
     }
@@ -517,8 +520,8 @@
         }
     }
 
-    /// Ejects an endpoint, unless too many would be ejected: a failure that many endpoints share
-    /// is probably not theirs, and a service must keep endpoints that get requests.
+    /// Ejects an endpoint if [`ENDPOINTS_PER_EJECTION`] allows it; readmits it otherwise. A failure
+    /// that many endpoints share is probably not theirs.
     fn eject(&mut self, now: Duration, id: &str) {
         let ejected = self
             .endpoints
--- a/crates/workswood-core/src/route/endpoint.rs
+++ b/crates/workswood-core/src/route/endpoint.rs
@@ -11,7 +11,7 @@
 /// owner has in flight there can end meanwhile.
 const SLOT_HANDOVER_DELAY: Duration = Duration::from_secs(1);
 
-/// One slot of an endpoint, lent by one entry process to another.
+/// One slot of an endpoint, lent by one entry to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Loan {
     /// Number of the loan, assigned by its lender.
@@ -68,16 +68,16 @@
 
     /// Sets the number of owned slots. If the roster has changed, slots that are gained can be
     /// used only after a delay.
-    pub(super) fn set_share(&mut self, now: Duration, share: u32, roster_changed: bool) {
+    pub(super) fn set_owned(&mut self, now: Duration, owned: u32, roster_changed: bool) {
         let current = self.owned + self.pending_gain.map_or(0, |(n, _)| n);
-        if share == current {
+        if owned == current {
             return;
         }
         self.pending_gain = None;
-        if share > self.owned && roster_changed {
-            self.pending_gain = Some((share - self.owned, now + SLOT_HANDOVER_DELAY));
+        if owned > self.owned && roster_changed {
+            self.pending_gain = Some((owned - self.owned, now + SLOT_HANDOVER_DELAY));
         } else {
-            self.owned = share;
+            self.owned = owned;
         }
     }
 
--- a/crates/workswood-core/src/route/health.rs
+++ b/crates/workswood-core/src/route/health.rs
@@ -1,4 +1,4 @@
-//! Health of one endpoint as one entry host sees it.
+//! Health of one endpoint as one entry sees it.
 //!
 //! An endpoint is ejected after several consecutive failures, when its requests make no
 //! progress, or when it responds much more slowly than the other endpoints. An ejected
@@ -33,7 +33,8 @@
     Healthy,
     /// It gets no requests before the given time, measured from the start of the process.
     Ejected(Duration),
-    /// One probe request is in flight, and no others are sent.
+    /// A probe request was sent, and no others are sent until a request has ended with success
+    /// or failure. The state stays if the probe ends with [`Outcome::Neutral`](super::Outcome::Neutral).
     Probing,
 }
 
@@ -139,7 +140,7 @@
         self.consecutive_failures = 0;
     }
 
-    /// Resets the back-off after a long time without ejections.
+    /// Resets the back-off to its initial value.
     pub fn reset_backoff(&mut self) {
         self.backoff = INITIAL_BACKOFF;
     }
--- a/crates/workswood-core/src/route/mod.rs
+++ b/crates/workswood-core/src/route/mod.rs
@@ -1,9 +1,9 @@
-//! Request routing on one entry host.
+//! Request routing on one entry.
 //!
-//! A [`Dispatcher`] serves one service on one entry host. It owns a share of the
+//! A [`Dispatcher`] serves one service on one entry. It owns a share of the
 //! slots of each endpoint ([`owned_slots`]), may borrow idle slots from its peers,
 //! keeps a bounded queue for each class, and sends a request only in a slot that it
-//! holds. So the entry hosts together never exceed the slots of an endpoint, although
+//! holds. So the entries together never exceed the slots of an endpoint, although
 //! none of them knows the load of the others.
 
 mod dispatch;
--- a/crates/workswood-core/src/route/queue.rs
+++ b/crates/workswood-core/src/route/queue.rs
@@ -11,7 +11,7 @@
 use super::dispatch::RequestId;
 use crate::fleet::PriorityClass;
 
-/// Maximum number of queued requests of one class of one service on one entry host.
+/// Maximum number of queued requests of one class of one service on one entry.
 pub const MAX_QUEUED: usize = 1_000;
 
 /// Guaranteed and maximum share of the slots for each class, in [`PriorityClass::ALL`] order.
--- a/crates/workswood-core/src/route/slot_ownership.rs
+++ b/crates/workswood-core/src/route/slot_ownership.rs
@@ -1,4 +1,4 @@
-//! Assignment of the slots of an endpoint to the entry processes on the roster.
+//! Assignment of the slots of an endpoint to the entries on the roster.
 //!
 //! Slot `j` of endpoint `i` belongs to roster member `(i * slots + j) mod members`.
 //! Over the endpoints of a service the members' shares differ by at most one slot.
--- a/crates/workswood-core/src/route/table.rs
+++ b/crates/workswood-core/src/route/table.rs
@@ -28,16 +28,16 @@
 /// A service in force, as routing needs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceView {
-    /// Maximum number of requests in flight to one endpoint, over all entry hosts.
+    /// Maximum number of requests in flight to one endpoint, over all entries.
     pub window: u32,
     /// All endpoints, ordered by instance name.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// What an entry process needs to route a request.
+/// What an entry needs to route a request.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
-    /// Offset of the next envelope to fold in the state that the table was built from.
+    /// `next_offset` of the state that the table was built from.
     pub next_offset: Offset,
     /// Services by name.
     pub services: BTreeMap<ServiceId, ServiceView>,
