--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -426,7 +426,7 @@
     }
 
     /// Number of queued requests.
-    pub fn waiting_count(&self) -> usize {
+    pub fn queued_count(&self) -> usize {
         self.queues.total_len()
     }
 
--- a/src/workswood/ops/bench/route.rs
+++ b/src/workswood/ops/bench/route.rs
@@ -215,7 +215,7 @@
     fn account(&mut self, now: f64) {
         let idle: u32 = self.servers.iter().map(|s| SLOTS.saturating_sub(s.busy)).sum();
         let waiting: usize = match self.leased() {
-            true => self.entries.iter().map(Dispatcher::waiting_count).sum(),
+            true => self.entries.iter().map(Dispatcher::queued_count).sum(),
             false => self.servers.iter().map(|s| s.queue.len()).sum(),
         };
         self.shown.idle_while_waiting += f64::from(idle).min(waiting as f64) * (now - self.now);
--- a/src/workswood/ops/entry/dispatch.rs
+++ b/src/workswood/ops/entry/dispatch.rs
@@ -139,7 +139,7 @@
     /// Number of requests that wait for or hold a slot.
     pub fn open_requests(&self) -> usize {
         let inner = self.inner.lock();
-        inner.dispatcher.waiting_count() + inner.dispatcher.in_flight_count()
+        inner.dispatcher.queued_count() + inner.dispatcher.in_flight_count()
     }
 }
 
--- a/tests/testsuite/slot_dispatch.rs
+++ b/tests/testsuite/slot_dispatch.rs
@@ -152,7 +152,7 @@
             d.finish(now, t, Outcome::Neutral);
         }
     }
-    assert_eq!((d.waiting_count(), d.in_flight_count()), (0, 0));
+    assert_eq!((d.queued_count(), d.in_flight_count()), (0, 0));
     assert!(d.in_flight_by_endpoint().all(|(_, n)| n == 0));
 }
 
@@ -199,10 +199,10 @@
             Some(Action::Refuse { code, .. }) => Some(*code),
             _ => None,
         });
-    assert_eq!((full, d.waiting_count()), (Some(Code::QueueFull), 16));
+    assert_eq!((full, d.queued_count()), (Some(Code::QueueFull), 16));
     let late = d.tick(now + ms(9_000));
     assert!(late.iter().any(|a| matches!(a, Action::Refuse { code: Code::DeadlinePassed, .. })));
-    assert_eq!(d.waiting_count(), 0);
+    assert_eq!(d.queued_count(), 0);
 }
 
 #[test]
