--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -178,7 +178,8 @@
             let kept = previous.remove(&e.id).filter(|p| p.address == e.address);
             let mut ep = kept.unwrap_or_else(|| EndpointView::new(e));
             ep.open = e.open;
-            let owned = member_index.map_or(0, |m| owned_slots(view.window, e.number, m, member_count));
+            let owned =
+                member_index.map_or(0, |m| owned_slots(view.slots_per_endpoint, e.number, m, member_count));
             ep.set_owned(now, owned, roster_changed);
             self.endpoints.insert(e.id.clone(), ep);
         }
--- a/crates/workswood-core/src/route/table.rs
+++ b/crates/workswood-core/src/route/table.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceView {
     /// Maximum number of requests in flight to one endpoint, over all entries.
-    pub window: u32,
+    pub slots_per_endpoint: u32,
     /// All endpoints, ordered by instance name.
     pub endpoints: Vec<Endpoint>,
 }
@@ -55,7 +55,7 @@
         routes.sort_by(|a, b| b.0.path.len().cmp(&a.0.path.len()).then(a.0.path.cmp(&b.0.path)));
         let services = state.services().map(|s| {
             let endpoints = endpoints_of(state, &s.name);
-            (s.name.clone(), ServiceView { window: s.window(), endpoints })
+            (s.name.clone(), ServiceView { slots_per_endpoint: s.window(), endpoints })
         });
         let own_index = state.roster.iter().position(|m| m.id == own_id);
         RouteTable {
--- a/src/workswood/ops/bench/route.rs
+++ b/src/workswood/ops/bench/route.rs
@@ -130,7 +130,7 @@
         data_centre: format!("dc{}", i % 4),
         open: true,
     };
-    ServiceView { window, endpoints: (0..ENDPOINTS).map(endpoint).collect() }
+    ServiceView { slots_per_endpoint: window, endpoints: (0..ENDPOINTS).map(endpoint).collect() }
 }
 
 impl Model {
--- a/tests/testsuite/slot_dispatch.rs
+++ b/tests/testsuite/slot_dispatch.rs
@@ -23,7 +23,7 @@
         data_centre: format!("dc{}", i % 2),
         open: true,
     };
-    ServiceView { window: WINDOW, endpoints: (0..endpoints).map(endpoint).collect() }
+    ServiceView { slots_per_endpoint: WINDOW, endpoints: (0..endpoints).map(endpoint).collect() }
 }
 
 fn ms(n: u64) -> Duration {
