--- a/crates/workswood-core/src/plan/wave.rs
+++ b/crates/workswood-core/src/plan/wave.rs
@@ -1,5 +1,8 @@
 //! Choice of the hosts that are maintained now.
 //!
+//! The wave of a maintenance is its progress over the hosts of its pool: those that have been
+//! maintained, those that are out of service for it, and those that remain.
+//!
 //! A host keeps its instances during maintenance, so maintenance moves none of them. As many
 //! hosts leave together as the budgets of all services allow. The first host of a maintenance
 //! is a canary: no other host leaves until it is back and its instances are ready.
@@ -33,7 +36,7 @@
         /// The deadline.
         deadline: String,
     },
-    /// A host that left now would still be away in a window that is kept clear.
+    /// A host that left now would still be out of service in a blackout window.
     KeepClear {
         /// Start of the window.
         from: String,
@@ -53,14 +56,15 @@
         /// One of these services.
         service: String,
     },
-    /// The maximum number of hosts is away.
+    /// The maximum number of hosts is out of service.
     MaxParallel,
-    /// The remaining hosts are down, or something else moved them to another pool.
+    /// No remaining host takes work: each is down, was moved to another pool by something else, or
+    /// is out of service for a move or for another maintenance.
     HostsMissing {
         /// One of them.
         host: HostId,
     },
-    /// Nothing stops the wave, or its last hosts are away.
+    /// Nothing stops the wave, or its last hosts are out of service.
     Running,
 }
 
@@ -71,7 +75,7 @@
     pub name: String,
     /// Number of hosts that have been maintained.
     pub done: usize,
-    /// Hosts that are away for the maintenance.
+    /// Hosts that are out of service for the maintenance.
     pub away: Vec<HostId>,
     /// Number of hosts that still have to leave.
     #[serde(rename = "left")]
@@ -84,15 +88,15 @@
 /// The hosts of a maintained pool by their progress.
 struct WaveHosts<'a> {
     done: usize,
-    away: Vec<(&'a HostId, &'a ManagedHost)>,
+    out_of_service: Vec<(&'a HostId, &'a ManagedHost)>,
     remaining: Vec<(&'a HostId, &'a ManagedHost)>,
 }
 
 fn hosts_of_wave<'a>(index: &FleetIndex<'a>, m: &Maintenance) -> WaveHosts<'a> {
-    let mut hosts = WaveHosts { done: 0, away: Vec::new(), remaining: Vec::new() };
+    let mut hosts = WaveHosts { done: 0, out_of_service: Vec::new(), remaining: Vec::new() };
     for (id, rec) in index.pool_hosts(&m.pool).iter().filter(|(_, r)| !r.released) {
         if rec.maintenance() == Some(&m.name) {
-            hosts.away.push((id, rec));
+            hosts.out_of_service.push((id, rec));
         } else if rec.maintained.contains(&m.name) {
             hosts.done += 1;
         } else {
@@ -108,8 +112,8 @@
     for m in state.maintenance() {
         for id in choose_hosts(index, m, now) {
             let rec = &state.hosts[&id];
-            let step = HostChange::Drain { reason: DrainReason::Maintain { name: m.name.clone() } };
-            records.push(Record::Host { term, host: id, generation: rec.generation, change: step });
+            let change = HostChange::Drain { reason: DrainReason::Maintain { name: m.name.clone() } };
+            records.push(Record::Host { term, host: id, generation: rec.generation, change });
         }
     }
     records
@@ -118,16 +122,16 @@
 /// Chooses the hosts that leave for a maintenance now, and withdraws them from the index.
 pub(super) fn choose_hosts(index: &mut FleetIndex, m: &Maintenance, now: UnixMs) -> Vec<HostId> {
     let hosts = hosts_of_wave(index, m);
-    if blocked_state(index, m, &hosts, now).is_some() {
+    if state_before_limits(index, m, &hosts, now).is_some() {
         return Vec::new();
     }
     let canary = hosts.done == 0;
-    let max_away = match (canary, m.max_parallel) {
+    let max_out_of_service = match (canary, m.max_parallel) {
         (true, _) => 1,
         (false, 0) => usize::MAX,
         (false, n) => n as usize,
     };
-    let max_leaving = max_away.saturating_sub(hosts.away.len());
+    let max_leaving = max_out_of_service.saturating_sub(hosts.out_of_service.len());
     let takes_work = |(_, r): &&(&HostId, &ManagedHost)| r.takes_work();
     let mut candidates: Vec<&HostId> = hosts.remaining.iter().filter(takes_work).map(|(id, _)| *id).collect();
     let has_instances = |id: &&HostId| index.state.by_host.contains_key(*id);
@@ -157,9 +161,14 @@
 
 /// The state of a wave in which no further host may leave, apart from budgets and the maximum
 /// number of hosts; `None` if hosts may leave.
-fn blocked_state(index: &FleetIndex, m: &Maintenance, hosts: &WaveHosts, now: UnixMs) -> Option<WaveState> {
+fn state_before_limits(
+    index: &FleetIndex,
+    m: &Maintenance,
+    hosts: &WaveHosts,
+    now: UnixMs,
+) -> Option<WaveState> {
     let duration_ms = m.duration.as_millis() as UnixMs;
-    if hosts.remaining.is_empty() && hosts.away.is_empty() {
+    if hosts.remaining.is_empty() && hosts.out_of_service.is_empty() {
         return Some(WaveState::Finished);
     }
     if m.paused {
@@ -172,14 +181,14 @@
         let rebooting = matches!(r.phase, HostPhase::Rebooting { .. });
         rebooting && now.saturating_sub(r.changed_at) > duration_ms * OVERDUE_FACTOR
     };
-    if let Some((id, _)) = hosts.away.iter().find(is_overdue) {
+    if let Some((id, _)) = hosts.out_of_service.iter().find(is_overdue) {
         return Some(WaveState::Unwell { host: (*id).clone() });
     }
     if let Some(host) = unhealthy_host(index, m) {
         return Some(WaveState::Unwell { host });
     }
     if hosts.done == 0
-        && let Some((id, _)) = hosts.away.first()
+        && let Some((id, _)) = hosts.out_of_service.first()
     {
         return Some(WaveState::Canary { host: (*id).clone() });
     }
@@ -213,20 +222,20 @@
 fn status(index: &FleetIndex, m: &Maintenance, now: UnixMs) -> WaveStatus {
     let hosts = hosts_of_wave(index, m);
     let state =
-        blocked_state(index, m, &hosts, now).unwrap_or_else(|| unblocked_state(index.state, m, &hosts));
+        state_before_limits(index, m, &hosts, now).unwrap_or_else(|| state_by_limits(index.state, m, &hosts));
     WaveStatus {
         name: m.name.clone(),
         done: hosts.done,
-        away: hosts.away.iter().map(|(id, _)| (*id).clone()).collect(),
+        away: hosts.out_of_service.iter().map(|(id, _)| (*id).clone()).collect(),
         remaining: hosts.remaining.len(),
         state,
     }
 }
 
-/// The state of a wave from which only budgets, the maximum number of hosts or missing hosts
-/// can keep a further host.
-fn unblocked_state(state: &State, m: &Maintenance, hosts: &WaveHosts) -> WaveState {
-    if m.max_parallel > 0 && hosts.away.len() >= m.max_parallel as usize {
+/// The state of a wave that [`state_before_limits`] does not stop: whether the maximum number, a
+/// budget or missing hosts do.
+fn state_by_limits(state: &State, m: &Maintenance, hosts: &WaveHosts) -> WaveState {
+    if m.max_parallel > 0 && hosts.out_of_service.len() >= m.max_parallel as usize {
         return WaveState::MaxParallel;
     }
     let mut service_at_limit = None;
