--- a/crates/workswood-core/src/plan/host_actions.rs
+++ b/crates/workswood-core/src/plan/host_actions.rs
@@ -84,15 +84,15 @@
     let mut actions = Vec::new();
     for (id, rec) in state.hosts.iter().filter(|(_, r)| !r.externally_moved) {
         let Some(host) = observed.hosts.get(id).filter(|h| h.state != HostState::Down) else { continue };
-        actions.extend(host_changes(id, rec, host));
+        actions.extend(missing_host_actions(id, rec, host));
         actions.extend(missing_starts(state, id, rec, host));
         actions.extend(missing_stops(state, id, host));
     }
     actions
 }
 
-/// Changes of the host itself: its pool, a drain or its end, a reboot.
-fn host_changes(id: &HostId, rec: &ManagedHost, observed: &ObservedHost) -> Vec<HostAction> {
+/// Actions on the host itself: its pool, a drain or its end, a reboot.
+fn missing_host_actions(id: &HostId, rec: &ManagedHost, observed: &ObservedHost) -> Vec<HostAction> {
     let mut actions = Vec::new();
     let host = id.clone();
     if let Some(pool) =
@@ -126,20 +126,23 @@
     if !rec.takes_work() || observed.draining {
         return Vec::new();
     }
-    let is_running = |task: &str, token: u64| observed.tasks.iter().any(|t| t.id == task && t.token >= token);
+    // A task that has ended counts as started: its start must not be repeated.
+    let was_started =
+        |task: &str, token: u64| observed.tasks.iter().any(|t| t.id == task && t.token >= token);
     let instances = state.by_host.get(id).into_iter().flatten();
     let instances = instances.filter_map(|i| state.instances.get(i).map(|r| (i, r.token)));
     let jobs =
         state.jobs.iter().filter(|(_, j)| matches!(&j.phase, JobPhase::Running { host } if host == id));
     let tasks = instances.chain(jobs.map(|(name, j)| (name, j.token)));
-    let missing = tasks.filter(|(task, token)| !is_running(task, *token));
+    let missing = tasks.filter(|(task, token)| !was_started(task, *token));
     missing.map(|(task, token)| HostAction::Start { host: id.clone(), task: task.clone(), token }).collect()
 }
 
 /// Stops of the tasks of declared services and jobs that run on a host and should not.
 fn missing_stops(state: &State, id: &HostId, observed: &ObservedHost) -> Vec<HostAction> {
     let mut actions = Vec::new();
-    // Tokens are offsets. A task whose start is not folded yet may be wanted.
+    // A task's token is the log offset of its start. A start at or after `next_offset` is not folded
+    // yet, so its task may be wanted.
     for t in observed.tasks.iter().filter(|t| t.ended.is_none() && t.token > 0 && t.token < state.next_offset)
     {
         let unwanted = match (state.instances.get(&t.id), state.jobs.get(&t.id)) {
--- a/crates/workswood-core/src/plan/jobs.rs
+++ b/crates/workswood-core/src/plan/jobs.rs
@@ -9,8 +9,8 @@
 use crate::ids::{HostId, JobId, Term, UnixMs};
 use crate::record::{JobChange, Record};
 
-/// Maximum number of waiting jobs considered in one round, which bounds the batch of records.
-const MAX_STARTS_PER_ROUND: usize = 256;
+/// Maximum number of waiting jobs considered in one round; bounds the batch of records.
+const MAX_JOBS_CONSIDERED: usize = 256;
 /// How long a host may be down before the jobs on it count as lost.
 const LOST_AFTER_MS: UnixMs = 30_000;
 /// A running job reserves this percentage of its reported processor usage, if that is more than
@@ -23,22 +23,22 @@
     if jobs.is_empty() {
         return Vec::new();
     }
-    let mut steps = end_steps(state, observed, now);
+    let mut changes = end_changes(state, observed, now);
     let mut capacity = FreeCapacity::new(state, observed, &jobs);
     let mut waiting: Vec<&&Job> = jobs.iter().filter(|j| is_waiting(state, &j.name)).collect();
     waiting.sort_by_key(|j| (j.class, j.name.clone()));
-    for j in waiting.into_iter().take(MAX_STARTS_PER_ROUND) {
-        steps.extend(capacity.start(state, j));
+    for j in waiting.into_iter().take(MAX_JOBS_CONSIDERED) {
+        changes.extend(capacity.start(state, j));
     }
-    steps.into_iter().map(|(job, step)| Record::Job { term, job, change: step }).collect()
+    changes.into_iter().map(|(job, change)| Record::Job { term, job, change }).collect()
 }
 
 fn is_waiting(state: &State, job: &str) -> bool {
     state.jobs.get(job).is_none_or(|r| r.phase == JobPhase::Waiting)
 }
 
-/// Steps of the jobs that the list shows as ended or whose host is lost.
-fn end_steps(state: &State, observed: &ObservedFleet, now: UnixMs) -> Vec<(JobId, JobChange)> {
+/// Changes of the jobs that the list shows as ended or whose host is lost.
+fn end_changes(state: &State, observed: &ObservedFleet, now: UnixMs) -> Vec<(JobId, JobChange)> {
     let running = state.jobs.iter().filter_map(|(id, r)| match &r.phase {
         JobPhase::Running { host } => Some((id, r, host)),
         _ => None,
@@ -114,7 +114,7 @@
         cpus >= i64::from(j.cpus) && gib >= i64::from(j.memory_gib)
     }
 
-    /// Steps that start a waiting job, or preempt others for an urgent one; none while the quota of
+    /// Changes that start a waiting job, or preempt others for an urgent one; none while the quota of
     /// its team is used up or there is no room for it.
     fn start(&mut self, state: &'a State, j: &'a Job) -> Vec<(JobId, JobChange)> {
         if self.quota_cpus.get(j.team.as_str()).copied().unwrap_or(0) < i64::from(j.cpus) {
--- a/crates/workswood-core/src/plan/pools.rs
+++ b/crates/workswood-core/src/plan/pools.rs
@@ -58,8 +58,8 @@
     records
 }
 
-fn host_record(term: Term, host: &HostId, rec: &ManagedHost, step: HostChange) -> Record {
-    Record::Host { term, host: host.clone(), generation: rec.generation, change: step }
+fn host_record(term: Term, host: &HostId, rec: &ManagedHost, change: HostChange) -> Record {
+    Record::Host { term, host: host.clone(), generation: rec.generation, change }
 }
 
 /// The pool that a host is in, or is moving to.
--- a/crates/workswood-core/src/plan/transitions.rs
+++ b/crates/workswood-core/src/plan/transitions.rs
@@ -1,5 +1,5 @@
 //! Records that follow from the platform's list: changes of hosts and instances that it shows, and
-//! the next phase of hosts that are away.
+//! the next phase of hosts that are out of service.
 
 use super::EntryReports;
 use super::observed::{HostState, ObservedFleet, ObservedHost};
@@ -11,10 +11,10 @@
 pub(super) fn observed_changes(state: &State, observed: &ObservedFleet, term: Term) -> Vec<Record> {
     let mut records = Vec::new();
     for (id, rec) in &state.hosts {
-        let steps = host_changes(rec, observed.hosts.get(id));
-        for (i, step) in steps.into_iter().enumerate() {
+        let changes = host_changes(rec, observed.hosts.get(id));
+        for (i, change) in changes.into_iter().enumerate() {
             let generation = rec.generation + i as u64;
-            records.push(Record::Host { term, host: id.clone(), generation, change: step });
+            records.push(Record::Host { term, host: id.clone(), generation, change });
         }
     }
     records.extend(instance_changes(state, observed, term));
@@ -22,32 +22,32 @@
 }
 
 fn host_changes(rec: &ManagedHost, observed: Option<&ObservedHost>) -> Vec<HostChange> {
-    let mut steps = Vec::new();
+    let mut changes = Vec::new();
     let up = observed.is_some_and(|s| s.state == HostState::Live);
     // The return of a rebooting host is decided by its boot id.
     let rebooting = matches!(rec.phase, HostPhase::Rebooting { .. });
     if up != rec.up && !rebooting {
-        steps.push(HostChange::Health { up });
+        changes.push(HostChange::Health { up });
     }
-    let Some(s) = observed else { return steps };
+    let Some(s) = observed else { return changes };
     let unchanged = s.place == rec.location
         && (s.cpus, s.memory_gib, s.accelerators) == (rec.cpus, rec.memory_gib, rec.accelerators);
     if !unchanged {
-        steps.push(HostChange::Seen {
+        changes.push(HostChange::Seen {
             place: s.place.clone(),
             cpus: s.cpus,
             memory_gib: s.memory_gib,
             accelerators: s.accelerators,
         });
     }
-    // If the host has the token of the planner's own move, but another pool, then something else
-    // has set that pool.
+    // A host whose token is at least `pool_generation` has carried out the planner's `SetPool`. If it
+    // is in another pool all the same, something else has moved it.
     let other_pool = rec.pool.is_some() && s.pool.is_some() && s.pool != rec.pool;
     let foreign = other_pool && s.token >= rec.pool_generation;
     if foreign != rec.externally_moved {
-        steps.push(HostChange::Foreign { foreign });
+        changes.push(HostChange::Foreign { foreign });
     }
-    steps
+    changes
 }
 
 fn instance_changes(state: &State, observed: &ObservedFleet, term: Term) -> Vec<Record> {
@@ -61,17 +61,17 @@
             host.zip(host_rec).is_some_and(|(s, h)| !s.draining && s.token >= h.action_generation);
         let ready = drain_ended && task.is_some_and(|t| t.ready);
         let address = task.map_or(rec.address.clone(), |t| t.address.clone());
-        // The instance of a host that is away keeps its recorded state.
-        let away = host_rec.is_some_and(ManagedHost::out_of_service);
-        if !away && (ready != rec.ready || address != rec.address) {
-            let step = InstanceChange::Ready { address, ready };
-            records.push(Record::Instance { term, instance: id.clone(), change: step });
+        // The instance of a host that is out of service keeps its recorded state.
+        let out_of_service = host_rec.is_some_and(ManagedHost::out_of_service);
+        if !out_of_service && (ready != rec.ready || address != rec.address) {
+            let change = InstanceChange::Ready { address, ready };
+            records.push(Record::Instance { term, instance: id.clone(), change });
         }
     }
     records
 }
 
-/// Returns the records that take the hosts that are away to their next phase, where the list and
+/// Returns the records that take the hosts that are out of service to their next phase, where the list and
 /// the reports show that the condition for it is met.
 pub(super) fn phase_changes(
     state: &State,
@@ -81,13 +81,15 @@
 ) -> Vec<Record> {
     let mut records = Vec::new();
     for (id, rec) in state.hosts.iter().filter(|(_, r)| r.out_of_service() && !r.externally_moved) {
-        let Some(step) = next_step(state, id, rec, observed.hosts.get(id), reports) else { continue };
-        records.push(Record::Host { term, host: id.clone(), generation: rec.generation, change: step });
+        let Some(change) = next_phase_change(state, id, rec, observed.hosts.get(id), reports) else {
+            continue;
+        };
+        records.push(Record::Host { term, host: id.clone(), generation: rec.generation, change });
     }
     records
 }
 
-fn next_step(
+fn next_phase_change(
     state: &State,
     id: &HostId,
     rec: &ManagedHost,
