--- a/crates/workswood-core/src/plan/lower_bound.rs
+++ b/crates/workswood-core/src/plan/lower_bound.rs
@@ -10,26 +10,27 @@
 /// The minimum cost of a maintenance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LowerBound {
-    /// Number of rounds, each as long as one host is away.
+    /// Number of rounds, each as long as one host is out of service.
     pub rounds: u32,
     /// Duration of all rounds.
     pub rollout: Duration,
 }
 
 impl LowerBound {
-    /// Computes the bound of a maintenance: every host and every instance of the pool is away once,
-    /// and never more of them at a time than the maintenance and the tightest budget allow.
+    /// Computes the bound of a maintenance: every host and every instance of the pool is out of
+    /// service once, and never more of them at a time than the maintenance and the tightest budget
+    /// allow.
     pub fn for_maintenance(state: &State, m: &Maintenance) -> LowerBound {
         let index = FleetIndex::new(state);
         let mut rounds = 0;
         for s in state.services().filter(|s| s.pool == m.pool) {
             let Some(availability) = index.availability.get(&s.name) else { continue };
-            let mut max_away = availability.available.saturating_sub(s.budget.min_available);
+            let mut max_out_of_service = availability.available.saturating_sub(s.budget.min_available);
             if s.budget.reserve_rack {
                 // The rack that is held in reserve has at least one instance.
-                max_away = max_away.saturating_sub(1);
+                max_out_of_service = max_out_of_service.saturating_sub(1);
             }
-            rounds = rounds.max(availability.available.div_ceil(max_away.max(1)));
+            rounds = rounds.max(availability.available.div_ceil(max_out_of_service.max(1)));
             if let Some(max_unavailable) = s.budget.max_unavailable_per_data_centre {
                 let mut by_data_centre: BTreeMap<&str, u32> = BTreeMap::new();
                 for (_, i) in state.instances_of(&s.name) {
--- a/crates/workswood-core/src/plan/mod.rs
+++ b/crates/workswood-core/src/plan/mod.rs
@@ -1,7 +1,6 @@
 //! The planner: pools, placement of instances, maintenance and jobs.
 //!
-//! [`decide`] takes the folded state, the platform's list, reports of the entry processes and the
-//! time, and returns records to append to the log. It keeps no state of its own, so that a planner
+//! [`decide`] takes the folded state, the platform's list, reports of the entries and the time, and returns records to append to the log. It keeps no state of its own, so that a planner
 //! that takes over at any point continues from the log. The fold checks each record again at its
 //! offset.
 //!
@@ -31,12 +30,12 @@
 pub use simulate::{SimulatedRollout, Strategy, simulate_rollout};
 pub use wave::{WaveState, WaveStatus, wave_status};
 
-/// What the entry processes report to the planner.
+/// What the entries report to the planner.
 #[derive(Clone, Debug, Default)]
 pub struct EntryReports {
-    /// Every entry process that may send requests has folded the log up to this offset, exclusive.
+    /// Every entry that may send requests has folded the log up to this offset, exclusive.
     pub folded_by_all: crate::ids::Offset,
-    /// Number of requests that all entry processes together have in flight to an instance.
+    /// Number of requests that all entries together have in flight to an instance.
     pub in_flight: std::collections::BTreeMap<crate::ids::InstanceId, u32>,
 }
 
--- a/crates/workswood-core/src/plan/observed.rs
+++ b/crates/workswood-core/src/plan/observed.rs
@@ -50,7 +50,7 @@
     pub accelerators: u32,
     /// The pool that it belongs to on the platform.
     pub pool: Option<PoolId>,
-    /// Whether the platform reaches it.
+    /// State of the host as the platform sees it.
     pub state: HostState,
     /// Whether it takes no new work.
     pub draining: bool,
@@ -88,6 +88,6 @@
 pub struct ObservedFleet {
     /// Hosts by name.
     pub hosts: BTreeMap<HostId, ObservedHost>,
-    /// Peer addresses of the entry processes that the platform knows.
+    /// Peer addresses of the entries that the platform knows.
     pub entries: Vec<String>,
 }
--- a/crates/workswood-core/src/plan/place.rs
+++ b/crates/workswood-core/src/plan/place.rs
@@ -10,7 +10,7 @@
 use crate::ids::{HostId, InstanceId, Term, UnixMs};
 use crate::record::{DrainReason, InstanceChange, Record};
 
-/// How long a host may be down or foreign before its instances are placed elsewhere.
+/// How long a host may be down or moved by something else before its instances are placed elsewhere.
 pub const REPLACE_AFTER_MS: UnixMs = 30_000;
 
 /// Returns the records that remove instances from hosts they must leave and place missing ones.
@@ -70,7 +70,7 @@
 
 /// Whether an instance must leave its host now: its host is unknown, drained for a move or a
 /// release, or lost; or the instance is surplus or in the wrong pool, and the budget allows that
-/// it stops.
+/// it stops. In that last case the instance is withdrawn from the index.
 fn must_leave(
     state: &State,
     index: &mut FleetIndex,
--- a/crates/workswood-core/src/plan/simulate.rs
+++ b/crates/workswood-core/src/plan/simulate.rs
@@ -15,7 +15,7 @@
 /// How a maintenance is carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strategy {
-    /// In the waves that the planner chooses.
+    /// As the planner does it: in rounds of as many hosts as the budgets allow.
     Waves,
     /// One rack after the other, with enough spare instances of each service to replace those of
     /// any rack.
@@ -29,13 +29,13 @@
     pub spare_instances: u32,
     /// Time from the first drain to the return of the last host.
     pub rollout: Duration,
-    /// Number of hosts that change their pool.
+    /// Number of hosts that change their pool; 0 for both strategies.
     pub host_moves: u32,
-    /// Number of instances that change their host.
+    /// Number of instances that change their host; 0 for both strategies.
     pub instance_moves: u32,
     /// The hosts that leave in each round.
     pub rounds: Vec<Vec<HostId>>,
-    /// Hosts that could not be maintained.
+    /// Hosts that could not be maintained; none for [`Strategy::RackByRack`].
     #[serde(rename = "left")]
     pub not_maintained: Vec<HostId>,
 }
@@ -58,7 +58,7 @@
         let mut index = FleetIndex::new(&state);
         let leaving = choose_hosts(&mut index, m, now);
         if leaving.is_empty() {
-            // Only a window that is kept clear ends by itself; any other reason is final.
+            // Only a blackout window ends by itself; any other reason is final.
             let Some(w) = m.blackout_windows.iter().find(|w| now + duration_ms > w.from && now < w.to) else {
                 break;
             };
