--- a/crates/workswood-core/src/plan/lower_bound.rs
+++ b/crates/workswood-core/src/plan/lower_bound.rs
@@ -13,7 +13,7 @@
     /// Number of rounds, each as long as one host is out of service.
     pub rounds: u32,
     /// Duration of all rounds.
-    pub rollout: Duration,
+    pub duration: Duration,
 }
 
 impl LowerBound {
@@ -49,6 +49,6 @@
             rounds = rounds.max(hosts.div_ceil(m.max_parallel));
         }
         let rounds = rounds.max(u32::from(hosts > 0));
-        LowerBound { rounds, rollout: m.duration * rounds }
+        LowerBound { rounds, duration: m.duration * rounds }
     }
 }
--- a/src/workswood/ops/bench/plan.rs
+++ b/src/workswood/ops/bench/plan.rs
@@ -135,7 +135,7 @@
                 "{name} {} {way} {:.0} {:.2} {} {} {} {}",
                 m.name,
                 x.rollout.as_secs_f64() / 60.0,
-                x.rollout.as_secs_f64() / bound.rollout.as_secs_f64(),
+                x.rollout.as_secs_f64() / bound.duration.as_secs_f64(),
                 x.host_moves,
                 x.instance_moves,
                 x.spare_instances,
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -218,7 +218,7 @@
         out += &line("waves", &p.waves);
         out += &line("rack by rack", &p.racks);
         out +=
-            &format!("  lower bound: rollout={} in {} rounds\n", show_time(p.bound.rollout), p.bound.rounds);
+            &format!("  lower bound: rollout={} in {} rounds\n", show_time(p.bound.duration), p.bound.rounds);
     }
     out
 }
