--- a/crates/workswood-core/src/plan/observed.rs
+++ b/crates/workswood-core/src/plan/observed.rs
@@ -41,7 +41,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObservedHost {
     /// Data centre and rack.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub location: Place,
     /// Number of processor cores.
     pub cpus: u32,
     /// Memory in GiB.
@@ -68,7 +69,7 @@
     /// A host as a fleet file declares it, live after its first boot, without a pool or tasks.
     pub fn newly_declared(h: &Host) -> ObservedHost {
         ObservedHost {
-            place: h.location(),
+            location: h.location(),
             cpus: h.cpus,
             memory_gib: h.memory_gib,
             accelerators: h.accelerators,
--- a/crates/workswood-core/src/plan/transitions.rs
+++ b/crates/workswood-core/src/plan/transitions.rs
@@ -30,11 +30,11 @@
         changes.push(HostChange::Health { up });
     }
     let Some(s) = observed else { return changes };
-    let unchanged = s.place == rec.location
+    let unchanged = s.location == rec.location
         && (s.cpus, s.memory_gib, s.accelerators) == (rec.cpus, rec.memory_gib, rec.accelerators);
     if !unchanged {
         changes.push(HostChange::Seen {
-            place: s.place.clone(),
+            place: s.location.clone(),
             cpus: s.cpus,
             memory_gib: s.memory_gib,
             accelerators: s.accelerators,
--- a/crates/workswood-test-support/src/history.rs
+++ b/crates/workswood-test-support/src/history.rs
@@ -313,11 +313,11 @@
     fn fail(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let names: Vec<String> = self.platform.hosts.keys().cloned().collect();
         let host = u.choose(&names)?.clone();
-        let rack = self.platform.hosts[&host].place.rack.clone();
+        let rack = self.platform.hosts[&host].location.rack.clone();
         let whole_rack = u.ratio(1, 4u8)?;
         let failed = u.ratio(1, 3u8)?;
         for n in names {
-            if n == host || (whole_rack && self.platform.hosts[&n].place.rack == rack) {
+            if n == host || (whole_rack && self.platform.hosts[&n].location.rack == rack) {
                 self.tally.failures += u64::from(failed);
                 self.platform.fail(&n, failed);
             }
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -104,7 +104,7 @@
             token: state.instances.get(i).map_or(0, |r| r.token),
         };
         let host = ObservedHost {
-            place: h.location.clone(),
+            location: h.location.clone(),
             cpus: h.cpus,
             memory_gib: h.memory_gib,
             accelerators: h.accelerators,
--- a/src/workswood/ops/soak.rs
+++ b/src/workswood/ops/soak.rs
@@ -212,9 +212,9 @@
         let truth = self.platform.truth();
         let names: Vec<&String> = truth.hosts.keys().collect();
         let Some(first) = names.choose(rng).copied() else { return "host_failed" };
-        let place = &truth.hosts[first].place.rack;
+        let place = &truth.hosts[first].location.rack;
         let failed =
-            names.into_iter().filter(|n| *n == first || (rack && truth.hosts[*n].place.rack == *place));
+            names.into_iter().filter(|n| *n == first || (rack && truth.hosts[*n].location.rack == *place));
         let failed: Vec<String> = failed.cloned().collect();
         for name in &failed {
             self.platform.fail_host(name);
