--- a/src/workswood/ops/entry/mod.rs
+++ b/src/workswood/ops/entry/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! * [`log_reader`] reads the log, folds its records into the state and publishes the new routing table;
 //! * [`log_appender`] appends records to the log in batches;
-//! * [`duties`] acquires and renews the leases of duties, and plans and writes checkpoints while it
+//! * [`roles`] acquires and renews the leases of roles, and plans and writes checkpoints while it
 //!   holds them;
 //! * [`peers`] sends heartbeats to other entry processes and answers their messages;
 //! * [`dispatch`] grants slots of endpoints to requests, and borrows slots from peers;
@@ -17,7 +17,6 @@
 
 mod deferred_requests;
 mod dispatch;
-mod duties;
 mod keyed_requests;
 mod log_appender;
 mod log_reader;
@@ -25,6 +24,7 @@
 mod operator_api;
 mod peers;
 mod proxy;
+mod roles;
 mod shutdown;
 
 use std::sync::Arc;
@@ -85,9 +85,9 @@
             tokio::spawn(log_reader::run(node.clone())),
             tokio::spawn(log_appender::run(node.clone(), append_requests)),
             tokio::spawn(peers::run(node.clone())),
-            tokio::spawn(duties::run_leases(node.clone())),
-            tokio::spawn(duties::run_planner(node.clone())),
-            tokio::spawn(duties::run_checkpointer(node.clone())),
+            tokio::spawn(roles::run_leases(node.clone())),
+            tokio::spawn(roles::run_planner(node.clone())),
+            tokio::spawn(roles::run_checkpointer(node.clone())),
             tokio::spawn(dispatch::run_ticks(node.clone())),
             tokio::spawn(dispatch::run_borrowing(node.clone())),
             tokio::spawn(deferred_requests::run(node.clone())),
--- a/src/workswood/ops/entry/operator_api.rs
+++ b/src/workswood/ops/entry/operator_api.rs
@@ -200,7 +200,7 @@
         next: state.next_offset,
         files: file_statuses(&state),
         entries: entry_statuses(node, &state),
-        duties: Role::ALL.iter().map(|d| duty_status(&state, *d)).collect(),
+        duties: Role::ALL.iter().map(|d| role_status(&state, *d)).collect(),
         waves: serde_json::to_value(waves).unwrap_or_default(),
         budgets: serde_json::to_value(stances).unwrap_or_default(),
         hosts: pool_statuses(&state),
@@ -238,9 +238,9 @@
     entries.collect()
 }
 
-fn duty_status(state: &State, duty: Role) -> DutyStatus {
-    let lease = state.lease(duty);
-    DutyStatus { duty: format!("{duty:?}").to_lowercase(), holder: lease.holder, term: lease.term }
+fn role_status(state: &State, role: Role) -> DutyStatus {
+    let lease = state.lease(role);
+    DutyStatus { duty: format!("{role:?}").to_lowercase(), holder: lease.holder, term: lease.term }
 }
 
 fn pool_statuses(state: &State) -> Vec<PoolStatus> {
--- a/src/workswood/ops/entry/duties.rs
+++ b/src/workswood/ops/entry/roles.rs
@@ -1,4 +1,4 @@
-//! The duties of the planner and of the checkpointer, each of which one process at a time holds by a lease.
+//! The roles of planner and checkpointer, each of which one process at a time holds by a lease.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use super::node::Node;
 use crate::util::logs::DECISION;
 
-/// Time without a renewal after which another process may take a duty over.
+/// Time without a renewal after which another process may take a role over.
 const LEASE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time between renewals of a lease.
 const RENEW_INTERVAL: Duration = Duration::from_secs(1);
@@ -44,7 +44,7 @@
     renewed_at: Duration,
 }
 
-/// Takes free duties and renews those held, until the process ends.
+/// Takes free roles and renews those held, until the process ends.
 pub async fn run_leases(node: Arc<Node>) {
     let mut observed: BTreeMap<Role, ObservedLease> = BTreeMap::new();
     loop {
@@ -54,8 +54,8 @@
             observed.clear();
             continue;
         }
-        for duty in Role::ALL {
-            let record = lease_record(&node, &mut observed, duty);
+        for role in Role::ALL {
+            let record = lease_record(&node, &mut observed, role);
             if let Some(record) = record {
                 let _ = node.append(vec![record]).await;
             }
@@ -64,15 +64,15 @@
 }
 
 /// Returns the record that renews a lease of this process or takes over an expired one, if it is time.
-fn lease_record(node: &Node, observed: &mut BTreeMap<Role, ObservedLease>, duty: Role) -> Option<Record> {
+fn lease_record(node: &Node, observed: &mut BTreeMap<Role, ObservedLease>, role: Role) -> Option<Record> {
     let now = node.now();
     let (lease, roster_place) = {
         let state = node.state.read();
         let roster_place = state.roster.iter().position(|m| m.id == node.id).unwrap_or(state.roster.len());
-        (state.lease(duty), roster_place)
+        (state.lease(role), roster_place)
     };
     let first = ObservedLease { lease: lease.clone(), changed_at: now, renewed_at: Duration::ZERO };
-    let seen = observed.entry(duty).or_insert(first);
+    let seen = observed.entry(role).or_insert(first);
     if seen.lease != lease {
         seen.lease = lease.clone();
         seen.changed_at = now;
@@ -83,7 +83,7 @@
             return None;
         }
         seen.renewed_at = now;
-        return Some(Record::Renew { role: duty, term: lease.term });
+        return Some(Record::Renew { role, term: lease.term });
     }
     let timeout = match lease.holder {
         Some(_) => LEASE_TIMEOUT,
@@ -93,13 +93,8 @@
     if !expired || node.is_set(&node.shutting_down) {
         return None;
     }
-    log::info!(target: DECISION, "event=take_duty duty={duty:?} term={} reason=silence", lease.term + 1);
-    Some(Record::Take {
-        role: duty,
-        holder: node.id.clone(),
-        term: lease.term + 1,
-        seen_renewals: lease.renewals,
-    })
+    log::info!(target: DECISION, "event=take_duty duty={role:?} term={} reason=silence", lease.term + 1);
+    Some(Record::Take { role, holder: node.id.clone(), term: lease.term + 1, seen_renewals: lease.renewals })
 }
 
 /// A lease that this process holds. Times are since the start of the process.
@@ -114,9 +109,9 @@
 
 impl HeldLease {
     /// Updates what is known of the lease; `None` if this process does not hold it.
-    fn refresh(held: Option<HeldLease>, node: &Node, duty: Role) -> Option<HeldLease> {
+    fn refresh(held: Option<HeldLease>, node: &Node, role: Role) -> Option<HeldLease> {
         let now = node.now();
-        let lease = node.state.read().lease(duty);
+        let lease = node.state.read().lease(role);
         if lease.holder.as_ref() != Some(&node.id) {
             return None;
         }
@@ -133,7 +128,7 @@
         Some(held)
     }
 
-    /// Whether the last renewal is so recent that no other process can have taken the duty over.
+    /// Whether the last renewal is so recent that no other process can have taken the role over.
     fn is_unexpired(&self, now: Duration) -> bool {
         now.saturating_sub(self.renewal_seen_at) < LEASE_TIMEOUT - RENEW_INTERVAL / 2
     }
@@ -323,12 +318,12 @@
     count > 0
 }
 
-/// Releases all duties that this process holds.
+/// Releases all roles that this process holds.
 pub async fn release_all(node: &Arc<Node>) {
-    for duty in Role::ALL {
-        let lease = node.state.read().lease(duty);
+    for role in Role::ALL {
+        let lease = node.state.read().lease(role);
         if lease.holder.as_ref() == Some(&node.id) {
-            let _ = node.append(vec![Record::GiveUp { role: duty, term: lease.term }]).await;
+            let _ = node.append(vec![Record::GiveUp { role, term: lease.term }]).await;
         }
     }
 }
--- a/src/workswood/ops/entry/shutdown.rs
+++ b/src/workswood/ops/entry/shutdown.rs
@@ -2,7 +2,7 @@
 //!
 //! The process first fails its readiness check, and goes on accepting connections until the load
 //! balancer has noticed. Then it accepts no new connections and finishes the requests in progress.
-//! Only after that it tells its peers that its slots are free, and releases its duties.
+//! Only then does it tell its peers that its slots are free, and release its roles.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use tokio::task::JoinHandle;
 
 use super::node::Node;
-use super::{dispatch, duties};
+use super::{dispatch, roles};
 
 /// Time between checks for unfinished work.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -39,7 +39,7 @@
     node.in_progress.load(Ordering::Acquire)
 }
 
-/// Finishes the requests in progress, then releases slots and duties.
+/// Finishes the requests in progress, then releases slots and roles.
 async fn finish_and_release(
     node: &std::sync::Arc<Node>,
     stop_callers: &watch::Sender<bool>,
@@ -53,7 +53,7 @@
         tokio::time::sleep(POLL_INTERVAL).await;
     }
     node.callers_done.store(true, Ordering::Release);
-    duties::release_all(node).await;
+    roles::release_all(node).await;
     while !node.pending_envelopes.lock().is_empty() && node.is_set(&node.log_up) {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
