--- a/src/workswood/ops/entry/deferred_requests.rs
+++ b/src/workswood/ops/entry/deferred_requests.rs
@@ -15,7 +15,7 @@
 use workswood_core::ids::{IdempotencyKey, UnixMs};
 use workswood_core::record::{AttemptOutcome, DeferredRequest, Record};
 
-use super::dispatch::{self, SlotRequest};
+use super::dispatch::{self, AcquireRequest};
 use super::keyed_requests::{self, ClaimGuard};
 use super::log_appender::AppendError;
 use super::node::Node;
@@ -197,7 +197,7 @@
     let Some(deferred) = &rec.deferred else { return };
     let Some(dispatcher) = dispatch::dispatcher_of(node, &rec.service) else { return };
     let slot_request =
-        SlotRequest { class: PriorityClass::Later, deadline: node.now() + SLOT_TIMEOUT, tried: &[] };
+        AcquireRequest { class: PriorityClass::Later, deadline: node.now() + SLOT_TIMEOUT, tried: &[] };
     let Some(Ok(slot)) = dispatch::acquire(node, &dispatcher, slot_request).await else { return };
     let Some(request) = routed_request(node, key, &rec, deferred) else { return };
     let attempt = rec.attempts + 1;
--- a/src/workswood/ops/entry/dispatch.rs
+++ b/src/workswood/ops/entry/dispatch.rs
@@ -1,5 +1,5 @@
-//! Grants slots of endpoints to requests: one [`ServiceDispatcher`] for each service, which shares the
-//! pure [`Dispatcher`] between tasks and carries out its actions.
+//! Grants slots of endpoints to requests: one [`SharedDispatcher`] for each service. It shares a
+//! [`Dispatcher`], which does no I/O, between tasks, and carries out its actions.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use workswood_core::route::{
     Action, Dispatcher, DispatcherConfig, Loan, Outcome, RequestId, RouteTable, SlotDemand,
 };
-use workswood_peers::{Msg, SlotLoanUpdate, SlotRequest as PeerSlotRequest};
+use workswood_peers::{Msg, SlotLoanUpdate, SlotRequest};
 
 use super::node::Node;
 use crate::util::logs::DECISION;
@@ -51,7 +51,7 @@
 }
 
 /// Dispatcher of one service, shared by the tasks of the process.
-pub struct ServiceDispatcher {
+pub struct SharedDispatcher {
     service: ServiceId,
     inner: Mutex<Inner>,
 }
@@ -59,10 +59,10 @@
 /// Loans to return to their lenders after the lock is released.
 type LoansToReturn = Vec<Loan>;
 
-impl ServiceDispatcher {
-    fn new(service: &str, data_centre: &str) -> ServiceDispatcher {
+impl SharedDispatcher {
+    fn new(service: &str, data_centre: &str) -> SharedDispatcher {
         let dispatcher = Dispatcher::new(data_centre, DispatcherConfig::default());
-        ServiceDispatcher {
+        SharedDispatcher {
             service: service.to_string(),
             inner: Mutex::new(Inner { dispatcher, waiting: HashMap::new() }),
         }
@@ -80,8 +80,8 @@
     }
 
     /// Lends slots to a peer.
-    pub fn lend(&self, now: Duration, to: &str, want: SlotDemand) -> Vec<Loan> {
-        self.inner.lock().dispatcher.lend(now, to, want)
+    pub fn lend(&self, now: Duration, to: &str, demand: SlotDemand) -> Vec<Loan> {
+        self.inner.lock().dispatcher.lend(now, to, demand)
     }
 
     /// Applies a borrower's report on the loans that it keeps and returns.
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Confirms to lenders the loans that are still in use.
+    /// Confirms to lenders the loans that are still held.
     fn confirm_loans(&self, node: &Node) {
         let mut by_peer: BTreeMap<String, Vec<u64>> = BTreeMap::new();
         for loan in self.inner.lock().dispatcher.borrowed_loans() {
@@ -126,7 +126,7 @@
         }
     }
 
-    fn wanted_slots(&self, now: Duration) -> Option<SlotDemand> {
+    fn slot_demand(&self, now: Duration) -> Option<SlotDemand> {
         self.inner.lock().dispatcher.slot_demand(now)
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Number of requests that wait for or hold a slot.
-    pub fn open_requests(&self) -> usize {
+    pub fn unfinished_requests(&self) -> usize {
         let inner = self.inner.lock();
         inner.dispatcher.queued_count() + inner.dispatcher.in_flight_count()
     }
@@ -187,8 +187,8 @@
     /// Endpoint of the slot.
     pub grant: Grant,
     node: Arc<Node>,
-    dispatcher: Arc<ServiceDispatcher>,
-    ticket: RequestId,
+    dispatcher: Arc<SharedDispatcher>,
+    request_id: RequestId,
     outcome: Outcome,
 }
 
@@ -201,16 +201,16 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        let (ticket, outcome) = (self.ticket, self.outcome);
-        self.dispatcher.apply(&self.node, |d, now| d.finish(now, ticket, outcome));
+        let (request_id, outcome) = (self.request_id, self.outcome);
+        self.dispatcher.apply(&self.node, |d, now| d.finish(now, request_id, outcome));
     }
 }
 
 /// Cancels a waiting request when its caller goes away.
 struct CancelGuard<'a> {
     node: &'a Arc<Node>,
-    dispatcher: &'a Arc<ServiceDispatcher>,
-    ticket: RequestId,
+    dispatcher: &'a Arc<SharedDispatcher>,
+    request_id: RequestId,
     answered: bool,
 }
 
@@ -219,17 +219,17 @@
         if self.answered {
             return;
         }
-        let ticket = self.ticket;
+        let request_id = self.request_id;
         // The request may have been granted a slot just now, which is then freed for the next one.
         self.dispatcher.apply(self.node, |d, now| {
-            if d.cancel(ticket) { Vec::new() } else { d.finish(now, ticket, Outcome::Neutral) }
+            if d.cancel(request_id) { Vec::new() } else { d.finish(now, request_id, Outcome::Neutral) }
         });
-        self.dispatcher.inner.lock().waiting.remove(&ticket);
+        self.dispatcher.inner.lock().waiting.remove(&request_id);
     }
 }
 
-/// What a request needs a slot for.
-pub struct SlotRequest<'a> {
+/// A request for a slot.
+pub struct AcquireRequest<'a> {
     /// Priority class of the request.
     pub class: PriorityClass,
     /// When the request must be answered, since the start of the process.
@@ -241,19 +241,19 @@
 /// Waits for a slot. Returns `None` if the request is a retry and the retry budget is spent.
 pub async fn acquire(
     node: &Arc<Node>,
-    dispatcher: &Arc<ServiceDispatcher>,
-    request: SlotRequest<'_>,
+    dispatcher: &Arc<SharedDispatcher>,
+    request: AcquireRequest<'_>,
 ) -> Option<Result<Slot, Refusal>> {
-    let ticket = node.next_ticket();
+    let request_id = node.next_request_id();
     let (tx, rx) = oneshot::channel();
-    dispatcher.inner.lock().waiting.insert(ticket, tx);
-    let mut guard = CancelGuard { node, dispatcher, ticket, answered: false };
+    dispatcher.inner.lock().waiting.insert(request_id, tx);
+    let mut guard = CancelGuard { node, dispatcher, request_id, answered: false };
     let mut allowed = true;
     dispatcher.apply(node, |d, now| {
         if request.tried.is_empty() {
-            return d.submit(now, ticket, request.class, request.deadline);
+            return d.submit(now, request_id, request.class, request.deadline);
         }
-        d.retry(now, ticket, request.class, request.deadline, request.tried).unwrap_or_else(|| {
+        d.retry(now, request_id, request.class, request.deadline, request.tried).unwrap_or_else(|| {
             allowed = false;
             Vec::new()
         })
@@ -261,7 +261,7 @@
     if !allowed {
         return None;
     }
-    if dispatcher.wanted_slots(node.now()).is_some() {
+    if dispatcher.slot_demand(node.now()).is_some() {
         node.slots_wanted.notify_one();
     }
     let result = rx.await;
@@ -269,7 +269,7 @@
     Some(match result {
         Ok(Ok(grant)) => {
             let (node, dispatcher) = (node.clone(), dispatcher.clone());
-            Ok(Slot { grant, node, dispatcher, ticket, outcome: Outcome::Neutral })
+            Ok(Slot { grant, node, dispatcher, request_id, outcome: Outcome::Neutral })
         }
         Ok(Err(refusal)) => Err(refusal),
         Err(_) => Err(Refusal { code: Code::Stopping, retry_after: TICK_INTERVAL }),
@@ -277,7 +277,7 @@
 }
 
 /// The dispatcher of a service that is in the routing table.
-pub fn dispatcher_of(node: &Node, service: &str) -> Option<Arc<ServiceDispatcher>> {
+pub fn dispatcher_of(node: &Node, service: &str) -> Option<Arc<SharedDispatcher>> {
     node.dispatchers.read().get(service).cloned()
 }
 
@@ -287,13 +287,13 @@
     for (service, view) in &table.services {
         let existing = dispatcher_of(node, service);
         let dispatcher = existing.unwrap_or_else(|| {
-            let dispatcher = Arc::new(ServiceDispatcher::new(service, &node.settings.data_centre));
+            let dispatcher = Arc::new(SharedDispatcher::new(service, &node.settings.data_centre));
             node.dispatchers.write().insert(service.clone(), dispatcher.clone());
             dispatcher
         });
         dispatcher.apply(node, |d, now| d.update(now, view, member, members));
     }
-    let removed: Vec<Arc<ServiceDispatcher>> = {
+    let removed: Vec<Arc<SharedDispatcher>> = {
         let mut dispatchers = node.dispatchers.write();
         let names: Vec<ServiceId> =
             dispatchers.keys().filter(|s| !table.services.contains_key(*s)).cloned().collect();
@@ -306,7 +306,7 @@
 
 /// Number of requests in flight to each of `instances`, leaving out those without any.
 pub fn in_flight_to(node: &Node, instances: &[InstanceId]) -> BTreeMap<InstanceId, u32> {
-    let dispatchers: Vec<Arc<ServiceDispatcher>> = node.dispatchers.read().values().cloned().collect();
+    let dispatchers: Vec<Arc<SharedDispatcher>> = node.dispatchers.read().values().cloned().collect();
     let mut in_flight = BTreeMap::new();
     for dispatcher in dispatchers {
         let inner = dispatcher.inner.lock();
@@ -318,12 +318,12 @@
 }
 
 /// Number of requests that wait for or hold a slot, over all services.
-pub fn open_requests(node: &Node) -> usize {
-    node.dispatchers.read().values().map(|d| d.open_requests()).sum()
+pub fn unfinished_requests(node: &Node) -> usize {
+    node.dispatchers.read().values().map(|d| d.unfinished_requests()).sum()
 }
 
-/// Stops sending new requests to endpoints that have announced that they are leaving.
-pub fn close_endpoints(node: &Node, instances: &[InstanceId]) {
+/// Marks endpoints as leaving, so that they get no new requests for a while.
+pub fn mark_endpoints_leaving(node: &Node, instances: &[InstanceId]) {
     let now = node.now();
     for dispatcher in node.dispatchers.read().values() {
         let mut inner = dispatcher.inner.lock();
@@ -331,7 +331,7 @@
     }
 }
 
-fn all_dispatchers(node: &Node) -> Vec<Arc<ServiceDispatcher>> {
+fn all_dispatchers(node: &Node) -> Vec<Arc<SharedDispatcher>> {
     node.dispatchers.read().values().cloned().collect()
 }
 
@@ -362,16 +362,17 @@
     }
 }
 
-/// Asks peers one after the other for slots until enough are borrowed, beginning with peer number `turn`.
-async fn borrow_slots(node: &Arc<Node>, dispatcher: &Arc<ServiceDispatcher>, turn: usize) {
+/// Asks peers one after the other for slots, beginning with peer number `turn`, until enough are borrowed
+/// or a peer lends none.
+async fn borrow_slots(node: &Arc<Node>, dispatcher: &Arc<SharedDispatcher>, turn: usize) {
     let peers = node.roster_peers();
     for i in 0..peers.len() {
-        let Some(want) = dispatcher.wanted_slots(node.now()) else { return };
+        let Some(demand) = dispatcher.slot_demand(node.now()) else { return };
         let peer = &peers[(i + turn) % peers.len()];
         let Some(link) = node.link_to(peer) else { continue };
-        let request = PeerSlotRequest {
+        let request = SlotRequest {
             service: dispatcher.service.clone(),
-            slots: want.slots,
+            slots: demand.slots,
             borrower: node.id.clone(),
         };
         let Some(Msg::SlotReply(reply)) = link.call(Msg::SlotRequest(request), LOAN_REQUEST_TIMEOUT).await
--- a/src/workswood/ops/entry/node.rs
+++ b/src/workswood/ops/entry/node.rs
@@ -18,7 +18,7 @@
 use workswood_peers::Link;
 use workswood_platform::Platform;
 
-use super::dispatch::ServiceDispatcher;
+use super::dispatch::SharedDispatcher;
 use super::log_appender::{AppendRequest, PendingEnvelope};
 use crate::util::clock::Clock;
 use crate::util::metrics::Metrics;
@@ -62,7 +62,7 @@
     /// Connections to peers, by address.
     pub links: Mutex<BTreeMap<String, Link>>,
     /// Dispatchers by service.
-    pub dispatchers: RwLock<BTreeMap<ServiceId, Arc<ServiceDispatcher>>>,
+    pub dispatchers: RwLock<BTreeMap<ServiceId, Arc<SharedDispatcher>>>,
     /// Own envelopes that were not folded yet, by sequence number.
     pub pending_envelopes: Mutex<BTreeMap<u64, PendingEnvelope>>,
     /// Queue of the log appender.
@@ -84,7 +84,7 @@
     /// Number of callers' requests in progress.
     pub in_progress: AtomicU64,
     clock: Clock,
-    tickets: AtomicU64,
+    next_request_id: AtomicU64,
 }
 
 /// Number of random digits of an incarnation, which tell restarts of one process apart.
@@ -132,7 +132,7 @@
             callers_done: AtomicBool::new(false),
             in_progress: AtomicU64::new(0),
             clock: Clock::of_host(),
-            tickets: AtomicU64::new(1),
+            next_request_id: AtomicU64::new(1),
         };
         (Arc::new(node), rx)
     }
@@ -148,9 +148,9 @@
         since_epoch.as_millis() as UnixMs
     }
 
-    /// Returns a new number for a request, unique in this process.
-    pub fn next_ticket(&self) -> u64 {
-        self.tickets.fetch_add(1, Ordering::Relaxed)
+    /// Returns a new number for an attempt to get a slot, unique in this process.
+    pub fn next_request_id(&self) -> u64 {
+        self.next_request_id.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Address of the listener for peers, by which they know this process.
--- a/src/workswood/ops/entry/peers.rs
+++ b/src/workswood/ops/entry/peers.rs
@@ -166,7 +166,7 @@
             return Some(Msg::KeyReply(KeyReply { known: status.known, roster: status.roster }));
         }
         Msg::DrainingEndpoints(DrainingEndpoints { instances }) => {
-            dispatch::close_endpoints(node, &instances)
+            dispatch::mark_endpoints_leaving(node, &instances)
         }
         // Answers to calls, and messages that only processes that run jobs get.
         Msg::Hello(_) | Msg::SlotReply(_) | Msg::StateReply(_) | Msg::KeyReply(_) | Msg::Ack(_) => {}
--- a/src/workswood/ops/entry/proxy.rs
+++ b/src/workswood/ops/entry/proxy.rs
@@ -21,7 +21,7 @@
 use workswood_core::route::Outcome;
 use workswood_endpoints::{EndpointBody, EndpointResponse, SendError, incoming_body};
 
-use super::dispatch::{self, Grant, Slot, SlotRequest};
+use super::dispatch::{self, AcquireRequest, Grant, Slot};
 use super::node::Node;
 use super::{deferred_requests, keyed_requests, peers};
 
@@ -236,7 +236,7 @@
     let mut sent = false;
     while tried.len() < MAX_ATTEMPTS {
         let slot_request =
-            SlotRequest { class: request.route.class, deadline: request.deadline, tried: &tried };
+            AcquireRequest { class: request.route.class, deadline: request.deadline, tried: &tried };
         let acquired = match first_slot.take() {
             Some(slot) => Some(Ok(slot)),
             None => dispatch::acquire(node, &dispatcher, slot_request).await,
@@ -310,7 +310,7 @@
     slot.set_outcome(if failed { Outcome::Failure } else { Outcome::Success });
     if headers.contains_key(LEAVING_HEADER) {
         let id = slot.grant.endpoint.clone();
-        dispatch::close_endpoints(node, std::slice::from_ref(&id));
+        dispatch::mark_endpoints_leaving(node, std::slice::from_ref(&id));
         peers::announce_leaving(node, vec![id]);
     }
 }
@@ -331,7 +331,7 @@
     let Some(dispatcher) = dispatch::dispatcher_of(node, &request.service) else {
         return refusal(Code::UnknownRoute, ExecutionStatus::NotRun, None);
     };
-    let slot_request = SlotRequest { class: request.route.class, deadline: request.deadline, tried: &[] };
+    let slot_request = AcquireRequest { class: request.route.class, deadline: request.deadline, tried: &[] };
     let mut slot = match dispatch::acquire(node, &dispatcher, slot_request).await {
         Some(Ok(slot)) => slot,
         Some(Err(refused)) => {
--- a/src/workswood/ops/entry/shutdown.rs
+++ b/src/workswood/ops/entry/shutdown.rs
@@ -30,7 +30,7 @@
         log::warn!(
             "event=stop_limit in_progress={} queued={}",
             requests_in_progress(node),
-            dispatch::open_requests(node)
+            dispatch::unfinished_requests(node)
         );
     }
 }
@@ -49,7 +49,7 @@
     tokio::time::sleep(node.settings.balancer_lag).await;
     let _ = stop_callers.send(true);
     let _ = callers_task.await;
-    while requests_in_progress(node) > 0 || dispatch::open_requests(node) > 0 {
+    while requests_in_progress(node) > 0 || dispatch::unfinished_requests(node) > 0 {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
     node.callers_done.store(true, Ordering::Release);
