--- a/src/workswood/ops/entry/node.rs
+++ b/src/workswood/ops/entry/node.rs
@@ -27,8 +27,8 @@
 /// What a peer reported in its last heartbeat.
 #[derive(Clone, Debug, Default)]
 pub struct PeerReport {
-    /// Number of open requests of the peer on each instance of a draining host.
-    pub open_requests: BTreeMap<InstanceId, u32>,
+    /// Number of requests that the peer has in flight to each instance on a host out of service.
+    pub in_flight: BTreeMap<InstanceId, u32>,
 }
 
 /// State shared by the tasks of an entry process.
--- a/src/workswood/ops/entry/peers.rs
+++ b/src/workswood/ops/entry/peers.rs
@@ -20,9 +20,9 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Number of other members that one heartbeat passes on.
 const MEMBERS_PER_HEARTBEAT: usize = 2;
-/// Number of heartbeats between searches of the platform's list for other entry hosts.
+/// Number of heartbeats between searches of the platform's list for other entries.
 const HEARTBEATS_PER_LISTING: u64 = 120;
-/// The same while no other entry process is known.
+/// The same while no other entry is known.
 const HEARTBEATS_PER_LISTING_ALONE: u64 = 4;
 
 fn to_wire(beat: &Heartbeat) -> EntryState {
@@ -66,7 +66,7 @@
 
 fn send_heartbeat(node: &Arc<Node>, number: u64, seeds: &BTreeSet<String>) {
     let own = own_heartbeat(node, number);
-    let (others, contacts) = {
+    let (others, link_addresses) = {
         let mut members = node.members.lock();
         for m in members.update_liveness(node.now()) {
             log::info!(
@@ -77,16 +77,16 @@
             );
         }
         members.record_heartbeat(node.now(), own.clone(), true);
-        let contacts = members.link_addresses(&own.address, &own.data_centre);
-        (members.sample_heartbeats(number, MEMBERS_PER_HEARTBEAT), contacts)
+        let link_addresses = members.link_addresses(&own.address, &own.data_centre);
+        (members.sample_heartbeats(number, MEMBERS_PER_HEARTBEAT), link_addresses)
     };
-    let open = open_on_draining(node);
+    let in_flight = in_flight_out_of_service(node);
     let beats = HeartbeatMessage {
         sender: Some(to_wire(&own)),
         others: others.iter().map(to_wire).collect(),
-        open_requests: open,
+        open_requests: in_flight,
     };
-    for link in update_links(node, &contacts, seeds) {
+    for link in update_links(node, &link_addresses, seeds) {
         link.send(Msg::Heartbeat(beats.clone()));
     }
 }
@@ -102,8 +102,8 @@
     }
 }
 
-/// Number of open requests on each instance whose host is draining.
-fn open_on_draining(node: &Node) -> Vec<OpenRequests> {
+/// Number of requests in flight to each instance whose host is out of service.
+fn in_flight_out_of_service(node: &Node) -> Vec<OpenRequests> {
     let instances: Vec<String> = {
         let state = node.state.read();
         let hosts = state.hosts.iter().filter(|(_, h)| h.out_of_service()).map(|(id, _)| id);
@@ -115,13 +115,13 @@
         .collect()
 }
 
-/// Opens links to contacts and to seeds that are not known as members yet, closes all other links, and
+/// Opens links to the addresses and to seeds that are not known as members yet, closes all other links, and
 /// returns the open ones.
-fn update_links(node: &Arc<Node>, contacts: &[String], seeds: &BTreeSet<String>) -> Vec<Link> {
+fn update_links(node: &Arc<Node>, link_addresses: &[String], seeds: &BTreeSet<String>) -> Vec<Link> {
     let known: BTreeSet<String> = node.members.lock().iter().map(|m| m.heartbeat.address.clone()).collect();
     let own = node.peer_address();
     let unknown_seeds = seeds.iter().filter(|s| **s != own && !known.contains(*s));
-    let wanted: BTreeSet<String> = contacts.iter().chain(unknown_seeds).cloned().collect();
+    let wanted: BTreeSet<String> = link_addresses.iter().chain(unknown_seeds).cloned().collect();
     let mut links = node.links.lock();
     links.retain(|address, _| wanted.contains(address));
     for address in wanted {
@@ -168,17 +168,18 @@
         Msg::DrainingEndpoints(DrainingEndpoints { instances }) => {
             dispatch::mark_endpoints_leaving(node, &instances)
         }
-        // Answers to calls, and messages that only processes that run jobs get.
+        // Answers to calls.
         Msg::Hello(_) | Msg::SlotReply(_) | Msg::StateReply(_) | Msg::KeyReply(_) | Msg::Ack(_) => {}
+        // Messages that only processes that run jobs get.
         Msg::JobStateRequest(_)
         | Msg::JobStateReply(_)
         | Msg::PendingJobsRequest(_)
         | Msg::PendingJobsReply(_) => {}
         Msg::InboxAppendRequest(_) | Msg::InboxAppendReply(_) | Msg::LeaseReleaseRequest(_) => {}
-        // Handled by the connection itself.
-        Msg::Ping(_) | Msg::Pong(_) => {}
         Msg::AdviceRequest(_) | Msg::AdviceReply(_) | Msg::ConfigRequest(_) | Msg::ConfigReply(_) => {}
         Msg::RelayOpen(_) | Msg::RelayReady(_) | Msg::RelayOrders(_) | Msg::RelayUpdate(_) => {}
+        // Handled by the connection itself.
+        Msg::Ping(_) | Msg::Pong(_) => {}
     }
     None
 }
@@ -190,7 +191,7 @@
     let mut members = node.members.lock();
     if let Some(sender) = beats.sender {
         let report = PeerReport {
-            open_requests: beats.open_requests.into_iter().map(|o| (o.instance, o.requests)).collect(),
+            in_flight: beats.open_requests.into_iter().map(|o| (o.instance, o.requests)).collect(),
         };
         node.peer_reports.lock().insert(sender.address.clone(), report);
         let next = sender.next_offset;
--- a/src/workswood/ops/entry/roles.rs
+++ b/src/workswood/ops/entry/roles.rs
@@ -128,7 +128,9 @@
         Some(held)
     }
 
-    /// Whether the last renewal is so recent that no other process can have taken the role over.
+    /// Whether the last renewal is so recent that no other process can have taken the role over. This
+    /// process may notice a renewal later than other processes do, so that their timeout ends earlier; half
+    /// a renewal interval is left for that.
     fn is_unexpired(&self, now: Duration) -> bool {
         now.saturating_sub(self.renewal_seen_at) < LEASE_TIMEOUT - RENEW_INTERVAL / 2
     }
@@ -151,8 +153,8 @@
         }
         held = HeldLease::refresh(held, &node, Role::Planner);
         let Some(lease) = held.as_ref().filter(|h| h.is_unexpired(node.now())) else { continue };
-        let Ok(listing) = node.platform.hosts().await else { continue };
-        let records = plan_round(&node, &listing, lease.term);
+        let Ok(observed) = node.platform.hosts().await else { continue };
+        let records = plan_round(&node, &observed, lease.term);
         next_offset.mark_unchanged();
         idle = records.is_empty() && !node.state.read().hosts.values().any(ManagedHost::out_of_service);
         if !records.is_empty() {
@@ -167,45 +169,47 @@
         else {
             continue;
         };
-        idle &= !perform_actions(&node, &listing, lease.term).await;
+        idle &= !perform_actions(&node, &observed, lease.term).await;
     }
 }
 
 /// Decides on one round of planning from the state, the platform's list and the peers' reports.
-fn plan_round(node: &Node, listing: &ObservedFleet, term: Term) -> Vec<Record> {
-    let facts = collect_facts(node);
+fn plan_round(node: &Node, observed: &ObservedFleet, term: Term) -> Vec<Record> {
+    let reports = collect_reports(node);
     let now = node.wall();
     let state = node.state.read();
     let roster = roster_change(node, &state, term);
-    let mut records = decide(&state, listing, &facts, now, term);
+    let mut records = decide(&state, observed, &reports, now, term);
     records.truncate(MAX_ROUND_DECISIONS);
     records.extend(roster);
     records
 }
 
-/// Collects the offset that all processes have folded and the requests in flight to draining instances.
-fn collect_facts(node: &Node) -> EntryReports {
-    let (own_next, draining) = {
+/// Collects the offset that all processes have folded, and the requests in flight to instances on hosts
+/// out of service.
+fn collect_reports(node: &Node) -> EntryReports {
+    let (own_next, instances) = {
         let state = node.state.read();
-        let is_away = |i: &PlacedInstance| state.hosts.get(&i.host).is_some_and(|h| h.out_of_service());
-        let draining: Vec<InstanceId> =
-            state.instances.iter().filter(|(_, i)| is_away(i)).map(|(id, _)| id.clone()).collect();
-        (state.next_offset, draining)
+        let is_affected = |i: &PlacedInstance| state.hosts.get(&i.host).is_some_and(|h| h.out_of_service());
+        let instances: Vec<InstanceId> =
+            state.instances.iter().filter(|(_, i)| is_affected(i)).map(|(id, _)| id.clone()).collect();
+        (state.next_offset, instances)
     };
-    let mut in_flight = super::dispatch::in_flight_to(node, &draining);
+    let mut in_flight = super::dispatch::in_flight_to(node, &instances);
     let members = node.members.lock();
     let others: Vec<&Member> = members.present().filter(|m| m.heartbeat.id != node.id).collect();
-    let confirmed = others.iter().map(|m| m.heartbeat.next_offset).fold(own_next, u64::min);
-    let reports = node.peer_reports.lock();
-    for report in others.iter().filter_map(|m| reports.get(&m.heartbeat.address)) {
-        for (id, n) in &report.open_requests {
+    let folded_by_all = others.iter().map(|m| m.heartbeat.next_offset).fold(own_next, u64::min);
+    let peer_reports = node.peer_reports.lock();
+    for report in others.iter().filter_map(|m| peer_reports.get(&m.heartbeat.address)) {
+        for (id, n) in &report.in_flight {
             *in_flight.entry(id.clone()).or_default() += n;
         }
     }
-    EntryReports { folded_by_all: confirmed, in_flight }
+    EntryReports { folded_by_all, in_flight }
 }
 
-/// Returns the record of a new roster if the eligible members differ from the roster in force.
+/// Returns the record of a new roster if the eligible members differ from the roster in force, and stores
+/// that roster as the proposed one.
 fn roster_change(node: &Node, state: &State, term: Term) -> Option<Record> {
     let members = node.members.lock();
     let on_roster = |id: &str| state.roster.iter().any(|m| m.id == id);
@@ -229,8 +233,8 @@
 }
 
 /// Performs the actions that the platform's list shows to be outstanding; returns whether there were any.
-async fn perform_actions(node: &Arc<Node>, listing: &ObservedFleet, term: Term) -> bool {
-    let outstanding = missing_actions(&node.state.read(), listing);
+async fn perform_actions(node: &Arc<Node>, observed: &ObservedFleet, term: Term) -> bool {
+    let outstanding = missing_actions(&node.state.read(), observed);
     for chunk in outstanding.chunks(MAX_CONCURRENT_ACTIONS) {
         let lease = node.state.read().lease(Role::Planner);
         if lease.term != term || lease.holder.as_ref() != Some(&node.id) {
