--- a/src/workswood/ops/entry/deferred_requests.rs
+++ b/src/workswood/ops/entry/deferred_requests.rs
@@ -23,7 +23,7 @@
 
 /// Maximum size of the body of a deferred request, in bytes.
 pub const MAX_DEFERRED_BODY_BYTES: usize = 64 * 1024;
-/// Time between searches for open requests.
+/// Time between searches for deferred requests that have no outcome yet.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum number of deferred requests that one process runs concurrently.
 const MAX_CONCURRENT_REQUESTS: usize = 8;
@@ -39,27 +39,27 @@
         return keyed_requests::answer(node, request, body, key).await;
     }
     let needs_key = key.is_some() || !request.route.repeatable;
-    let given = match needs_key {
-        true => match keyed_requests::parse_key(node, &request, &body, key) {
-            Ok(given) => given,
+    let identity = match needs_key {
+        true => match keyed_requests::parse_identity(node, &request, &body, key) {
+            Ok(identity) => identity,
             Err(code) => return refusal(code, ExecutionStatus::NotRun, None),
         },
         false => with_generated_key(node, &request, &body),
     };
-    if let Some(reply) = keyed_requests::recorded_reply(node, &given) {
+    if let Some(reply) = keyed_requests::recorded_reply(node, &identity) {
         return reply;
     }
     if !node.is_set(&node.log_up) {
         return keyed_requests::refuse(
             node,
-            Some(&given.key),
+            Some(&identity.key),
             Code::LogUnavailable,
             Some(Duration::from_secs(1)),
         )
         .await;
     }
-    let Some(claim_guard) = ClaimGuard::begin(node, &given.key, request.deadline).await else {
-        return keyed_requests::refuse(node, Some(&given.key), Code::WaitTooLong, Some(CLAIM_HOLD)).await;
+    let Some(claim_guard) = ClaimGuard::begin(node, &identity.key, request.deadline).await else {
+        return keyed_requests::refuse(node, Some(&identity.key), Code::WaitTooLong, Some(CLAIM_HOLD)).await;
     };
     let deferred = DeferredRequest {
         method: request.head.method.to_string(),
@@ -68,26 +68,31 @@
         repeatable: request.route.repeatable,
     };
     let record = Record::Claim {
-        key: given.key.clone(),
+        key: identity.key.clone(),
         service: request.service.clone(),
-        digest: given.digest,
+        digest: identity.digest,
         holder: None,
-        last_moment: given.last_moment,
+        last_moment: identity.last_moment,
         deferred: Some(deferred),
     };
     match node.append(vec![record]).await.map(|appended| appended.verdicts) {
         Ok(verdicts) => match verdicts.first() {
-            Some(Ok(())) => accepted_reply(&given.key),
+            Some(Ok(())) => accepted_reply(&identity.key),
             Some(Err(Rejection::KeyTaken | Rejection::Expired)) => {
-                keyed_requests::recorded_reply(node, &given)
+                keyed_requests::recorded_reply(node, &identity)
                     .unwrap_or_else(|| refusal(Code::KeyExpired, ExecutionStatus::Unknown, None))
             }
             _ => refusal(Code::LogUnavailable, ExecutionStatus::NotRun, Some(Duration::from_secs(1))),
         },
         Err(AppendError::NotSent) => {
             drop(claim_guard);
-            keyed_requests::refuse(node, Some(&given.key), Code::LogUnavailable, Some(Duration::from_secs(1)))
-                .await
+            keyed_requests::refuse(
+                node,
+                Some(&identity.key),
+                Code::LogUnavailable,
+                Some(Duration::from_secs(1)),
+            )
+            .await
         }
         // The request may still reach the log and run; the caller can ask for the outcome of its key.
         Err(AppendError::Unknown) => {
@@ -113,7 +118,7 @@
         .unwrap_or_else(|_| refusal(Code::KeyRunning, ExecutionStatus::Unknown, None))
 }
 
-/// Runs the open requests that are assigned to this process until it ends.
+/// Runs the deferred requests that have no outcome yet and are assigned to this process, until it ends.
 pub async fn run(node: Arc<Node>) {
     let mut tasks = tokio::task::JoinSet::new();
     let mut running_keys: Vec<IdempotencyKey> = Vec::new();
@@ -140,8 +145,8 @@
     }
 }
 
-/// What to do with an open request.
-enum OpenAction {
+/// What to do with a deferred request that has no outcome yet.
+enum DeferredAction {
     /// Run the request.
     Run { rec: KeyedRequest },
     /// Record an unknown outcome: the process that ran the request is gone, and the request may not be
@@ -149,8 +154,9 @@
     RecordUnknown { holder: String },
 }
 
-/// Selects open requests that are assigned to this process, as many as it may still run.
-fn select_requests(node: &Node, running_keys: &[IdempotencyKey]) -> Vec<(IdempotencyKey, OpenAction)> {
+/// Selects deferred requests that have no outcome yet and are assigned to this process, as many as it may
+/// still run.
+fn select_requests(node: &Node, running_keys: &[IdempotencyKey]) -> Vec<(IdempotencyKey, DeferredAction)> {
     let state = node.state.read();
     let capacity = MAX_CONCURRENT_REQUESTS.saturating_sub(running_keys.len());
     let open =
@@ -166,24 +172,24 @@
     assigned == Some(id)
 }
 
-fn action_for(state: &State, rec: &KeyedRequest) -> Option<OpenAction> {
+fn action_for(state: &State, rec: &KeyedRequest) -> Option<DeferredAction> {
     match &rec.state {
-        KeyState::Waiting => Some(OpenAction::Run { rec: rec.clone() }),
+        KeyState::Waiting => Some(DeferredAction::Run { rec: rec.clone() }),
         KeyState::Running { holder } if !state.roster.iter().any(|m| m.id == *holder) => {
             Some(if rec.may_repeat() {
-                OpenAction::Run { rec: rec.clone() }
+                DeferredAction::Run { rec: rec.clone() }
             } else {
-                OpenAction::RecordUnknown { holder: holder.clone() }
+                DeferredAction::RecordUnknown { holder: holder.clone() }
             })
         }
         _ => None,
     }
 }
 
-async fn perform(node: &Arc<Node>, key: &str, action: OpenAction) {
+async fn perform(node: &Arc<Node>, key: &str, action: DeferredAction) {
     match action {
-        OpenAction::Run { rec } => run_attempt(node, key, rec).await,
-        OpenAction::RecordUnknown { holder } => {
+        DeferredAction::Run { rec } => run_attempt(node, key, rec).await,
+        DeferredAction::RecordUnknown { holder } => {
             log::warn!("event=deferred_unknown key={key} holder={holder} reason=holder_gone");
             let record = Record::Finish { key: key.to_string(), holder, outcome: AttemptOutcome::Unknown };
             let _ = node.append(vec![record]).await;
--- a/src/workswood/ops/entry/keyed_requests.rs
+++ b/src/workswood/ops/entry/keyed_requests.rs
@@ -26,7 +26,7 @@
 
 /// Maximum size of a response body that is stored with its key, in bytes.
 const MAX_STORED_BODY_BYTES: usize = 4 * 1024;
-/// Maximum difference between the clocks of entry hosts.
+/// Maximum difference between the clocks of entries.
 pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(2);
 /// Timeout of a request to a peer for the status of a key.
 const KEY_STATUS_TIMEOUT: Duration = Duration::from_millis(300);
@@ -37,8 +37,8 @@
 /// Time after which a caller may ask again about a running request.
 const RUNNING_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Parses the key and the last moment of a request.
-pub fn parse_key(
+/// Parses the key of a request, and the time after which the key is no longer valid (the last moment).
+pub fn parse_identity(
     node: &Node,
     request: &RoutedRequest,
     body: &Bytes,
@@ -67,14 +67,14 @@
 
 /// Runs a request that may not be repeated, or answers from the log if its key was claimed before.
 pub async fn answer(node: &Arc<Node>, request: RoutedRequest, body: Bytes, key: Option<String>) -> Reply {
-    let given = match parse_key(node, &request, &body, key) {
-        Ok(given) => given,
+    let identity = match parse_identity(node, &request, &body, key) {
+        Ok(identity) => identity,
         // A request without a valid key is never claimed, so no copy of it can have run.
         Err(code) => return refusal(code, ExecutionStatus::NotRun, None),
     };
     // A task of its own continues when the caller disconnects, so that the outcome is recorded.
     let node = node.clone();
-    let run = tokio::spawn(async move { claim_and_run(&node, request, body, given).await });
+    let run = tokio::spawn(async move { claim_and_run(&node, request, body, identity).await });
     run.await.unwrap_or_else(|_| refusal(Code::KeyUnknownOutcome, ExecutionStatus::Unknown, None))
 }
 
@@ -110,39 +110,39 @@
     node: &Arc<Node>,
     request: RoutedRequest,
     body: Bytes,
-    given: RequestIdentity,
+    identity: RequestIdentity,
 ) -> Reply {
-    if let Some(reply) = recorded_reply(node, &given) {
+    if let Some(reply) = recorded_reply(node, &identity) {
         return reply;
     }
     if let Some(code) = claim_obstacle(node, &request) {
-        return refuse(node, Some(&given.key), code, Some(LOG_RETRY_AFTER)).await;
+        return refuse(node, Some(&identity.key), code, Some(LOG_RETRY_AFTER)).await;
     }
-    let Some(claim_guard) = ClaimGuard::begin(node, &given.key, request.deadline).await else {
-        return refuse(node, Some(&given.key), Code::WaitTooLong, Some(CLAIM_HOLD)).await;
+    let Some(claim_guard) = ClaimGuard::begin(node, &identity.key, request.deadline).await else {
+        return refuse(node, Some(&identity.key), Code::WaitTooLong, Some(CLAIM_HOLD)).await;
     };
     let record = Record::Claim {
-        key: given.key.clone(),
+        key: identity.key.clone(),
         service: request.service.clone(),
-        digest: given.digest,
+        digest: identity.digest,
         holder: Some(node.id.clone()),
-        last_moment: given.last_moment,
+        last_moment: identity.last_moment,
         deferred: None,
     };
     let Ok(appended) = node.append(vec![record]).await else {
         // This process never sends the request, even if the claim is folded later. Another copy may
         // have run on a peer, so `refuse` asks them.
         drop(claim_guard);
-        return refuse(node, Some(&given.key), Code::LogUnavailable, Some(LOG_RETRY_AFTER)).await;
+        return refuse(node, Some(&identity.key), Code::LogUnavailable, Some(LOG_RETRY_AFTER)).await;
     };
     let verdict = appended.verdicts.first().cloned().unwrap_or(Err(Rejection::Unknown));
-    let next = idempotency::decide_after_claim(&node.state.read(), &given, &verdict);
+    let next = idempotency::decide_after_claim(&node.state.read(), &identity, &verdict);
     match next {
-        ClaimDecision::Send => send_claimed(node, request, body, &given.key).await,
-        ClaimDecision::Answer(told) => reply_of(&told, &given.key),
+        ClaimDecision::Send => send_claimed(node, request, body, &identity.key).await,
+        ClaimDecision::Answer(answer) => reply_to_copy(&answer, &identity.key),
         ClaimDecision::RetryLater => {
             drop(claim_guard);
-            refuse(node, Some(&given.key), Code::LogUnavailable, Some(LOG_RETRY_AFTER)).await
+            refuse(node, Some(&identity.key), Code::LogUnavailable, Some(LOG_RETRY_AFTER)).await
         }
     }
 }
@@ -156,6 +156,7 @@
     if clock_behind {
         return Some(Code::ClockSkew);
     }
+    // Without a dispatcher there is no expected wait; the attempt to send then fails with its own code.
     let dispatcher = dispatch::dispatcher_of(node, &request.service)?;
     let wait = dispatcher.expected_wait(node.now(), request.route.class);
     (node.now() + wait >= request.deadline).then_some(Code::WaitTooLong)
@@ -190,17 +191,17 @@
 }
 
 /// Response to a copy of a request that the log knows of; `None` if its key may be claimed.
-pub fn recorded_reply(node: &Node, given: &RequestIdentity) -> Option<Reply> {
-    let told = idempotency::answer_if_known(&node.state.read(), given)?;
-    Some(reply_of(&told, &given.key))
+pub fn recorded_reply(node: &Node, identity: &RequestIdentity) -> Option<Reply> {
+    let answer = idempotency::answer_if_known(&node.state.read(), identity)?;
+    Some(reply_to_copy(&answer, &identity.key))
 }
 
 /// Response to a copy of a request that is not sent.
-pub fn reply_of(told: &KeyAnswer, key: &str) -> Reply {
-    let retry_after = matches!(told, KeyAnswer::Running).then_some(RUNNING_RETRY_AFTER);
-    match (told, told.code()) {
+pub fn reply_to_copy(answer: &KeyAnswer, key: &str) -> Reply {
+    let retry_after = matches!(answer, KeyAnswer::Running).then_some(RUNNING_RETRY_AFTER);
+    match (answer, answer.code()) {
         (KeyAnswer::Done { status, body }, _) => stored_reply(*status, body.as_deref(), key),
-        (_, code) => refusal(code.unwrap_or(Code::KeyUnknownOutcome), told.execution(), retry_after),
+        (_, code) => refusal(code.unwrap_or(Code::KeyUnknownOutcome), answer.execution(), retry_after),
     }
 }
 
@@ -222,7 +223,7 @@
 pub fn outcome_reply(node: &Node, key: &str) -> Reply {
     let state = node.state.read();
     match state.keys.get(key) {
-        Some(rec) => reply_of(&idempotency::answer_for(&state, rec), key),
+        Some(rec) => reply_to_copy(&idempotency::answer_for(&state, rec), key),
         None => refusal(Code::KeyNotFound, ExecutionStatus::Unknown, None),
     }
 }
@@ -238,8 +239,10 @@
     refusal(code, ran, retry_after)
 }
 
-/// Returns whether this process knows a key, and the roster, for a peer that asks.
-pub fn key_status(node: &Node, key: &str) -> idempotency::InquiryReply {
+/// Returns whether this process knows a key, with the members of the roster and of the roster that this
+/// process has proposed. After denying that it knows the key, this process does not claim it for
+/// [`CLAIM_HOLD`].
+pub fn deny_or_confirm_key(node: &Node, key: &str) -> idempotency::InquiryReply {
     let state = node.state.read();
     // A process that has not caught up with the log can't deny that it knows the key.
     let known = state.keys.contains_key(key)
@@ -255,7 +258,7 @@
 /// Asks all processes that may claim a key, and returns whether none of them knows it.
 async fn never_claimed(node: &Arc<Node>, key: &str) -> bool {
     let started_at = node.now();
-    let mut inquiry = ClaimInquiry::new(&node.id, key_status(node, key));
+    let mut inquiry = ClaimInquiry::new(&node.id, deny_or_confirm_key(node, key));
     while let Some(id) = inquiry.next_to_ask() {
         let request = Msg::KeyRequest(KeyRequest { key: key.to_string() });
         let answer = match node.link_to(id) {
--- a/src/workswood/ops/entry/peers.rs
+++ b/src/workswood/ops/entry/peers.rs
@@ -162,7 +162,7 @@
             return Some(Msg::StateReply(StateReply { text }));
         }
         Msg::KeyRequest(KeyRequest { key }) => {
-            let status = keyed_requests::key_status(node, &key);
+            let status = keyed_requests::deny_or_confirm_key(node, &key);
             return Some(Msg::KeyReply(KeyReply { known: status.known, roster: status.roster }));
         }
         Msg::DrainingEndpoints(DrainingEndpoints { instances }) => {
