--- a/src/workswood/ops/entry/log_appender.rs
+++ b/src/workswood/ops/entry/log_appender.rs
@@ -80,6 +80,7 @@
             return;
         }
         let mut pending = self.pending_envelopes.lock();
+        // Earlier envelopes are void. Dropping them ends their waiters with `AppendError::Unknown`.
         let later = pending.split_off(&(envelope.seq + 1));
         let mut settled = std::mem::replace(&mut *pending, later);
         drop(pending);
@@ -208,7 +209,8 @@
     }
 }
 
-/// Retries the append of an envelope until it is folded or [`APPEND_TIMEOUT`] has passed.
+/// Retries the append of an envelope until the platform accepts it or [`APPEND_TIMEOUT`] has passed. Then
+/// waits until the accepted envelope is folded, for at most [`READ_BACK_TIMEOUT`].
 async fn append_envelope(node: &Arc<Node>, envelope: &Envelope) {
     let body = serde_json::to_string(envelope).unwrap_or_default();
     let deadline = Instant::now() + APPEND_TIMEOUT;
--- a/src/workswood/ops/entry/log_reader.rs
+++ b/src/workswood/ops/entry/log_reader.rs
@@ -15,11 +15,11 @@
 use super::node::Node;
 
 /// Maximum number of envelopes in one read.
-const MAX_READ_RECORDS: usize = 512;
+const MAX_READ_ENVELOPES: usize = 512;
 /// Time after which the log is read although no growth was announced.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Consecutive failed reads after which the log counts as down. A single failure may be a slow
-/// answer and refuses no requests.
+/// Consecutive failed reads after which the log counts as down. One failed read may be only a slow
+/// answer, so it does not mark the log as down.
 const FAILED_READS_UNTIL_DOWN: u32 = 2;
 /// Delay after a failed read.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
@@ -59,14 +59,14 @@
 }
 
 /// Returns the newest complete checkpoint in the log, or the empty state if there is none but the log
-/// still begins at offset 0.
+/// still begins at offset 0. Marks the log as up once it is read to its end.
 async fn load_checkpoint(node: &Node) -> Result<Option<State>, Error> {
     let mut assembler = CheckpointAssembler::default();
     let mut newest = None;
     let mut from = 0;
     let mut starts_at_zero = None;
     loop {
-        let read = node.platform.read(from, MAX_READ_RECORDS).await?;
+        let read = node.platform.read(from, MAX_READ_ENVELOPES).await?;
         starts_at_zero.get_or_insert(read.first == 0);
         for log_record in &read.records {
             let Some(envelope) = decode_envelope(log_record) else { continue };
@@ -125,7 +125,7 @@
 /// Reads the next envelopes and folds them; returns whether the next read should follow immediately.
 async fn read_and_fold(node: &Arc<Node>, failures: &mut u32) -> bool {
     let from = node.state.read().next_offset;
-    let read = match node.platform.read(from, MAX_READ_RECORDS).await {
+    let read = match node.platform.read(from, MAX_READ_ENVELOPES).await {
         Ok(r) => {
             *failures = 0;
             r
