--- a/src/workswood/ops/entry/mod.rs
+++ b/src/workswood/ops/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry process, which routes callers' requests to endpoints and plans the fleet while it holds the
+//! The entry, which routes callers' requests to endpoints and plans the fleet while it holds the
 //! planner's lease.
 //!
 //! Its tasks share a [`Node`]. Each module holds one part of the work:
@@ -7,7 +7,7 @@
 //! * [`log_appender`] appends records to the log in batches;
 //! * [`roles`] acquires and renews the leases of roles, and plans and writes checkpoints while it
 //!   holds them;
-//! * [`peers`] sends heartbeats to other entry processes and answers their messages;
+//! * [`peers`] sends heartbeats to other entries and answers their messages;
 //! * [`dispatch`] grants slots of endpoints to requests, and borrows slots from peers;
 //! * [`proxy`] routes callers' requests to endpoints;
 //! * [`keyed_requests`] ensures that a request that may not be repeated is sent at most once;
@@ -42,7 +42,7 @@
 use crate::util::settings::{Settings, Tokens};
 use crate::util::signals;
 
-/// A running entry process.
+/// A running entry.
 pub struct Entry {
     /// State that its tasks share.
     pub node: Arc<Node>,
@@ -125,7 +125,7 @@
     Ok(listener)
 }
 
-/// Runs an entry process with the settings file at `settings_path` until a signal asks it to stop.
+/// Runs an entry with the settings file at `settings_path` until a signal asks it to stop.
 /// A second signal ends it immediately.
 pub async fn run(settings_path: &str) -> Result<()> {
     let settings = Settings::read(settings_path)?;
--- a/src/workswood/ops/entry/node.rs
+++ b/src/workswood/ops/entry/node.rs
@@ -1,4 +1,4 @@
-//! State shared by the tasks of an entry process.
+//! State shared by the tasks of an entry.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
     pub in_flight: BTreeMap<InstanceId, u32>,
 }
 
-/// State shared by the tasks of an entry process.
+/// State shared by the tasks of an entry.
 pub struct Node {
     /// Identity of this process; it changes with each restart.
     pub id: Incarnation,
@@ -55,7 +55,7 @@
     pub log_grown: Notify,
     /// Wakes the task that borrows slots from peers when requests wait.
     pub slots_wanted: Notify,
-    /// Entry processes known from heartbeats.
+    /// Entries known from heartbeats.
     pub members: Mutex<Members>,
     /// Last reports of peers, by address.
     pub peer_reports: Mutex<BTreeMap<String, PeerReport>>,
--- a/src/workswood/ops/entry/operator_api.rs
+++ b/src/workswood/ops/entry/operator_api.rs
@@ -83,7 +83,7 @@
     );
     match appended.verdicts.first() {
         Some(Ok(())) => accepted(node, &file, appended.offset, req.wait_ms).await,
-        Some(Err(void)) => rejected(node, &file, void),
+        Some(Err(rejection)) => rejected(node, &file, rejection),
         None => ApplyReply::Unknown { code: Code::ApplyUnknown },
     }
 }
@@ -104,8 +104,8 @@
     ApplyReply::Accepted { version, offset, behind }
 }
 
-/// Waits until all entry hosts have folded an offset, and returns the addresses of those that have not
-/// within the timeout.
+/// Waits until all known entries have folded an offset, and returns the addresses of those that have not
+/// within the timeout. Dead members count as well; those that are shutting down do not.
 async fn wait_until_folded_everywhere(node: &Arc<Node>, offset: Offset, timeout: Duration) -> Vec<String> {
     const POLL_INTERVAL: Duration = Duration::from_millis(20);
     let deadline = node.now() + timeout;
@@ -125,9 +125,9 @@
 }
 
 /// Answer for a file that was folded but did not come into force.
-fn rejected(node: &Node, file: &FleetFile, void: &Rejection) -> ApplyReply {
+fn rejected(node: &Node, file: &FleetFile, rejection: &Rejection) -> ApplyReply {
     let state = node.state.read();
-    let message = match void {
+    let message = match rejection {
         Rejection::Stale { version: 0, .. } => format!("file `{}` is not in force; use base 0", file.file),
         Rejection::Stale { version, author } => {
             let current = state.files.get(&file.file).map(|f| &f.file);
@@ -141,7 +141,7 @@
         Rejection::Claimed { what, file } => format!("{what} belongs to file `{file}`"),
         other => format!("{other:?}"),
     };
-    refused(void.code(), message)
+    refused(rejection.code(), message)
 }
 
 /// Paths of the values that differ between two files, at most [`MAX_DIFFERENCES`].
@@ -178,7 +178,7 @@
     let state = node.state.read();
     let now = node.wall();
     let waves = wave_status(&state, now);
-    let stances = state.budget_statuses();
+    let budgets = state.budget_statuses();
     let mut stuck: Vec<String> = Vec::new();
     for w in &waves {
         if let WaveState::Unwell { .. }
@@ -189,7 +189,7 @@
             stuck.push(format!("wave={} left={} stop={:?}", w.name, w.remaining, w.state));
         }
     }
-    stuck.extend(stances.iter().filter(|s| s.slack < 0).map(|s| {
+    stuck.extend(budgets.iter().filter(|s| s.slack < 0).map(|s| {
         format!("budget service={} available={} min_available={}", s.service, s.available, s.min_available)
     }));
     stuck.extend(jobs_too_large(&state));
@@ -202,7 +202,7 @@
         entries: entry_statuses(node, &state),
         duties: Role::ALL.iter().map(|d| role_status(&state, *d)).collect(),
         waves: serde_json::to_value(waves).unwrap_or_default(),
-        budgets: serde_json::to_value(stances).unwrap_or_default(),
+        budgets: serde_json::to_value(budgets).unwrap_or_default(),
         hosts: pool_statuses(&state),
         stuck,
         keys: state.keys.len(),
--- a/src/workswood/ops/entry/proxy.rs
+++ b/src/workswood/ops/entry/proxy.rs
@@ -305,7 +305,7 @@
     }
 }
 
-/// Records the health of the endpoint, and closes it if the response announces that it is leaving.
+/// Records the outcome of the attempt, and marks the endpoint as leaving if the response announces that it is.
 fn record_response(node: &Node, slot: &mut Slot, failed: bool, headers: &hyper::HeaderMap) {
     slot.set_outcome(if failed { Outcome::Failure } else { Outcome::Success });
     if headers.contains_key(LEAVING_HEADER) {
@@ -315,10 +315,10 @@
     }
 }
 
-/// Response to the caller from that of an endpoint, marked as the response of a request that ran.
+/// Turns the response of an endpoint into the response to the caller, marked as run.
 fn endpoint_reply(mut reply: Reply) -> Reply {
     HOP_BY_HOP.iter().for_each(|h| drop(reply.headers_mut().remove(*h)));
-    // Only the entry process sets this header.
+    // Only the entry sets this header.
     reply.headers_mut().remove(CODE_HEADER);
     reply
         .headers_mut()
