--- a/crates/workswood-core/src/plan/mod.rs
+++ b/crates/workswood-core/src/plan/mod.rs
@@ -1,8 +1,8 @@
 //! The planner: pools, placement of instances, maintenance and jobs.
 //!
-//! [`decide`] takes the folded state, the platform's list, reports of the entries and the time, and returns records to append to the log. It keeps no state of its own, so that a planner
-//! that takes over at any point continues from the log. The fold checks each record again at its
-//! offset.
+//! [`decide`] takes the folded state, the platform's list, reports of the entries and the time, and
+//! returns records to append to the log. It keeps no state of its own, so that a planner that takes
+//! over at any point continues from the log. The fold checks each record again at its offset.
 //!
 //! [`missing_actions`] compares the state with the platform's list and returns the actions that the
 //! platform has to carry out. An action is repeated only while the list does not show its effect.
