--- a/crates/workswood-peers/src/connection.rs
+++ b/crates/workswood-peers/src/connection.rs
@@ -27,8 +27,8 @@
 const PONG_MEAN_MULTIPLE: f64 = 4.0;
 /// A pong is never late before this time.
 const MIN_PONG_TIMEOUT: Duration = Duration::from_millis(150);
-/// Throughput of the slowest supported link, in bytes a second. A reply can be later by
-/// the time that the messages sent before it need at this rate.
+/// Throughput of the slowest supported link, in bytes a second. The deadline of a reply is
+/// extended by the time that sending the earlier messages takes at this rate.
 const MIN_BYTES_PER_SEC: f64 = 125_000.0;
 /// Longest time in which one message is written to the socket.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -68,7 +68,7 @@
 struct ReceiveMonitor {
     /// When the connection counts as silent unless something is received before.
     deadline: Option<Instant>,
-    /// Since when a message has been waiting for something to be received.
+    /// When the oldest message was sent since which nothing was received.
     waiting_since: Option<Instant>,
     /// When a ping was sent, if nothing was received since.
     pinged_at: Option<Instant>,
@@ -96,7 +96,8 @@
         self.waiting_since.get_or_insert(now);
     }
 
-    /// Records that something was received.
+    /// Records that something was received. `more_expected` is whether a sent call still waits
+    /// for its reply.
     fn on_received(&mut self, more_expected: bool) {
         let now = Instant::now();
         if let Some(at) = self.pinged_at.take() {
--- a/crates/workswood-peers/src/link.rs
+++ b/crates/workswood-peers/src/link.rs
@@ -19,7 +19,7 @@
 /// Delay before the first reconnection; later delays grow by this much.
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(2);
-/// Number of messages that wait to be sent over one link.
+/// Maximum number of messages that wait to be sent over one link.
 const SEND_QUEUE_LEN: usize = 256;
 
 /// A call that waits for its reply.
@@ -200,8 +200,8 @@
         if end == ConnectionEnd::LinkDropped || driver.rx.is_closed() {
             return;
         }
-        // After a connection on which something was received, reconnect at once unless
-        // the connection broke.
+        // Unless the connection broke, reconnect at once after one on which something was
+        // received, and once after one on which nothing was.
         failed_attempts = if driver.take_received_any() { 0 } else { failed_attempts + 1 };
         if end == ConnectionEnd::Broken || failed_attempts > 1 {
             tokio::time::sleep((RECONNECT_DELAY * failed_attempts.max(1)).min(MAX_RECONNECT_DELAY)).await;
--- a/crates/workswood-peers/src/message.rs
+++ b/crates/workswood-peers/src/message.rs
@@ -38,7 +38,7 @@
     /// Lends slots; the list may be empty.
     #[prost(message, tag = "6")]
     SlotReply(SlotReply),
-    /// Reports which lent slots are in use and which are returned.
+    /// Reports which loans the borrower keeps and which it returns.
     #[prost(message, tag = "7")]
     SlotLoanUpdate(SlotLoanUpdate),
     /// Asks for the state folded from the log.
@@ -77,8 +77,8 @@
     /// Whether each of the records was appended.
     #[prost(message, tag = "19")]
     InboxAppendReply(InboxAppendReply),
-    /// Asks an entry to release the scheduler lease for its holder, which the store
-    /// refuses to serve.
+    /// Asks an entry to release the scheduler lease on behalf of its holder, because the store
+    /// refuses to serve that one.
     #[prost(message, tag = "20")]
     LeaseReleaseRequest(LeaseReleaseRequest),
     /// Checks whether the connection still works.
@@ -370,7 +370,7 @@
     /// Offset of the next log record that it folds into its state.
     #[prost(uint64, tag = "5")]
     pub next_offset: u64,
-    /// Whether it is shutting down.
+    /// Whether it is shutting down and its callers' requests have ended.
     #[prost(bool, tag = "6")]
     pub stopping: bool,
 }
@@ -384,18 +384,18 @@
     /// The states of some other entries, as the sender knows them.
     #[prost(message, repeated, tag = "2")]
     pub others: Vec<EntryState>,
-    /// Requests that the sender has open on instances whose hosts are draining.
+    /// Requests that the sender has in flight to instances on hosts out of service.
     #[prost(message, repeated, tag = "3")]
     pub open_requests: Vec<OpenRequests>,
 }
 
-/// Number of requests that an entry has open on an instance.
+/// Number of requests that an entry has in flight to an instance.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct OpenRequests {
     /// The instance.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// Number of open requests.
+    /// Number of requests in flight.
     #[prost(uint32, tag = "2")]
     pub requests: u32,
 }
@@ -441,7 +441,7 @@
     pub endpoint: String,
 }
 
-/// Reports to the lender which loans are in use and which are returned.
+/// Reports to the lender which loans the borrower keeps and which it returns.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SlotLoanUpdate {
     /// The service.
@@ -450,7 +450,7 @@
     /// Incarnation of the borrower.
     #[prost(string, tag = "2")]
     pub borrower: String,
-    /// Numbers of the loans in use.
+    /// Numbers of the loans that the borrower keeps.
     #[prost(uint64, repeated, tag = "3")]
     pub in_use: Vec<u64>,
     /// Numbers of the loans that are returned.
@@ -481,10 +481,12 @@
 /// The reply to a [`KeyRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct KeyReply {
-    /// Whether the key is claimed, or a claim of it is being written.
+    /// Whether the key is claimed or a claim of it is being written, or the answering entry has
+    /// not caught up with the log.
     #[prost(bool, tag = "1")]
     pub known: bool,
-    /// Incarnations in the roster that the answering entry has folded from the log.
+    /// Incarnations in the roster that the answering entry has folded from the log, and in the
+    /// one that it has proposed as planner.
     #[prost(string, repeated, tag = "2")]
     pub roster: Vec<String>,
 }
--- a/crates/workswood-peers/src/relay.rs
+++ b/crates/workswood-peers/src/relay.rs
@@ -27,7 +27,7 @@
 /// Orders of the lease holder, to be carried out in sequence.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RelayOrders {
-    /// The reply to a heartbeat, if the message is one.
+    /// The reply to a heartbeat, if the message answers one.
     #[prost(message, optional, tag = "1")]
     pub grant: Option<LeaseGrant>,
     /// The orders.
@@ -66,7 +66,7 @@
     /// Stop polling the worker.
     #[prost(message, tag = "3")]
     Unassign(Empty),
-    /// Acknowledge to the worker the ended tasks up to this number, which are recorded.
+    /// Tell the worker that its task ends up to this number are recorded.
     #[prost(uint64, tag = "4")]
     AckEnds(u64),
     /// Whether to report the load of all running tasks after each poll.
@@ -159,7 +159,7 @@
 /// A heartbeat of a relay, or events of workers, or both.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RelayUpdate {
-    /// Number of the heartbeat; 0 if the message is none.
+    /// Number of the heartbeat; 0 if the message is not a heartbeat.
     #[prost(uint64, tag = "1")]
     pub heartbeat: u64,
     /// Whether the relay is shutting down.
@@ -244,8 +244,9 @@
     /// Share of the work that is done, in percent.
     #[prost(uint32, tag = "3")]
     pub percent: u32,
-    /// Load figure of the worker for the last half second: slow replies in milliseconds, or
-    /// processor use.
+    /// Load figure of the worker for the last half second: the latency of slow replies in
+    /// milliseconds for a task that serves users; the processor use, in a unit that the worker
+    /// chooses, for others.
     #[prost(uint64, tag = "4")]
     pub load: u64,
     /// How long it has made no progress, in milliseconds.
@@ -282,9 +283,9 @@
     Stopped = 2,
     /// The lease of the worker expired.
     Lapsed = 3,
-    /// Another member of its gang ended.
+    /// Another of the tasks that must run together (its gang) ended.
     Broken = 4,
-    /// The other members of its gang did not start in time.
+    /// The other tasks of its gang did not start in time.
     Alone = 5,
 }
 
--- a/crates/workswood-peers/src/server.rs
+++ b/crates/workswood-peers/src/server.rs
@@ -20,9 +20,10 @@
 pub(crate) const PROTOCOL_VERSION: u32 = 1;
 /// Longest wait for the [`Hello`](crate::Hello) of a new connection.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection on which no frame arrives for this long is closed.
+/// A connection on which no frame arrives for this long is closed. For a relay connection, this
+/// limits only the wait for the first message after the [`Hello`](crate::Hello).
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Number of encoded replies that wait to be written to one connection.
+/// Maximum number of encoded replies that wait to be written to one connection.
 const REPLY_QUEUE_LEN: usize = 256;
 
 /// Handles a message and returns the reply, or `None` if there is no reply.
