--- a/crates/workswood-peers/src/duplex.rs
+++ b/crates/workswood-peers/src/duplex.rs
@@ -35,7 +35,7 @@
 /// Connects to a peer within a timeout. `incarnation` is that of the calling entry, and
 /// `first` is the message that tells the peer what the connection is for. All messages
 /// are counted in `traffic`.
-pub async fn connect(
+pub async fn connect_duplex(
     address: &str,
     token: &str,
     incarnation: &str,
--- a/src/workswood/ops/jobs/sessions.rs
+++ b/src/workswood/ops/jobs/sessions.rs
@@ -243,7 +243,8 @@
             let first = Msg::RelayOpen(open);
             let traffic = self.node.traffic.clone();
             let (out, mut news) =
-                workswood_peers::connect(&address, TOKEN, &self.node.id, first, OPEN_WITHIN, traffic).await?;
+                workswood_peers::connect_duplex(&address, TOKEN, &self.node.id, first, OPEN_WITHIN, traffic)
+                    .await?;
             match news.next().await? {
                 Msg::RelayReady(_) => Ok((out, news)),
                 _ => Err(Closed),
