--- a/crates/workswood-peers/src/message.rs
+++ b/crates/workswood-peers/src/message.rs
@@ -55,7 +55,7 @@
     KeyReply(KeyReply),
     /// Reports which endpoints accept no new requests.
     #[prost(message, tag = "12")]
-    DrainingEndpoints(DrainingEndpoints),
+    LeavingEndpoints(LeavingEndpoints),
     /// An empty message that acknowledges a request.
     #[prost(message, tag = "13")]
     Ack(Ack),
@@ -493,7 +493,7 @@
 
 /// Reports which endpoints accept no new requests.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct DrainingEndpoints {
+pub struct LeavingEndpoints {
     /// The instances of those endpoints.
     #[prost(string, repeated, tag = "1")]
     pub instances: Vec<String>,
@@ -519,7 +519,7 @@
             Msg::StateRequest(_) | Msg::StateReply(_) | Msg::KeyRequest(_) | Msg::KeyReply(_) => {
                 "state_questions"
             }
-            Msg::DrainingEndpoints(_) | Msg::Ack(_) | Msg::LeaseReleaseRequest(_) => "other_messages",
+            Msg::LeavingEndpoints(_) | Msg::Ack(_) | Msg::LeaseReleaseRequest(_) => "other_messages",
         }
     }
 }
--- a/src/workswood/ops/entry/peers.rs
+++ b/src/workswood/ops/entry/peers.rs
@@ -8,7 +8,7 @@
 use workswood_core::membership::Heartbeat;
 use workswood_core::route::{Loan, SlotDemand};
 use workswood_peers::{
-    DrainingEndpoints, EntryState, Handler, Heartbeat as HeartbeatMessage, KeyReply, KeyRequest, LentSlot,
+    EntryState, Handler, Heartbeat as HeartbeatMessage, KeyReply, KeyRequest, LeavingEndpoints, LentSlot,
     Link, Msg, OpenRequests, SlotLoanUpdate, SlotReply, SlotRequest, StateReply,
 };
 use workswood_traffic::Traffic;
@@ -165,7 +165,7 @@
             let status = keyed_requests::deny_or_confirm_key(node, &key);
             return Some(Msg::KeyReply(KeyReply { known: status.known, roster: status.roster }));
         }
-        Msg::DrainingEndpoints(DrainingEndpoints { instances }) => {
+        Msg::LeavingEndpoints(LeavingEndpoints { instances }) => {
             dispatch::mark_endpoints_leaving(node, &instances)
         }
         // Answers to calls.
@@ -230,7 +230,7 @@
 /// Tells all linked peers that endpoints accept no new requests.
 pub fn announce_leaving(node: &Node, instances: Vec<String>) {
     log::info!("event=endpoint_leaving instances={} reason=own_answer", instances.join(","));
-    let msg = Msg::DrainingEndpoints(DrainingEndpoints { instances });
+    let msg = Msg::LeavingEndpoints(LeavingEndpoints { instances });
     for link in node.links.lock().values() {
         link.send(msg.clone());
     }
