--- a/crates/workswood-peers/src/message.rs
+++ b/crates/workswood-peers/src/message.rs
@@ -31,7 +31,7 @@
     Heartbeat(Heartbeat),
     /// Reports that the log has grown.
     #[prost(message, tag = "4")]
-    LogHead(LogHead),
+    LogGrown(LogGrown),
     /// Asks to borrow idle slots of a service.
     #[prost(message, tag = "5")]
     SlotRequest(SlotRequest),
@@ -402,7 +402,7 @@
 
 /// Reports that the log has grown.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct LogHead {
+pub struct LogGrown {
     /// Offset of a record that is in the log.
     #[prost(uint64, tag = "1")]
     pub offset: u64,
@@ -514,7 +514,9 @@
             Msg::AdviceRequest(_) | Msg::AdviceReply(_) => "advice_for_peers",
             Msg::RelayOpen(_) | Msg::RelayReady(_) | Msg::RelayOrders(_) => "relay_orders",
             Msg::RelayUpdate(_) => "relay_news",
-            Msg::Heartbeat(_) | Msg::LogHead(_) | Msg::Ping(_) | Msg::Pong(_) | Msg::Hello(_) => "heartbeats",
+            Msg::Heartbeat(_) | Msg::LogGrown(_) | Msg::Ping(_) | Msg::Pong(_) | Msg::Hello(_) => {
+                "heartbeats"
+            }
             Msg::SlotRequest(_) | Msg::SlotReply(_) | Msg::SlotLoanUpdate(_) => "slots",
             Msg::StateRequest(_) | Msg::StateReply(_) | Msg::KeyRequest(_) | Msg::KeyReply(_) => {
                 "state_questions"
--- a/src/workswood/ops/entry/log_appender.rs
+++ b/src/workswood/ops/entry/log_appender.rs
@@ -13,7 +13,7 @@
 use workswood_core::fold::{RecordResult, Rejection};
 use workswood_core::ids::Offset;
 use workswood_core::record::{AttemptOutcome, Envelope, FORMAT_VERSION, Record};
-use workswood_peers::{LogHead, Msg};
+use workswood_peers::{LogGrown, Msg};
 use workswood_platform::Error;
 
 use super::node::Node;
@@ -220,7 +220,7 @@
             Ok(offset) => {
                 node.metrics.appends.inc();
                 node.metrics.records.inc_by(envelope.records.len() as u64);
-                announce_head(node, offset);
+                announce_growth(node, offset);
                 sent = true;
                 if wait_until_folded(node, envelope.seq, READ_BACK_TIMEOUT).await {
                     return;
@@ -248,10 +248,10 @@
 }
 
 /// Tells the log reader and all linked peers that the log has grown.
-fn announce_head(node: &Node, offset: Offset) {
+fn announce_growth(node: &Node, offset: Offset) {
     node.log_grown.notify_one();
     for link in node.links.lock().values() {
-        link.send(Msg::LogHead(LogHead { offset }));
+        link.send(Msg::LogGrown(LogGrown { offset }));
     }
 }
 
--- a/src/workswood/ops/entry/peers.rs
+++ b/src/workswood/ops/entry/peers.rs
@@ -150,8 +150,8 @@
 fn handle(node: &Arc<Node>, msg: Msg) -> Option<Msg> {
     match msg {
         Msg::Heartbeat(beats) => receive_heartbeat(node, beats),
-        Msg::LogHead(head) => {
-            if head.offset >= node.state.read().next_offset {
+        Msg::LogGrown(grown) => {
+            if grown.offset >= node.state.read().next_offset {
                 node.log_grown.notify_one();
             }
         }
