--- a/crates/workswood-peers/src/message.rs
+++ b/crates/workswood-peers/src/message.rs
@@ -386,12 +386,12 @@
     pub others: Vec<EntryState>,
     /// Requests that the sender has in flight to instances on hosts out of service.
     #[prost(message, repeated, tag = "3")]
-    pub open_requests: Vec<OpenRequests>,
+    pub in_flight: Vec<InFlightRequests>,
 }
 
 /// Number of requests that an entry has in flight to an instance.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct OpenRequests {
+pub struct InFlightRequests {
     /// The instance.
     #[prost(string, tag = "1")]
     pub instance: String,
--- a/src/workswood/ops/entry/peers.rs
+++ b/src/workswood/ops/entry/peers.rs
@@ -8,8 +8,8 @@
 use workswood_core::membership::Heartbeat;
 use workswood_core::route::{Loan, SlotDemand};
 use workswood_peers::{
-    EntryState, Handler, Heartbeat as HeartbeatMessage, KeyReply, KeyRequest, LeavingEndpoints, LentSlot,
-    Link, Msg, OpenRequests, SlotLoanUpdate, SlotReply, SlotRequest, StateReply,
+    EntryState, Handler, Heartbeat as HeartbeatMessage, InFlightRequests, KeyReply, KeyRequest,
+    LeavingEndpoints, LentSlot, Link, Msg, SlotLoanUpdate, SlotReply, SlotRequest, StateReply,
 };
 use workswood_traffic::Traffic;
 
@@ -84,7 +84,7 @@
     let beats = HeartbeatMessage {
         sender: Some(to_wire(&own)),
         others: others.iter().map(to_wire).collect(),
-        open_requests: in_flight,
+        in_flight,
     };
     for link in update_links(node, &link_addresses, seeds) {
         link.send(Msg::Heartbeat(beats.clone()));
@@ -103,7 +103,7 @@
 }
 
 /// Number of requests in flight to each instance whose host is out of service.
-fn in_flight_out_of_service(node: &Node) -> Vec<OpenRequests> {
+fn in_flight_out_of_service(node: &Node) -> Vec<InFlightRequests> {
     let instances: Vec<String> = {
         let state = node.state.read();
         let hosts = state.hosts.iter().filter(|(_, h)| h.out_of_service()).map(|(id, _)| id);
@@ -111,7 +111,7 @@
     };
     dispatch::in_flight_to(node, &instances)
         .into_iter()
-        .map(|(instance, requests)| OpenRequests { instance, requests })
+        .map(|(instance, requests)| InFlightRequests { instance, requests })
         .collect()
 }
 
@@ -190,9 +190,8 @@
     // The state must not be locked while the members are, so it was read before.
     let mut members = node.members.lock();
     if let Some(sender) = beats.sender {
-        let report = PeerReport {
-            in_flight: beats.open_requests.into_iter().map(|o| (o.instance, o.requests)).collect(),
-        };
+        let report =
+            PeerReport { in_flight: beats.in_flight.into_iter().map(|o| (o.instance, o.requests)).collect() };
         node.peer_reports.lock().insert(sender.address.clone(), report);
         let next = sender.next_offset;
         let id = sender.incarnation.clone();
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -146,7 +146,7 @@
         ("north", 41, 91, true)
     );
     assert_eq!(m.others[0].sequence, 42);
-    assert_eq!((m.open_requests[0].instance.as_str(), m.open_requests[0].requests), ("shop/3", 5));
+    assert_eq!((m.in_flight[0].instance.as_str(), m.in_flight[0].requests), ("shop/3", 5));
     let m = message!(SlotRequest "slot-ask");
     assert_eq!((m.service.as_str(), m.slots, m.borrower.as_str()), ("shop", 6, "entry-1#1"));
     let m = message!(SlotReply "slot-loan");
