--- a/crates/workswood-peers/src/message.rs
+++ b/crates/workswood-peers/src/message.rs
@@ -452,7 +452,7 @@
     pub borrower: String,
     /// Numbers of the loans that the borrower keeps.
     #[prost(uint64, repeated, tag = "3")]
-    pub in_use: Vec<u64>,
+    pub kept: Vec<u64>,
     /// Numbers of the loans that are returned.
     #[prost(uint64, repeated, tag = "4")]
     pub returned: Vec<u64>,
--- a/src/workswood/ops/entry/dispatch.rs
+++ b/src/workswood/ops/entry/dispatch.rs
@@ -87,7 +87,7 @@
     /// Applies a borrower's report on the loans that it keeps and returns.
     pub fn update_loans(&self, node: &Node, report: &SlotLoanUpdate) {
         self.apply(node, |d, now| {
-            d.loans_confirmed(now, &report.borrower, &report.in_use);
+            d.loans_confirmed(now, &report.borrower, &report.kept);
             report.returned.iter().flat_map(|id| d.loan_returned(now, *id)).collect()
         });
     }
@@ -105,12 +105,8 @@
     /// Reports to a lender which of its loans are kept and which are returned.
     fn report_loans(&self, node: &Node, peer: &str, kept: Vec<u64>, returned: Vec<u64>) {
         if let Some(link) = node.link_to(peer) {
-            let report = SlotLoanUpdate {
-                service: self.service.clone(),
-                borrower: node.id.clone(),
-                in_use: kept,
-                returned,
-            };
+            let report =
+                SlotLoanUpdate { service: self.service.clone(), borrower: node.id.clone(), kept, returned };
             link.send(Msg::SlotLoanUpdate(report));
         }
     }
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -153,7 +153,7 @@
     assert_eq!((m.loans[1].id, m.loans[1].endpoint.as_str()), (72, "shop/2"));
     let m = message!(SlotLoanUpdate "slot-state");
     assert_eq!((m.service.as_str(), m.borrower.as_str()), ("shop", "entry-2#1"));
-    assert_eq!((m.in_use, m.returned), (vec![71, 300], vec![72]));
+    assert_eq!((m.kept, m.returned), (vec![71, 300], vec![72]));
     let m = message!(KeyReply "key-reply");
     assert_eq!((m.known, m.roster.len()), (true, 2));
     let m = message!(JobStateRequest "job-ask");
