--- a/crates/workswood-peers/src/relay.rs
+++ b/crates/workswood-peers/src/relay.rs
@@ -167,12 +167,12 @@
     pub stopping: bool,
     /// Events of workers, in the order in which they occurred.
     #[prost(message, repeated, tag = "3")]
-    pub updates: Vec<WorkerUpdate>,
+    pub events: Vec<WorkerEvent>,
 }
 
 /// An event of one worker.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct WorkerUpdate {
+pub struct WorkerEvent {
     /// Number of the worker.
     #[prost(uint32, tag = "1")]
     pub worker: u32,
--- a/src/workswood/ops/jobs/relay/serve.rs
+++ b/src/workswood/ops/jobs/relay/serve.rs
@@ -144,7 +144,7 @@
             beats.sent(beat, now);
             due = now + BEAT_EVERY;
         }
-        let frame = wire::RelayUpdate { heartbeat: number, stopping: left, updates: form::write_news(news) };
+        let frame = wire::RelayUpdate { heartbeat: number, stopping: left, events: form::write_news(news) };
         tx.send(Msg::RelayUpdate(frame)).await?;
     }
 }
--- a/src/workswood/ops/jobs/relay/wire.rs
+++ b/src/workswood/ops/jobs/relay/wire.rs
@@ -114,14 +114,14 @@
 }
 
 /// News as a message says them.
-pub fn write_news(news: Vec<(Number, What)>) -> Vec<wire::WorkerUpdate> {
+pub fn write_news(news: Vec<(Number, What)>) -> Vec<wire::WorkerEvent> {
     let write = |(worker, what): (Number, What)| {
         let silent_ms = silence(&what).map(|d| d.as_millis() as u64);
         let restarted_at = match &what {
             What::Restarted(started, _) => Some(*started),
             _ => None,
         };
-        wire::WorkerUpdate { worker, silent_ms, restarted_at, event: Some(write_what(what)) }
+        wire::WorkerEvent { worker, silent_ms, restarted_at, event: Some(write_what(what)) }
     };
     news.into_iter().map(write).collect()
 }
@@ -184,7 +184,7 @@
 }
 
 /// What is new, as a message says it; `None` if it can't be read.
-pub fn read_news(news: wire::WorkerUpdate) -> Option<(Number, What)> {
+pub fn read_news(news: wire::WorkerEvent) -> Option<(Number, What)> {
     // Versions before this one did not tell; then it counts as heard just now.
     let silent = Duration::from_millis(news.silent_ms.unwrap_or(0));
     let what = match news.event? {
--- a/src/workswood/ops/jobs/sessions.rs
+++ b/src/workswood/ops/jobs/sessions.rs
@@ -267,7 +267,7 @@
                 // Whoever sends it has ended if this fails.
                 let _ = tx.send(self.grant(frame.heartbeat));
             }
-            for item in frame.updates {
+            for item in frame.events {
                 self.take(item);
             }
             if frame.stopping && !std::mem::replace(&mut left, true) {
@@ -285,7 +285,7 @@
         wire::RelayOrders { grant: Some(grant), orders: Vec::new() }
     }
 
-    fn take(&self, item: wire::WorkerUpdate) {
+    fn take(&self, item: wire::WorkerEvent) {
         let number = item.worker;
         let Some((id, token)) = self.names.lock().get(&number).cloned() else { return };
         match form::read_news(item) {
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -268,9 +268,9 @@
 fn relay_news() {
     let m = message!(RelayUpdate "relay-news");
     assert_eq!((m.heartbeat, m.stopping), (6, true));
-    let news: Vec<_> = m.updates.iter().map(|n| read_news(n.clone()).expect("news that are known")).collect();
+    let news: Vec<_> = m.events.iter().map(|n| read_news(n.clone()).expect("news that are known")).collect();
     let told = news.iter().cloned().map(as_told).collect();
-    let written = RelayUpdate { updates: write_news(told), ..m.clone() };
+    let written = RelayUpdate { events: write_news(told), ..m.clone() };
     assert_eq!(to_hex(&written.encode_to_vec()), to_hex(&m.encode_to_vec()));
     assert_eq!(news.iter().map(|(n, _)| *n).collect::<Vec<_>>(), (21..37).collect::<Vec<_>>());
     let What::Reported(report) = &news[0].1 else { panic!("{:?}", news[0]) };
