--- a/crates/workswood-liveness/src/half_open_detector.rs
+++ b/crates/workswood-liveness/src/half_open_detector.rs
@@ -1,4 +1,4 @@
-//! Shares between all users of connections which ones may be half-open.
+//! Tells all users of connections which of them may be half-open.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,13 +8,11 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Half-open connections to two addresses within this time point to a common cause, the
-/// network path of the local machine. Longer than the time between two calls to a worker,
-/// and shorter than that between two independent failures.
+/// Reports for two addresses within this time point to a common cause: the network path of this
+/// machine.
 const CORRELATION_WINDOW: Duration = Duration::from_secs(1);
-/// Shortest time between two suspicions against all connections. Workers that lose orders
-/// look like half-open connections; the limit bounds how often they make all connections
-/// reopen.
+/// Minimum time between two suspicions against all connections. Bounds how often false reports
+/// make them all reopen.
 const SUSPICION_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A connection that was found half-open.
@@ -37,8 +35,8 @@
 }
 
 impl HalfOpenCorrelator {
-    /// Takes in a report. Returns a time if connections to all addresses are suspect that
-    /// were opened before it, or `None` if only this address is.
+    /// Takes in a report. If all older connections are suspect, returns the time before which they
+    /// were opened; `None` if only this address is affected.
     pub fn report(&mut self, conn: HalfOpenConnection, now: Instant) -> Option<Instant> {
         let since = conn.silent_since;
         let previous = self.last.replace((conn.clone(), now));
