--- a/crates/workswood-http/src/client.rs
+++ b/crates/workswood-http/src/client.rs
@@ -29,8 +29,8 @@
     /// request is sent over a new connection.
     Resend,
     /// Like [`RetryPolicy::Resend`], but after a late response only if the peer quickly
-    /// answers a cheap read over the new connection. The peer queues such calls, and a call
-    /// that is sent twice would take two places in its queue.
+    /// answers a cheap read over the new connection. For calls that the peer queues: one that
+    /// is sent twice would take two places.
     ResendAfterProbe {
         /// Path and query of the read.
         path: String,
@@ -103,8 +103,7 @@
     traffic: Traffic,
 }
 
-/// A response of which no more arrives for this long is given up. On a slow link that many
-/// responses share, each still receives some bytes in this time.
+/// A response of which no more arrives for this long is given up.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Estimated size in bytes of the head of a request or response, for counting traffic.
 const ESTIMATED_HEAD_BYTES: usize = 160;
@@ -160,9 +159,9 @@
     async fn call_with_retry(&self, call: &Call<'_>, deadline: Instant) -> Result<Response, CallError> {
         let first = self.pool.attempt(call.address, call.wait());
         let req = request(call, call.path, &call.body)?;
-        let mut sent = pin!(self.exchange(call, &first, req, call.measures_latency()));
+        let mut first_exchange = pin!(self.exchange(call, &first, req, call.measures_latency()));
         let end = tokio::select! {
-            res = &mut sent => FirstAttempt::Ended(res),
+            res = &mut first_exchange => FirstAttempt::Ended(res),
             () = first.until_suspect() => FirstAttempt::Suspect,
             () = first.until_overdue(deadline.min(first.late_at())) => FirstAttempt::Late,
         };
@@ -179,7 +178,7 @@
                 let mut retry = pin!(self.resend_late(call, &first, &resent, deadline));
                 let second = tokio::select! {
                     res = &mut retry => res,
-                    res = &mut sent => return match res {
+                    res = &mut first_exchange => return match res {
                         // The second request may have been sent, so `NotSent` would be wrong.
                         Err(e) if matches!(e, CallError::NoAnswer(_)) || resent.load(Ordering::Relaxed) => {
                             retry.await
@@ -193,7 +192,7 @@
                 }
                 // The outcome of the second request says nothing about the first.
                 tokio::select! {
-                    res = sent => res.or(second),
+                    res = first_exchange => res.or(second),
                     () = first.until_overdue(deadline) => second,
                 }
             }
@@ -224,8 +223,7 @@
         res
     }
 
-    /// Probes over a new connection whether the peer responds quickly, which is in half of
-    /// the time after which a response is late.
+    /// Whether the peer answers a probe over a new connection within half of `late_after`.
     async fn is_peer_quick(
         &self,
         call: &Call<'_>,
@@ -287,9 +285,9 @@
     ) -> Result<Response, CallError> {
         let started = Instant::now();
         let res = self.send(attempt, req).await;
-        let sent = ESTIMATED_HEAD_BYTES + call.path.len() + call.body.len();
-        let received = res.as_ref().map_or(0, |r| ESTIMATED_HEAD_BYTES + r.body.len());
-        self.traffic.record(call.purpose, sent, received);
+        let sent_bytes = ESTIMATED_HEAD_BYTES + call.path.len() + call.body.len();
+        let received_bytes = res.as_ref().map_or(0, |r| ESTIMATED_HEAD_BYTES + r.body.len());
+        self.traffic.record(call.purpose, sent_bytes, received_bytes);
         match &res {
             Ok(_) => {
                 if measures_latency {
--- a/crates/workswood-http/src/pool.rs
+++ b/crates/workswood-http/src/pool.rs
@@ -25,7 +25,7 @@
 pub struct PoolLimits {
     /// Longest wait for a connection.
     pub connect_timeout: Duration,
-    /// How long an idle connection is kept, and what is known of an unused address.
+    /// How long an idle connection, and the latency of an unused address, are kept.
     pub idle_timeout: Duration,
     /// Largest number of idle connections that are kept to one address.
     pub max_idle_per_address: usize,
@@ -65,8 +65,8 @@
     pub(crate) generation: u64,
     /// Earliest time at which one of its connections can have been opened.
     opened_at: Instant,
-    /// When a call was sent over the previous client that had no response. Cleared once a
-    /// call over this client has one.
+    /// When the call that got no response over the previous client was sent. Cleared once a call
+    /// over this client has one.
     pub(crate) unanswered_since: Option<Instant>,
     last_used: Instant,
 }
