--- a/crates/workswood-core/src/route/dispatch.rs
+++ b/crates/workswood-core/src/route/dispatch.rs
@@ -395,7 +395,7 @@
         self.dispatch_queued(now)
     }
 
-    /// Records that a borrower still uses some loans.
+    /// Records that a borrower still holds some loans.
     pub fn loans_confirmed(&mut self, now: Duration, from: &str, loans: &[u64]) {
         for (l, confirmed) in self.endpoints.values_mut().flat_map(|e| &mut e.lent) {
             if l.peer == from && loans.contains(&l.id) {
