--- a/crates/workswood-core/src/plan/observed.rs
+++ b/crates/workswood-core/src/plan/observed.rs
@@ -41,7 +41,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObservedHost {
     /// Data centre and rack.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub location: Place,
     /// Number of processor cores.
     pub cpus: u32,
     /// Memory in GiB.
@@ -50,7 +51,7 @@
     pub accelerators: u32,
     /// The pool that it belongs to on the platform.
     pub pool: Option<PoolId>,
-    /// Whether the platform reaches it.
+    /// State of the host as the platform sees it.
     pub state: HostState,
     /// Whether it takes no new work.
     pub draining: bool,
@@ -68,7 +69,7 @@
     /// A host as a fleet file declares it, live after its first boot, without a pool or tasks.
     pub fn newly_declared(h: &Host) -> ObservedHost {
         ObservedHost {
-            place: h.location(),
+            location: h.location(),
             cpus: h.cpus,
             memory_gib: h.memory_gib,
             accelerators: h.accelerators,
@@ -88,6 +89,6 @@
 pub struct ObservedFleet {
     /// Hosts by name.
     pub hosts: BTreeMap<HostId, ObservedHost>,
-    /// Peer addresses of the entry processes that the platform knows.
+    /// Peer addresses of the entries that the platform knows.
     pub entries: Vec<String>,
 }
--- a/crates/workswood-core/src/route/table.rs
+++ b/crates/workswood-core/src/route/table.rs
@@ -28,16 +28,16 @@
 /// A service in force, as routing needs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceView {
-    /// Maximum number of requests in flight to one endpoint, over all entry hosts.
-    pub window: u32,
+    /// Maximum number of requests in flight to one endpoint, over all entries.
+    pub slots_per_endpoint: u32,
     /// All endpoints, ordered by instance name.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// What an entry process needs to route a request.
+/// What an entry needs to route a request.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
-    /// Offset of the next envelope to fold in the state that the table was built from.
+    /// `next_offset` of the state that the table was built from.
     pub next_offset: Offset,
     /// Services by name.
     pub services: BTreeMap<ServiceId, ServiceView>,
@@ -55,7 +55,7 @@
         routes.sort_by(|a, b| b.0.path.len().cmp(&a.0.path.len()).then(a.0.path.cmp(&b.0.path)));
         let services = state.services().map(|s| {
             let endpoints = endpoints_of(state, &s.name);
-            (s.name.clone(), ServiceView { window: s.window(), endpoints })
+            (s.name.clone(), ServiceView { slots_per_endpoint: s.window(), endpoints })
         });
         let own_index = state.roster.iter().position(|m| m.id == own_id);
         RouteTable {
--- a/crates/workswood-peers/src/message.rs
+++ b/crates/workswood-peers/src/message.rs
@@ -31,14 +31,14 @@
     Heartbeat(Heartbeat),
     /// Reports that the log has grown.
     #[prost(message, tag = "4")]
-    LogHead(LogHead),
+    LogGrown(LogGrown),
     /// Asks to borrow idle slots of a service.
     #[prost(message, tag = "5")]
     SlotRequest(SlotRequest),
     /// Lends slots; the list may be empty.
     #[prost(message, tag = "6")]
     SlotReply(SlotReply),
-    /// Reports which lent slots are in use and which are returned.
+    /// Reports which loans the borrower keeps and which it returns.
     #[prost(message, tag = "7")]
     SlotLoanUpdate(SlotLoanUpdate),
     /// Asks for the state folded from the log.
@@ -55,7 +55,7 @@
     KeyReply(KeyReply),
     /// Reports which endpoints accept no new requests.
     #[prost(message, tag = "12")]
-    DrainingEndpoints(DrainingEndpoints),
+    LeavingEndpoints(LeavingEndpoints),
     /// An empty message that acknowledges a request.
     #[prost(message, tag = "13")]
     Ack(Ack),
@@ -77,8 +77,8 @@
     /// Whether each of the records was appended.
     #[prost(message, tag = "19")]
     InboxAppendReply(InboxAppendReply),
-    /// Asks an entry to release the scheduler lease for its holder, which the store
-    /// refuses to serve.
+    /// Asks an entry to release the scheduler lease on behalf of its holder, because the store
+    /// refuses to serve that one.
     #[prost(message, tag = "20")]
     LeaseReleaseRequest(LeaseReleaseRequest),
     /// Checks whether the connection still works.
@@ -370,7 +370,7 @@
     /// Offset of the next log record that it folds into its state.
     #[prost(uint64, tag = "5")]
     pub next_offset: u64,
-    /// Whether it is shutting down.
+    /// Whether it is shutting down and its callers' requests have ended.
     #[prost(bool, tag = "6")]
     pub stopping: bool,
 }
@@ -384,25 +384,25 @@
     /// The states of some other entries, as the sender knows them.
     #[prost(message, repeated, tag = "2")]
     pub others: Vec<EntryState>,
-    /// Requests that the sender has open on instances whose hosts are draining.
+    /// Requests that the sender has in flight to instances on hosts out of service.
     #[prost(message, repeated, tag = "3")]
-    pub open_requests: Vec<OpenRequests>,
+    pub in_flight: Vec<InFlightRequests>,
 }
 
-/// Number of requests that an entry has open on an instance.
+/// Number of requests that an entry has in flight to an instance.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct OpenRequests {
+pub struct InFlightRequests {
     /// The instance.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// Number of open requests.
+    /// Number of requests in flight.
     #[prost(uint32, tag = "2")]
     pub requests: u32,
 }
 
 /// Reports that the log has grown.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct LogHead {
+pub struct LogGrown {
     /// Offset of a record that is in the log.
     #[prost(uint64, tag = "1")]
     pub offset: u64,
@@ -441,7 +441,7 @@
     pub endpoint: String,
 }
 
-/// Reports to the lender which loans are in use and which are returned.
+/// Reports to the lender which loans the borrower keeps and which it returns.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SlotLoanUpdate {
     /// The service.
@@ -450,9 +450,9 @@
     /// Incarnation of the borrower.
     #[prost(string, tag = "2")]
     pub borrower: String,
-    /// Numbers of the loans in use.
+    /// Numbers of the loans that the borrower keeps.
     #[prost(uint64, repeated, tag = "3")]
-    pub in_use: Vec<u64>,
+    pub kept: Vec<u64>,
     /// Numbers of the loans that are returned.
     #[prost(uint64, repeated, tag = "4")]
     pub returned: Vec<u64>,
@@ -481,17 +481,19 @@
 /// The reply to a [`KeyRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct KeyReply {
-    /// Whether the key is claimed, or a claim of it is being written.
+    /// Whether the key is claimed or a claim of it is being written, or the answering entry has
+    /// not caught up with the log.
     #[prost(bool, tag = "1")]
     pub known: bool,
-    /// Incarnations in the roster that the answering entry has folded from the log.
+    /// Incarnations in the roster that the answering entry has folded from the log, and in the
+    /// one that it has proposed as planner.
     #[prost(string, repeated, tag = "2")]
     pub roster: Vec<String>,
 }
 
 /// Reports which endpoints accept no new requests.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct DrainingEndpoints {
+pub struct LeavingEndpoints {
     /// The instances of those endpoints.
     #[prost(string, repeated, tag = "1")]
     pub instances: Vec<String>,
@@ -512,12 +514,14 @@
             Msg::AdviceRequest(_) | Msg::AdviceReply(_) => "advice_for_peers",
             Msg::RelayOpen(_) | Msg::RelayReady(_) | Msg::RelayOrders(_) => "relay_orders",
             Msg::RelayUpdate(_) => "relay_news",
-            Msg::Heartbeat(_) | Msg::LogHead(_) | Msg::Ping(_) | Msg::Pong(_) | Msg::Hello(_) => "heartbeats",
+            Msg::Heartbeat(_) | Msg::LogGrown(_) | Msg::Ping(_) | Msg::Pong(_) | Msg::Hello(_) => {
+                "heartbeats"
+            }
             Msg::SlotRequest(_) | Msg::SlotReply(_) | Msg::SlotLoanUpdate(_) => "slots",
             Msg::StateRequest(_) | Msg::StateReply(_) | Msg::KeyRequest(_) | Msg::KeyReply(_) => {
                 "state_questions"
             }
-            Msg::DrainingEndpoints(_) | Msg::Ack(_) | Msg::LeaseReleaseRequest(_) => "other_messages",
+            Msg::LeavingEndpoints(_) | Msg::Ack(_) | Msg::LeaseReleaseRequest(_) => "other_messages",
         }
     }
 }
--- a/src/workswood/ops/bench/plan.rs
+++ b/src/workswood/ops/bench/plan.rs
@@ -141,7 +141,7 @@
                 "{name} {} {way} {:.0} {:.2} {} {} {} {}",
                 m.name,
                 outcome.rollout.as_secs_f64() / 60.0,
-                outcome.rollout.as_secs_f64() / bound.rollout.as_secs_f64(),
+                outcome.rollout.as_secs_f64() / bound.duration.as_secs_f64(),
                 outcome.host_moves,
                 outcome.instance_moves,
                 outcome.spare_instances,
--- a/src/workswood/ops/bench/route.rs
+++ b/src/workswood/ops/bench/route.rs
@@ -166,7 +166,7 @@
         data_centre: format!("dc{}", i % 4),
         open: true,
     };
-    ServiceView { window, endpoints: (0..ENDPOINTS).map(endpoint).collect() }
+    ServiceView { slots_per_endpoint: window, endpoints: (0..ENDPOINTS).map(endpoint).collect() }
 }
 
 impl Model {
@@ -254,7 +254,7 @@
     fn count_idle_slots(&mut self, now: f64) {
         let idle: u32 = self.servers.iter().map(|s| SLOTS.saturating_sub(s.busy_slots)).sum();
         let waiting: usize = match self.uses_leases() {
-            true => self.entries.iter().map(Dispatcher::waiting_count).sum(),
+            true => self.entries.iter().map(Dispatcher::queued_count).sum(),
             false => self.servers.iter().map(|s| s.queue.len()).sum(),
         };
         self.result.idle_while_waiting += f64::from(idle).min(waiting as f64) * (now - self.now);
--- a/src/workswood/ops/entry/log_appender.rs
+++ b/src/workswood/ops/entry/log_appender.rs
@@ -13,7 +13,7 @@
 use workswood_core::fold::{RecordResult, Rejection};
 use workswood_core::ids::Offset;
 use workswood_core::record::{AttemptOutcome, Envelope, FORMAT_VERSION, Record};
-use workswood_peers::{LogHead, Msg};
+use workswood_peers::{LogGrown, Msg};
 use workswood_platform::Error;
 
 use super::node::Node;
@@ -80,6 +80,7 @@
             return;
         }
         let mut pending = self.pending_envelopes.lock();
+        // Earlier envelopes are void. Dropping them ends their waiters with `AppendError::Unknown`.
         let later = pending.split_off(&(envelope.seq + 1));
         let mut settled = std::mem::replace(&mut *pending, later);
         drop(pending);
@@ -208,7 +209,8 @@
     }
 }
 
-/// Retries the append of an envelope until it is folded or [`APPEND_TIMEOUT`] has passed.
+/// Retries the append of an envelope until the platform accepts it or [`APPEND_TIMEOUT`] has passed. Then
+/// waits until the accepted envelope is folded, for at most [`READ_BACK_TIMEOUT`].
 async fn append_envelope(node: &Arc<Node>, envelope: &Envelope) {
     let body = serde_json::to_string(envelope).unwrap_or_default();
     let deadline = Instant::now() + APPEND_TIMEOUT;
@@ -218,7 +220,7 @@
             Ok(offset) => {
                 node.metrics.appends.inc();
                 node.metrics.appended_records.inc_by(envelope.records.len() as u64);
-                announce_head(node, offset);
+                announce_growth(node, offset);
                 sent = true;
                 if wait_until_folded(node, envelope.seq, READ_BACK_TIMEOUT).await {
                     return;
@@ -246,10 +248,10 @@
 }
 
 /// Tells the log reader and all linked peers that the log has grown.
-fn announce_head(node: &Node, offset: Offset) {
+fn announce_growth(node: &Node, offset: Offset) {
     node.log_grown.notify_one();
     for link in node.links.lock().values() {
-        link.send(Msg::LogHead(LogHead { offset }));
+        link.send(Msg::LogGrown(LogGrown { offset }));
     }
 }
 
--- a/src/workswood/ops/entry/mod.rs
+++ b/src/workswood/ops/entry/mod.rs
@@ -1,13 +1,13 @@
-//! The entry process, which routes callers' requests to endpoints and plans the fleet while it holds the
+//! The entry, which routes callers' requests to endpoints and plans the fleet while it holds the
 //! planner's lease.
 //!
 //! Its tasks share a [`Node`]. Each module holds one part of the work:
 //!
 //! * [`log_reader`] reads the log, folds its records into the state and publishes the new routing table;
 //! * [`log_appender`] appends records to the log in batches;
-//! * [`duties`] acquires and renews the leases of duties, and plans and writes checkpoints while it
+//! * [`roles`] acquires and renews the leases of roles, and plans and writes checkpoints while it
 //!   holds them;
-//! * [`peers`] sends heartbeats to other entry processes and answers their messages;
+//! * [`peers`] sends heartbeats to other entries and answers their messages;
 //! * [`dispatch`] grants slots of endpoints to requests, and borrows slots from peers;
 //! * [`proxy`] routes callers' requests to endpoints;
 //! * [`keyed_requests`] ensures that a request that may not be repeated is sent at most once;
@@ -17,7 +17,6 @@
 
 mod deferred_requests;
 mod dispatch;
-mod duties;
 mod keyed_requests;
 mod log_appender;
 mod log_reader;
@@ -25,6 +24,7 @@
 mod operator_api;
 mod peers;
 mod proxy;
+mod roles;
 mod shutdown;
 
 use std::sync::Arc;
@@ -42,7 +42,7 @@
 use crate::util::settings::{Settings, Tokens};
 use crate::util::signals;
 
-/// A running entry process.
+/// A running entry.
 pub struct Entry {
     /// State that its tasks share.
     pub node: Arc<Node>,
@@ -85,9 +85,9 @@
             tokio::spawn(log_reader::run(node.clone())),
             tokio::spawn(log_appender::run(node.clone(), append_requests)),
             tokio::spawn(peers::run(node.clone())),
-            tokio::spawn(duties::run_leases(node.clone())),
-            tokio::spawn(duties::run_planner(node.clone())),
-            tokio::spawn(duties::run_checkpointer(node.clone())),
+            tokio::spawn(roles::run_leases(node.clone())),
+            tokio::spawn(roles::run_planner(node.clone())),
+            tokio::spawn(roles::run_checkpointer(node.clone())),
             tokio::spawn(dispatch::run_ticks(node.clone())),
             tokio::spawn(dispatch::run_borrowing(node.clone())),
             tokio::spawn(deferred_requests::run(node.clone())),
@@ -125,7 +125,7 @@
     Ok(listener)
 }
 
-/// Runs an entry process with the settings file at `settings_path` until a signal asks it to stop.
+/// Runs an entry with the settings file at `settings_path` until a signal asks it to stop.
 /// A second signal ends it immediately.
 pub async fn run(settings_path: &str) -> Result<()> {
     let settings = Settings::read(settings_path)?;
--- a/src/workswood/ops/entry/node.rs
+++ b/src/workswood/ops/entry/node.rs
@@ -1,4 +1,4 @@
-//! State shared by the tasks of an entry process.
+//! State shared by the tasks of an entry.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use workswood_peers::Link;
 use workswood_platform::Platform;
 
-use super::dispatch::ServiceDispatcher;
+use super::dispatch::SharedDispatcher;
 use super::log_appender::{AppendRequest, PendingEnvelope};
 use crate::util::clock::Clock;
 use crate::util::metrics::Metrics;
@@ -27,11 +27,11 @@
 /// What a peer reported in its last heartbeat.
 #[derive(Clone, Debug, Default)]
 pub struct PeerReport {
-    /// Number of open requests of the peer on each instance of a draining host.
-    pub open_requests: BTreeMap<InstanceId, u32>,
+    /// Number of requests that the peer has in flight to each instance on a host out of service.
+    pub in_flight: BTreeMap<InstanceId, u32>,
 }
 
-/// State shared by the tasks of an entry process.
+/// State shared by the tasks of an entry.
 pub struct Node {
     /// Identity of this process; it changes with each restart.
     pub id: Incarnation,
@@ -55,14 +55,14 @@
     pub log_grown: Notify,
     /// Wakes the task that borrows slots from peers when requests wait.
     pub slots_wanted: Notify,
-    /// Entry processes known from heartbeats.
+    /// Entries known from heartbeats.
     pub members: Mutex<Members>,
     /// Last reports of peers, by address.
     pub peer_reports: Mutex<BTreeMap<String, PeerReport>>,
     /// Connections to peers, by address.
     pub links: Mutex<BTreeMap<String, Link>>,
     /// Dispatchers by service.
-    pub dispatchers: RwLock<BTreeMap<ServiceId, Arc<ServiceDispatcher>>>,
+    pub dispatchers: RwLock<BTreeMap<ServiceId, Arc<SharedDispatcher>>>,
     /// Own envelopes that were not folded yet, by sequence number.
     pub pending_envelopes: Mutex<BTreeMap<u64, PendingEnvelope>>,
     /// Queue of the log appender.
@@ -84,7 +84,7 @@
     /// Number of callers' requests in progress.
     pub in_progress: AtomicU64,
     clock: Clock,
-    tickets: AtomicU64,
+    next_request_id: AtomicU64,
 }
 
 /// Number of random digits of an incarnation, which tell restarts of one process apart.
@@ -132,7 +132,7 @@
             callers_done: AtomicBool::new(false),
             in_progress: AtomicU64::new(0),
             clock: Clock::since_boot(),
-            tickets: AtomicU64::new(1),
+            next_request_id: AtomicU64::new(1),
         };
         (Arc::new(node), rx)
     }
@@ -148,9 +148,9 @@
         since_epoch.as_millis() as UnixMs
     }
 
-    /// Returns a new number for a request, unique in this process.
-    pub fn next_ticket(&self) -> u64 {
-        self.tickets.fetch_add(1, Ordering::Relaxed)
+    /// Returns a new number for an attempt to get a slot, unique in this process.
+    pub fn next_request_id(&self) -> u64 {
+        self.next_request_id.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Address of the listener for peers, by which they know this process.
--- a/src/workswood/ops/jobs/relay/codec.rs
+++ b/src/workswood/ops/jobs/relay/codec.rs
@@ -114,14 +114,14 @@
 }
 
 /// Converts events to messages.
-pub fn write_events(events: Vec<(WorkerNumber, WorkerEvent)>) -> Vec<wire::WorkerUpdate> {
+pub fn write_events(events: Vec<(WorkerNumber, WorkerEvent)>) -> Vec<wire::WorkerEvent> {
     let write = |(worker, event): (WorkerNumber, WorkerEvent)| {
         let silent_ms = silent_for(&event).map(|d| d.as_millis() as u64);
         let restarted_at = match &event {
             WorkerEvent::Restarted(started, _) => Some(*started),
             _ => None,
         };
-        wire::WorkerUpdate { worker, silent_ms, restarted_at, event: Some(write_event(event)) }
+        wire::WorkerEvent { worker, silent_ms, restarted_at, event: Some(write_event(event)) }
     };
     events.into_iter().map(write).collect()
 }
@@ -187,7 +187,7 @@
 }
 
 /// Converts a message to an event; `None` if it is not valid.
-pub fn read_event(update: wire::WorkerUpdate) -> Option<(WorkerNumber, WorkerEvent)> {
+pub fn read_event(update: wire::WorkerEvent) -> Option<(WorkerNumber, WorkerEvent)> {
     // Older versions do not send it; then the worker counts as having answered just now.
     let silent_for = Duration::from_millis(update.silent_ms.unwrap_or(0));
     let event = match update.event? {
--- a/src/workswood/ops/jobs/relay_sessions.rs
+++ b/src/workswood/ops/jobs/relay_sessions.rs
@@ -262,7 +262,7 @@
             let first = Msg::RelayOpen(open);
             let traffic = self.node.traffic.clone();
             let (out, mut updates) =
-                workswood_peers::connect(&address, TOKEN, &self.node.id, first, OPEN_TIMEOUT, traffic)
+                workswood_peers::connect_duplex(&address, TOKEN, &self.node.id, first, OPEN_TIMEOUT, traffic)
                     .await?;
             match updates.next().await? {
                 Msg::RelayReady(_) => Ok((out, updates)),
@@ -290,7 +290,7 @@
                 // Sending fails if the connection broke, which ends the session.
                 let _ = tx.send(self.grant(frame.heartbeat));
             }
-            for update in frame.updates {
+            for update in frame.events {
                 self.handle_update(update);
             }
             if frame.stopping && !std::mem::replace(&mut leaving, true) {
@@ -308,7 +308,7 @@
         wire::RelayOrders { grant: Some(grant), orders: Vec::new() }
     }
 
-    fn handle_update(&self, update: wire::WorkerUpdate) {
+    fn handle_update(&self, update: wire::WorkerEvent) {
         let number = update.worker;
         let Some((id, token)) = self.workers.lock().get(&number).cloned() else { return };
         match codec::read_event(update) {
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -106,7 +106,7 @@
             token: state.instances.get(i).map_or(0, |r| r.token),
         };
         let host = ObservedHost {
-            place: h.location.clone(),
+            location: h.location.clone(),
             cpus: h.cpus,
             memory_gib: h.memory_gib,
             accelerators: h.accelerators,
@@ -219,7 +219,7 @@
         out += &line("rack by rack", &p.racks);
         out += &format!(
             "  lower bound: rollout={} in {} rounds\n",
-            format_duration(p.bound.rollout),
+            format_duration(p.bound.duration),
             p.bound.rounds
         );
     }
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -147,14 +147,14 @@
         ("north", 41, 91, true)
     );
     assert_eq!(m.others[0].sequence, 42);
-    assert_eq!((m.open_requests[0].instance.as_str(), m.open_requests[0].requests), ("shop/3", 5));
+    assert_eq!((m.in_flight[0].instance.as_str(), m.in_flight[0].requests), ("shop/3", 5));
     let m = message!(SlotRequest "slot-ask");
     assert_eq!((m.service.as_str(), m.slots, m.borrower.as_str()), ("shop", 6, "entry-1#1"));
     let m = message!(SlotReply "slot-loan");
     assert_eq!((m.loans[1].id, m.loans[1].endpoint.as_str()), (72, "shop/2"));
     let m = message!(SlotLoanUpdate "slot-state");
     assert_eq!((m.service.as_str(), m.borrower.as_str()), ("shop", "entry-2#1"));
-    assert_eq!((m.in_use, m.returned), (vec![71, 300], vec![72]));
+    assert_eq!((m.kept, m.returned), (vec![71, 300], vec![72]));
     let m = message!(KeyReply "key-reply");
     assert_eq!((m.known, m.roster.len()), (true, 2));
     let m = message!(JobStateRequest "job-ask");
@@ -272,9 +272,9 @@
     let m = message!(RelayUpdate "relay-news");
     assert_eq!((m.heartbeat, m.stopping), (6, true));
     let news: Vec<_> =
-        m.updates.iter().map(|n| read_event(n.clone()).expect("news that are known")).collect();
+        m.events.iter().map(|n| read_event(n.clone()).expect("news that are known")).collect();
     let told = news.iter().cloned().map(as_told).collect();
-    let written = RelayUpdate { updates: write_events(told), ..m.clone() };
+    let written = RelayUpdate { events: write_events(told), ..m.clone() };
     assert_eq!(to_hex(&written.encode_to_vec()), to_hex(&m.encode_to_vec()));
     assert_eq!(news.iter().map(|(n, _)| *n).collect::<Vec<_>>(), (21..37).collect::<Vec<_>>());
     let WorkerEvent::Reported(report) = &news[0].1 else { panic!("{:?}", news[0]) };
