--- a/src/workswood/ops/jobs/relay/session.rs
+++ b/src/workswood/ops/jobs/relay/session.rs
@@ -148,8 +148,8 @@
             heartbeats.push(heartbeat, now);
             heartbeat_due = now + HEARTBEAT_INTERVAL;
         }
-        let updates = codec::write_events(batch);
-        let update = wire::RelayUpdate { heartbeat, stopping: stop_announced, updates };
+        let events = codec::write_events(batch);
+        let update = wire::RelayUpdate { heartbeat, stopping: stop_announced, events };
         tx.send(Msg::RelayUpdate(update)).await?;
     }
 }
