--- a/crates/workswood-core/src/jobs/placement.rs
+++ b/crates/workswood-core/src/jobs/placement.rs
@@ -17,15 +17,16 @@
 use crate::ids::ServiceId;
 use crate::invariant;
 
-/// Weight of one interfering neighbour, relative to a task of the same step.
+/// Factor that makes interference outweigh the spread of a step's tasks in the cost of a placement.
 const INTERFERENCE_WEIGHT: usize = 1000;
 
 impl Scheduler {
     /// Places the waiting tasks of a service, most urgent first.
     pub(super) fn place_waiting_tasks(&mut self, service: &ServiceId) {
         self.place_trials(service);
+        // Steps that found no worker; see `PlacementPolicy::max_misses`.
         let mut misses = 0;
-        let mut steps = StepQueue::new(self.placement_rank(service));
+        let mut steps = StepQueue::new(self.placement_order(service));
         let owners: Vec<Owner> = self.ready.get(service).map(|w| w.owners().collect()).unwrap_or_default();
         owners.into_iter().for_each(|owner| self.queue_next_step(&mut steps, service, owner, None));
         while misses < self.policy.placement.max_misses {
@@ -33,6 +34,8 @@
             match self.place_step(service, &next.step) {
                 StepPlacement::Done => {}
                 StepPlacement::NoWorker => {
+                    // Long-running tasks, which may find no worker for hours, and tasks that need a
+                    // ticket do not count as misses.
                     misses +=
                         usize::from(!self.is_long_running(&next.step) && !self.needs_ticket(&next.step));
                 }
@@ -43,12 +46,12 @@
         }
     }
 
-    /// Order of placement among steps with the same priority and standing.
+    /// Order of placement among steps with the same priority and timeliness.
     ///
     /// While all jobs can be in time, the step that must start first goes first. In an overload
     /// that order would make every job late, since each waits until it must start and then a little
     /// longer. So under overload the steps that take the least from the others go first.
-    fn placement_rank(&self, service: &str) -> QueueOrder {
+    fn placement_order(&self, service: &str) -> QueueOrder {
         let waiting_cpu = self.ready.get(service).map_or(0, |w| w.requested().0.cpu_millis);
         let total_cpu = self.workers.listed_cpu(service).max(self.fleet_cpu_millis);
         if waiting_cpu as f64 > total_cpu as f64 * self.policy.order.overload_share {
@@ -58,7 +61,7 @@
         }
     }
 
-    /// Queues the owner's first step, or the first one that comes after the given place.
+    /// Queues the owner's first step, or the first one that comes after the given position.
     fn queue_next_step(
         &self,
         steps: &mut StepQueue,
@@ -66,34 +69,38 @@
         owner: Owner,
         after: Option<&QueuePosition>,
     ) {
-        let Some(place) = self.ready.get(service).and_then(|w| w.next_of_owner(owner, after, steps.rank))
+        let Some(position) = self.ready.get(service).and_then(|w| w.next_of_owner(owner, after, steps.order))
         else {
             return;
         };
-        let owner_usage = match (self.policy.order.share_order, steps.rank) {
+        // The usage of an owner counts under overload only, and with `ShareOrder::Dominant` only.
+        let owner_usage = match (self.policy.order.share_order, steps.order) {
             (ShareOrder::Plain | ShareOrder::Excess, _) | (_, QueueOrder::EarliestDeadline) => 0,
             (ShareOrder::Dominant, QueueOrder::LeastWork) => {
-                let at_work = self.workers.accounts().in_use(owner);
-                weighted_usage(owner, &at_work, self.config.workspaces.jobs_per_s(owner))
+                let in_use = self.workers.workspace_usage().in_use(owner);
+                weighted_usage(owner, &in_use, self.config.workspaces.jobs_per_s(owner))
             }
         };
-        steps.push(place, owner_usage);
+        steps.push(position, owner_usage);
     }
 
-    /// Whether an owner may use this much more under its limit.
-    pub(super) fn is_within_limit(&self, owner: Owner, room: &Resources) -> bool {
+    /// Whether an owner may use this much more under its limit. An owner that uses less than half of
+    /// its limit may exceed it with one task.
+    pub(super) fn is_within_limit(&self, owner: Owner, needed: &Resources) -> bool {
         let limit = self.config.workspaces.limit(owner);
-        limit == Resources::default() || within_limit(&self.workers.accounts().in_use(owner), &limit, room)
+        limit == Resources::default()
+            || within_limit(&self.workers.workspace_usage().in_use(owner), &limit, needed)
     }
 
     /// The largest share of its limit that a workspace uses, and the number of workspaces that use
     /// any resources.
     pub fn workspace_limit_usage(&self) -> (f64, usize) {
-        let at_work = || self.workers.accounts().iter().filter(|(_, room)| *room != Resources::default());
-        let share = |(owner, room): (Owner, Resources)| {
-            limit_utilization(&room, &self.config.workspaces.limit(owner))
+        let in_use =
+            || self.workers.workspace_usage().iter().filter(|(_, used)| *used != Resources::default());
+        let share = |(owner, used): (Owner, Resources)| {
+            limit_utilization(&used, &self.config.workspaces.limit(owner))
         };
-        (at_work().map(share).fold(0.0, f64::max), at_work().count())
+        (in_use().map(share).fold(0.0, f64::max), in_use().count())
     }
 
     /// Resources that an owner may still use; `None` without a limit.
@@ -105,11 +112,10 @@
             mem_mb: or_unlimited(limit.mem_mb),
             gpus: or_unlimited(limit.gpus),
         };
-        (limit != Resources::default()).then(|| most.minus(&self.workers.accounts().in_use(owner)))
+        (limit != Resources::default()).then(|| most.minus(&self.workers.workspace_usage().in_use(owner)))
     }
 
-    /// Whether the tasks of a step run until their job is cancelled. They may find no worker for
-    /// hours, so they do not count as misses.
+    /// Whether the tasks of a step run until their job is cancelled.
     fn is_long_running(&self, id: &StepId) -> bool {
         let steps = self.jobs.get(&id.job).map(|j| &j.spec.steps);
         steps.and_then(|s| s.get(usize::from(id.step))).is_some_and(|s| s.long_running)
@@ -167,25 +173,25 @@
         }
         let attempt =
             members.iter().filter_map(|m| job.task(m)).map(|t| t.latest_attempt).max().unwrap_or(0) + 1;
-        let mut places = Vec::new();
+        let mut placements = Vec::new();
         for m in &members {
             let Some(job) = self.jobs.get(&id.job) else { break };
             let Some(worker) = self.choose_worker(job, step, m, service) else { break };
             if let Some(mut w) = self.workers.get_mut(&worker) {
                 w.add_run(*m, attempt, step.reserved_resources());
             }
-            places.push((*m, worker));
+            placements.push((*m, worker));
         }
-        for (m, worker) in &places {
+        for (m, worker) in &placements {
             if let Some(mut w) = self.workers.get_mut(worker) {
                 w.remove_run(*m, attempt);
             }
         }
-        if places.len() < members.len() {
+        if placements.len() < members.len() {
             return false;
         }
         let checkpoint = members.iter().filter_map(|m| checkpoint_of(self.jobs.get(&m.job), m)).next();
-        for (m, worker) in places {
+        for (m, worker) in placements {
             if let Some(t) = self.jobs.get_mut(&m.job).and_then(|j| j.task_mut(&m)) {
                 t.checkpoint = checkpoint.clone().unwrap_or_default();
             }
@@ -197,15 +203,15 @@
     /// The best worker with enough room. For tasks that are neither long-running nor tied to the
     /// rack of their data, it is the first fit in the order of the index.
     fn choose_worker(&self, job: &Job, step: &StepSpec, id: &TaskId, service: &str) -> Option<WorkerId> {
-        let room = step.reserved_resources();
+        let needed = step.reserved_resources();
         let avoid = job.task(id).and_then(|t| t.avoid_worker.as_ref());
         let advised = self.needs_ticket(&id.step_id());
         let fits = |w: &Worker| {
             let ticket = !advised || w.ticket(&id.step_id(), self.now).is_some();
             let excluded = w.in_backoff(self.now) || w.in_quarantine(self.now);
-            ticket && !excluded && w.free_room().contains(&room) && self.meets_constraints(w, step, id)
+            ticket && !excluded && w.free_room().contains(&needed) && self.meets_constraints(w, step, id)
         };
-        let available = || self.workers.available(service, room.cpu_millis).filter(|(_, w)| fits(w));
+        let available = || self.workers.available(service, needed.cpu_millis).filter(|(_, w)| fits(w));
         let best = |skip: Option<&WorkerId>| {
             let mut open = available().filter(|(wid, _)| skip != Some(*wid));
             let found = match step.long_running || step.data_rack.is_some() {
@@ -218,13 +224,13 @@
         if found.is_some() || avoid.is_none() {
             return found;
         }
-        // The worker to avoid is used only if no other worker could ever run the task.
-        let others = if advised {
+        // The worker to avoid is used only if there is no other candidate.
+        let candidates = if advised {
             self.count_possible_workers(&self.available_workers(service), &id.step_id())
         } else {
             self.workers.available(service, 0).filter(|(_, w)| !w.in_backoff(self.now)).take(2).count()
         };
-        if others > 1 { None } else { best(None) }
+        if candidates > 1 { None } else { best(None) }
     }
 
     /// Whether the worker has the label that the step requires, and room under the step's limit of
@@ -270,7 +276,8 @@
         interfering * INTERFERENCE_WEIGHT + spread
     }
 
-    /// Starts a task on a worker. The start is sent once it is on record.
+    /// Starts a task on a worker. The start is sent once it is on record. `attempt` is the attempt
+    /// number that the members of a gang share; with `None` the task gets its next one.
     pub(super) fn start_task(&mut self, id: &TaskId, worker: &WorkerId, attempt: Option<u32>) {
         self.dequeue(id);
         let now = self.now;
@@ -287,9 +294,9 @@
         }
         task.latest_attempt = attempt.unwrap_or(task.latest_attempt + 1);
         let attempt = task.latest_attempt;
-        let trial = task.trial_length(step, &self.policy.crashes, now);
+        let trial_length = task.trial_length(step, &self.policy.crashes, now);
         let run = Run::new(worker.clone(), attempt, Phase::Starting, now);
-        task.runs.push(Run { trial_quarantine: trial, placed_at: Some(now), ..run });
+        task.runs.push(Run { trial_quarantine: trial_length, placed_at: Some(now), ..run });
         let checkpoint = task.checkpoint.clone();
         job.begun = true;
         self.dirty_jobs.insert(id.job);
@@ -300,7 +307,7 @@
             w.add_run(*id, attempt, held);
             w.note_task_kind(id, step);
             w.last_start_at = Some(now);
-            if let Some(length) = trial {
+            if let Some(length) = trial_length {
                 w.begin_trial(*id, attempt, now, length);
             }
         }
@@ -332,34 +339,35 @@
 
 /// The next step of each owner, in the order of placement.
 struct StepQueue {
-    rank: QueueOrder,
+    order: QueueOrder,
     heap: BinaryHeap<Reverse<QueuedStep>>,
 }
 
-/// A step to place. The fields before `place` order steps of different owners.
+/// A step to place. The fields before `position` order steps of different owners.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct QueuedStep {
     priority: u32,
-    standing: Timeliness,
-    excess: bool,
+    timeliness: Timeliness,
+    over_rate: bool,
     owner_usage: u64,
-    rank: u64,
-    place: QueuePosition,
+    sort_key: u64,
+    position: QueuePosition,
 }
 
 impl StepQueue {
-    fn new(rank: QueueOrder) -> StepQueue {
-        StepQueue { rank, heap: BinaryHeap::new() }
+    fn new(order: QueueOrder) -> StepQueue {
+        StepQueue { order, heap: BinaryHeap::new() }
     }
 
-    fn push(&mut self, place: QueuePosition, owner_usage: u64) {
-        let QueuePosition { priority, timeliness: standing, over_rate: excess, .. } = place;
-        let rank = place.sort_key(self.rank);
-        self.heap.push(Reverse(QueuedStep { priority, standing, excess, owner_usage, rank, place }));
+    fn push(&mut self, position: QueuePosition, owner_usage: u64) {
+        let QueuePosition { priority, timeliness, over_rate, .. } = position;
+        let sort_key = position.sort_key(self.order);
+        let step = QueuedStep { priority, timeliness, over_rate, owner_usage, sort_key, position };
+        self.heap.push(Reverse(step));
     }
 
     fn next(&mut self) -> Option<QueuePosition> {
-        self.heap.pop().map(|Reverse(step)| step.place)
+        self.heap.pop().map(|Reverse(step)| step.position)
     }
 }
 
--- a/crates/workswood-core/src/jobs/worker.rs
+++ b/crates/workswood-core/src/jobs/worker.rs
@@ -109,10 +109,11 @@
     pub checkpoint: String,
     /// Progress in percent: of the work, or of the warm-up of a long-running task.
     pub percent: u32,
-    /// Load figure: the latency of slow responses in milliseconds for a task that serves users, the
-    /// processor use for others.
+    /// Load of the run, as the worker measures it: the tail latency in milliseconds of a task that
+    /// serves users, the processor use of any other task.
     pub load: u64,
-    /// Time since the last progress; zero for a long-running task past its warm-up.
+    /// Time since the last progress; zero at 100 percent. Computed by
+    /// [`RunTracker`](super::run_tracker::RunTracker); the value in a [`Listing`] is ignored.
     pub stalled_for: Duration,
 }
 
@@ -160,8 +161,8 @@
 /// Changes since the previous answer of a worker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Whether all current runs are listed. That is so in the first answer to a new relay, before
-    /// which the relay sends nothing to the worker.
+    /// Whether all current runs are listed, as in the first report of a relay. Before that report,
+    /// no orders are sent to the worker.
     pub full: bool,
     /// New runs, and runs with reportable changes.
     pub running: Vec<ReportedRun>,
@@ -208,8 +209,8 @@
     pub lease_end: Duration,
     /// Runs that may exist on the worker, with the resources of each.
     pub runs: Map<(TaskId, u32), Reservation>,
-    /// Starts and ends of runs that the workspace accounts have not been told of.
-    pub(super) account_changes: Vec<UsageChange>,
+    /// Reservations and releases that are not yet counted in the usage of workspaces.
+    pub(super) usage_changes: Vec<UsageChange>,
     /// Long-running tasks among `runs`.
     pub long_running: BTreeSet<TaskId>,
     /// Tasks among `runs` that use processor time left over by others.
@@ -223,13 +224,14 @@
     /// Runs that were settled because the lease ended, kept until it is known whether the worker
     /// crashed.
     pub lapsed_runs: Vec<LostRun>,
-    /// Set while the worker takes no work except a trial of a suspected task.
+    /// Latest quarantine, in which the worker takes no work except a trial of a suspected task; in
+    /// force until [`Quarantine::until`].
     pub quarantine: Option<Quarantine>,
     /// When a task was last started on the worker.
     pub last_start_at: Option<Duration>,
     /// Highest sequence number of an end that is on record.
     pub last_recorded_end: u64,
-    /// Tasks that failed or stalled here since the last one was done.
+    /// Tasks that failed or stalled here since a task last completed here.
     pub faults: u32,
     /// The worker gets no new work before this time.
     pub backoff_until: Duration,
@@ -240,7 +242,7 @@
     pub superseded: bool,
     /// Whether the data centre is being evacuated, which keeps new work away too.
     pub evacuated: bool,
-    /// The adviser's verdicts on this incarnation, by step.
+    /// Verdicts of the adviser on this incarnation, by step; see [`advice`](super::advice).
     pub advice: HashMap<StepId, AdviceVerdict>,
 }
 
@@ -272,7 +274,7 @@
             silent_for: Duration::ZERO,
             lease_end,
             runs: Map::default(),
-            account_changes: Vec::new(),
+            usage_changes: Vec::new(),
             long_running: BTreeSet::new(),
             best_effort: BTreeSet::new(),
             serving: BTreeSet::new(),
@@ -333,7 +335,7 @@
         if let Entry::Vacant(entry) = self.runs.entry((task, attempt)) {
             entry.insert(held);
             self.used_room.add(&held.resources);
-            self.account_changes.push(UsageChange::Reserved(held));
+            self.usage_changes.push(UsageChange::Reserved(held));
         }
     }
 
@@ -353,7 +355,7 @@
     pub fn remove_run(&mut self, task: TaskId, attempt: u32) {
         if let Some(held) = self.runs.remove(&(task, attempt)) {
             self.used_room = self.used_room.minus(&held.resources);
-            self.account_changes.push(UsageChange::Released(held));
+            self.usage_changes.push(UsageChange::Released(held));
         }
         if self.quarantine.is_some_and(|q| q.trial == Some((task, attempt))) {
             self.quarantine = None;
--- a/crates/workswood-core/src/jobs/worker_index.rs
+++ b/crates/workswood-core/src/jobs/worker_index.rs
@@ -58,7 +58,7 @@
     by_name: Map<String, Vec<WorkerId>>,
     unreachable: BTreeSet<WorkerId>,
     draining: BTreeSet<WorkerId>,
-    accounts: WorkspaceUsage,
+    workspace_usage: WorkspaceUsage,
 }
 
 /// All known incarnations of workers.
@@ -125,9 +125,9 @@
     /// Removes a worker from the map and all indexes.
     pub fn remove(&mut self, id: &WorkerId) -> Option<Worker> {
         let mut slot = self.by_id.remove(id)?;
-        self.indexes.forget(&mut slot);
+        self.indexes.remove_from_all_indexes(&mut slot);
         let runs = std::mem::take(&mut slot.worker.runs);
-        runs.values().for_each(|held| self.indexes.accounts.apply(UsageChange::Released(*held)));
+        runs.values().for_each(|held| self.indexes.workspace_usage.apply(UsageChange::Released(*held)));
         slot.worker.runs = runs;
         Some(slot.worker)
     }
@@ -165,8 +165,8 @@
     }
 
     /// Resources in use by each workspace.
-    pub fn accounts(&self) -> &WorkspaceUsage {
-        &self.indexes.accounts
+    pub fn workspace_usage(&self) -> &WorkspaceUsage {
+        &self.indexes.workspace_usage
     }
 
     /// Processor capacity of all listed workers of a service, in thousandths of a core.
@@ -212,7 +212,7 @@
         self.indexes.count_by_data_centre.get(dc).copied().unwrap_or(0)
     }
 
-    /// Workers that did not answer their last poll.
+    /// Workers that are not reachable, including those that have not answered a poll yet.
     pub fn unreachable(&self) -> impl Iterator<Item = (&WorkerId, &Worker)> {
         self.indexes.unreachable.iter().filter_map(|id| Some((id, self.get(id)?)))
     }
@@ -226,7 +226,7 @@
 impl SecondaryIndexes {
     /// Brings all indexes up to date with a changed worker.
     fn update(&mut self, slot: &mut WorkerSlot) {
-        slot.worker.account_changes.drain(..).for_each(|change| self.accounts.apply(change));
+        slot.worker.usage_changes.drain(..).for_each(|change| self.workspace_usage.apply(change));
         let w = &slot.worker;
         let same_info = match (&slot.indexed.info, &w.info) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
@@ -234,8 +234,8 @@
             _ => false,
         };
         if !same_info || slot.indexed.listed != w.listed {
-            self.remove_from_indexes(&slot.id, &mut slot.indexed);
-            self.add_to_indexes(&slot.id, w, &mut slot.indexed);
+            self.remove_from_info_indexes(&slot.id, &mut slot.indexed);
+            self.add_to_info_indexes(&slot.id, w, &mut slot.indexed);
         }
         self.update_room(&slot.id, w, &mut slot.indexed);
         if slot.indexed.unreachable == w.reachable {
@@ -263,7 +263,8 @@
         }
     }
 
-    fn add_to_indexes(&mut self, id: &WorkerId, w: &Worker, indexed: &mut IndexedState) {
+    /// Adds a worker to the indexes by what it reports about itself.
+    fn add_to_info_indexes(&mut self, id: &WorkerId, w: &Worker, indexed: &mut IndexedState) {
         indexed.info = w.info.clone();
         indexed.listed = w.listed;
         let Some(info) = &w.info else { return };
@@ -276,7 +277,8 @@
         set_membership(&mut self.draining, id, info.draining);
     }
 
-    fn remove_from_indexes(&mut self, id: &WorkerId, indexed: &mut IndexedState) {
+    /// Removes a worker from the indexes by what it reports about itself.
+    fn remove_from_info_indexes(&mut self, id: &WorkerId, indexed: &mut IndexedState) {
         let Some(info) = indexed.info.take() else { return };
         if let Some(incarnations) = self.by_host.get_mut(&info.host) {
             incarnations.retain(|other| other != id);
@@ -296,8 +298,9 @@
         }
     }
 
-    fn forget(&mut self, slot: &mut WorkerSlot) {
-        self.remove_from_indexes(&slot.id, &mut slot.indexed);
+    /// Removes a worker from all indexes.
+    fn remove_from_all_indexes(&mut self, slot: &mut WorkerSlot) {
+        self.remove_from_info_indexes(&slot.id, &mut slot.indexed);
         self.unreachable.remove(&slot.id);
         if let Some(incarnations) = self.by_name.get_mut(slot.id.name()) {
             incarnations.retain(|incarnation| *incarnation != slot.id);
