--- a/crates/workswood-core/src/jobs/worker_id.rs
+++ b/crates/workswood-core/src/jobs/worker_id.rs
@@ -26,7 +26,8 @@
 pub struct WorkerId(Arc<str>);
 
 impl WorkerId {
-    /// The incarnation of a worker that started at the given time, if it reports one.
+    /// Id of the incarnation of the worker `name` that started at `started_at`; `None` if the worker
+    /// reports no start time.
     pub fn new(name: &str, started_at: Option<UnixMs>) -> WorkerId {
         match started_at {
             Some(at) => WorkerId(format!("{name}{START_TIME_SEPARATOR}{at}").into()),
