--- a/crates/workswood-core/src/jobs/worker_restart.rs
+++ b/crates/workswood-core/src/jobs/worker_restart.rs
@@ -5,8 +5,8 @@
 //! earlier incarnation may still reach the later one.
 //!
 //! * The later incarnation is polled with a higher token than the earlier one. Once it has
-//!   answered, it refuses calls meant for the earlier one, and its answer lists those that it has
-//!   accepted.
+//!   answered, it refuses calls meant for the earlier one, and its answer lists the runs that it has
+//!   started for such calls before.
 //! * Until then, runs of the earlier incarnation may exist in the later one. They are settled with
 //!   that first answer: listed runs go on in the later incarnation, the others are over.
 //! * A lease that was meant for the earlier incarnation is read on the clock of the later one.
@@ -86,7 +86,7 @@
         }
     }
 
-    /// When a lease must have ended that is sent now and read on the clock of a later incarnation.
+    /// Latest end of a lease that is sent now to an earlier incarnation but received by a later one.
     fn misdelivered_lease_end(&self) -> Duration {
         self.now + lease_with_drift(self.limits.max_lease, self.limits.clock_drift)
     }
