--- a/crates/workswood-core/src/jobs/job_table.rs
+++ b/crates/workswood-core/src/jobs/job_table.rs
@@ -1,4 +1,5 @@
-//! The table of all known jobs, with indexes of those that the passing of time affects.
+//! The table of all known jobs, with indexes of the open repeating jobs and of the open jobs with
+//! long-running tasks.
 //!
 //! A job that has ended and runs nowhere is *archived*: its tasks and its text are dropped. What
 //! stays for some minutes is its state, which callers may ask for, and its resource needs, which
@@ -52,7 +53,7 @@
         self.by_key.get(key)
     }
 
-    /// Returns a job that is not archived, for modification. Its end is reported by
+    /// Returns a job that is not archived, for modification. A caller that ends the job must call
     /// [`JobTable::note_ended`].
     pub fn get_mut(&mut self, key: &JobKey) -> Option<&mut Job> {
         self.by_key.get_mut(key)
