--- a/crates/workswood-core/src/jobs/run_tracker.rs
+++ b/crates/workswood-core/src/jobs/run_tracker.rs
@@ -13,8 +13,9 @@
 use super::types::StartReply;
 use super::worker::{Listing, Report, ReportedRun};
 
-/// A run without progress for this long is reported as stalled. Longer than a run normally needs
-/// for one percent, and shorter than the time after which the scheduler takes it to be stuck.
+/// A run without progress for this long is reported as stalled. Must be longer than a run normally
+/// needs for one percent, and shorter than
+/// [`HealthPolicy::stuck_after`](super::policy::HealthPolicy::stuck_after).
 const STALL_REPORT_AFTER: Duration = Duration::from_millis(1000);
 /// Shortest time between two reports of a run's checkpoint.
 const CHECKPOINT_REPORT_INTERVAL: Duration = Duration::from_millis(1000);
@@ -33,9 +34,11 @@
     reported_stalled: bool,
     /// Progress in percent that was last reported.
     reported_percent: u32,
-    percent: u32,
+    /// Progress in percent that was last listed.
+    listed_percent: u32,
     progressed_at: Duration,
-    checkpoint: String,
+    /// Checkpoint that was last reported.
+    reported_checkpoint: String,
     checkpoint_reported_at: Duration,
 }
 
@@ -127,15 +130,15 @@
         let new_run = || TrackedRun { progressed_at: now, ..TrackedRun::default() };
         let run = self.runs.entry((listed.task, listed.attempt)).or_insert_with(new_run);
         run.expected_since.get_or_insert(Duration::ZERO);
-        if listed.percent != run.percent {
+        if listed.percent != run.listed_percent {
             run.progressed_at = now;
-            run.percent = listed.percent;
+            run.listed_percent = listed.percent;
         }
         let done = listed.percent >= 100;
         let stalled_for = if done { Duration::ZERO } else { now.saturating_sub(run.progressed_at) };
         let stalled = stalled_for >= STALL_REPORT_AFTER;
         let new_checkpoint = !listed.checkpoint.is_empty()
-            && listed.checkpoint != run.checkpoint
+            && listed.checkpoint != run.reported_checkpoint
             && now >= run.checkpoint_reported_at + CHECKPOINT_REPORT_INTERVAL;
         let completion_changed = (run.reported_percent >= 100) != done;
         if !all && run.reported && stalled == run.reported_stalled && !new_checkpoint && !completion_changed {
@@ -145,7 +148,7 @@
         run.reported_stalled = stalled;
         run.reported_percent = listed.percent;
         if new_checkpoint {
-            run.checkpoint.clone_from(&listed.checkpoint);
+            run.reported_checkpoint.clone_from(&listed.checkpoint);
             run.checkpoint_reported_at = now;
         }
         Some(ReportedRun { stalled_for, ..listed })
