--- a/crates/workswood-core/src/ids.rs
+++ b/crates/workswood-core/src/ids.rs
@@ -20,7 +20,7 @@
 pub type TeamId = String;
 /// Name of a workspace: a team that authenticates its calls with its API keys.
 pub type WorkspaceId = String;
-/// Name of a job.
+/// Name of a job that is declared in a fleet file.
 pub type JobId = String;
 /// Key by which a caller identifies a request that may not be repeated.
 pub type IdempotencyKey = String;
@@ -28,5 +28,8 @@
 pub type Offset = u64;
 /// Number of a term of a lease; it grows with each new holder.
 pub type Term = u64;
+/// Fencing token of a worker: rises with the term of the scheduler's lease, and within a term with
+/// each relay of the worker.
+pub type Token = u64;
 /// Milliseconds since the Unix epoch, by the clock of one process.
 pub type UnixMs = u64;
--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -26,13 +26,13 @@
 use super::scheduler::Scheduler;
 use super::types::{Action, StopReply, WorkerUpdate};
 use super::worker_id::WorkerId;
-use crate::ids::{DataCentre, HostId, Term};
+use crate::ids::{DataCentre, HostId, Token};
 
 /// Low bits of a worker's token that count its relays within a term.
 const RELAY_COUNTER_BITS: u32 = 20;
 /// Most workers that are moved in one tick only to relieve the holder; each move costs a poll that
 /// lists all runs.
-const MAX_REBALANCED_PER_TICK: usize = 64;
+const MAX_OFFLOADED_PER_TICK: usize = 64;
 
 /// Settings for the assignment of workers to relays.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -41,8 +41,8 @@
     /// Most workers of one relay; bounds how many workers one stalled entry can hold up.
     #[serde(rename = "most_workers")]
     pub max_workers: usize,
-    /// Share of the workers that an entry could poll as lease holder that it takes as a relay. The
-    /// rest of its capacity is for its own callers and peaks of demand.
+    /// Fraction of its capacity for workers that an entry uses to poll them, as a relay or as the
+    /// lease holder. The rest is for its own callers and peaks of demand.
     #[serde(rename = "share")]
     pub capacity_share: f64,
     /// Capacity that the relays of a data centre have beyond its workers, as a share of these.
@@ -96,7 +96,7 @@
     backoff_until: BTreeMap<HostId, Duration>,
     /// Workers without a relay.
     unassigned: BTreeSet<WorkerId>,
-    /// Orders that can be sent without a record.
+    /// Orders that need not be recorded before they are sent.
     orders: Vec<Action>,
     /// Highest number of relays in this term, by name, for workers that keep their name when they
     /// restart. Keeps tokens rising from one incarnation to the next.
@@ -133,13 +133,13 @@
 
 impl Scheduler {
     /// The token with which a worker is polled now; `None` if the worker is not known.
-    pub fn token_of(&self, id: &WorkerId) -> Option<Term> {
+    pub fn token_of(&self, id: &WorkerId) -> Option<Token> {
         self.workers.get(id).map(|w| self.worker_token(w.relay_count))
     }
 
     /// The token of a worker's nth relay in this term, starting at 1.
-    pub(super) fn worker_token(&self, relay: u32) -> Term {
-        (self.token << RELAY_COUNTER_BITS) | u64::from(relay)
+    pub(super) fn worker_token(&self, relay_number: u32) -> Token {
+        (self.token << RELAY_COUNTER_BITS) | u64::from(relay_number)
     }
 
     /// Sets the entries that may be relays; the holder is left out.
@@ -303,10 +303,10 @@
         }
         let workers_here = self.workers.count_in_data_centre(dc);
         self.open_relays_for(Some(dc), workers_here);
-        let found = self.best_open_relay(Some(dc), host);
+        let found = self.best_relay_with_room(Some(dc), host);
         let found = found.or_else(|| {
             self.open_relays_for(None, self.workers.len());
-            self.best_open_relay(None, host)
+            self.best_relay_with_room(None, host)
         });
         found.unwrap_or_else(|| self.least_loaded_relay())
     }
@@ -334,10 +334,11 @@
         best.map(|e| e.name.clone())
     }
 
-    fn best_open_relay(&self, dc: Option<&DataCentre>, host: &str) -> Option<HostId> {
-        let open = self.relays.in_data_centre(dc.map(String::as_str));
-        let open = open.filter(|(name, r)| **name != self.holder && !r.is_full());
-        open.max_by_key(|(name, _)| rendezvous_rank(name, host)).map(|(name, _)| name.clone())
+    /// The relay with room for another worker that ranks first for the host.
+    fn best_relay_with_room(&self, dc: Option<&DataCentre>, host: &str) -> Option<HostId> {
+        let relays = self.relays.in_data_centre(dc.map(String::as_str));
+        let with_room = relays.filter(|(name, r)| **name != self.holder && !r.is_full());
+        with_room.max_by_key(|(name, _)| rendezvous_rank(name, host)).map(|(name, _)| name.clone())
     }
 
     /// The relay with the fewest workers, or the holder if there is none.
@@ -347,20 +348,20 @@
         least.map_or_else(|| self.holder.clone(), |(name, _)| name.clone())
     }
 
-    /// Handles news of a worker from its relay. News from an earlier relay is dropped, since the
-    /// present one reports it again; accepting it would let orders be sent before the present relay
-    /// has polled the worker.
-    pub(super) fn handle_worker_news(&mut self, id: &WorkerId, token: Term, news: WorkerUpdate) {
+    /// Handles an update on a worker from its relay. Updates from an earlier relay are dropped, since
+    /// the present one reports their content again; accepting them would let orders be sent before
+    /// the present relay has polled the worker.
+    pub(super) fn handle_worker_update(&mut self, id: &WorkerId, token: Token, update: WorkerUpdate) {
         let present = self.workers.get(id).filter(|w| w.relay.is_some());
         if present.is_none_or(|w| self.worker_token(w.relay_count) != token) {
             return;
         }
-        if let Some(heard) = self.answer_time(&news)
+        if let Some(heard) = self.answer_time(&update)
             && let Some(mut w) = self.workers.get_mut(id)
         {
             w.last_heard = w.last_heard.max(heard);
         }
-        match news {
+        match update {
             WorkerUpdate::Reported(report) => self.reported(id, &report),
             WorkerUpdate::ProbeLate => self.doubt(id),
             WorkerUpdate::Unanswered { lease_end, .. } => self.unanswered(id, lease_end),
@@ -370,16 +371,16 @@
         }
     }
 
-    /// Handles the news that a worker knows a higher token: another process has taken over.
+    /// Handles the answer of a worker that knows a higher token: another process has taken over.
     pub(super) fn note_higher_token(&mut self, id: &WorkerId) {
         let token = self.token_of(id).unwrap_or_default();
         self.notes.push(format_args!("event=higher_token_seen worker={id} token={token}"));
         self.deposed = true;
     }
 
-    /// The latest time at which the worker answered, according to the news.
-    fn answer_time(&self, news: &WorkerUpdate) -> Option<Duration> {
-        match news {
+    /// The latest time at which the worker answered, according to the update.
+    fn answer_time(&self, update: &WorkerUpdate) -> Option<Duration> {
+        match update {
             WorkerUpdate::Reported(_) | WorkerUpdate::Fenced => Some(self.now),
             WorkerUpdate::Unanswered { heard, .. } => Some(*heard),
             WorkerUpdate::Started(_, _, reply) => reply.is_answer().then_some(self.now),
@@ -411,7 +412,8 @@
     }
 
     /// Handles the loss of a relay, or the failure to reach it. Leases that it extended end by
-    /// `lease_end`.
+    /// `lease_end`. `may_return` means that the relay itself may still be running; if it was ready,
+    /// it may then be chosen again at once.
     pub(super) fn relay_down(&mut self, entry: &HostId, lease_end: Duration, may_return: bool) {
         let Some(r) = self.relays.active.remove(entry) else { return };
         self.notes.push(format_args!(
@@ -442,14 +444,14 @@
         self.relays.orders.push(Action::CloseRelay(entry.clone()));
     }
 
-    /// Moves workers that the holder still polls to relays, if there are any.
-    pub(super) fn balance_relays(&mut self) {
+    /// Moves workers that the holder polls itself to relays, if relays are needed.
+    pub(super) fn offload_holder(&mut self) {
         self.relays.backoff_until.retain(|_, until| *until > self.now);
         if !self.needs_relays() {
             return;
         }
         let Some(own) = self.relays.active.get(&self.holder) else { return };
-        let moved: Vec<WorkerId> = own.workers.iter().take(MAX_REBALANCED_PER_TICK).cloned().collect();
+        let moved: Vec<WorkerId> = own.workers.iter().take(MAX_OFFLOADED_PER_TICK).cloned().collect();
         moved.iter().for_each(|id| self.request_relay(id));
     }
 }
--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -277,7 +277,7 @@
             Event::WorkerUnlisted(id) => self.worker_unlisted(&id),
             Event::LifeOver(id, heard) => self.other_life_answered(&id, heard),
             Event::WorkerRestarted(id, started, heard) => self.worker_restarted(&id, started, heard),
-            Event::WorkerUpdate(id, token, news) => self.handle_worker_news(&id, token, news),
+            Event::WorkerUpdate(id, token, news) => self.handle_worker_update(&id, token, news),
             Event::AdviceReceived(a) => self.advice_received(a),
             Event::HostsListed(list, asked) => self.hosts_listed(list, asked),
             Event::WaveRequested(wave, rec) => self.wave_requested(wave, rec),
@@ -517,7 +517,7 @@
         self.advance_waves();
         self.plan_pools();
         self.drop_expired_marks();
-        self.balance_relays();
+        self.offload_holder();
         self.forget_jobs();
         self.services_to_place
             .extend(self.ready.iter().filter(|(_, s)| !s.is_empty()).map(|(k, _)| k.clone()));
