--- a/crates/workswood-core/src/jobs/crash_attribution.rs
+++ b/crates/workswood-core/src/jobs/crash_attribution.rs
@@ -35,7 +35,8 @@
     /// crashed it. Covers the delay until a busy entry sees the answer to the start.
     #[serde(rename = "young", with = "humantime_serde")]
     pub suspect_age: Duration,
-    /// A task that was lost in this many crashes is suspected, however long its runs had lasted.
+    /// A task that was lost in this many crashes is suspected, however long its runs had lasted,
+    /// unless chance explains the crashes.
     #[serde(rename = "suspect_after")]
     pub suspect_after_crashes: usize,
     /// Score from which a task may only be started as a trial. Scores are logarithms of likelihood
@@ -71,17 +72,17 @@
     /// Score needed to give a task up after this many tasks were given up recently: tasks that
     /// crash their workers tend to come in groups.
     fn give_up_threshold_after(&self, given_up: usize) -> f64 {
-        self.give_up_threshold - THRESHOLD_DROP_PER_CULPRIT * given_up.min(MAX_CULPRITS_COUNTED) as f64
+        self.give_up_threshold - THRESHOLD_DROP_PER_GIVEN_UP * given_up.min(MAX_GIVEN_UP_COUNTED) as f64
     }
 }
 
 /// Reduction of [`CrashPolicy::give_up_threshold`] for each task that was given up recently.
-const THRESHOLD_DROP_PER_CULPRIT: f64 = 1.5;
+const THRESHOLD_DROP_PER_GIVEN_UP: f64 = 1.5;
 /// Most recently given up tasks that reduce the threshold.
-const MAX_CULPRITS_COUNTED: usize = 2;
+const MAX_GIVEN_UP_COUNTED: usize = 2;
 /// A start without an answer counts as a young run if the crash was noticed within this time after
 /// it. Covers the delay until a busy entry notices the refused connection.
-const PROMPT_SILENCE: Duration = Duration::from_millis(300);
+const YOUNG_IF_SILENT_WITHIN: Duration = Duration::from_millis(300);
 /// A worker that still answers this long after it was removed from the worker list has left without
 /// notice, and has not crashed. An answer sent before a crash may arrive within this time.
 const ANSWERS_AFTER_UNLISTED: Duration = Duration::from_secs(1);
@@ -171,7 +172,7 @@
         self.score(rate) + untimed >= policy.give_up_threshold * EXHAUSTED_THRESHOLD_SHARE
     }
 
-    /// Whether the number of crashes alone makes the task suspect.
+    /// Whether the task is suspect for the number of its crashes, unless chance explains them.
     fn are_suspiciously_many(&self, policy: &CrashPolicy, rate: f64) -> bool {
         let (count, timed) = (self.count(), self.known_run_times().count());
         let doubtful =
@@ -272,8 +273,11 @@
         lost.sort_by_key(|run| (run.task, run.attempt));
         // Only runs with the most suspicious role explain the crash.
         let role = lost.iter().map(|run| run.role).min();
-        let chance_probability =
-            if role.is_some_and(|p| p != RunRole::Old) { self.share_of_workers_with_suspects() } else { 1.0 };
+        let chance_probability = if role.is_some_and(|role| role != RunRole::Old) {
+            self.share_of_workers_with_suspects()
+        } else {
+            1.0
+        };
         self.crash_rate.record_crash(self.now, lost.iter().map(|run| run.task).collect(), chance_probability);
         let Some(role) = role else { return };
         let same_role = lost.iter().filter(|run| run.role == role).count();
@@ -316,13 +320,13 @@
 
     fn run_role(&self, run: &Run, run_time: Option<Duration>, max_run_time: Option<Duration>) -> RunRole {
         let unheard = run_time.is_none() && run.phase != Phase::Inherited;
-        if !unheard && run.trial_quarantine.is_some_and(|trial| run_time.is_none_or(|ran| ran < trial)) {
+        if !unheard && run.trial_quarantine.is_some_and(|length| run_time.is_none_or(|ran| ran < length)) {
             return RunRole::OnTrial;
         }
         match run_time {
             Some(ran) if ran < self.policy.crashes.suspect_age && run.placed_at.is_some() => RunRole::Young,
             // The answer to the start was lost with the worker.
-            None if unheard && max_run_time.is_some_and(|w| w < PROMPT_SILENCE) => RunRole::Young,
+            None if unheard && max_run_time.is_some_and(|max| max < YOUNG_IF_SILENT_WITHIN) => RunRole::Young,
             None if unheard => RunRole::Unheard,
             _ => RunRole::Old,
         }
@@ -337,7 +341,7 @@
         self.workers.values().filter(|w| young(w) || trial(w)).count() as f64 / all as f64
     }
 
-    /// Crashes per second and worker, without those during runs of the task.
+    /// Crashes per worker-second, without those during runs of the task.
     fn background_crash_rate(&self, task: &TaskId) -> f64 {
         self.crash_rate.rate_without(
             task,
@@ -354,7 +358,7 @@
         let Some(job) = self.jobs.get_mut(&run.task.job).filter(|j| j.open()) else { return };
         let Some(task) = job.task_mut(&run.task).filter(|t| !t.done) else { return };
         let policy = &self.policy.crashes;
-        let threshold = policy.give_up_threshold_after(self.crash_rate.recent_culprits(self.now));
+        let threshold = policy.give_up_threshold_after(self.crash_rate.recently_given_up(self.now));
         let explains = run.role == role && run.role != RunRole::Old;
         let evidence = match run.run_time {
             Some(_) if explains => Evidence::LikelyCause,
@@ -365,20 +369,19 @@
             self.dirty_jobs.insert(run.task.job);
         }
         let count = task.crashes.count();
-        let suspicion = task.crashes.score(rate);
+        let score = task.crashes.score(rate);
         let proved =
             run.role == RunRole::OnTrial && run.run_time.is_some() && task.crashes.is_proof(threshold, rate);
         if run.role == role && same_role == 1 && (proved || task.crashes.exhausts_retries(policy, rate)) {
-            self.give_up_task(id, &run.task, count, suspicion);
+            self.give_up_task(id, &run.task, count, score);
             return;
         }
-        if explains && suspicion >= policy.suspicion_threshold
-            || task.crashes.are_suspiciously_many(policy, rate)
+        if explains && score >= policy.suspicion_threshold || task.crashes.are_suspiciously_many(policy, rate)
         {
             suspect(task, run.run_time, self.now);
             self.notes.push(format_args!(
                 "event=task_suspected worker={id} task={} attempt={} part={:?} crashes={count} \
-                 suspicion={suspicion:.1} crashes_per_s={rate:.4}",
+                 suspicion={score:.1} crashes_per_s={rate:.4}",
                 run.task, run.attempt, run.role
             ));
         }
@@ -386,12 +389,12 @@
 
     /// Gives a task up. A long-running job goes on without it: its other tasks serve users, and
     /// stopping all of them at once would break its availability budget.
-    fn give_up_task(&mut self, id: &WorkerId, task: &TaskId, crashes: usize, suspicion: f64) {
+    fn give_up_task(&mut self, id: &WorkerId, task: &TaskId, crashes: usize, score: f64) {
         self.notes.push(format_args!(
-            "event=task_given_up worker={id} task={task} crashes={crashes} suspicion={suspicion:.1}"
+            "event=task_given_up worker={id} task={task} crashes={crashes} suspicion={score:.1}"
         ));
         self.counters.tasks_given_up += 1;
-        self.crash_rate.record_culprit(task, self.now);
+        self.crash_rate.record_given_up(task, self.now);
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         if !job.step(task).is_some_and(|s| s.long_running) {
             self.end_job(task.job, Outcome::Failed);
@@ -427,6 +430,7 @@
 
     /// Suspects tasks that were lost in several crashes under earlier lease holders.
     pub(super) fn suspect_inherited(&self, job: &mut Job) {
+        // This holder has recorded no crashes of the job yet, so one rate holds for all of its tasks.
         let rate = self.background_crash_rate(&TaskId { job: job.key, round: 0, step: 0, index: 0 });
         for task in job.rounds.iter_mut().flatten().flatten() {
             let many = task.crashes.count() >= SUSPECT_AFTER_UNTIMED_CRASHES;
--- a/crates/workswood-core/src/jobs/crash_rate.rs
+++ b/crates/workswood-core/src/jobs/crash_rate.rs
@@ -10,15 +10,15 @@
 
 use super::spec::TaskId;
 
-/// The rate is taken over this time. It spans several rounds of recurring crashes of racks.
+/// The rate is taken over this time; long enough to cover recurring crashes.
 const RATE_WINDOW: Duration = Duration::from_secs(10);
 /// Crashes that the rate assumes before any are seen, in [`PRIOR_WORKER_SECONDS`].
 const PRIOR_CRASHES: f64 = 0.5;
 /// Worker-seconds that the rate assumes before any are observed. Keeps a single crash in the first
 /// seconds of a term from looking like a high rate.
 const PRIOR_WORKER_SECONDS: f64 = 60.0;
-/// How long a task that was found to crash its workers counts as recent.
-const RECENT_CULPRIT_AGE: Duration = Duration::from_secs(30);
+/// How long a task that was given up counts as recent.
+const RECENTLY_GIVEN_UP_AGE: Duration = Duration::from_secs(30);
 /// Shortest run time that enters a score, since the reported times are late by a few milliseconds.
 const MIN_RUN_TIME: Duration = Duration::from_millis(5);
 
@@ -36,8 +36,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct CrashRate {
     crashes: VecDeque<UnexplainedCrash>,
-    /// When tasks were found to crash their workers.
-    culprit_times: VecDeque<Duration>,
+    /// When tasks were given up.
+    given_up_times: VecDeque<Duration>,
 }
 
 impl CrashRate {
@@ -51,18 +51,18 @@
         self.crashes.push_back(UnexplainedCrash { at, running_tasks, chance_probability });
     }
 
-    /// Records that a task has caused its crashes, which then no longer count towards the rate.
-    pub fn record_culprit(&mut self, task: &TaskId, at: Duration) {
+    /// Records that a task was given up. Its crashes no longer count towards the rate.
+    pub fn record_given_up(&mut self, task: &TaskId, at: Duration) {
         self.crashes.retain(|c| !c.running_tasks.contains(task));
-        self.culprit_times.push_back(at);
+        self.given_up_times.push_back(at);
     }
 
-    /// Number of tasks that were recently found to crash their workers.
-    pub fn recent_culprits(&self, now: Duration) -> usize {
-        self.culprit_times.iter().filter(|at| **at + RECENT_CULPRIT_AGE >= now).count()
+    /// Number of tasks that were given up recently.
+    pub fn recently_given_up(&self, now: Duration) -> usize {
+        self.given_up_times.iter().filter(|at| **at + RECENTLY_GIVEN_UP_AGE >= now).count()
     }
 
-    /// Crashes per second and worker, without those during runs of the task, when `workers` were
+    /// Crashes per worker-second, without those during runs of the task, when `workers` were
     /// observed for the time `watched`.
     pub fn rate_without(&self, task: &TaskId, now: Duration, workers: usize, watched: Duration) -> f64 {
         let others =
@@ -72,9 +72,9 @@
     }
 }
 
-/// Logarithm of the likelihood ratio that the task causes its crashes: runs crash at a rate of
-/// their own, against the background `rate` in crashes per second. `run_time` is the total run time
-/// of the crashed runs. Zero if the background rate explains the crashes as well.
+/// Logarithm of the likelihood ratio of two hypotheses: that the task's runs crash at the rate that
+/// was observed of them, or at the background `rate`, in crashes per worker-second. `run_time` is
+/// the total run time of the crashed runs. Zero if the background rate explains the crashes as well.
 pub fn task_fault_score(crashes: usize, run_time: Duration, rate: f64) -> f64 {
     let count = crashes as f64;
     let expected = run_time.max(MIN_RUN_TIME * crashes as u32).as_secs_f64() * rate;
--- a/crates/workswood-core/src/jobs/crash_trials.rs
+++ b/crates/workswood-core/src/jobs/crash_trials.rs
@@ -59,7 +59,7 @@
         self.trials.entry(service.clone()).or_default().insert((s.suspected_at, *id));
     }
 
-    /// Whether a waiting task is reserved for a trial.
+    /// Whether a waiting task may only be started as a trial, and trials are queued.
     pub(super) fn waits_for_trial(&self, id: &TaskId, service: &str) -> bool {
         self.trials.get(service).is_some_and(|t| !t.is_empty()) && self.needs_trial(id)
     }
@@ -97,8 +97,8 @@
     /// little load.
     fn max_quarantined_workers(&self, service: &str) -> usize {
         let available = || self.workers.available(service, 0).map(|(_, w)| w);
-        let room: u64 = available().filter_map(|w| w.info.as_ref()).map(|i| i.capacity.cpu_millis).sum();
-        let lightly_loaded = self.workers.room_in_use(service).cpu_millis * 2 < room;
+        let capacity: u64 = available().filter_map(|w| w.info.as_ref()).map(|i| i.capacity.cpu_millis).sum();
+        let lightly_loaded = self.workers.room_in_use(service).cpu_millis * 2 < capacity;
         let share = if lightly_loaded { 1.0 } else { self.policy.crashes.max_quarantined_share };
         (available().count() as f64 * share).ceil() as usize
     }
@@ -127,9 +127,10 @@
         TrialPlacement::Started
     }
 
-    /// The worker with the fewest runs on which a trial can start now.
+    /// The worker for a trial that starts now: preferably one near the task's data, among these the
+    /// one with the fewest runs.
     fn worker_for_trial(&self, service: &str, id: &TaskId, step: &StepSpec) -> Option<WorkerId> {
-        let room = step.reserved_resources();
+        let needed = step.reserved_resources();
         let young = self.policy.crashes.suspect_age;
         let no_young_run = |w: &Worker| w.last_start_at.is_none_or(|at| at + young <= self.now);
         let not_quarantined =
@@ -137,18 +138,22 @@
         let fits = |w: &Worker| {
             no_young_run(w)
                 && not_quarantined(w)
-                && w.free_room().contains(&room)
+                && w.free_room().contains(&needed)
                 && self.trial_allowed(w, step, id)
         };
-        let open = self.workers.available(service, room.cpu_millis).filter(|(_, w)| fits(w));
-        open.min_by_key(|(_, w)| (self.placement_cost(w, step, id).0, w.runs.len())).map(|(id, _)| id.clone())
+        let open = self.workers.available(service, needed.cpu_millis).filter(|(_, w)| fits(w));
+        let cost = |w: &Worker| {
+            let (away_from_data, ..) = self.placement_cost(w, step, id);
+            (away_from_data, w.runs.len())
+        };
+        open.min_by_key(|(_, w)| cost(w)).map(|(id, _)| id.clone())
     }
 
     /// Reserves a worker, so that a trial can start there soon; returns whether one was found.
     fn reserve_for_trial(&mut self, service: &str, id: &TaskId) -> bool {
         let Some(step) = self.jobs.get(&id.job).and_then(|j| j.step(id)) else { return false };
-        let room = step.reserved_resources();
-        let large_enough = |w: &Worker| w.info.as_ref().is_some_and(|i| i.capacity.contains(&room));
+        let needed = step.reserved_resources();
+        let large_enough = |w: &Worker| w.info.as_ref().is_some_and(|i| i.capacity.contains(&needed));
         let open =
             |w: &Worker| !w.in_quarantine(self.now) && large_enough(w) && self.trial_allowed(w, step, id);
         let open = self.workers.available(service, 0).filter(|(_, w)| open(w));
