--- a/crates/workswood-core/src/jobs/eviction.rs
+++ b/crates/workswood-core/src/jobs/eviction.rs
@@ -82,7 +82,7 @@
     }
 
     /// Stops runs again that a predecessor evicted and that their workers still list, since the
-    /// first stop may not have been sent. Until the budget allows the stop, they count as away.
+    /// first stop may not have been sent. Until the budget allows the stop, they count as unavailable.
     pub(super) fn evict_inherited(&mut self) {
         for (id, task, attempt) in std::mem::take(&mut self.inherited_evictions) {
             let runs = self.run_mut(&id, &task, attempt).is_some_and(|r| r.phase == Phase::Running);
