--- a/crates/workswood-core/src/fold/checkpoint.rs
+++ b/crates/workswood-core/src/fold/checkpoint.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Compares a checkpoint with the own digest at its marker. A difference means
+    /// Compares a checkpoint with this process's digest at its marker. A difference means
     /// that two processes folded the same log differently.
     pub(super) fn check_digest(&mut self, marker_offset: Offset, digest: u64) -> RecordResult {
         let Some(own) = self.marks.iter().find(|m| m.marker_offset == marker_offset) else {
@@ -79,16 +79,16 @@
         let Some(newest) = self.marks.last().filter(|m| !m.text.is_empty()) else {
             return Vec::new();
         };
-        let chunks = split_into_parts(&newest.text);
-        let parts = chunks.len() as u32;
+        let parts = split_into_parts(&newest.text);
+        let part_count = parts.len() as u32;
         let record = |(i, data): (usize, &str)| Record::Checkpoint {
             marker_offset: newest.marker_offset,
             part: i as u32,
-            parts,
+            parts: part_count,
             digest: newest.digest,
             data: data.to_string(),
         };
-        chunks.into_iter().enumerate().map(record).collect()
+        parts.into_iter().enumerate().map(record).collect()
     }
 }
 
--- a/crates/workswood-core/src/fold/hosts.rs
+++ b/crates/workswood-core/src/fold/hosts.rs
@@ -46,7 +46,7 @@
     /// Offset of the last change.
     #[serde(rename = "offset")]
     pub changed_at_offset: u64,
-    /// Log time of the last change of phase or health.
+    /// Log time of the last change other than [`HostChange::Seen`].
     #[serde(rename = "since")]
     pub changed_at: u64,
     /// Generation at which the pool was set; fencing token of that action on the
--- a/crates/workswood-core/src/fold/idempotency.rs
+++ b/crates/workswood-core/src/fold/idempotency.rs
@@ -31,7 +31,8 @@
     pub service: ServiceId,
     /// Digest of method, path and body.
     pub digest: u64,
-    /// No claim of the key is accepted after this moment.
+    /// No claim of the key is accepted after this moment. It is raised for a deferred request that
+    /// ends after its retention, so that the key expires then and not in the past.
     pub last_moment: UnixMs,
     /// State of the request.
     pub state: KeyState,
--- a/crates/workswood-core/src/fold/jobs.rs
+++ b/crates/workswood-core/src/fold/jobs.rs
@@ -1,4 +1,5 @@
-//! Declared jobs; a job that is not repeatable is started at most once.
+//! Jobs that are declared in fleet files; a job that is not repeatable is started at most once. The
+//! jobs that callers submit are in [`crate::jobs`].
 
 use serde::{Deserialize, Serialize};
 
@@ -23,7 +24,8 @@
     Failed,
 }
 
-/// A job that was started at least once.
+/// A declared job for which a change was recorded; in phase [`JobPhase::Waiting`] if it was not
+/// started yet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StartedJob {
     /// Its phase.
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -38,13 +38,14 @@
     Term,
     /// The generation is not the current one of the host.
     Generation,
-    /// The state of the host, instance, job or key does not allow the change.
+    /// The state of the host, instance, job or key does not allow the change, or the holder of a
+    /// claim is not on the roster.
     Phase,
     /// A host, instance, pool, job or key that the record names does not exist.
     Missing,
     /// The availability budget of this service would be broken.
     Budget(ServiceId),
-    /// The key was claimed before, or the attempt is not the next one.
+    /// The key was claimed before, or the attempt may not start.
     KeyTaken,
     /// The key's last moment has passed in log time.
     Expired,
@@ -108,7 +109,7 @@
     pub instances: BTreeMap<InstanceId, PlacedInstance>,
     /// Idempotency keys that are retained, and open deferred requests.
     pub keys: BTreeMap<IdempotencyKey, KeyedRequest>,
-    /// Jobs that were started or have ended.
+    /// Jobs declared in fleet files for which a change was recorded.
     pub jobs: BTreeMap<JobId, StartedJob>,
     /// Highest `seq` folded from each process, and the log time at that fold.
     pub senders: BTreeMap<Incarnation, (u64, UnixMs)>,
@@ -140,6 +141,8 @@
 /// How long the highest `seq` of a process is kept after its last envelope. Must
 /// exceed the longest time by which the platform may delay an append.
 const SENDER_RETENTION_MS: UnixMs = 24 * 3600 * 1000;
+/// Senders are pruned only while there are more than this.
+const MIN_SENDERS_TO_PRUNE: usize = 64;
 
 impl State {
     /// Folds the envelope at `offset`; returns one result per record.
@@ -218,12 +221,12 @@
         self.rebuild_key_indexes();
     }
 
-    /// Removes expired keys, and senders that have not written for
-    /// [`SENDER_RETENTION_MS`].
+    /// Removes expired keys and, once there are many senders, those that have not
+    /// written for [`SENDER_RETENTION_MS`].
     fn prune(&mut self) {
         self.prune_keys();
         let oldest = self.log_time.saturating_sub(SENDER_RETENTION_MS);
-        if self.senders.len() > 64 {
+        if self.senders.len() > MIN_SENDERS_TO_PRUNE {
             self.senders.retain(|_, (_, at)| *at >= oldest);
         }
     }
