--- a/crates/workswood-core/src/fleet/check.rs
+++ b/crates/workswood-core/src/fleet/check.rs
@@ -10,6 +10,8 @@
 const MAX_NAME_BYTES: usize = 64;
 const MAX_INSTANCES: u32 = 1_000;
 const MAX_SLOTS: u32 = 1_024;
+const MAX_WINDOW: u32 = MAX_SLOTS * 2;
+const MAX_CONNECTIONS: u32 = MAX_SLOTS * 8;
 const MAX_DURATION: Duration = Duration::from_secs(24 * 3600);
 
 /// Checks names, ranges, references and budgets of one file; returns all errors.
@@ -97,8 +99,8 @@
     check_pool_exists(issues, f, path, &s.pool);
     check_range(issues, format!("{path}.instances"), s.instances, 1, MAX_INSTANCES);
     check_range(issues, format!("{path}.slots"), s.slots, 1, MAX_SLOTS);
-    check_range(issues, format!("{path}.window"), s.window(), s.slots, MAX_SLOTS * 2);
-    check_range(issues, format!("{path}.connections"), s.connections, s.window(), MAX_SLOTS * 8);
+    check_range(issues, format!("{path}.window"), s.window(), s.slots, MAX_WINDOW);
+    check_range(issues, format!("{path}.connections"), s.connections, s.window(), MAX_CONNECTIONS);
     if s.budget.min_available >= s.instances {
         let text = format!(
             "min_available {} of {} instances leaves no instance for maintenance",
--- a/crates/workswood-core/src/fleet/file.rs
+++ b/crates/workswood-core/src/fleet/file.rs
@@ -41,7 +41,7 @@
     /// Weight of host and instance moves.
     #[serde(default = "one")]
     pub moves: u32,
-    /// Weight of the duration of a rollout.
+    /// Weight of the time that the maintenance of a pool takes.
     #[serde(default = "one")]
     pub rollout: u32,
     /// Weight of spare capacity.
@@ -200,17 +200,17 @@
 /// Maintenance of every host of a pool, which reboots each host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Maintenance {
-    /// Name, unique in the fleet; hosts are maintained once per name.
+    /// Name, unique in the file; hosts are maintained once per name.
     pub name: String,
     /// Pool whose hosts are maintained.
     pub pool: PoolId,
     /// Expected time that one host is out of service.
     #[serde(with = "humantime_serde")]
     pub duration: Duration,
-    /// Time before which no host is drained; 0 means no limit.
+    /// Time before which no host is drained; no limit if absent (stored as 0).
     #[serde(with = "serde_rfc3339", default)]
     pub start: UnixMs,
-    /// Time by which every host is back in service; 0 means no deadline.
+    /// Time by which every host is back in service; no deadline if absent (stored as 0).
     #[serde(with = "serde_rfc3339", default)]
     pub deadline: UnixMs,
     /// Time windows, for example of releases, in which no host may be out of service.
@@ -244,7 +244,8 @@
     pub quota_cpus: u32,
 }
 
-/// A job that runs once, on a host of a pool.
+/// A job that runs to completion on one host of a pool. The jobs that callers submit are in
+/// [`crate::jobs`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
     /// Name, unique in the fleet.
@@ -258,7 +259,7 @@
     /// Memory that the job needs, in GiB.
     #[serde(default)]
     pub memory_gib: u32,
-    /// Priority class; `long` is not used for jobs.
+    /// Priority class. A job of class `long` is ordered between `normal` and `later`.
     pub class: PriorityClass,
     /// Whether it may be started again when it failed, was lost or was preempted.
     pub repeatable: bool,
--- a/crates/workswood-core/src/fleet/parse.rs
+++ b/crates/workswood-core/src/fleet/parse.rs
@@ -10,8 +10,9 @@
 /// One error in a fleet file, with its path.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Issue {
-    /// Path in the file, for example `services[2].budget.min_available`; line and
-    /// column if the file is not valid JSON.
+    /// Path in the file, for example `services[2].budget.min_available`; in the path of
+    /// an unknown field, elements of nested lists have the form `services[2].routes.0`.
+    /// Line and column if the file is not valid JSON.
     pub path: String,
     /// Result code.
     pub code: Code,
@@ -121,6 +122,7 @@
 /// The issue of an unknown field, which suggests the most similar known one.
 fn unknown_field_issue(parent_path: &str, field_path: &str, known: &Value) -> Issue {
     let (parent, name) = field_path.rsplit_once('.').unwrap_or(("", field_path));
+    // `serde_ignored` writes `?` for an `Option` or a newtype.
     let pointer: String =
         parent.split('.').filter(|p| !p.is_empty() && *p != "?").map(|p| format!("/{p}")).collect();
     let names = known.pointer(&pointer).and_then(Value::as_object);
