--- a/crates/workswood-core/src/idempotency.rs
+++ b/crates/workswood-core/src/idempotency.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// The answer to a copy of a request by the state; `None` if the key may be claimed.
+/// The answer to a copy of a request according to the state; `None` if the key may be claimed.
 pub fn answer_if_known(state: &State, request: &RequestIdentity) -> Option<KeyAnswer> {
     match state.lookup(&request.key, request.last_moment) {
         KeyLookup::Known(known)
@@ -91,12 +91,12 @@
 
 /// The answer to a copy of a request that is known in the state.
 pub fn answer_for(state: &State, known: &KeyedRequest) -> KeyAnswer {
-    let alive = |id: &str| state.roster.iter().any(|m| m.id == id);
+    let on_roster = |id: &str| state.roster.iter().any(|m| m.id == id);
     match &known.state {
         KeyState::Done { status, body } => KeyAnswer::Done { status: *status, body: body.clone() },
         KeyState::Unknown => KeyAnswer::Unknown,
         // A deferred request is taken over by another process when its holder is gone.
-        KeyState::Running { holder } if known.deferred.is_none() && !alive(holder) => KeyAnswer::Unknown,
+        KeyState::Running { holder } if known.deferred.is_none() && !on_roster(holder) => KeyAnswer::Unknown,
         KeyState::Running { .. } | KeyState::Waiting => KeyAnswer::Running,
     }
 }
@@ -133,8 +133,8 @@
 pub struct InquiryReply {
     /// Whether the key is claimed, or a claim of it has begun.
     pub known: bool,
-    /// Processes on the roster that the process has folded, and on the one that it
-    /// has proposed as planner.
+    /// Members of the roster in the state of the process and, if it is the planner, of
+    /// the roster that it has proposed.
     pub roster: Vec<Incarnation>,
 }
 
@@ -146,6 +146,7 @@
 pub struct LocalClaims {
     in_progress: BTreeMap<IdempotencyKey, u32>,
     held_until: BTreeMap<IdempotencyKey, Duration>,
+    /// When claims are allowed; `None` while the process is not on the roster.
     claims_allowed_from: Option<Duration>,
 }
 
@@ -161,8 +162,8 @@
         }
     }
 
-    /// Begins a claim of a key. While claims of it are not allowed, returns the time
-    /// from which they are. Times are since the start of the process.
+    /// Begins a claim of a key. While claims of it are not allowed, returns the earliest
+    /// time at which to try again. Times are since the start of the process.
     pub fn begin(&mut self, key: &str, now: Duration) -> Result<(), Duration> {
         let claims_allowed_from = self.claims_allowed_from.unwrap_or(now + CLAIM_HOLD);
         if now < claims_allowed_from {
@@ -202,7 +203,9 @@
 pub struct ClaimInquiry {
     asked: BTreeSet<Incarnation>,
     remaining: Vec<Incarnation>,
-    certain: bool,
+    /// False once a process did not answer or knows the key, and from the start if the
+    /// asking process is not on the roster.
+    conclusive: bool,
 }
 
 impl ClaimInquiry {
@@ -210,16 +213,16 @@
     /// that is not on the roster that it has folded can't be certain of the result: it
     /// may not have folded the claims of processes that are gone.
     pub fn new(own_id: &str, own: InquiryReply) -> ClaimInquiry {
-        let certain = own.roster.iter().any(|id| id == own_id);
+        let conclusive = own.roster.iter().any(|id| id == own_id);
         let mut inquiry =
-            ClaimInquiry { asked: BTreeSet::new(), remaining: vec![own_id.to_string()], certain };
+            ClaimInquiry { asked: BTreeSet::new(), remaining: vec![own_id.to_string()], conclusive };
         inquiry.record_reply(Some(own));
         inquiry
     }
 
     /// The process to ask next; `None` when the inquiry is over.
     pub fn next_to_ask(&self) -> Option<&Incarnation> {
-        self.remaining.last().filter(|_| self.certain)
+        self.remaining.last().filter(|_| self.conclusive)
     }
 
     /// Records the reply of the process last returned by
@@ -233,12 +236,12 @@
                 let asked = &self.asked;
                 self.remaining.retain(|id| !asked.contains(id));
             }
-            _ => self.certain = false,
+            _ => self.conclusive = false,
         }
     }
 
     /// Whether no process can have claimed the key; meaningful once the inquiry is over.
     pub fn never_claimed(&self) -> bool {
-        self.certain && self.remaining.is_empty()
+        self.conclusive && self.remaining.is_empty()
     }
 }
