--- a/crates/workswood-core/src/membership.rs
+++ b/crates/workswood-core/src/membership.rs
@@ -17,11 +17,12 @@
 pub const DEAD_AFTER: Duration = Duration::from_millis(4_000);
 /// Time without a heartbeat after which a dead process is removed.
 const REMOVE_AFTER: Duration = Duration::from_secs(120);
-/// Number of members that adds one timeout to the time after which a member whose
-/// heartbeats are relayed is suspected or dead.
+/// The timeouts of a member whose heartbeats are relayed grow by one timeout for each
+/// this many members.
 const MEMBERS_PER_EXTRA_TIMEOUT: u32 = 8;
-/// Number of relays of a data centre; they are its first processes by address.
-const RELAYS_PER_DATA_CENTRE: usize = 2;
+/// Number of gateways of a data centre, which link it to other data centres; they are
+/// its first processes by address.
+const GATEWAYS_PER_DATA_CENTRE: usize = 2;
 /// Number of the next processes on the ring of a data centre that a process keeps
 /// links to.
 const RING_NEIGHBOURS: usize = 8;
@@ -148,8 +149,8 @@
     }
 
     /// Addresses that the process at `own` keeps links to: the next processes on
-    /// the ring of its data centre and the relays of that data centre. A relay also
-    /// links to the relays of every other data centre.
+    /// the ring of its data centre and the gateways of that data centre. A gateway also
+    /// links to the gateways of every other data centre.
     pub fn link_addresses(&self, own: &str, data_centre: &str) -> Vec<String> {
         let mut centres: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         centres.entry(data_centre).or_default().push(own);
@@ -163,10 +164,10 @@
         let position = home.iter().position(|a| *a == own).unwrap_or(0);
         let ring = home.iter().cycle().skip(position + 1).take(RING_NEIGHBOURS.min(home.len() - 1));
         let mut links: Vec<&str> = ring.copied().collect();
-        links.extend(home.iter().take(RELAYS_PER_DATA_CENTRE));
-        if position < RELAYS_PER_DATA_CENTRE {
+        links.extend(home.iter().take(GATEWAYS_PER_DATA_CENTRE));
+        if position < GATEWAYS_PER_DATA_CENTRE {
             let others = centres.iter().filter(|(name, _)| **name != data_centre);
-            links.extend(others.flat_map(|(_, c)| c.iter().take(RELAYS_PER_DATA_CENTRE)));
+            links.extend(others.flat_map(|(_, c)| c.iter().take(GATEWAYS_PER_DATA_CENTRE)));
         }
         links.sort_unstable();
         links.dedup();
