--- a/crates/workswood-core/src/record.rs
+++ b/crates/workswood-core/src/record.rs
@@ -49,8 +49,8 @@
         /// The whole file.
         file: Box<FleetFile>,
     },
-    /// Acquires the lease on a role if `term` is the next one and the lease was not
-    /// renewed since the taker counted `seen_renewals`.
+    /// Acquires the lease on a role if `term` is the next one and the lease has been
+    /// renewed exactly `seen_renewals` times in the current term.
     Take {
         /// The role.
         #[serde(rename = "duty")]
@@ -59,7 +59,7 @@
         holder: Incarnation,
         /// The next term.
         term: Term,
-        /// Renewals of the current term that the taker has seen.
+        /// Renewals of the current term that the new holder has seen.
         #[serde(rename = "seen")]
         seen_renewals: u64,
     },
