--- a/crates/workswood-core/src/jobs/advice_candidates.rs
+++ b/crates/workswood-core/src/jobs/advice_candidates.rs
@@ -86,8 +86,9 @@
 
     /// Processor room that is free or expected to be free soon, in thousandths of a core.
     fn room_soon(&self, workers: &[WorkerId]) -> f64 {
-        let of =
-            |w: &Worker| w.free_room().cpu_millis as f64 + w.used_room.cpu_millis as f64 * SOON_FREE_SHARE;
+        let of = |w: &Worker| {
+            w.free_resources().cpu_millis as f64 + w.used_resources.cpu_millis as f64 * SOON_FREE_SHARE
+        };
         workers.iter().filter_map(|id| self.workers.get(id)).map(of).sum()
     }
 
@@ -203,7 +204,7 @@
             let here = context.request.tasks.first().map_or(0, |t| count_same_step(w, t)) as u32;
             most = most.min(context.spec.max_per_worker.saturating_sub(here));
         }
-        let mut free = w.free_room();
+        let mut free = w.free_resources();
         if context.request.opens_at > self.now {
             // The job's own tasks here have ended when the step opens.
             let own = w.runs.iter().filter(|((t, _), _)| t.job == context.job.key);
--- a/crates/workswood-core/src/jobs/crash_trials.rs
+++ b/crates/workswood-core/src/jobs/crash_trials.rs
@@ -98,7 +98,7 @@
     fn max_quarantined_workers(&self, service: &str) -> usize {
         let available = || self.workers.available(service, 0).map(|(_, w)| w);
         let capacity: u64 = available().filter_map(|w| w.info.as_ref()).map(|i| i.capacity.cpu_millis).sum();
-        let lightly_loaded = self.workers.room_in_use(service).cpu_millis * 2 < capacity;
+        let lightly_loaded = self.workers.resources_in_use(service).cpu_millis * 2 < capacity;
         let share = if lightly_loaded { 1.0 } else { self.policy.crashes.max_quarantined_share };
         (available().count() as f64 * share).ceil() as usize
     }
@@ -138,7 +138,7 @@
         let fits = |w: &Worker| {
             no_young_run(w)
                 && not_quarantined(w)
-                && w.free_room().contains(&needed)
+                && w.free_resources().contains(&needed)
                 && self.trial_allowed(w, step, id)
         };
         let open = self.workers.available(service, needed.cpu_millis).filter(|(_, w)| fits(w));
--- a/crates/workswood-core/src/jobs/maintenance_waves.rs
+++ b/crates/workswood-core/src/jobs/maintenance_waves.rs
@@ -361,7 +361,7 @@
     fn load_on(&self, host: &HostId, stated: Option<&WorkerId>) -> (usize, u64, HostId) {
         let id = stated.or_else(|| self.hosts.get(host).and_then(|host| host.worker.as_ref()));
         let lasting = id.map_or(0, |id| self.runs_of_long_running_tasks(id).len());
-        let used = id.and_then(|id| self.workers.get(id)).map_or(0, |w| w.used_room.cpu_millis);
+        let used = id.and_then(|id| self.workers.get(id)).map_or(0, |w| w.used_resources.cpu_millis);
         (lasting, used, host.clone())
     }
 }
--- a/crates/workswood-core/src/jobs/placement.rs
+++ b/crates/workswood-core/src/jobs/placement.rs
@@ -209,7 +209,7 @@
         let fits = |w: &Worker| {
             let ticket = !advised || w.ticket(&id.step_id(), self.now).is_some();
             let excluded = w.in_backoff(self.now) || w.in_quarantine(self.now);
-            ticket && !excluded && w.free_room().contains(&needed) && self.meets_constraints(w, step, id)
+            ticket && !excluded && w.free_resources().contains(&needed) && self.meets_constraints(w, step, id)
         };
         let available = || self.workers.available(service, needed.cpu_millis).filter(|(_, w)| fits(w));
         let best = |skip: Option<&WorkerId>| {
@@ -253,7 +253,7 @@
             let labels = w.info.as_ref().map(|i| i.labels.as_slice()).unwrap_or_default();
             !labels.contains(rack)
         });
-        (away_from_data, self.crowding_cost(w, step, id), w.faults, w.free_room().cpu_millis)
+        (away_from_data, self.crowding_cost(w, step, id), w.faults, w.free_resources().cpu_millis)
     }
 
     /// Cost of the tasks that run on the worker already.
@@ -302,7 +302,7 @@
         self.dirty_jobs.insert(id.job);
         if let Some(mut w) = self.workers.get_mut(worker) {
             let held = spec.reservation(step);
-            let fits = w.free_room().contains(&held.resources);
+            let fits = w.free_resources().contains(&held.resources);
             invariant::check(fits, || format!("task {id} does not fit on {worker}"));
             w.add_run(*id, attempt, held);
             w.note_task_kind(id, step);
--- a/crates/workswood-core/src/jobs/pool_need.rs
+++ b/crates/workswood-core/src/jobs/pool_need.rs
@@ -112,7 +112,7 @@
     /// Room that is used in a service or wanted by tasks that may begin and whose jobs can be in
     /// time.
     pub fn room_wanted(&self, service: &ServiceId) -> Resources {
-        let mut room = self.workers.room_in_use(service);
+        let mut room = self.workers.resources_in_use(service);
         room.add(&self.waiting_task_room(service).0);
         room
     }
--- a/crates/workswood-core/src/jobs/pool_planning.rs
+++ b/crates/workswood-core/src/jobs/pool_planning.rs
@@ -124,7 +124,7 @@
     /// The log line on a service's pool; counts are of hosts.
     fn pool_log_line(&self, count: &PoolCount, service: &ServiceId) -> String {
         let Pool { need, have } = self.pool(count, service);
-        let (used, size) = (self.workers.room_in_use(service), self.workers.largest_capacity(service));
+        let (used, size) = (self.workers.resources_in_use(service), self.workers.largest_capacity(service));
         let busy = used.cpu_millis as f64 / size.cpu_millis.max(1) as f64;
         let waiting = self.ready.get(service).map_or(0, TaskQueue::count);
         let Need { now, soon, lend_floor: lend, power_off_floor: keep } = need;
--- a/crates/workswood-core/src/jobs/worker.rs
+++ b/crates/workswood-core/src/jobs/worker.rs
@@ -218,7 +218,7 @@
     /// Tasks among `runs` that serve users.
     pub serving: BTreeSet<TaskId>,
     /// Total resources of `runs`.
-    pub used_room: Resources,
+    pub used_resources: Resources,
     /// When the worker disappeared from the worker list.
     pub unlisted_at: Option<Duration>,
     /// Runs that were settled because the lease ended, kept until it is known whether the worker
@@ -278,7 +278,7 @@
             long_running: BTreeSet::new(),
             best_effort: BTreeSet::new(),
             serving: BTreeSet::new(),
-            used_room: Resources::default(),
+            used_resources: Resources::default(),
             unlisted_at: None,
             lapsed_runs: Vec::new(),
             quarantine: None,
@@ -325,8 +325,8 @@
     }
 
     /// Resources that are free.
-    pub fn free_room(&self) -> Resources {
-        self.info.as_ref().map(|i| i.capacity.minus(&self.used_room)).unwrap_or_default()
+    pub fn free_resources(&self) -> Resources {
+        self.info.as_ref().map(|i| i.capacity.minus(&self.used_resources)).unwrap_or_default()
     }
 
     /// Reserves the resources of a run.
@@ -334,7 +334,7 @@
         let held = held.into();
         if let Entry::Vacant(entry) = self.runs.entry((task, attempt)) {
             entry.insert(held);
-            self.used_room.add(&held.resources);
+            self.used_resources.add(&held.resources);
             self.usage_changes.push(UsageChange::Reserved(held));
         }
     }
@@ -354,7 +354,7 @@
     /// Releases the resources of a run, and ends the quarantine if the run was its trial.
     pub fn remove_run(&mut self, task: TaskId, attempt: u32) {
         if let Some(held) = self.runs.remove(&(task, attempt)) {
-            self.used_room = self.used_room.minus(&held.resources);
+            self.used_resources = self.used_resources.minus(&held.resources);
             self.usage_changes.push(UsageChange::Released(held));
         }
         if self.quarantine.is_some_and(|q| q.trial == Some((task, attempt))) {
--- a/crates/workswood-core/src/jobs/worker_index.rs
+++ b/crates/workswood-core/src/jobs/worker_index.rs
@@ -160,7 +160,7 @@
     }
 
     /// Resources in use by runs of a service, outside of data centres that are being evacuated.
-    pub fn room_in_use(&self, service: &str) -> Resources {
+    pub fn resources_in_use(&self, service: &str) -> Resources {
         self.indexes.pools.get(service).map(|p| p.used).unwrap_or_default()
     }
 
@@ -237,7 +237,7 @@
             self.remove_from_info_indexes(&slot.id, &mut slot.indexed);
             self.add_to_info_indexes(&slot.id, w, &mut slot.indexed);
         }
-        self.update_room(&slot.id, w, &mut slot.indexed);
+        self.update_resources(&slot.id, w, &mut slot.indexed);
         if slot.indexed.unreachable == w.reachable {
             slot.indexed.unreachable = !w.reachable;
             set_membership(&mut self.unreachable, &slot.id, !w.reachable);
@@ -245,15 +245,15 @@
     }
 
     /// Updates what changes with each run: the resources in use and the availability.
-    fn update_room(&mut self, id: &WorkerId, w: &Worker, indexed: &mut IndexedState) {
+    fn update_resources(&mut self, id: &WorkerId, w: &Worker, indexed: &mut IndexedState) {
         let Some(pool) = indexed.info.as_ref().and_then(|i| self.pools.get_mut(&i.service)) else { return };
-        let used = if w.evacuated { Resources::default() } else { w.used_room };
+        let used = if w.evacuated { Resources::default() } else { w.used_resources };
         if indexed.used != used {
             pool.used = pool.used.minus(&indexed.used);
             pool.used.add(&used);
             indexed.used = used;
         }
-        let available = w.accepts_work().then(|| (w.faults, w.free_room().cpu_millis));
+        let available = w.accepts_work().then(|| (w.faults, w.free_resources().cpu_millis));
         if indexed.available != available {
             pool.remove_available(id, indexed.available);
             indexed.available = available;
@@ -332,8 +332,8 @@
 }
 
 /// Sort key of a capacity that compares the processor first.
-fn cpu_first_key(room: &Resources) -> (u64, u64, u64) {
-    (room.cpu_millis, room.mem_mb, room.gpus)
+fn cpu_first_key(capacity: &Resources) -> (u64, u64, u64) {
+    (capacity.cpu_millis, capacity.mem_mb, capacity.gpus)
 }
 
 fn set_membership(all: &mut BTreeSet<WorkerId>, id: &WorkerId, member: bool) {
--- a/tests/testsuite/worker_index.rs
+++ b/tests/testsuite/worker_index.rs
@@ -58,17 +58,18 @@
 fn walk<'a>(all: &'a WorkerIndex, service: &str) -> impl Iterator<Item = (&'a WorkerId, &'a Worker)> {
     let of = |w: &Worker| w.info.as_ref().is_some_and(|i| i.service == service);
     let mut found: Vec<_> = all.iter().filter(|(_, w)| of(w)).collect();
-    found.sort_by_key(|(id, w)| (w.faults, w.free_room().cpu_millis, *id));
+    found.sort_by_key(|(id, w)| (w.faults, w.free_resources().cpu_millis, *id));
     found.into_iter()
 }
 
 fn check(all: &WorkerIndex) {
     for service in SERVICES {
-        let takers = walk(all, service).filter(|(_, w)| w.accepts_work() && w.free_room().cpu_millis >= 1500);
+        let takers =
+            walk(all, service).filter(|(_, w)| w.accepts_work() && w.free_resources().cpu_millis >= 1500);
         let takers: Vec<&WorkerId> = takers.map(|(id, _)| id).collect();
         assert_eq!(all.available(service, 1500).map(|(id, _)| id).collect::<Vec<_>>(), takers);
-        let used: u64 = walk(all, service).map(|(_, w)| w.used_room.cpu_millis).sum();
-        assert_eq!(all.room_in_use(service).cpu_millis, used);
+        let used: u64 = walk(all, service).map(|(_, w)| w.used_resources.cpu_millis).sum();
+        assert_eq!(all.resources_in_use(service).cpu_millis, used);
         let listed = walk(all, service).filter(|(_, w)| w.listed);
         let largest = listed.filter_map(|(_, w)| w.info.as_ref()).map(|i| i.capacity.cpu_millis).max();
         assert_eq!(all.largest_capacity(service).cpu_millis, largest.unwrap_or(0));
