--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -21,7 +21,7 @@
 //!   share.
 //! * [`job`] holds the state of one job and its stored form, [`job_table`] all jobs.
 //! * [`worker`] holds the state of one worker, its capacity and its lease; [`worker_id`] is its
-//!   name, and [`worker_index`] holds all workers.
+//!   name, and [`worker_table`] holds all workers.
 //! * [`host`] defines hosts and replies to orders.
 //! * [`map`] is a map with the same iteration order in every run.
 //! * [`queue_order`] decides which waiting task is next, and [`task_queue`] holds the waiting tasks.
@@ -80,8 +80,8 @@
 pub mod types;
 pub mod worker;
 pub mod worker_id;
-pub mod worker_index;
 mod worker_restart;
+pub mod worker_table;
 pub mod workspace;
 pub mod workspace_usage;
 
--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -24,7 +24,7 @@
 use super::task_queue::TaskQueue;
 use super::types::{Action, Batch, Event, JobStatusUpdate, Limits, Record, lease_with_drift};
 use super::worker::{Worker, WorkerInfo, WorkerRecord};
-use super::worker_index::WorkerIndex;
+use super::worker_table::WorkerTable;
 use super::workspace::Owner;
 use crate::ids::{DataCentre, HostId, ServiceId, Term, UnixMs};
 use crate::invariant;
@@ -56,7 +56,7 @@
     /// All known jobs.
     pub jobs: JobTable,
     /// All known lives of workers.
-    pub workers: WorkerIndex,
+    pub workers: WorkerTable,
     /// Listed workers whose service is not in the configuration yet.
     pub(super) workers_without_service: BTreeMap<WorkerId, WorkerInfo>,
     /// Relays, and which workers each attends.
@@ -149,7 +149,7 @@
             policy: Policy::default(),
             config: Arc::default(),
             jobs: JobTable::default(),
-            workers: WorkerIndex::default(),
+            workers: WorkerTable::default(),
             workers_without_service: BTreeMap::new(),
             relays: Relays::default(),
             ready: Map::default(),
--- a/crates/workswood-core/src/jobs/worker_index.rs
+++ b/crates/workswood-core/src/jobs/worker_table.rs
@@ -63,7 +63,7 @@
 
 /// All known incarnations of workers.
 #[derive(Debug, Default)]
-pub struct WorkerIndex {
+pub struct WorkerTable {
     by_id: Map<WorkerId, WorkerSlot>,
     indexes: SecondaryIndexes,
 }
@@ -94,7 +94,7 @@
     }
 }
 
-impl WorkerIndex {
+impl WorkerTable {
     /// Returns a worker.
     pub fn get(&self, id: &WorkerId) -> Option<&Worker> {
         self.by_id.get(id).map(|slot| &slot.worker)
--- a/tests/testsuite/worker_index.rs
+++ b/tests/testsuite/worker_table.rs
@@ -8,7 +8,7 @@
 use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::worker::{Worker, WorkerInfo};
 use workswood_core::jobs::worker_id::WorkerId;
-use workswood_core::jobs::worker_index::WorkerIndex;
+use workswood_core::jobs::worker_table::WorkerTable;
 
 const SERVICES: [&str; 2] = ["desk", "till"];
 const HOSTS: [&str; 3] = ["m-0", "m-1", "m-2"];
@@ -31,7 +31,7 @@
 }
 
 /// Changes one worker, or forgets it.
-fn change(u: &mut Unstructured<'_>, all: &mut WorkerIndex) -> Result<()> {
+fn change(u: &mut Unstructured<'_>, all: &mut WorkerTable) -> Result<()> {
     let id = WorkerId::from(format!("w-{}", u.int_in_range(0..=4)?));
     let info = info(u, &id)?;
     let run = (task(u)?, 1);
@@ -55,14 +55,14 @@
     Ok(())
 }
 
-fn walk<'a>(all: &'a WorkerIndex, service: &str) -> impl Iterator<Item = (&'a WorkerId, &'a Worker)> {
+fn walk<'a>(all: &'a WorkerTable, service: &str) -> impl Iterator<Item = (&'a WorkerId, &'a Worker)> {
     let of = |w: &Worker| w.info.as_ref().is_some_and(|i| i.service == service);
     let mut found: Vec<_> = all.iter().filter(|(_, w)| of(w)).collect();
     found.sort_by_key(|(id, w)| (w.faults, w.free_resources().cpu_millis, *id));
     found.into_iter()
 }
 
-fn check(all: &WorkerIndex) {
+fn check(all: &WorkerTable) {
     for service in SERVICES {
         let takers =
             walk(all, service).filter(|(_, w)| w.accepts_work() && w.free_resources().cpu_millis >= 1500);
@@ -92,7 +92,7 @@
 fn random_changes() {
     for i in 0..60 {
         arbtest(|u| {
-            let mut all = WorkerIndex::default();
+            let mut all = WorkerTable::default();
             while !u.is_empty() {
                 change(u, &mut all)?;
                 check(&all);
