--- a/crates/workswood-core/src/jobs/evacuation.rs
+++ b/crates/workswood-core/src/jobs/evacuation.rs
@@ -26,19 +26,19 @@
         self.services_to_place.extend(self.ready.keys().cloned());
     }
 
-    /// Whether the data centre of a host is not being evacuated.
-    pub(super) fn is_outside_evacuation(&self, m: &Host) -> bool {
-        !self.evacuated.contains(&m.data_centre)
+    /// Whether the data centre of a host is being evacuated.
+    pub(super) fn is_evacuated(&self, host: &Host) -> bool {
+        self.evacuated.contains(&host.data_centre)
     }
 
     /// Recomputes the total processor capacity of the hosts on which work may start.
     pub(super) fn update_fleet_cpu(&mut self) {
-        let open = self.hosts.values().filter(|m| self.is_outside_evacuation(m));
-        self.fleet_cpu_millis = open.map(|m| m.capacity.cpu_millis).sum();
+        let open = self.hosts.values().filter(|host| !self.is_evacuated(host));
+        self.fleet_cpu_millis = open.map(|host| host.capacity.cpu_millis).sum();
     }
 
     /// Data centres that are being evacuated, as known to this lease holder.
-    pub fn evacuated(&self) -> &BTreeSet<DataCentre> {
+    pub fn evacuated_data_centres(&self) -> &BTreeSet<DataCentre> {
         &self.evacuated
     }
 }
--- a/crates/workswood-core/src/jobs/maintenance_waves.rs
+++ b/crates/workswood-core/src/jobs/maintenance_waves.rs
@@ -328,7 +328,7 @@
             self.notes
                 .push(format_args!("event=machine_emptying wave={number} machine={host} spared={spared}"));
             if let Some(host) =
-                self.hosts.get(&host).filter(|host| is_working(host) && self.is_outside_evacuation(host))
+                self.hosts.get(&host).filter(|host| is_working(host) && !self.is_evacuated(host))
             {
                 count.remove_host(&host.pool);
             }
--- a/crates/workswood-core/src/jobs/pool_count.rs
+++ b/crates/workswood-core/src/jobs/pool_count.rs
@@ -71,13 +71,11 @@
                 || self.pools.moves.get(&host.name).is_some_and(|pool_move| pool_move.to != host.pool);
             taken.contains(&host.name) && (moving() || self.in_maintenance(&host.name))
         };
-        let stay = self
-            .hosts
-            .values()
-            .filter(|host| is_working(host) && self.is_outside_evacuation(host) && !leaves(host));
+        let stay =
+            self.hosts.values().filter(|host| is_working(host) && !self.is_evacuated(host) && !leaves(host));
         stay.for_each(|host| add(&host.pool));
         let moving = self.pools.moves.iter();
-        let comes = |host: &Host, to: &ServiceId| host.pool != *to && self.is_outside_evacuation(host);
+        let comes = |host: &Host, to: &ServiceId| host.pool != *to && !self.is_evacuated(host);
         let come = moving
             .filter(|(name, pool_move)| self.hosts.get(*name).is_none_or(|host| comes(host, &pool_move.to)));
         come.for_each(|(_, pool_move)| add(&pool_move.to));
@@ -91,7 +89,7 @@
         let spare = self.spare_pool();
         let taken = self.hosts_to_cordon();
         let may_move = |host: &&Host| {
-            let up = host.state == HostState::Up && self.is_outside_evacuation(host);
+            let up = host.state == HostState::Up && !self.is_evacuated(host);
             up && !taken.contains(&host.name) && self.may_order(&host.name)
         };
         let mut free: BTreeMap<ServiceId, FreeHosts> = BTreeMap::new();
--- a/crates/workswood-core/src/jobs/pool_planning.rs
+++ b/crates/workswood-core/src/jobs/pool_planning.rs
@@ -145,8 +145,7 @@
     /// evacuated, can always be spared.
     pub(super) fn can_spare(&self, count: &PoolCount, host: &HostId) -> bool {
         let Some(host) = self.hosts.get(host) else { return false };
-        if !self.is_outside_evacuation(host) || self.config.services.get(&host.pool).is_some_and(|s| s.spare)
-        {
+        if self.is_evacuated(host) || self.config.services.get(&host.pool).is_some_and(|s| s.spare) {
             return true;
         }
         self.has_surplus(count, &host.pool)
