--- a/crates/workswood-core/src/jobs/crash_trials.rs
+++ b/crates/workswood-core/src/jobs/crash_trials.rs
@@ -119,7 +119,7 @@
         let Some(step) = self.jobs.get(&id.job).and_then(|j| j.step(id)).filter(|_| idle) else {
             return TrialPlacement::NotWaiting;
         };
-        if self.jobs.held_by(id).is_some_and(|h| !self.is_within_limit(h.owner, &h.charged)) {
+        if self.jobs.reservation(id).is_some_and(|h| !self.is_within_limit(h.owner, &h.charged)) {
             return TrialPlacement::OverLimit;
         }
         let Some(worker) = self.worker_for_trial(service, id, step) else { return TrialPlacement::NoWorker };
--- a/crates/workswood-core/src/jobs/ends.rs
+++ b/crates/workswood-core/src/jobs/ends.rs
@@ -87,7 +87,7 @@
             "event=stray_run worker={id} task={} attempt={}",
             listed.task, listed.attempt
         ));
-        if let Some(held) = self.jobs.held_by(&listed.task)
+        if let Some(held) = self.jobs.reservation(&listed.task)
             && let Some(mut w) = self.workers.get_mut(id)
         {
             w.add_run(listed.task, listed.attempt, held);
--- a/crates/workswood-core/src/jobs/job_table.rs
+++ b/crates/workswood-core/src/jobs/job_table.rs
@@ -84,17 +84,17 @@
         self.archived.values()
     }
 
-    /// The state of a job as shown to callers.
-    pub fn shown(&self, key: &JobKey) -> Option<JobStatus> {
+    /// The status of a job, archived or not.
+    pub fn status(&self, key: &JobKey) -> Option<JobStatus> {
         let archived = || self.archived.get(key).map(|archived| JobStatus::Ended(archived.outcome));
         self.by_key.get(key).map(Job::status).or_else(archived)
     }
 
-    /// Resources of a task; for an archived job, an upper bound of them.
-    pub fn held_by(&self, task: &TaskId) -> Option<Reservation> {
+    /// Reservation of a run of a task; for an archived job, an upper bound of it.
+    pub fn reservation(&self, task: &TaskId) -> Option<Reservation> {
         let archived = |archived: &ArchivedJob| {
-            let (room, owner) = (archived.record.room, archived.record.owner);
-            Reservation { resources: room, charged: room, owner }
+            let (resources, owner) = (archived.record.room, archived.record.owner);
+            Reservation { resources, charged: resources, owner }
         };
         match self.by_key.get(&task.job) {
             Some(job) => job.step(task).map(|step| job.spec.reservation(step)),
--- a/tests/testsuite/chance_crashes.rs
+++ b/tests/testsuite/chance_crashes.rs
@@ -135,7 +135,7 @@
     assert_eq!(site.world.sched.counters.tasks_given_up, 0);
     assert_eq!(site.stops(), 0);
     assert_eq!(site.runs.len(), 4, "it is whole again");
-    assert_eq!(site.world.sched.jobs.shown(&1), Some(JobStatus::Running));
+    assert_eq!(site.world.sched.jobs.status(&1), Some(JobStatus::Running));
 }
 
 /// Short tasks, lost again and again while workers crash: none of them waits for a trial.
@@ -171,7 +171,7 @@
     assert_eq!(site.world.sched.counters.tasks_given_up, 1);
     site.go_on(5000);
     assert_eq!((site.stops(), site.runs.len()), (0, 3), "its siblings serve on, and it isn't started");
-    assert_eq!(site.world.sched.jobs.shown(&1), Some(JobStatus::Running));
+    assert_eq!(site.world.sched.jobs.status(&1), Some(JobStatus::Running));
     let record = site.world.sched.jobs[&1].record();
     let stored = workswood::ops::jobs::job_state::encode(&record);
     let read = workswood::ops::jobs::job_state::decode(&stored).expect("it is read back");
@@ -203,7 +203,7 @@
         site.world.answers(&id, Listing { running, ended: vec![end] });
     }
     site.go_on(3000);
-    assert_eq!(site.world.sched.jobs.shown(&1), Some(JobStatus::Ended(Outcome::Failed)));
+    assert_eq!(site.world.sched.jobs.status(&1), Some(JobStatus::Ended(Outcome::Failed)));
     assert_eq!((site.stops(), site.runs.len()), (1, 2));
     site.world.sched.handle(Event::Cancelled(1, Owner::PUBLIC));
     site.go_on(500);
--- a/tests/testsuite/crash_evidence.rs
+++ b/tests/testsuite/crash_evidence.rs
@@ -129,7 +129,7 @@
         actions = lose(&mut world, at, &mut lives, heard);
         if world.sched.counters.tasks_given_up > 0 {
             assert_eq!(starts(&actions), Vec::new());
-            assert_eq!(world.sched.jobs.shown(&1), Some(JobStatus::Ended(Outcome::Failed)));
+            assert_eq!(world.sched.jobs.status(&1), Some(JobStatus::Ended(Outcome::Failed)));
             assert_eq!(world.sched.counters.lives_lost, crashes as u64);
             return crashes;
         }
