--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -91,7 +91,7 @@
 pub use job::{Job, JobRecord, JobStatus, Outcome, OverRecord, Phase, Run, Task};
 pub use maintenance_waves::{Wave, WaveRecord};
 pub use policy::Policy;
-pub use relays::{RelayEntry, RelayPolicy};
+pub use relays::{RelayCandidate, RelayPolicy};
 pub use run_tracker::RunTracker;
 pub use scheduler::Scheduler;
 pub use spec::{JobKey, JobSpec, Repeat, StepId, StepSpec, TaskId};
--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -66,13 +66,13 @@
 
 /// An entry that may be a relay.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RelayEntry {
+pub struct RelayCandidate {
     /// Name of the entry.
     pub name: HostId,
     /// Data centre of the entry.
     pub data_centre: DataCentre,
     /// Number of workers that the entry could poll as lease holder.
-    pub strength: Strength,
+    pub holder_capacity: Strength,
 }
 
 /// An entry that is a relay.
@@ -87,10 +87,10 @@
     workers: BTreeSet<WorkerId>,
 }
 
-/// Entries that may be relays, active relays, and workers that wait for one.
+/// Candidates for relays, active relays, and workers that wait for one.
 #[derive(Debug, Default)]
 pub struct Relays {
-    entries: BTreeMap<HostId, RelayEntry>,
+    candidates: BTreeMap<HostId, RelayCandidate>,
     active: BTreeMap<HostId, Relay>,
     /// Entries that are not chosen before the given time.
     backoff_until: BTreeMap<HostId, Duration>,
@@ -115,9 +115,9 @@
         self.active.get(relay).map_or(Duration::ZERO, |r| r.last_heard)
     }
 
-    /// Whether an entry may be chosen as a relay, with regard to its backoff.
-    fn is_eligible(&self, entry: &RelayEntry, now: Duration) -> bool {
-        self.backoff_until.get(&entry.name).is_none_or(|until| *until <= now)
+    /// Whether a candidate may be chosen as a relay, with regard to its backoff.
+    fn is_eligible(&self, candidate: &RelayCandidate, now: Duration) -> bool {
+        self.backoff_until.get(&candidate.name).is_none_or(|until| *until <= now)
     }
 
     /// Active relays of a data centre, or of all data centres with `None`.
@@ -143,9 +143,9 @@
     }
 
     /// Sets the entries that may be relays; the holder is left out.
-    pub fn set_relay_entries(&mut self, entries: Vec<RelayEntry>) {
-        let others = entries.into_iter().filter(|e| e.name != self.holder);
-        self.relays.entries = others.map(|e| (e.name.clone(), e)).collect();
+    pub fn set_relay_candidates(&mut self, candidates: Vec<RelayCandidate>) {
+        let others = candidates.into_iter().filter(|e| e.name != self.holder);
+        self.relays.candidates = others.map(|e| (e.name.clone(), e)).collect();
     }
 
     /// Number of workers that the holder polls without relays.
@@ -153,14 +153,15 @@
         self.relay_capacity(self.strength)
     }
 
-    fn relay_capacity(&self, strength: Strength) -> usize {
+    /// Number of workers that an entry polls, as a relay or as the lease holder.
+    fn relay_capacity(&self, holder_capacity: Strength) -> usize {
         let policy = &self.policy.relays;
-        ((f64::from(strength) * policy.capacity_share) as usize).clamp(1, policy.max_workers)
+        ((f64::from(holder_capacity) * policy.capacity_share) as usize).clamp(1, policy.max_workers)
     }
 
     /// Whether workers are assigned to relays.
     fn needs_relays(&self) -> bool {
-        self.workers.len() > self.own_capacity() && !self.relays.entries.is_empty()
+        self.workers.len() > self.own_capacity() && !self.relays.candidates.is_empty()
     }
 
     /// Queues a worker for a new relay. No orders are sent to it until it has answered that relay.
@@ -280,10 +281,10 @@
             return;
         }
         let is_holder = *entry == self.holder;
-        let known = self.relays.entries.get(entry);
+        let known = self.relays.candidates.get(entry);
         let relay = Relay {
             data_centre: known.map(|e| e.data_centre.clone()).unwrap_or_default(),
-            max_workers: self.relay_capacity(known.map_or(self.strength, |e| e.strength)),
+            max_workers: self.relay_capacity(known.map_or(self.strength, |e| e.holder_capacity)),
             ready: is_holder,
             last_heard: self.now,
             workers: BTreeSet::new(),
@@ -319,18 +320,19 @@
         let mut capacity: usize =
             self.relays.in_data_centre(dc_name).filter(|(n, _)| others(n)).map(|(_, r)| r.max_workers).sum();
         while capacity < needed {
-            let Some(next) = self.next_relay_entry(dc_name) else { return };
+            let Some(next) = self.next_relay_candidate(dc_name) else { return };
             self.open_relay(&next);
             capacity += self.relays.active.get(&next).map_or(1, |r| r.max_workers);
         }
     }
 
     /// The next entry to become a relay: the strongest, with ties broken by a hash of its name.
-    fn next_relay_entry(&self, dc: Option<&str>) -> Option<HostId> {
-        let idle = self.relays.entries.values().filter(|e| !self.relays.active.contains_key(&e.name));
+    fn next_relay_candidate(&self, dc: Option<&str>) -> Option<HostId> {
+        let idle = self.relays.candidates.values().filter(|e| !self.relays.active.contains_key(&e.name));
         let here = idle.filter(|e| dc.is_none_or(|dc| e.data_centre == dc));
         let eligible = here.filter(|e| self.relays.is_eligible(e, self.now));
-        let best = eligible.max_by_key(|e| (self.relay_capacity(e.strength), rendezvous_rank(&e.name, "")));
+        let best =
+            eligible.max_by_key(|e| (self.relay_capacity(e.holder_capacity), rendezvous_rank(&e.name, "")));
         best.map(|e| e.name.clone())
     }
 
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -24,7 +24,7 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::spec::Resources;
 use workswood_core::jobs::{
-    EndKind, Event, JobKey, JobRecord, JobSpec, JobStatus, Limits, Owner, QueueConfig, RelayEntry,
+    EndKind, Event, JobKey, JobRecord, JobSpec, JobStatus, Limits, Owner, QueueConfig, RelayCandidate,
     SchedConfig, Scheduler, ServiceConfig, StepSpec, TaskId, WorkerInfo, WorkerRecord, Workspace, Workspaces,
 };
 
@@ -332,13 +332,13 @@
     /// Tells a scheduler of the entries that may be relays.
     fn set_relays(&self, sched: &mut Scheduler) {
         let others = self.relays.iter().filter(|r| r.own.is_none());
-        let entry = |r: &SimRelay| RelayEntry {
+        let entry = |r: &SimRelay| RelayCandidate {
             name: r.name.clone(),
             data_centre: "north".to_string(),
-            strength: 100,
+            holder_capacity: 100,
         };
         sched.policy.relays.max_workers = if self.relays.is_empty() { usize::MAX } else { RELAY_ROOM };
-        sched.set_relay_entries(others.map(entry).collect());
+        sched.set_relay_candidates(others.map(entry).collect());
     }
 
     /// Pauses the present holder.
--- a/src/workswood/ops/jobs/lead.rs
+++ b/src/workswood/ops/jobs/lead.rs
@@ -216,7 +216,7 @@
     /// Tells the scheduler which entries may be relays.
     fn know_entries(&mut self) {
         if let Some(entries) = self.node.peers.news_of_entries(&mut self.entries_seen) {
-            self.sched.set_relay_entries(entries);
+            self.sched.set_relay_candidates(entries);
         }
     }
 
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 use workswood_core::ids::{DataCentre, Offset, UnixMs};
-use workswood_core::jobs::RelayEntry;
+use workswood_core::jobs::RelayCandidate;
 use workswood_core::jobs::claim::{self, Entry, Strength};
 use workswood_liveness::HalfOpenDetector;
 use workswood_peers::{CallError, Link, Msg};
@@ -184,7 +184,7 @@
     }
 
     /// Entries that may be relays, if they changed since the list that was seen.
-    pub fn news_of_entries(&self, seen: &mut u64) -> Option<Vec<RelayEntry>> {
+    pub fn news_of_entries(&self, seen: &mut u64) -> Option<Vec<RelayCandidate>> {
         let roster = self.roster.lock();
         if roster.version == *seen {
             return None;
@@ -192,10 +192,10 @@
         *seen = roster.version;
         // Entries of versions before this one say no strength, and can't be relays.
         let known = roster.by_entry.iter().filter(|(_, rec)| rec.strength > 0);
-        let entry = |(name, rec): (&String, &PeerRecord)| RelayEntry {
+        let entry = |(name, rec): (&String, &PeerRecord)| RelayCandidate {
             name: name.clone(),
             data_centre: rec.data_centre.clone(),
-            strength: rec.strength,
+            holder_capacity: rec.strength,
         };
         Some(known.map(entry).collect())
     }
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -1014,7 +1014,7 @@
     assert_eq!(node.peers.address_of("entry-7").as_deref(), Some("10.0.0.7:7001"));
     let entries = node.peers.news_of_entries(&mut 0).expect("they are known");
     assert_eq!((entries[0].name.as_str(), entries[0].data_centre.as_str()), ("entry-7", "south"));
-    assert_eq!((entries.len(), entries[0].strength), (1, 1_200));
+    assert_eq!((entries.len(), entries[0].holder_capacity), (1, 1_200));
     let at = json(&written)["at"].as_u64().expect("when it was written");
     assert_eq!(written.replace(&at.to_string(), "AT"), text(LEASE_AND_PEERS, "peer-written"));
     assert_eq!(key, "entry-1");
