--- a/crates/workswood-core/src/fleet/mod.rs
+++ b/crates/workswood-core/src/fleet/mod.rs
@@ -8,4 +8,4 @@
 pub use check::check;
 pub use file::*;
 pub use parse::{Issue, parse};
-pub use time::{parse_rfc3339_ms, rfc3339_ms};
+pub use time::{format_rfc3339, parse_rfc3339};
--- a/crates/workswood-core/src/plan/wave.rs
+++ b/crates/workswood-core/src/plan/wave.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use super::fleet_index::FleetIndex;
-use crate::fleet::{Maintenance, rfc3339_ms};
+use crate::fleet::{Maintenance, format_rfc3339};
 use crate::fold::{HostPhase, ManagedHost, State};
 use crate::ids::{HostId, Term, UnixMs};
 use crate::record::{DrainReason, HostChange, Record};
@@ -166,7 +166,7 @@
         return Some(WaveState::Paused);
     }
     if now < m.start {
-        return Some(WaveState::NotYet { start: rfc3339_ms(m.start) });
+        return Some(WaveState::NotYet { start: format_rfc3339(m.start) });
     }
     let is_overdue = |(_, r): &&(&HostId, &ManagedHost)| {
         let rebooting = matches!(r.phase, HostPhase::Rebooting { .. });
@@ -184,10 +184,10 @@
         return Some(WaveState::Canary { host: (*id).clone() });
     }
     if m.deadline != 0 && now + duration_ms > m.deadline {
-        return Some(WaveState::Deadline { deadline: rfc3339_ms(m.deadline) });
+        return Some(WaveState::Deadline { deadline: format_rfc3339(m.deadline) });
     }
     let conflict = m.blackout_windows.iter().find(|w| now + duration_ms > w.from && now < w.to);
-    conflict.map(|w| WaveState::KeepClear { from: rfc3339_ms(w.from) })
+    conflict.map(|w| WaveState::KeepClear { from: format_rfc3339(w.from) })
 }
 
 /// A host that has been maintained and is down, or has instances that are not ready.
--- a/src/bin/workswood/commands/plan.rs
+++ b/src/bin/workswood/commands/plan.rs
@@ -3,7 +3,7 @@
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use workswood::util::errors::Error;
 use workswood::{Result, ops};
-use workswood_core::fleet::parse_rfc3339_ms;
+use workswood_core::fleet::parse_rfc3339;
 
 /// Its command line.
 pub fn cli() -> Command {
@@ -22,7 +22,7 @@
     }
     let at = match args.get_one::<String>("at") {
         None => super::now(),
-        Some(t) => parse_rfc3339_ms(t).ok_or_else(|| Error::Settings {
+        Some(t) => parse_rfc3339(t).ok_or_else(|| Error::Settings {
             path: "--at".to_string(),
             text: format!("`{t}` is not a time such as 2027-03-01T00:00:00Z"),
         })?,
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use workswood_core::fleet::{FleetFile, Maintenance, rfc3339_ms};
+use workswood_core::fleet::{FleetFile, Maintenance, format_rfc3339};
 use workswood_core::fold::State;
 use workswood_core::ids::UnixMs;
 use workswood_core::plan::{
@@ -166,7 +166,7 @@
         let hint = match nearest.not_maintained.is_empty() {
             true => {
                 let end = start + nearest.rollout.as_millis() as UnixMs;
-                format!("the nearest deadline that can be kept is {}", rfc3339_ms(end + 1_000))
+                format!("the nearest deadline that can be kept is {}", format_rfc3339(end + 1_000))
             }
             false => {
                 format!(
--- a/tests/testsuite/fleet_files.rs
+++ b/tests/testsuite/fleet_files.rs
@@ -3,7 +3,7 @@
 use workswood::ops::{check, plan};
 use workswood::util::errors::Error;
 use workswood::util::settings::Settings;
-use workswood_core::fleet::{Issue, parse_rfc3339_ms};
+use workswood_core::fleet::{Issue, parse_rfc3339};
 use workswood_test_support::files::small;
 
 const FACTORING: &str = include_str!("../../examples/factoring.json");
@@ -22,7 +22,7 @@
         let f = check::read_text("file", text).expect("an example is valid");
         assert_eq!((f.hosts.len(), f.services.len()), (50, 5));
         assert_eq!(f.services.iter().map(|s| s.instances).sum::<u32>(), 50);
-        let at = parse_rfc3339_ms("2027-03-01T00:00:00Z").expect("a time");
+        let at = parse_rfc3339("2027-03-01T00:00:00Z").expect("a time");
         plan::refuse_impossible(std::slice::from_ref(&f), at).expect("its maintenance fits");
         let (state, plans) = plan::run(&[f], at);
         assert_eq!(state.instances.len(), 50);
@@ -73,10 +73,10 @@
 fn impossible_deadline() {
     let mut f = check::read_text("gridlark", GRIDLARK).expect("an example is valid");
     f.maintenance[0].deadline = f.maintenance[0].start + 3_600_000;
-    let at = parse_rfc3339_ms("2027-03-01T00:00:00Z").expect("a time");
+    let at = parse_rfc3339("2027-03-01T00:00:00Z").expect("a time");
     let e = plan::refuse_impossible(&[f.clone()], at).expect_err("an hour is too short");
     let text = e.to_string();
-    let nearest = text.rsplit(' ').next().and_then(parse_rfc3339_ms).expect("a time is named");
+    let nearest = text.rsplit(' ').next().and_then(parse_rfc3339).expect("a time is named");
     f.maintenance[0].deadline = nearest;
     plan::refuse_impossible(&[f], at).expect("the nearest plan that is named fits");
 }
