--- a/crates/workswood-core/src/idempotency.rs
+++ b/crates/workswood-core/src/idempotency.rs
@@ -187,8 +187,9 @@
         }
     }
 
-    /// Whether a claim of the key has begun; if not, none may begin for [`CLAIM_HOLD`].
-    pub fn claim_begun_or_hold(&mut self, key: &str, now: Duration) -> bool {
+    /// Forbids claims of the key for [`CLAIM_HOLD`] unless one has begun; returns whether
+    /// one has.
+    pub fn hold_unless_begun(&mut self, key: &str, now: Duration) -> bool {
         let begun = self.in_progress.contains_key(key);
         if !begun {
             self.held_until.insert(key.to_string(), now + CLAIM_HOLD);
--- a/src/workswood/ops/entry/keyed_requests.rs
+++ b/src/workswood/ops/entry/keyed_requests.rs
@@ -244,7 +244,7 @@
     // A process that has not caught up with the log can't deny that it knows the key.
     let known = state.keys.contains_key(key)
         || !node.is_set(&node.ready)
-        || node.claims.lock().claim_begun_or_hold(key, node.now());
+        || node.claims.lock().hold_unless_begun(key, node.now());
     let roster = state.roster.iter().map(|m| m.id.clone());
     idempotency::InquiryReply {
         known,
