--- a/crates/workswood-core/src/fold/files.rs
+++ b/crates/workswood-core/src/fold/files.rs
@@ -35,7 +35,7 @@
     pub(super) fn apply_file(
         &mut self,
         offset: Offset,
-        id: &str,
+        change_id: &str,
         base: u64,
         author: &str,
         file: &FleetFile,
@@ -43,7 +43,7 @@
         let digest = digest(file);
         if let Some(current) = self.files.get(&file.file) {
             // A change that was sent twice, or that changes nothing, has no effect.
-            if current.change_id == id || current.digest == digest {
+            if current.change_id == change_id || current.digest == digest {
                 return Ok(());
             }
         }
@@ -58,7 +58,7 @@
         let applied = AppliedFile {
             version: version + 1,
             offset,
-            change_id: id.to_string(),
+            change_id: change_id.to_string(),
             author: author.to_string(),
             digest,
             file: file.clone(),
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -188,7 +188,9 @@
     /// Applies one record if its precondition holds.
     fn fold_record(&mut self, env: &Envelope, offset: Offset, record: &Record) -> RecordResult {
         match record {
-            Record::Apply { id, base, author, file } => self.apply_file(offset, id, *base, author, file),
+            Record::Apply { change_id, base, author, file } => {
+                self.apply_file(offset, change_id, *base, author, file)
+            }
             Record::Take { role, holder, term, seen_renewals } => {
                 self.acquire_lease(*role, holder, *term, *seen_renewals)
             }
--- a/crates/workswood-core/src/record.rs
+++ b/crates/workswood-core/src/record.rs
@@ -41,7 +41,8 @@
     /// Puts a fleet file in force if `base` is the version in force.
     Apply {
         /// Unique id of the operator's change.
-        id: String,
+        #[serde(rename = "id")]
+        change_id: String,
         /// Version that the change is based on; 0 for a new file.
         base: u64,
         /// Who applied the change.
--- a/crates/workswood-test-support/src/history.rs
+++ b/crates/workswood-test-support/src/history.rs
@@ -131,7 +131,8 @@
         self.operator.follow(&self.log, usize::MAX);
         let base = self.operator.state.files.get(&file.file).map_or(0, |f| f.version);
         let id = format!("change-{}", self.log.all.len());
-        let record = Record::Apply { id, base, author: "op".to_string(), file: Box::new(file.clone()) };
+        let record =
+            Record::Apply { change_id: id, base, author: "op".to_string(), file: Box::new(file.clone()) };
         let env = self.operator.envelope(self.now, vec![record]);
         self.push(env);
     }
@@ -368,7 +369,7 @@
             let mut mine = file.clone();
             mine.objective.buffer = 10 + n + base as u32 * 2;
             let record = Record::Apply {
-                id: format!("race-{}-{n}", self.log.all.len()),
+                change_id: format!("race-{}-{n}", self.log.all.len()),
                 base,
                 author: format!("op{n}"),
                 file: Box::new(mine),
--- a/crates/workswood-test-support/src/one.rs
+++ b/crates/workswood-test-support/src/one.rs
@@ -37,7 +37,7 @@
     /// Puts a file in force.
     pub fn apply(&mut self, file: &FleetFile, base: u64) {
         let file = Box::new(file.clone());
-        let record = Record::Apply { id: format!("{base}"), base, author: "a".into(), file };
+        let record = Record::Apply { change_id: format!("{base}"), base, author: "a".into(), file };
         assert_eq!(self.p.append(&mut self.log, self.now, vec![record]), [Ok(())]);
     }
 
--- a/src/workswood/ops/entry/operator_api.rs
+++ b/src/workswood/ops/entry/operator_api.rs
@@ -62,7 +62,7 @@
         return refused(Code::NotCaughtUp, Code::NotCaughtUp.text().to_string());
     }
     let record = Record::Apply {
-        id: req.id.clone(),
+        change_id: req.id.clone(),
         base: req.base,
         author: req.author.clone(),
         file: Box::new(file.clone()),
--- a/src/workswood/ops/plan.rs
+++ b/src/workswood/ops/plan.rs
@@ -62,7 +62,7 @@
     log.append(vec![take]);
     for f in files {
         log.append(vec![Record::Apply {
-            id: f.file.clone(),
+            change_id: f.file.clone(),
             base: 0,
             author: PLANNER.to_string(),
             // Waves are measured apart, on the settled state.
--- a/tests/testsuite/fold_rules.rs
+++ b/tests/testsuite/fold_rules.rs
@@ -19,7 +19,7 @@
 fn placed() -> (Log, Process) {
     let (mut log, mut p) = (Log::default(), Process::new("p"));
     let file = Box::new(small(6, 4, 3));
-    let apply = Record::Apply { id: "1".into(), base: 0, author: "a".into(), file };
+    let apply = Record::Apply { change_id: "1".into(), base: 0, author: "a".into(), file };
     p.append(&mut log, 1, vec![take("p", 1, 0), apply]);
     for i in 0..6 {
         let name = format!("h{i}");
@@ -95,7 +95,7 @@
     let (mut log, mut p) = placed();
     let mut file = small(6, 4, 3);
     file.pools = vec![pool("main", 5), pool("side", 1)];
-    let apply = Record::Apply { id: "2".into(), base: 1, author: "a".into(), file: Box::new(file) };
+    let apply = Record::Apply { change_id: "2".into(), base: 1, author: "a".into(), file: Box::new(file) };
     let to_side = DrainReason::Move { to: "side".into() };
     let go = host(1, "h5", 2, HostChange::Drain { reason: to_side.clone() });
     assert_eq!(p.append(&mut log, 2, vec![apply, go]), [Ok(()), Ok(())]);
@@ -128,7 +128,7 @@
     let (mut log, mut p) = placed();
     let mut other = small(6, 4, 3);
     other.file = "other".into();
-    let apply = Record::Apply { id: "2".into(), base: 0, author: "a".into(), file: Box::new(other) };
+    let apply = Record::Apply { change_id: "2".into(), base: 0, author: "a".into(), file: Box::new(other) };
     let claimed = Rejection::Claimed { what: "host `h0`".into(), file: "small".into() };
     assert_eq!(p.append(&mut log, 2, vec![apply]), [Err(claimed)]);
 }
@@ -138,7 +138,7 @@
     let (mut log, mut p) = placed();
     let mut file = small(6, 4, 3);
     file.services.clear();
-    let apply = Record::Apply { id: "2".into(), base: 1, author: "a".into(), file: Box::new(file) };
+    let apply = Record::Apply { change_id: "2".into(), base: 1, author: "a".into(), file: Box::new(file) };
     assert_eq!(p.append(&mut log, 2, vec![apply]), [Ok(())]);
     assert!(p.state.instances.is_empty(), "handed back as it runs");
     assert_eq!(workswood_core::plan::missing_actions(&p.state, &Default::default()), []);
--- a/tests/testsuite/lost_attempts.rs
+++ b/tests/testsuite/lost_attempts.rs
@@ -19,7 +19,7 @@
     let mut file = small(3, 0, 0);
     file.teams = vec![team()];
     file.jobs = vec![job("report", "main", PriorityClass::Normal, true)];
-    let apply = Record::Apply { id: "1".into(), base: 0, author: "a".into(), file: Box::new(file) };
+    let apply = Record::Apply { change_id: "1".into(), base: 0, author: "a".into(), file: Box::new(file) };
     let take = Record::Take { role: Role::Planner, holder: "p".into(), term: 1, seen_renewals: 0 };
     assert_eq!(p.append(&mut log, 1, vec![take, apply]), [Ok(()), Ok(())]);
     for n in 0..3 {
--- a/tests/testsuite/state_checkpoints.rs
+++ b/tests/testsuite/state_checkpoints.rs
@@ -28,7 +28,7 @@
         },
         3 => Record::Renew { role: Role::Planner, term: 1 },
         _ => Record::Apply {
-            id: format!("c{n}"),
+            change_id: format!("c{n}"),
             base: u.int_in_range(0..=9u64)?,
             author: "a".into(),
             file: Box::new({
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -495,7 +495,9 @@
     assert_eq!(env.records.len(), 34);
     let known = env.records.iter().position(|r| matches!(r, LogRecord::Unknown(_)));
     assert_eq!(known, Some(33), "only the last record is of an unknown kind");
-    let LogRecord::Apply { id, base, author, file } = &env.records[0] else { panic!("another record") };
+    let LogRecord::Apply { change_id: id, base, author, file } = &env.records[0] else {
+        panic!("another record")
+    };
     assert_eq!((id.as_str(), *base, author.as_str()), ("c-1", 4, "ann"));
     check_fleet(file);
     let LogRecord::Take { role, holder, term, seen_renewals } = &env.records[1] else {
