--- a/crates/workswood-core/src/fold/instances.rs
+++ b/crates/workswood-core/src/fold/instances.rs
@@ -227,7 +227,7 @@
                 self.by_host.remove(&host);
             }
         }
-        self.instance_moves += 1;
+        self.instance_removals += 1;
         Ok(())
     }
 }
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -119,7 +119,8 @@
     /// Number of moves of hosts between pools.
     pub host_moves: u64,
     /// Number of removals of instances from hosts.
-    pub instance_moves: u64,
+    #[serde(rename = "instance_moves")]
+    pub instance_removals: u64,
     /// Digests of the state at the most recent checkpoint markers; not part of the
     /// digested state.
     #[serde(skip)]
--- a/src/workswood/ops/entry/operator_api.rs
+++ b/src/workswood/ops/entry/operator_api.rs
@@ -211,7 +211,7 @@
         invariants_broken: invariant::failed_checks(),
         first_broken: invariant::first_failure(),
         host_moves: state.host_moves,
-        instance_moves: state.instance_moves,
+        instance_moves: state.instance_removals,
     }
 }
 
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -565,7 +565,7 @@
     let job = &state.jobs["report-3"];
     assert_eq!((&job.phase, job.token, job.changed_at), (&JobPhase::Failed, 63, 64));
     assert_eq!((job.failures, job.losses, state.jobs["report-0"].losses), (1, 3, 0));
-    assert_eq!((state.unknown_records, state.host_moves, state.instance_moves), (66, 67, 68));
+    assert_eq!((state.unknown_records, state.host_moves, state.instance_removals), (66, 67, 68));
     assert_eq!((state.next_offset, state.roster_generation), (70, 9));
 }
 
