--- a/crates/workswood-core/src/fold/jobs.rs
+++ b/crates/workswood-core/src/fold/declared_jobs.rs
@@ -27,7 +27,7 @@
 /// A declared job for which a change was recorded; in phase [`JobPhase::Waiting`] if it was not
 /// started yet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct StartedJob {
+pub struct DeclaredJobState {
     /// Its phase.
     pub phase: JobPhase,
     /// Offset of the last start, which is its fencing token: the platform refuses
@@ -67,7 +67,7 @@
             }
         }
         let waiting =
-            StartedJob { phase: JobPhase::Waiting, token: 0, changed_at: time, failures: 0, losses: 0 };
+            DeclaredJobState { phase: JobPhase::Waiting, token: 0, changed_at: time, failures: 0, losses: 0 };
         let job = self.jobs.entry(name.to_string()).or_insert(waiting);
         match (change, &job.phase) {
             (JobChange::Start { host }, JobPhase::Waiting) => {
--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -6,11 +6,11 @@
 //! submodule handles one kind of record.
 
 mod checkpoint;
+mod declared_jobs;
 mod files;
 mod hosts;
 mod idempotency;
 mod instances;
-mod jobs;
 mod lease;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,11 +24,11 @@
 use crate::record::{Envelope, FORMAT_VERSION, Record, Role, RosterMember};
 
 pub use checkpoint::{CheckpointAssembler, StateDigest};
+pub use declared_jobs::{DeclaredJobState, JobPhase};
 pub use files::AppliedFile;
 pub use hosts::{HostPhase, ManagedHost};
 pub use idempotency::{KEY_RETENTION, KeyLookup, KeyState, KeyedRequest, MAX_KEY_WINDOW};
 pub use instances::{Availability, BudgetStatus, PlacedInstance};
-pub use jobs::{JobPhase, StartedJob};
 pub use lease::Lease;
 
 /// Why a record was rejected and had no effect.
@@ -110,7 +110,7 @@
     /// Idempotency keys that are retained, and open deferred requests.
     pub keys: BTreeMap<IdempotencyKey, KeyedRequest>,
     /// Jobs declared in fleet files for which a change was recorded.
-    pub jobs: BTreeMap<JobId, StartedJob>,
+    pub jobs: BTreeMap<JobId, DeclaredJobState>,
     /// Highest `seq` folded from each process, and the log time at that fold.
     pub senders: BTreeMap<Incarnation, (u64, UnixMs)>,
     /// Number of records and envelopes of unknown kind or format.
--- a/crates/workswood-core/src/plan/jobs.rs
+++ b/crates/workswood-core/src/plan/jobs.rs
@@ -5,7 +5,7 @@
 use super::observed::ObservedFleet;
 use super::place::instance_loads;
 use crate::fleet::{Job, PriorityClass};
-use crate::fold::{JobPhase, ManagedHost, StartedJob, State};
+use crate::fold::{DeclaredJobState, JobPhase, ManagedHost, State};
 use crate::ids::{HostId, JobId, Term, UnixMs};
 use crate::record::{JobChange, Record};
 
@@ -43,7 +43,7 @@
         JobPhase::Running { host } => Some((id, r, host)),
         _ => None,
     });
-    let end = |(id, r, host): (&JobId, &StartedJob, &HostId)| {
+    let end = |(id, r, host): (&JobId, &DeclaredJobState, &HostId)| {
         let observed_host = observed.hosts.get(host);
         let task = observed_host.and_then(|h| h.tasks.iter().find(|t| t.id == *id && t.token == r.token));
         if let Some(ok) = task.and_then(|t| t.ended) {
@@ -56,7 +56,7 @@
 }
 
 /// Whether the host of a running job has been down or unknown for too long.
-fn is_lost(state: &State, host: &HostId, r: &StartedJob, now: UnixMs) -> bool {
+fn is_lost(state: &State, host: &HostId, r: &DeclaredJobState, now: UnixMs) -> bool {
     let down_since = state
         .hosts
         .get(host)
