--- a/crates/workswood-core/src/fold/lease.rs
+++ b/crates/workswood-core/src/fold/lease.rs
@@ -35,7 +35,7 @@
         if lease.holder.is_some() && lease.term == term { Ok(()) } else { Err(Rejection::Term) }
     }
 
-    /// Acquires the lease if `term` is the next one and the taker has seen all
+    /// Acquires the lease if `term` is the next one and the new holder has seen all
     /// renewals.
     pub(super) fn acquire_lease(
         &mut self,
