--- a/crates/workswood-core/src/fold/mod.rs
+++ b/crates/workswood-core/src/fold/mod.rs
@@ -6,11 +6,11 @@
 //! submodule handles one kind of record.
 
 mod checkpoint;
+mod declared_jobs;
 mod files;
 mod hosts;
 mod idempotency;
 mod instances;
-mod jobs;
 mod lease;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,11 +24,11 @@
 use crate::record::{Envelope, FORMAT_VERSION, Record, Role, RosterMember};
 
 pub use checkpoint::{CheckpointAssembler, StateDigest};
+pub use declared_jobs::{DeclaredJobState, JobPhase};
 pub use files::AppliedFile;
 pub use hosts::{HostPhase, ManagedHost};
 pub use idempotency::{KEY_RETENTION, KeyLookup, KeyState, KeyedRequest, MAX_KEY_WINDOW};
 pub use instances::{Availability, BudgetStatus, PlacedInstance};
-pub use jobs::{JobPhase, StartedJob};
 pub use lease::Lease;
 
 /// Why a record was rejected and had no effect.
@@ -38,13 +38,14 @@
     Term,
     /// The generation is not the current one of the host.
     Generation,
-    /// The state of the host, instance, job or key does not allow the change.
+    /// The state of the host, instance, job or key does not allow the change, or the holder of a
+    /// claim is not on the roster.
     Phase,
     /// A host, instance, pool, job or key that the record names does not exist.
     Missing,
     /// The availability budget of this service would be broken.
     Budget(ServiceId),
-    /// The key was claimed before, or the attempt is not the next one.
+    /// The key was claimed before, or the attempt may not start.
     KeyTaken,
     /// The key's last moment has passed in log time.
     Expired,
@@ -108,8 +109,8 @@
     pub instances: BTreeMap<InstanceId, PlacedInstance>,
     /// Idempotency keys that are retained, and open deferred requests.
     pub keys: BTreeMap<IdempotencyKey, KeyedRequest>,
-    /// Jobs that were started or have ended.
-    pub jobs: BTreeMap<JobId, StartedJob>,
+    /// Jobs declared in fleet files for which a change was recorded.
+    pub jobs: BTreeMap<JobId, DeclaredJobState>,
     /// Highest `seq` folded from each process, and the log time at that fold.
     pub senders: BTreeMap<Incarnation, (u64, UnixMs)>,
     /// Number of records and envelopes of unknown kind or format.
@@ -118,7 +119,8 @@
     /// Number of moves of hosts between pools.
     pub host_moves: u64,
     /// Number of removals of instances from hosts.
-    pub instance_moves: u64,
+    #[serde(rename = "instance_moves")]
+    pub instance_removals: u64,
     /// Digests of the state at the most recent checkpoint markers; not part of the
     /// digested state.
     #[serde(skip)]
@@ -140,6 +142,8 @@
 /// How long the highest `seq` of a process is kept after its last envelope. Must
 /// exceed the longest time by which the platform may delay an append.
 const SENDER_RETENTION_MS: UnixMs = 24 * 3600 * 1000;
+/// Senders are pruned only while there are more than this.
+const MIN_SENDERS_TO_PRUNE: usize = 64;
 
 impl State {
     /// Folds the envelope at `offset`; returns one result per record.
@@ -185,7 +189,9 @@
     /// Applies one record if its precondition holds.
     fn fold_record(&mut self, env: &Envelope, offset: Offset, record: &Record) -> RecordResult {
         match record {
-            Record::Apply { id, base, author, file } => self.apply_file(offset, id, *base, author, file),
+            Record::Apply { change_id, base, author, file } => {
+                self.apply_file(offset, change_id, *base, author, file)
+            }
             Record::Take { role, holder, term, seen_renewals } => {
                 self.acquire_lease(*role, holder, *term, *seen_renewals)
             }
@@ -218,12 +224,12 @@
         self.rebuild_key_indexes();
     }
 
-    /// Removes expired keys, and senders that have not written for
-    /// [`SENDER_RETENTION_MS`].
+    /// Removes expired keys and, once there are many senders, those that have not
+    /// written for [`SENDER_RETENTION_MS`].
     fn prune(&mut self) {
         self.prune_keys();
         let oldest = self.log_time.saturating_sub(SENDER_RETENTION_MS);
-        if self.senders.len() > 64 {
+        if self.senders.len() > MIN_SENDERS_TO_PRUNE {
             self.senders.retain(|_, (_, at)| *at >= oldest);
         }
     }
--- a/crates/workswood-core/src/jobs/job_table.rs
+++ b/crates/workswood-core/src/jobs/job_table.rs
@@ -1,4 +1,5 @@
-//! The table of all known jobs, with indexes of those that the passing of time affects.
+//! The table of all known jobs, with indexes of the open repeating jobs and of the open jobs with
+//! long-running tasks.
 //!
 //! A job that has ended and runs nowhere is *archived*: its tasks and its text are dropped. What
 //! stays for some minutes is its state, which callers may ask for, and its resource needs, which
@@ -52,7 +53,7 @@
         self.by_key.get(key)
     }
 
-    /// Returns a job that is not archived, for modification. Its end is reported by
+    /// Returns a job that is not archived, for modification. A caller that ends the job must call
     /// [`JobTable::note_ended`].
     pub fn get_mut(&mut self, key: &JobKey) -> Option<&mut Job> {
         self.by_key.get_mut(key)
@@ -83,17 +84,17 @@
         self.archived.values()
     }
 
-    /// The state of a job as shown to callers.
-    pub fn shown(&self, key: &JobKey) -> Option<JobStatus> {
+    /// The status of a job, archived or not.
+    pub fn status(&self, key: &JobKey) -> Option<JobStatus> {
         let archived = || self.archived.get(key).map(|archived| JobStatus::Ended(archived.outcome));
         self.by_key.get(key).map(Job::status).or_else(archived)
     }
 
-    /// Resources of a task; for an archived job, an upper bound of them.
-    pub fn held_by(&self, task: &TaskId) -> Option<Reservation> {
+    /// Reservation of a run of a task; for an archived job, an upper bound of it.
+    pub fn reservation(&self, task: &TaskId) -> Option<Reservation> {
         let archived = |archived: &ArchivedJob| {
-            let (room, owner) = (archived.record.max_task_resources, archived.record.owner);
-            Reservation { resources: room, charged: room, owner }
+            let (resources, owner) = (archived.record.max_task_resources, archived.record.owner);
+            Reservation { resources, charged: resources, owner }
         };
         match self.by_key.get(&task.job) {
             Some(job) => job.step(task).map(|step| job.spec.reservation(step)),
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -21,7 +21,7 @@
 //!   share.
 //! * [`job`] holds the state of one job and its stored form, [`job_table`] all jobs.
 //! * [`worker`] holds the state of one worker, its capacity and its lease; [`worker_id`] is its
-//!   name, and [`worker_index`] holds all workers.
+//!   name, and [`worker_table`] holds all workers.
 //! * [`host`] defines hosts and replies to orders.
 //! * [`stable_map`] is a map with the same iteration order in every run.
 //! * [`queue_order`] decides which waiting task is next, and [`task_queue`] holds the waiting tasks.
@@ -80,6 +80,7 @@
 pub mod worker;
 pub mod worker_events;
 pub mod worker_id;
+mod worker_restart;
 pub mod worker_index;
 pub mod worker_reports;
 mod worker_restart;
@@ -92,7 +93,7 @@
 pub use job::{FinishedJobRecord, Job, JobRecord, JobStatus, Outcome, Phase, Run, Task};
 pub use maintenance_waves::{Wave, WaveRecord};
 pub use policy::Policy;
-pub use relays::{RelayEntry, RelayPolicy};
+pub use relays::{RelayCandidate, RelayPolicy};
 pub use run_tracker::RunTracker;
 pub use scheduler::Scheduler;
 pub use spec::{JobKey, JobSpec, Repeat, StepId, StepSpec, TaskId};
--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -24,7 +24,7 @@
 use super::task_queue::TaskQueue;
 use super::types::{Action, Batch, Event, JobStatusUpdate, Limits, Record, lease_with_drift};
 use super::worker::{Worker, WorkerInfo, WorkerRecord};
-use super::worker_index::WorkerIndex;
+use super::worker_table::WorkerTable;
 use super::workspace::Owner;
 use crate::ids::{DataCentre, HostId, ServiceId, Term, UnixMs};
 use crate::invariant;
@@ -56,7 +56,7 @@
     /// All known jobs.
     pub jobs: JobTable,
     /// All known lives of workers.
-    pub workers: WorkerIndex,
+    pub workers: WorkerTable,
     /// Listed workers whose service is not in the configuration yet.
     pub(super) workers_without_service: BTreeMap<WorkerId, WorkerInfo>,
     /// Relays, and which workers each attends.
@@ -149,7 +149,7 @@
             policy: Policy::default(),
             config: Arc::default(),
             jobs: JobTable::default(),
-            workers: WorkerIndex::default(),
+            workers: WorkerTable::default(),
             workers_without_service: BTreeMap::new(),
             relays: Relays::default(),
             ready: StableMap::default(),
@@ -283,7 +283,7 @@
             Event::WorkerUnlisted(id) => self.worker_unlisted(&id),
             Event::LifeOver(id, heard) => self.handle_other_incarnation(&id, heard),
             Event::WorkerRestarted(id, started, heard) => self.worker_restarted(&id, started, heard),
-            Event::WorkerUpdate(id, token, news) => self.handle_worker_news(&id, token, news),
+            Event::WorkerUpdate(id, token, news) => self.handle_worker_update(&id, token, news),
             Event::AdviceReceived(a) => self.advice_received(a),
             Event::HostsListed(list, asked) => self.hosts_listed(list, asked),
             Event::WaveRequested(wave, rec) => self.wave_requested(wave, rec),
@@ -526,7 +526,7 @@
         self.advance_waves();
         self.plan_pools();
         self.drop_expired_marks();
-        self.balance_relays();
+        self.offload_holder();
         self.forget_jobs();
         self.services_to_place
             .extend(self.ready.iter().filter(|(_, s)| !s.is_empty()).map(|(k, _)| k.clone()));
--- a/crates/workswood-core/src/plan/wave.rs
+++ b/crates/workswood-core/src/plan/wave.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 use super::fleet_index::FleetIndex;
-use crate::fleet::{Maintenance, rfc3339_ms};
+use crate::fleet::{Maintenance, format_rfc3339};
 use crate::fold::{HostPhase, ManagedHost, State};
 use crate::ids::{HostId, Term, UnixMs};
 use crate::record::{DrainReason, HostChange, Record};
@@ -175,7 +175,7 @@
         return Some(WaveState::Paused);
     }
     if now < m.start {
-        return Some(WaveState::NotYet { start: rfc3339_ms(m.start) });
+        return Some(WaveState::NotYet { start: format_rfc3339(m.start) });
     }
     let is_overdue = |(_, r): &&(&HostId, &ManagedHost)| {
         let rebooting = matches!(r.phase, HostPhase::Rebooting { .. });
@@ -193,10 +193,10 @@
         return Some(WaveState::Canary { host: (*id).clone() });
     }
     if m.deadline != 0 && now + duration_ms > m.deadline {
-        return Some(WaveState::Deadline { deadline: rfc3339_ms(m.deadline) });
+        return Some(WaveState::Deadline { deadline: format_rfc3339(m.deadline) });
     }
     let conflict = m.blackout_windows.iter().find(|w| now + duration_ms > w.from && now < w.to);
-    conflict.map(|w| WaveState::KeepClear { from: rfc3339_ms(w.from) })
+    conflict.map(|w| WaveState::KeepClear { from: format_rfc3339(w.from) })
 }
 
 /// A host that has been maintained and is down, or has instances that are not ready.
--- a/src/workswood/ops/entry/operator_api.rs
+++ b/src/workswood/ops/entry/operator_api.rs
@@ -62,7 +62,7 @@
         return refused(Code::NotCaughtUp, Code::NotCaughtUp.text().to_string());
     }
     let record = Record::Apply {
-        id: req.id.clone(),
+        change_id: req.id.clone(),
         base: req.base,
         author: req.author.clone(),
         file: Box::new(file.clone()),
@@ -211,7 +211,7 @@
         invariants_broken: invariant::failed_checks(),
         first_broken: invariant::first_failure(),
         host_moves: state.host_moves,
-        instance_moves: state.instance_moves,
+        instance_moves: state.instance_removals,
     }
 }
 
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 use workswood_core::ids::{DataCentre, Offset, UnixMs};
-use workswood_core::jobs::RelayEntry;
+use workswood_core::jobs::RelayCandidate;
 use workswood_core::jobs::lease_claim::{self, Entry, EntryCapacity};
 use workswood_liveness::HalfOpenDetector;
 use workswood_peers::{CallError, Link, Msg};
@@ -193,7 +193,7 @@
     }
 
     /// Entries that may be relays, if the list has changed since `seen_version`, which is updated.
-    pub fn changed_relay_entries(&self, seen_version: &mut u64) -> Option<Vec<RelayEntry>> {
+    pub fn changed_relay_entries(&self, seen_version: &mut u64) -> Option<Vec<RelayCandidate>> {
         let peer_list = self.peer_list.lock();
         if peer_list.version == *seen_version {
             return None;
@@ -201,10 +201,10 @@
         *seen_version = peer_list.version;
         // Entries of earlier versions state no strength, and can't be relays.
         let known = peer_list.by_entry.iter().filter(|(_, rec)| rec.strength > 0);
-        let entry = |(name, rec): (&String, &PeerRecord)| RelayEntry {
+        let entry = |(name, rec): (&String, &PeerRecord)| RelayCandidate {
             name: name.clone(),
             data_centre: rec.data_centre.clone(),
-            strength: rec.strength,
+            holder_capacity: rec.strength,
         };
         Some(known.map(entry).collect())
     }
--- a/src/workswood/ops/jobs/scheduler_task.rs
+++ b/src/workswood/ops/jobs/scheduler_task.rs
@@ -221,7 +221,7 @@
     /// Tells the scheduler which entries may be relays.
     fn update_relay_entries(&mut self) {
         if let Some(entries) = self.node.peers.changed_relay_entries(&mut self.entries_version) {
-            self.sched.set_relay_entries(entries);
+            self.sched.set_relay_candidates(entries);
         }
     }
 
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -509,7 +509,9 @@
     assert_eq!(env.records.len(), 34);
     let known = env.records.iter().position(|r| matches!(r, LogRecord::Unknown(_)));
     assert_eq!(known, Some(33), "only the last record is of an unknown kind");
-    let LogRecord::Apply { id, base, author, file } = &env.records[0] else { panic!("another record") };
+    let LogRecord::Apply { change_id: id, base, author, file } = &env.records[0] else {
+        panic!("another record")
+    };
     assert_eq!((id.as_str(), *base, author.as_str()), ("c-1", 4, "ann"));
     check_fleet(file);
     let LogRecord::Take { role, holder, term, seen_renewals } = &env.records[1] else {
@@ -577,7 +579,7 @@
     let job = &state.jobs["report-3"];
     assert_eq!((&job.phase, job.token, job.changed_at), (&JobPhase::Failed, 63, 64));
     assert_eq!((job.failures, job.losses, state.jobs["report-0"].losses), (1, 3, 0));
-    assert_eq!((state.unknown_records, state.host_moves, state.instance_moves), (66, 67, 68));
+    assert_eq!((state.unknown_records, state.host_moves, state.instance_removals), (66, 67, 68));
     assert_eq!((state.next_offset, state.roster_generation), (70, 9));
 }
 
@@ -1031,7 +1033,7 @@
     assert_eq!(node.peers.address_of("entry-7").as_deref(), Some("10.0.0.7:7001"));
     let entries = node.peers.changed_relay_entries(&mut 0).expect("they are known");
     assert_eq!((entries[0].name.as_str(), entries[0].data_centre.as_str()), ("entry-7", "south"));
-    assert_eq!((entries.len(), entries[0].strength), (1, 1_200));
+    assert_eq!((entries.len(), entries[0].holder_capacity), (1, 1_200));
     let at = json(&written)["at"].as_u64().expect("when it was written");
     assert_eq!(written.replace(&at.to_string(), "AT"), text(LEASE_AND_PEERS, "peer-written"));
     assert_eq!(key, "entry-1");
