--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -80,10 +80,9 @@
 pub mod worker;
 pub mod worker_events;
 pub mod worker_id;
-mod worker_restart;
-pub mod worker_index;
 pub mod worker_reports;
 mod worker_restart;
+pub mod worker_table;
 pub mod workspace;
 pub mod workspace_usage;
 
