--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -275,7 +275,7 @@
             Event::Evacuated(data_centres) => self.set_evacuated(data_centres),
             Event::WorkerListed(info) => self.worker_listed(info),
             Event::WorkerUnlisted(id) => self.worker_unlisted(&id),
-            Event::LifeOver(id, heard) => self.other_life_answered(&id, heard),
+            Event::OtherIncarnationAnswered(id, heard) => self.other_life_answered(&id, heard),
             Event::WorkerRestarted(id, started, heard) => self.worker_restarted(&id, started, heard),
             Event::WorkerUpdate(id, token, news) => self.handle_worker_news(&id, token, news),
             Event::AdviceReceived(a) => self.advice_received(a),
--- a/crates/workswood-core/src/jobs/types.rs
+++ b/crates/workswood-core/src/jobs/types.rs
@@ -63,11 +63,11 @@
     WorkerUnlisted(WorkerId),
     /// An update from the relay that attends the worker with this fencing token.
     WorkerUpdate(WorkerId, Term, WorkerUpdate),
-    /// Another life of the worker answers at its address, so this one is over. The time is that of
-    /// its last answer, on the scheduler's clock.
-    LifeOver(WorkerId, Duration),
-    /// A worker restarted under the same name at this time of day, so the named life is over. The
-    /// duration is the time of its last answer, on the scheduler's clock.
+    /// Another incarnation of the worker answers at its address, so this one has ended. The time is
+    /// that of its last answer, on the scheduler's clock.
+    OtherIncarnationAnswered(WorkerId, Duration),
+    /// A worker restarted under the same name at this time of day, so the given
+    /// incarnation has ended. The duration is the time of its last answer, on the scheduler's clock.
     WorkerRestarted(WorkerId, UnixMs, Duration),
     /// The result of a call to the adviser.
     AdviceReceived(AdviceResult),
--- a/crates/workswood-test-support/src/job_world/holder.rs
+++ b/crates/workswood-test-support/src/job_world/holder.rs
@@ -179,7 +179,7 @@
                 self.tell_relay(number, ToRelay::Grant { sent, left });
             }
             ToHolder::LifeOver(id, silent) => {
-                h.sched.handle(Event::LifeOver(id, now.saturating_sub(silent)));
+                h.sched.handle(Event::OtherIncarnationAnswered(id, now.saturating_sub(silent)));
             }
             ToHolder::Restarted(id, started, silent) => {
                 h.sched.handle(Event::WorkerRestarted(id, started, now.saturating_sub(silent)));
--- a/src/workswood/ops/jobs/relay/order.rs
+++ b/src/workswood/ops/jobs/relay/order.rs
@@ -106,7 +106,7 @@
     /// attended with this token.
     pub fn event(self, id: WorkerId, token: Term, now: Duration) -> Event {
         let news = match self {
-            What::LifeOver(silent) => return Event::LifeOver(id, now.saturating_sub(silent)),
+            What::LifeOver(silent) => return Event::OtherIncarnationAnswered(id, now.saturating_sub(silent)),
             What::Restarted(started, silent) => {
                 return Event::WorkerRestarted(id, started, now.saturating_sub(silent));
             }
--- a/tests/testsuite/advice_tickets.rs
+++ b/tests/testsuite/advice_tickets.rs
@@ -116,7 +116,7 @@
     world.at(110);
     world.sched.handle(advice(STEP, &ids, &ids, ms(3000)));
     assert_eq!(started(&world.tick()).len(), 4);
-    world.sched.handle(Event::LifeOver(ids[0].clone(), Duration::ZERO));
+    world.sched.handle(Event::OtherIncarnationAnswered(ids[0].clone(), Duration::ZERO));
     world.sched.handle(Event::WorkerListed(worker(0, 1)));
     world.report(0, 1, &[]);
     let actions = world.tick();
@@ -127,7 +127,7 @@
 #[test]
 fn answer_for_life_that_is_over() {
     let (mut world, ids) = waiting(2, 1);
-    world.sched.handle(Event::LifeOver(ids[0].clone(), Duration::ZERO));
+    world.sched.handle(Event::OtherIncarnationAnswered(ids[0].clone(), Duration::ZERO));
     world.at(120);
     world.sched.handle(advice(STEP, &ids, &ids, ms(3000)));
     assert_eq!(started(&world.tick())[0].0, ids[1]);
--- a/tests/testsuite/wave_orders.rs
+++ b/tests/testsuite/wave_orders.rs
@@ -63,7 +63,7 @@
     assert_eq!(upkeeps(&world.actions), ["m-0"]);
     world.sched.handle(Event::HostOrderAnswered("m-0".to_string(), HostReply::Busy));
     // The host is back with another life, which takes no work meanwhile.
-    world.sched.handle(Event::LifeOver(worker(0, 0).id, Duration::ZERO));
+    world.sched.handle(Event::OtherIncarnationAnswered(worker(0, 0).id, Duration::ZERO));
     world.sched.handle(Event::WorkerListed(worker(0, 1)));
     world.report(0, 1, &[]);
     let mut lasting = step(2, vec![]);
