--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -55,7 +55,7 @@
     pub config: Arc<SchedConfig>,
     /// All known jobs.
     pub jobs: JobTable,
-    /// All known lives of workers.
+    /// All known incarnations of workers.
     pub workers: WorkerIndex,
     /// Listed workers whose service is not in the configuration yet.
     pub(super) workers_without_service: BTreeMap<WorkerId, WorkerInfo>,
@@ -127,9 +127,9 @@
 /// Counters of a scheduler's term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SchedulerCounters {
-    /// Lives of workers that ended while something ran on them.
-    pub lives_lost: u64,
-    /// Runs that were lost with those lives.
+    /// Incarnations of workers that ended while something ran on them.
+    pub incarnations_lost: u64,
+    /// Runs that were lost with those incarnations.
     pub runs_lost: u64,
     /// Tasks that were given up because they crash their workers.
     pub tasks_given_up: u64,
@@ -192,7 +192,7 @@
         let mut w = self.workers.get_or_insert_with(&id, || Worker::new(lease_end, since));
         w.info = Some(Arc::new(info));
         drop(w);
-        // A probe of its address shows whether that life is over.
+        // A probe of its address shows whether that incarnation has ended.
         self.request_relay(&id);
         self.keep_latest_incarnation(&id);
     }
--- a/crates/workswood-core/src/jobs/settle.rs
+++ b/crates/workswood-core/src/jobs/settle.rs
@@ -182,7 +182,7 @@
         let why = end.label();
         self.attribute_crash(id, end);
         let lost = self.workers.get(id).map_or(0, |w| w.runs.len());
-        self.counters.lives_lost += u64::from(lost > 0);
+        self.counters.incarnations_lost += u64::from(lost > 0);
         self.counters.runs_lost += lost as u64;
         self.settle_all(id, why);
         if self.drop_worker(id) {
--- a/src/workswood/ops/jobs/lead.rs
+++ b/src/workswood/ops/jobs/lead.rs
@@ -201,7 +201,7 @@
         self.know_entries();
         self.sched.handle(Event::Tick);
         let (m, tally) = (&self.node.metrics, &self.sched.counters);
-        m.lives_lost.set(tally.lives_lost as i64);
+        m.lives_lost.set(tally.incarnations_lost as i64);
         m.runs_lost.set(tally.runs_lost as i64);
         m.given_up.set(tally.tasks_given_up as i64);
         let (fullest, at_work) = self.sched.workspace_limit_usage();
--- a/tests/testsuite/chance_crashes.rs
+++ b/tests/testsuite/chance_crashes.rs
@@ -131,7 +131,7 @@
         site.crash(n);
         site.go_on(800);
     }
-    assert_eq!(site.world.sched.counters.lives_lost, 4);
+    assert_eq!(site.world.sched.counters.incarnations_lost, 4);
     assert_eq!(site.world.sched.counters.tasks_given_up, 0);
     assert_eq!(site.stops(), 0);
     assert_eq!(site.runs.len(), 4, "it is whole again");
--- a/tests/testsuite/crash_evidence.rs
+++ b/tests/testsuite/crash_evidence.rs
@@ -130,7 +130,7 @@
         if world.sched.counters.tasks_given_up > 0 {
             assert_eq!(starts(&actions), Vec::new());
             assert_eq!(world.sched.jobs.shown(&1), Some(JobStatus::Ended(Outcome::Failed)));
-            assert_eq!(world.sched.counters.lives_lost, crashes as u64);
+            assert_eq!(world.sched.counters.incarnations_lost, crashes as u64);
             return crashes;
         }
     }
