--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -285,7 +285,9 @@
             Event::RelayUp(entry) => self.relay_up(&entry),
             Event::RelayHeard(entry) => self.relay_heard(&entry),
             Event::RelayLeaving(entry) => self.relay_leaving(&entry),
-            Event::RelayDown(entry, lease_end, may_return) => self.relay_down(&entry, lease_end, may_return),
+            Event::RelayDown { entry, lease_end, may_return } => {
+                self.relay_down(&entry, lease_end, may_return)
+            }
             Event::InboxRead(at) => self.inbox_read_at = at,
             Event::Tick => self.tick(),
         }
--- a/crates/workswood-core/src/jobs/types.rs
+++ b/crates/workswood-core/src/jobs/types.rs
@@ -83,9 +83,15 @@
     RelayHeard(HostId),
     /// A relay is about to stop.
     RelayLeaving(HostId),
-    /// A relay is lost or could not be reached. The leases that it extended end at the given time;
-    /// the flag tells whether only its connection broke, so that it may be reached again at once.
-    RelayDown(HostId, Duration, bool),
+    /// A relay is lost or could not be reached.
+    RelayDown {
+        /// The entry that runs the relay.
+        entry: HostId,
+        /// When the leases that it extended end.
+        lease_end: Duration,
+        /// Whether only its connection broke, so that it may be reached again at once.
+        may_return: bool,
+    },
     /// The inbox was read to its end at this time.
     InboxRead(Duration),
     /// Time passed.
--- a/crates/workswood-test-support/src/job_world/holder.rs
+++ b/crates/workswood-test-support/src/job_world/holder.rs
@@ -205,7 +205,7 @@
             s.kept_by_holder = false;
         }
         let end = t.granted + lease_with_drift(LEASE, limits().clock_drift);
-        h.sched.handle(Event::RelayDown(entry.clone(), end, may_return));
+        h.sched.handle(Event::RelayDown { entry: entry.clone(), lease_end: end, may_return });
     }
 
     fn tell_relay(&mut self, number: u64, msg: ToRelay) {
--- a/src/workswood/ops/jobs/sessions.rs
+++ b/src/workswood/ops/jobs/sessions.rs
@@ -211,7 +211,11 @@
         let granted = Duration::from_millis(self.granted.load(Ordering::Acquire));
         let span = LeaseTimes::of(&self.node.settings).span();
         log::info!("event=relay_session_over relay={} reason={why:?}", self.host);
-        self.tell(Event::RelayDown(self.host.clone(), granted + span, why == End::Broken));
+        self.tell(Event::RelayDown {
+            entry: self.host.clone(),
+            lease_end: granted + span,
+            may_return: why == End::Broken,
+        });
     }
 
     async fn talk(
