--- a/crates/workswood-core/src/jobs/pacing.rs
+++ b/crates/workswood-core/src/jobs/pacing.rs
@@ -31,7 +31,7 @@
                 self.notes.push(format_args!(
                     "event=pace worker={id} task={task} attempt={attempt} pace={pace} load={load:.2}"
                 ));
-                self.actions.push(Action::SetPace(id.clone(), task, attempt, pace));
+                self.actions.push(Action::SetPace { worker: id.clone(), task, attempt, percent: pace });
             }
         }
     }
--- a/crates/workswood-core/src/jobs/types.rs
+++ b/crates/workswood-core/src/jobs/types.rs
@@ -259,8 +259,17 @@
     },
     /// Stop an attempt of a task.
     Stop(WorkerId, TaskId, u32),
-    /// Limit an attempt of a task to a pace in percent.
-    SetPace(WorkerId, TaskId, u32, u32),
+    /// Limit the pace of an attempt of a task.
+    SetPace {
+        /// The worker that runs it.
+        worker: WorkerId,
+        /// The task.
+        task: TaskId,
+        /// Number of the attempt.
+        attempt: u32,
+        /// Pace in percent of full speed.
+        percent: u32,
+    },
     /// Order a host into maintenance as part of a wave.
     MaintainHost(HostId, u64),
     /// Order a host to move to the pool of a service.
--- a/crates/workswood-test-support/src/job_world/holder.rs
+++ b/crates/workswood-test-support/src/job_world/holder.rs
@@ -294,7 +294,7 @@
             Action::Stop(worker, task, attempt) => {
                 self.order(n, &worker.clone(), ToRelay::Stop(worker, task, attempt));
             }
-            Action::SetPace(..)
+            Action::SetPace { .. }
             | Action::MaintainHost(..)
             | Action::MoveHost(..)
             | Action::ReportFigures(..) => {}
--- a/src/workswood/ops/jobs/sessions.rs
+++ b/src/workswood/ops/jobs/sessions.rs
@@ -80,7 +80,7 @@
             }
             Action::ReportFigures(id, wanted) => self.order(&id, Order::Figures(wanted)),
             Action::Stop(id, task, attempt) => self.order(&id, Order::Stop { task, attempt }),
-            Action::SetPace(id, task, attempt, percent) => {
+            Action::SetPace { worker: id, task, attempt, percent } => {
                 self.order(&id, Order::Pace { task, attempt, percent });
             }
             Action::Start { worker, token, task, attempt, text, checkpoint, ticket } => {
--- a/src/workswood/ops/model/carry.rs
+++ b/src/workswood/ops/model/carry.rs
@@ -102,7 +102,7 @@
             Action::MaintainHost(host, _) => self.after(WAY, Happening::Ordered(host, Order::Upkeep)),
             // No queue of the model has advice.
             Action::Unwatch(_)
-            | Action::SetPace(..)
+            | Action::SetPace { .. }
             | Action::Advise { .. }
             | Action::ReportFigures(..)
             | Action::OpenRelay(_)
