--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -216,7 +216,7 @@
     fn remove_from_relay(&mut self, id: &WorkerId, relay: &HostId) {
         let Some(r) = self.relays.active.get_mut(relay) else { return };
         if r.workers.remove(id) && r.ready {
-            self.relays.orders.push(Action::Unwatch(id.clone()));
+            self.relays.orders.push(Action::StopPolling(id.clone()));
         }
     }
 
@@ -264,7 +264,7 @@
         let Some(r) = self.relays.active.get_mut(&entry) else { return };
         r.workers.insert(id.clone());
         if r.ready {
-            self.relays.orders.push(Action::Watch { relay: entry, info: (*info).clone(), token });
+            self.relays.orders.push(Action::StartPolling { relay: entry, info: (*info).clone(), token });
         }
     }
 
@@ -399,7 +399,7 @@
             let Some(w) = self.workers.get(&id) else { continue };
             let Some(info) = &w.info else { continue };
             let (info, token) = ((**info).clone(), self.worker_token(w.relay_count));
-            self.relays.orders.push(Action::Watch { relay: entry.clone(), info, token });
+            self.relays.orders.push(Action::StartPolling { relay: entry.clone(), info, token });
         }
     }
 
--- a/crates/workswood-core/src/jobs/types.rs
+++ b/crates/workswood-core/src/jobs/types.rs
@@ -61,7 +61,7 @@
     WorkerListed(WorkerInfo),
     /// The list of workers no longer shows a worker.
     WorkerUnlisted(WorkerId),
-    /// An update from the relay that attends the worker with this fencing token.
+    /// An update from the relay that polls the worker with this fencing token.
     WorkerUpdate(WorkerId, Term, WorkerUpdate),
     /// Another incarnation of the worker answers at its address, so this one has ended. The time is
     /// that of its last answer, on the scheduler's clock.
@@ -213,8 +213,8 @@
     OpenRelay(HostId),
     /// Close the relay of an entry.
     CloseRelay(HostId),
-    /// Have a relay attend a worker from now on.
-    Watch {
+    /// Have a relay poll a worker from now on.
+    StartPolling {
         /// The relay.
         relay: HostId,
         /// The worker.
@@ -222,9 +222,9 @@
         /// Fencing token of the relay's orders to the worker.
         token: Term,
     },
-    /// Have a worker attended no longer.
-    Unwatch(WorkerId),
-    /// Turn on or off that the worker's relay reports the load figures of all its tasks with each
+    /// Have the relay of a worker stop polling it.
+    StopPolling(WorkerId),
+    /// Set whether the worker's relay reports the load figures of all of the worker's tasks with each
     /// probe.
     ReportFigures(WorkerId, bool),
     /// Start a task.
--- a/crates/workswood-test-support/src/host_world.rs
+++ b/crates/workswood-test-support/src/host_world.rs
@@ -152,7 +152,7 @@
     /// A worker answers a look that is sent now.
     pub fn answers(&mut self, id: &WorkerId, listing: Listing) {
         for action in self.sched.assign_relays() {
-            if let Action::Watch { info, .. } = action {
+            if let Action::StartPolling { info, .. } = action {
                 self.attended.insert(info.id, (RunTracker::default(), self.sched.now));
             }
         }
--- a/crates/workswood-test-support/src/job_world/holder.rs
+++ b/crates/workswood-test-support/src/job_world/holder.rs
@@ -273,12 +273,12 @@
                     s.kept_by_holder = false;
                 }
             }
-            Action::Watch { relay, info, token } => {
+            Action::StartPolling { relay, info, token } => {
                 let id = info.id;
                 self.holders[n].attended.insert(id.clone(), (relay, token));
                 self.order(n, &id.clone(), ToRelay::Attend { id, token });
             }
-            Action::Unwatch(id) => {
+            Action::StopPolling(id) => {
                 self.order(n, &id, ToRelay::Leave(id.clone()));
                 self.holders[n].attended.remove(&id);
             }
--- a/src/workswood/ops/jobs/sessions.rs
+++ b/src/workswood/ops/jobs/sessions.rs
@@ -72,8 +72,8 @@
         match action {
             Action::OpenRelay(host) => self.open(host, tasks),
             Action::CloseRelay(host) => self.close(&host),
-            Action::Watch { relay, info, token } => self.attend(relay, info, token),
-            Action::Unwatch(id) => {
+            Action::StartPolling { relay, info, token } => self.attend(relay, info, token),
+            Action::StopPolling(id) => {
                 if let Some(a) = self.attended.remove(&id) {
                     self.leave(&a);
                 }
--- a/src/workswood/ops/model/carry.rs
+++ b/src/workswood/ops/model/carry.rs
@@ -90,7 +90,7 @@
             Action::Stop(worker, task, attempt) => {
                 self.after(WAY, Happening::Stops(worker, task, attempt));
             }
-            Action::Watch { info, .. } => {
+            Action::StartPolling { info, .. } => {
                 if let Some(n) = self.host_of(&info.id) {
                     self.hosts[n].follow = RunTracker::default();
                     self.after(WAY, Happening::Look(n, info.id, true));
@@ -101,7 +101,7 @@
             }
             Action::MaintainHost(host, _) => self.after(WAY, Happening::Ordered(host, Order::Upkeep)),
             // No queue of the model has advice.
-            Action::Unwatch(_)
+            Action::StopPolling(_)
             | Action::SetPace { .. }
             | Action::Advise { .. }
             | Action::ReportFigures(..)
--- a/tests/testsuite/foreign_entries.rs
+++ b/tests/testsuite/foreign_entries.rs
@@ -143,7 +143,7 @@
     other.service = "unheard-of".to_string();
     world.sched.handle(Event::WorkerListed(other.clone()));
     let watched = |actions: &[Action]| {
-        actions.iter().any(|a| matches!(a, Action::Watch { info, .. } if info.id == other.id))
+        actions.iter().any(|a| matches!(a, Action::StartPolling { info, .. } if info.id == other.id))
     };
     assert!(!watched(&world.sched.assign_relays()), "nobody speaks with it");
     assert!(!world.sched.workers.contains_key(&other.id));
