--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -364,7 +364,7 @@
             WorkerUpdate::Reported(report) => self.reported(id, &report),
             WorkerUpdate::ProbeLate => self.doubt(id),
             WorkerUpdate::Unanswered { lease_end, .. } => self.unanswered(id, lease_end),
-            WorkerUpdate::Fenced => self.note_higher_token(id),
+            WorkerUpdate::Deposed => self.note_higher_token(id),
             WorkerUpdate::Started(task, attempt, reply) => self.started(id, task, attempt, reply),
             WorkerUpdate::Stopped(task, attempt, reply) => self.stopped(id, task, attempt, reply),
         }
@@ -380,7 +380,7 @@
     /// The latest time at which the worker answered, according to the news.
     fn answer_time(&self, news: &WorkerUpdate) -> Option<Duration> {
         match news {
-            WorkerUpdate::Reported(_) | WorkerUpdate::Fenced => Some(self.now),
+            WorkerUpdate::Reported(_) | WorkerUpdate::Deposed => Some(self.now),
             WorkerUpdate::Unanswered { heard, .. } => Some(*heard),
             WorkerUpdate::Started(_, _, reply) => reply.is_answer().then_some(self.now),
             WorkerUpdate::Stopped(_, _, reply) => (*reply == StopReply::Taken).then_some(self.now),
--- a/crates/workswood-core/src/jobs/types.rs
+++ b/crates/workswood-core/src/jobs/types.rs
@@ -113,7 +113,7 @@
         heard: Duration,
     },
     /// The worker has seen a higher fencing token.
-    Fenced,
+    Deposed,
     /// The reply to a start of this attempt of a task.
     Started(TaskId, u32, StartReply),
     /// The reply to a stop of this attempt of a task.
--- a/crates/workswood-test-support/src/job_world/relay.rs
+++ b/crates/workswood-test-support/src/job_world/relay.rs
@@ -396,7 +396,7 @@
                     heard: now.saturating_sub(w.heard),
                 }
             }
-            Coming::Fenced => WorkerUpdate::Fenced,
+            Coming::Fenced => WorkerUpdate::Deposed,
             Coming::Started { task, attempt, reply } => {
                 w.follow.start_answered(task, attempt, reply, now);
                 if reply.is_answer() {
--- a/src/workswood/ops/jobs/relay/order.rs
+++ b/src/workswood/ops/jobs/relay/order.rs
@@ -115,7 +115,7 @@
             What::Unanswered { leased, silent } => {
                 WorkerUpdate::Unanswered { lease_end: now + leased, heard: now.saturating_sub(silent) }
             }
-            What::Fenced => WorkerUpdate::Fenced,
+            What::Fenced => WorkerUpdate::Deposed,
             What::Started { task, attempt, reply } => WorkerUpdate::Started(task, attempt, reply),
             What::Stopped { task, attempt, reply } => WorkerUpdate::Stopped(task, attempt, reply),
         };
--- a/tests/testsuite/restarted_workers.rs
+++ b/tests/testsuite/restarted_workers.rs
@@ -121,7 +121,7 @@
         WorkerUpdate::Reported(Report { full: true, ended: vec![end], ..Report::default() }),
         WorkerUpdate::Started(task, attempt, workswood_core::jobs::StartReply::Taken),
         WorkerUpdate::Unanswered { lease_end: Duration::from_secs(9), heard: Duration::ZERO },
-        WorkerUpdate::Fenced,
+        WorkerUpdate::Deposed,
     ] {
         world.sched.handle(Event::WorkerUpdate(life(10).id, token, news));
     }
