--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -250,7 +250,7 @@
     fn restore_finished_job(&mut self, key: JobKey, outcome: Outcome, record: OverRecord, in_inbox: bool) {
         let (queue, owner, state) = (record.queue.clone(), record.owner, Some(JobStatus::Ended(outcome)));
         self.jobs.archive(key, ArchivedJob { outcome, record }, self.now);
-        self.status_updates.push(JobStatusUpdate { key, queue, owner, state, timed: false });
+        self.status_updates.push(JobStatusUpdate { key, queue, owner, state, repeats: false });
         if in_inbox {
             self.finished_jobs.push(key);
         }
@@ -539,8 +539,14 @@
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let state = Some(job.status());
         if std::mem::replace(&mut job.published_status, state) != state {
-            let (queue, timed) = (job.spec.queue.clone(), job.spec.repeat.is_some());
-            batch.status_updates.push(JobStatusUpdate { key, queue, owner: job.spec.owner(), state, timed });
+            let (queue, repeats) = (job.spec.queue.clone(), job.spec.repeat.is_some());
+            batch.status_updates.push(JobStatusUpdate {
+                key,
+                queue,
+                owner: job.spec.owner(),
+                state,
+                repeats,
+            });
         }
         let Some(outcome) = job.outcome.filter(|_| job.at_rest()) else {
             batch.records.push(Record::Job(key, job.record()));
@@ -578,7 +584,7 @@
         batch.finished_jobs = std::mem::take(&mut self.finished_jobs);
         for (key, queue, owner) in std::mem::take(&mut self.forgotten_jobs) {
             batch.records.push(Record::DropJob(key));
-            batch.status_updates.push(JobStatusUpdate { key, queue, owner, state: None, timed: false });
+            batch.status_updates.push(JobStatusUpdate { key, queue, owner, state: None, repeats: false });
         }
         for id in std::mem::take(&mut self.dirty_workers) {
             batch.records.push(match self.workers.get(&id).and_then(|w| w.info.as_ref()) {
--- a/crates/workswood-core/src/jobs/types.rs
+++ b/crates/workswood-core/src/jobs/types.rs
@@ -305,8 +305,8 @@
     pub owner: Owner,
     /// Its state; `None` once the job is forgotten.
     pub state: Option<JobStatus>,
-    /// Whether the job repeats on a schedule.
-    pub timed: bool,
+    /// Whether the job repeats on a schedule; not set for jobs that were archived or forgotten.
+    pub repeats: bool,
 }
 
 /// The scheduler's output: records to store, and what follows once they are stored.
--- a/src/workswood/ops/jobs/shown.rs
+++ b/src/workswood/ops/jobs/shown.rs
@@ -14,7 +14,7 @@
 }
 
 fn counts(s: &JobStatusUpdate) -> bool {
-    s.state == Some(JobStatus::Queued) && !s.timed
+    s.state == Some(JobStatus::Queued) && !s.repeats
 }
 
 impl ShownJobs {
--- a/tests/testsuite/job_records.rs
+++ b/tests/testsuite/job_records.rs
@@ -174,7 +174,7 @@
 }
 
 fn shown(key: u64, queue: &str, state: Option<JobStatus>) -> JobStatusUpdate {
-    JobStatusUpdate { key, queue: queue.to_string(), owner: Owner::PUBLIC, state, timed: false }
+    JobStatusUpdate { key, queue: queue.to_string(), owner: Owner::PUBLIC, state, repeats: false }
 }
 
 #[test]
@@ -184,7 +184,7 @@
     all.show(shown(1, "a", Some(JobStatus::Queued)));
     all.show(shown(2, "a", Some(JobStatus::Queued)));
     all.show(shown(3, "b", Some(JobStatus::Queued)));
-    all.show(JobStatusUpdate { timed: true, ..shown(4, "b", Some(JobStatus::Queued)) });
+    all.show(JobStatusUpdate { repeats: true, ..shown(4, "b", Some(JobStatus::Queued)) });
     assert_eq!((all.queued("a"), all.queued("b"), all.queued("c")), (2, 1, 0));
     all.show(shown(1, "a", Some(JobStatus::Running)));
     all.show(shown(2, "a", None));
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -214,7 +214,7 @@
         queue: "q".into(),
         owner: workswood_core::jobs::Owner::PUBLIC,
         state: Some(JobStatus::Running),
-        timed: false,
+        repeats: false,
     };
     l.shown.write().show(shown);
     holder.leading.store(Some(Arc::new(l)));
