--- a/crates/workswood-core/src/jobs/policy.rs
+++ b/crates/workswood-core/src/jobs/policy.rs
@@ -46,10 +46,11 @@
     /// A job is worthless once it is late by this multiple of its target time.
     #[serde(rename = "late_until")]
     pub worthless_after: f64,
-    /// Number of ends after which the measured mean of a queue is trusted as much as an estimate.
+    /// Number of finished tasks after which the measured mean of a queue is trusted as much as an
+    /// estimate.
     #[serde(rename = "enough_ends")]
-    pub min_ends: u32,
-    /// Weight of the newest end in the moving average of a queue.
+    pub min_samples: u32,
+    /// Weight of the newest finished task in the moving average of a queue.
     #[serde(rename = "newest")]
     pub newest_weight: f64,
     /// Overload threshold: the room that the tasks waiting in a service ask for whose jobs can
@@ -79,7 +80,7 @@
     fn default() -> OrderPolicy {
         OrderPolicy {
             worthless_after: 3.0,
-            min_ends: 8,
+            min_samples: 8,
             newest_weight: 1.0 / 30.0,
             overload_share: 0.5,
             share_order: ShareOrder::Dominant,
@@ -401,7 +402,7 @@
     /// Checks that counts are at least 1.
     fn check_counts(&self) -> Result<(), String> {
         let counts = [
-            ("order.enough_ends", self.order.min_ends as usize),
+            ("order.enough_ends", self.order.min_samples as usize),
             ("placement.most_misses", self.placement.max_misses),
             ("need.turn_jobs", self.need.surge_min_jobs),
             ("health.faults_to_shun", self.health.faults_to_shun as usize),
--- a/crates/workswood-core/src/jobs/queue_order.rs
+++ b/crates/workswood-core/src/jobs/queue_order.rs
@@ -116,7 +116,7 @@
     pub fn expect(&self, queue: &str, estimate: Duration, policy: &OrderPolicy) -> Duration {
         let guess = if estimate.is_zero() { DEFAULT_ESTIMATE } else { estimate };
         match self.by_queue.get(queue) {
-            Some((n, mean)) if *n >= policy.min_ends => {
+            Some((n, mean)) if *n >= policy.min_samples => {
                 let guess = guess.as_secs_f64() * 1000.0;
                 Duration::from_secs_f64((guess * mean).sqrt() / 1000.0)
             }
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -625,7 +625,7 @@
     assert_eq!((s.host_orders_per_s, s.early_ms), (65.5, 104));
     assert_eq!((s.keep_ended_s, s.stop_within_s), (120.5, 6.25));
     let p = &s.policy;
-    assert_eq!((p.order.min_ends, p.order.share_order), (9, ShareOrder::Excess));
+    assert_eq!((p.order.min_samples, p.order.share_order), (9, ShareOrder::Excess));
     assert_eq!((p.placement.max_misses, p.need.surge_min_jobs, p.pools.margin), (9, 4, 0.01875));
     assert_eq!((p.waves.lead_time, p.health.shun_one_of), (millis(4_007), 4));
     assert_eq!(
