--- a/crates/workswood-core/src/jobs/placement.rs
+++ b/crates/workswood-core/src/jobs/placement.rs
@@ -258,7 +258,7 @@
         }
         let interfering = match (step.best_effort, step.latency_target) {
             // Keep best-effort tasks together, since a host with one of them is never empty.
-            (true, _) if !policy.fill_serving_hosts => {
+            (true, _) if !policy.best_effort_beside_serving => {
                 2 * w.serving.len() + usize::from(w.best_effort.is_empty())
             }
             (false, Some(_)) => w.best_effort.len(),
--- a/crates/workswood-core/src/jobs/policy.rs
+++ b/crates/workswood-core/src/jobs/policy.rs
@@ -97,14 +97,14 @@
     /// larger ones wait for.
     #[serde(rename = "most_misses")]
     pub max_misses: usize,
-    /// Whether filling tasks may run on hosts with serving tasks.
+    /// Whether best-effort tasks are placed on hosts with serving tasks as readily as on others.
     #[serde(rename = "fills_beside")]
-    pub fill_serving_hosts: bool,
+    pub best_effort_beside_serving: bool,
 }
 
 impl Default for PlacementPolicy {
     fn default() -> PlacementPolicy {
-        PlacementPolicy { max_misses: 8, fill_serving_hosts: false }
+        PlacementPolicy { max_misses: 8, best_effort_beside_serving: false }
     }
 }
 
