--- a/crates/workswood-core/src/jobs/policy.rs
+++ b/crates/workswood-core/src/jobs/policy.rs
@@ -146,20 +146,22 @@
     /// forecast off.
     #[serde(rename = "turn_share")]
     pub surge_peak_share: f64,
-    /// A service's first surge is expected to need this multiple of the hosts that operators gave
-    /// its pool.
+    /// A surge beyond the service's earlier ones is expected to need at least this multiple of the
+    /// hosts that operators gave its pool.
     #[serde(rename = "turn_first")]
-    pub first_surge_pool_factor: f64,
-    /// Upper bound of that forecast, as a multiple of the rate in the last third of
-    /// `arrival_window`.
+    pub new_surge_pool_factor: f64,
+    /// Upper bound of the forecast by `new_surge_pool_factor`, as a multiple of the rate in the last
+    /// third of `arrival_window`.
     #[serde(rename = "turn_first_rise")]
-    pub first_surge_max_rise: f64,
-    /// That forecast applies only while the rate in the last third of `arrival_window` is at least
-    /// this multiple of the rate in the whole window: afterwards the surge has reached its peak.
+    pub new_surge_max_rise: f64,
+    /// The forecast by `new_surge_pool_factor` may exceed the rate in the whole `arrival_window` only
+    /// while the rate in the last third of it is at least this multiple of that rate: afterwards the
+    /// surge has reached its peak.
     #[serde(rename = "turn_still_rises")]
-    pub first_surge_min_rise: f64,
-    /// Whether a surge beyond the service's earlier ones is expected to reach the highest rate of
-    /// any service. Before its first surge, a service's own history only shows its low demand.
+    pub new_surge_min_rise: f64,
+    /// Whether a surge beyond the service's earlier ones is expected to reach `surge_peak_share` of
+    /// the highest rate of any service. If not, only a service that has no earlier rate of its own is
+    /// expected to.
     #[serde(rename = "turn_any")]
     pub surge_from_other_services: bool,
     /// How fast the lend floor of a pool falls, in shares of all hosts per second. Hosts above the
@@ -185,9 +187,9 @@
             surge_min_share: 0.04,
             surge_min_jobs: 3,
             surge_peak_share: 0.8,
-            first_surge_pool_factor: 2.0,
-            first_surge_max_rise: 2.0,
-            first_surge_min_rise: 1.5,
+            new_surge_pool_factor: 2.0,
+            new_surge_max_rise: 2.0,
+            new_surge_min_rise: 1.5,
             surge_from_other_services: true,
             lend_floor_fall_per_s: 0.3,
             power_off_floor_fall_per_s: 0.08,
@@ -385,9 +387,9 @@
             ("need.turn_rise", self.need.surge_rise),
             ("need.turn_least", self.need.surge_min_share),
             ("need.turn_share", self.need.surge_peak_share),
-            ("need.turn_first", self.need.first_surge_pool_factor),
-            ("need.turn_first_rise", self.need.first_surge_max_rise),
-            ("need.turn_still_rises", self.need.first_surge_min_rise),
+            ("need.turn_first", self.need.new_surge_pool_factor),
+            ("need.turn_first_rise", self.need.new_surge_max_rise),
+            ("need.turn_still_rises", self.need.new_surge_min_rise),
             ("pools.margin", self.pools.margin),
             ("pools.surplus", self.pools.surplus),
             ("health.stuck_share", self.health.stuck_share),
--- a/crates/workswood-core/src/jobs/pool_need.rs
+++ b/crates/workswood-core/src/jobs/pool_need.rs
@@ -223,9 +223,9 @@
         let highest_peak = self.pools.demand.values().map(DemandHistory::peak_rate).fold(0.0, f64::max);
         let declared = self.pools.declared_sizes.get(service).map_or(0.0, |count| *count as f64);
         let latest = demand.rate(self.now, Duration::ZERO, policy.arrival_window / 3);
-        let still_rises = latest >= recent * policy.first_surge_min_rise;
-        let max_cores = if still_rises { latest * policy.first_surge_max_rise } else { recent };
-        let first_surge = (declared * policy.first_surge_pool_factor * size).min(max_cores);
-        (highest_peak * policy.surge_peak_share).max(first_surge)
+        let still_rises = latest >= recent * policy.new_surge_min_rise;
+        let max_cores = if still_rises { latest * policy.new_surge_max_rise } else { recent };
+        let new_surge = (declared * policy.new_surge_pool_factor * size).min(max_cores);
+        (highest_peak * policy.surge_peak_share).max(new_surge)
     }
 }
--- a/tests/testsuite/demand_history.rs
+++ b/tests/testsuite/demand_history.rs
@@ -85,7 +85,7 @@
 /// comes in, of 16 tasks in all.
 fn moved_at_first(turn_first: f64, jobs: u64) -> (usize, HostWorld) {
     let mut world = HostWorld::new(1);
-    world.sched.policy.need.first_surge_pool_factor = turn_first;
+    world.sched.policy.need.new_surge_pool_factor = turn_first;
     world.sched.policy.need.surge_min_share = 0.01;
     world.sched.wall = 60_000;
     let mut hosts: Vec<_> = (0..4).map(|n| host(n, SERVICE, Some(0))).collect();
@@ -144,7 +144,7 @@
     let mut world = HostWorld::new(1);
     world.sched.policy.need.surge_from_other_services = turn_any;
     world.sched.policy.need.surge_min_share = 0.01;
-    world.sched.policy.need.first_surge_pool_factor = 3.0;
+    world.sched.policy.need.new_surge_pool_factor = 3.0;
     let mut hosts: Vec<_> = (0..4).map(|n| host(n, SERVICE, Some(0))).collect();
     hosts.extend((4..40).map(|n| host(n, "spare", None)));
     world.list(hosts);
