--- a/crates/workswood-core/src/jobs/crash_attribution.rs
+++ b/crates/workswood-core/src/jobs/crash_attribution.rs
@@ -295,7 +295,7 @@
         }
         // The worker is known from the records of runs only, which do not tell how it ended.
         let Some(info) = &w.info else { return true };
-        !info.draining && !self.is_ordered_since(&info.host, w.known_since)
+        !info.draining && !self.may_have_been_ordered_since(&info.host, w.known_since)
     }
 
     fn lost_run(&self, id: &WorkerId, task: &TaskId, attempt: u32) -> Option<LostRun> {
--- a/crates/workswood-core/src/jobs/order_marks.rs
+++ b/crates/workswood-core/src/jobs/order_marks.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether a host may have been ordered at or after a time.
-    pub(super) fn is_ordered_since(&self, host: &HostId, since: Duration) -> bool {
+    pub(super) fn may_have_been_ordered_since(&self, host: &HostId, since: Duration) -> bool {
         match self.order_marks.by_host.get(host) {
             Some(Mark::Own(at)) => *at >= since,
             Some(Mark::Inherited) => self.claimed_at >= since,
