--- a/crates/workswood-core/src/jobs/maintenance_orders.rs
+++ b/crates/workswood-core/src/jobs/maintenance_orders.rs
@@ -38,7 +38,7 @@
         }
         let worker = |host: &HostId| {
             let listed = || self.hosts.get(host).and_then(|host| host.worker.clone());
-            self.worker_on(host).cloned().or_else(listed)
+            self.current_worker_on(host).cloned().or_else(listed)
         };
         let draining: Vec<(HostId, Duration, Option<WorkerId>)> =
             wave.draining.iter().map(|(host, at)| (host.clone(), *at, worker(host))).collect();
--- a/crates/workswood-core/src/jobs/maintenance_waves.rs
+++ b/crates/workswood-core/src/jobs/maintenance_waves.rs
@@ -14,7 +14,7 @@
 use super::job::WorkerId;
 use super::map::{Map, Set};
 use super::policy::WavePolicy;
-use super::pool_count::is_working;
+use super::pool_count::is_up_or_moving;
 use super::scheduler::Scheduler;
 use crate::ids::{HostId, ServiceId};
 
@@ -328,7 +328,7 @@
             self.notes
                 .push(format_args!("event=machine_emptying wave={number} machine={host} spared={spared}"));
             if let Some(host) =
-                self.hosts.get(&host).filter(|host| is_working(host) && self.is_outside_evacuation(host))
+                self.hosts.get(&host).filter(|host| is_up_or_moving(host) && self.is_outside_evacuation(host))
             {
                 count.remove_host(&host.pool);
             }
@@ -345,7 +345,7 @@
         let free = |host: &&HostId| self.hosts.contains_key(*host) && !self.pools.moves.contains_key(*host);
         let waiting = wave.request.hosts.iter().filter(|host| wave.is_pending(host)).filter(free);
         let mut waiting: Vec<(bool, (usize, u64, HostId))> = waiting
-            .map(|host| (self.is_in_pools(host, short), self.load_on(host, self.worker_on(host))))
+            .map(|host| (self.is_in_pools(host, short), self.load_on(host, self.current_worker_on(host))))
             .collect();
         waiting.sort();
         waiting.into_iter().map(|(_, load)| load).collect()
--- a/crates/workswood-core/src/jobs/pool_count.rs
+++ b/crates/workswood-core/src/jobs/pool_count.rs
@@ -1,7 +1,7 @@
-//! Counts and free hosts of all pools for one round of planning.
+//! Counts and free hosts of all pools for one planning pass.
 //!
 //! They are collected in one pass and updated with each decision. Collecting them again for each
-//! host would make a round quadratic in the number of hosts.
+//! host would make a planning pass quadratic in the number of hosts.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 /// Hosts of one pool that may move to another now, with their workers.
 type FreeHosts = BTreeMap<HostId, Option<WorkerId>>;
 
-/// Counts of all pools in one round of planning.
+/// Counts of all pools in one planning pass.
 #[derive(Debug, Default)]
 pub(super) struct PoolCount {
     /// Number of hosts that each pool has or is about to get.
@@ -33,8 +33,8 @@
         self.free.get_or_insert_with(|| sched.free_hosts())
     }
 
-    /// Moves a free host to another pool; returns its worker.
-    pub(super) fn move_free_host(
+    /// Counts a free host for another pool; returns its worker.
+    pub(super) fn record_move(
         &mut self,
         host: &HostId,
         from: &ServiceId,
@@ -52,8 +52,8 @@
     }
 }
 
-/// Whether a host is in service, or will be without an order by this scheduler.
-pub(super) fn is_working(host: &Host) -> bool {
+/// Whether a host is in service, or will be once its move is complete.
+pub(super) fn is_up_or_moving(host: &Host) -> bool {
     matches!(host.state, HostState::Up | HostState::Moving)
 }
 
@@ -65,16 +65,16 @@
             Some(n) => *n += 1,
             None => _ = have.insert(pool.clone(), 1),
         };
-        let taken = self.hosts_to_cordon();
+        let to_cordon = self.hosts_to_cordon();
         let leaves = |host: &Host| {
             let moving =
                 || self.pools.moves.get(&host.name).is_some_and(|pool_move| pool_move.to != host.pool);
-            taken.contains(&host.name) && (moving() || self.in_maintenance(&host.name))
+            to_cordon.contains(&host.name) && (moving() || self.in_maintenance(&host.name))
         };
         let stay = self
             .hosts
             .values()
-            .filter(|host| is_working(host) && self.is_outside_evacuation(host) && !leaves(host));
+            .filter(|host| is_up_or_moving(host) && self.is_outside_evacuation(host) && !leaves(host));
         stay.for_each(|host| add(&host.pool));
         let moving = self.pools.moves.iter();
         let comes = |host: &Host, to: &ServiceId| host.pool != *to && self.is_outside_evacuation(host);
@@ -85,18 +85,18 @@
     }
 
     /// Hosts that may move to another pool now, by pool: those that are turned off, and those whose
-    /// worker is reachable and idle. A host may move again right after its arrival: to a new lease
-    /// holder every worker is new, so waiting here would delay all moves.
+    /// worker is reachable and idle. There is no minimum stay: after a takeover all workers look
+    /// new.
     fn free_hosts(&self) -> BTreeMap<ServiceId, FreeHosts> {
         let spare = self.spare_pool();
-        let taken = self.hosts_to_cordon();
+        let to_cordon = self.hosts_to_cordon();
         let may_move = |host: &&Host| {
             let up = host.state == HostState::Up && self.is_outside_evacuation(host);
-            up && !taken.contains(&host.name) && self.may_order(&host.name)
+            up && !to_cordon.contains(&host.name) && self.may_order(&host.name)
         };
         let mut free: BTreeMap<ServiceId, FreeHosts> = BTreeMap::new();
         for host in self.hosts.values().filter(may_move) {
-            let worker = self.worker_on(&host.name).or(host.worker.as_ref());
+            let worker = self.current_worker_on(&host.name).or(host.worker.as_ref());
             if spare.as_ref() == Some(&host.pool) || worker.is_some_and(|id| self.is_idle_worker(id)) {
                 free.entry(host.pool.clone()).or_default().insert(host.name.clone(), worker.cloned());
             }
@@ -109,13 +109,12 @@
         self.workers.get(id).is_some_and(|w| w.reachable && w.runs.is_empty())
     }
 
-    /// The worker of a host, by the workers' own statements. A life that is not listed may be cut
-    /// off and still run tasks; a life that is over may stay listed for a while, but does not
-    /// answer. A new lease holder knows both, and must not take a host for idle whose current life
-    /// is busy.
-    pub(super) fn worker_on(&self, host: &HostId) -> Option<&WorkerId> {
-        let lives = self.workers.on_host(host).iter();
-        let known = lives.filter_map(|id| Some((id, self.workers.get(id)?)));
+    /// The current incarnation of the worker of a host, as reported by the workers. An unlisted
+    /// incarnation may be cut off and still run tasks; an ended one may stay listed for a while but
+    /// does not answer. Reachable ones are preferred, then listed, then busy ones.
+    pub(super) fn current_worker_on(&self, host: &HostId) -> Option<&WorkerId> {
+        let incarnations = self.workers.on_host(host).iter();
+        let known = incarnations.filter_map(|id| Some((id, self.workers.get(id)?)));
         let counts = known.filter(|(_, w)| w.listed || !w.runs.is_empty());
         let best = counts.max_by_key(|(id, w)| (w.reachable, w.listed, !w.runs.is_empty(), *id));
         best.map(|(id, _)| id)
--- a/crates/workswood-core/src/jobs/pool_moves.rs
+++ b/crates/workswood-core/src/jobs/pool_moves.rs
@@ -13,13 +13,14 @@
 use super::types::Action;
 use crate::ids::{HostId, ServiceId};
 
-/// Largest time between the request for a list of hosts and its arrival.
+/// How long after a move a list of hosts that was requested before it may still arrive.
 const HOST_LIST_LAG: Duration = Duration::from_millis(1200);
 
-/// How far ahead of their orders moves are begun: hosts need some time to become empty.
+/// Moves under way are limited to as many as can be ordered in this time: hosts need some time to
+/// become empty.
 const MOVE_LEAD_TIME: Duration = Duration::from_millis(1500);
-/// Largest share of these moves that may go to the pool of hosts that are turned off, since they
-/// can wait.
+/// Moves to the spare pool begin only while fewer than this share of the allowed moves, of whatever
+/// kind, are under way, since they can wait.
 const SPARE_MOVES_SHARE: f64 = 0.5;
 /// After a pause, as many orders may be sent at once as the platform accepts in this time.
 const ORDER_BURST_TIME: Duration = Duration::from_millis(1000);
@@ -35,7 +36,7 @@
     pub order_sent_at: Option<Duration>,
     /// Whether an order had no reply, so that it may still be carried out.
     pub unconfirmed: bool,
-    /// The life of the host's worker when the move was decided.
+    /// The incarnation of the host's worker when the move was decided.
     pub worker: Option<WorkerId>,
 }
 
@@ -77,15 +78,15 @@
             self.pools.moves.get(name).map(|pool_move| &pool_move.to) == spare.as_ref()
         };
         let (last, first): (Vec<_>, Vec<_>) = orders.into_iter().partition(goes_to_spare_pool);
-        let most = self.available_orders();
+        let most = self.refill_order_budget();
         for (name, _) in first.into_iter().chain(last).take(most) {
             self.pools.order_budget -= 1.0;
             self.order_move(name);
         }
     }
 
-    /// Number of move orders that may be sent now.
-    fn available_orders(&mut self) -> usize {
+    /// Refills the budget of move orders, and returns how many may be sent now.
+    fn refill_order_budget(&mut self) -> usize {
         let rate = self.limits.host_orders_per_s;
         let passed = self.now.saturating_sub(self.pools.order_budget_updated_at).as_secs_f64();
         self.pools.order_budget_updated_at = self.now;
@@ -94,12 +95,12 @@
         self.pools.order_budget as usize
     }
 
-    /// Largest number of moves that may be under way, to the pool of hosts that are turned off or
-    /// to others.
-    pub(super) fn max_moves(&self, to_spare: bool) -> f64 {
+    /// Number of moves under way, of whatever kind, below which a move may begin: to the spare
+    /// pool, or to another pool.
+    pub(super) fn max_moves(&self, to_spare_pool: bool) -> f64 {
         let ahead = self.limits.host_orders_per_s * MOVE_LEAD_TIME.as_secs_f64();
         let most = self.share_of_hosts(self.policy.pools.max_moves_share).min(ahead.max(1.0));
-        if to_spare { (most * SPARE_MOVES_SHARE).max(1.0) } else { most }
+        if to_spare_pool { (most * SPARE_MOVES_SHARE).max(1.0) } else { most }
     }
 
     /// The next step of a move, if one is due.
@@ -138,7 +139,8 @@
     /// Handles the reply to a move order; returns whether there was such a move.
     pub(super) fn move_answered(&mut self, host: &HostId, reply: HostReply) -> bool {
         let Some(pool_move) = self.pools.moves.get_mut(host) else { return false };
-        let (to, worker, unsure) = (pool_move.to.clone(), pool_move.worker.clone(), pool_move.unconfirmed);
+        let (to, worker, unconfirmed) =
+            (pool_move.to.clone(), pool_move.worker.clone(), pool_move.unconfirmed);
         self.notes.push(format_args!("event=machine_moved machine={host} to={to} reply={reply:?}"));
         match reply {
             HostReply::Done => self.move_done(host, to, worker),
@@ -150,7 +152,7 @@
             // Nothing was done. If an earlier request may still be carried out, the order is
             // repeated.
             HostReply::Busy | HostReply::Later | HostReply::Fenced => {
-                if !unsure {
+                if !unconfirmed {
                     self.pools.moves.remove(host);
                 }
             }
@@ -158,7 +160,7 @@
         true
     }
 
-    /// Completes a move, which ends the life of the host's worker.
+    /// Completes a move, which ends the incarnation of the host's worker.
     fn move_done(&mut self, host: &HostId, to: ServiceId, worker: Option<WorkerId>) {
         self.pools.moves.remove(host);
         self.pools.recent_moves.insert(host.clone(), (self.now, to.clone()));
@@ -171,7 +173,7 @@
     }
 }
 
-/// Marks a host as moving to a pool; the life of its worker is over.
+/// Marks a host as moving to a pool; the incarnation of its worker has ended.
 fn set_moving_to(host: &mut Host, pool: ServiceId) {
     host.pool = pool;
     host.state = HostState::Moving;
--- a/crates/workswood-core/src/jobs/pool_planning.rs
+++ b/crates/workswood-core/src/jobs/pool_planning.rs
@@ -127,15 +127,15 @@
         let (used, size) = (self.workers.room_in_use(service), self.workers.largest_capacity(service));
         let busy = used.cpu_millis as f64 / size.cpu_millis.max(1) as f64;
         let waiting = self.ready.get(service).map_or(0, TaskQueue::count);
-        let Need { now, soon, lend_floor: lend, power_off_floor: keep } = need;
+        let Need { now, soon, lend_floor, power_off_floor } = need;
         let moving = self.pools.moves.len();
         format!(
             "event=pool_state service={service} have={have} busy={busy:.1} need_now={now:.1} need_soon={soon:.1} \
-             need_lend={lend:.1} need_keep={keep:.1} waiting={waiting} moving={moving}"
+             need_lend={lend_floor:.1} need_keep={power_off_floor:.1} waiting={waiting} moving={moving}"
         )
     }
 
-    /// The need of a service's pool, and the number of hosts that stay or arrive.
+    /// The need of a service's pool, and the number of hosts that it has or is about to get.
     fn pool(&self, count: &PoolCount, service: &ServiceId) -> Pool {
         let need = self.pools.need.get(service).copied().unwrap_or_default();
         Pool { need, have: count.hosts_in(service) as f64 }
@@ -152,14 +152,14 @@
         self.has_surplus(count, &host.pool)
     }
 
-    /// Whether a pool has at least one host more than it keeps when another is short.
+    /// Whether a pool has at least one host more than its lend floor and margin.
     fn has_surplus(&self, count: &PoolCount, service: &ServiceId) -> bool {
         let pool = self.pool(count, service);
         pool.have >= (pool.need.lend_floor + self.margin()).ceil() + 1.0
     }
 
-    /// Whether a pool has fewer hosts than it could use. Before its first work, a pool is assumed
-    /// to have the right size, also while its hosts start.
+    /// Whether a pool has fewer hosts than it is expected to need soon, margin included. Before its
+    /// first work, a pool is assumed to have the right size, also while its hosts start.
     fn is_short(&self, count: &PoolCount, service: &ServiceId) -> bool {
         if !self.pools.services_with_work.contains(service) {
             return false;
@@ -173,9 +173,10 @@
         self.active_services().into_iter().filter(|s| self.is_short(count, s)).collect()
     }
 
-    /// Whether as many moves are under way as are allowed.
-    fn move_limit_reached(&self, to_spare: bool) -> bool {
-        self.pools.moves.len() as f64 >= self.max_moves(to_spare)
+    /// Whether as many moves are under way as are allowed when one to the spare pool, or to another
+    /// pool, begins.
+    fn move_limit_reached(&self, to_spare_pool: bool) -> bool {
+        self.pools.moves.len() as f64 >= self.max_moves(to_spare_pool)
     }
 
     /// Begins moves to pools that are short of hosts.
@@ -201,7 +202,7 @@
         donors.into_iter().filter_map(|s| self.free_host(s, to, count)).min()
     }
 
-    /// A free host of a pool that may move to another, the first by name.
+    /// The first free host of pool `from`, by name, whose move to `to` was not reported impossible.
     fn free_host(&self, from: &ServiceId, to: &ServiceId, count: &mut PoolCount) -> Option<HostId> {
         let here = count.free(self).get(from)?;
         let may = |host: &&HostId| !self.pools.impossible_moves.contains(&((*host).clone(), to.clone()));
@@ -211,7 +212,7 @@
     /// Begins the move of a free host.
     fn begin_free_host_move(&mut self, host: HostId, to: &ServiceId, count: &mut PoolCount) {
         let Some(from) = self.hosts.get(&host).map(|host| host.pool.clone()) else { return };
-        let worker = count.move_free_host(&host, &from, to);
+        let worker = count.record_move(&host, &from, to);
         self.begin_move(host, to.clone(), worker);
     }
 
