--- a/crates/workswood-core/src/jobs/demand_history.rs
+++ b/crates/workswood-core/src/jobs/demand_history.rs
@@ -6,7 +6,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Milliseconds on the scheduler's monotonic clock; negative for arrivals before the process began.
+/// Milliseconds on the scheduler's monotonic clock; negative for arrivals before this process
+/// started.
 type AtMs = i64;
 
 /// How long arrivals are kept.
@@ -29,10 +30,10 @@
     arrivals: VecDeque<Arrival>,
     /// Running total of the arrivals that were dropped.
     forgotten_work: u64,
-    /// Arrivals before this holder began, in any order, until they are merged.
+    /// Arrivals before this process started, in any order, until `finish_restore` appends them.
     restored: Vec<(AtMs, u64)>,
-    /// Each rate that exceeded all before it, in cores, and when.
-    peaks: Vec<(AtMs, f64)>,
+    /// Rates that exceeded all earlier ones, in cores, each with its time.
+    record_rates: Vec<(AtMs, f64)>,
 }
 
 fn to_ms(at: Duration) -> AtMs {
@@ -53,12 +54,13 @@
         self.arrivals.push_back(Arrival { at, total_work: total });
     }
 
-    /// Adds work that arrived `ago` before `now`, before this holder began, in any order.
+    /// Adds work that arrived `ago` before `now`, before this process started, in any order.
     pub fn restore(&mut self, now: Duration, ago: Duration, work: u64) {
         self.restored.push((to_ms(now) - to_ms(ago), work));
     }
 
-    /// Sorts and merges the restored arrivals and finds their peak rate.
+    /// Sorts the restored arrivals, appends them, and finds their peak rate. Called before any
+    /// other arrival is added.
     pub fn finish_restore(&mut self, now: Duration, window: Duration) {
         self.restored.sort_unstable();
         for (at, work) in std::mem::take(&mut self.restored) {
@@ -71,8 +73,8 @@
 
     fn update_peak(&mut self, at: AtMs, window: Duration) {
         let rate = self.rate_between(at - to_ms(window), at);
-        if self.peaks.last().is_none_or(|(_, highest)| rate > *highest) {
-            self.peaks.push((at, rate));
+        if self.record_rates.last().is_none_or(|(_, highest)| rate > *highest) {
+            self.record_rates.push((at, rate));
         }
     }
 
@@ -98,13 +100,13 @@
 
     /// The peak rate, in cores.
     pub fn peak_rate(&self) -> f64 {
-        self.peaks.last().map_or(0.0, |(_, rate)| *rate)
+        self.record_rates.last().map_or(0.0, |(_, rate)| *rate)
     }
 
     /// The peak rate of all windows that ended at least `ago` before now, in cores.
     pub fn peak_rate_before(&self, now: Duration, ago: Duration) -> f64 {
         let until = to_ms(now) - to_ms(ago);
-        let before = self.peaks.iter().rev().find(|(at, _)| *at <= until);
+        let before = self.record_rates.iter().rev().find(|(at, _)| *at <= until);
         before.map_or(0.0, |(_, rate)| *rate)
     }
 
--- a/crates/workswood-core/src/jobs/pool_need.rs
+++ b/crates/workswood-core/src/jobs/pool_need.rs
@@ -28,13 +28,13 @@
 
 /// The load that running and waiting tasks put on a service.
 struct ServiceLoad {
-    /// Whether any task runs or waits.
+    /// Whether any task runs, or waits and can be in time.
     any_task: bool,
     /// Number of hosts that these tasks fill.
     hosts_filled: f64,
-    /// Cores of the largest host; 0 if none is known.
+    /// Cores of the service's largest listed worker; 0 if none is listed.
     cores_per_host: f64,
-    /// Hosts needed by lasting tasks that limit how many of them share a host.
+    /// Hosts needed by long-running tasks that limit how many of them share a host.
     spread_hosts: f64,
 }
 
@@ -66,7 +66,8 @@
         }
     }
 
-    /// The need of a service whose pool has `have` hosts, with the largest falls of its two floors.
+    /// The need of a service whose pool has `have` hosts. Its two floors fall by at most
+    /// `max_lend_fall` and `max_power_off_fall`.
     fn next_need(
         &mut self,
         service: &ServiceId,
@@ -82,14 +83,14 @@
         let before = self.pools.need.get(service).copied().unwrap_or_default();
         // Before its first work, a pool is assumed to have the right size.
         let known = self.pools.services_with_work.contains(service) || now > 0.0;
-        let keep = if known { before.power_off_floor - max_power_off_fall } else { have };
-        let lend = before.lend_floor - max_lend_fall;
+        let power_off_floor = if known { before.power_off_floor - max_power_off_fall } else { have };
+        let lend_floor = before.lend_floor - max_lend_fall;
         if known {
             self.pools.services_with_work.insert(service.clone());
         }
-        // An expected surge raises the floor like present use: its signs come and go with single
-        // jobs, and hosts should not move back and forth with them.
-        Need { now, soon, lend_floor: lend.max(now), power_off_floor: keep.max(soon) }
+        // An expected surge raises the power-off floor like present use: its signs come and go with
+        // single jobs, and hosts should not move back and forth with them.
+        Need { now, soon, lend_floor: lend_floor.max(now), power_off_floor: power_off_floor.max(soon) }
     }
 
     /// The load that running and waiting tasks put on a service.
@@ -124,7 +125,7 @@
         waiting.map(|w| w.requested_within(|owner| self.remaining_limit(owner))).unwrap_or_default()
     }
 
-    /// Hosts needed by lasting tasks that limit how many of them share a host.
+    /// Hosts needed by long-running tasks that limit how many of them share a host.
     fn spread_hosts(&self, service: &ServiceId) -> u32 {
         let jobs = self.jobs.long_running(service).filter(|j| j.open());
         let steps = jobs.flat_map(|j| &j.spec.steps).filter(|s| s.long_running && s.max_per_worker > 0);
@@ -161,7 +162,8 @@
         self.pools.demand.values_mut().for_each(|d| d.finish_restore(now, window));
     }
 
-    /// Work of a job, in core-milliseconds; `None` if it does not end by itself.
+    /// Work of one round of a job, in core-milliseconds; `None` if the job does not end by itself
+    /// or no round of it is open.
     pub(super) fn job_work(&self, job: &Job) -> Option<u64> {
         if job.spec.is_long_running() || job.rounds.is_empty() {
             return None;
@@ -205,19 +207,19 @@
         if demand.job_count(self.now, policy.arrival_window) < policy.surge_min_jobs {
             return 0.0;
         }
-        let size =
+        let cores_per_host =
             self.hosts.values().map(|host| host.capacity.cpu_millis).max().unwrap_or(0) as f64 / 1000.0;
-        if recent < size * self.share_of_hosts(policy.surge_min_share) {
+        if recent < cores_per_host * self.share_of_hosts(policy.surge_min_share) {
             return 0.0;
         }
         // The surge's own rates so far don't tell how high it will rise.
         let own_peak = demand.peak_rate_before(self.now, policy.calm_window);
-        let own_peak_tells = if policy.surge_from_other_services {
+        let own_peak_applies = if policy.surge_from_other_services {
             own_peak * policy.surge_peak_share > recent
         } else {
             own_peak > 0.0
         };
-        if own_peak_tells {
+        if own_peak_applies {
             return own_peak * policy.surge_peak_share;
         }
         let highest_peak = self.pools.demand.values().map(DemandHistory::peak_rate).fold(0.0, f64::max);
@@ -225,7 +227,7 @@
         let latest = demand.rate(self.now, Duration::ZERO, policy.arrival_window / 3);
         let still_rises = latest >= recent * policy.new_surge_min_rise;
         let max_cores = if still_rises { latest * policy.new_surge_max_rise } else { recent };
-        let new_surge = (declared * policy.new_surge_pool_factor * size).min(max_cores);
+        let new_surge = (declared * policy.new_surge_pool_factor * cores_per_host).min(max_cores);
         (highest_peak * policy.surge_peak_share).max(new_surge)
     }
 }
