--- a/crates/workswood-core/src/jobs/order_marks.rs
+++ b/crates/workswood-core/src/jobs/order_marks.rs
@@ -15,7 +15,7 @@
 /// Who ordered a host last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mark {
-    /// A predecessor, possibly until this holder claimed the lease.
+    /// A predecessor, at an unknown time before this holder claimed the lease.
     Inherited,
     /// This holder, at this time.
     Own(Duration),
@@ -39,7 +39,7 @@
 }
 
 impl Scheduler {
-    /// Takes over a mark that a holder of this name recorded.
+    /// Takes over a mark that the lease holder named `holder` recorded.
     pub fn restore_order_mark(&mut self, host: HostId, holder: &str) {
         let mark = if holder == self.holder { Mark::Own(self.claimed_at) } else { Mark::Inherited };
         self.order_marks.by_host.insert(host, mark);
