--- a/crates/workswood-core/src/jobs/maintenance_orders.rs
+++ b/crates/workswood-core/src/jobs/maintenance_orders.rs
@@ -32,7 +32,7 @@
     /// Orders hosts into maintenance that are empty or whose drain time has ended.
     pub(super) fn order_drained_hosts(&mut self, number: u64) {
         let Some(wave) = self.waves.get(&number) else { return };
-        let mut room = wave.request.max_down.max(1).saturating_sub(wave.down_count());
+        let mut slots = wave.request.max_down.max(1).saturating_sub(wave.down_count());
         if wave.draining.is_empty() {
             return;
         }
@@ -43,21 +43,21 @@
         let draining: Vec<(HostId, Duration, Option<WorkerId>)> =
             wave.draining.iter().map(|(host, at)| (host.clone(), *at, worker(host))).collect();
         for (host, at, worker) in draining {
-            let lasting = worker.as_ref().map_or(0, |id| self.evict_within_budget(id));
+            let long_running = worker.as_ref().map_or(0, |id| self.evict_within_budget(id));
             let runs = worker.as_ref().and_then(|id| self.workers.get(id)).map_or(0, |w| w.runs.len());
             let waited = self.now >= at + self.policy.waves.drain_timeout;
             let ready = self.accepts_orders(number, &host) && self.may_order(&host);
-            if room == 0 || lasting > 0 || (runs > 0 && !waited) || !ready {
+            if slots == 0 || long_running > 0 || (runs > 0 && !waited) || !ready {
                 continue;
             }
-            room -= 1;
+            slots -= 1;
             self.notes
                 .push(format_args!("event=machine_ordered_down wave={number} machine={host} runs={runs}"));
             self.order_maintenance(number, host, worker);
         }
     }
 
-    /// Sends the first maintenance order to a host and records the life of its worker.
+    /// Sends the first maintenance order to a host and records the incarnation of its worker.
     fn order_maintenance(&mut self, number: u64, host: HostId, worker: Option<WorkerId>) {
         let Some(wave) = self.waves.get_mut(&number) else { return };
         wave.draining.remove(&host);
@@ -107,7 +107,7 @@
         ));
         let Some(wave) = self.waves.get_mut(&number) else { return };
         match reply {
-            HostReply::Done => self.maintenance_begun(number, host),
+            HostReply::Done => self.record_maintenance(number, host),
             HostReply::Impossible => {
                 wave.record.down.insert(host.clone());
                 wave.record.finished.insert(host.clone());
@@ -128,15 +128,15 @@
         }
     }
 
-    /// A host goes into maintenance, which ends the life of its worker.
-    fn maintenance_begun(&mut self, number: u64, host: &HostId) {
+    /// Records that a host is in maintenance, and ends the incarnation of its worker.
+    fn record_maintenance(&mut self, number: u64, host: &HostId) {
         let Some(wave) = self.waves.get_mut(&number) else { return };
         wave.record.down.insert(host.clone());
         wave.confirmed_at.insert(host.clone(), self.now);
-        let life = wave.record.ordered.get(host).cloned().flatten();
+        let incarnation = wave.record.ordered.get(host).cloned().flatten();
         self.dirty_waves.insert(number);
-        if let Some(life) = life {
-            self.life_over(&life.as_str().into(), IncarnationEnd::Maintenance);
+        if let Some(incarnation) = incarnation {
+            self.life_over(&incarnation.as_str().into(), IncarnationEnd::Maintenance);
         }
     }
 }
--- a/crates/workswood-core/src/jobs/maintenance_waves.rs
+++ b/crates/workswood-core/src/jobs/maintenance_waves.rs
@@ -1,8 +1,8 @@
 //! Maintenance waves: which host goes down next, and when.
 //!
-//! Each host is first drained (no new work, lasting tasks evicted within their budgets), then
-//! ordered down (the order is on record first), then down, and finished when it is up again with
-//! another life of its worker. Orders are sent by
+//! Each host is drained (it gets no new work, and its long-running tasks are evicted within their
+//! budgets), ordered down (the order is on record first), down, and finished once it is up again
+//! with another incarnation of its worker. Orders are sent by
 //! [`maintenance_orders`](super::maintenance_orders).
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,12 +18,13 @@
 use super::scheduler::Scheduler;
 use crate::ids::{HostId, ServiceId};
 
-/// Time within which the list shows a confirmed maintenance of a host that is turned off, if it
-/// shows it at all.
-const OFF_HOST_LIST_DELAY: Duration = Duration::from_millis(1500);
+/// Time after the confirmation of a maintenance within which the list shows it, if it shows it at
+/// all.
+const MAINTENANCE_LIST_DELAY: Duration = Duration::from_millis(1500);
 
-/// A host that no list has shown for this long was removed for good. A host that moves or is
-/// maintained stays listed.
+/// A host that no list has shown for this long was removed for good; a host that moves or is
+/// maintained stays listed. A host that is down for a wave counts as removed with the first list
+/// that does not show it.
 const REMOVED_HOST_TIMEOUT: Duration = Duration::from_millis(4000);
 
 /// A maintenance wave as an operator requests it.
@@ -42,13 +43,13 @@
 /// Stored progress of a wave.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WaveRecord {
-    /// Hosts that were ordered down, with the life of the worker at that time.
+    /// Hosts that were ordered down, with the incarnation of the worker at that time.
     #[serde(default)]
     pub ordered: BTreeMap<HostId, Option<String>>,
-    /// Hosts whose order was confirmed.
+    /// Hosts whose order has a final reply.
     #[serde(default)]
     pub down: BTreeSet<HostId>,
-    /// Hosts that are up again.
+    /// Hosts that need nothing more: up again, removed, or not part of the wave.
     #[serde(default)]
     pub finished: BTreeSet<HostId>,
 }
@@ -76,30 +77,32 @@
     pub known_since: Duration,
 }
 
-/// Whether a host is back from maintenance: its worker has another life.
+/// Whether a host is back from maintenance: its worker has another incarnation.
 ///
-/// A host that is turned off has no worker, before and after; the life on record may be one that
-/// ended when it was turned off. A list that was requested before the order was confirmed may be
-/// older than the maintenance. If the life on record is not the latest, as after a move between
-/// pools, such a list would show the host as back at once.
+/// A host that is turned off has no worker, before and after; the incarnation on record may be one
+/// that ended when it was turned off. A list that was requested before the order was confirmed may
+/// be older than the maintenance. If the incarnation on record is not the latest, as after a move
+/// between pools, such a list would show the host as back at once.
 fn has_returned(
     host: &Host,
-    off: bool,
-    before: &Option<String>,
-    confirmed: Option<&Duration>,
-    asked: Duration,
+    turned_off: bool,
+    worker_before: &Option<String>,
+    confirmed_at: Option<&Duration>,
+    requested_at: Duration,
 ) -> bool {
-    let Some(confirmed) = confirmed.filter(|at| **at < asked) else { return false };
+    let Some(confirmed_at) = confirmed_at.filter(|at| **at < requested_at) else { return false };
     match (&host.worker, host.state) {
-        // The list names workers; one that restarted may appear under the same name.
-        (Some(id), HostState::Up) => match before.as_deref().map(WorkerId::from) {
-            Some(life) if life.name() == id.name() => {
-                life.started_at().is_some() && *confirmed + OFF_HOST_LIST_DELAY < asked
+        // A worker that reports its start time keeps its name when it restarts, so the listed name
+        // does not show whether it is back; after the delay it must be. One that reports none takes
+        // a new name at each start, so with the same name it is not back.
+        (Some(id), HostState::Up) => match worker_before.as_deref().map(WorkerId::from) {
+            Some(incarnation) if incarnation.name() == id.name() => {
+                incarnation.started_at().is_some() && *confirmed_at + MAINTENANCE_LIST_DELAY < requested_at
             }
             Some(_) | None => true,
         },
-        (None, HostState::Up | HostState::Down) if off || before.is_none() => {
-            *confirmed + OFF_HOST_LIST_DELAY < asked
+        (None, HostState::Up | HostState::Down) if turned_off || worker_before.is_none() => {
+            *confirmed_at + MAINTENANCE_LIST_DELAY < requested_at
         }
         _ => false,
     }
@@ -116,13 +119,15 @@
 
     /// Updates the hosts that are missing from the list. Returns whether the number of removed
     /// hosts changed.
-    fn update_absent(&mut self, hosts: &Map<HostId, Host>, asked: Duration) -> bool {
+    fn update_absent(&mut self, hosts: &Map<HostId, Host>, requested_at: Duration) -> bool {
         let before = self.removed.len();
         let absent = self.request.hosts.iter().filter(|host| !hosts.contains_key(*host));
-        let absent = absent.map(|host| (host.clone(), self.absent_since.get(host).copied().unwrap_or(asked)));
-        self.absent_since = absent.collect();
-        let gone = self.absent_since.iter().filter(|(_, since)| **since + REMOVED_HOST_TIMEOUT <= asked);
-        self.removed = gone.map(|(host, _)| host.clone()).collect();
+        let absent_since =
+            absent.map(|host| (host.clone(), self.absent_since.get(host).copied().unwrap_or(requested_at)));
+        self.absent_since = absent_since.collect();
+        let removed =
+            self.absent_since.iter().filter(|(_, since)| **since + REMOVED_HOST_TIMEOUT <= requested_at);
+        self.removed = removed.map(|(host, _)| host.clone()).collect();
         self.removed.len() != before
     }
 
@@ -191,19 +196,19 @@
         self.dirty_waves.insert(number);
     }
 
-    /// Takes over a list of hosts that was requested at `asked`.
-    pub(super) fn hosts_listed(&mut self, list: Vec<Host>, asked: Duration) {
+    /// Takes over a list of hosts that was requested at `requested_at`.
+    pub(super) fn hosts_listed(&mut self, list: Vec<Host>, requested_at: Duration) {
         // Answers may overtake one another, so older lists are ignored.
-        if asked < self.hosts_requested_at {
+        if requested_at < self.hosts_requested_at {
             return;
         }
-        self.hosts_requested_at = asked;
+        self.hosts_requested_at = requested_at;
         self.hosts = list.into_iter().map(|host| (host.name.clone(), host)).collect();
         self.update_fleet_cpu();
         self.correct_host_list();
         self.record_declared_sizes();
-        self.end_listed_over(asked);
-        self.mark_finished_hosts(asked);
+        self.end_listed_over(requested_at);
+        self.mark_finished_hosts(requested_at);
     }
 
     /// Whether the scheduler needs lists of hosts at present.
@@ -211,11 +216,12 @@
         self.waves.values().any(|wave| !wave.is_complete()) || self.config.services.values().any(|s| s.spare)
     }
 
-    /// Marks hosts as finished that are up again with another life of their worker.
-    fn mark_finished_hosts(&mut self, asked: Duration) {
+    /// Marks hosts as finished that are up again with another incarnation of their worker, or were
+    /// removed.
+    fn mark_finished_hosts(&mut self, requested_at: Duration) {
         let spare = self.spare_pool();
         for (number, wave) in &mut self.waves {
-            if !self.hosts.is_empty() && wave.update_absent(&self.hosts, asked) {
+            if !self.hosts.is_empty() && wave.update_absent(&self.hosts, requested_at) {
                 self.dirty_waves.insert(*number);
             }
             let waiting: Vec<HostId> = wave
@@ -226,11 +232,17 @@
                 .cloned()
                 .collect();
             for name in waiting {
-                let before = wave.record.ordered.get(&name).cloned().flatten();
+                let worker_before = wave.record.ordered.get(&name).cloned().flatten();
                 let back = match self.hosts.get(&name) {
                     Some(host) => {
-                        let off = spare.as_ref() == Some(&host.pool);
-                        has_returned(host, off, &before, wave.confirmed_at.get(&name), asked)
+                        let turned_off = spare.as_ref() == Some(&host.pool);
+                        has_returned(
+                            host,
+                            turned_off,
+                            &worker_before,
+                            wave.confirmed_at.get(&name),
+                            requested_at,
+                        )
                     }
                     // A removed host needs no maintenance.
                     None => !self.hosts.is_empty(),
@@ -307,26 +319,27 @@
     fn start_draining(&mut self, number: u64) {
         let Some(wave) = self.waves.get(&number) else { return };
         let begun = wave.draining.len() + wave.down_count();
-        let mut room = wave.request.max_down.max(1).saturating_sub(begun);
-        if room == 0 {
+        let mut slots = wave.request.max_down.max(1).saturating_sub(begun);
+        if slots == 0 {
             return;
         }
         let mut count = self.count_pools();
         let short = self.short_pools(&count);
         let planned = wave.planned_by(self.now, !short.is_empty(), &self.policy.waves);
         let mut behind = planned.saturating_sub(wave.record.finished.len() + begun);
-        for (lasting, used, host) in self.drain_candidates(wave, &short) {
-            let spared = lasting == 0 && used == 0 && self.can_spare(&count, &host);
-            if room == 0 {
+        for (long_running, used, host) in self.drain_candidates(wave, &short) {
+            let is_surplus = long_running == 0 && used == 0 && self.can_spare(&count, &host);
+            if slots == 0 {
                 break;
             }
-            if (behind == 0 && !spared) || self.in_maintenance(&host) {
+            if (behind == 0 && !is_surplus) || self.in_maintenance(&host) {
                 continue;
             }
-            room -= 1;
+            slots -= 1;
             behind = behind.saturating_sub(1);
-            self.notes
-                .push(format_args!("event=machine_emptying wave={number} machine={host} spared={spared}"));
+            self.notes.push(format_args!(
+                "event=machine_emptying wave={number} machine={host} spared={is_surplus}"
+            ));
             if let Some(host) =
                 self.hosts.get(&host).filter(|host| is_up_or_moving(host) && self.is_outside_evacuation(host))
             {
@@ -339,11 +352,13 @@
         }
     }
 
-    /// Hosts of a wave whose maintenance has not begun, with their lasting tasks and processor use:
-    /// those of short pools last, those with the least load first.
+    /// Hosts of a wave whose maintenance has not begun, with their number of long-running tasks and
+    /// their processor use. Sorted: hosts of pools that are not short first, and among them those
+    /// with the least load.
     fn drain_candidates(&self, wave: &WaveState, short: &[ServiceId]) -> Vec<(usize, u64, HostId)> {
-        let free = |host: &&HostId| self.hosts.contains_key(*host) && !self.pools.moves.contains_key(*host);
-        let waiting = wave.request.hosts.iter().filter(|host| wave.is_pending(host)).filter(free);
+        let can_drain =
+            |host: &&HostId| self.hosts.contains_key(*host) && !self.pools.moves.contains_key(*host);
+        let waiting = wave.request.hosts.iter().filter(|host| wave.is_pending(host)).filter(can_drain);
         let mut waiting: Vec<(bool, (usize, u64, HostId))> = waiting
             .map(|host| (self.is_in_pools(host, short), self.load_on(host, self.current_worker_on(host))))
             .collect();
@@ -356,12 +371,12 @@
         self.hosts.get(host).is_some_and(|host| pools.contains(&host.pool))
     }
 
-    /// Lasting tasks and processor use of a host's worker, found by the worker's own statement or
-    /// else by the list of hosts.
-    fn load_on(&self, host: &HostId, stated: Option<&WorkerId>) -> (usize, u64, HostId) {
-        let id = stated.or_else(|| self.hosts.get(host).and_then(|host| host.worker.as_ref()));
-        let lasting = id.map_or(0, |id| self.runs_of_long_running_tasks(id).len());
+    /// Number of long-running tasks and processor use of a host's worker: the reported one, or else
+    /// the one in the list of hosts.
+    fn load_on(&self, host: &HostId, reported: Option<&WorkerId>) -> (usize, u64, HostId) {
+        let id = reported.or_else(|| self.hosts.get(host).and_then(|host| host.worker.as_ref()));
+        let long_running = id.map_or(0, |id| self.runs_of_long_running_tasks(id).len());
         let used = id.and_then(|id| self.workers.get(id)).map_or(0, |w| w.used_room.cpu_millis);
-        (lasting, used, host.clone())
+        (long_running, used, host.clone())
     }
 }
