--- a/crates/workswood-core/src/jobs/advice.rs
+++ b/crates/workswood-core/src/jobs/advice.rs
@@ -3,16 +3,15 @@
 //! The adviser handles one call at a time from each entry and needs time for each worker that a
 //! call names. So each entry, the lease holder first, has one call under way at a time, about a few
 //! workers: those that the placement would choose next ([`advice_batch`](super::advice_batch)).
-//! Waiting steps come first, in the order of their tasks; while there is none, steps that open
-//! soon. Answers are kept with the life of the worker. A new lease holder has none of them and asks
-//! again.
+//! Waiting steps come first, in the order of their tasks, then steps that open soon. Answers are
+//! kept with the incarnation of the worker. A new lease holder has none of them and asks again.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-use super::advice_batch::{GoodRate, choose_batch};
+use super::advice_batch::{EligibleRate, choose_batch};
 use super::advice_candidates::{AdviceRequest, WorkersByService};
 use super::config::AdviceConfig;
 use super::job::WorkerId;
@@ -80,30 +79,31 @@
     /// Number of failed calls in a row.
     failures: u32,
     /// Whether the last call was answered.
-    answered: bool,
+    last_call_answered: bool,
     /// How late answers were: the latest lateness, or half of the previous value if that is larger.
     lateness: Duration,
 }
 
 impl Channel {
-    /// Handles a failed call; `max_backoff` bounds the delay before the next.
-    fn failed(&mut self, call: &Call, now: Duration, adviser_busy: bool, max_backoff: Duration) {
+    /// Records a failed call; `max_backoff` bounds the delay before the next.
+    fn record_failure(&mut self, call: &Call, now: Duration, adviser_busy: bool, max_backoff: Duration) {
         if adviser_busy {
             self.adviser_busy_until = self.adviser_busy_until.max(call.due);
         }
         let backoff = INITIAL_BACKOFF * (1 << self.failures.min(MAX_DOUBLINGS));
         self.next_call = now + backoff.min(max_backoff);
-        self.answered = false;
+        self.last_call_answered = false;
         self.failures += 1;
     }
 
-    /// Handles an answer that was late by this much.
-    fn answered(&mut self, late: Duration) {
-        *self = Channel { answered: true, lateness: late.max(self.lateness / 2), ..Channel::default() };
+    /// Records an answer that was late by this much.
+    fn record_answer(&mut self, late: Duration) {
+        *self =
+            Channel { last_call_answered: true, lateness: late.max(self.lateness / 2), ..Channel::default() };
     }
 
-    /// Timeout of a call that should take `work`, when every entry has had `failures` failures in a
-    /// row.
+    /// Timeout of a call that should take `work`, when every entry has had at least `failures`
+    /// failures in a row.
     fn timeout(&self, work: Duration, failures: u32) -> Duration {
         let slack = BASE_SLACK * (1 << failures.min(MAX_DOUBLINGS)) + self.lateness;
         work + slack.min(MAX_SLACK)
@@ -115,8 +115,8 @@
 pub struct AdviceState {
     /// Open jobs of queues that need advice.
     pub(super) jobs: BTreeSet<JobKey>,
-    /// Share of the workers asked about that were good, by queue.
-    good_rates: HashMap<QueueId, GoodRate>,
+    /// Share of the workers asked about that were eligible, by queue.
+    eligible_rates: HashMap<QueueId, EligibleRate>,
     /// One channel per entry; the first is that of the lease holder.
     channels: Vec<Channel>,
     /// Step of the last failed call; other steps go first.
@@ -135,7 +135,7 @@
 
     /// Whether the last call of some other channel was answered.
     fn others_answered(&self, channel: usize) -> bool {
-        self.channels.iter().enumerate().any(|(n, c)| n != channel && c.answered)
+        self.channels.iter().enumerate().any(|(n, c)| n != channel && c.last_call_answered)
     }
 
     /// Smallest number of failures in a row of any channel. While it is above 0, the adviser itself
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Tracks all jobs again after a change of the queues.
+    /// Recomputes which jobs need advice after a change of the configuration.
     pub(super) fn track_all_advised_jobs(&mut self) {
         self.advice.jobs.clear();
         if self.config.queues.values().all(|q| q.advice.is_none()) {
@@ -192,10 +192,10 @@
 
     /// Number of workers of a list that may run a step, as far as is known.
     pub(super) fn count_possible_workers(&self, workers: &[WorkerId], step: &StepId) -> usize {
-        let bad = |id: &&WorkerId| {
+        let ineligible = |id: &&WorkerId| {
             self.workers.get(id).is_some_and(|w| w.advice.get(step) == Some(&AdviceVerdict::Ineligible))
         };
-        workers.len() - workers.iter().filter(bad).count()
+        workers.len() - workers.iter().filter(ineligible).count()
     }
 
     /// Handles that a worker rejected a ticket: a new one is asked for.
@@ -228,20 +228,21 @@
         let Some(call) = channel.call.take() else { return };
         match a.reply {
             AdviceReply::Answered(answer) => {
-                channel.answered(now.saturating_sub(call.due));
+                channel.record_answer(now.saturating_sub(call.due));
                 self.advice.last_failed = self.advice.last_failed.filter(|step| *step != call.step);
                 self.store_verdicts(a.step, &a.workers, now.saturating_sub(call.due), answer);
                 return;
             }
-            AdviceReply::NoAnswer => channel.failed(&call, now, true, max_backoff),
+            AdviceReply::NoAnswer => channel.record_failure(&call, now, true, max_backoff),
             AdviceReply::Busy | AdviceReply::Refused | AdviceReply::NotSent => {
-                channel.failed(&call, now, false, max_backoff);
+                channel.record_failure(&call, now, false, max_backoff);
             }
         }
         self.advice.last_failed = Some(call.step);
     }
 
-    /// Stores tickets and refusals with the workers' lives; the answer was late by `late`.
+    /// Stores tickets and refusals with the incarnations of the workers; the answer was late by
+    /// `late`.
     fn store_verdicts(&mut self, step: StepId, asked: &[WorkerId], late: Duration, answer: Advice) {
         if !self.advice.jobs.contains(&step.job) {
             return;
@@ -252,17 +253,17 @@
         // The delay may have been on the way back, so the tickets count as older. The deduction is
         // bounded, since otherwise the tickets of a slow adviser would never be used.
         let until = self.now + valid - margin - late.min(valid / 2);
-        let good: HashMap<WorkerId, _> = answer.tickets.into_iter().collect();
+        let tickets: HashMap<WorkerId, _> = answer.tickets.into_iter().collect();
         if let Some(job) = self.jobs.get(&step.job) {
-            let share = self.advice.good_rates.entry(job.spec.queue.clone()).or_default();
+            let rate = self.advice.eligible_rates.entry(job.spec.queue.clone()).or_default();
             let known = |id: &&WorkerId| self.workers.get(id).is_some_and(|w| w.advice.contains_key(&step));
             let fresh: Vec<&WorkerId> = asked.iter().filter(|id| !known(id)).collect();
-            share.observe(fresh.len(), fresh.iter().filter(|id| good.contains_key(**id)).count());
+            rate.observe(fresh.len(), fresh.iter().filter(|id| tickets.contains_key(**id)).count());
             self.services_to_place.insert(job.spec.service.clone());
         }
         for id in asked {
             let Some(mut w) = self.workers.get_mut(id) else { continue };
-            let verdict = match good.get(id) {
+            let verdict = match tickets.get(id) {
                 Some(ticket) => AdviceVerdict::Eligible(ticket.clone(), until),
                 None => AdviceVerdict::Ineligible,
             };
@@ -307,8 +308,8 @@
         if self.policy.advice.ask_ahead {
             steps.extend(self.steps_opening_soon());
         }
-        steps.retain(|w| !self.advice.has_call_for(&w.step));
-        steps.sort_by_key(|w| self.advice.last_failed == Some(w.step));
+        steps.retain(|r| !self.advice.has_call_for(&r.step));
+        steps.sort_by_key(|r| self.advice.last_failed == Some(r.step));
         steps
     }
 
@@ -322,7 +323,7 @@
         let cfg = self.advice_config(request.step.job).copied()?;
         let (need, candidates) = self.need_and_candidates(request, &cfg, workers)?;
         let queue = &self.jobs.get(&request.step.job)?.spec.queue;
-        let share = self.advice.good_rates.get(queue).copied().unwrap_or_default().value();
+        let share = self.advice.eligible_rates.get(queue).copied().unwrap_or_default().value();
         let ids = choose_batch(&candidates, need, share, &cfg);
         (!ids.is_empty()).then_some((request.step, ids, cfg))
     }
--- a/crates/workswood-core/src/jobs/advice_batch.rs
+++ b/crates/workswood-core/src/jobs/advice_batch.rs
@@ -4,9 +4,9 @@
 use super::job::WorkerId;
 
 /// Lower bound of the limit on the number of workers that a call names.
-const MIN_FULL_CALL_IDS: u32 = 30;
+const MIN_WORKER_LIMIT: u32 = 30;
 /// Upper bound of the limit on the number of workers that a call names.
-pub const MAX_IDS: u32 = 100;
+pub const MAX_WORKER_LIMIT: u32 = 100;
 /// In a full call, the time for its workers is this multiple of the call's fixed time, so that the
 /// fixed time is a small part and the answer still comes soon.
 const FULL_CALL_RATIO: f64 = 3.0;
@@ -20,56 +20,55 @@
     pub worker: WorkerId,
     /// Number of tasks of the step that fit there.
     pub fits: u32,
-    /// Whether it is known to be good, and only its ticket has ended.
-    pub good: bool,
+    /// Whether it is known to be eligible, and only needs a new ticket.
+    pub eligible: bool,
 }
 
-/// Moving share of the workers asked about that may run a step.
+/// Share of the workers asked about that may run a step; later answers weigh more.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct GoodRate {
+pub struct EligibleRate {
     asked: f64,
-    good: f64,
+    eligible: f64,
 }
 
-impl GoodRate {
+impl EligibleRate {
     /// Adds an answer.
-    pub fn observe(&mut self, asked: usize, good: usize) {
+    pub fn observe(&mut self, asked: usize, eligible: usize) {
         if self.asked > DECAY_AFTER_WORKERS {
             self.asked /= 2.0;
-            self.good /= 2.0;
+            self.eligible /= 2.0;
         }
         self.asked += asked as f64;
-        self.good += good as f64;
+        self.eligible += eligible as f64;
     }
 
     /// The share; one half while nothing is known.
     pub fn value(&self) -> f64 {
-        (self.good + 1.0) / (self.asked + 2.0)
+        (self.eligible + 1.0) / (self.asked + 2.0)
     }
 }
 
-/// Largest number of workers that a call names: beyond it the fixed time of the call is a small
-/// part, and the answer comes later.
-fn max_ids(cfg: &AdviceConfig) -> usize {
+/// Largest number of workers that a call names.
+fn worker_limit(cfg: &AdviceConfig) -> usize {
     if cfg.each.is_zero() {
-        return MAX_IDS as usize;
+        return MAX_WORKER_LIMIT as usize;
     }
     let full = cfg.decide.mul_f64(FULL_CALL_RATIO).div_duration_f64(cfg.each) as u32;
-    full.clamp(MIN_FULL_CALL_IDS, MAX_IDS) as usize
+    full.clamp(MIN_WORKER_LIMIT, MAX_WORKER_LIMIT) as usize
 }
 
 /// Chooses the first candidates to ask about so that `need` tasks find a place. `share` is the
-/// expected share of good ones among those not known to be good. A further worker is worth its own
-/// time only if the probability that the workers before it are not enough, times the fixed time of
-/// another call, is larger.
+/// expected share of eligible ones among those not known to be eligible. A worker is named only if
+/// the probability that the workers before it are not enough, times the fixed time of another call,
+/// is larger than the time that the call takes for it.
 pub fn choose_batch(candidates: &[Candidate], need: u32, share: f64, cfg: &AdviceConfig) -> Vec<WorkerId> {
     let mut shortfall = Shortfall::new(need);
     let mut batch = Vec::new();
-    for c in candidates.iter().take(max_ids(cfg)) {
+    for c in candidates.iter().take(worker_limit(cfg)) {
         if shortfall.probability() * cfg.decide.as_secs_f64() <= cfg.each.as_secs_f64() {
             break;
         }
-        shortfall.add(c.fits, if c.good { 1.0 } else { share });
+        shortfall.add(c.fits, if c.eligible { 1.0 } else { share });
         batch.push(c.worker.clone());
     }
     batch
@@ -89,11 +88,11 @@
         Shortfall { probabilities }
     }
 
-    /// Adds a worker with `fits` places that is good with the probability `good`.
-    fn add(&mut self, fits: u32, good: f64) {
+    /// Adds a worker with `fits` places that is eligible with the probability `eligible`.
+    fn add(&mut self, fits: u32, eligible: f64) {
         for n in (0..self.probabilities.len()).rev() {
             let from = n.checked_sub(fits as usize).map_or(0.0, |m| self.probabilities[m]);
-            self.probabilities[n] = self.probabilities[n] * (1.0 - good) + from * good;
+            self.probabilities[n] = self.probabilities[n] * (1.0 - eligible) + from * eligible;
         }
     }
 
--- a/crates/workswood-core/src/jobs/advice_candidates.rs
+++ b/crates/workswood-core/src/jobs/advice_candidates.rs
@@ -18,14 +18,14 @@
 /// Smallest progress, in percent, from which the end of a run is predicted.
 const MIN_PREDICTIVE_PERCENT: u32 = 10;
 /// Number of workers that the time of a renewal call is planned for.
-const TYPICAL_CALL_IDS: u32 = 10;
+const TYPICAL_CALL_WORKERS: u32 = 10;
 
 /// A step that needs advice.
 #[derive(Clone, Debug)]
 pub(super) struct AdviceRequest {
     /// The step.
     pub step: StepId,
-    /// Its tasks without a place.
+    /// Its tasks to be placed.
     pub tasks: Vec<TaskId>,
     /// When its tasks may be started.
     pub opens_at: Duration,
@@ -36,7 +36,7 @@
     job: &'a Job,
     spec: &'a StepSpec,
     request: &'a AdviceRequest,
-    /// Number of workers that may be good.
+    /// Number of workers that are not known to be ineligible.
     possible_workers: usize,
 }
 
@@ -58,9 +58,9 @@
         for (service, pool) in workers {
             let Some(waiting) = self.ready.get(service) else { continue };
             let mut room = self.room_soon(pool);
-            for place in waiting.positions() {
-                let spec = self.jobs.get(&place.step.job).map(|j| &j.spec);
-                let Some(step) = spec.and_then(|s| s.steps.get(usize::from(place.step.step))) else {
+            for position in waiting.positions() {
+                let spec = self.jobs.get(&position.step.job).map(|j| &j.spec);
+                let Some(step) = spec.and_then(|s| s.steps.get(usize::from(position.step.step))) else {
                     continue;
                 };
                 if room <= 0.0 {
@@ -68,20 +68,20 @@
                 }
                 let each = step.reserved_resources().cpu_millis as f64;
                 let mut tasks: Vec<TaskId> = Vec::new();
-                for task in waiting.tasks_of(&place.step) {
+                for task in waiting.tasks_of(&position.step) {
                     if room <= 0.0 {
                         break;
                     }
                     room -= each;
                     tasks.push(task);
                 }
-                if self.needs_ticket(&place.step) {
-                    found.push((*place, AdviceRequest { step: place.step, tasks, opens_at: self.now }));
+                if self.needs_ticket(&position.step) {
+                    found.push((*position, AdviceRequest { step: position.step, tasks, opens_at: self.now }));
                 }
             }
         }
-        found.sort_by_key(|(place, _)| *place);
-        found.into_iter().map(|(_, w)| w).collect()
+        found.sort_by_key(|(position, _)| *position);
+        found.into_iter().map(|(_, r)| r).collect()
     }
 
     /// Processor room that is free or expected to be free soon, in thousandths of a core.
@@ -91,7 +91,7 @@
         workers.iter().filter_map(|id| self.workers.get(id)).map(of).sum()
     }
 
-    /// Steps that open while tickets asked for now are still valid, the next first.
+    /// Steps that open well before tickets asked for now expire, the next first.
     pub(super) fn steps_opening_soon(&self) -> Vec<AdviceRequest> {
         let mut found = Vec::new();
         for key in &self.advice.jobs {
@@ -107,7 +107,7 @@
                 }
             }
         }
-        found.sort_by_key(|w| (w.opens_at, w.step));
+        found.sort_by_key(|r| (r.opens_at, r.step));
         found
     }
 
@@ -145,9 +145,8 @@
         Some(whole.saturating_sub(passed))
     }
 
-    /// The number of tasks of a step without a place by a valid ticket, and the workers to ask
-    /// about in the order in which the placement would choose them; `None` if the tickets are
-    /// enough.
+    /// The number of tasks of a step that valid tickets do not cover, and the workers to ask about,
+    /// in the order in which placement would choose them; `None` if the tickets are enough.
     pub(super) fn need_and_candidates(
         &self,
         request: &AdviceRequest,
@@ -158,22 +157,22 @@
         let spec = job.spec.steps.get(usize::from(request.step.step))?;
         let first = request.tasks.first()?;
         let workers = workers.get(&job.spec.service)?;
-        let others = self.count_possible_workers(workers, &request.step);
-        let context = RequestContext { job, spec, request, possible_workers: others };
+        let possible_workers = self.count_possible_workers(workers, &request.step);
+        let context = RequestContext { job, spec, request, possible_workers };
         // Tickets that end before another answer would arrive are renewed now.
-        let ahead = (cfg.decide + cfg.each * TYPICAL_CALL_IDS).min(cfg.valid / 4);
+        let ahead = (cfg.decide + cfg.each * TYPICAL_CALL_WORKERS).min(cfg.valid / 4);
         let holds_until = request.opens_at + ahead;
         let mut covered = 0;
         let mut candidates = Vec::new();
         for id in workers {
             let Some(w) = self.workers.get(id) else { continue };
-            let (free, whole) = self.task_slots_on(&context, id, w);
+            let (fits_now, fits_empty) = self.task_slots_on(&context, id, w);
             // A full worker has a place once one of its tasks has ended.
-            let fits = if free == 0 { whole.min(1) } else { free };
+            let fits = if fits_now == 0 { fits_empty.min(1) } else { fits_now };
             if fits == 0 || !self.meets_constraints(w, spec, first) {
                 continue;
             }
-            let good = match w.advice.get(&request.step) {
+            let eligible = match w.advice.get(&request.step) {
                 Some(AdviceVerdict::Eligible(_, until)) if *until > holds_until => {
                     covered += fits;
                     continue;
@@ -183,9 +182,9 @@
                 Some(AdviceVerdict::Eligible(..)) => true,
                 Some(AdviceVerdict::TicketRejected(_)) | None => false,
             };
-            let (far, crowd, faults, left) = self.placement_cost(w, spec, first);
-            let rank = (free == 0, far, !good, crowd, faults, left);
-            candidates.push((rank, Candidate { worker: id.clone(), fits, good }));
+            let (away_from_data, crowding, faults, free_cpu) = self.placement_cost(w, spec, first);
+            let rank = (fits_now == 0, away_from_data, !eligible, crowding, faults, free_cpu);
+            candidates.push((rank, Candidate { worker: id.clone(), fits, eligible }));
         }
         let need = (request.tasks.len() as u32).checked_sub(covered).filter(|n| *n > 0)?;
         candidates.sort_by_key(|c| c.0);
@@ -205,7 +204,7 @@
         }
         let mut free = w.free_room();
         if context.request.opens_at > self.now {
-            // The job's own tasks here have ended when the step opens.
+            // The job's own tasks here are expected to have ended when the step opens.
             let own = w.runs.iter().filter(|((t, _), _)| t.job == context.job.key);
             own.for_each(|(_, held)| free.add(&held.resources));
         }
--- a/tests/testsuite/advice_batches.rs
+++ b/tests/testsuite/advice_batches.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workswood_core::jobs::advice_batch::{Candidate, GoodRate, choose_batch};
+use workswood_core::jobs::advice_batch::{Candidate, EligibleRate, choose_batch};
 use workswood_core::jobs::{Action, AdviceConfig, Event, StepId, StepSpec};
 use workswood_test_support::advised_world::{advice, advised, asked};
 use workswood_test_support::job_world::{job, step};
@@ -18,7 +18,7 @@
 }
 
 fn candidates(count: usize, fits: u32, good: bool) -> Vec<Candidate> {
-    (0..count).map(|n| Candidate { worker: format!("w-{n}").as_str().into(), fits, good }).collect()
+    (0..count).map(|n| Candidate { worker: format!("w-{n}").as_str().into(), fits, eligible: good }).collect()
 }
 
 fn size(count: usize, fits: u32, need: u32, share: f64) -> usize {
@@ -57,7 +57,7 @@
 
 #[test]
 fn share_is_learned() {
-    let mut share = GoodRate::default();
+    let mut share = EligibleRate::default();
     assert_eq!(share.value(), 0.5);
     share.observe(100, 10);
     assert!((0.1..0.12).contains(&share.value()));
