--- a/crates/workswood-core/src/jobs/policy.rs
+++ b/crates/workswood-core/src/jobs/policy.rs
@@ -29,7 +29,7 @@
     pub health: HealthPolicy,
     /// The attribution of worker crashes to tasks.
     pub crashes: CrashPolicy,
-    /// The pace of filling tasks.
+    /// The pace of best-effort tasks.
     pub pace: PacePolicy,
     /// The handling of calls that fail or are lost.
     pub calls: CallPolicy,
@@ -53,9 +53,10 @@
     /// Weight of the newest finished task in the moving average of a queue.
     #[serde(rename = "newest")]
     pub newest_weight: f64,
-    /// Overload threshold: the room that the tasks waiting in a service ask for whose jobs can
-    /// still be in time, as a share of the capacity of all hosts. Above it not all jobs can be in
-    /// time, so those with the least work left go first; below it, those that must begin first.
+    /// Above this share of the capacity of all hosts, a service is overloaded. Counted are the
+    /// resources requested by its waiting tasks whose jobs can still be in time. Under overload not
+    /// all jobs can be in time, so the steps with the least work left go first; otherwise those
+    /// that must begin first.
     #[serde(rename = "overload")]
     pub overload_share: f64,
     /// How workspaces share workers when all are full.
@@ -92,9 +93,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlacementPolicy {
-    /// Number of steps without a fitting worker, other than those of lasting tasks, after which a
-    /// placement pass stops. Smaller tasks further back would otherwise always fill the room that
-    /// larger ones wait for.
+    /// Number of steps without a fitting worker after which a placement pass stops, not counting
+    /// steps of long-running tasks and steps that need a ticket. Smaller tasks further back would
+    /// otherwise always fill the room that larger ones wait for.
     #[serde(rename = "most_misses")]
     pub max_misses: usize,
     /// Whether best-effort tasks are placed on hosts with serving tasks as readily as on others.
@@ -122,8 +123,8 @@
     /// of later steps wait.
     #[serde(rename = "arrivals", with = "humantime_serde")]
     pub arrival_window: Duration,
-    /// How far ahead a rise of the rate is extrapolated: the time that a host needs to move to
-    /// another pool.
+    /// How far ahead a rise of the rate is extrapolated, about the time that a host needs to move
+    /// to another pool; 0 switches the extrapolation off.
     #[serde(rename = "ahead", with = "humantime_serde")]
     pub rise_lookahead: Duration,
     /// The extrapolated rate is at most this multiple of the measured one.
@@ -160,8 +161,8 @@
     #[serde(rename = "turn_still_rises")]
     pub new_surge_min_rise: f64,
     /// Whether a surge beyond the service's earlier ones is expected to reach `surge_peak_share` of
-    /// the highest rate of any service. If not, only a service that has no earlier rate of its own is
-    /// expected to.
+    /// the highest rate of any service. If not set, that holds only for a service without an
+    /// earlier peak rate.
     #[serde(rename = "turn_any")]
     pub surge_from_other_services: bool,
     /// How fast the lend floor of a pool falls, in shares of all hosts per second. Hosts above the
@@ -203,7 +204,8 @@
 pub struct PoolPolicy {
     /// Number of hosts that a pool keeps above its need, as a share of all hosts.
     pub margin: f64,
-    /// A pool turns hosts off only when it exceeds its power-off floor by this share of all hosts.
+    /// A pool turns hosts off only when it exceeds its power-off floor and `margin` by this share
+    /// of all hosts.
     pub surplus: f64,
     /// Share of all hosts that may be moving at the same time.
     #[serde(rename = "most_moves")]
@@ -304,20 +306,20 @@
     }
 }
 
-/// Parameters of the pace of filling tasks that run beside serving tasks.
+/// Parameters of the pace of best-effort tasks that run beside serving tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PacePolicy {
-    /// A serving task above this share of its target slows filling tasks down.
+    /// A serving task above this share of its target slows best-effort tasks down.
     #[serde(rename = "danger")]
     pub slow_down_above: f64,
-    /// Filling tasks speed up while all serving tasks are below this share of their targets.
+    /// Best-effort tasks speed up while all serving tasks are below this share of their targets.
     #[serde(rename = "ease")]
     pub speed_up_below: f64,
     /// By how much the pace rises with each probe, in percent.
     #[serde(rename = "step")]
     pub step_percent: u32,
-    /// Filling tasks whose pace would fall below this, in percent, are paused.
+    /// Best-effort tasks whose pace would fall below this, in percent, are paused.
     #[serde(rename = "least")]
     pub min_percent: u32,
 }
@@ -398,7 +400,9 @@
             ("relays.spare", self.relays.spare_share),
         ];
         let bad = factors.into_iter().find(|(_, v)| !(*v >= 0.0 && v.is_finite()));
-        bad.map_or(Ok(()), |(name, v)| Err(format!("`policy.{name}` must not be negative, as {v} is")))
+        bad.map_or(Ok(()), |(name, v)| {
+            Err(format!("`policy.{name}` must be finite and not negative, not {v}"))
+        })
     }
 
     /// Checks that counts are at least 1.
@@ -416,7 +420,7 @@
         bad.map_or(Ok(()), |(name, _)| Err(format!("`policy.{name}` must be at least 1")))
     }
 
-    /// Checks that durations are at most [`MAX_DURATION`].
+    /// Checks that durations are at most [`MAX_DURATION`], and that the arrival window is not zero.
     fn check_times(&self) -> Result<(), String> {
         let times = [
             ("need.arrivals", self.need.arrival_window),
