--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -29,9 +29,9 @@
 use crate::ids::{DataCentre, HostId, ServiceId, Term, UnixMs};
 use crate::invariant;
 
-/// Interval of the check for runs that make no progress, or whose stop had no effect. The check
-/// visits every run.
-const STALLED_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval of the check for stuck runs: those that make no progress, or whose stop had no effect.
+/// The check visits every run.
+const STUCK_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The state of the process that holds the scheduler lease.
 pub struct Scheduler {
@@ -45,7 +45,7 @@
     pub token: Term,
     /// Name of the entry that holds the lease.
     pub holder: String,
-    /// Number of workers that this entry can attend.
+    /// Number of workers that this entry can poll.
     pub strength: Strength,
     /// Limits of the platform and of the scheduler.
     pub limits: Limits,
@@ -59,7 +59,7 @@
     pub workers: WorkerIndex,
     /// Listed workers whose service is not in the configuration yet.
     pub(super) workers_without_service: BTreeMap<WorkerId, WorkerInfo>,
-    /// Relays, and which workers each attends.
+    /// Relays, and which workers each polls.
     pub(super) relays: Relays,
     /// Tasks that wait for a worker, by service.
     pub(super) ready: Map<ServiceId, TaskQueue>,
@@ -71,7 +71,7 @@
     /// Processor capacity, in thousandths of a core, of all listed hosts on which work may begin.
     pub(super) fleet_cpu_millis: u64,
     /// What each workspace submitted lately, compared with its share.
-    shares: SubmissionRates,
+    submission_rates: SubmissionRates,
     /// How often workers crash by themselves.
     pub(super) crash_rate: CrashRate,
     /// Durations of tasks.
@@ -104,13 +104,14 @@
     forgotten_jobs: Vec<(JobKey, QueueId, Owner)>,
     /// Hosts whose workers are cordoned.
     pub(super) cordoned_hosts: BTreeSet<HostId>,
-    /// When stalled runs were last checked.
-    stalled_checked_at: Duration,
+    /// When stuck runs were last looked for.
+    stuck_checked_at: Duration,
     /// Runs that a predecessor evicted and that workers still list.
     pub(super) inherited_evictions: BTreeSet<(WorkerId, TaskId, u32)>,
     /// Actions for the next batch.
     pub(super) actions: Vec<Action>,
-    /// Highest number of an end processed from each worker since the last batch.
+    /// By worker, the sequence number of the last reported end of a run that was processed since
+    /// the last batch.
     pub(super) acked_ends: BTreeMap<WorkerId, u64>,
     /// Services whose waiting tasks are placed before the next batch is taken.
     pub(super) services_to_place: BTreeSet<ServiceId>,
@@ -137,11 +138,11 @@
 
 impl Scheduler {
     /// Returns a scheduler that knows nothing yet.
-    pub fn new(token: Term, limits: Limits, since: Duration, wall: UnixMs) -> Scheduler {
+    pub fn new(token: Term, limits: Limits, claimed_at: Duration, wall: UnixMs) -> Scheduler {
         Scheduler {
-            now: since,
+            now: claimed_at,
             wall,
-            claimed_at: since,
+            claimed_at,
             token,
             holder: String::new(),
             strength: Strength::MAX,
@@ -156,7 +157,7 @@
             trials: Map::default(),
             evacuated: BTreeSet::new(),
             fleet_cpu_millis: 0,
-            shares: SubmissionRates::default(),
+            submission_rates: SubmissionRates::default(),
             crash_rate: CrashRate::default(),
             durations: TaskDurations::default(),
             hosts: Map::default(),
@@ -173,7 +174,7 @@
             finished_jobs: Vec::new(),
             forgotten_jobs: Vec::new(),
             cordoned_hosts: BTreeSet::new(),
-            stalled_checked_at: Duration::ZERO,
+            stuck_checked_at: Duration::ZERO,
             inherited_evictions: BTreeSet::new(),
             actions: Vec::new(),
             acked_ends: BTreeMap::new(),
@@ -200,16 +201,18 @@
     /// Takes over a job from the inbox with the state that a predecessor recorded. Of a finished
     /// job only the state is stored.
     pub fn restore_job(&mut self, key: JobKey, spec: Option<Arc<JobSpec>>, rec: Option<JobRecord>) {
-        let over = rec.as_ref().and_then(|rec| rec.outcome.zip(rec.over.clone()));
-        match (spec, over) {
-            (spec, Some((outcome, over))) => self.restore_finished_job(key, outcome, over, spec.is_some()),
-            (Some(spec), None) => self.restore_open_job(key, spec, rec),
+        let final_record = rec.as_ref().and_then(|rec| rec.outcome.zip(rec.over.clone()));
+        match (spec, final_record) {
+            (spec, Some((outcome, record))) => {
+                self.restore_archived_job(key, outcome, record, spec.is_some())
+            }
+            (Some(spec), None) => self.restore_unarchived_job(key, spec, rec),
             // The record remains from a job that was being forgotten.
             (None, None) => self.forgotten_jobs.push((key, QueueId::new(), Owner::PUBLIC)),
         }
     }
 
-    fn restore_open_job(&mut self, key: JobKey, spec: Arc<JobSpec>, rec: Option<JobRecord>) {
+    fn restore_unarchived_job(&mut self, key: JobKey, spec: Arc<JobSpec>, rec: Option<JobRecord>) {
         let now = self.now;
         let fits = rec.as_ref().is_none_or(|rec| rec.fits(&spec));
         let mut job = match rec {
@@ -226,7 +229,7 @@
         job.most_cpu = self.config.workspaces.limit(job.spec.owner()).cpu_millis;
         self.suspect_inherited(&mut job);
         let bound = self.inherited_lease_end();
-        let mut places = BTreeSet::new();
+        let mut workers = BTreeSet::new();
         for id in job.task_ids() {
             let Some(task) = job.task(&id) else { continue };
             for run in &task.runs {
@@ -236,18 +239,18 @@
                     w.add_run(id, run.attempt, job.spec.reservation(step));
                     w.note_task_kind(&id, step);
                 }
-                places.insert(run.worker.clone());
+                workers.insert(run.worker.clone());
             }
         }
         self.jobs.insert(job);
-        places.iter().for_each(|id| self.keep_latest_incarnation(id));
+        workers.iter().for_each(|id| self.keep_latest_incarnation(id));
         self.track_advised_job(key);
         self.open_due_rounds(key);
         self.queue_job(key);
         self.dirty_jobs.insert(key);
     }
 
-    fn restore_finished_job(&mut self, key: JobKey, outcome: Outcome, record: OverRecord, in_inbox: bool) {
+    fn restore_archived_job(&mut self, key: JobKey, outcome: Outcome, record: OverRecord, in_inbox: bool) {
         let (queue, owner, state) = (record.queue.clone(), record.owner, Some(JobStatus::Ended(outcome)));
         self.jobs.archive(key, ArchivedJob { outcome, record }, self.now);
         self.status_updates.push(JobStatusUpdate { key, queue, owner, state, repeats: false });
@@ -277,7 +280,7 @@
             Event::WorkerUnlisted(id) => self.worker_unlisted(&id),
             Event::OtherIncarnationAnswered(id, heard) => self.other_life_answered(&id, heard),
             Event::WorkerRestarted(id, started, heard) => self.worker_restarted(&id, started, heard),
-            Event::WorkerUpdate(id, token, news) => self.handle_worker_news(&id, token, news),
+            Event::WorkerUpdate(id, token, update) => self.handle_worker_news(&id, token, update),
             Event::AdviceReceived(a) => self.advice_received(a),
             Event::HostsListed(list, asked) => self.hosts_listed(list, asked),
             Event::WaveRequested(wave, rec) => self.wave_requested(wave, rec),
@@ -310,8 +313,11 @@
             "event=job_known job={key:016x} queue={} stretch={stretch} target_ms={target}",
             spec.queue
         ));
-        let excess =
-            self.shares.exceeds_rate(owner, self.config.workspaces.jobs_per_s(owner), spec.accepted_at);
+        let excess = self.submission_rates.exceeds_rate(
+            owner,
+            self.config.workspaces.jobs_per_s(owner),
+            spec.accepted_at,
+        );
         let most_cpu = self.config.workspaces.limit(owner).cpu_millis;
         self.jobs.insert(Job { excess, most_cpu, ..Job::new(key, spec) });
         self.track_advised_job(key);
@@ -417,14 +423,15 @@
             return;
         };
         let queue = self.config.queues.get(&job.spec.queue);
-        let (place, dues) = queue_position(job, &id, queue, &self.durations, &self.policy.order, self.wall);
+        let (position, deadlines) =
+            queue_position(job, &id, queue, &self.durations, &self.policy.order, self.wall);
         let spec = job.spec.clone();
         let room = step.reserved_resources();
         match self.ready.get_mut(&spec.service) {
-            Some(waiting) => waiting.insert(place, dues, room, tasks.iter().copied()),
+            Some(waiting) => waiting.insert(position, deadlines, room, tasks.iter().copied()),
             None => {
                 let waiting = self.ready.entry(spec.service.clone()).or_default();
-                waiting.insert(place, dues, room, tasks.iter().copied());
+                waiting.insert(position, deadlines, room, tasks.iter().copied());
             }
         }
         if step.gang {
@@ -509,8 +516,8 @@
         let wall = self.wall;
         self.ready.values_mut().for_each(|w| w.downgrade_overdue(wall));
         self.settle_lapsed();
-        if self.now >= self.stalled_checked_at + STALLED_CHECK_INTERVAL {
-            self.stalled_checked_at = self.now;
+        if self.now >= self.stuck_checked_at + STUCK_CHECK_INTERVAL {
+            self.stuck_checked_at = self.now;
             self.settle_slow();
             self.clear_proven_tasks();
         }
@@ -527,9 +534,9 @@
 
     /// Forgets finished jobs whose retention has ended.
     fn forget_jobs(&mut self) {
-        let Some(before) = self.now.checked_sub(self.limits.ended_job_retention) else { return };
-        for (key, over) in self.jobs.forget_archived(before) {
-            self.forgotten_jobs.push((key, over.record.queue, over.record.owner));
+        let Some(ended_before) = self.now.checked_sub(self.limits.ended_job_retention) else { return };
+        for (key, archived) in self.jobs.forget_archived(ended_before) {
+            self.forgotten_jobs.push((key, archived.record.queue, archived.record.owner));
         }
     }
 
