--- a/crates/workswood-core/src/jobs/types.rs
+++ b/crates/workswood-core/src/jobs/types.rs
@@ -66,8 +66,8 @@
     /// Another incarnation of the worker answers at its address, so this one has ended. The time is
     /// that of its last answer, on the scheduler's clock.
     OtherIncarnationAnswered(WorkerId, Duration),
-    /// A worker restarted under the same name at this time of day, so the given
-    /// incarnation has ended. The duration is the time of its last answer, on the scheduler's clock.
+    /// A worker restarted under the same name at this time of day, so the given incarnation has
+    /// ended. The duration is the time of its last answer, on the scheduler's clock.
     WorkerRestarted(WorkerId, UnixMs, Duration),
     /// The result of a call to the adviser.
     AdviceReceived(AdviceResult),
@@ -127,7 +127,7 @@
     Taken,
     /// The worker refused every request, and has done nothing.
     Refused,
-    /// The adviser's ticket was not valid, and the worker has done nothing.
+    /// The worker rejected the adviser's ticket, and has done nothing.
     Ticket,
     /// The worker reports that it is unhealthy, and has done nothing.
     Unwell,
@@ -285,9 +285,9 @@
     DropJob(JobKey),
     /// Progress of a wave.
     Wave(u64, WaveRecord),
-    /// The record of one life of a worker.
+    /// The record of one incarnation of a worker.
     Worker(WorkerId, WorkerRecord),
-    /// The record of one life of a worker is deleted.
+    /// The record of one incarnation of a worker is deleted.
     DropWorker(WorkerId),
     /// Name of the lease holder that has ordered a host recently, or is about to; `None` deletes
     /// the mark.
@@ -305,7 +305,8 @@
     pub owner: Owner,
     /// Its state; `None` once the job is forgotten.
     pub state: Option<JobStatus>,
-    /// Whether the job repeats on a schedule; not set for jobs that were archived or forgotten.
+    /// Whether the job repeats on a schedule; not set for jobs that a predecessor archived or that
+    /// are forgotten.
     pub repeats: bool,
 }
 
@@ -316,7 +317,7 @@
     pub records: Vec<Record>,
     /// Actions to carry out after the records are stored.
     pub actions: Vec<Action>,
-    /// Highest number of an end that each worker may forget.
+    /// By worker, the sequence number up to which it may forget the ends of runs.
     pub acked_ends: Vec<(WorkerId, u64)>,
     /// States of jobs that callers may be shown.
     pub status_updates: Vec<JobStatusUpdate>,
