--- a/crates/workswood-core/src/jobs/host.rs
+++ b/crates/workswood-core/src/jobs/host.rs
@@ -12,13 +12,13 @@
 /// State of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
-    /// It is in service.
+    /// It is in service, or turned off in the spare pool.
     Up,
     /// It is moving to another pool.
     Moving,
     /// It is under maintenance.
     Upkeep,
-    /// It is off or lost.
+    /// It is unreachable, lost or turned off.
     Down,
 }
 
@@ -37,7 +37,7 @@
     pub labels: Vec<String>,
     /// Its capacity.
     pub capacity: Resources,
-    /// The worker on it. The list may tell only the name, not the life.
+    /// The worker on it. The list may tell only the name, not the incarnation.
     pub worker: Option<WorkerId>,
 }
 
--- a/crates/workswood-core/src/jobs/mod.rs
+++ b/crates/workswood-core/src/jobs/mod.rs
@@ -10,37 +10,42 @@
 //! * the end of a run is on record before the worker is told to forget it;
 //! * callers are shown a state only once it is on record.
 //!
-//! A worker that restarts keeps its name, but starts another *life*; most state is kept by life.
+//! A worker that restarts keeps its name, but starts a new *incarnation*; most state is kept per
+//! incarnation.
 //!
 //! Modules:
 //!
 //! * [`spec`] defines what callers submit, and its checks.
 //! * [`config`] holds the queues and services in force, [`workspace`] the workspaces whose calls
 //!   are accepted.
-//! * [`workspace_usage`] holds what each workspace has at work, and [`fair_share`] who submits more than its
-//!   share.
+//! * [`workspace_usage`] holds the resources that each workspace uses, and [`fair_share`] who
+//!   submits more than its share.
 //! * [`job`] holds the state of one job and its stored form, [`job_table`] all jobs.
 //! * [`worker`] holds the state of one worker, its capacity and its lease; [`worker_id`] is its
 //!   name, and [`worker_index`] holds all workers.
 //! * [`host`] defines hosts and replies to orders.
 //! * [`map`] is a map with the same iteration order in every run.
 //! * [`queue_order`] decides which waiting task is next, and [`task_queue`] holds the waiting tasks.
-//! * [`relays`] decides which entry attends which workers, and [`run_tracker`] finds what is new in a
+//! * [`relays`] decides which entry polls which workers, and [`run_tracker`] finds what is new in a
 //!   worker's answers.
+//! * `worker_restart` handles workers that restart under the same name.
+//! * `notes` collects log lines about decisions.
 //! * [`types`] defines events, actions, records and batches.
 //! * [`scheduler`] handles events; [`ends`], [`settle`], [`placement`], [`pacing`] and [`eviction`] make
 //!   its decisions about tasks.
-//! * [`crash_attribution`] finds tasks that crash their workers, compared with [`crash_rate`], and [`crash_trials`]
-//!   tests suspected ones.
+//! * [`crash_attribution`] finds tasks that crash their workers more often than the usual
+//!   [`crash_rate`], and [`crash_trials`] tests suspected ones.
 //! * [`advice`] asks the adviser in advance which workers may run a step: `advice_candidates` finds
 //!   the steps and workers, [`advice_batch`] chooses those of one call.
 //! * [`claim`] decides which process runs the scheduler.
 //! * [`maintenance_waves`] decides which host is maintained next, and [`maintenance_orders`] orders
 //!   it down.
+//! * `evacuation` keeps work away from data centres that are being evacuated.
 //! * [`order_marks`] keeps a new lease holder from ordering hosts that were just ordered.
 //! * [`policy`] holds the parameters of the decisions.
 //! * [`pool_need`] computes how many hosts each pool needs, from the [`demand_history`];
-//!   [`pool_planning`] decides which host moves to another pool, and [`pool_moves`] carries it out.
+//!   [`pool_planning`] decides which host moves to another pool, with the counts of `pool_count`,
+//!   and [`pool_moves`] carries it out.
 
 pub mod advice;
 pub mod advice_batch;
