--- a/crates/workswood-core/src/jobs/maintenance_orders.rs
+++ b/crates/workswood-core/src/jobs/maintenance_orders.rs
@@ -18,7 +18,7 @@
     pub(super) fn resend_maintenance_orders(&mut self, number: u64) {
         let now = self.now;
         let Some(wave) = self.waves.get(&number) else { return };
-        let open = wave.record.ordered.keys().filter(|host| !wave.record.down.contains(*host));
+        let open = wave.record.ordered.keys().filter(|host| !wave.record.settled.contains(*host));
         let due: Vec<HostId> = open
             .filter(|host| wave.order_sent_at.get(*host).is_none_or(|at| *at + ORDER_RETRY_INTERVAL < now))
             .cloned()
@@ -90,7 +90,7 @@
     /// The wave with an order for this host that has no final reply.
     pub(super) fn wave_with_open_order(&self, host: &HostId) -> Option<u64> {
         let waits =
-            |wave: &WaveState| wave.record.ordered.contains_key(host) && !wave.record.down.contains(host);
+            |wave: &WaveState| wave.record.ordered.contains_key(host) && !wave.record.settled.contains(host);
         self.waves.iter().find(|(_, wave)| waits(wave)).map(|(number, _)| *number)
     }
 
@@ -109,7 +109,7 @@
         match reply {
             HostReply::Done => self.record_maintenance(number, host),
             HostReply::Impossible => {
-                wave.record.down.insert(host.clone());
+                wave.record.settled.insert(host.clone());
                 wave.record.finished.insert(host.clone());
                 self.dirty_waves.insert(number);
             }
@@ -131,7 +131,7 @@
     /// Records that a host is in maintenance, and ends the incarnation of its worker.
     fn record_maintenance(&mut self, number: u64, host: &HostId) {
         let Some(wave) = self.waves.get_mut(&number) else { return };
-        wave.record.down.insert(host.clone());
+        wave.record.settled.insert(host.clone());
         wave.confirmed_at.insert(host.clone(), self.now);
         let incarnation = wave.record.ordered.get(host).cloned().flatten();
         self.dirty_waves.insert(number);
--- a/crates/workswood-core/src/jobs/maintenance_waves.rs
+++ b/crates/workswood-core/src/jobs/maintenance_waves.rs
@@ -46,9 +46,9 @@
     /// Hosts that were ordered down, with the incarnation of the worker at that time.
     #[serde(default)]
     pub ordered: BTreeMap<HostId, Option<String>>,
-    /// Hosts whose order has a final reply.
-    #[serde(default)]
-    pub down: BTreeSet<HostId>,
+    /// Hosts whose order has a final reply: it was carried out, or never can be.
+    #[serde(default, rename = "down")]
+    pub settled: BTreeSet<HostId>,
     /// Hosts that need nothing more: up again, removed, or not part of the wave.
     #[serde(default)]
     pub finished: BTreeSet<HostId>,
@@ -178,9 +178,9 @@
         ));
         let record = rec.unwrap_or_default();
         let now = self.now;
-        let open = record.ordered.keys().filter(|host| !record.down.contains(*host));
+        let open = record.ordered.keys().filter(|host| !record.settled.contains(*host));
         let unconfirmed = open.cloned().collect();
-        let confirmed_at = record.down.iter().map(|host| (host.clone(), now)).collect();
+        let confirmed_at = record.settled.iter().map(|host| (host.clone(), now)).collect();
         let state = WaveState {
             request: wave,
             record,
@@ -226,7 +226,7 @@
             }
             let waiting: Vec<HostId> = wave
                 .record
-                .down
+                .settled
                 .iter()
                 .filter(|host| !wave.record.finished.contains(*host))
                 .cloned()
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -350,7 +350,7 @@
     }
     let Record::Wave(12, wave) = state_of("wave-12") else { panic!("another record") };
     assert_eq!((&wave.ordered["m-1"], &wave.ordered["m-2"]), (&Some("w-1@5".to_string()), &None));
-    assert!(wave.down.contains("m-1") && wave.finished.contains("m-3"));
+    assert!(wave.settled.contains("m-1") && wave.finished.contains("m-3"));
     let Record::Worker(id, worker) = state_of("worker-w-1@1700000000000") else { panic!("another record") };
     assert_eq!((id.name(), id.started_at()), ("w-1", Some(1_700_000_000_000)));
     assert_eq!((worker.address.as_str(), worker.service.as_str()), ("10.0.1.1:9000", "till"));
