--- a/crates/workswood-core/src/jobs/placement.rs
+++ b/crates/workswood-core/src/jobs/placement.rs
@@ -112,7 +112,8 @@
             mem_mb: or_unlimited(limit.mem_mb),
             gpus: or_unlimited(limit.gpus),
         };
-        (limit != Resources::default()).then(|| most.saturating_sub(&self.workers.workspace_usage().in_use(owner)))
+        (limit != Resources::default())
+            .then(|| most.saturating_sub(&self.workers.workspace_usage().in_use(owner)))
     }
 
     /// Whether the tasks of a step run until their job is cancelled.
@@ -264,7 +265,7 @@
         }
         let interfering = match (step.best_effort, step.latency_target) {
             // Keep best-effort tasks together, since a host with one of them is never empty.
-            (true, _) if !policy.fill_serving_hosts => {
+            (true, _) if !policy.best_effort_beside_serving => {
                 2 * w.serving.len() + usize::from(w.best_effort.is_empty())
             }
             (false, Some(_)) => w.best_effort.len(),
--- a/crates/workswood-core/src/jobs/policy.rs
+++ b/crates/workswood-core/src/jobs/policy.rs
@@ -29,7 +29,7 @@
     pub health: HealthPolicy,
     /// The attribution of worker crashes to tasks.
     pub crashes: CrashPolicy,
-    /// The pace of filling tasks.
+    /// The pace of best-effort tasks.
     pub pace: PacePolicy,
     /// The handling of calls that fail or are lost.
     pub calls: CallPolicy,
@@ -46,15 +46,17 @@
     /// A job is worthless once it is late by this multiple of its target time.
     #[serde(rename = "late_until")]
     pub worthless_after: f64,
-    /// Number of ends after which the measured mean of a queue is trusted as much as an estimate.
+    /// Number of finished tasks after which the measured mean of a queue is trusted as much as an
+    /// estimate.
     #[serde(rename = "enough_ends")]
-    pub min_ends: u32,
-    /// Weight of the newest end in the moving average of a queue.
+    pub min_samples: u32,
+    /// Weight of the newest finished task in the moving average of a queue.
     #[serde(rename = "newest")]
     pub newest_weight: f64,
-    /// Overload threshold: the room that the tasks waiting in a service ask for whose jobs can
-    /// still be in time, as a share of the capacity of all hosts. Above it not all jobs can be in
-    /// time, so those with the least work left go first; below it, those that must begin first.
+    /// Above this share of the capacity of all hosts, a service is overloaded. Counted are the
+    /// resources requested by its waiting tasks whose jobs can still be in time. Under overload not
+    /// all jobs can be in time, so the steps with the least work left go first; otherwise those
+    /// that must begin first.
     #[serde(rename = "overload")]
     pub overload_share: f64,
     /// How workspaces share workers when all are full.
@@ -79,7 +81,7 @@
     fn default() -> OrderPolicy {
         OrderPolicy {
             worthless_after: 3.0,
-            min_ends: 8,
+            min_samples: 8,
             newest_weight: 1.0 / 30.0,
             overload_share: 0.5,
             share_order: ShareOrder::Dominant,
@@ -91,19 +93,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlacementPolicy {
-    /// Number of steps without a fitting worker, other than those of lasting tasks, after which a
-    /// placement pass stops. Smaller tasks further back would otherwise always fill the room that
-    /// larger ones wait for.
+    /// Number of steps without a fitting worker after which a placement pass stops, not counting
+    /// steps of long-running tasks and steps that need a ticket. Smaller tasks further back would
+    /// otherwise always fill the room that larger ones wait for.
     #[serde(rename = "most_misses")]
     pub max_misses: usize,
-    /// Whether filling tasks may run on hosts with serving tasks.
+    /// Whether best-effort tasks are placed on hosts with serving tasks as readily as on others.
     #[serde(rename = "fills_beside")]
-    pub fill_serving_hosts: bool,
+    pub best_effort_beside_serving: bool,
 }
 
 impl Default for PlacementPolicy {
     fn default() -> PlacementPolicy {
-        PlacementPolicy { max_misses: 8, fill_serving_hosts: false }
+        PlacementPolicy { max_misses: 8, best_effort_beside_serving: false }
     }
 }
 
@@ -121,8 +123,8 @@
     /// of later steps wait.
     #[serde(rename = "arrivals", with = "humantime_serde")]
     pub arrival_window: Duration,
-    /// How far ahead a rise of the rate is extrapolated: the time that a host needs to move to
-    /// another pool.
+    /// How far ahead a rise of the rate is extrapolated, about the time that a host needs to move
+    /// to another pool; 0 switches the extrapolation off.
     #[serde(rename = "ahead", with = "humantime_serde")]
     pub rise_lookahead: Duration,
     /// The extrapolated rate is at most this multiple of the measured one.
@@ -145,20 +147,22 @@
     /// forecast off.
     #[serde(rename = "turn_share")]
     pub surge_peak_share: f64,
-    /// A service's first surge is expected to need this multiple of the hosts that operators gave
-    /// its pool.
+    /// A surge beyond the service's earlier ones is expected to need at least this multiple of the
+    /// hosts that operators gave its pool.
     #[serde(rename = "turn_first")]
-    pub first_surge_pool_factor: f64,
-    /// Upper bound of that forecast, as a multiple of the rate in the last third of
-    /// `arrival_window`.
+    pub new_surge_pool_factor: f64,
+    /// Upper bound of the forecast by `new_surge_pool_factor`, as a multiple of the rate in the last
+    /// third of `arrival_window`.
     #[serde(rename = "turn_first_rise")]
-    pub first_surge_max_rise: f64,
-    /// That forecast applies only while the rate in the last third of `arrival_window` is at least
-    /// this multiple of the rate in the whole window: afterwards the surge has reached its peak.
+    pub new_surge_max_rise: f64,
+    /// The forecast by `new_surge_pool_factor` may exceed the rate in the whole `arrival_window` only
+    /// while the rate in the last third of it is at least this multiple of that rate: afterwards the
+    /// surge has reached its peak.
     #[serde(rename = "turn_still_rises")]
-    pub first_surge_min_rise: f64,
-    /// Whether a surge beyond the service's earlier ones is expected to reach the highest rate of
-    /// any service. Before its first surge, a service's own history only shows its low demand.
+    pub new_surge_min_rise: f64,
+    /// Whether a surge beyond the service's earlier ones is expected to reach `surge_peak_share` of
+    /// the highest rate of any service. If not set, that holds only for a service without an
+    /// earlier peak rate.
     #[serde(rename = "turn_any")]
     pub surge_from_other_services: bool,
     /// How fast the lend floor of a pool falls, in shares of all hosts per second. Hosts above the
@@ -184,9 +188,9 @@
             surge_min_share: 0.04,
             surge_min_jobs: 3,
             surge_peak_share: 0.8,
-            first_surge_pool_factor: 2.0,
-            first_surge_max_rise: 2.0,
-            first_surge_min_rise: 1.5,
+            new_surge_pool_factor: 2.0,
+            new_surge_max_rise: 2.0,
+            new_surge_min_rise: 1.5,
             surge_from_other_services: true,
             lend_floor_fall_per_s: 0.3,
             power_off_floor_fall_per_s: 0.08,
@@ -200,7 +204,8 @@
 pub struct PoolPolicy {
     /// Number of hosts that a pool keeps above its need, as a share of all hosts.
     pub margin: f64,
-    /// A pool turns hosts off only when it exceeds its power-off floor by this share of all hosts.
+    /// A pool turns hosts off only when it exceeds its power-off floor and `margin` by this share
+    /// of all hosts.
     pub surplus: f64,
     /// Share of all hosts that may be moving at the same time.
     #[serde(rename = "most_moves")]
@@ -301,20 +306,20 @@
     }
 }
 
-/// Parameters of the pace of filling tasks that run beside serving tasks.
+/// Parameters of the pace of best-effort tasks that run beside serving tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PacePolicy {
-    /// A serving task above this share of its target slows filling tasks down.
+    /// A serving task above this share of its target slows best-effort tasks down.
     #[serde(rename = "danger")]
     pub slow_down_above: f64,
-    /// Filling tasks speed up while all serving tasks are below this share of their targets.
+    /// Best-effort tasks speed up while all serving tasks are below this share of their targets.
     #[serde(rename = "ease")]
     pub speed_up_below: f64,
     /// By how much the pace rises with each probe, in percent.
     #[serde(rename = "step")]
     pub step_percent: u32,
-    /// Filling tasks whose pace would fall below this, in percent, are paused.
+    /// Best-effort tasks whose pace would fall below this, in percent, are paused.
     #[serde(rename = "least")]
     pub min_percent: u32,
 }
@@ -384,9 +389,9 @@
             ("need.turn_rise", self.need.surge_rise),
             ("need.turn_least", self.need.surge_min_share),
             ("need.turn_share", self.need.surge_peak_share),
-            ("need.turn_first", self.need.first_surge_pool_factor),
-            ("need.turn_first_rise", self.need.first_surge_max_rise),
-            ("need.turn_still_rises", self.need.first_surge_min_rise),
+            ("need.turn_first", self.need.new_surge_pool_factor),
+            ("need.turn_first_rise", self.need.new_surge_max_rise),
+            ("need.turn_still_rises", self.need.new_surge_min_rise),
             ("pools.margin", self.pools.margin),
             ("pools.surplus", self.pools.surplus),
             ("health.stuck_share", self.health.stuck_share),
@@ -395,13 +400,15 @@
             ("relays.spare", self.relays.spare_share),
         ];
         let bad = factors.into_iter().find(|(_, v)| !(*v >= 0.0 && v.is_finite()));
-        bad.map_or(Ok(()), |(name, v)| Err(format!("`policy.{name}` must not be negative, as {v} is")))
+        bad.map_or(Ok(()), |(name, v)| {
+            Err(format!("`policy.{name}` must be finite and not negative, not {v}"))
+        })
     }
 
     /// Checks that counts are at least 1.
     fn check_counts(&self) -> Result<(), String> {
         let counts = [
-            ("order.enough_ends", self.order.min_ends as usize),
+            ("order.enough_ends", self.order.min_samples as usize),
             ("placement.most_misses", self.placement.max_misses),
             ("need.turn_jobs", self.need.surge_min_jobs),
             ("health.faults_to_shun", self.health.faults_to_shun as usize),
@@ -413,7 +420,7 @@
         bad.map_or(Ok(()), |(name, _)| Err(format!("`policy.{name}` must be at least 1")))
     }
 
-    /// Checks that durations are at most [`MAX_DURATION`].
+    /// Checks that durations are at most [`MAX_DURATION`], and that the arrival window is not zero.
     fn check_times(&self) -> Result<(), String> {
         let times = [
             ("need.arrivals", self.need.arrival_window),
--- a/crates/workswood-core/src/jobs/relays.rs
+++ b/crates/workswood-core/src/jobs/relays.rs
@@ -217,7 +217,7 @@
     fn remove_from_relay(&mut self, id: &WorkerId, relay: &HostId) {
         let Some(r) = self.relays.active.get_mut(relay) else { return };
         if r.workers.remove(id) && r.ready {
-            self.relays.orders.push(Action::Unwatch(id.clone()));
+            self.relays.orders.push(Action::StopPolling(id.clone()));
         }
     }
 
@@ -265,7 +265,7 @@
         let Some(r) = self.relays.active.get_mut(&entry) else { return };
         r.workers.insert(id.clone());
         if r.ready {
-            self.relays.orders.push(Action::Watch { relay: entry, info: (*info).clone(), token });
+            self.relays.orders.push(Action::StartPolling { relay: entry, info: (*info).clone(), token });
         }
     }
 
@@ -367,7 +367,7 @@
             WorkerUpdate::Reported(report) => self.handle_report(id, &report),
             WorkerUpdate::ProbeLate => self.mark_answer_late(id),
             WorkerUpdate::Unanswered { lease_end, .. } => self.mark_unreachable(id, lease_end),
-            WorkerUpdate::Fenced => self.note_higher_token(id),
+            WorkerUpdate::Deposed => self.note_higher_token(id),
             WorkerUpdate::Started(task, attempt, reply) => self.handle_start_reply(id, task, attempt, reply),
             WorkerUpdate::Stopped(task, attempt, reply) => self.handle_stop_reply(id, task, attempt, reply),
         }
@@ -383,7 +383,7 @@
     /// The latest time at which the worker answered, according to the update.
     fn answer_time(&self, update: &WorkerUpdate) -> Option<Duration> {
         match update {
-            WorkerUpdate::Reported(_) | WorkerUpdate::Fenced => Some(self.now),
+            WorkerUpdate::Reported(_) | WorkerUpdate::Deposed => Some(self.now),
             WorkerUpdate::Unanswered { heard, .. } => Some(*heard),
             WorkerUpdate::Started(_, _, reply) => reply.is_answer().then_some(self.now),
             WorkerUpdate::Stopped(_, _, reply) => (*reply == StopReply::Taken).then_some(self.now),
@@ -402,7 +402,7 @@
             let Some(w) = self.workers.get(&id) else { continue };
             let Some(info) = &w.info else { continue };
             let (info, token) = ((**info).clone(), self.worker_token(w.relay_count));
-            self.relays.orders.push(Action::Watch { relay: entry.clone(), info, token });
+            self.relays.orders.push(Action::StartPolling { relay: entry.clone(), info, token });
         }
     }
 
--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -29,9 +29,9 @@
 use crate::ids::{DataCentre, HostId, ServiceId, Term, UnixMs};
 use crate::invariant;
 
-/// Interval of the check for runs that make no progress, or whose stop had no effect. The check
-/// visits every run.
-const STALLED_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval of the check for stuck runs: those that make no progress, or whose stop had no effect.
+/// The check visits every run.
+const STUCK_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The state of the process that holds the scheduler lease.
 pub struct Scheduler {
@@ -45,7 +45,7 @@
     pub token: Term,
     /// Name of the entry that holds the lease.
     pub holder: String,
-    /// Number of workers that this entry can attend.
+    /// Number of workers that this entry can poll.
     pub strength: EntryCapacity,
     /// Limits of the platform and of the scheduler.
     pub limits: Limits,
@@ -55,11 +55,11 @@
     pub config: Arc<SchedConfig>,
     /// All known jobs.
     pub jobs: JobTable,
-    /// All known lives of workers.
+    /// All known incarnations of workers.
     pub workers: WorkerTable,
     /// Listed workers whose service is not in the configuration yet.
     pub(super) workers_without_service: BTreeMap<WorkerId, WorkerInfo>,
-    /// Relays, and which workers each attends.
+    /// Relays, and which workers each polls.
     pub(super) relays: Relays,
     /// Tasks that wait for a worker, by service.
     pub(super) ready: StableMap<ServiceId, TaskQueue>,
@@ -71,7 +71,7 @@
     /// Processor capacity, in thousandths of a core, of all listed hosts on which work may begin.
     pub(super) fleet_cpu_millis: u64,
     /// What each workspace submitted lately, compared with its share.
-    shares: SubmissionRates,
+    submission_rates: SubmissionRates,
     /// How often workers crash by themselves.
     pub(super) crash_rate: CrashRate,
     /// Durations of tasks.
@@ -104,13 +104,14 @@
     forgotten_jobs: Vec<(JobKey, QueueId, Owner)>,
     /// Hosts whose workers are cordoned.
     pub(super) cordoned_hosts: BTreeSet<HostId>,
-    /// When stalled runs were last checked.
-    stalled_checked_at: Duration,
+    /// When stuck runs were last looked for.
+    stuck_checked_at: Duration,
     /// Runs that a predecessor evicted and that workers still list.
     pub(super) inherited_evictions: BTreeSet<(WorkerId, TaskId, u32)>,
     /// Actions for the next batch.
     pub(super) actions: Vec<Action>,
-    /// Highest number of an end processed from each worker since the last batch.
+    /// By worker, the sequence number of the last reported end of a run that was processed since
+    /// the last batch.
     pub(super) acked_ends: BTreeMap<WorkerId, u64>,
     /// Services whose waiting tasks are placed before the next batch is taken.
     pub(super) services_to_place: BTreeSet<ServiceId>,
@@ -127,9 +128,9 @@
 /// Counters of a scheduler's term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SchedulerCounters {
-    /// Lives of workers that ended while something ran on them.
-    pub lives_lost: u64,
-    /// Runs that were lost with those lives.
+    /// Incarnations of workers that ended while something ran on them.
+    pub incarnations_lost: u64,
+    /// Runs that were lost with those incarnations.
     pub runs_lost: u64,
     /// Tasks that were given up because they crash their workers.
     pub tasks_given_up: u64,
@@ -137,11 +138,11 @@
 
 impl Scheduler {
     /// Returns a scheduler that knows nothing yet.
-    pub fn new(token: Term, limits: Limits, since: Duration, wall: UnixMs) -> Scheduler {
+    pub fn new(token: Term, limits: Limits, claimed_at: Duration, wall: UnixMs) -> Scheduler {
         Scheduler {
-            now: since,
+            now: claimed_at,
             wall,
-            claimed_at: since,
+            claimed_at,
             token,
             holder: String::new(),
             strength: EntryCapacity::MAX,
@@ -156,7 +157,7 @@
             trials: StableMap::default(),
             evacuated: BTreeSet::new(),
             fleet_cpu_millis: 0,
-            shares: SubmissionRates::default(),
+            submission_rates: SubmissionRates::default(),
             crash_rate: CrashRate::default(),
             durations: TaskDurations::default(),
             hosts: StableMap::default(),
@@ -173,7 +174,7 @@
             finished_jobs: Vec::new(),
             forgotten_jobs: Vec::new(),
             cordoned_hosts: BTreeSet::new(),
-            stalled_checked_at: Duration::ZERO,
+            stuck_checked_at: Duration::ZERO,
             inherited_evictions: BTreeSet::new(),
             actions: Vec::new(),
             acked_ends: BTreeMap::new(),
@@ -192,7 +193,7 @@
         let mut w = self.workers.get_or_insert_with(&id, || Worker::new(lease_end, since));
         w.info = Some(Arc::new(info));
         drop(w);
-        // A probe of its address shows whether that life is over.
+        // A probe of its address shows whether that incarnation has ended.
         self.request_relay(&id);
         self.keep_latest_incarnation(&id);
     }
@@ -200,16 +201,18 @@
     /// Takes over a job from the inbox with the state that a predecessor recorded. Of a finished
     /// job only the state is stored.
     pub fn restore_job(&mut self, key: JobKey, spec: Option<Arc<JobSpec>>, rec: Option<JobRecord>) {
-        let over = rec.as_ref().and_then(|rec| rec.outcome.zip(rec.over.clone()));
-        match (spec, over) {
-            (spec, Some((outcome, over))) => self.restore_finished_job(key, outcome, over, spec.is_some()),
-            (Some(spec), None) => self.restore_open_job(key, spec, rec),
+        let final_record = rec.as_ref().and_then(|rec| rec.outcome.zip(rec.over.clone()));
+        match (spec, final_record) {
+            (spec, Some((outcome, record))) => {
+                self.restore_archived_job(key, outcome, record, spec.is_some())
+            }
+            (Some(spec), None) => self.restore_unarchived_job(key, spec, rec),
             // The record remains from a job that was being forgotten.
             (None, None) => self.forgotten_jobs.push((key, QueueId::new(), Owner::PUBLIC)),
         }
     }
 
-    fn restore_open_job(&mut self, key: JobKey, spec: Arc<JobSpec>, rec: Option<JobRecord>) {
+    fn restore_unarchived_job(&mut self, key: JobKey, spec: Arc<JobSpec>, rec: Option<JobRecord>) {
         let now = self.now;
         let fits = rec.as_ref().is_none_or(|rec| rec.matches_spec(&spec));
         let mut job = match rec {
@@ -226,7 +229,7 @@
         job.max_cpu_millis = self.config.workspaces.limit(job.spec.owner()).cpu_millis;
         self.suspect_inherited(&mut job);
         let bound = self.inherited_lease_end();
-        let mut places = BTreeSet::new();
+        let mut workers = BTreeSet::new();
         for id in job.task_ids() {
             let Some(task) = job.task(&id) else { continue };
             for run in &task.runs {
@@ -236,18 +239,18 @@
                     w.add_run(id, run.attempt, job.spec.reservation(step));
                     w.note_task_kind(&id, step);
                 }
-                places.insert(run.worker.clone());
+                workers.insert(run.worker.clone());
             }
         }
         self.jobs.insert(job);
-        places.iter().for_each(|id| self.keep_latest_incarnation(id));
+        workers.iter().for_each(|id| self.keep_latest_incarnation(id));
         self.track_advised_job(key);
         self.open_due_rounds(key);
         self.queue_job(key);
         self.dirty_jobs.insert(key);
     }
 
-    fn restore_finished_job(
+    fn restore_archived_job(
         &mut self,
         key: JobKey,
         outcome: Outcome,
@@ -256,7 +259,7 @@
     ) {
         let (queue, owner, state) = (record.queue.clone(), record.owner, Some(JobStatus::Ended(outcome)));
         self.jobs.archive(key, ArchivedJob { outcome, record }, self.now);
-        self.status_updates.push(JobStatusUpdate { key, queue, owner, state, timed: false });
+        self.status_updates.push(JobStatusUpdate { key, queue, owner, state, repeats: false });
         if in_inbox {
             self.finished_jobs.push(key);
         }
@@ -281,9 +284,9 @@
             Event::Evacuated(data_centres) => self.set_evacuated(data_centres),
             Event::WorkerListed(info) => self.worker_listed(info),
             Event::WorkerUnlisted(id) => self.worker_unlisted(&id),
-            Event::LifeOver(id, heard) => self.handle_other_incarnation(&id, heard),
+            Event::OtherIncarnationAnswered(id, heard) => self.handle_other_incarnation(&id, heard),
             Event::WorkerRestarted(id, started, heard) => self.worker_restarted(&id, started, heard),
-            Event::WorkerUpdate(id, token, news) => self.handle_worker_update(&id, token, news),
+            Event::WorkerUpdate(id, token, update) => self.handle_worker_update(&id, token, update),
             Event::AdviceReceived(a) => self.advice_received(a),
             Event::HostsListed(list, asked) => self.hosts_listed(list, asked),
             Event::WaveRequested(wave, rec) => self.wave_requested(wave, rec),
@@ -291,7 +294,9 @@
             Event::RelayUp(entry) => self.relay_up(&entry),
             Event::RelayHeard(entry) => self.relay_heard(&entry),
             Event::RelayLeaving(entry) => self.relay_leaving(&entry),
-            Event::RelayDown(entry, lease_end, may_return) => self.relay_down(&entry, lease_end, may_return),
+            Event::RelayDown { entry, lease_end, may_return } => {
+                self.relay_down(&entry, lease_end, may_return)
+            }
             Event::InboxRead(at) => self.inbox_read_at = at,
             Event::Tick => self.tick(),
         }
@@ -317,8 +322,11 @@
             "event=job_known job={key:016x} queue={} stretch={stretch} target_ms={target}",
             spec.queue
         ));
-        let excess =
-            self.shares.exceeds_rate(owner, self.config.workspaces.jobs_per_s(owner), spec.accepted_at);
+        let excess = self.submission_rates.exceeds_rate(
+            owner,
+            self.config.workspaces.jobs_per_s(owner),
+            spec.accepted_at,
+        );
         let most_cpu = self.config.workspaces.limit(owner).cpu_millis;
         self.jobs.insert(Job { over_rate: excess, max_cpu_millis: most_cpu, ..Job::new(key, spec) });
         self.track_advised_job(key);
@@ -424,14 +432,15 @@
             return;
         };
         let queue = self.config.queues.get(&job.spec.queue);
-        let (place, dues) = queue_position(job, &id, queue, &self.durations, &self.policy.order, self.wall);
+        let (position, deadlines) =
+            queue_position(job, &id, queue, &self.durations, &self.policy.order, self.wall);
         let spec = job.spec.clone();
         let room = step.reserved_resources();
         match self.ready.get_mut(&spec.service) {
-            Some(waiting) => waiting.insert(place, dues, room, tasks.iter().copied()),
+            Some(waiting) => waiting.insert(position, deadlines, room, tasks.iter().copied()),
             None => {
                 let waiting = self.ready.entry(spec.service.clone()).or_default();
-                waiting.insert(place, dues, room, tasks.iter().copied());
+                waiting.insert(position, deadlines, room, tasks.iter().copied());
             }
         }
         if step.gang {
@@ -516,8 +525,8 @@
         let wall = self.wall;
         self.ready.values_mut().for_each(|w| w.downgrade_overdue(wall));
         self.settle_expired_leases();
-        if self.now >= self.stalled_checked_at + STALLED_CHECK_INTERVAL {
-            self.stalled_checked_at = self.now;
+        if self.now >= self.stuck_checked_at + STUCK_CHECK_INTERVAL {
+            self.stuck_checked_at = self.now;
             self.stop_stalled_runs();
             self.clear_proven_tasks();
         }
@@ -534,9 +543,9 @@
 
     /// Forgets finished jobs whose retention has ended.
     fn forget_jobs(&mut self) {
-        let Some(before) = self.now.checked_sub(self.limits.ended_job_retention) else { return };
-        for (key, over) in self.jobs.forget_archived(before) {
-            self.forgotten_jobs.push((key, over.record.queue, over.record.owner));
+        let Some(ended_before) = self.now.checked_sub(self.limits.ended_job_retention) else { return };
+        for (key, archived) in self.jobs.forget_archived(ended_before) {
+            self.forgotten_jobs.push((key, archived.record.queue, archived.record.owner));
         }
     }
 
@@ -546,8 +555,14 @@
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let state = Some(job.status());
         if std::mem::replace(&mut job.published_status, state) != state {
-            let (queue, timed) = (job.spec.queue.clone(), job.spec.repeat.is_some());
-            batch.status_updates.push(JobStatusUpdate { key, queue, owner: job.spec.owner(), state, timed });
+            let (queue, repeats) = (job.spec.queue.clone(), job.spec.repeat.is_some());
+            batch.status_updates.push(JobStatusUpdate {
+                key,
+                queue,
+                owner: job.spec.owner(),
+                state,
+                repeats,
+            });
         }
         let Some(outcome) = job.outcome.filter(|_| job.has_no_runs()) else {
             batch.records.push(Record::Job(key, job.record()));
@@ -586,7 +601,7 @@
         batch.finished_jobs = std::mem::take(&mut self.finished_jobs);
         for (key, queue, owner) in std::mem::take(&mut self.forgotten_jobs) {
             batch.records.push(Record::DropJob(key));
-            batch.status_updates.push(JobStatusUpdate { key, queue, owner, state: None, timed: false });
+            batch.status_updates.push(JobStatusUpdate { key, queue, owner, state: None, repeats: false });
         }
         for id in std::mem::take(&mut self.dirty_workers) {
             batch.records.push(match self.workers.get(&id).and_then(|w| w.info.as_ref()) {
--- a/crates/workswood-core/src/jobs/types.rs
+++ b/crates/workswood-core/src/jobs/types.rs
@@ -61,13 +61,13 @@
     WorkerListed(WorkerInfo),
     /// The list of workers no longer shows a worker.
     WorkerUnlisted(WorkerId),
-    /// An update from the relay that attends the worker with this fencing token.
+    /// An update from the relay that polls the worker with this fencing token.
     WorkerUpdate(WorkerId, Term, WorkerUpdate),
-    /// Another life of the worker answers at its address, so this one is over. The time is that of
-    /// its last answer, on the scheduler's clock.
-    LifeOver(WorkerId, Duration),
-    /// A worker restarted under the same name at this time of day, so the named life is over. The
-    /// duration is the time of its last answer, on the scheduler's clock.
+    /// Another incarnation of the worker answers at its address, so this one has ended. The time is
+    /// that of its last answer, on the scheduler's clock.
+    OtherIncarnationAnswered(WorkerId, Duration),
+    /// A worker restarted under the same name at this time of day, so the given incarnation has
+    /// ended. The duration is the time of its last answer, on the scheduler's clock.
     WorkerRestarted(WorkerId, UnixMs, Duration),
     /// The result of a call to the adviser.
     AdviceReceived(AdviceResult),
@@ -83,9 +83,15 @@
     RelayHeard(HostId),
     /// A relay is about to stop.
     RelayLeaving(HostId),
-    /// A relay is lost or could not be reached. The leases that it extended end at the given time;
-    /// the flag tells whether only its connection broke, so that it may be reached again at once.
-    RelayDown(HostId, Duration, bool),
+    /// A relay is lost or could not be reached.
+    RelayDown {
+        /// The entry that runs the relay.
+        entry: HostId,
+        /// When the leases that it extended end.
+        lease_end: Duration,
+        /// Whether only its connection broke, so that it may be reached again at once.
+        may_return: bool,
+    },
     /// The inbox was read to its end at this time.
     InboxRead(Duration),
     /// Time passed.
@@ -107,7 +113,7 @@
         heard: Duration,
     },
     /// The worker has seen a higher fencing token.
-    Fenced,
+    Deposed,
     /// The reply to a start of this attempt of a task.
     Started(TaskId, u32, StartReply),
     /// The reply to a stop of this attempt of a task.
@@ -121,7 +127,7 @@
     Taken,
     /// The worker refused every request, and has done nothing.
     Refused,
-    /// The adviser's ticket was not valid, and the worker has done nothing.
+    /// The worker rejected the adviser's ticket, and has done nothing.
     Ticket,
     /// The worker reports that it is unhealthy, and has done nothing.
     Unwell,
@@ -207,8 +213,8 @@
     OpenRelay(HostId),
     /// Close the relay of an entry.
     CloseRelay(HostId),
-    /// Have a relay attend a worker from now on.
-    Watch {
+    /// Have a relay poll a worker from now on.
+    StartPolling {
         /// The relay.
         relay: HostId,
         /// The worker.
@@ -216,9 +222,9 @@
         /// Fencing token of the relay's orders to the worker.
         token: Term,
     },
-    /// Have a worker attended no longer.
-    Unwatch(WorkerId),
-    /// Turn on or off that the worker's relay reports the load figures of all its tasks with each
+    /// Have the relay of a worker stop polling it.
+    StopPolling(WorkerId),
+    /// Set whether the worker's relay reports the load figures of all of the worker's tasks with each
     /// probe.
     ReportFigures(WorkerId, bool),
     /// Start a task.
@@ -253,8 +259,17 @@
     },
     /// Stop an attempt of a task.
     Stop(WorkerId, TaskId, u32),
-    /// Limit an attempt of a task to a pace in percent.
-    SetPace(WorkerId, TaskId, u32, u32),
+    /// Limit the pace of an attempt of a task.
+    SetPace {
+        /// The worker that runs it.
+        worker: WorkerId,
+        /// The task.
+        task: TaskId,
+        /// Number of the attempt.
+        attempt: u32,
+        /// Pace in percent of full speed.
+        percent: u32,
+    },
     /// Order a host into maintenance as part of a wave.
     MaintainHost(HostId, u64),
     /// Order a host to move to the pool of a service.
@@ -270,9 +285,9 @@
     DropJob(JobKey),
     /// Progress of a wave.
     Wave(u64, WaveRecord),
-    /// The record of one life of a worker.
+    /// The record of one incarnation of a worker.
     Worker(WorkerId, WorkerRecord),
-    /// The record of one life of a worker is deleted.
+    /// The record of one incarnation of a worker is deleted.
     DropWorker(WorkerId),
     /// Name of the lease holder that has ordered a host recently, or is about to; `None` deletes
     /// the mark.
@@ -290,8 +305,9 @@
     pub owner: Owner,
     /// Its state; `None` once the job is forgotten.
     pub state: Option<JobStatus>,
-    /// Whether the job repeats on a schedule.
-    pub timed: bool,
+    /// Whether the job repeats on a schedule; not set for jobs that a predecessor archived or that
+    /// are forgotten.
+    pub repeats: bool,
 }
 
 /// The scheduler's output: records to store, and what follows once they are stored.
@@ -301,7 +317,7 @@
     pub records: Vec<Record>,
     /// Actions to carry out after the records are stored.
     pub actions: Vec<Action>,
-    /// Highest number of an end that each worker may forget.
+    /// By worker, the sequence number up to which it may forget the ends of runs.
     pub acked_ends: Vec<(WorkerId, u64)>,
     /// States of jobs that callers may be shown.
     pub status_updates: Vec<JobStatusUpdate>,
--- a/crates/workswood-core/src/jobs/worker_events.rs
+++ b/crates/workswood-core/src/jobs/worker_events.rs
@@ -184,7 +184,7 @@
         let reason = end.label();
         self.attribute_crash(id, end);
         let lost = self.workers.get(id).map_or(0, |w| w.runs.len());
-        self.counters.lives_lost += u64::from(lost > 0);
+        self.counters.incarnations_lost += u64::from(lost > 0);
         self.counters.runs_lost += lost as u64;
         self.settle_all_runs(id, reason);
         if self.forget_worker(id) {
--- a/crates/workswood-test-support/src/job_world/holder.rs
+++ b/crates/workswood-test-support/src/job_world/holder.rs
@@ -179,7 +179,7 @@
                 self.tell_relay(number, ToRelay::Grant { sent, left });
             }
             ToHolder::LifeOver(id, silent) => {
-                h.sched.handle(Event::LifeOver(id, now.saturating_sub(silent)));
+                h.sched.handle(Event::OtherIncarnationAnswered(id, now.saturating_sub(silent)));
             }
             ToHolder::Restarted(id, started, silent) => {
                 h.sched.handle(Event::WorkerRestarted(id, started, now.saturating_sub(silent)));
@@ -205,7 +205,7 @@
             s.kept_by_holder = false;
         }
         let end = t.granted + lease_with_drift(LEASE, limits().clock_drift);
-        h.sched.handle(Event::RelayDown(entry.clone(), end, may_return));
+        h.sched.handle(Event::RelayDown { entry: entry.clone(), lease_end: end, may_return });
     }
 
     fn tell_relay(&mut self, number: u64, msg: ToRelay) {
@@ -273,12 +273,12 @@
                     s.kept_by_holder = false;
                 }
             }
-            Action::Watch { relay, info, token } => {
+            Action::StartPolling { relay, info, token } => {
                 let id = info.id;
                 self.holders[n].attended.insert(id.clone(), (relay, token));
                 self.order(n, &id.clone(), ToRelay::Attend { id, token });
             }
-            Action::Unwatch(id) => {
+            Action::StopPolling(id) => {
                 self.order(n, &id, ToRelay::Leave(id.clone()));
                 self.holders[n].attended.remove(&id);
             }
@@ -294,7 +294,7 @@
             Action::Stop(worker, task, attempt) => {
                 self.order(n, &worker.clone(), ToRelay::Stop(worker, task, attempt));
             }
-            Action::SetPace(..)
+            Action::SetPace { .. }
             | Action::MaintainHost(..)
             | Action::MoveHost(..)
             | Action::ReportFigures(..) => {}
--- a/src/workswood/ops/jobs/job_status_table.rs
+++ b/src/workswood/ops/jobs/job_status_table.rs
@@ -15,7 +15,7 @@
 
 /// Whether a job counts as queued.
 fn is_counted(update: &JobStatusUpdate) -> bool {
-    update.state == Some(JobStatus::Queued) && !update.timed
+    update.state == Some(JobStatus::Queued) && !update.repeats
 }
 
 impl JobStatusTable {
--- a/src/workswood/ops/jobs/relay/messages.rs
+++ b/src/workswood/ops/jobs/relay/messages.rs
@@ -109,7 +109,7 @@
     pub fn into_scheduler_event(self, id: WorkerId, token: Term, now: Duration) -> Event {
         let update = match self {
             WorkerEvent::IncarnationEnded(silent_for) => {
-                return Event::LifeOver(id, now.saturating_sub(silent_for));
+                return Event::OtherIncarnationAnswered(id, now.saturating_sub(silent_for));
             }
             WorkerEvent::Restarted(started, silent_for) => {
                 return Event::WorkerRestarted(id, started, now.saturating_sub(silent_for));
@@ -120,7 +120,7 @@
                 lease_end: now + lease_left,
                 heard: now.saturating_sub(silent_for),
             },
-            WorkerEvent::Fenced => WorkerUpdate::Fenced,
+            WorkerEvent::Fenced => WorkerUpdate::Deposed,
             WorkerEvent::Started { task, attempt, reply } => WorkerUpdate::Started(task, attempt, reply),
             WorkerEvent::Stopped { task, attempt, reply } => WorkerUpdate::Stopped(task, attempt, reply),
         };
--- a/src/workswood/ops/jobs/relay_sessions.rs
+++ b/src/workswood/ops/jobs/relay_sessions.rs
@@ -85,15 +85,15 @@
         match action {
             Action::OpenRelay(entry) => self.open(entry, tasks),
             Action::CloseRelay(entry) => self.close(&entry),
-            Action::Watch { relay, info, token } => self.assign(relay, info, token),
-            Action::Unwatch(id) => {
+            Action::StartPolling { relay, info, token } => self.assign(relay, info, token),
+            Action::StopPolling(id) => {
                 if let Some(a) = self.assignments.remove(&id) {
                     self.end_assignment(&a);
                 }
             }
             Action::ReportFigures(id, wanted) => self.order(&id, WorkerOrder::ReportLoad(wanted)),
             Action::Stop(id, task, attempt) => self.order(&id, WorkerOrder::Stop { task, attempt }),
-            Action::SetPace(id, task, attempt, percent) => {
+            Action::SetPace { worker: id, task, attempt, percent } => {
                 self.order(&id, WorkerOrder::Throttle { task, attempt, percent });
             }
             Action::Start { worker, token, task, attempt, text, checkpoint, ticket } => {
@@ -230,7 +230,11 @@
         let lease = LeaseTimes::of(&self.node.settings).longest_duration();
         log::info!("event=relay_session_over relay={} reason={reason:?}", self.entry);
         let leases_end = granted_until + lease;
-        self.notify(Event::RelayDown(self.entry.clone(), leases_end, reason == SessionEnd::Broken));
+        self.notify(Event::RelayDown {
+            entry: self.entry.clone(),
+            lease_end: leases_end,
+            may_return: reason == SessionEnd::Broken,
+        });
     }
 
     async fn run_until_lost(
--- a/src/workswood/ops/jobs/scheduler_task.rs
+++ b/src/workswood/ops/jobs/scheduler_task.rs
@@ -206,7 +206,7 @@
         self.update_relay_entries();
         self.sched.handle(Event::Tick);
         let (m, counters) = (&self.node.metrics, &self.sched.counters);
-        m.lost_workers.set(counters.lives_lost as i64);
+        m.lost_workers.set(counters.incarnations_lost as i64);
         m.lost_runs.set(counters.runs_lost as i64);
         m.abandoned_tasks.set(counters.tasks_given_up as i64);
         let (largest_share, active) = self.sched.workspace_limit_usage();
--- a/src/workswood/ops/model/batches.rs
+++ b/src/workswood/ops/model/batches.rs
@@ -93,7 +93,7 @@
             Action::Stop(worker, task, attempt) => {
                 self.schedule_after(MESSAGE_DELAY, ModelEvent::StopReachesWorker(worker, task, attempt));
             }
-            Action::Watch { info, .. } => {
+            Action::StartPolling { info, .. } => {
                 if let Some(n) = self.host_of(&info.id) {
                     self.hosts[n].run_tracker = RunTracker::default();
                     self.schedule_after(MESSAGE_DELAY, ModelEvent::PollWorker(n, info.id, true));
@@ -106,8 +106,8 @@
                 self.schedule_after(MESSAGE_DELAY, ModelEvent::OrderReachesHost(host, HostOrder::Maintain))
             }
             // The model has no advice, pacing or relays.
-            Action::Unwatch(_)
-            | Action::SetPace(..)
+            Action::StopPolling(_)
+            | Action::SetPace { .. }
             | Action::Advise { .. }
             | Action::ReportFigures(..)
             | Action::OpenRelay(_)
--- a/src/workswood/ops/soak.rs
+++ b/src/workswood/ops/soak.rs
@@ -229,8 +229,9 @@
         let names: Vec<&String> = truth.hosts.keys().collect();
         let Some(first) = names.choose(rng).copied() else { return "host_failed" };
         let rack_name = &truth.hosts[first].location.rack;
-        let failed =
-            names.into_iter().filter(|n| *n == first || (rack && truth.hosts[*n].location.rack == *rack_name));
+        let failed = names
+            .into_iter()
+            .filter(|n| *n == first || (rack && truth.hosts[*n].location.rack == *rack_name));
         let failed: Vec<String> = failed.cloned().collect();
         for name in &failed {
             self.platform.fail_host(name);
--- a/tests/testsuite/job_records.rs
+++ b/tests/testsuite/job_records.rs
@@ -178,7 +178,7 @@
 }
 
 fn shown(key: u64, queue: &str, state: Option<JobStatus>) -> JobStatusUpdate {
-    JobStatusUpdate { key, queue: queue.to_string(), owner: Owner::PUBLIC, state, timed: false }
+    JobStatusUpdate { key, queue: queue.to_string(), owner: Owner::PUBLIC, state, repeats: false }
 }
 
 #[test]
@@ -188,7 +188,7 @@
     all.update(shown(1, "a", Some(JobStatus::Queued)));
     all.update(shown(2, "a", Some(JobStatus::Queued)));
     all.update(shown(3, "b", Some(JobStatus::Queued)));
-    all.update(JobStatusUpdate { timed: true, ..shown(4, "b", Some(JobStatus::Queued)) });
+    all.update(JobStatusUpdate { repeats: true, ..shown(4, "b", Some(JobStatus::Queued)) });
     assert_eq!((all.queued_jobs("a"), all.queued_jobs("b"), all.queued_jobs("c")), (2, 1, 0));
     all.update(shown(1, "a", Some(JobStatus::Running)));
     all.update(shown(2, "a", None));
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -218,7 +218,7 @@
         queue: "q".into(),
         owner: workswood_core::jobs::Owner::PUBLIC,
         state: Some(JobStatus::Running),
-        timed: false,
+        repeats: false,
     };
     l.job_statuses.write().update(shown);
     holder.scheduler.store(Some(Arc::new(l)));
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -271,8 +271,7 @@
 fn relay_news() {
     let m = message!(RelayUpdate "relay-news");
     assert_eq!((m.heartbeat, m.stopping), (6, true));
-    let news: Vec<_> =
-        m.events.iter().map(|n| read_event(n.clone()).expect("news that are known")).collect();
+    let news: Vec<_> = m.events.iter().map(|n| read_event(n.clone()).expect("news that are known")).collect();
     let told = news.iter().cloned().map(as_told).collect();
     let written = RelayUpdate { events: write_events(told), ..m.clone() };
     assert_eq!(to_hex(&written.encode_to_vec()), to_hex(&m.encode_to_vec()));
@@ -354,7 +353,7 @@
     }
     let Record::Wave(12, wave) = state_of("wave-12") else { panic!("another record") };
     assert_eq!((&wave.ordered["m-1"], &wave.ordered["m-2"]), (&Some("w-1@5".to_string()), &None));
-    assert!(wave.down.contains("m-1") && wave.finished.contains("m-3"));
+    assert!(wave.settled.contains("m-1") && wave.finished.contains("m-3"));
     let Record::Worker(id, worker) = state_of("worker-w-1@1700000000000") else { panic!("another record") };
     assert_eq!((id.name(), id.started_at()), ("w-1", Some(1_700_000_000_000)));
     assert_eq!((worker.address.as_str(), worker.service.as_str()), ("10.0.1.1:9000", "till"));
@@ -641,7 +640,7 @@
     assert_eq!((s.host_orders_per_s, s.round_lead_ms), (65.5, 104));
     assert_eq!((s.ended_job_retention_s, s.stop_timeout_s), (120.5, 6.25));
     let p = &s.policy;
-    assert_eq!((p.order.min_ends, p.order.share_order), (9, ShareOrder::Excess));
+    assert_eq!((p.order.min_samples, p.order.share_order), (9, ShareOrder::Excess));
     assert_eq!((p.placement.max_misses, p.need.surge_min_jobs, p.pools.margin), (9, 4, 0.01875));
     assert_eq!((p.waves.lead_time, p.health.shun_one_of), (millis(4_007), 4));
     assert_eq!(
