--- a/crates/workswood-core/src/jobs/job.rs
+++ b/crates/workswood-core/src/jobs/job.rs
@@ -75,8 +75,8 @@
     pub progressed_at: Duration,
     /// Since when the run has made no progress; `None` while it does.
     pub stalled_since: Option<Duration>,
-    /// Load metric reported by the worker: latency of slow answers in milliseconds, or processor
-    /// use.
+    /// Load metric reported by the worker: tail latency in milliseconds for a task that serves
+    /// users, CPU use for others.
     pub load_metric: u64,
     /// Pace that the scheduler asked for, in percent of full speed.
     pub pace_percent: u32,
@@ -145,7 +145,7 @@
     pub checkpoint: String,
     /// Runs that may exist on some worker.
     pub runs: Vec<Run>,
-    /// Worker of the latest failed or stuck run; the next run is placed elsewhere if possible.
+    /// Worker of the latest failed or stalled run; the next run is placed elsewhere if possible.
     pub avoid_worker: Option<WorkerId>,
 }
 
@@ -171,13 +171,15 @@
     pub cancelled: bool,
     /// How the job ended; `None` while it is open.
     pub outcome: Option<Outcome>,
-    /// When the job ended, on the scheduler's clock.
+    /// When the job ended, or was restored, on the scheduler's clock; meaningless while the job is
+    /// open.
     pub ended_at: Duration,
     /// Whether any task has started.
     pub started: bool,
     /// Whether it was submitted beyond the guaranteed rate of its workspace.
     pub over_rate: bool,
-    /// CPU limit of its workspace, in thousandths of a core; 0 for no limit.
+    /// CPU limit of its workspace when the job was submitted or restored, in thousandths of a core;
+    /// 0 for no limit.
     pub max_cpu_millis: u64,
     /// First worker on which a task of this job failed.
     pub blamed_worker: Option<WorkerId>,
@@ -270,8 +272,8 @@
         !self.cancelled && self.outcome.is_none()
     }
 
-    /// In how many batches a step has to run one after the other, because the CPU limit of its
-    /// workspace does not admit all of its tasks at once.
+    /// Number of sequential batches that a step needs because the CPU limit of the workspace does
+    /// not admit all of its tasks at once.
     pub fn sequential_batches(&self, step: &StepSpec) -> u32 {
         if self.max_cpu_millis == 0 {
             return 1;
@@ -386,8 +388,8 @@
     pub accepted_at: UnixMs,
     /// Estimated work in core-milliseconds; `None` for a long-running job.
     pub work_core_ms: Option<u64>,
-    /// The least resources that hold any one of its tasks: a start that was sent earlier may still
-    /// take effect on a worker.
+    /// For each kind of resource, the largest amount that any of its tasks reserves: a start that
+    /// was sent earlier may still take effect on a worker.
     pub max_task_resources: Resources,
     /// The owner of the job.
     pub owner: Owner,
