--- a/crates/workswood-core/src/jobs/queue_order.rs
+++ b/crates/workswood-core/src/jobs/queue_order.rs
@@ -16,7 +16,7 @@
 use super::workspace::Owner;
 use crate::ids::UnixMs;
 
-/// Estimate for a task whose step has none, until enough tasks of the queue have ended.
+/// Assumed estimate for a task whose step has none.
 const DEFAULT_ESTIMATE: Duration = Duration::from_millis(1000);
 
 /// Whether a job can still meet its deadline.
@@ -30,28 +30,33 @@
     Worthless,
 }
 
-/// Position of a step's waiting tasks in their queue; the smallest is placed first.
+/// Position of a step's waiting tasks in the task queue of their service; the smallest is placed
+/// first.
+///
+/// Positions are compared field by field, in the order of the fields. `owner` and `work_key` never
+/// decide, because `step` is unique.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuePosition {
-    /// Priority of the queue; 0 is the most urgent.
+    /// Priority of the queue that the job was submitted to; 0 is the most urgent.
     pub priority: u32,
     /// Timeliness of the job when the position was computed.
     pub timeliness: Timeliness,
     /// Whether the job was submitted beyond the guaranteed rate of its workspace.
     pub over_rate: bool,
     /// Sort key for [`QueueOrder::EarliestDeadline`]: the latest start that is in time, or when the
-    /// job became available if it is late.
+    /// job became available if it is late; 0 for a long-running step.
     pub deadline_key: u64,
     /// The step whose tasks wait.
     pub step: StepId,
     /// The owner of the job.
     pub owner: Owner,
     /// Sort key for [`QueueOrder::LeastWork`]: work of this step and of later ones in
-    /// core-milliseconds, or when the job became available if it is late.
+    /// core-milliseconds, or when the job became available if it is late; 0 for a long-running
+    /// step.
     pub work_key: u64,
 }
 
-/// How positions of equal priority and timeliness are ordered.
+/// How positions of equal priority, timeliness and `over_rate` are ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueOrder {
     /// The step with the earliest start deadline goes first.
@@ -70,7 +75,7 @@
     }
 }
 
-/// The latest start times of a step's tasks.
+/// When a step's tasks may start, and the latest times at which they should.
 #[derive(Clone, Copy, Debug)]
 pub struct StartDeadlines {
     /// When the job was submitted or its round was due, whichever is later.
@@ -97,27 +102,37 @@
 /// Moving average of how long the tasks of each queue take.
 #[derive(Debug, Default)]
 pub struct TaskDurations {
-    by_queue: HashMap<QueueId, (u32, f64)>,
+    by_queue: HashMap<QueueId, QueueAverage>,
+}
+
+/// Moving average of how long the tasks of one queue take.
+#[derive(Debug)]
+struct QueueAverage {
+    /// Number of tasks that have completed.
+    completed: u32,
+    mean_ms: f64,
 }
 
 impl TaskDurations {
     /// Records how long a completed task took.
     pub fn observe(&mut self, queue: &str, duration: Duration, policy: &OrderPolicy) {
         let ms = duration.as_secs_f64() * 1000.0;
-        let (n, mean) = self.by_queue.entry(queue.to_string()).or_insert((0, ms));
-        *n += 1;
-        let weight = policy.newest_weight.max(1.0 / f64::from(*n));
-        *mean += (ms - *mean) * weight;
+        let average =
+            self.by_queue.entry(queue.to_string()).or_insert(QueueAverage { completed: 0, mean_ms: ms });
+        average.completed += 1;
+        let weight = policy.newest_weight.max(1.0 / f64::from(average.completed));
+        average.mean_ms += (ms - average.mean_ms) * weight;
     }
 
     /// Expected duration of a task with this estimate: the geometric mean of the caller's estimate
-    /// and the average of the queue, since either can be far off.
+    /// and the average of the queue, since either can be far off. Until `policy.min_ends` tasks of
+    /// the queue have completed, it is the estimate alone.
     pub fn expect(&self, queue: &str, estimate: Duration, policy: &OrderPolicy) -> Duration {
         let estimate = if estimate.is_zero() { DEFAULT_ESTIMATE } else { estimate };
         match self.by_queue.get(queue) {
-            Some((n, mean)) if *n >= policy.min_ends => {
+            Some(average) if average.completed >= policy.min_ends => {
                 let estimate_ms = estimate.as_secs_f64() * 1000.0;
-                Duration::from_secs_f64((estimate_ms * mean).sqrt() / 1000.0)
+                Duration::from_secs_f64((estimate_ms * average.mean_ms).sqrt() / 1000.0)
             }
             _ => estimate,
         }
@@ -142,7 +157,8 @@
     (0..spec.steps.len()).map(|n| critical_path_from(spec, n, duration)).max().unwrap_or_default()
 }
 
-/// Computes the queue position of a step's tasks, and the deadlines at which it gets worse.
+/// Computes the queue position of a step's tasks, and the start deadlines after which the position
+/// is downgraded.
 pub fn queue_position(
     job: &Job,
     id: &StepId,
@@ -158,10 +174,10 @@
     };
     let long_running = spec.steps.get(usize::from(id.step)).is_some_and(|s| s.long_running);
     let available_at = spec.accepted_at.max(spec.round_due_at(id.round));
-    let allowed = allowed_time(spec, queue, &duration);
+    let time_to_deadline = time_to_deadline(spec, queue, &duration);
     let path_left = critical_path_from(spec, usize::from(id.step), &duration).as_millis() as u64;
-    let deadline = available_at + allowed.as_millis() as u64;
-    let worthless_at = available_at + allowed.mul_f64(policy.worthless_after).as_millis() as u64;
+    let deadline = available_at + time_to_deadline.as_millis() as u64;
+    let worthless_at = available_at + time_to_deadline.mul_f64(policy.worthless_after).as_millis() as u64;
     let deadlines = if long_running {
         StartDeadlines { available_at, in_time_until: UnixMs::MAX, worthwhile_until: UnixMs::MAX }
     } else {
@@ -195,8 +211,8 @@
     (position, deadlines)
 }
 
-/// Time from the submission of a job to its deadline.
-fn allowed_time(
+/// Time from when a round of a job is available to its deadline.
+fn time_to_deadline(
     spec: &JobSpec,
     queue: Option<&QueueConfig>,
     duration: &dyn Fn(usize) -> Duration,
