--- a/crates/workswood-core/src/jobs/task_queue.rs
+++ b/crates/workswood-core/src/jobs/task_queue.rs
@@ -69,8 +69,9 @@
     by_position: BTreeSet<QueuePosition>,
     by_owner: BTreeMap<Owner, OwnerQueue>,
     steps: BTreeMap<StepId, WaitingStep>,
-    /// The last moment at which each step keeps its timeliness.
-    downgrade_at: BTreeSet<(UnixMs, StepId)>,
+    /// Steps by the last moment at which they keep their timeliness, without those whose timeliness
+    /// cannot become worse.
+    timely_until: BTreeSet<(UnixMs, StepId)>,
 }
 
 impl TaskQueue {
@@ -187,7 +188,7 @@
 
     /// Moves steps whose timeliness has become worse to their new position.
     pub fn downgrade_overdue(&mut self, now: UnixMs) {
-        while let Some((_, step)) = self.downgrade_at.first().copied().filter(|(at, _)| *at < now) {
+        while let Some((_, step)) = self.timely_until.first().copied().filter(|(at, _)| *at < now) {
             let Some(mut s) = self.take_step(&step) else { return };
             let (timeliness, available_at) = (s.deadlines.timeliness_at(now), s.deadlines.available_at);
             s.position = QueuePosition {
@@ -205,7 +206,7 @@
             return;
         }
         self.by_position.insert(s.position);
-        self.downgrade_at.extend(s.downgrade_at().map(|at| (at, s.position.step)));
+        self.timely_until.extend(s.timely_until().map(|at| (at, s.position.step)));
         let queue = self.by_owner.entry(s.position.owner).or_default();
         queue.by_position.insert(s.position);
         queue.by_work.insert(ByRemainingWork(s.position));
@@ -216,8 +217,8 @@
     fn take_step(&mut self, step: &StepId) -> Option<WaitingStep> {
         let s = self.steps.remove(step)?;
         self.by_position.remove(&s.position);
-        if let Some(at) = s.downgrade_at() {
-            self.downgrade_at.remove(&(at, *step));
+        if let Some(at) = s.timely_until() {
+            self.timely_until.remove(&(at, *step));
         }
         if let Some(queue) = self.by_owner.get_mut(&s.position.owner) {
             queue.by_position.remove(&s.position);
@@ -241,8 +242,8 @@
 }
 
 impl WaitingStep {
-    /// The last moment at which the step keeps its timeliness.
-    fn downgrade_at(&self) -> Option<UnixMs> {
+    /// The last moment at which the step keeps its timeliness; `None` if that cannot become worse.
+    fn timely_until(&self) -> Option<UnixMs> {
         match self.position.timeliness {
             Timeliness::InTime => Some(self.deadlines.in_time_until),
             Timeliness::Late => Some(self.deadlines.worthwhile_until),
