--- a/crates/workswood-core/src/jobs/fair_share.rs
+++ b/crates/workswood-core/src/jobs/fair_share.rs
@@ -6,7 +6,7 @@
 use super::workspace::Owner;
 use crate::ids::UnixMs;
 
-/// Burst allowance in seconds of the guaranteed rate: callers submit jobs in short bursts.
+/// Capacity of the token bucket, in seconds at the guaranteed rate.
 const BURST_S: f64 = 1.0;
 
 /// Token bucket with one token for each job that the owner may submit.
@@ -38,8 +38,8 @@
     }
 }
 
-/// CPU in use by an owner, divided by its guaranteed rate, to compare owners by. Jobs without an
-/// owner are not counted, so they compare as the lowest.
+/// CPU in use by an owner, divided by its guaranteed rate, or by 1 without a rate; owners are
+/// compared by it. Jobs of [`Owner::PUBLIC`] are not counted and sort first.
 pub fn weighted_usage(owner: Owner, in_use: &Resources, jobs_per_s: Option<f64>) -> u64 {
     if owner.is_public() {
         return 0;
