--- a/crates/workswood-core/src/jobs/workspace_usage.rs
+++ b/crates/workswood-core/src/jobs/workspace_usage.rs
@@ -20,7 +20,7 @@
 }
 
 impl From<Resources> for Reservation {
-    /// Reserves resources for a run without an owner.
+    /// Reserves resources for a run of [`Owner::PUBLIC`].
     fn from(resources: Resources) -> Reservation {
         Reservation { resources, charged: resources, owner: Owner::PUBLIC }
     }
@@ -35,7 +35,7 @@
     Released(Reservation),
 }
 
-/// Resources in use by each owner.
+/// Resources in use by each owner with a workspace; jobs of [`Owner::PUBLIC`] are not counted.
 #[derive(Clone, Debug, Default)]
 pub struct WorkspaceUsage(StableMap<Owner, Resources>);
 
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Resources in use by an owner.
+    /// Resources in use by an owner; zero for [`Owner::PUBLIC`].
     pub fn in_use(&self, owner: Owner) -> Resources {
         self.0.get(&owner).copied().unwrap_or_default()
     }
 
-    /// Resources in use by each owner, in no particular order.
+    /// Resources in use by each owner with a workspace, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (Owner, Resources)> {
         self.0.iter().map(|(owner, resources)| (*owner, *resources))
     }
