--- a/crates/workswood-core/src/jobs/spec.rs
+++ b/crates/workswood-core/src/jobs/spec.rs
@@ -16,28 +16,27 @@
 /// Name of a queue.
 pub type QueueId = String;
 
-/// Most tasks of one round of a job. Bounds the memory that a single job takes.
+/// Maximum number of tasks of one round of a job. Bounds the memory that a single job takes.
 pub const MAX_TASKS_PER_ROUND: u64 = 10_000;
-/// Most tasks of all rounds of a job together, so that the state of the job fits into one record of
-/// the store, which holds 256 KB.
+/// Maximum number of tasks of all rounds of a job together, so that the state of the job fits into
+/// one record of the store, which holds 256 KB.
 pub const MAX_TASKS: u64 = 20_000;
 /// Longest estimate of a task. Keeps times in milliseconds from overflowing when they are
 /// multiplied.
 pub const MAX_ESTIMATE: Duration = Duration::from_secs(30 * 24 * 3600);
-/// Most steps of a job; step numbers are stored in 16 bits.
+/// Maximum number of steps of a job; step numbers are stored in 16 bits.
 pub const MAX_STEPS: usize = 1_000;
 
-/// Amounts of processor, memory and accelerators: the request of a task, or the capacity of a
-/// worker.
+/// Amounts of CPU, memory and GPUs: the request of a task, or the capacity of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Processor, in thousandths of a core.
+    /// CPU, in thousandths of a core.
     #[serde(default, rename = "c")]
     pub cpu_millis: u64,
     /// Memory in MB.
     #[serde(default, rename = "m")]
     pub mem_mb: u64,
-    /// Number of accelerators.
+    /// Number of GPUs.
     #[serde(default, rename = "g")]
     pub gpus: u64,
 }
@@ -118,7 +117,7 @@
     /// Rack that holds the input data; workers in it are preferred.
     #[serde(default, rename = "near", skip_serializing_if = "Option::is_none")]
     pub data_rack: Option<Rack>,
-    /// Most tasks of the step on one worker at a time; 0 for no limit.
+    /// Maximum number of tasks of the step on one worker at a time; 0 for no limit.
     #[serde(default, rename = "most_per_worker")]
     pub max_per_worker: u32,
     /// Whether several runs of a task may exist at the same time. The scheduler starts no such
@@ -134,7 +133,7 @@
     /// Latency target of a long-running task that serves users.
     #[serde(default, rename = "target", skip_serializing_if = "Option::is_none")]
     pub latency_target: Option<Duration>,
-    /// Whether the tasks run only on processor time that other tasks leave unused.
+    /// Whether the tasks run only on CPU time that other tasks leave unused.
     #[serde(default, rename = "fills")]
     pub best_effort: bool,
     /// How many tasks of a long-running step the scheduler may make unavailable at once.
@@ -143,7 +142,7 @@
 }
 
 impl StepSpec {
-    /// Resources that a task reserves on its worker. A best-effort task reserves no processor.
+    /// Resources that a task reserves on its worker. A best-effort task reserves no CPU.
     pub fn reserved_resources(&self) -> Resources {
         if self.best_effort { Resources { cpu_millis: 0, ..self.resources } } else { self.resources }
     }
@@ -201,7 +200,7 @@
         Reservation { resources: step.reserved_resources(), charged: step.resources, owner: self.owner() }
     }
 
-    /// The least resources that hold any one of its tasks.
+    /// For each kind of resource, the largest amount that any task reserves.
     pub fn max_task_resources(&self) -> Resources {
         self.steps
             .iter()
@@ -215,24 +214,24 @@
             return Err("a job needs at least one step".to_string());
         }
         if self.steps.len() > MAX_STEPS {
-            return Err(format!("a job may have {MAX_STEPS} steps at most"));
+            return Err(format!("a job may have at most {MAX_STEPS} steps"));
         }
         let tasks: u64 = self.steps.iter().map(|s| u64::from(s.count)).sum();
         if self.steps.iter().any(|s| s.count == 0) {
             return Err("each step needs at least one task".to_string());
         }
         if self.steps.iter().any(|s| s.estimate > MAX_ESTIMATE) {
-            return Err(format!("a task may be estimated at {} s at most", MAX_ESTIMATE.as_secs()));
+            return Err(format!("the estimate of a task may be at most {} s", MAX_ESTIMATE.as_secs()));
         }
         if tasks.saturating_mul(u64::from(self.round_count())) > MAX_TASKS {
-            return Err(format!("all rounds together may have {MAX_TASKS} tasks at most"));
+            return Err(format!("all rounds together may have at most {MAX_TASKS} tasks"));
         }
         if tasks > MAX_TASKS_PER_ROUND {
-            return Err(format!("a job may have {MAX_TASKS_PER_ROUND} tasks at most"));
+            return Err(format!("a round may have at most {MAX_TASKS_PER_ROUND} tasks"));
         }
         for (n, s) in self.steps.iter().enumerate() {
-            if s.depends_on.iter().any(|a| usize::from(*a) >= n) {
-                return Err(format!("step {n} may only wait for earlier steps"));
+            if s.depends_on.iter().any(|dep| usize::from(*dep) >= n) {
+                return Err(format!("step {n} may depend only on earlier steps"));
             }
         }
         Ok(())
@@ -308,7 +307,7 @@
     type Err = String;
 
     fn from_str(s: &str) -> Result<TaskId, String> {
-        let bad = || format!("`{s}` is not the name of a task");
+        let bad = || format!("`{s}` is not a task ID");
         let mut parts = s.split('.');
         let mut next = || parts.next().ok_or_else(bad);
         let job = parse_job_key(next()?).ok_or_else(bad)?;
