--- a/crates/workswood-core/src/jobs/worker_events.rs
+++ b/crates/workswood-core/src/jobs/worker_events.rs
@@ -2,9 +2,9 @@
 //! stops, ends of incarnations and of leases; and settling of the runs that these end.
 //!
 //! A task may be started again only when its earlier run cannot be executing any more. This is
-//! known when the worker refused the start and accepted no earlier try of it, when a later report
-//! does not list the run, when that incarnation of the worker is over, or when the lease of the
-//! worker has expired.
+//! known when the worker refused the start and accepted no earlier request for it, when a later
+//! report does not list the run, when that incarnation of the worker is over, or when the lease of
+//! the worker has expired.
 
 use std::fmt;
 use std::sync::Arc;
@@ -20,10 +20,22 @@
 
 /// A stop that had no effect is sent again after this time.
 const STOP_RETRY_AFTER: Duration = Duration::from_millis(1000);
+/// A stop that the worker accepted is sent again only after this time, since probes that were sent
+/// before it may still list the run.
+const ACCEPTED_STOP_RETRY_AFTER: Duration = Duration::from_millis(4000);
 
 /// Worker, task and attempt of a run.
 type WorkerRun = (WorkerId, TaskId, u32);
 
+/// Runs for which a stop is due.
+#[derive(Default)]
+struct RunsToStop {
+    /// Runs whose earlier stop had no effect.
+    retries: Vec<WorkerRun>,
+    /// Runs that make no progress.
+    stalled: Vec<WorkerRun>,
+}
+
 /// Formats the known runtime of a run in milliseconds, or `unknown`, for the log.
 struct RuntimeMs(Option<Duration>);
 
@@ -36,10 +48,6 @@
     }
 }
 
-/// A stop that the worker accepted is sent again only after this many times [`STOP_RETRY_AFTER`],
-/// since probes that were sent before it may still list the run.
-const ACCEPTED_STOP_RETRY_FACTOR: u32 = 4;
-
 impl Scheduler {
     /// Handles a worker in the worker list that is new or changed.
     pub(super) fn worker_listed(&mut self, info: WorkerInfo) {
@@ -88,23 +96,24 @@
         self.keep_latest_incarnation(&id);
     }
 
-    /// Ends incarnations whose host, according to the host list, is down or off or runs another
-    /// worker. The worker list does not show this: its records outlive the incarnation, which may
-    /// even write them late. `requested_at` is when the host list was requested; only incarnations
-    /// known before that are ended.
+    /// Ends unreachable incarnations whose host, according to the host list, is down without a
+    /// worker, is in the spare pool without a worker, or runs another worker. The worker list
+    /// cannot show this: its records outlive the incarnation, and a late write may appear after its
+    /// end. `requested_at` is when the host list was requested; only incarnations known before that
+    /// are ended.
     pub(super) fn end_incarnations_by_host_list(&mut self, requested_at: Duration) {
         let spare = self.spare_pool();
         let is_over = |id: &WorkerId, w: &Worker| {
             let Some(info) = &w.info else { return false };
             let Some(host) = self.hosts.get(&info.host) else { return false };
-            let superseded = match (host.state, &host.worker) {
+            let absent_from_host = match (host.state, &host.worker) {
                 // The host list names workers, not their incarnations.
                 (HostState::Up, Some(listed)) => listed.name() != id.name(),
                 (HostState::Down, None) => true,
                 (HostState::Up, None) => spare.as_ref() == Some(&host.pool),
                 _ => false,
             };
-            superseded && !w.reachable && w.known_since < requested_at
+            absent_from_host && !w.reachable && w.known_since < requested_at
         };
         let ended: Vec<WorkerId> =
             self.workers.iter().filter(|(id, w)| is_over(id, w)).map(|(id, _)| id.clone()).collect();
@@ -121,11 +130,11 @@
         w.unlisted_at = Some(self.now);
         self.notes.push(format_args!("event=worker_unlisted worker={id} runs={}", w.runs.len()));
         drop(w);
-        self.forget_if_idle(id);
+        self.forget_if_unlisted_and_idle(id);
     }
 
-    /// Forgets a worker that is neither listed nor has any runs.
-    fn forget_if_idle(&mut self, id: &WorkerId) {
+    /// Forgets a worker that is neither listed nor has any runs, whether or not it is reachable.
+    fn forget_if_unlisted_and_idle(&mut self, id: &WorkerId) {
         let idle = self.workers.get(id).is_some_and(|w| !w.listed && w.runs.is_empty());
         if idle {
             self.attribute_crash(id, IncarnationEnd::UnreachableAndUnlisted);
@@ -169,7 +178,7 @@
         self.end_incarnation(id, IncarnationEnd::OtherIncarnation);
     }
 
-    /// Records when an incarnation that is over last answered.
+    /// Records when an incarnation that is over last answered, and for how long it had been silent.
     pub(super) fn record_last_heard(&mut self, id: &WorkerId, heard: Duration) {
         if let Some(mut w) = self.workers.get_mut(id) {
             w.last_heard = w.last_heard.max(heard);
@@ -197,6 +206,7 @@
         self.workers.get(id).map(|w| w.runs.keys().copied().collect()).unwrap_or_default()
     }
 
+    /// Settles all runs that may exist on a worker; `reason` is for the log.
     fn settle_all_runs(&mut self, id: &WorkerId, reason: &str) {
         for (task, attempt) in self.runs_on(id) {
             self.settle_run(id, &task, attempt, reason);
@@ -221,11 +231,13 @@
         self.queue_task(task_id);
     }
 
+    /// Looks up a run by its worker, task and attempt.
     pub(super) fn run(&self, id: &WorkerId, task: &TaskId, attempt: u32) -> Option<&Run> {
         let t = self.jobs.get(&task.job)?.task(task)?;
         t.runs.iter().find(|r| r.worker == *id && r.attempt == attempt)
     }
 
+    /// Looks up a run by its worker, task and attempt, mutably.
     pub(super) fn run_mut(&mut self, id: &WorkerId, task: &TaskId, attempt: u32) -> Option<&mut Run> {
         let t = self.jobs.get_mut(&task.job)?.task_mut(task)?;
         t.runs.iter_mut().find(|r| r.worker == *id && r.attempt == attempt)
@@ -245,7 +257,7 @@
                 "event=start_not_taken worker={id} task={task} attempt={attempt} reply={reply:?}"
             ));
         }
-        self.shun_after_refusal(id, reply);
+        self.back_off_after_refusal(id, reply);
         if reply == StartReply::Ticket {
             self.ticket_rejected(id, &task);
         }
@@ -273,9 +285,9 @@
         }
     }
 
-    /// Shuns a worker for a while after it refused a start.
-    fn shun_after_refusal(&mut self, id: &WorkerId, reply: StartReply) {
-        let shun_for = match reply {
+    /// Puts a worker into backoff after it refused a start.
+    fn back_off_after_refusal(&mut self, id: &WorkerId, reply: StartReply) {
+        let backoff = match reply {
             StartReply::Unwell => self.policy.health.unwell_for,
             // Its free resources differ from what is known here; the next report will show them.
             StartReply::Refused => self.policy.health.refused_for,
@@ -286,7 +298,7 @@
             | StartReply::NotSent
             | StartReply::Deposed => return,
         };
-        let until = self.now + shun_for;
+        let until = self.now + backoff;
         if let Some(mut w) = self.workers.get_mut(id) {
             w.backoff_until = w.backoff_until.max(until);
         }
@@ -327,13 +339,13 @@
                     self.settle_run(&id, &task, attempt, "lease_ended");
                 }
             }
-            self.forget_if_idle(&id);
+            self.forget_if_unlisted_and_idle(&id);
         }
     }
 
-    /// Sends stops again that had no effect, and stops runs that make no progress.
+    /// Resends stops that had no effect, and stops runs that make no progress.
     pub(super) fn stop_stalled_runs(&mut self) {
-        let (mut stops, stalled) = self.stalled_runs();
+        let RunsToStop { retries: mut stops, stalled } = self.runs_to_stop();
         for (id, task, attempt) in stalled {
             self.notes.push(format_args!("event=run_stuck worker={id} task={task} attempt={attempt}"));
             self.record_fault(&id, &task);
@@ -352,31 +364,28 @@
     }
 
     /// Runs whose stop had no effect, and runs that make no progress.
-    fn stalled_runs(&self) -> (Vec<WorkerRun>, Vec<WorkerRun>) {
-        let mut stops = Vec::new();
-        let mut stalled = Vec::new();
+    fn runs_to_stop(&self) -> RunsToStop {
+        let mut due = RunsToStop::default();
         for (id, w) in self.workers.iter().filter(|(_, w)| w.reachable) {
             for (task, attempt) in w.runs.keys() {
                 let Some(step) = self.jobs.get(&task.job).and_then(|j| j.step(task)) else { continue };
                 let Some(run) = self.run(id, task, *attempt) else { continue };
                 match run.phase {
                     Phase::Stopping if run.phase_since + STOP_RETRY_AFTER < self.now => {
-                        stops.push((id.clone(), *task, *attempt));
+                        due.retries.push((id.clone(), *task, *attempt));
                     }
                     // The stop was accepted; a later report settles the run.
-                    Phase::Stopped
-                        if run.phase_since + STOP_RETRY_AFTER * ACCEPTED_STOP_RETRY_FACTOR < self.now =>
-                    {
-                        stops.push((id.clone(), *task, *attempt));
+                    Phase::Stopped if run.phase_since + ACCEPTED_STOP_RETRY_AFTER < self.now => {
+                        due.retries.push((id.clone(), *task, *attempt));
                     }
                     Phase::Running if self.is_stalled(step, run) => {
-                        stalled.push((id.clone(), *task, *attempt));
+                        due.stalled.push((id.clone(), *task, *attempt));
                     }
                     _ => {}
                 }
             }
         }
-        (stops, stalled)
+        due
     }
 
     /// Whether a run makes no progress although its worker answers. Members of a gang may wait for
@@ -388,7 +397,7 @@
         // Progress is reported in whole percent, so a long task shows none for a while.
         let limit = stalled_since + policy.stuck_after + step.estimate.mul_f64(policy.stuck_share);
         let slowed = run.pace_percent < FULL_PACE_PERCENT;
-        let working = slowed || step.long_running && run.progress_percent >= 100;
-        limit < self.now && !working && !step.gang
+        let may_be_idle = slowed || step.long_running && run.progress_percent >= 100;
+        limit < self.now && !may_be_idle && !step.gang
     }
 }
