--- a/crates/workswood-core/src/jobs/worker_reports.rs
+++ b/crates/workswood-core/src/jobs/worker_reports.rs
@@ -41,9 +41,9 @@
 
     /// Handles the reported ends that are not recorded yet.
     fn handle_ends(&mut self, id: &WorkerId, ended: &[ReportedEnd]) {
-        let known = self.workers.get(id).map_or(0, |w| w.last_recorded_end);
-        let mut last = known;
-        for end in ended.iter().filter(|e| e.sequence_number > known) {
+        let last_recorded = self.workers.get(id).map_or(0, |w| w.last_recorded_end);
+        let mut last = last_recorded;
+        for end in ended.iter().filter(|e| e.sequence_number > last_recorded) {
             last = last.max(end.sequence_number);
             self.handle_end(id, end);
         }
@@ -55,7 +55,9 @@
         }
     }
 
-    /// Updates a run that a worker lists, and stops it if it is no longer wanted.
+    /// Updates a run that a worker lists, and stops it if it is no longer wanted. Adopts or stops a
+    /// run that is not known, and continues the eviction of a run that an earlier lease holder
+    /// began to evict.
     fn update_listed_run(&mut self, id: &WorkerId, listed: &ReportedRun) {
         let now = self.now;
         let job = self.jobs.get_mut(&listed.task.job);
@@ -95,8 +97,8 @@
         self.actions.push(Action::Stop(id.clone(), listed.task, listed.attempt));
     }
 
-    /// Takes back a run that was believed to be over, if its task has no other run. Returns whether
-    /// it did.
+    /// Takes back a run that was believed to be over, if its task is not done, belongs to no gang,
+    /// has no other run, and was not started again with a later attempt. Returns whether it did.
     fn adopt_run(&mut self, id: &WorkerId, listed: &ReportedRun) -> bool {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&listed.task.job) else { return false };
@@ -122,8 +124,9 @@
         true
     }
 
-    /// Settles runs that a worker no longer has, without a reported end. A whole report lists every
-    /// run: the token of its probe fences off earlier starts, and no start was sent since.
+    /// Settles runs that a worker no longer has, without a reported end. A full report lists every
+    /// run: the fencing token of its probe makes the worker reject starts that were sent earlier,
+    /// and no start has been sent since.
     fn settle_unlisted_runs(&mut self, id: &WorkerId, report: &Report) {
         for (task, attempt) in &report.missing {
             self.settle_run(id, task, *attempt, "not_listed");
@@ -182,7 +185,8 @@
         self.queue_task(&task_id);
     }
 
-    /// Marks a task as done, or all members of its gang.
+    /// Handles a run that completed: clears the faults of its worker, and marks the task, or all
+    /// members of its gang, as done. A long-running task is never done.
     fn complete_task(&mut self, id: &WorkerId, task_id: &TaskId, gang: bool, long_running: bool) {
         if let Some(mut w) = self.workers.get_mut(id) {
             w.faults = 0;
@@ -212,7 +216,8 @@
         }
     }
 
-    /// Records a failed run of a task; fails the job when its attempts are used up.
+    /// Records a failed run of a task; fails the job when its attempts are used up, unless the task
+    /// is long-running.
     fn record_failure(&mut self, id: &WorkerId, task_id: &TaskId, attempt: u32, long_running: bool) {
         let Some(job) = self.jobs.get_mut(&task_id.job) else { return };
         let max_attempts = job.spec.max_attempts.max(1);
@@ -234,7 +239,7 @@
     }
 
     /// Attributes a fault to the worker or to the job: a job that fails on two workers is at fault
-    /// itself, and the first worker is cleared.
+    /// itself, and one fault of the first worker is withdrawn.
     pub(super) fn record_fault(&mut self, id: &WorkerId, task_id: &TaskId) {
         let Some(job) = self.jobs.get_mut(&task_id.job) else { return };
         match job.blamed_worker.clone() {
@@ -252,7 +257,7 @@
         w.faults += 1;
         let faults = w.faults;
         drop(w);
-        if faults < self.policy.health.faults_to_shun || !self.may_shun(id) {
+        if faults < self.policy.health.faults_to_shun || !self.may_back_off(id) {
             return;
         }
         let until = now + (self.policy.health.shun_for * faults).min(self.policy.health.max_shun);
@@ -262,14 +267,15 @@
         self.notes.push(format_args!("event=worker_shunned worker={id} faults={faults}"));
     }
 
-    /// Whether one more worker of the same service may be shunned without exceeding the allowed
-    /// fraction.
-    fn may_shun(&self, id: &WorkerId) -> bool {
+    /// Whether one more worker of the same service may be put into backoff without exceeding the
+    /// allowed fraction.
+    fn may_back_off(&self, id: &WorkerId) -> bool {
         let service = self.workers.get(id).and_then(|w| w.info.as_ref()).map(|i| &i.service);
-        let same = |w: &&Worker| w.listed && w.info.as_ref().map(|i| &i.service) == service;
-        let all = self.workers.values().filter(same).count();
-        let shunned = self.workers.values().filter(same).filter(|w| w.in_backoff(self.now)).count();
-        (shunned + 1) * self.policy.health.shun_one_of <= all
+        let same_service = |w: &&Worker| w.listed && w.info.as_ref().map(|i| &i.service) == service;
+        let all = self.workers.values().filter(same_service).count();
+        let in_backoff =
+            self.workers.values().filter(same_service).filter(|w| w.in_backoff(self.now)).count();
+        (in_backoff + 1) * self.policy.health.shun_one_of <= all
     }
 }
 
