--- a/crates/workswood-core/src/jobs/lease_claim.rs
+++ b/crates/workswood-core/src/jobs/lease_claim.rs
@@ -1,9 +1,9 @@
-//! When a process claims the scheduler lease.
+//! When an entry claims the scheduler lease.
 //!
 //! The holder probes every worker several times a second and reads all state when it takes over,
-//! which overloads a small entry. So an entry delays its claim of a free lease the more, the lower
-//! its capacity is, and an entry with a much higher capacity takes the lease over from the holder
-//! once both have been up for some time.
+//! which overloads a small entry. So the lower the capacity of an entry, the longer it delays its
+//! claim of a free lease, and an entry with a much higher capacity takes the lease over from the
+//! holder once the holder has held it, and the entry has been up, for some time.
 
 use std::time::Duration;
 
@@ -33,10 +33,10 @@
 /// takeover; keeps an entry that restarts repeatedly from taking the lease each time.
 const MIN_AGE_FOR_TAKEOVER: Duration = Duration::from_secs(4);
 
-/// Entries of each data centre that listen for renewals, so that one remains when the holder is
-/// lost.
+/// Minimum number of entries of each data centre that listen for renewals, so that one remains when
+/// the holder is lost.
 const MIN_LISTENERS_PER_DATA_CENTRE: usize = 2;
-/// Entries that listen for renewals in all, at least, where there are few data centres.
+/// Minimum number of listening entries over all data centres; matters where there are few.
 const MIN_LISTENERS: usize = 8;
 
 /// Number of workers that an entry can manage with this many cores and this much bandwidth in
@@ -60,24 +60,24 @@
     pub capacity: Option<EntryCapacity>,
 }
 
-/// A process that may claim the lease.
+/// An entry that may claim the lease.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// Incarnation of the process.
+    /// Incarnation of the entry.
     pub id: Incarnation,
     /// Name of the entry.
     pub name: String,
     /// Capacity of the entry.
     pub capacity: EntryCapacity,
-    /// Latest term in which this process held the lease.
+    /// Latest term in which this incarnation held the lease.
     pub last_led_term: Term,
 }
 
 /// The times that decide whether a lease may be claimed.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimTimes {
-    /// Time since a renewal by the holder was last observed, or since the candidate could not have
-    /// observed one.
+    /// Time since a renewal by the holder was last observed, or since the candidate became able to
+    /// observe one, whichever is later.
     pub since_heard: Duration,
     /// Time since the term of the holder was first observed.
     pub since_term_seen: Duration,
@@ -94,11 +94,11 @@
     Released,
     /// The holder was an earlier incarnation of this entry.
     OwnEarlierIncarnation,
-    /// This process held the lease and gave it up.
+    /// This incarnation held the lease and gave it up.
     GivenUpHere,
     /// The holder did not renew the lease in time.
     Expired,
-    /// The capacity of the holder is far lower than that of the candidate.
+    /// The capacity of the candidate is much higher than the holder's.
     MuchHigherCapacity,
 }
 
@@ -133,11 +133,12 @@
     pub capacity: EntryCapacity,
 }
 
-/// Whether the entry named `own` listens for each renewal of the lease, to claim it as soon as it
-/// expires. The entries with the highest capacity do, of each data centre and overall. The others
-/// are spared the traffic; they notice an expired lease later.
-pub fn listens_for_renewals<'a>(own: &str, entries: impl Iterator<Item = Entry<'a>> + Clone) -> bool {
-    let Some(own) = entries.clone().find(|e| e.name == own) else { return true };
+/// Whether the entry named `own_name` listens for each renewal of the lease, to claim it as soon as
+/// it expires. The entries with the highest capacity do, of each data centre and overall. The
+/// others are spared the traffic; they notice an expired lease later. Returns true if `own_name` is
+/// not among `entries`.
+pub fn listens_for_renewals<'a>(own_name: &str, entries: impl Iterator<Item = Entry<'a>> + Clone) -> bool {
+    let Some(own) = entries.clone().find(|e| e.name == own_name) else { return true };
     let ranks_higher = |e: &Entry<'_>| (e.capacity, e.name) > (own.capacity, own.name);
     let higher = entries.filter(ranks_higher);
     let same_data_centre = higher.clone().filter(|e| e.data_centre == own.data_centre).count();
@@ -152,7 +153,7 @@
         MAX_CLAIM_DELAY.mul_f64(shortfall)
     }
 
-    /// Why this process, which does not hold the lease, may claim it; `None` if it may not.
+    /// Why this entry, which does not hold the lease, may claim it; `None` if it may not.
     pub fn claim_reason(&self, holder: Option<&ObservedHolder>, times: ClaimTimes) -> Option<ClaimReason> {
         let delay = self.claim_delay();
         let waited = times.since_heard >= delay;
@@ -180,13 +181,13 @@
         }
     }
 
-    /// Whether this process takes the lease over from a holder that still renews it.
+    /// Whether this entry takes the lease over from a holder that still renews it.
     fn should_take_over(&self, holder: &ObservedHolder, times: ClaimTimes) -> bool {
-        let other_process = holder.id != self.id;
+        let other_incarnation = holder.id != self.id;
         let lower_capacity =
             holder.capacity.is_some_and(|c| c.saturating_mul(TAKEOVER_FACTOR) <= self.capacity);
         let old_enough =
             times.since_term_seen >= MIN_AGE_FOR_TAKEOVER && times.uptime >= MIN_AGE_FOR_TAKEOVER;
-        other_process && lower_capacity && old_enough
+        other_incarnation && lower_capacity && old_enough
     }
 }
