--- a/crates/workswood-core/src/jobs/config.rs
+++ b/crates/workswood-core/src/jobs/config.rs
@@ -28,7 +28,8 @@
     pub deadline_factor: f64,
     /// Fixed part of the time until the deadline of a job.
     pub deadline_offset: Duration,
-    /// The adviser that decides which workers may run its steps; `None` if all may.
+    /// Timing of the adviser that decides which workers may run the steps of its jobs; `None` if
+    /// the queue has no adviser and any worker may run them.
     pub advice: Option<AdviceConfig>,
 }
 
@@ -51,7 +52,7 @@
     /// Whether its workers refuse tasks that exceed their capacity. The scheduler ignores it, since
     /// it places only what fits.
     pub enforces_capacity: bool,
-    /// Whether its hosts are kept off as spare hosts, at no cost.
+    /// Whether this is the pool of spare hosts, which are kept switched off and cost nothing.
     pub spare: bool,
 }
 
@@ -73,10 +74,10 @@
 impl SchedConfig {
     /// The queue that a request belongs to: the one with the longest matching path prefix for its
     /// host name.
-    pub fn route(&self, host: &str, path: &str) -> Option<&QueueConfig> {
+    pub fn route(&self, host_name: &str, path: &str) -> Option<&QueueConfig> {
         self.queues
             .values()
-            .filter(|q| q.host_name == host && path.starts_with(&q.path_prefix))
+            .filter(|q| q.host_name == host_name && path.starts_with(&q.path_prefix))
             .max_by_key(|q| q.path_prefix.len())
     }
 }
