--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -514,7 +514,7 @@
             }
         }
         let wall = self.wall;
-        self.ready.values_mut().for_each(|w| w.downgrade_overdue(wall));
+        self.ready.values_mut().for_each(|w| w.downgrade_late_steps(wall));
         self.settle_expired_leases();
         if self.now >= self.stalled_checked_at + STALLED_CHECK_INTERVAL {
             self.stalled_checked_at = self.now;
--- a/crates/workswood-core/src/jobs/task_queue.rs
+++ b/crates/workswood-core/src/jobs/task_queue.rs
@@ -187,7 +187,7 @@
     }
 
     /// Moves steps whose timeliness has become worse to their new position.
-    pub fn downgrade_overdue(&mut self, now: UnixMs) {
+    pub fn downgrade_late_steps(&mut self, now: UnixMs) {
         while let Some((_, step)) = self.timely_until.first().copied().filter(|(at, _)| *at < now) {
             let Some(mut s) = self.take_step(&step) else { return };
             let (timeliness, available_at) = (s.deadlines.timeliness_at(now), s.deadlines.available_at);
--- a/tests/testsuite/queue_order.rs
+++ b/tests/testsuite/queue_order.rs
@@ -71,7 +71,7 @@
     let (place, dues) =
         queue_position(&j, &id, cfg.queues.get(QUEUE), &TaskDurations::default(), &OrderPolicy::default(), 0);
     waiting.insert(place, dues, ROOM, [0]);
-    waiting.downgrade_overdue(OWED);
+    waiting.downgrade_late_steps(OWED);
     let standings: Vec<Timeliness> = waiting.positions().map(|p| p.timeliness).collect();
     assert_eq!(standings, [Timeliness::Late]);
     waiting.remove(&id.task(0));
@@ -92,7 +92,7 @@
     assert_eq!((waiting.count(), waiting.requested()), (3, (ROOM.times(3), Resources::default())));
     waiting.remove(&id.task(1));
     assert_eq!(waiting.tasks_of(&id).collect::<Vec<_>>(), [id.task(0), id.task(2)]);
-    waiting.downgrade_overdue(OWED);
+    waiting.downgrade_late_steps(OWED);
     assert_eq!((waiting.count(), waiting.requested()), (2, (Resources::default(), ROOM.times(2))));
     assert_eq!(waiting.next_after(None).map(|p| p.timeliness), Some(Timeliness::Late));
     waiting.remove_step(&id);
