--- a/crates/workswood-core/src/jobs/placement.rs
+++ b/crates/workswood-core/src/jobs/placement.rs
@@ -49,7 +49,7 @@
     /// that order would make every job late, since each waits until it must start and then a little
     /// longer. So under overload the steps that take the least from the others go first.
     fn placement_rank(&self, service: &str) -> QueueOrder {
-        let waiting_cpu = self.ready.get(service).map_or(0, |w| w.requested().0.cpu_millis);
+        let waiting_cpu = self.ready.get(service).map_or(0, |w| w.requested().in_time.cpu_millis);
         let total_cpu = self.workers.listed_cpu(service).max(self.fleet_cpu_millis);
         if waiting_cpu as f64 > total_cpu as f64 * self.policy.order.overload_share {
             QueueOrder::LeastWork
--- a/crates/workswood-core/src/jobs/pool_need.rs
+++ b/crates/workswood-core/src/jobs/pool_need.rs
@@ -11,6 +11,7 @@
 use super::queue_order::round_work;
 use super::scheduler::Scheduler;
 use super::spec::{JobKey, Resources};
+use super::task_queue::RequestedResources;
 use crate::ids::ServiceId;
 
 /// Need of a service, in hosts; its two floors fall slowly from their peaks.
@@ -95,7 +96,7 @@
     /// The load that running and waiting tasks put on a service.
     fn service_load(&self, service: &ServiceId) -> ServiceLoad {
         let size = self.workers.largest_capacity(service);
-        let (room, late) = (self.room_wanted(service), self.waiting_task_room(service).1);
+        let (room, late) = (self.room_wanted(service), self.waiting_task_room(service).late);
         let policy = &self.policy.need;
         let cpu = (room.cpu_millis as f64 + late.cpu_millis as f64 * policy.late_task_weight)
             / size.cpu_millis as f64;
@@ -113,13 +114,13 @@
     /// time.
     pub fn room_wanted(&self, service: &ServiceId) -> Resources {
         let mut room = self.workers.room_in_use(service);
-        room.add(&self.waiting_task_room(service).0);
+        room.add(&self.waiting_task_room(service).in_time);
         room
     }
 
     /// Room wanted by waiting tasks whose jobs can be in time, and by other waiting tasks. Tasks
     /// held back by a limit of their workspace are not counted.
-    fn waiting_task_room(&self, service: &ServiceId) -> (Resources, Resources) {
+    fn waiting_task_room(&self, service: &ServiceId) -> RequestedResources {
         let waiting = self.ready.get(service);
         waiting.map(|w| w.requested_within(|owner| self.remaining_limit(owner))).unwrap_or_default()
     }
--- a/crates/workswood-core/src/jobs/task_queue.rs
+++ b/crates/workswood-core/src/jobs/task_queue.rs
@@ -31,6 +31,15 @@
     resources: Resources,
 }
 
+/// Resources that waiting tasks request.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RequestedResources {
+    /// Resources requested by tasks whose job can still be in time.
+    pub in_time: Resources,
+    /// Resources requested by all other tasks.
+    pub late: Resources,
+}
+
 /// A position ordered by remaining work instead of by deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ByRemainingWork(QueuePosition);
@@ -120,27 +129,27 @@
         self.by_owner.values().map(|q| q.in_time.tasks + q.late.tasks).sum()
     }
 
-    /// Resources requested by tasks whose job can still be in time, and by all others.
-    pub fn requested(&self) -> (Resources, Resources) {
+    /// Resources that all waiting tasks request.
+    pub fn requested(&self) -> RequestedResources {
         self.requested_within(|_| None)
     }
 
     /// Like [`TaskQueue::requested`], but counts for each owner at most what it may still use;
-    /// `left` is `None` for an owner without a limit.
-    pub fn requested_within(&self, left: impl Fn(Owner) -> Option<Resources>) -> (Resources, Resources) {
-        let (mut in_time, mut late) = (Resources::default(), Resources::default());
+    /// `remaining` is `None` for an owner without a limit.
+    pub fn requested_within(&self, remaining: impl Fn(Owner) -> Option<Resources>) -> RequestedResources {
+        let mut total = RequestedResources::default();
         for (owner, queue) in &self.by_owner {
-            let (first, second) = (queue.in_time.resources, queue.late.resources);
-            let Some(left) = left(*owner) else {
-                in_time.add(&first);
-                late.add(&second);
+            let (owner_in_time, owner_late) = (queue.in_time.resources, queue.late.resources);
+            let Some(remaining) = remaining(*owner) else {
+                total.in_time.add(&owner_in_time);
+                total.late.add(&owner_late);
                 continue;
             };
-            let first = first.min(&left);
-            in_time.add(&first);
-            late.add(&second.min(&left.saturating_sub(&first)));
+            let owner_in_time = owner_in_time.min(&remaining);
+            total.in_time.add(&owner_in_time);
+            total.late.add(&owner_late.min(&remaining.saturating_sub(&owner_in_time)));
         }
-        (in_time, late)
+        total
     }
 
     /// Positions of all steps, most urgent first.
--- a/tests/testsuite/queue_order.rs
+++ b/tests/testsuite/queue_order.rs
@@ -8,7 +8,7 @@
     QueueOrder, QueuePosition, TaskDurations, Timeliness, queue_position,
 };
 use workswood_core::jobs::spec::Resources;
-use workswood_core::jobs::task_queue::TaskQueue;
+use workswood_core::jobs::task_queue::{RequestedResources, TaskQueue};
 use workswood_core::jobs::{Job, JobSpec, Owner, StepId};
 use workswood_test_support::job_world::{QUEUE, config, job, step};
 
@@ -85,18 +85,22 @@
     let j = opened(1, job(vec![step(3, vec![])], 0));
     let id = first_step(&j);
     let mut waiting = TaskQueue::default();
+    let requested = |in_time, late| RequestedResources { in_time, late };
     let (place, dues) =
         queue_position(&j, &id, cfg.queues.get(QUEUE), &TaskDurations::default(), &OrderPolicy::default(), 0);
     waiting.insert(place, dues, ROOM, [0, 1]);
     waiting.insert(place, dues, ROOM, [1, 2]);
-    assert_eq!((waiting.count(), waiting.requested()), (3, (ROOM.times(3), Resources::default())));
+    assert_eq!((waiting.count(), waiting.requested()), (3, requested(ROOM.times(3), Resources::default())));
     waiting.remove(&id.task(1));
     assert_eq!(waiting.tasks_of(&id).collect::<Vec<_>>(), [id.task(0), id.task(2)]);
     waiting.downgrade_late_steps(OWED);
-    assert_eq!((waiting.count(), waiting.requested()), (2, (Resources::default(), ROOM.times(2))));
+    assert_eq!((waiting.count(), waiting.requested()), (2, requested(Resources::default(), ROOM.times(2))));
     assert_eq!(waiting.next_after(None).map(|p| p.timeliness), Some(Timeliness::Late));
     waiting.remove_step(&id);
-    assert_eq!((waiting.count(), waiting.requested()), (0, (Resources::default(), Resources::default())));
+    assert_eq!(
+        (waiting.count(), waiting.requested()),
+        (0, requested(Resources::default(), Resources::default()))
+    );
     assert_eq!(waiting.next_after(None), None);
 }
 
