--- a/crates/workswood-core/src/jobs/placement.rs
+++ b/crates/workswood-core/src/jobs/placement.rs
@@ -13,7 +13,7 @@
 use super::types::Action;
 use super::worker::Worker;
 use super::workspace::Owner;
-use super::workspace_usage::{limit_utilization, within_limit};
+use super::workspace_usage::{limit_admits, limit_utilization};
 use crate::ids::ServiceId;
 use crate::invariant;
 
@@ -83,7 +83,7 @@
     /// Whether an owner may use this much more under its limit.
     pub(super) fn is_within_limit(&self, owner: Owner, room: &Resources) -> bool {
         let limit = self.config.workspaces.limit(owner);
-        limit == Resources::default() || within_limit(&self.workers.accounts().in_use(owner), &limit, room)
+        limit == Resources::default() || limit_admits(&self.workers.accounts().in_use(owner), &limit, room)
     }
 
     /// The largest share of its limit that a workspace uses, and the number of workspaces that use
--- a/crates/workswood-core/src/jobs/workspace_usage.rs
+++ b/crates/workswood-core/src/jobs/workspace_usage.rs
@@ -69,12 +69,12 @@
 ///
 /// An owner that uses less than half of its limit may start a task of any size; otherwise a task
 /// larger than the limit could never start.
-pub fn within_limit(in_use: &Resources, limit: &Resources, task: &Resources) -> bool {
-    let within =
+pub fn limit_admits(in_use: &Resources, limit: &Resources, task: &Resources) -> bool {
+    let admits =
         |used: u64, limit: u64, requested: u64| limit == 0 || used + requested <= limit || used * 2 < limit;
-    within(in_use.cpu_millis, limit.cpu_millis, task.cpu_millis)
-        && within(in_use.mem_mb, limit.mem_mb, task.mem_mb)
-        && within(in_use.gpus, limit.gpus, task.gpus)
+    admits(in_use.cpu_millis, limit.cpu_millis, task.cpu_millis)
+        && admits(in_use.mem_mb, limit.mem_mb, task.mem_mb)
+        && admits(in_use.gpus, limit.gpus, task.gpus)
 }
 
 /// The highest fraction of its limit that an owner uses of any kind of resource; 0 without a limit.
--- a/tests/testsuite/workspace_limits.rs
+++ b/tests/testsuite/workspace_limits.rs
@@ -7,7 +7,7 @@
 use workswood_core::jobs::policy::OrderPolicy;
 use workswood_core::jobs::queue_order::{TaskDurations, queue_position};
 use workswood_core::jobs::spec::Resources;
-use workswood_core::jobs::workspace_usage::{Reservation, UsageChange, WorkspaceUsage, within_limit};
+use workswood_core::jobs::workspace_usage::{Reservation, UsageChange, WorkspaceUsage, limit_admits};
 use workswood_core::jobs::{
     Action, EndKind, Event, Job, JobSpec, Listing, Owner, Report, ReportedEnd, SchedConfig, StartReply,
     StepId, TaskId, WorkerUpdate, Workspace, Workspaces,
@@ -159,13 +159,13 @@
 
 #[test]
 fn half_of_the_limit_is_free() {
-    assert!(within_limit(&cpu(3999), &cpu(8000), &cpu(9000)), "under half, any task may begin");
-    assert!(!within_limit(&cpu(4000), &cpu(8000), &cpu(4001)));
-    assert!(within_limit(&cpu(4000), &cpu(8000), &cpu(4000)));
-    assert!(within_limit(&cpu(4000), &Resources::default(), &cpu(4000)), "no limit");
+    assert!(limit_admits(&cpu(3999), &cpu(8000), &cpu(9000)), "under half, any task may begin");
+    assert!(!limit_admits(&cpu(4000), &cpu(8000), &cpu(4001)));
+    assert!(limit_admits(&cpu(4000), &cpu(8000), &cpu(4000)));
+    assert!(limit_admits(&cpu(4000), &Resources::default(), &cpu(4000)), "no limit");
     let gpus = |gpus| Resources { gpus, ..Resources::default() };
-    assert!(!within_limit(&gpus(2), &gpus(2), &gpus(1)));
-    assert!(within_limit(&gpus(2), &cpu(100), &gpus(1)), "only what is declared is limited");
+    assert!(!limit_admits(&gpus(2), &gpus(2), &gpus(1)));
+    assert!(limit_admits(&gpus(2), &cpu(100), &gpus(1)), "only what is declared is limited");
 }
 
 #[test]
