--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -518,7 +518,7 @@
         self.settle_expired_leases();
         if self.now >= self.stalled_checked_at + STALLED_CHECK_INTERVAL {
             self.stalled_checked_at = self.now;
-            self.stop_stalled_runs();
+            self.send_due_stops();
             self.clear_proven_tasks();
         }
         self.evict_from_draining();
--- a/crates/workswood-core/src/jobs/worker_events.rs
+++ b/crates/workswood-core/src/jobs/worker_events.rs
@@ -315,7 +315,7 @@
                     run.set_phase(Phase::Stopped, now);
                 }
             }
-            // The stop of a known run is retried by `stop_stalled_runs`.
+            // The stop of a known run is retried by `send_due_stops`.
             StopReply::NoAnswer => {
                 if self.workers.contains_key(id) && self.run_mut(id, &task, attempt).is_none() {
                     self.actions.push(Action::Stop(id.clone(), task, attempt));
@@ -344,7 +344,7 @@
     }
 
     /// Resends stops that had no effect, and stops runs that make no progress.
-    pub(super) fn stop_stalled_runs(&mut self) {
+    pub(super) fn send_due_stops(&mut self) {
         let RunsToStop { retries: mut stops, stalled } = self.runs_to_stop();
         for (id, task, attempt) in stalled {
             self.notes.push(format_args!("event=run_stuck worker={id} task={task} attempt={attempt}"));
