--- a/crates/workswood-core/src/jobs/lease_claim.rs
+++ b/crates/workswood-core/src/jobs/lease_claim.rs
@@ -70,7 +70,7 @@
     /// Capacity of the entry.
     pub capacity: EntryCapacity,
     /// Latest term in which this incarnation held the lease.
-    pub last_led_term: Term,
+    pub last_held_term: Term,
 }
 
 /// The times that decide whether a lease may be claimed.
@@ -174,7 +174,7 @@
             Some(ClaimReason::Released)
         } else if holder.name == self.name && holder.id != self.id {
             Some(ClaimReason::OwnEarlierIncarnation)
-        } else if holder.id == self.id && self.last_led_term >= holder.term {
+        } else if holder.id == self.id && self.last_held_term >= holder.term {
             Some(ClaimReason::GivenUpHere)
         } else {
             None
--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -129,7 +129,7 @@
             id: node.id.clone(),
             name: node.settings.name.clone(),
             capacity: node.settings.strength(),
-            last_led_term: self.led,
+            last_held_term: self.led,
         };
         let now = node.now();
         let ages =
--- a/tests/testsuite/lease_claims.rs
+++ b/tests/testsuite/lease_claims.rs
@@ -10,11 +10,21 @@
 const MS: Duration = Duration::from_millis(1);
 
 fn large() -> Candidate {
-    Candidate { id: "a".into(), name: "large".into(), capacity: entry_capacity(0.5, 200.0), last_led_term: 0 }
+    Candidate {
+        id: "a".into(),
+        name: "large".into(),
+        capacity: entry_capacity(0.5, 200.0),
+        last_held_term: 0,
+    }
 }
 
 fn small() -> Candidate {
-    Candidate { id: "b".into(), name: "small".into(), capacity: entry_capacity(0.12, 10.0), last_led_term: 0 }
+    Candidate {
+        id: "b".into(),
+        name: "small".into(),
+        capacity: entry_capacity(0.12, 10.0),
+        last_held_term: 0,
+    }
 }
 
 fn held_by(c: &Candidate) -> ObservedHolder {
