--- a/crates/workswood-core/src/jobs/lease_claim.rs
+++ b/crates/workswood-core/src/jobs/lease_claim.rs
@@ -122,9 +122,9 @@
     max.mul_f64(xxh3_64(name.as_bytes()) as f64 / u64::MAX as f64)
 }
 
-/// An entry that may claim the lease, as known to other entries.
+/// An entry that may claim the lease, as known to the other entries.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry<'a> {
+pub struct PeerEntry<'a> {
     /// Name of the entry.
     pub name: &'a str,
     /// Data centre of the entry.
@@ -137,9 +137,12 @@
 /// it expires. The entries with the highest capacity do, of each data centre and overall. The
 /// others are spared the traffic; they notice an expired lease later. Returns true if `own_name` is
 /// not among `entries`.
-pub fn listens_for_renewals<'a>(own_name: &str, entries: impl Iterator<Item = Entry<'a>> + Clone) -> bool {
+pub fn listens_for_renewals<'a>(
+    own_name: &str,
+    entries: impl Iterator<Item = PeerEntry<'a>> + Clone,
+) -> bool {
     let Some(own) = entries.clone().find(|e| e.name == own_name) else { return true };
-    let ranks_higher = |e: &Entry<'_>| (e.capacity, e.name) > (own.capacity, own.name);
+    let ranks_higher = |e: &PeerEntry<'_>| (e.capacity, e.name) > (own.capacity, own.name);
     let higher = entries.filter(ranks_higher);
     let same_data_centre = higher.clone().filter(|e| e.data_centre == own.data_centre).count();
     same_data_centre < MIN_LISTENERS_PER_DATA_CENTRE || higher.count() < MIN_LISTENERS
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 use workswood_core::ids::{DataCentre, Offset, UnixMs};
 use workswood_core::jobs::RelayEntry;
-use workswood_core::jobs::lease_claim::{self, Entry, EntryCapacity};
+use workswood_core::jobs::lease_claim::{self, EntryCapacity, PeerEntry};
 use workswood_liveness::HalfOpenDetector;
 use workswood_peers::{CallError, Link, Msg};
 use workswood_platform::jobs::{Guard, KeyedRecord, StoreError, Topic};
@@ -89,8 +89,8 @@
 }
 
 impl PeerRecord {
-    fn as_entry<'a>(&'a self, name: &'a str) -> Entry<'a> {
-        Entry { name, data_centre: &self.data_centre, capacity: self.strength }
+    fn as_entry<'a>(&'a self, name: &'a str) -> PeerEntry<'a> {
+        PeerEntry { name, data_centre: &self.data_centre, capacity: self.strength }
     }
 
     /// Whether it says the same as another, written at any time.
--- a/tests/testsuite/lease_claims.rs
+++ b/tests/testsuite/lease_claims.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use workswood_core::jobs::lease_claim::{
-    Candidate, ClaimReason, ClaimTimes, Entry, LEASE_EXPIRES_AFTER, ObservedHolder, entry_capacity,
+    Candidate, ClaimReason, ClaimTimes, LEASE_EXPIRES_AFTER, ObservedHolder, PeerEntry, entry_capacity,
     listens_for_renewals,
 };
 
@@ -87,7 +87,11 @@
 /// Entries that hear of each renewal, of these.
 fn hearing(entries: &[(String, &'static str, u32)]) -> Vec<String> {
     let all = || {
-        entries.iter().map(|(name, data_centre, strength)| Entry { name, data_centre, capacity: *strength })
+        entries.iter().map(|(name, data_centre, strength)| PeerEntry {
+            name,
+            data_centre,
+            capacity: *strength,
+        })
     };
     entries.iter().map(|h| h.0.clone()).filter(|own| listens_for_renewals(own, all())).collect()
 }
@@ -102,7 +106,8 @@
     assert_eq!(hear.len(), 8 + 2, "{hear:?}");
     assert!(hear.contains(&"s1".to_string()) && hear.contains(&"s2".to_string()), "some of each data centre");
     assert!(hear.contains(&"h499".to_string()) && hear.contains(&"h99".to_string()), "the strongest ones");
-    let all =
-        || fleet.iter().map(|(name, data_centre, strength)| Entry { name, data_centre, capacity: *strength });
+    let all = || {
+        fleet.iter().map(|(name, data_centre, strength)| PeerEntry { name, data_centre, capacity: *strength })
+    };
     assert!(listens_for_renewals("unknown", all()), "whoever is not on record yet");
 }
