--- a/crates/workswood-core/src/jobs/placement.rs
+++ b/crates/workswood-core/src/jobs/placement.rs
@@ -13,7 +13,7 @@
 use super::types::Action;
 use super::worker::Worker;
 use super::workspace::Owner;
-use super::workspace_usage::{limit_utilization, within_limit};
+use super::workspace_usage::{limit_admits, limit_utilization};
 use crate::ids::ServiceId;
 use crate::invariant;
 
@@ -52,7 +52,7 @@
     /// that order would make every job late, since each waits until it must start and then a little
     /// longer. So under overload the steps that take the least from the others go first.
     fn placement_order(&self, service: &str) -> QueueOrder {
-        let waiting_cpu = self.ready.get(service).map_or(0, |w| w.requested().0.cpu_millis);
+        let waiting_cpu = self.ready.get(service).map_or(0, |w| w.requested().in_time.cpu_millis);
         let total_cpu = self.workers.listed_cpu(service).max(self.fleet_cpu_millis);
         if waiting_cpu as f64 > total_cpu as f64 * self.policy.order.overload_share {
             QueueOrder::LeastWork
@@ -89,7 +89,7 @@
     pub(super) fn is_within_limit(&self, owner: Owner, needed: &Resources) -> bool {
         let limit = self.config.workspaces.limit(owner);
         limit == Resources::default()
-            || within_limit(&self.workers.workspace_usage().in_use(owner), &limit, needed)
+            || limit_admits(&self.workers.workspace_usage().in_use(owner), &limit, needed)
     }
 
     /// The largest share of its limit that a workspace uses, and the number of workspaces that use
--- a/crates/workswood-core/src/jobs/scheduler.rs
+++ b/crates/workswood-core/src/jobs/scheduler.rs
@@ -523,11 +523,11 @@
             }
         }
         let wall = self.wall;
-        self.ready.values_mut().for_each(|w| w.downgrade_overdue(wall));
+        self.ready.values_mut().for_each(|w| w.downgrade_late_steps(wall));
         self.settle_expired_leases();
         if self.now >= self.stuck_checked_at + STUCK_CHECK_INTERVAL {
             self.stuck_checked_at = self.now;
-            self.stop_stalled_runs();
+            self.send_due_stops();
             self.clear_proven_tasks();
         }
         self.evict_from_draining();
--- a/crates/workswood-core/src/jobs/task_queue.rs
+++ b/crates/workswood-core/src/jobs/task_queue.rs
@@ -31,6 +31,15 @@
     resources: Resources,
 }
 
+/// Resources that waiting tasks request.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RequestedResources {
+    /// Resources requested by tasks whose job can still be in time.
+    pub in_time: Resources,
+    /// Resources requested by all other tasks.
+    pub late: Resources,
+}
+
 /// A position ordered by remaining work instead of by deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ByRemainingWork(QueuePosition);
@@ -69,8 +78,9 @@
     by_position: BTreeSet<QueuePosition>,
     by_owner: BTreeMap<Owner, OwnerQueue>,
     steps: BTreeMap<StepId, WaitingStep>,
-    /// The last moment at which each step keeps its timeliness.
-    downgrade_at: BTreeSet<(UnixMs, StepId)>,
+    /// Steps by the last moment at which they keep their timeliness, without those whose timeliness
+    /// cannot become worse.
+    timely_until: BTreeSet<(UnixMs, StepId)>,
 }
 
 impl TaskQueue {
@@ -119,27 +129,27 @@
         self.by_owner.values().map(|q| q.in_time.tasks + q.late.tasks).sum()
     }
 
-    /// Resources requested by tasks whose job can still be in time, and by all others.
-    pub fn requested(&self) -> (Resources, Resources) {
+    /// Resources that all waiting tasks request.
+    pub fn requested(&self) -> RequestedResources {
         self.requested_within(|_| None)
     }
 
     /// Like [`TaskQueue::requested`], but counts for each owner at most what it may still use;
-    /// `left` is `None` for an owner without a limit.
-    pub fn requested_within(&self, left: impl Fn(Owner) -> Option<Resources>) -> (Resources, Resources) {
-        let (mut in_time, mut late) = (Resources::default(), Resources::default());
+    /// `remaining` is `None` for an owner without a limit.
+    pub fn requested_within(&self, remaining: impl Fn(Owner) -> Option<Resources>) -> RequestedResources {
+        let mut total = RequestedResources::default();
         for (owner, queue) in &self.by_owner {
-            let (first, second) = (queue.in_time.resources, queue.late.resources);
-            let Some(left) = left(*owner) else {
-                in_time.add(&first);
-                late.add(&second);
+            let (owner_in_time, owner_late) = (queue.in_time.resources, queue.late.resources);
+            let Some(remaining) = remaining(*owner) else {
+                total.in_time.add(&owner_in_time);
+                total.late.add(&owner_late);
                 continue;
             };
-            let first = first.min(&left);
-            in_time.add(&first);
-            late.add(&second.min(&left.saturating_sub(&first)));
+            let owner_in_time = owner_in_time.min(&remaining);
+            total.in_time.add(&owner_in_time);
+            total.late.add(&owner_late.min(&remaining.saturating_sub(&owner_in_time)));
         }
-        (in_time, late)
+        total
     }
 
     /// Positions of all steps, most urgent first.
@@ -186,8 +196,8 @@
     }
 
     /// Moves steps whose timeliness has become worse to their new position.
-    pub fn downgrade_overdue(&mut self, now: UnixMs) {
-        while let Some((_, step)) = self.downgrade_at.first().copied().filter(|(at, _)| *at < now) {
+    pub fn downgrade_late_steps(&mut self, now: UnixMs) {
+        while let Some((_, step)) = self.timely_until.first().copied().filter(|(at, _)| *at < now) {
             let Some(mut s) = self.take_step(&step) else { return };
             let (timeliness, available_at) = (s.deadlines.timeliness_at(now), s.deadlines.available_at);
             s.position = QueuePosition {
@@ -205,7 +215,7 @@
             return;
         }
         self.by_position.insert(s.position);
-        self.downgrade_at.extend(s.downgrade_at().map(|at| (at, s.position.step)));
+        self.timely_until.extend(s.timely_until().map(|at| (at, s.position.step)));
         let queue = self.by_owner.entry(s.position.owner).or_default();
         queue.by_position.insert(s.position);
         queue.by_work.insert(ByRemainingWork(s.position));
@@ -216,8 +226,8 @@
     fn take_step(&mut self, step: &StepId) -> Option<WaitingStep> {
         let s = self.steps.remove(step)?;
         self.by_position.remove(&s.position);
-        if let Some(at) = s.downgrade_at() {
-            self.downgrade_at.remove(&(at, *step));
+        if let Some(at) = s.timely_until() {
+            self.timely_until.remove(&(at, *step));
         }
         if let Some(queue) = self.by_owner.get_mut(&s.position.owner) {
             queue.by_position.remove(&s.position);
@@ -241,8 +251,8 @@
 }
 
 impl WaitingStep {
-    /// The last moment at which the step keeps its timeliness.
-    fn downgrade_at(&self) -> Option<UnixMs> {
+    /// The last moment at which the step keeps its timeliness; `None` if that cannot become worse.
+    fn timely_until(&self) -> Option<UnixMs> {
         match self.position.timeliness {
             Timeliness::InTime => Some(self.deadlines.in_time_until),
             Timeliness::Late => Some(self.deadlines.worthwhile_until),
--- a/crates/workswood-core/src/jobs/workspace_usage.rs
+++ b/crates/workswood-core/src/jobs/workspace_usage.rs
@@ -20,7 +20,7 @@
 }
 
 impl From<Resources> for Reservation {
-    /// Reserves resources for a run without an owner.
+    /// Reserves resources for a run of [`Owner::PUBLIC`].
     fn from(resources: Resources) -> Reservation {
         Reservation { resources, charged: resources, owner: Owner::PUBLIC }
     }
@@ -35,7 +35,7 @@
     Released(Reservation),
 }
 
-/// Resources in use by each owner.
+/// Resources in use by each owner with a workspace; jobs of [`Owner::PUBLIC`] are not counted.
 #[derive(Clone, Debug, Default)]
 pub struct WorkspaceUsage(StableMap<Owner, Resources>);
 
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Resources in use by an owner.
+    /// Resources in use by an owner; zero for [`Owner::PUBLIC`].
     pub fn in_use(&self, owner: Owner) -> Resources {
         self.0.get(&owner).copied().unwrap_or_default()
     }
 
-    /// Resources in use by each owner, in no particular order.
+    /// Resources in use by each owner with a workspace, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (Owner, Resources)> {
         self.0.iter().map(|(owner, resources)| (*owner, *resources))
     }
@@ -69,12 +69,12 @@
 ///
 /// An owner that uses less than half of its limit may start a task of any size; otherwise a task
 /// larger than the limit could never start.
-pub fn within_limit(in_use: &Resources, limit: &Resources, task: &Resources) -> bool {
-    let within =
+pub fn limit_admits(in_use: &Resources, limit: &Resources, task: &Resources) -> bool {
+    let admits =
         |used: u64, limit: u64, requested: u64| limit == 0 || used + requested <= limit || used * 2 < limit;
-    within(in_use.cpu_millis, limit.cpu_millis, task.cpu_millis)
-        && within(in_use.mem_mb, limit.mem_mb, task.mem_mb)
-        && within(in_use.gpus, limit.gpus, task.gpus)
+    admits(in_use.cpu_millis, limit.cpu_millis, task.cpu_millis)
+        && admits(in_use.mem_mb, limit.mem_mb, task.mem_mb)
+        && admits(in_use.gpus, limit.gpus, task.gpus)
 }
 
 /// The highest fraction of its limit that an owner uses of any kind of resource; 0 without a limit.
--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -138,7 +138,7 @@
             id: node.id.clone(),
             name: node.settings.name.clone(),
             capacity: node.settings.strength(),
-            last_led_term: self.last_own_term,
+            last_held_term: self.last_own_term,
         };
         let now = node.now();
         let ages = ClaimTimes {
