--- a/src/workswood/ops/jobs/inbox.rs
+++ b/src/workswood/ops/jobs/inbox.rs
@@ -105,7 +105,7 @@
 }
 
 /// The queue of records that have yet to be stored.
-pub struct Inbox {
+pub struct InboxWriter {
     tx: mpsc::Sender<QueuedRecord>,
     rx: Mutex<Option<mpsc::Receiver<QueuedRecord>>>,
     /// Decides when an append is late.
@@ -118,10 +118,10 @@
     failed_at_ms: AtomicU64,
 }
 
-impl Default for Inbox {
-    fn default() -> Inbox {
+impl Default for InboxWriter {
+    fn default() -> InboxWriter {
         let (tx, rx) = mpsc::channel(MAX_QUEUED_RECORDS);
-        Inbox {
+        InboxWriter {
             tx,
             rx: Mutex::new(Some(rx)),
             append_timeout: AdaptiveTimeout::new(APPEND_TIMEOUT_MULTIPLE, MIN_APPEND_TIMEOUT),
@@ -175,7 +175,7 @@
     }
 }
 
-impl Inbox {
+impl InboxWriter {
     /// Stores a record of a caller before a timeout, through peers if necessary. Refuses it at once if the
     /// store is too slow for that.
     pub async fn store(&self, rec: KeyedRecord, timeout: Duration) -> Stored {
@@ -230,13 +230,13 @@
 
 /// Writes queued records until the task is aborted.
 pub async fn run(node: Arc<Node>) {
-    let Some(mut rx) = node.inbox.rx.lock().take() else { return };
+    let Some(mut rx) = node.inbox_writer.rx.lock().take() else { return };
     let partition = partition_of(&node.settings.name, node.settings.store_partitions);
     let mut queue: Vec<QueuedRecord> = Vec::new();
     let mut appends: JoinSet<Vec<QueuedRecord>> = JoinSet::new();
     let mut last_start = node.now();
     loop {
-        let next_append_at = last_start + node.inbox.append_timeout.late_after();
+        let next_append_at = last_start + node.inbox_writer.append_timeout.late_after();
         tokio::select! {
             Some(done) = appends.join_next() => match done {
                 Ok(retries) => queue.extend(retries),
@@ -268,9 +268,9 @@
 
 /// Stores records with one append; returns those that have to be sent again.
 async fn append(node: Arc<Node>, partition: Partition, mut batch: Vec<QueuedRecord>) -> Vec<QueuedRecord> {
-    node.inbox.appends_in_flight.fetch_add(1, Ordering::Relaxed);
+    node.inbox_writer.appends_in_flight.fetch_add(1, Ordering::Relaxed);
     let result = append_with_fallback(&node, partition, &batch).await;
-    node.inbox.appends_in_flight.fetch_sub(1, Ordering::Relaxed);
+    node.inbox_writer.appends_in_flight.fetch_sub(1, Ordering::Relaxed);
     for (queued, by_peer) in batch.iter_mut().zip(&result.by_peers) {
         queued.stored_by_peer = *by_peer == Some(Stored::Yes);
         queued.outcome_unknown |= *by_peer == Some(Stored::Unknown);
@@ -321,16 +321,16 @@
     }
     let mut local = pin!(append_locally(node, partition, batch));
     let not_sent = vec![None; batch.len()];
-    let timeout = if node.inbox.last_append_failed.load(Ordering::Relaxed) {
+    let timeout = if node.inbox_writer.last_append_failed.load(Ordering::Relaxed) {
         Duration::ZERO
     } else {
-        node.inbox.append_timeout.late_after()
+        node.inbox_writer.append_timeout.late_after()
     };
     let in_time = tokio::time::timeout(timeout, &mut local).await.ok();
     if in_time == Some(LocalOutcome::Done) {
         return AppendResult { local: LocalOutcome::Done, by_peers: not_sent };
     }
-    node.inbox.record_failure(node.now());
+    node.inbox_writer.record_failure(node.now());
     let mut through_peers = pin!(store_through_peers(node, batch));
     let Some(in_time) = in_time else {
         return tokio::select! {
@@ -360,9 +360,9 @@
     let res = node.platform.append(Topic::Inbox(partition), records, Guard::None).await;
     match res {
         Ok(_) => {
-            node.inbox.append_timeout.record(node.now() - start);
+            node.inbox_writer.append_timeout.record(node.now() - start);
             node.note_store_answer();
-            node.inbox.last_append_failed.store(false, Ordering::Relaxed);
+            node.inbox_writer.last_append_failed.store(false, Ordering::Relaxed);
             LocalOutcome::Done
         }
         Err(StoreError::Unknown { text }) => {
--- a/src/workswood/ops/jobs/job_api.rs
+++ b/src/workswood/ops/jobs/job_api.rs
@@ -155,7 +155,7 @@
 ) -> Response<ReplyBody> {
     // A job that was just accepted may not be known yet, so the cancel is stored in any case.
     let unknown = job_queries::job_status(node, job, owner).await == Lookup::NotFound;
-    let stored = node.inbox.store(cancel_record(job, owner), caller_timeout(req)).await;
+    let stored = node.inbox_writer.store(cancel_record(job, owner), caller_timeout(req)).await;
     if stored == Stored::Yes {
         log::info!("event=cancel_accepted job={job:016x} known={}", !unknown);
         if unknown {
@@ -189,7 +189,7 @@
         }
     };
     let start = node.now();
-    let stored = node.inbox.store(job_record(job, &spec), timeout).await;
+    let stored = node.inbox_writer.store(job_record(job, &spec), timeout).await;
     log::info!(
         "event=job_handed_in job={job:016x} queue={} workspace={} version={} stored={stored:?} took_ms={} \
          store_silence_ms={}",
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -15,7 +15,7 @@
 use workswood_platform::jobs::JobPlatform;
 use workswood_traffic::Traffic;
 
-use super::inbox::{Inbox, InboxIndex};
+use super::inbox::{InboxIndex, InboxWriter};
 use super::job_status_table::JobStatusTable;
 use super::operator_state::OperatorState;
 use super::peers::Peers;
@@ -109,7 +109,7 @@
     /// The processes of other entries.
     pub peers: Peers,
     /// Submitted jobs and cancellations that wait to be stored.
-    pub inbox: Inbox,
+    pub inbox_writer: InboxWriter,
     /// Detects half-open connections.
     pub half_open: HalfOpenDetector,
     /// Counts the traffic over the entry's link.
@@ -169,7 +169,7 @@
             holder: ArcSwapOption::empty(),
             scheduler: ArcSwapOption::empty(),
             peers: Peers::sharing(half_open.clone(), traffic.clone()),
-            inbox: Inbox::default(),
+            inbox_writer: InboxWriter::default(),
             half_open,
             traffic,
             timer_lag: TimerLag::default(),
--- a/src/workswood/ops/jobs/peer_requests.rs
+++ b/src/workswood/ops/jobs/peer_requests.rs
@@ -56,13 +56,13 @@
 /// Stores records that a peer sent. Refuses them at once while appends from here fail too: if the store
 /// is unreachable for all, the processes would otherwise wait for each other.
 async fn store_records_for(node: &Node, request: InboxAppendRequest) -> InboxAppendReply {
-    if node.inbox.is_failing(node.now()) {
+    if node.inbox_writer.is_failing(node.now()) {
         return InboxAppendReply { outcomes: vec![HandInOutcome::NotStored as i32; request.records.len()] };
     }
     let timeout = Duration::from_millis(u64::from(request.timeout_ms));
     let store = |rec: InboxRecord| {
         let rec = KeyedRecord { key: rec.key, value: Some(rec.value) };
-        node.inbox.store_for_peer(rec, timeout)
+        node.inbox_writer.store_for_peer(rec, timeout)
     };
     let stored = join_all(request.records.into_iter().map(store)).await;
     log::info!("event=helped_hand_in records={} stored={}", stored.len(), count_stored(&stored));
--- a/tests/testsuite/inbox_appends.rs
+++ b/tests/testsuite/inbox_appends.rs
@@ -37,7 +37,7 @@
         let node = node.clone();
         callers.spawn(async move {
             let begun = node.now();
-            let stored = node.inbox.store(rec(&format!("job-{n}")), WAITS).await;
+            let stored = node.inbox_writer.store(rec(&format!("job-{n}")), WAITS).await;
             (stored, node.now() - begun)
         });
         tokio::time::sleep(gap).await;
@@ -103,7 +103,7 @@
 async fn lost_answer_is_asked_for_again() {
     let store = Arc::new(TurnStore::new(ms(4), &[Fate::AnswerLost]));
     let node = process(&store);
-    assert_eq!(node.inbox.store(rec("a"), WAITS).await, Stored::Yes);
+    assert_eq!(node.inbox_writer.store(rec("a"), WAITS).await, Stored::Yes);
     assert_eq!(store.done().len(), 2, "the same key twice changes nothing");
 }
 
@@ -112,8 +112,8 @@
     let fates = [Fate::AnswerLost, Fate::Refused, Fate::Refused, Fate::Refused];
     let store = Arc::new(TurnStore::new(ms(4), &fates));
     let node = process(&store);
-    assert_eq!(node.inbox.store(rec("a"), WAITS).await, Stored::Unknown);
-    assert_eq!(node.inbox.store(rec("b"), WAITS).await, Stored::Yes);
+    assert_eq!(node.inbox_writer.store(rec("a"), WAITS).await, Stored::Unknown);
+    assert_eq!(node.inbox_writer.store(rec("b"), WAITS).await, Stored::Yes);
 }
 
 #[tokio::test(start_paused = true)]
@@ -121,7 +121,7 @@
     let fates = [Fate::Refused; 3];
     let store = Arc::new(TurnStore::new(ms(4), &fates));
     let node = process(&store);
-    assert_eq!(node.inbox.store(rec("a"), WAITS).await, Stored::No);
+    assert_eq!(node.inbox_writer.store(rec("a"), WAITS).await, Stored::No);
     assert!(store.done().is_empty());
 }
 
--- a/tests/testsuite/peer_help.rs
+++ b/tests/testsuite/peer_help.rs
@@ -51,7 +51,7 @@
     let (a, b) = (process("entry-1", &away).await, process("entry-2", &well).await);
     tell_holder(&a, &b);
     for n in 0..5 {
-        assert_eq!(a.inbox.store(rec(&format!("job-{n}")), WAITS).await, Stored::Yes);
+        assert_eq!(a.inbox_writer.store(rec(&format!("job-{n}")), WAITS).await, Stored::Yes);
     }
     assert_eq!(well.done().into_iter().flatten().count(), 5);
     assert!(away.done().is_empty());
@@ -63,7 +63,7 @@
     let (a, b) = (process("entry-1", &away).await, process("entry-2", &well).await);
     tell_holder(&a, &b);
     let begun = a.now();
-    assert_eq!(a.inbox.store(rec("job-1"), WAITS).await, Stored::Yes);
+    assert_eq!(a.inbox_writer.store(rec("job-1"), WAITS).await, Stored::Yes);
     assert!(a.now() - begun < Duration::from_millis(900), "no call to the store has timed out yet");
 }
 
@@ -72,7 +72,7 @@
     let (away, down) = (store(&[Fate::Refused; 100]), store(&[Fate::Refused; 100]));
     let (a, b) = (process("entry-1", &away).await, process("entry-2", &down).await);
     tell_holder(&a, &b);
-    assert_eq!(a.inbox.store(rec("job-1"), WAITS).await, Stored::No, "and it is not there");
+    assert_eq!(a.inbox_writer.store(rec("job-1"), WAITS).await, Stored::No, "and it is not there");
     assert!(away.done().is_empty() && down.done().is_empty());
 }
 
@@ -82,7 +82,7 @@
     let (a, b) = (process("entry-1", &x).await, process("entry-2", &y).await);
     tell_holder(&a, &b);
     tell_holder(&b, &a);
-    assert_eq!(a.inbox.store(rec("job-1"), WAITS).await, Stored::No);
+    assert_eq!(a.inbox_writer.store(rec("job-1"), WAITS).await, Stored::No);
 }
 
 #[tokio::test]
@@ -93,7 +93,11 @@
     let (away, half) = (store(&[Fate::Refused; 100]), store(&fates));
     let (a, b) = (process("entry-1", &away).await, process("entry-2", &half).await);
     tell_holder(&a, &b);
-    assert_eq!(a.inbox.store(rec("job-1"), WAITS).await, Stored::Unknown, "a refusal would not be true");
+    assert_eq!(
+        a.inbox_writer.store(rec("job-1"), WAITS).await,
+        Stored::Unknown,
+        "a refusal would not be true"
+    );
     assert_eq!(half.done().len(), 1);
 }
 
@@ -126,7 +130,7 @@
         let node = nodes[n % 4].clone();
         callers.spawn(async move {
             let begun = node.now();
-            let stored = node.inbox.store(rec(&format!("job-{n}")), WAITS).await;
+            let stored = node.inbox_writer.store(rec(&format!("job-{n}")), WAITS).await;
             (stored, node.now() - begun)
         });
     }
@@ -149,7 +153,7 @@
         term: 7,
         released: false,
     })));
-    assert_eq!(a.inbox.store(rec("job-1"), WAITS).await, Stored::No, "nothing was sent to it");
+    assert_eq!(a.inbox_writer.store(rec("job-1"), WAITS).await, Stored::No, "nothing was sent to it");
 }
 
 /// Data centres that are evacuated, as read at a time.
