--- a/src/workswood/ops/jobs/inbox.rs
+++ b/src/workswood/ops/jobs/inbox.rs
@@ -385,7 +385,7 @@
     if records.is_empty() {
         return vec![None; batch.len()];
     }
-    let mut outcomes = peer_requests::store_records(node, &records).await.into_iter();
+    let mut outcomes = peer_requests::store_through_peers(node, &records).await.into_iter();
     batch.iter().map(|queued| if queued.for_peer { None } else { outcomes.next() }).collect()
 }
 
--- a/src/workswood/ops/jobs/lease_renewal.rs
+++ b/src/workswood/ops/jobs/lease_renewal.rs
@@ -47,7 +47,7 @@
                 log::warn!("event=lease_not_renewed term={} error=\"{e}\"", handle.term);
                 let release_due =
                     node.now() > renewed + RELEASE_AFTER && node.settings.policy.calls.write_for_others;
-                if release_due && peer_requests::release_lease(&node, handle.term).await {
+                if release_due && peer_requests::release_lease_through_peer(&node, handle.term).await {
                     log::warn!("event=lease_released term={} by=helper", handle.term);
                     let _ = handle.stop.send(true);
                     return;
--- a/src/workswood/ops/jobs/peer_requests.rs
+++ b/src/workswood/ops/jobs/peer_requests.rs
@@ -44,10 +44,10 @@
             Some(Msg::PendingJobsReply(job_queries::answer_pending_jobs_request(node, &request)))
         }
         Msg::InboxAppendRequest(request) => {
-            Some(Msg::InboxAppendReply(store_records_for(node, request).await))
+            Some(Msg::InboxAppendReply(answer_inbox_append(node, request).await))
         }
         Msg::AdviceRequest(request) => Some(Msg::AdviceReply(advice::answer_peer(node, request).await)),
-        Msg::LeaseReleaseRequest(request) => release_lease_for(node, request).await,
+        Msg::LeaseReleaseRequest(request) => answer_lease_release(node, request).await,
         Msg::ConfigRequest(request) => Some(Msg::ConfigReply(config_reply(node, &request))),
         _ => None,
     }
@@ -55,7 +55,7 @@
 
 /// Stores records that a peer sent. Refuses them at once while appends from here fail too: if the store
 /// is unreachable for all, the processes would otherwise wait for each other.
-async fn store_records_for(node: &Node, request: InboxAppendRequest) -> InboxAppendReply {
+async fn answer_inbox_append(node: &Node, request: InboxAppendRequest) -> InboxAppendReply {
     if node.inbox_writer.is_failing(node.now()) {
         return InboxAppendReply { outcomes: vec![HandInOutcome::NotStored as i32; request.records.len()] };
     }
@@ -83,7 +83,7 @@
 
 /// Has peers store records; returns the outcome of each. The outcome is [`Stored::No`] if no peer could be
 /// called.
-pub async fn store_records(node: &Node, records: &[KeyedRecord]) -> Vec<Stored> {
+pub async fn store_through_peers(node: &Node, records: &[KeyedRecord]) -> Vec<Stored> {
     let mut outcomes = vec![Stored::No; records.len()];
     for address in helper_addresses(node) {
         let to_wire =
@@ -134,7 +134,7 @@
 }
 
 /// Writes the release of the scheduler lease for the process that holds it; replies once it is stored.
-async fn release_lease_for(node: &Node, request: LeaseReleaseRequest) -> Option<Msg> {
+async fn answer_lease_release(node: &Node, request: LeaseReleaseRequest) -> Option<Msg> {
     let rec = KeyedRecord { key: lease::KEY.to_string(), value: Some(request.record) };
     match node.platform.append(Topic::Lease, vec![rec], Guard::None).await {
         Ok(_) => {
@@ -215,7 +215,7 @@
 }
 
 /// Has a peer release this process's lease; returns whether one has.
-pub async fn release_lease(node: &Node, term: u64) -> bool {
+pub async fn release_lease_through_peer(node: &Node, term: u64) -> bool {
     let record = LeaseRecord::of(node, term, true).keyed().value.unwrap_or_default();
     for address in helper_addresses(node) {
         let msg = Msg::LeaseReleaseRequest(LeaseReleaseRequest { record: record.clone() });
--- a/tests/testsuite/peer_help.rs
+++ b/tests/testsuite/peer_help.rs
@@ -106,12 +106,12 @@
     let (away, well) = (store(&[Fate::Refused; 100]), store(&[]));
     let (a, b) = (process("entry-1", &away).await, process("entry-2", &well).await);
     tell_holder(&a, &b);
-    assert!(peer_requests::release_lease(&a, 7).await);
+    assert!(peer_requests::release_lease_through_peer(&a, 7).await);
     assert_eq!(well.done(), [["holder"]]);
     let down = store(&[Fate::Refused; 100]);
     let c = process("entry-3", &down).await;
     tell_holder(&a, &c);
-    assert!(!peer_requests::release_lease(&a, 7).await, "nobody can write");
+    assert!(!peer_requests::release_lease_through_peer(&a, 7).await, "nobody can write");
 }
 
 #[tokio::test]
