--- a/src/workswood/ops/jobs/inbox_cleanup.rs
+++ b/src/workswood/ops/jobs/inbox_cleanup.rs
@@ -50,7 +50,7 @@
         let deletions: Vec<KeyedRecord> = {
             let known = handle.inbox_keys.lock();
             let keys = jobs.iter().flat_map(|job| known.keys_of_job(partition, *job));
-            keys.map(InboxKey::drop_record).collect()
+            keys.map(InboxKey::deletion_record).collect()
         };
         if deletions.is_empty() {
             continue;
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -21,7 +21,7 @@
 use workswood_traffic::Traffic;
 
 use super::node::Node;
-use super::record::{drop_record, json_record};
+use super::record::{deletion_record, json_record};
 
 /// Token of peers; empty, since their network is private.
 pub const TOKEN: &str = "";
@@ -330,7 +330,7 @@
     let now = node.wall();
     let age = |peer: &PeerRecord| Duration::from_millis(now.saturating_sub(peer.written_at));
     let outdated = known.by_entry.iter().filter(|(_, peer)| age(peer) > RECORD_RETENTION);
-    let outdated: Vec<KeyedRecord> = outdated.map(|(entry, _)| drop_record(entry.clone())).collect();
+    let outdated: Vec<KeyedRecord> = outdated.map(|(entry, _)| deletion_record(entry.clone())).collect();
     let recent = known.by_entry.iter().filter(|(_, peer)| age(peer) < MAX_PEER_AGE);
     node.peers.set_peers(recent.map(|(entry, peer)| (entry.clone(), peer.clone())).collect());
     if outdated.is_empty() {
--- a/src/workswood/ops/jobs/record.rs
+++ b/src/workswood/ops/jobs/record.rs
@@ -92,11 +92,6 @@
     parse_job_key(key).map(StateKey::Job)
 }
 
-/// Returns the key of a job in the state.
-pub fn job_key(job: JobKey) -> String {
-    format_job_key(job)
-}
-
 /// Returns the inbox record that cancels a job.
 pub fn cancel_record(job: JobKey, owner: Owner) -> KeyedRecord {
     let key = InboxKey { job, owner, kind: InboxRecordKind::Cancel };
@@ -117,8 +112,8 @@
 
 impl InboxKey {
     /// Returns the record that deletes what the inbox holds under this key.
-    pub fn drop_record(self) -> KeyedRecord {
-        drop_record(self.to_string())
+    pub fn deletion_record(self) -> KeyedRecord {
+        deletion_record(self.to_string())
     }
 }
 
@@ -138,7 +133,7 @@
 }
 
 /// Returns the record that deletes what is stored under a key.
-pub fn drop_record(key: String) -> KeyedRecord {
+pub fn deletion_record(key: String) -> KeyedRecord {
     KeyedRecord { key, value: None }
 }
 
@@ -146,19 +141,19 @@
 pub fn state_record(rec: &Record) -> KeyedRecord {
     match rec {
         Record::Job(job, state) => {
-            KeyedRecord { key: job_key(*job), value: Some(job_state::encode(state).into()) }
+            KeyedRecord { key: format_job_key(*job), value: Some(job_state::encode(state).into()) }
         }
-        Record::DropJob(job) => drop_record(job_key(*job)),
+        Record::DropJob(job) => deletion_record(format_job_key(*job)),
         Record::Wave(n, progress) => json_record(format!("{WAVE_PREFIX}{n}"), progress),
         Record::Worker(id, worker) => json_record(format!("{WORKER_PREFIX}{id}"), worker),
         Record::HostOrderMark(host, Some(holder)) => json_record(format!("{ORDERED_PREFIX}{host}"), holder),
-        Record::HostOrderMark(host, None) => drop_record(format!("{ORDERED_PREFIX}{host}")),
-        Record::DropWorker(id) => drop_record(format!("{WORKER_PREFIX}{id}")),
+        Record::HostOrderMark(host, None) => deletion_record(format!("{ORDERED_PREFIX}{host}")),
+        Record::DropWorker(id) => deletion_record(format!("{WORKER_PREFIX}{id}")),
     }
 }
 
 /// Returns the job whose state the record deletes, if any.
-pub fn dropped_job(rec: &Record) -> Option<JobKey> {
+pub fn deleted_job(rec: &Record) -> Option<JobKey> {
     match rec {
         Record::DropJob(job) => Some(*job),
         Record::Job(..)
--- a/src/workswood/ops/jobs/scheduler_task.rs
+++ b/src/workswood/ops/jobs/scheduler_task.rs
@@ -19,7 +19,7 @@
 use super::inbox_cleanup;
 use super::lease_renewal;
 use super::node::{Node, SchedulerHandle};
-use super::record::{dropped_job, state_record};
+use super::record::{deleted_job, state_record};
 use super::relay_sessions::RelaySessions;
 use super::restore_state::{RestoredScheduler, restore};
 use super::scheduler_io::{
@@ -326,7 +326,7 @@
     batch: Batch,
 ) -> Option<Batch> {
     let term = handle.term;
-    inbox_cleanup::delete_from_inbox(&node, &handle, batch.records.iter().filter_map(dropped_job).collect())
+    inbox_cleanup::delete_from_inbox(&node, &handle, batch.records.iter().filter_map(deleted_job).collect())
         .await;
     let records: Vec<KeyedRecord> = batch.records.iter().map(state_record).collect();
     let _timer = node.metrics.batch_seconds.start_timer();
--- a/tests/testsuite/stored_formats.rs
+++ b/tests/testsuite/stored_formats.rs
@@ -20,7 +20,7 @@
 use workswood::ops::jobs::node::Holder;
 use workswood::ops::jobs::operator_state::Evacuations;
 use workswood::ops::jobs::record::{
-    InboxRecordKind, StateKey, cancel_record, drop_record, job_record, parse_inbox_key, parse_state_key,
+    InboxRecordKind, StateKey, cancel_record, deletion_record, job_record, parse_inbox_key, parse_state_key,
     state_record,
 };
 use workswood::ops::jobs::relay::codec::{read_event, read_orders, write_events, write_orders};
@@ -304,7 +304,7 @@
 /// A line of a file as a record of the store: JSON, bytes in hex, or that its key is dropped.
 fn keyed((key, value): (&str, &str)) -> KeyedRecord {
     let value = match value {
-        "dropped" => return drop_record(key.to_string()),
+        "dropped" => return deletion_record(key.to_string()),
         json if json.starts_with(['{', '"']) => json.as_bytes().to_vec(),
         hex => from_hex(hex),
     };
@@ -432,7 +432,7 @@
             InboxRecordKind::Cancel => cancel_record(key.job, key.owner),
         };
         assert_eq!(written, stored, "{}", line.0);
-        assert_eq!(key.drop_record(), drop_record(line.0.to_string()));
+        assert_eq!(key.deletion_record(), deletion_record(line.0.to_string()));
     }
     check_spec(&inbox_spec("00000000000000ab-828a5f41ad4304c3"));
     let open = inbox_spec("00000000000000ac");
@@ -923,7 +923,7 @@
     }
 
     fn wave_status_record(&self, number: u64, _: bool) -> KeyedRecord {
-        drop_record(number.to_string())
+        deletion_record(number.to_string())
     }
 
     fn poll_worker<'a>(
