--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -129,7 +129,7 @@
     fn follows_renewals(&self, node: &Node) -> bool {
         let free = self.holder.as_ref().is_none_or(|h| h.released);
         let needed = free || node.scheduler.load().is_some() || self.awaits_renewal;
-        needed || node.peers.hears_renewals(&node.settings.name)
+        needed || node.peers.follows_renewals(&node.settings.name)
     }
 
     /// Returns why this process, which does not run the scheduler now, may claim the lease.
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -210,7 +210,7 @@
     }
 
     /// Whether the process of this entry follows each renewal of the lease.
-    pub fn hears_renewals(&self, own_entry: &str) -> bool {
+    pub fn follows_renewals(&self, own_entry: &str) -> bool {
         let peer_list = self.peer_list.lock();
         let entries = peer_list.by_entry.iter().map(|(name, rec)| rec.as_entry(name));
         lease_claim::listens_for_renewals(own_entry, entries)
