--- a/src/workswood/ops/jobs/limits.rs
+++ b/src/workswood/ops/jobs/limits.rs
@@ -17,7 +17,7 @@
 /// Largest share by which a worker's clock may run slow, as the platform specifies.
 const CLOCK_DRIFT: f64 = 0.02;
 
-/// Durations of workers' leases.
+/// Duration of workers' leases.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTimes {
     /// Duration of a lease, counted from when the request was sent.
@@ -25,13 +25,13 @@
 }
 
 impl LeaseTimes {
-    /// Returns the durations that the settings allow.
+    /// Returns the duration that the settings allow.
     pub fn of(settings: &JobSettings) -> LeaseTimes {
         LeaseTimes { lease: WORKER_LEASE.min(Duration::from_millis(settings.max_lease_ms)) }
     }
 
     /// The longest real time that a lease may last on a worker whose clock runs slow.
-    pub fn longest_duration(&self) -> Duration {
+    pub fn max_duration_with_drift(&self) -> Duration {
         lease_with_drift(self.lease, CLOCK_DRIFT)
     }
 }
--- a/src/workswood/ops/jobs/relay/send.rs
+++ b/src/workswood/ops/jobs/relay/send.rs
@@ -42,7 +42,8 @@
             break;
         }
         let Some(lease_end) = worker.lease_end(now, cx.times.lease) else { break };
-        if !cx.grant.holds(cx.node.now()) || !worker.may_lease_until(now + cx.times.longest_duration()) {
+        if !cx.grant.holds(cx.node.now()) || !worker.may_lease_until(now + cx.times.max_duration_with_drift())
+        {
             break;
         }
         let order = StartOrder {
--- a/src/workswood/ops/jobs/relay_sessions.rs
+++ b/src/workswood/ops/jobs/relay_sessions.rs
@@ -227,7 +227,7 @@
     ) {
         let reason = self.run_until_lost(tx, rx).await;
         let granted_until = Duration::from_millis(self.granted_until_ms.load(Ordering::Acquire));
-        let lease = LeaseTimes::of(&self.node.settings).longest_duration();
+        let lease = LeaseTimes::of(&self.node.settings).max_duration_with_drift();
         log::info!("event=relay_session_over relay={} reason={reason:?}", self.entry);
         let leases_end = granted_until + lease;
         self.notify(Event::RelayDown(self.entry.clone(), leases_end, reason == SessionEnd::Broken));
