--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -108,8 +108,8 @@
         node.settings.peers
     );
     let (stop_callers, callers_stopped) = watch::channel(false);
-    tokio::spawn(monitoring::readiness(readiness_listener, node.clone()));
-    tokio::spawn(monitoring::metrics(metrics_listener, node.clone()));
+    tokio::spawn(monitoring::serve_readiness(readiness_listener, node.clone()));
+    tokio::spawn(monitoring::serve_metrics(metrics_listener, node.clone()));
     tokio::spawn(workswood_peers::serve_with_relay(
         peer_listener,
         peers::TOKEN.to_string(),
--- a/src/workswood/ops/jobs/monitoring.rs
+++ b/src/workswood/ops/jobs/monitoring.rs
@@ -12,16 +12,16 @@
 
 use super::node::Node;
 
-/// A process is not ready if the store has been silent for longer: two reads and some slack.
-const MAX_STORE_SILENCE: Duration = Duration::from_millis(2500);
+/// Maximum silence of the store at which a process is ready.
+const READY_MAX_STORE_SILENCE: Duration = Duration::from_millis(2500);
 
 /// Whether the load balancer may send callers to this process.
 pub fn is_ready(node: &Node) -> bool {
-    !node.is_stopping() && node.config.load().is_some() && node.store_silence() < MAX_STORE_SILENCE
+    !node.is_stopping() && node.config.load().is_some() && node.store_silence() < READY_MAX_STORE_SILENCE
 }
 
 /// Serves readiness checks of the load balancer until the task is aborted.
-pub async fn readiness(listener: TcpListener, node: Arc<Node>) {
+pub async fn serve_readiness(listener: TcpListener, node: Arc<Node>) {
     let respond = |node: &Node| {
         let status = if is_ready(node) { 200 } else { 503 };
         response(status, Bytes::new())
@@ -30,7 +30,7 @@
 }
 
 /// Serves metrics, whatever the path, until the task is aborted.
-pub async fn metrics(listener: TcpListener, node: Arc<Node>) {
+pub async fn serve_metrics(listener: TcpListener, node: Arc<Node>) {
     serve(listener, node, |node| response(200, node.metrics_text().into())).await;
 }
 
