--- a/src/workswood/ops/jobs/job_queries.rs
+++ b/src/workswood/ops/jobs/job_queries.rs
@@ -39,35 +39,35 @@
 }
 
 /// Whether everything that was in the inbox recently is known here.
-fn is_inbox_current(node: &Node, leading: &SchedulerHandle) -> bool {
-    let read_at = leading.inbox_read_ms.load(Ordering::Acquire);
+fn is_inbox_current(node: &Node, handle: &SchedulerHandle) -> bool {
+    let read_at = handle.inbox_read_ms.load(Ordering::Acquire);
     read_at > 0 && node.now_ms() < read_at + MAX_INBOX_AGE.as_millis() as u64
 }
 
 fn local_job_status(
     node: &Node,
-    leading: &SchedulerHandle,
+    handle: &SchedulerHandle,
     job: JobKey,
     requester: Option<Owner>,
 ) -> Lookup<JobStatus> {
-    match leading.job_statuses.read().status(job, requester) {
+    match handle.job_statuses.read().status(job, requester) {
         Some(status) => Lookup::Found(status),
-        None if is_inbox_current(node, leading) => Lookup::NotFound,
+        None if is_inbox_current(node, handle) => Lookup::NotFound,
         None => Lookup::Unavailable,
     }
 }
 
-fn local_pending_jobs(node: &Node, leading: &SchedulerHandle, queue: &str) -> Lookup<u64> {
-    if !is_inbox_current(node, leading) {
+fn local_pending_jobs(node: &Node, handle: &SchedulerHandle, queue: &str) -> Lookup<u64> {
+    if !is_inbox_current(node, handle) {
         return Lookup::Unavailable;
     }
-    Lookup::Found(leading.job_statuses.read().queued_jobs(queue))
+    Lookup::Found(handle.job_statuses.read().queued_jobs(queue))
 }
 
 /// Returns the status of a job. A job of another owner is not found.
 pub async fn job_status(node: &Arc<Node>, job: JobKey, owner: Owner) -> Lookup<JobStatus> {
-    if let Some(leading) = node.scheduler.load_full() {
-        return local_job_status(node, &leading, job, Some(owner));
+    if let Some(handle) = node.scheduler.load_full() {
+        return local_job_status(node, &handle, job, Some(owner));
     }
     let request = JobStateRequest { job, owner: Some(owner.number()) };
     let is_authoritative = |msg: &Msg| matches!(msg, Msg::JobStateReply(r) if r.authoritative);
@@ -88,8 +88,8 @@
 
 /// Returns how many jobs of a queue have not started.
 pub async fn pending_jobs(node: &Arc<Node>, queue: &str) -> Lookup<u64> {
-    if let Some(leading) = node.scheduler.load_full() {
-        return local_pending_jobs(node, &leading, queue);
+    if let Some(handle) = node.scheduler.load_full() {
+        return local_pending_jobs(node, &handle, queue);
     }
     let request = Msg::PendingJobsRequest(PendingJobsRequest { queue: queue.to_string() });
     let is_authoritative = |msg: &Msg| matches!(msg, Msg::PendingJobsReply(r) if r.authoritative);
@@ -149,10 +149,10 @@
 
 /// Answers another process's request for the state of a job.
 pub fn answer_job_state_request(node: &Node, request: &JobStateRequest) -> JobStateReply {
-    let leading = node.scheduler.load_full();
+    let handle = node.scheduler.load_full();
     let requester = request.owner.map(Owner::from_number);
-    let status = leading
-        .map_or(Lookup::Unavailable, |leading| local_job_status(node, &leading, request.job, requester));
+    let status =
+        handle.map_or(Lookup::Unavailable, |handle| local_job_status(node, &handle, request.job, requester));
     let (authoritative, state) = match status {
         Lookup::Found(s) => (true, Some(status_to_wire(s) as i32)),
         Lookup::NotFound => (true, None),
@@ -163,9 +163,9 @@
 
 /// Answers another process's request for the number of jobs of a queue that have not started.
 pub fn answer_pending_jobs_request(node: &Node, request: &PendingJobsRequest) -> PendingJobsReply {
-    let leading = node.scheduler.load_full();
+    let handle = node.scheduler.load_full();
     let count =
-        leading.map_or(Lookup::Unavailable, |leading| local_pending_jobs(node, &leading, &request.queue));
+        handle.map_or(Lookup::Unavailable, |handle| local_pending_jobs(node, &handle, &request.queue));
     let (authoritative, pending) = match count {
         Lookup::Found(n) => (true, n),
         Lookup::NotFound | Lookup::Unavailable => (false, 0),
--- a/src/workswood/ops/jobs/scheduler_io.rs
+++ b/src/workswood/ops/jobs/scheduler_io.rs
@@ -48,7 +48,7 @@
 /// Forwards jobs and cancels from a partition of the inbox to the scheduler.
 pub(super) async fn follow_inbox(
     node: Arc<Node>,
-    leading: Arc<SchedulerHandle>,
+    handle: Arc<SchedulerHandle>,
     progress: Arc<InboxProgress>,
     partition: Partition,
     mut next: Offset,
@@ -62,15 +62,15 @@
                 node.note_store_answer();
                 wait = INBOX_READ_WAIT;
                 next = tail.next;
-                forward_records(&leading, partition, &tail.records);
+                forward_records(&handle, partition, &tail.records);
                 // What the other partitions held at that time has been forwarded before.
                 let all_read_at = progress.record(partition, node.now());
-                let _ = leading.tx.send(Event::InboxRead(all_read_at));
+                let _ = handle.tx.send(Event::InboxRead(all_read_at));
             }
             Err(StoreError::RecordsGone) => match node.platform.latest(topic).await {
                 Ok(latest) => {
                     next = latest.next;
-                    forward_records(&leading, partition, &latest.records);
+                    forward_records(&handle, partition, &latest.records);
                 }
                 Err(e) => {
                     log::warn!("event=inbox_not_read part={partition} error=\"{e}\"");
@@ -86,33 +86,33 @@
     }
 }
 
-fn forward_records(leading: &SchedulerHandle, partition: Partition, records: &[KeyedRecord]) {
+fn forward_records(handle: &SchedulerHandle, partition: Partition, records: &[KeyedRecord]) {
     for rec in records {
-        note_inbox_key(&mut leading.inbox_keys.lock(), partition, rec);
+        note_inbox_key(&mut handle.inbox_keys.lock(), partition, rec);
         if let Some(ev) = parse_inbox_event(rec) {
-            let _ = leading.tx.send(ev);
+            let _ = handle.tx.send(ev);
         }
     }
 }
 
 /// Forwards the list of workers, and its changes, to the scheduler.
-pub(super) async fn follow_workers(node: Arc<Node>, leading: Arc<SchedulerHandle>) {
+pub(super) async fn follow_workers(node: Arc<Node>, handle: Arc<SchedulerHandle>) {
     let mut list = WorkerList::default();
     let n = node.clone();
     follow_topic(node, Topic::Workers, move |update| {
         for ev in list.apply(update, |rec| n.platform.parse_worker_info(rec)) {
-            let _ = leading.tx.send(ev);
+            let _ = handle.tx.send(ev);
         }
     })
     .await;
 }
 
 /// Reads the list of hosts once and forwards it to the scheduler.
-pub(super) async fn list_hosts_once(node: Arc<Node>, leading: Arc<SchedulerHandle>) {
+pub(super) async fn list_hosts_once(node: Arc<Node>, handle: Arc<SchedulerHandle>) {
     let requested_at = node.now();
     match node.platform.list_hosts().await {
         Ok(list) => {
-            let _ = leading.tx.send(Event::HostsListed(list, requested_at));
+            let _ = handle.tx.send(Event::HostsListed(list, requested_at));
         }
         Err(e) => log::warn!("event=machines_not_read error=\"{e}\""),
     }
