--- a/src/workswood/ops/jobs/inbox_cleanup.rs
+++ b/src/workswood/ops/jobs/inbox_cleanup.rs
@@ -18,8 +18,8 @@
 /// How long finished jobs are collected before they are deleted together: each round is a call to
 /// the store for every partition of the inbox.
 const COLLECT_TIME: Duration = Duration::from_secs(1);
-/// Backoff after a failed append.
-const RETRY_BACKOFF: Duration = Duration::from_millis(60);
+/// Delay after a failed append.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
 /// Deletes jobs from the inbox as `rx` reports them finished.
 pub(super) async fn run(
@@ -58,7 +58,7 @@
         while let Err(e) = node.platform.append(Topic::Inbox(partition), deletions.clone(), Guard::None).await
         {
             log::warn!("event=inbox_not_trimmed part={partition} error=\"{e}\"");
-            tokio::time::sleep(RETRY_BACKOFF).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
--- a/src/workswood/ops/jobs/lease_renewal.rs
+++ b/src/workswood/ops/jobs/lease_renewal.rs
@@ -11,12 +11,10 @@
 
 /// Interval between renewals.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(450);
-/// Backoff after a failed renewal.
-const RETRY_BACKOFF: Duration = Duration::from_millis(150);
-/// How long after its last renewal a lease holder goes on extending workers' leases. Tasks survive
-/// an outage of the store of this time plus the duration of a worker's lease. A successor waits
-/// as long before it gives up workers that it can't reach. The holder keeps its own lease longer,
-/// until another process claims it.
+/// Delay after a failed renewal.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// How long after its last renewal a lease holder may still extend workers' leases. A successor
+/// waits for the same time before it gives up workers that it can't reach.
 pub const EXTENSION_GRACE: Duration = Duration::from_secs(4);
 
 /// A holder that has not renewed its lease for this long releases it through another process, if
@@ -25,16 +23,16 @@
 
 /// Renews the lease until another process holds it or it is released.
 pub async fn run(node: Arc<Node>, handle: Arc<SchedulerHandle>) {
-    let mut number = 1;
-    let mut renewed = node.now();
+    let mut next_append = 1;
+    let mut renewed_at = node.now();
     loop {
         let sent = node.now();
         let rec = LeaseRecord::of(&node, handle.term, false).keyed();
-        match node.platform.append(Topic::Lease, vec![rec], Guard::Term(handle.term, number)).await {
+        match node.platform.append(Topic::Lease, vec![rec], Guard::Term(handle.term, next_append)).await {
             Ok(_) => {
                 node.note_store_answer();
-                number += 1;
-                renewed = sent;
+                next_append += 1;
+                renewed_at = sent;
                 handle.grant.extend(sent + EXTENSION_GRACE);
                 tokio::time::sleep(RENEWAL_INTERVAL).await;
             }
@@ -46,13 +44,13 @@
             Err(e) => {
                 log::warn!("event=lease_not_renewed term={} error=\"{e}\"", handle.term);
                 let release_due =
-                    node.now() > renewed + RELEASE_AFTER && node.settings.policy.calls.write_for_others;
+                    node.now() > renewed_at + RELEASE_AFTER && node.settings.policy.calls.write_for_others;
                 if release_due && peer_requests::release_lease_through_peer(&node, handle.term).await {
                     log::warn!("event=lease_released term={} by=helper", handle.term);
                     let _ = handle.stop.send(true);
                     return;
                 }
-                tokio::time::sleep(RETRY_BACKOFF).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/src/workswood/ops/jobs/scheduler_task.rs
+++ b/src/workswood/ops/jobs/scheduler_task.rs
@@ -32,8 +32,8 @@
 /// Shortest interval between the starts of two batches. Each batch is a call to the store, so
 /// decisions within this interval are written together.
 const MIN_BATCH_INTERVAL: Duration = Duration::from_millis(20);
-/// Backoff after a failed restore or append.
-const RETRY_BACKOFF: Duration = Duration::from_millis(60);
+/// Delay after a failed restore or append.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Largest number of events that the scheduler handles before the next batch may be taken.
 const MAX_EVENTS_AT_ONCE: usize = 512;
 /// Interval between requests for the list of hosts while the scheduler needs it.
@@ -90,7 +90,7 @@
             Err(StoreError::GuardFailed) => return None,
             Err(e) => {
                 log::warn!("event=state_not_loaded term={term} error=\"{e}\"");
-                tokio::time::sleep(RETRY_BACKOFF).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -342,7 +342,7 @@
             }
             Err(e) => {
                 log::warn!("event=state_not_written term={term} number={number} error=\"{e}\"");
-                tokio::time::sleep(RETRY_BACKOFF).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
