--- a/src/workswood/ops/jobs/lease.rs
+++ b/src/workswood/ops/jobs/lease.rs
@@ -49,7 +49,7 @@
     /// Whether it releases the lease.
     #[serde(default)]
     pub released: bool,
-    /// Number of workers that it can attend.
+    /// Number of workers that the entry can serve as lease holder.
     #[serde(default)]
     pub strength: Option<EntryCapacity>,
 }
@@ -68,7 +68,7 @@
     }
 
     /// Returns the holder as a candidate for the lease sees it.
-    fn holder_seen(&self) -> ObservedHolder {
+    fn observed_holder(&self) -> ObservedHolder {
         ObservedHolder {
             id: self.id.clone(),
             name: self.name.clone(),
@@ -91,14 +91,15 @@
     next: Offset,
     /// The holder, once one is known.
     holder: Option<ObservedHolder>,
-    /// When a record of the holder was last read, or a read last failed.
-    heard_at: Duration,
+    /// Start of the period after which the lease counts as expired: when a record of the holder was
+    /// last read, or a read last failed.
+    expiry_counted_from: Duration,
     /// When the holder's term was first seen.
     term_seen_at: Duration,
     /// Latest term in which the scheduler ran in this process.
     last_own_term: Term,
-    /// Whether to wait for the next renewal: the process is new, or suspects that the holder or
-    /// the store is gone.
+    /// Whether to read continuously until the next renewal, because the process is new, or the
+    /// holder or the store may be gone.
     awaits_renewal: bool,
 }
 
@@ -109,7 +110,7 @@
         LeaseView {
             next: 0,
             holder: None,
-            heard_at: now,
+            expiry_counted_from: now,
             term_seen_at: now,
             last_own_term,
             awaits_renewal: true,
@@ -122,7 +123,7 @@
         if self.holder.as_ref().is_none_or(|h| h.released) {
             return MIN_READ_WAIT;
         }
-        LEASE_EXPIRES_AFTER.saturating_sub(now - self.heard_at).clamp(MIN_READ_WAIT, MAX_READ_WAIT)
+        LEASE_EXPIRES_AFTER.saturating_sub(now - self.expiry_counted_from).clamp(MIN_READ_WAIT, MAX_READ_WAIT)
     }
 
     /// Whether this process follows each renewal at present.
@@ -141,12 +142,12 @@
             last_led_term: self.last_own_term,
         };
         let now = node.now();
-        let ages = ClaimTimes {
-            since_heard: now - self.heard_at,
+        let times = ClaimTimes {
+            since_heard: now - self.expiry_counted_from,
             since_term_seen: now - self.term_seen_at,
             uptime: now,
         };
-        candidate.claim_reason(self.holder.as_ref(), ages)
+        candidate.claim_reason(self.holder.as_ref(), times)
     }
 }
 
@@ -193,7 +194,7 @@
                 // Renewals can't be read while the store is unreachable, so the full time to
                 // expiry starts anew afterwards.
                 if let Some(v) = &mut view {
-                    v.heard_at = node.now();
+                    v.expiry_counted_from = node.now();
                 }
                 tokio::time::sleep(retry_delay(failures)).await;
             }
@@ -217,13 +218,14 @@
                 apply_records(node, v, tail);
             } else if !requested {
                 log::info!("event=lease_not_renewed_since_look");
-                v.heard_at = now.saturating_sub(LEASE_EXPIRES_AFTER);
+                // Nothing was written for the whole interval, so the lease counts as expired.
+                v.expiry_counted_from = now.saturating_sub(LEASE_EXPIRES_AFTER);
                 v.awaits_renewal = true;
             }
         }
         Err(e) => {
             log::info!("event=lease_look_failed error=\"{e}\"");
-            v.heard_at = now;
+            v.expiry_counted_from = now;
         }
     }
 }
@@ -245,10 +247,10 @@
     Ok(Tail { records: newest.records, next: newest.next })
 }
 
-/// Returns a view from the newest record, after the store has deleted records that the view before
-/// had not read; `None` if the read fails.
-async fn restart_view(node: &Node, before: Option<&LeaseView>) -> Option<LeaseView> {
-    let last_own_term = before.map_or(0, |v| v.last_own_term);
+/// Returns a new view built from the newest record, after the store has deleted records that the
+/// previous view had not read; `None` if the read fails.
+async fn restart_view(node: &Node, previous: Option<&LeaseView>) -> Option<LeaseView> {
+    let last_own_term = previous.map_or(0, |v| v.last_own_term);
     let tail = read_newest(node).await.ok()?;
     let mut view = LeaseView::new(node, last_own_term);
     apply_records(node, &mut view, tail);
@@ -272,13 +274,13 @@
     if v.holder.as_ref().is_some_and(|h| lease.term < h.term) {
         return;
     }
-    let seen = lease.holder_seen();
-    v.heard_at = node.now();
+    let seen = lease.observed_holder();
+    v.expiry_counted_from = node.now();
     if v.holder.as_ref() == Some(&seen) {
         return;
     }
     if v.holder.as_ref().is_none_or(|h| h.term != seen.term) {
-        v.term_seen_at = v.heard_at;
+        v.term_seen_at = v.expiry_counted_from;
     }
     log_holder(&seen);
     let holder =
