--- a/src/workswood/ops/jobs/inbox.rs
+++ b/src/workswood/ops/jobs/inbox.rs
@@ -1,4 +1,4 @@
-//! Writes jobs and cancels into the store's inbox.
+//! Writes jobs and cancellations into the store's inbox.
 //!
 //! The store carries out appends one after the other, so with one append per record a slow store could
 //! not keep up with the jobs that arrive. Records that arrive while an append is in flight are therefore
@@ -43,11 +43,11 @@
 /// Delay after the store refused an append.
 const RETRY_DELAY: Duration = Duration::from_millis(30);
 /// An append is late after this multiple of the mean latency.
-const APPEND_TIMEOUT_MULTIPLE: f64 = 4.0;
-/// An append is never late before this time, which leaves room for one retry over a new connection.
-const MIN_APPEND_TIMEOUT: Duration = Duration::from_millis(250);
-/// No appends are sent while the store has been silent for longer; this process's reads show when it is back.
-const MAX_STORE_SILENCE: Duration = Duration::from_millis(1700);
+const LATE_APPEND_MULTIPLE: f64 = 4.0;
+/// Lower bound of the time after which an append is late.
+const MIN_LATE_APPEND_DELAY: Duration = Duration::from_millis(250);
+/// Maximum silence of the store at which appends are sent. A read that succeeds ends the silence.
+const APPEND_MAX_STORE_SILENCE: Duration = Duration::from_millis(1700);
 /// How long after a failed append this entry refuses records of peers.
 const RECENT_FAILURE_PERIOD: Duration = Duration::from_millis(1000);
 /// Maximum number of inbox partitions in use. The lease holder reads each of them continuously.
@@ -104,17 +104,17 @@
     reply: oneshot::Sender<Stored>,
 }
 
-/// The queue of records that have yet to be stored.
+/// Writes records into the inbox: the queue of those that have yet to be stored.
 pub struct InboxWriter {
     tx: mpsc::Sender<QueuedRecord>,
     rx: Mutex<Option<mpsc::Receiver<QueuedRecord>>>,
-    /// Decides when an append is late.
-    append_timeout: AdaptiveTimeout,
+    /// Latency of appends, from which follows when an append is late.
+    append_latency: AdaptiveTimeout,
     /// Number of appends from here that are in flight.
     appends_in_flight: AtomicUsize,
     /// Whether the last append from here failed or was late.
     last_append_failed: AtomicBool,
-    /// When that was, in milliseconds since the process started.
+    /// When an append from here last failed or was late, in milliseconds since the process started.
     failed_at_ms: AtomicU64,
 }
 
@@ -124,7 +124,7 @@
         InboxWriter {
             tx,
             rx: Mutex::new(Some(rx)),
-            append_timeout: AdaptiveTimeout::new(APPEND_TIMEOUT_MULTIPLE, MIN_APPEND_TIMEOUT),
+            append_latency: AdaptiveTimeout::new(LATE_APPEND_MULTIPLE, MIN_LATE_APPEND_DELAY),
             appends_in_flight: AtomicUsize::new(0),
             last_append_failed: AtomicBool::new(false),
             failed_at_ms: AtomicU64::new(0),
@@ -143,7 +143,8 @@
     (xxh3_64(entry.as_bytes()) % count) as Partition
 }
 
-/// Which partitions of the inbox hold which keys. Says what to remove once a job is forgotten.
+/// Which partitions of the inbox hold each key, as a bit set of partition numbers. It tells which records
+/// to delete once a job has finished or is forgotten.
 #[derive(Debug, Default)]
 pub struct InboxIndex(BTreeMap<InboxKey, u64>);
 
@@ -176,8 +177,8 @@
 }
 
 impl InboxWriter {
-    /// Stores a record of a caller before a timeout, through peers if necessary. Refuses it at once if the
-    /// store is too slow for that.
+    /// Stores a record of a caller within `timeout`, through peers if necessary. Returns [`Stored::No`] at
+    /// once if the store is too slow for that.
     pub async fn store(&self, rec: KeyedRecord, timeout: Duration) -> Stored {
         self.enqueue(rec, timeout, false).await
     }
@@ -192,7 +193,7 @@
         // The record has to wait for the append in flight and then for its own. With none in flight it is
         // sent whatever the mean latency, so that a store that is fast again is noticed.
         let busy = self.appends_in_flight.load(Ordering::Relaxed) > 0;
-        if busy && self.append_timeout.mean() * 2 > timeout {
+        if busy && self.append_latency.mean() * 2 > timeout {
             return Stored::No;
         }
         let stage = Arc::new(Stage::default());
@@ -234,9 +235,9 @@
     let partition = partition_of(&node.settings.name, node.settings.store_partitions);
     let mut queue: Vec<QueuedRecord> = Vec::new();
     let mut appends: JoinSet<Vec<QueuedRecord>> = JoinSet::new();
-    let mut last_start = node.now();
+    let mut last_append_at = node.now();
     loop {
-        let next_append_at = last_start + node.inbox_writer.append_timeout.late_after();
+        let next_append_at = last_append_at + node.inbox_writer.append_latency.late_after();
         tokio::select! {
             Some(done) = appends.join_next() => match done {
                 Ok(retries) => queue.extend(retries),
@@ -259,7 +260,7 @@
                 queue.drain(..count).filter(|queued| queued.stage.mark_sent()).collect();
             if !batch.is_empty() {
                 appends.spawn(append(node.clone(), partition, batch));
-                last_start = node.now();
+                last_append_at = node.now();
                 break;
             }
         }
@@ -324,7 +325,7 @@
     let timeout = if node.inbox_writer.last_append_failed.load(Ordering::Relaxed) {
         Duration::ZERO
     } else {
-        node.inbox_writer.append_timeout.late_after()
+        node.inbox_writer.append_latency.late_after()
     };
     let in_time = tokio::time::timeout(timeout, &mut local).await.ok();
     if in_time == Some(LocalOutcome::Done) {
@@ -352,7 +353,7 @@
 
 /// Sends an append from here, unless the store has been silent for too long.
 async fn append_locally(node: &Node, partition: Partition, batch: &[QueuedRecord]) -> LocalOutcome {
-    if node.store_silence() > MAX_STORE_SILENCE {
+    if node.store_silence() > APPEND_MAX_STORE_SILENCE {
         return LocalOutcome::Refused;
     }
     let records: Vec<KeyedRecord> = batch.iter().map(|queued| queued.rec.clone()).collect();
@@ -360,7 +361,7 @@
     let res = node.platform.append(Topic::Inbox(partition), records, Guard::None).await;
     match res {
         Ok(_) => {
-            node.inbox_writer.append_timeout.record(node.now() - start);
+            node.inbox_writer.append_latency.record(node.now() - start);
             node.note_store_answer();
             node.inbox_writer.last_append_failed.store(false, Ordering::Relaxed);
             LocalOutcome::Done
