--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -25,7 +25,7 @@
 use crate::util::job_metrics::JobMetrics;
 use crate::util::job_settings::JobSettings;
 
-/// In place of a time: the store is not polled continuously.
+/// Value of `store_polled_since_ms` while the store is not polled continuously.
 const NOT_POLLED: u64 = u64::MAX;
 
 /// Who holds the scheduler lease, as last read.
@@ -49,14 +49,14 @@
     pub held_since: Duration,
     /// Events for the scheduler.
     pub tx: mpsc::UnboundedSender<Event>,
-    /// States of jobs that callers may be shown.
+    /// Statuses of jobs, as callers may see them.
     pub job_statuses: RwLock<JobStatusTable>,
     /// `job_statuses` reflects everything that was in the inbox at this time, in milliseconds
     /// since the process started; 0 before the inbox was first read.
     pub inbox_read_ms: AtomicU64,
     /// Which partitions of the inbox hold which keys.
     pub inbox_keys: Mutex<InboxIndex>,
-    /// Until when workers' leases may be extended.
+    /// Until when this process may extend workers' leases and send orders to hosts.
     pub grant: Grant,
     /// Set to true to stop the scheduler.
     pub stop: watch::Sender<bool>,
@@ -200,7 +200,7 @@
         self.now().as_millis() as u64
     }
 
-    /// The time of day.
+    /// Wall-clock time, in milliseconds since the Unix epoch.
     pub fn wall(&self) -> UnixMs {
         SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
     }
@@ -224,7 +224,8 @@
         self.store_answered_ms.store(self.now_ms(), Ordering::Relaxed);
     }
 
-    /// How long an answer of the store is overdue.
+    /// How long the store has been silent: the time since its last answer or since polling began. While
+    /// the store is not polled, the time since one long poll after its last answer.
     pub fn store_silence(&self) -> Duration {
         let answered = self.store_answered_ms.load(Ordering::Relaxed);
         let due = match self.store_polled_since_ms.load(Ordering::Relaxed) {
