--- a/src/workswood/ops/jobs/operator_state.rs
+++ b/src/workswood/ops/jobs/operator_state.rs
@@ -10,12 +10,12 @@
 use tokio::sync::watch;
 use workswood_core::ids::DataCentre;
 
-/// How long an evacuation keeps tasks from being started after it was last read, in addition to
-/// the time that a read of the operators' records waits. A relay with older information follows
-/// the lease holder's orders: the holder gives them only while it reaches the store.
+/// How long an evacuation stays in force after it was last read, in addition to the time that a
+/// read of the operators' records waits. Older information is not used: a relay then relies on the
+/// lease holder, which sends orders only while it reaches the store.
 const EVACUATION_VALID_FOR: Duration = Duration::from_millis(1500);
 
-/// The data centres that were evacuated at some time.
+/// The data centres that were evacuated as of `read_at`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Evacuations {
     /// Their names.
