--- a/src/workswood/ops/jobs/peer_requests.rs
+++ b/src/workswood/ops/jobs/peer_requests.rs
@@ -23,8 +23,8 @@
 use super::{advice, job_queries};
 
 /// Maximum number of peers that are called with a request.
-const MAX_HELPERS: usize = 2;
-/// Timeout of a call to a peer: a few round trips and an append.
+const MAX_CALLED_PEERS: usize = 2;
+/// Timeout of a call to a peer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Returns the handler of requests of other processes.
@@ -82,13 +82,14 @@
 }
 
 /// Has peers store records; returns the outcome of each. The outcome is [`Stored::No`] if no peer could be
-/// called.
+/// called or all of them refused the record.
 pub async fn store_through_peers(node: &Node, records: &[KeyedRecord]) -> Vec<Stored> {
     let mut outcomes = vec![Stored::No; records.len()];
-    for address in helper_addresses(node) {
+    for address in addresses_to_call(node) {
         let to_wire =
             |r: &KeyedRecord| InboxRecord { key: r.key.clone(), value: r.value.clone().unwrap_or_default() };
         let records = records.iter().map(to_wire).collect();
+        // Leaves the peer time to reply.
         let timeout_ms = (PEER_TIMEOUT * 3 / 4).as_millis() as u32;
         let msg = Msg::InboxAppendRequest(InboxAppendRequest { records, timeout_ms });
         let reply = node.peers.call(&node.id, &address, msg, PEER_TIMEOUT).await;
@@ -119,17 +120,17 @@
     }
 }
 
-/// Addresses of the peers to call: first the lease holder, since it needs the records, then others.
-fn helper_addresses(node: &Node) -> Vec<String> {
+/// Addresses of the peers to call: the lease holder first, then others in rotation.
+fn addresses_to_call(node: &Node) -> Vec<String> {
     let own = node.settings.peers.to_string();
     let holder = node.holder.load_full().filter(|h| !h.released && h.id != node.id);
     let mut addresses: Vec<String> = holder.map(|h| h.peer_address.clone()).into_iter().collect();
-    for other in node.peers.helper_addresses(&own, MAX_HELPERS + 1) {
+    for other in node.peers.rotated_addresses(&own, MAX_CALLED_PEERS + 1) {
         if !addresses.contains(&other) {
             addresses.push(other);
         }
     }
-    addresses.truncate(MAX_HELPERS);
+    addresses.truncate(MAX_CALLED_PEERS);
     addresses
 }
 
@@ -190,7 +191,7 @@
             Ok(_) | Err(_) => None,
         }
     };
-    let replies = join_all(helper_addresses(node).into_iter().map(call)).await;
+    let replies = join_all(addresses_to_call(node).into_iter().map(call)).await;
     let mut updates = PeerUpdates::default();
     for reply in replies.into_iter().flatten() {
         if !reply.record.is_empty() {
@@ -217,7 +218,7 @@
 /// Has a peer release this process's lease; returns whether one has.
 pub async fn release_lease_through_peer(node: &Node, term: u64) -> bool {
     let record = LeaseRecord::of(node, term, true).keyed().value.unwrap_or_default();
-    for address in helper_addresses(node) {
+    for address in addresses_to_call(node) {
         let msg = Msg::LeaseReleaseRequest(LeaseReleaseRequest { record: record.clone() });
         if node.peers.call(&node.id, &address, msg, PEER_TIMEOUT).await.is_ok() {
             return true;
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -1,7 +1,7 @@
 //! The other processes that run jobs, and calls to them.
 //!
 //! Every process stores a record with the address of its peer listener, and regularly reads those of the
-//! others. It needs them when the store refuses it, and could not read them then.
+//! others. They are read in advance, because they are also needed while the store refuses this process.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -29,7 +29,7 @@
 const MAX_LINKS: usize = 6;
 /// Time between two reads of the records.
 const READ_INTERVAL: Duration = Duration::from_secs(30);
-/// Likewise after the start of a process, when others that have just started write their records.
+/// Time between two reads during the startup period, when other processes may also have just started.
 const STARTUP_READ_INTERVAL: Duration = Duration::from_secs(5);
 /// How long after its start a process reads the records more often.
 const STARTUP_PERIOD: Duration = Duration::from_secs(20);
@@ -37,9 +37,9 @@
 const HOLDER_READ_INTERVAL: Duration = Duration::from_secs(2);
 /// Time between two renewals of the process's own record.
 const RENEW_INTERVAL: Duration = Duration::from_secs(60);
-/// Peers whose record is older are not called.
+/// Maximum age of the record of a peer that is still called.
 const MAX_PEER_AGE: Duration = Duration::from_secs(300);
-/// Records that are older are removed from the store.
+/// Age after which a record is removed from the store.
 const RECORD_RETENTION: Duration = Duration::from_secs(24 * 3600);
 /// Delay after a failed read.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
@@ -56,7 +56,7 @@
     /// Data centre of the entry.
     #[serde(default)]
     data_centre: DataCentre,
-    /// Number of workers that it can manage as lease holder.
+    /// Number of workers that the entry can serve as lease holder.
     #[serde(default)]
     strength: EntryCapacity,
 }
@@ -86,7 +86,7 @@
     half_open: HalfOpenDetector,
     traffic: Traffic,
     /// Rotates the order in which peers are asked for help.
-    next_helper: AtomicUsize,
+    next_first: AtomicUsize,
 }
 
 impl PeerRecord {
@@ -231,12 +231,12 @@
         peer_list.by_entry.values().map(|rec| &rec.address).filter(|a| *a != own_address).cloned().collect()
     }
 
-    /// Addresses of up to `count` other processes that may help; each call starts with another one.
-    pub fn helper_addresses(&self, own_address: &str, count: usize) -> Vec<String> {
+    /// Addresses of up to `count` other processes; each call starts with another one.
+    pub fn rotated_addresses(&self, own_address: &str, count: usize) -> Vec<String> {
         let peer_list = self.peer_list.lock();
         let others: Vec<&String> =
             peer_list.by_entry.values().map(|rec| &rec.address).filter(|a| *a != own_address).collect();
-        let first = self.next_helper.fetch_add(1, Ordering::Relaxed);
+        let first = self.next_first.fetch_add(1, Ordering::Relaxed);
         (0..others.len().min(count)).map(|n| others[(first + n) % others.len()].clone()).collect()
     }
 }
