--- a/src/workswood/ops/jobs/advice.rs
+++ b/src/workswood/ops/jobs/advice.rs
@@ -1,7 +1,7 @@
-//! Calls to the adviser.
+//! Calls to the platform's adviser, which says which workers suit a step.
 //!
-//! The adviser serves each entry separately, so the lease holder has other entries call it too.
-//! Each entry is one channel, with one call in flight at a time.
+//! The adviser limits each entry separately, so the lease holder also calls it through other entries. A
+//! channel is one entry that calls it, with one call in flight at a time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,15 +14,15 @@
 use super::node::{Node, SchedulerHandle};
 
 /// Added to the timeout of a call that another entry makes, for the round trip to that entry.
-const HELPER_SLACK: Duration = Duration::from_millis(150);
+const PEER_CALL_MARGIN: Duration = Duration::from_millis(150);
 
 /// A call to the adviser.
 pub struct AdviceCall {
-    /// The channel to call through: 0 is this process, others are helpers.
+    /// The channel to call through: 0 is this process, others are peers.
     pub channel: usize,
-    /// The step.
+    /// Step whose tasks are to be placed.
     pub step: StepId,
-    /// The workers.
+    /// Workers to ask about.
     pub workers: Vec<WorkerId>,
     /// How long to wait for the answer.
     pub timeout: Duration,
@@ -33,7 +33,7 @@
     let sent = node.now();
     let reply = match call.channel.checked_sub(1) {
         None => node.platform.advise(call.step, &call.workers, call.timeout).await,
-        Some(n) => call_through_helper(&node, n, &call).await,
+        Some(n) => call_through_peer(&node, n, &call).await,
     };
     let outcome = label(&reply);
     let suitable = match &reply {
@@ -54,8 +54,8 @@
     let _ = handle.tx.send(Event::AdviceReceived(result));
 }
 
-/// Has the `n`-th other process make a call.
-async fn call_through_helper(node: &Node, n: usize, call: &AdviceCall) -> AdviceReply {
+/// Has the `n`-th peer make a call.
+async fn call_through_peer(node: &Node, n: usize, call: &AdviceCall) -> AdviceReply {
     let own = node.settings.peers.to_string();
     let Some(address) = node.peers.other_addresses(&own).into_iter().nth(n) else {
         return AdviceReply::NotSent;
@@ -67,7 +67,7 @@
         workers: call.workers.iter().map(|id| id.to_string()).collect(),
         timeout_ms: call.timeout.as_millis() as u32,
     });
-    match node.peers.call(&node.id, &address, msg, call.timeout + HELPER_SLACK).await {
+    match node.peers.call(&node.id, &address, msg, call.timeout + PEER_CALL_MARGIN).await {
         Ok(Msg::AdviceReply(reply)) => from_wire(reply),
         Err(CallError::NotSent) => AdviceReply::NotSent,
         Ok(_) | Err(CallError::NoAnswer) => AdviceReply::NoAnswer,
