--- a/src/workswood/ops/jobs/relay_sessions.rs
+++ b/src/workswood/ops/jobs/relay_sessions.rs
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Lets a worker forget its ends of runs up to a number.
-    pub(super) fn forget_ends(&mut self, id: &WorkerId, number: u64) {
+    /// Acknowledges the ends of a worker's runs up to `number`, so that the worker can discard them.
+    pub(super) fn ack_ends(&mut self, id: &WorkerId, number: u64) {
         self.order(id, WorkerOrder::AckEnds(number));
     }
 
--- a/src/workswood/ops/jobs/scheduler_task.rs
+++ b/src/workswood/ops/jobs/scheduler_task.rs
@@ -257,7 +257,7 @@
         }
         self.handle.inbox_read_ms.store(batch.inbox_read_at.as_millis() as u64, Ordering::Release);
         for (id, number) in batch.acked_ends {
-            self.sessions.forget_ends(&id, number);
+            self.sessions.ack_ends(&id, number);
         }
         if !batch.finished_jobs.is_empty() {
             // Sending fails if the scheduler is being stopped.
