--- a/src/workswood/ops/jobs/topic_reader.rs
+++ b/src/workswood/ops/jobs/topic_reader.rs
@@ -1,4 +1,4 @@
-//! Reads topics of the store: first the latest records, then each change. One of them holds the records
+//! Follows topics of the store: reads first the latest records, then each change. Also applies the records
 //! that operators write.
 
 use std::collections::BTreeSet;
@@ -13,11 +13,12 @@
 use super::operator_state::Evacuations;
 use super::peer_requests;
 
-/// How long each read of the lease holder waits for records.
-const HOLDER_READ_WAIT: Duration = Duration::from_millis(1000);
+/// How long a read waits for records, except a read of operators' records by a process that is not the
+/// lease holder.
+const DEFAULT_READ_WAIT: Duration = Duration::from_millis(1000);
 /// A read that has no reply this long after its wait is late.
 const LATE_READ_SLACK: Duration = Duration::from_millis(200);
-/// While reads fail, peers are polled once operators' records were read longer ago than this.
+/// Age of the operators' records above which peers are polled while reads fail.
 const MAX_AGE_ON_FAILURE: Duration = Duration::from_millis(1200);
 /// Delay between two reads of the list of workers, so that one read returns the changes of many workers.
 const WORKERS_READ_GAP: Duration = Duration::from_millis(50);
@@ -43,7 +44,7 @@
 fn read_wait(node: &Node, topic: Topic) -> Duration {
     match topic {
         Topic::Operators if node.scheduler.load().is_none() => node.settings.long_poll_wait(),
-        _ => HOLDER_READ_WAIT,
+        _ => DEFAULT_READ_WAIT,
     }
 }
 
