--- a/src/workswood/ops/jobs/scheduler_io.rs
+++ b/src/workswood/ops/jobs/scheduler_io.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// Forwards jobs and cancels from a partition of the inbox to the scheduler.
+/// Forwards jobs and cancellations from a partition of the inbox to the scheduler.
 pub(super) async fn follow_inbox(
     node: Arc<Node>,
     handle: Arc<SchedulerHandle>,
@@ -63,8 +63,9 @@
                 wait = INBOX_READ_WAIT;
                 next = tail.next;
                 forward_records(&handle, partition, &tail.records);
-                // What the other partitions held at that time has been forwarded before.
+                // All partitions have been read up to this time, and their records forwarded.
                 let all_read_at = progress.record(partition, node.now());
+                // Sending fails if the scheduler has just stopped.
                 let _ = handle.tx.send(Event::InboxRead(all_read_at));
             }
             Err(StoreError::RecordsGone) => match node.platform.latest(topic).await {
