--- a/src/workswood/ops/jobs/record.rs
+++ b/src/workswood/ops/jobs/record.rs
@@ -5,8 +5,8 @@
 //! so that one workspace can't replace what another wrote under the same job key.
 //!
 //! The state holds a job under its 16 hex digits, the progress of a wave under `wave-` and its
-//! number, an incarnation of a worker under `worker-` and its id, and the mark of a host that was ordered
-//! recently under `ordered-` and its name.
+//! number, an incarnation of a worker under `worker-` and its id, and the mark of a host that
+//! recently received an order under `ordered-` and its name.
 
 use std::fmt;
 
@@ -28,7 +28,7 @@
 const WAVE_PREFIX: &str = "wave-";
 /// Prefix of the key of an incarnation of a worker.
 const WORKER_PREFIX: &str = "worker-";
-/// Prefix of the key of a host that was ordered recently.
+/// Prefix of the key of the mark of a host that recently received an order.
 const ORDERED_PREFIX: &str = "ordered-";
 
 /// A key of the inbox. Keys are ordered by job first, so those of one job are adjacent.
@@ -59,7 +59,7 @@
     Wave(u64),
     /// An incarnation of a worker.
     Worker(WorkerId),
-    /// The mark of a host that was ordered recently.
+    /// The mark of a host that recently received an order.
     HostOrderMark(HostId),
 }
 
--- a/src/workswood/ops/jobs/restore_state.rs
+++ b/src/workswood/ops/jobs/restore_state.rs
@@ -85,7 +85,7 @@
     jobs: HashMap<JobKey, JobRecord>,
     waves: HashMap<u64, WaveRecord>,
     workers: HashMap<WorkerId, WorkerRecord>,
-    /// Hosts that were ordered recently, each with the name of the holder that ordered it.
+    /// Hosts that recently received an order, each with the name of the holder that sent it.
     order_marks: Vec<(HostId, String)>,
 }
 
