--- a/src/workswood/ops/jobs/job_api.rs
+++ b/src/workswood/ops/jobs/job_api.rs
@@ -19,8 +19,7 @@
 use super::node::Node;
 use super::record::{cancel_record, job_record};
 
-/// When a caller should retry after a refusal: an unreachable store or lease holder usually returns or
-/// is replaced within a few seconds.
+/// When a caller should retry after a refusal.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Timeout of a caller that does not state one.
 const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -71,7 +70,7 @@
     };
     match *req.method() {
         Method::POST => submit_job(node, &cfg, queue, job, workspace, req).await,
-        Method::GET => get_job_state(node, job, owner).await,
+        Method::GET => get_job_status(node, job, owner).await,
         Method::DELETE => cancel_job(node, job, owner, &req).await,
         _ => refusal(Code::MethodUnknown, ExecutionStatus::NotRun, None),
     }
@@ -129,7 +128,7 @@
     if req.method() != Method::GET {
         return refusal(Code::MethodUnknown, ExecutionStatus::NotRun, None);
     }
-    match job_queries::pending_jobs(node, &queue.name).await {
+    match job_queries::queued_jobs(node, &queue.name).await {
         Lookup::Found(n) => json_response(wire::pending_body(n)),
         Lookup::NotFound | Lookup::Unavailable => {
             refusal(Code::HolderAway, ExecutionStatus::NotRun, Some(RETRY_AFTER))
@@ -137,7 +136,7 @@
     }
 }
 
-async fn get_job_state(node: &Arc<Node>, job: JobKey, owner: Owner) -> Response<ReplyBody> {
+async fn get_job_status(node: &Arc<Node>, job: JobKey, owner: Owner) -> Response<ReplyBody> {
     let status = job_queries::job_status(node, job, owner).await;
     node.metrics.status_queries.with_label_values(&[status.label()]).inc();
     match status {
--- a/src/workswood/ops/jobs/job_queries.rs
+++ b/src/workswood/ops/jobs/job_queries.rs
@@ -57,7 +57,7 @@
     }
 }
 
-fn local_pending_jobs(node: &Node, handle: &SchedulerHandle, queue: &str) -> Lookup<u64> {
+fn local_queued_jobs(node: &Node, handle: &SchedulerHandle, queue: &str) -> Lookup<u64> {
     if !is_inbox_current(node, handle) {
         return Lookup::Unavailable;
     }
@@ -86,10 +86,10 @@
     }
 }
 
-/// Returns how many jobs of a queue have not started.
-pub async fn pending_jobs(node: &Arc<Node>, queue: &str) -> Lookup<u64> {
+/// Returns how many jobs of a queue have not started, without jobs that repeat on a schedule.
+pub async fn queued_jobs(node: &Arc<Node>, queue: &str) -> Lookup<u64> {
     if let Some(handle) = node.scheduler.load_full() {
-        return local_pending_jobs(node, &handle, queue);
+        return local_queued_jobs(node, &handle, queue);
     }
     let request = Msg::PendingJobsRequest(PendingJobsRequest { queue: queue.to_string() });
     let is_authoritative = |msg: &Msg| matches!(msg, Msg::PendingJobsReply(r) if r.authoritative);
@@ -100,7 +100,7 @@
 }
 
 /// Queries the known holder, and a holder of a later term if that reply is not authoritative. `describe`
-/// returns the query as text for the log, which has a line if there is no reply.
+/// formats the query for the log line that is written if there is no reply.
 async fn query_holder(
     node: &Arc<Node>,
     msg: Msg,
@@ -161,11 +161,11 @@
     JobStateReply { authoritative, state }
 }
 
-/// Answers another process's request for the number of jobs of a queue that have not started.
+/// Answers another process's request for the number of jobs of a queue that have not started, without jobs
+/// that repeat on a schedule.
 pub fn answer_pending_jobs_request(node: &Node, request: &PendingJobsRequest) -> PendingJobsReply {
     let handle = node.scheduler.load_full();
-    let count =
-        handle.map_or(Lookup::Unavailable, |handle| local_pending_jobs(node, &handle, &request.queue));
+    let count = handle.map_or(Lookup::Unavailable, |handle| local_queued_jobs(node, &handle, &request.queue));
     let (authoritative, pending) = match count {
         Lookup::Found(n) => (true, n),
         Lookup::NotFound | Lookup::Unavailable => (false, 0),
--- a/src/workswood/ops/jobs/job_status_table.rs
+++ b/src/workswood/ops/jobs/job_status_table.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Default)]
 pub struct JobStatusTable {
     by_job: HashMap<JobKey, JobStatusUpdate>,
-    /// Number of jobs that have not started by queue, without jobs that repeat on a schedule.
+    /// Per queue, the number of jobs that have not started, without jobs that repeat on a schedule.
     queued: HashMap<QueueId, u64>,
 }
 
@@ -26,12 +26,12 @@
         known.state.filter(|_| requester.is_none_or(|owner| owner == known.owner))
     }
 
-    /// Number of jobs of a queue that have not started.
+    /// Number of jobs of a queue that have not started, without jobs that repeat on a schedule.
     pub fn queued_jobs(&self, queue: &str) -> u64 {
         self.queued.get(queue).copied().unwrap_or(0)
     }
 
-    /// Applies an update, which removes a job that the scheduler has forgotten.
+    /// Applies an update. An update without a status removes the job.
     pub fn update(&mut self, update: JobStatusUpdate) {
         if is_counted(&update) {
             *self.queued.entry(update.queue.clone()).or_default() += 1;
