--- a/src/workswood/ops/jobs/job_spec.rs
+++ b/src/workswood/ops/jobs/job_spec.rs
@@ -24,7 +24,7 @@
     #[prost(uint32, tag = "4")]
     max_attempts: u32,
     #[prost(string, tag = "5")]
-    text: String,
+    task_input: String,
     #[prost(message, repeated, tag = "6")]
     steps: Vec<StoredStep>,
     #[prost(message, optional, tag = "7")]
@@ -41,6 +41,7 @@
 struct StoredRepeat {
     #[prost(uint32, tag = "1")]
     count: u32,
+    /// In milliseconds since the Unix epoch.
     #[prost(uint64, tag = "2")]
     first_due_at: u64,
     #[prost(uint64, tag = "3")]
@@ -60,7 +61,7 @@
     #[prost(uint64, tag = "5")]
     estimate_ms: u64,
     #[prost(uint32, repeated, tag = "6")]
-    after: Vec<u32>,
+    depends_on: Vec<u32>,
     #[prost(bool, tag = "7")]
     checkpointing: bool,
     #[prost(bool, tag = "8")]
@@ -94,7 +95,7 @@
         service: spec.service.clone(),
         priority: spec.priority,
         max_attempts: spec.max_attempts,
-        text: spec.task_input.to_string(),
+        task_input: spec.task_input.to_string(),
         steps: spec.steps.iter().map(encode_step).collect(),
         repeat: spec.repeat.map(|r| StoredRepeat {
             count: r.count,
@@ -118,7 +119,7 @@
         mem_mb: s.resources.mem_mb,
         gpus: s.resources.gpus,
         estimate_ms: millis(s.estimate),
-        after: s.depends_on.iter().map(|step| u32::from(*step)).collect(),
+        depends_on: s.depends_on.iter().map(|step| u32::from(*step)).collect(),
         checkpointing: s.checkpointing,
         gang: s.gang,
         same_rack: s.same_rack,
@@ -153,7 +154,7 @@
         service: stored.service,
         priority: stored.priority,
         max_attempts: stored.max_attempts,
-        task_input: stored.text.into(),
+        task_input: stored.task_input.into(),
         steps: stored.steps.into_iter().map(decode_step).collect::<Result<_, _>>()?,
         repeat: stored.repeat.map(repeat),
         accepted_at: stored.accepted_at,
@@ -162,12 +163,12 @@
 }
 
 fn decode_step(s: StoredStep) -> Result<StepSpec, String> {
-    let after = s.after.into_iter().map(u16::try_from).collect::<Result<_, _>>();
+    let depends_on = s.depends_on.into_iter().map(u16::try_from).collect::<Result<_, _>>();
     Ok(StepSpec {
         count: s.count,
         resources: Resources { cpu_millis: s.cpu_millis, mem_mb: s.mem_mb, gpus: s.gpus },
         estimate: Duration::from_millis(s.estimate_ms),
-        depends_on: after.map_err(|_| "the number of a preceding step is above 65535".to_string())?,
+        depends_on: depends_on.map_err(|_| "the number of a preceding step is above 65535".to_string())?,
         checkpointing: s.checkpointing,
         gang: s.gang,
         same_rack: s.same_rack,
