--- a/src/workswood/ops/jobs/job_state.rs
+++ b/src/workswood/ops/jobs/job_state.rs
@@ -105,7 +105,7 @@
     /// Attempts during which workers crashed, two numbers each: the attempt and the evidence.
     #[prost(uint32, repeated, tag = "6")]
     crashes: Vec<u32>,
-    /// Longest time that each of them may have lasted, in milliseconds plus one; 0 if that is not known.
+    /// Upper bound of the run time before each crash in `crashes`, in milliseconds plus one; 0 if unknown.
     #[prost(uint32, repeated, tag = "7")]
     crash_run_times: Vec<u32>,
     /// Whether the task is never started again.
@@ -178,7 +178,7 @@
                     .crashes
                     .0
                     .iter()
-                    .flat_map(|(n, c)| [*n, encode_evidence(c.evidence) as u32])
+                    .flat_map(|(attempt, crash)| [*attempt, encode_evidence(crash.evidence) as u32])
                     .collect(),
                 crash_run_times: t.crashes.0.values().map(|c| encode_run_time(c.max_run_time)).collect(),
                 given_up: t.given_up,
