--- a/src/workswood/ops/jobs/host_orders.rs
+++ b/src/workswood/ops/jobs/host_orders.rs
@@ -25,7 +25,8 @@
 
 /// Sends an order if the grant that comes with the lease is still valid; otherwise replies
 /// [`HostReply::Later`]. A holder that was suspended or can't reach the store may already have a
-/// successor, which waits only as long as the grant can last before it orders the same hosts.
+/// successor, which starts to send orders once this grant must have expired. An order sent later
+/// could conflict with them.
 async fn send_if_granted(
     node: &Node,
     handle: &SchedulerHandle,
--- a/src/workswood/ops/jobs/inbox_cleanup.rs
+++ b/src/workswood/ops/jobs/inbox_cleanup.rs
@@ -1,4 +1,4 @@
-//! Deletes finished jobs from the inbox.
+//! Deletes finished and forgotten jobs from the inbox.
 //!
 //! A new lease holder reads the whole inbox before it decides anything. Without finished jobs,
 //! whose state is stored elsewhere, it has far less to read.
--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! The process of an entry that queues and runs jobs.
+//! The job process, of which each entry runs one.
 //!
 //! Every entry runs the same process. Each accepts jobs from callers and writes them to the
 //! platform's store; the process that holds the scheduler lease decides where their tasks run. A
@@ -10,14 +10,15 @@
 //!   they evacuated.
 //! * [`lease`] watches and claims the scheduler lease.
 //! * [`scheduler_task`] runs the scheduler while this process holds the lease. [`restore_state`]
-//!   restores it from a predecessor's state, and [`scheduler_io`] supplies its events. [`lease_renewal`]
+//!   restores it from a predecessor's state, and [`scheduler_io`] supplies its events and
+//!   publishes the status of waves. [`lease_renewal`]
 //!   renews the lease, [`relay_sessions`] has relays attend workers, [`host_orders`] sends orders
 //!   to hosts, [`advice`] calls the adviser, and [`inbox_cleanup`] deletes finished jobs from the
 //!   inbox.
 //! * [`record`], [`job_spec`] and [`job_state`] define the stored form of jobs and state.
 //! * [`limits`] holds durations of leases, and [`worker_list`] follows the list of workers.
 //! * [`relay`] communicates with workers for the lease holder, in this process or elsewhere.
-//! * [`job_status_table`] holds the states of jobs that callers may be shown. [`job_queries`] forwards callers'
+//! * [`job_status_table`] holds the statuses of jobs, as callers may see them. [`job_queries`] forwards callers'
 //!   queries to the lease holder.
 //! * [`peers`] holds the processes of other entries and the connections to them, and [`peer_requests`]
 //!   answers their requests.
--- a/src/workswood/ops/jobs/scheduler_task.rs
+++ b/src/workswood/ops/jobs/scheduler_task.rs
@@ -302,14 +302,15 @@
         }
     }
 
-    /// Updates the states of jobs that callers may be shown.
+    /// Updates the statuses of jobs, as callers may see them.
     fn update_job_statuses(&self, updates: Vec<JobStatusUpdate>) {
         let mut statuses = self.handle.job_statuses.write();
         updates.into_iter().for_each(|u| statuses.update(u));
     }
 }
 
-/// Waits until a batch is stored and returns it; `None` if another term has begun. Never returns
+/// Waits until a batch is stored and returns it; `None` if another term has begun or the write
+/// failed. Never returns
 /// while no batch is being written.
 async fn next_written(writing: &mut BatchWrite) -> Option<Batch> {
     match writing.join_next().await {
--- a/src/workswood/ops/jobs/usage_log.rs
+++ b/src/workswood/ops/jobs/usage_log.rs
@@ -11,7 +11,7 @@
 
 /// Interval between log lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// Number of purposes that a line lists, those with the most bytes.
+/// Maximum number of purposes in a log line; those with the most bytes are listed.
 const LISTED_PURPOSES: usize = 8;
 
 /// Logs usage while this process runs the scheduler or relays; never returns.
