--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -1,8 +1,8 @@
-//! The job process, of which each entry runs one.
+//! The job process, which queues and runs jobs.
 //!
-//! Every entry runs the same process. Each accepts jobs from callers and writes them to the
-//! platform's store; the process that holds the scheduler lease decides where their tasks run. A
-//! [`Node`] is the state that the tasks of a process share.
+//! Every entry runs one. Each accepts jobs from callers and writes them to the platform's store; the
+//! process that holds the scheduler lease decides where their tasks run. A [`Node`] is the state that
+//! the tasks of a process share.
 //!
 //! * [`job_api`] answers callers, [`inbox`] stores what they submit, and [`monitoring`] answers the
 //!   balancer and serves metrics.
@@ -10,11 +10,10 @@
 //!   they evacuated.
 //! * [`lease`] watches and claims the scheduler lease.
 //! * [`scheduler_task`] runs the scheduler while this process holds the lease. [`restore_state`]
-//!   restores it from a predecessor's state, and [`scheduler_io`] supplies its events and
-//!   publishes the status of waves. [`lease_renewal`]
-//!   renews the lease, [`relay_sessions`] has relays attend workers, [`host_orders`] sends orders
-//!   to hosts, [`advice`] calls the adviser, and [`inbox_cleanup`] deletes finished jobs from the
-//!   inbox.
+//!   restores it from a predecessor's state, and [`scheduler_io`] supplies its events and publishes
+//!   the status of waves. [`lease_renewal`] renews the lease, [`relay_sessions`] has relays attend
+//!   workers, [`host_orders`] sends orders to hosts, [`advice`] calls the adviser, and
+//!   [`inbox_cleanup`] deletes finished and forgotten jobs from the inbox.
 //! * [`record`], [`job_spec`] and [`job_state`] define the stored form of jobs and state.
 //! * [`limits`] holds durations of leases, and [`worker_list`] follows the list of workers.
 //! * [`relay`] communicates with workers for the lease holder, in this process or elsewhere.
--- a/src/workswood/ops/jobs/node.rs
+++ b/src/workswood/ops/jobs/node.rs
@@ -225,7 +225,7 @@
     }
 
     /// How long the store has been silent: the time since its last answer or since polling began. While
-    /// the store is not polled, the time since one long poll after its last answer.
+    /// the store is not polled, an answer counts as due one long poll after the last one.
     pub fn store_silence(&self) -> Duration {
         let answered = self.store_answered_ms.load(Ordering::Relaxed);
         let due = match self.store_polled_since_ms.load(Ordering::Relaxed) {
