--- a/src/workswood/ops/jobs/limits.rs
+++ b/src/workswood/ops/jobs/limits.rs
@@ -19,27 +19,27 @@
 
 /// Duration of workers' leases.
 #[derive(Clone, Copy, Debug)]
-pub struct LeaseTimes {
+pub struct WorkerLease {
     /// Duration of a lease, counted from when the request was sent.
-    pub lease: Duration,
+    pub duration: Duration,
 }
 
-impl LeaseTimes {
+impl WorkerLease {
     /// Returns the duration that the settings allow.
-    pub fn of(settings: &JobSettings) -> LeaseTimes {
-        LeaseTimes { lease: WORKER_LEASE.min(Duration::from_millis(settings.max_lease_ms)) }
+    pub fn of(settings: &JobSettings) -> WorkerLease {
+        WorkerLease { duration: WORKER_LEASE.min(Duration::from_millis(settings.max_lease_ms)) }
     }
 
     /// The longest real time that a lease may last on a worker whose clock runs slow.
     pub fn max_duration_with_drift(&self) -> Duration {
-        lease_with_drift(self.lease, CLOCK_DRIFT)
+        lease_with_drift(self.duration, CLOCK_DRIFT)
     }
 }
 
 /// Returns the scheduler's limits from the settings.
 pub(super) fn scheduler_limits(s: &JobSettings) -> Limits {
     Limits {
-        lease: LeaseTimes::of(s).lease,
+        lease: WorkerLease::of(s).duration,
         max_lease: Duration::from_millis(s.max_lease_ms),
         extension_grace: EXTENSION_GRACE,
         clock_drift: CLOCK_DRIFT,
--- a/src/workswood/ops/jobs/relay/mod.rs
+++ b/src/workswood/ops/jobs/relay/mod.rs
@@ -28,7 +28,7 @@
 use self::assigned_worker::AssignedWorker;
 pub use self::event_sink::{EventQueue, EventSink};
 use self::messages::{WorkerEvent, WorkerNumber, WorkerOrder};
-use super::limits::LeaseTimes;
+use super::limits::WorkerLease;
 use super::node::Node;
 
 /// Permission to extend the leases of workers until some time, in milliseconds since the process
@@ -65,7 +65,7 @@
     /// Permission to extend leases.
     pub grant: Grant,
     /// Durations of workers' leases.
-    pub times: LeaseTimes,
+    pub worker_lease: WorkerLease,
     /// Where events are reported.
     pub sink: EventSink,
 }
@@ -80,8 +80,8 @@
 impl Relay {
     /// Creates a relay without workers.
     pub fn new(node: Arc<Node>, grant: Grant, sink: EventSink) -> Relay {
-        let times = LeaseTimes::of(&node.settings);
-        let cx = Arc::new(RelayContext { node, grant, times, sink });
+        let worker_lease = WorkerLease::of(&node.settings);
+        let cx = Arc::new(RelayContext { node, grant, worker_lease, sink });
         Relay { cx, workers: HashMap::new(), tasks: JoinSet::new() }
     }
 
--- a/src/workswood/ops/jobs/relay/poll.rs
+++ b/src/workswood/ops/jobs/relay/poll.rs
@@ -147,12 +147,13 @@
         let sent = self.now();
         let acked_end = self.end_to_ack(sent);
         self.last_answered = None;
-        let times = &self.cx.times;
+        let worker_lease = &self.cx.worker_lease;
         // The end of the lease is computed before the permission to send it is checked. If the
         // process is paused in between, it sends a lease that has ended.
-        let lease_end = self.worker.lease_end(sent, times.lease).filter(|_| self.may_extend_lease());
         let lease_end =
-            lease_end.filter(|_| self.worker.may_lease_until(sent + times.max_duration_with_drift()));
+            self.worker.lease_end(sent, worker_lease.duration).filter(|_| self.may_extend_lease());
+        let lease_end =
+            lease_end.filter(|_| self.worker.may_lease_until(sent + worker_lease.max_duration_with_drift()));
         let wait = if lease_end.is_some() { wait } else { Duration::ZERO };
         let platform = &self.cx.node.platform;
         let reply = platform.poll_worker(&self.worker.address, self.worker.token, acked_end, lease_end, wait);
--- a/src/workswood/ops/jobs/relay/send.rs
+++ b/src/workswood/ops/jobs/relay/send.rs
@@ -41,8 +41,9 @@
             log::info!("event=start_not_sent worker={worker} task={task} reason=data_centre_evacuated");
             break;
         }
-        let Some(lease_end) = worker.lease_end(now, cx.times.lease) else { break };
-        if !cx.grant.holds(cx.node.now()) || !worker.may_lease_until(now + cx.times.max_duration_with_drift())
+        let Some(lease_end) = worker.lease_end(now, cx.worker_lease.duration) else { break };
+        if !cx.grant.holds(cx.node.now())
+            || !worker.may_lease_until(now + cx.worker_lease.max_duration_with_drift())
         {
             break;
         }
--- a/src/workswood/ops/jobs/relay_sessions.rs
+++ b/src/workswood/ops/jobs/relay_sessions.rs
@@ -17,7 +17,7 @@
 use workswood_peers::relay as wire;
 use workswood_peers::{Closed, DuplexRx, DuplexTx, Msg};
 
-use super::limits::LeaseTimes;
+use super::limits::WorkerLease;
 use super::node::{Node, SchedulerHandle};
 use super::peers::TOKEN;
 use super::relay::messages::{StartTask, WorkerNumber, WorkerOrder};
@@ -227,7 +227,7 @@
     ) {
         let reason = self.run_until_lost(tx, rx).await;
         let granted_until = Duration::from_millis(self.granted_until_ms.load(Ordering::Acquire));
-        let lease = LeaseTimes::of(&self.node.settings).max_duration_with_drift();
+        let lease = WorkerLease::of(&self.node.settings).max_duration_with_drift();
         log::info!("event=relay_session_over relay={} reason={reason:?}", self.entry);
         let leases_end = granted_until + lease;
         self.notify(Event::RelayDown(self.entry.clone(), leases_end, reason == SessionEnd::Broken));
--- a/tests/testsuite/lost_looks.rs
+++ b/tests/testsuite/lost_looks.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::mpsc;
 use workswood::ops::jobs::Node;
-use workswood::ops::jobs::limits::LeaseTimes;
+use workswood::ops::jobs::limits::WorkerLease;
 use workswood::ops::jobs::relay::assigned_worker::AssignedWorker;
 use workswood::ops::jobs::relay::{EventSink, Grant, RelayContext, poll};
 use workswood_core::jobs::{Event, WorkerUpdate};
@@ -24,7 +24,7 @@
     let shared = RelayContext {
         node: node.clone(),
         grant: Grant::until(Duration::from_secs(60)),
-        times: LeaseTimes::of(&node.settings),
+        worker_lease: WorkerLease::of(&node.settings),
         sink: EventSink::Local(tx),
     };
     let assigned = Arc::new(AssignedWorker::new(1, worker(0, 0).worker_address(), 1));
