--- a/src/workswood/ops/jobs/relay_sessions.rs
+++ b/src/workswood/ops/jobs/relay_sessions.rs
@@ -166,7 +166,7 @@
             node: self.node.clone(),
             handle: self.handle.clone(),
             entry: entry.clone(),
-            session: self.opened,
+            session_number: self.opened,
             workers: workers.clone(),
             granted_until_ms: AtomicU64::new(0),
         };
@@ -201,7 +201,7 @@
     /// Name of the relay's entry.
     entry: HostId,
     /// Number of the session in this term.
-    session: u64,
+    session_number: u64,
     workers: WorkersByNumber,
     /// Until when the relay may extend leases, in milliseconds since the process started.
     granted_until_ms: AtomicU64,
@@ -255,7 +255,7 @@
         let address = self.node.peers.address_of(&self.entry)?;
         let open = wire::RelayOpen {
             term: self.handle.term,
-            session: self.session,
+            session: self.session_number,
             holder: self.node.settings.name.clone(),
         };
         let opening = async {
