--- a/src/workswood/ops/jobs/job_spec.rs
+++ b/src/workswood/ops/jobs/job_spec.rs
@@ -168,7 +168,7 @@
         count: s.count,
         resources: Resources { cpu_millis: s.cpu_millis, mem_mb: s.mem_mb, gpus: s.gpus },
         estimate: Duration::from_millis(s.estimate_ms),
-        depends_on: depends_on.map_err(|_| "the number of a preceding step is above 65535".to_string())?,
+        depends_on: depends_on.map_err(|_| "the number of a dependency step is above 65535".to_string())?,
         checkpointing: s.checkpointing,
         gang: s.gang,
         same_rack: s.same_rack,
--- a/src/workswood/ops/jobs/peers.rs
+++ b/src/workswood/ops/jobs/peers.rs
@@ -85,7 +85,7 @@
     links: Mutex<HashMap<String, CachedLink>>,
     half_open: HalfOpenDetector,
     traffic: Traffic,
-    /// Rotates the order in which peers are asked for help.
+    /// Rotates the order in which peers are called.
     next_first: AtomicUsize,
 }
 
@@ -170,8 +170,8 @@
         cached.link.clone()
     }
 
-    /// Adds the process of an entry, with the address of its peer listener and the number of workers that it
-    /// can manage.
+    /// Adds the process of an entry, with the address of its peer listener and the number of workers that the
+    /// entry can serve as lease holder. Used by tests.
     pub fn add_peer(&self, entry: &str, address: &str, strength: EntryCapacity) {
         let rec = PeerRecord {
             address: address.to_string(),
--- a/src/workswood/ops/jobs/scheduler_io.rs
+++ b/src/workswood/ops/jobs/scheduler_io.rs
@@ -99,9 +99,9 @@
 /// Forwards the list of workers, and its changes, to the scheduler.
 pub(super) async fn follow_workers(node: Arc<Node>, handle: Arc<SchedulerHandle>) {
     let mut list = WorkerList::default();
-    let n = node.clone();
+    let cx = node.clone();
     follow_topic(node, Topic::Workers, move |update| {
-        for ev in list.apply(update, |rec| n.platform.parse_worker_info(rec)) {
+        for ev in list.apply(update, |rec| cx.platform.parse_worker_info(rec)) {
             let _ = handle.tx.send(ev);
         }
     })
--- a/src/workswood/ops/jobs/topic_reader.rs
+++ b/src/workswood/ops/jobs/topic_reader.rs
@@ -105,7 +105,7 @@
 
 /// Applies the records that operators write, until the task is aborted.
 pub async fn follow_operators(node: Arc<Node>) {
-    let n = node.clone();
+    let cx = node.clone();
     let mut evacuated = BTreeSet::new();
     follow_topic(node, Topic::Operators, move |update| {
         let records = match update {
@@ -115,9 +115,9 @@
             }
             TopicUpdate::Changes(records) => records,
         };
-        records.iter().for_each(|r| apply_record(&n, r, &mut evacuated));
-        n.operator_state.note_read_success();
-        apply_evacuations(&n, Evacuations { data_centres: evacuated.clone(), read_at: n.now() });
+        records.iter().for_each(|r| apply_record(&cx, r, &mut evacuated));
+        cx.operator_state.note_read_success();
+        apply_evacuations(&cx, Evacuations { data_centres: evacuated.clone(), read_at: cx.now() });
     })
     .await;
 }
