--- a/src/workswood/ops/jobs/job_api.rs
+++ b/src/workswood/ops/jobs/job_api.rs
@@ -63,7 +63,7 @@
     let owner = Owner::of_workspace(workspace.as_deref());
     let rest = path[queue.path_prefix.len()..].trim_matches('/');
     if rest.is_empty() {
-        return get_pending_jobs(node, &req, queue).await;
+        return get_queued_jobs(node, &req, queue).await;
     }
     let Some(job) = parse_job_key(rest) else {
         return refusal(Code::JobMalformed, ExecutionStatus::NotRun, None);
@@ -120,7 +120,7 @@
     res.body(full_body(body)).unwrap_or_else(|_| Response::new(full_body(Bytes::new())))
 }
 
-async fn get_pending_jobs(
+async fn get_queued_jobs(
     node: &Arc<Node>,
     req: &Request<Incoming>,
     queue: &QueueConfig,
--- a/src/workswood/ops/jobs/mod.rs
+++ b/src/workswood/ops/jobs/mod.rs
@@ -11,7 +11,7 @@
 //! * [`lease`] watches and claims the scheduler lease.
 //! * [`scheduler_task`] runs the scheduler while this process holds the lease. [`restore_state`]
 //!   restores it from a predecessor's state, and [`scheduler_io`] supplies its events and publishes
-//!   the status of waves. [`lease_renewal`] renews the lease, [`relay_sessions`] has relays attend
+//!   the status of waves. [`lease_renewal`] renews the lease, [`relay_sessions`] has relays serve
 //!   workers, [`host_orders`] sends orders to hosts, [`advice`] calls the adviser, and
 //!   [`inbox_cleanup`] deletes finished and forgotten jobs from the inbox.
 //! * [`record`], [`job_spec`] and [`job_state`] define the stored form of jobs and state.
--- a/src/workswood/ops/jobs/relay_sessions.rs
+++ b/src/workswood/ops/jobs/relay_sessions.rs
@@ -1,6 +1,6 @@
-//! The lease holder's sessions with the relays that attend workers for it.
+//! The lease holder's sessions with the relays that serve workers for it.
 //!
-//! Orders on a worker go to the relay that attends it, in this process or in that of another
+//! Orders on a worker go to the relay that serves it, in this process or in that of another
 //! entry. What other relays report becomes events for the scheduler.
 
 use std::collections::HashMap;
@@ -41,7 +41,7 @@
     task: AbortHandle,
 }
 
-/// The relay that attends a worker.
+/// The relay that serves a worker.
 struct Assignment {
     /// Name of the relay's entry.
     relay: HostId,
@@ -113,7 +113,7 @@
         self.order(id, WorkerOrder::AckEnds(number));
     }
 
-    /// Gives an order on a worker to the relay that attends it.
+    /// Gives an order on a worker to the relay that serves it.
     fn order(&mut self, id: &WorkerId, order: WorkerOrder) {
         let Some(a) = self.assignments.get(id) else { return };
         if a.relay == self.node.settings.name {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Has a relay attend a worker, in place of the relay that attended it before.
+    /// Has a relay serve a worker, in place of the relay that served it before.
     fn assign(&mut self, relay: HostId, info: WorkerInfo, token: Term) {
         self.last_number += 1;
         let number = self.last_number;
@@ -137,7 +137,7 @@
         self.order(&info.id, WorkerOrder::Assign { worker, token });
     }
 
-    /// Has a relay no longer attend a worker.
+    /// Has a relay no longer serve a worker.
     fn end_assignment(&mut self, a: &Assignment) {
         if a.relay == self.node.settings.name {
             self.own_relay.execute(a.number, WorkerOrder::Unassign);
--- a/src/workswood/ops/jobs/scheduler_task.rs
+++ b/src/workswood/ops/jobs/scheduler_task.rs
@@ -138,7 +138,7 @@
     node: Arc<Node>,
     handle: Arc<SchedulerHandle>,
     sched: Scheduler,
-    /// Sessions with the relays that attend workers.
+    /// Sessions with the relays that serve workers.
     sessions: RelaySessions,
     /// Number of the next append of this term.
     next_append: u64,
@@ -272,7 +272,7 @@
         self.sessions.flush();
     }
 
-    /// Carries out the scheduler's changes of which relay attends which workers. These need no
+    /// Carries out the scheduler's changes of which relay serves which workers. These need no
     /// record.
     fn assign_relays(&mut self, tasks: &mut JoinSet<()>) {
         for action in self.sched.assign_relays() {
