--- a/src/workswood/ops/jobs/inbox_cleanup.rs
+++ b/src/workswood/ops/jobs/inbox_cleanup.rs
@@ -1,4 +1,4 @@
-//! Deletes finished jobs from the inbox.
+//! Deletes finished and forgotten jobs from the inbox.
 //!
 //! A new lease holder reads the whole inbox before it decides anything. Without finished jobs,
 //! whose state is stored elsewhere, it has far less to read.
@@ -18,8 +18,8 @@
 /// How long finished jobs are collected before they are deleted together: each round is a call to
 /// the store for every partition of the inbox.
 const COLLECT_TIME: Duration = Duration::from_secs(1);
-/// Backoff after a failed append.
-const RETRY_BACKOFF: Duration = Duration::from_millis(60);
+/// Delay after a failed append.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
 /// Deletes jobs from the inbox as `rx` reports them finished.
 pub(super) async fn run(
@@ -50,7 +50,7 @@
         let deletions: Vec<KeyedRecord> = {
             let known = handle.inbox_keys.lock();
             let keys = jobs.iter().flat_map(|job| known.keys_of_job(partition, *job));
-            keys.map(InboxKey::drop_record).collect()
+            keys.map(InboxKey::deletion_record).collect()
         };
         if deletions.is_empty() {
             continue;
@@ -58,7 +58,7 @@
         while let Err(e) = node.platform.append(Topic::Inbox(partition), deletions.clone(), Guard::None).await
         {
             log::warn!("event=inbox_not_trimmed part={partition} error=\"{e}\"");
-            tokio::time::sleep(RETRY_BACKOFF).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
--- a/src/workswood/ops/jobs/job_api.rs
+++ b/src/workswood/ops/jobs/job_api.rs
@@ -19,8 +19,7 @@
 use super::node::Node;
 use super::record::{cancel_record, job_record};
 
-/// When a caller should retry after a refusal: an unreachable store or lease holder usually returns or
-/// is replaced within a few seconds.
+/// When a caller should retry after a refusal.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Timeout of a caller that does not state one.
 const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -64,14 +63,14 @@
     let owner = Owner::of_workspace(workspace.as_deref());
     let rest = path[queue.path_prefix.len()..].trim_matches('/');
     if rest.is_empty() {
-        return get_pending_jobs(node, &req, queue).await;
+        return get_queued_jobs(node, &req, queue).await;
     }
     let Some(job) = parse_job_key(rest) else {
         return refusal(Code::JobMalformed, ExecutionStatus::NotRun, None);
     };
     match *req.method() {
         Method::POST => submit_job(node, &cfg, queue, job, workspace, req).await,
-        Method::GET => get_job_state(node, job, owner).await,
+        Method::GET => get_job_status(node, job, owner).await,
         Method::DELETE => cancel_job(node, job, owner, &req).await,
         _ => refusal(Code::MethodUnknown, ExecutionStatus::NotRun, None),
     }
@@ -121,7 +120,7 @@
     res.body(full_body(body)).unwrap_or_else(|_| Response::new(full_body(Bytes::new())))
 }
 
-async fn get_pending_jobs(
+async fn get_queued_jobs(
     node: &Arc<Node>,
     req: &Request<Incoming>,
     queue: &QueueConfig,
@@ -129,7 +128,7 @@
     if req.method() != Method::GET {
         return refusal(Code::MethodUnknown, ExecutionStatus::NotRun, None);
     }
-    match job_queries::pending_jobs(node, &queue.name).await {
+    match job_queries::queued_jobs(node, &queue.name).await {
         Lookup::Found(n) => json_response(wire::pending_body(n)),
         Lookup::NotFound | Lookup::Unavailable => {
             refusal(Code::HolderAway, ExecutionStatus::NotRun, Some(RETRY_AFTER))
@@ -137,7 +136,7 @@
     }
 }
 
-async fn get_job_state(node: &Arc<Node>, job: JobKey, owner: Owner) -> Response<ReplyBody> {
+async fn get_job_status(node: &Arc<Node>, job: JobKey, owner: Owner) -> Response<ReplyBody> {
     let status = job_queries::job_status(node, job, owner).await;
     node.metrics.status_queries.with_label_values(&[status.label()]).inc();
     match status {
@@ -155,7 +154,7 @@
 ) -> Response<ReplyBody> {
     // A job that was just accepted may not be known yet, so the cancel is stored in any case.
     let unknown = job_queries::job_status(node, job, owner).await == Lookup::NotFound;
-    let stored = node.inbox.store(cancel_record(job, owner), caller_timeout(req)).await;
+    let stored = node.inbox_writer.store(cancel_record(job, owner), caller_timeout(req)).await;
     if stored == Stored::Yes {
         log::info!("event=cancel_accepted job={job:016x} known={}", !unknown);
         if unknown {
@@ -189,7 +188,7 @@
         }
     };
     let start = node.now();
-    let stored = node.inbox.store(job_record(job, &spec), timeout).await;
+    let stored = node.inbox_writer.store(job_record(job, &spec), timeout).await;
     log::info!(
         "event=job_handed_in job={job:016x} queue={} workspace={} version={} stored={stored:?} took_ms={} \
          store_silence_ms={}",
--- a/src/workswood/ops/jobs/relay_sessions.rs
+++ b/src/workswood/ops/jobs/relay_sessions.rs
@@ -1,6 +1,6 @@
-//! The lease holder's sessions with the relays that attend workers for it.
+//! The lease holder's sessions with the relays that serve workers for it.
 //!
-//! Orders on a worker go to the relay that attends it, in this process or in that of another
+//! Orders on a worker go to the relay that serves it, in this process or in that of another
 //! entry. What other relays report becomes events for the scheduler.
 
 use std::collections::HashMap;
@@ -17,7 +17,7 @@
 use workswood_peers::relay as wire;
 use workswood_peers::{Closed, DuplexRx, DuplexTx, Msg};
 
-use super::limits::LeaseTimes;
+use super::limits::WorkerLease;
 use super::node::{Node, SchedulerHandle};
 use super::peers::TOKEN;
 use super::relay::messages::{StartTask, WorkerNumber, WorkerOrder};
@@ -41,7 +41,7 @@
     task: AbortHandle,
 }
 
-/// The relay that attends a worker.
+/// The relay that serves a worker.
 struct Assignment {
     /// Name of the relay's entry.
     relay: HostId,
@@ -108,12 +108,12 @@
         }
     }
 
-    /// Lets a worker forget its ends of runs up to a number.
-    pub(super) fn forget_ends(&mut self, id: &WorkerId, number: u64) {
+    /// Acknowledges the ends of a worker's runs up to `number`, so that the worker can discard them.
+    pub(super) fn ack_ends(&mut self, id: &WorkerId, number: u64) {
         self.order(id, WorkerOrder::AckEnds(number));
     }
 
-    /// Gives an order on a worker to the relay that attends it.
+    /// Gives an order on a worker to the relay that serves it.
     fn order(&mut self, id: &WorkerId, order: WorkerOrder) {
         let Some(a) = self.assignments.get(id) else { return };
         if a.relay == self.node.settings.name {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Has a relay attend a worker, in place of the relay that attended it before.
+    /// Has a relay serve a worker, in place of the relay that served it before.
     fn assign(&mut self, relay: HostId, info: WorkerInfo, token: Term) {
         self.last_number += 1;
         let number = self.last_number;
@@ -137,7 +137,7 @@
         self.order(&info.id, WorkerOrder::Assign { worker, token });
     }
 
-    /// Has a relay no longer attend a worker.
+    /// Has a relay no longer serve a worker.
     fn end_assignment(&mut self, a: &Assignment) {
         if a.relay == self.node.settings.name {
             self.own_relay.execute(a.number, WorkerOrder::Unassign);
@@ -166,7 +166,7 @@
             node: self.node.clone(),
             handle: self.handle.clone(),
             entry: entry.clone(),
-            session: self.opened,
+            session_number: self.opened,
             workers: workers.clone(),
             granted_until_ms: AtomicU64::new(0),
         };
@@ -201,7 +201,7 @@
     /// Name of the relay's entry.
     entry: HostId,
     /// Number of the session in this term.
-    session: u64,
+    session_number: u64,
     workers: WorkersByNumber,
     /// Until when the relay may extend leases, in milliseconds since the process started.
     granted_until_ms: AtomicU64,
@@ -227,7 +227,7 @@
     ) {
         let reason = self.run_until_lost(tx, rx).await;
         let granted_until = Duration::from_millis(self.granted_until_ms.load(Ordering::Acquire));
-        let lease = LeaseTimes::of(&self.node.settings).longest_duration();
+        let lease = WorkerLease::of(&self.node.settings).max_duration_with_drift();
         log::info!("event=relay_session_over relay={} reason={reason:?}", self.entry);
         let leases_end = granted_until + lease;
         self.notify(Event::RelayDown {
@@ -259,7 +259,7 @@
         let address = self.node.peers.address_of(&self.entry)?;
         let open = wire::RelayOpen {
             term: self.handle.term,
-            session: self.session,
+            session: self.session_number,
             holder: self.node.settings.name.clone(),
         };
         let opening = async {
--- a/src/workswood/ops/jobs/scheduler_task.rs
+++ b/src/workswood/ops/jobs/scheduler_task.rs
@@ -19,7 +19,7 @@
 use super::inbox_cleanup;
 use super::lease_renewal;
 use super::node::{Node, SchedulerHandle};
-use super::record::{dropped_job, state_record};
+use super::record::{deleted_job, state_record};
 use super::relay_sessions::RelaySessions;
 use super::restore_state::{RestoredScheduler, restore};
 use super::scheduler_io::{
@@ -32,8 +32,8 @@
 /// Shortest interval between the starts of two batches. Each batch is a call to the store, so
 /// decisions within this interval are written together.
 const MIN_BATCH_INTERVAL: Duration = Duration::from_millis(20);
-/// Backoff after a failed restore or append.
-const RETRY_BACKOFF: Duration = Duration::from_millis(60);
+/// Delay after a failed restore or append.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Largest number of events that the scheduler handles before the next batch may be taken.
 const MAX_EVENTS_AT_ONCE: usize = 512;
 /// Interval between requests for the list of hosts while the scheduler needs it.
@@ -90,7 +90,7 @@
             Err(StoreError::GuardFailed) => return None,
             Err(e) => {
                 log::warn!("event=state_not_loaded term={term} error=\"{e}\"");
-                tokio::time::sleep(RETRY_BACKOFF).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -138,7 +138,7 @@
     node: Arc<Node>,
     handle: Arc<SchedulerHandle>,
     sched: Scheduler,
-    /// Sessions with the relays that attend workers.
+    /// Sessions with the relays that serve workers.
     sessions: RelaySessions,
     /// Number of the next append of this term.
     next_append: u64,
@@ -257,7 +257,7 @@
         }
         self.handle.inbox_read_ms.store(batch.inbox_read_at.as_millis() as u64, Ordering::Release);
         for (id, number) in batch.acked_ends {
-            self.sessions.forget_ends(&id, number);
+            self.sessions.ack_ends(&id, number);
         }
         if !batch.finished_jobs.is_empty() {
             // Sending fails if the scheduler is being stopped.
@@ -272,7 +272,7 @@
         self.sessions.flush();
     }
 
-    /// Carries out the scheduler's changes of which relay attends which workers. These need no
+    /// Carries out the scheduler's changes of which relay serves which workers. These need no
     /// record.
     fn assign_relays(&mut self, tasks: &mut JoinSet<()>) {
         for action in self.sched.assign_relays() {
@@ -302,14 +302,15 @@
         }
     }
 
-    /// Updates the states of jobs that callers may be shown.
+    /// Updates the statuses of jobs, as callers may see them.
     fn update_job_statuses(&self, updates: Vec<JobStatusUpdate>) {
         let mut statuses = self.handle.job_statuses.write();
         updates.into_iter().for_each(|u| statuses.update(u));
     }
 }
 
-/// Waits until a batch is stored and returns it; `None` if another term has begun. Never returns
+/// Waits until a batch is stored and returns it; `None` if another term has begun or the write
+/// failed. Never returns
 /// while no batch is being written.
 async fn next_written(writing: &mut BatchWrite) -> Option<Batch> {
     match writing.join_next().await {
@@ -326,7 +327,7 @@
     batch: Batch,
 ) -> Option<Batch> {
     let term = handle.term;
-    inbox_cleanup::delete_from_inbox(&node, &handle, batch.records.iter().filter_map(dropped_job).collect())
+    inbox_cleanup::delete_from_inbox(&node, &handle, batch.records.iter().filter_map(deleted_job).collect())
         .await;
     let records: Vec<KeyedRecord> = batch.records.iter().map(state_record).collect();
     let _timer = node.metrics.batch_seconds.start_timer();
@@ -342,7 +343,7 @@
             }
             Err(e) => {
                 log::warn!("event=state_not_written term={term} number={number} error=\"{e}\"");
-                tokio::time::sleep(RETRY_BACKOFF).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
