--- a/src/workswood/ops/jobs/job_api.rs
+++ b/src/workswood/ops/jobs/job_api.rs
@@ -248,7 +248,7 @@
 
 /// How long the caller of a request may be kept waiting for the response.
 fn caller_timeout(req: &Request<Incoming>) -> Duration {
-    let header = req.headers().get(wire::WAITS).and_then(|h| h.to_str().ok());
+    let header = req.headers().get(wire::REQUEST_DEADLINE_HEADER).and_then(|h| h.to_str().ok());
     let stated = header.and_then(|text| text.parse().ok());
     let timeout = stated.map_or(DEFAULT_CALLER_TIMEOUT, Duration::from_millis);
     timeout.min(MAX_CALLER_TIMEOUT).saturating_sub(RESPONSE_MARGIN)
