--- a/tests/testsuite/advised_queue.rs
+++ b/tests/testsuite/advised_queue.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use workswood_adapter_standin::caller::{HandedIn, Told, advised_config, ask, hand_in};
+use workswood_adapter_standin::caller::{JobReply, Submission, advised_config, request_state, submit_job};
 use workswood_adapter_standin::{AdviserStandin, Ledger, StoreStandin, WorkerStandin};
 use workswood_test_support::job_entry::{PORTS, start_entry};
 use workswood_test_support::program::{Program, free_ports};
@@ -57,7 +57,7 @@
         let mut workers = Vec::new();
         for n in 0..4 {
             let id = format!("i-{n}");
-            let w = WorkerStandin::start_seen(&id, TAKES, ledger.clone()).await;
+            let w = WorkerStandin::start_with_ledger(&id, TAKES, ledger.clone()).await;
             w.require(&adviser.tickets);
             store.enter_worker(&id, &w.entry(SERVICE, &format!("m-{n}")));
             workers.push(w);
@@ -86,7 +86,7 @@
         for n in numbers {
             let job = format!("{n:016x}");
             let to = self.entries[n as usize % ENTRIES].0;
-            while hand_in(to, &job, 3).await != HandedIn::Accepted {
+            while submit_job(to, &job, 3).await != Submission::Accepted {
                 assert!(Instant::now() < until, "{job} is not accepted");
                 tokio::time::sleep(PAUSE).await;
             }
@@ -99,9 +99,9 @@
     async fn completed(&self, jobs: &[String]) {
         let until = Instant::now() + WITHIN;
         for (n, job) in jobs.iter().enumerate() {
-            let done = Told::State("completed".to_string());
+            let done = JobReply::State("completed".to_string());
             loop {
-                let told = ask(self.entries[n % ENTRIES].0, job).await;
+                let told = request_state(self.entries[n % ENTRIES].0, job).await;
                 if told == done {
                     break;
                 }
@@ -109,7 +109,7 @@
                 tokio::time::sleep(PAUSE).await;
             }
         }
-        assert_eq!(self.ledger.broken(), Vec::<String>::new());
+        assert_eq!(self.ledger.violations(), Vec::<String>::new());
     }
 }
 
--- a/tests/testsuite/fault_soak.rs
+++ b/tests/testsuite/fault_soak.rs
@@ -15,8 +15,8 @@
 
 use futures::FutureExt;
 use tokio::task::JoinHandle;
-use workswood_adapter_standin::caller::{HandedIn, Told, ask, config, hand_in};
-use workswood_adapter_standin::{Kept, Ledger, StoreStandin, WorkerStandin};
+use workswood_adapter_standin::caller::{JobReply, Submission, config, request_state, submit_job};
+use workswood_adapter_standin::{Ledger, StoreStandin, StoredTopic, WorkerStandin};
 use workswood_test_support::cut::{Cut, Fault};
 use workswood_test_support::job_world::Luck;
 use workswood_test_support::program::{Program, free_ports};
@@ -146,7 +146,7 @@
     async fn bear(&mut self, n: usize) -> Life {
         self.lived += 1;
         let id = format!("i-{n}-{}", self.lived);
-        let standin = WorkerStandin::start_seen(&id, TAKES, self.ledger.clone()).await;
+        let standin = WorkerStandin::start_with_ledger(&id, TAKES, self.ledger.clone()).await;
         let relay = Cut::start(&standin.address.to_string()).await;
         let entry = standin.entry(SERVICE, &format!("m-{n}"));
         let entry = entry.replace(&standin.address.to_string(), &relay.address);
@@ -252,8 +252,8 @@
             _ => f.lose += 3,
         });
         if which == 3 {
-            self.world.store.forget(Kept::Inbox);
-            self.world.store.forget(Kept::Lease);
+            self.world.store.forget(StoredTopic::Inbox);
+            self.world.store.forget(StoredTopic::Lease);
         }
     }
 
@@ -281,20 +281,20 @@
 }
 
 /// What became of a job, and when that was known.
-type Outcome = (String, HandedIn, Instant);
+type Outcome = (String, Submission, Instant);
 
 /// Hands a job in, again and elsewhere while nobody knows, as callers do. It is
 /// refused only if every try was.
 async fn submit(job: String, mut order: Vec<SocketAddr>) -> Outcome {
     let mut unknown = false;
     for to in order.drain(..) {
-        match hand_in(to, &job, TASKS).await {
-            HandedIn::Accepted => return (job, HandedIn::Accepted, Instant::now()),
-            HandedIn::Refused => {}
-            HandedIn::Unknown => unknown = true,
+        match submit_job(to, &job, TASKS).await {
+            Submission::Accepted => return (job, Submission::Accepted, Instant::now()),
+            Submission::Refused => {}
+            Submission::Unknown => unknown = true,
         }
     }
-    let became = if unknown { HandedIn::Unknown } else { HandedIn::Refused };
+    let became = if unknown { Submission::Unknown } else { Submission::Refused };
     (job, became, Instant::now())
 }
 
@@ -361,30 +361,30 @@
     let until = Instant::now() + SETTLES;
     let mut broken = Vec::new();
     let accepted: Vec<&Outcome> =
-        jobs.iter().filter(|(_, became, _)| *became == HandedIn::Accepted).collect();
+        jobs.iter().filter(|(_, became, _)| *became == Submission::Accepted).collect();
     for (n, (job, _, known)) in accepted.iter().enumerate() {
         loop {
-            let told = ask(soak.entries[n % ENTRIES].callers, job).await;
-            if told == Told::State("completed".to_string()) {
+            let told = request_state(soak.entries[n % ENTRIES].callers, job).await;
+            if told == JobReply::State("completed".to_string()) {
                 break;
             }
-            if told == Told::NoSuchJob && known.elapsed() > VISIBLE {
+            if told == JobReply::NoSuchJob && known.elapsed() > VISIBLE {
                 broken.push(format!("accepted job {job} is not known"));
                 break;
             }
-            if told == Told::State("failed".to_string()) || Instant::now() > until {
+            if told == JobReply::State("failed".to_string()) || Instant::now() > until {
                 broken.push(format!("accepted job {job} is not completed: {told:?}"));
                 break;
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
-    for (job, _, _) in jobs.iter().filter(|(_, became, _)| *became == HandedIn::Refused) {
-        if soak.world.ledger.ran(job) {
+    for (job, _, _) in jobs.iter().filter(|(_, became, _)| *became == Submission::Refused) {
+        if soak.world.ledger.has_started(job) {
             broken.push(format!("refused job {job} ran"));
         }
     }
-    broken.extend(soak.world.ledger.broken());
+    broken.extend(soak.world.ledger.violations());
     println!(
         "event=soak_settled jobs={} accepted={} tasks_done={} broken={}",
         jobs.len(),
--- a/tests/testsuite/job_status.rs
+++ b/tests/testsuite/job_status.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
-use workswood_adapter_standin::caller::{HandedIn, config, hand_in};
+use workswood_adapter_standin::caller::{Submission, config, submit_job};
 use workswood_adapter_standin::{MachinesStandin, StoreStandin, WorkerStandin};
 use workswood_test_support::program::{Program, free_ports};
 
@@ -61,7 +61,7 @@
     let program = Program::start_logged(command, &folder.join("entry.log"));
     until(&path, |s| s["holder"]["renewing"] == true);
     // No worker yet: a job waits.
-    assert_eq!(hand_in(callers, "00000000000000a1", 2).await, HandedIn::Accepted);
+    assert_eq!(submit_job(callers, "00000000000000a1", 2).await, Submission::Accepted);
     let waits = until(&path, |s| s["queues"][0]["queued"] == 1);
     assert_eq!(waits["queues"][0]["tasks_open"], 4);
     let worker = WorkerStandin::start("i-m-1-1", Duration::from_millis(50)).await;
--- a/tests/testsuite/silent_connections.rs
+++ b/tests/testsuite/silent_connections.rs
@@ -163,7 +163,7 @@
     // A look at the third waits for an end that does not come.
     let waiting = look(&c, &infos[2], LONG);
     let found_out = async {
-        workers[2].looks_reach(2).await;
+        workers[2].polls_reach(2).await;
         cuts.iter().for_each(|cut| cut.set(Fault::HalfOpen));
         // Each is answered over a new connection, and tells that the one before was at
         // fault.
--- a/tests/testsuite/store_protocol.rs
+++ b/tests/testsuite/store_protocol.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use workswood_adapter::{Addresses, PlatformClient};
-use workswood_adapter_standin::{Kept, MachinesStandin, StoreStandin};
+use workswood_adapter_standin::{MachinesStandin, StoreStandin, StoredTopic};
 use workswood_platform::jobs::{Guard, JobPlatform, KeyedRecord, StoreError, Topic};
 
 fn client(store: &StoreStandin) -> PlatformClient {
@@ -36,7 +36,7 @@
     let tail = c.tail(Topic::Inbox(0), all.next, Duration::ZERO).await.expect("the tail is read");
     assert_eq!(keys(&tail.records), ["a", "b"]);
     assert_eq!(tail.next, all.next + 2);
-    store.forget(Kept::Inbox);
+    store.forget(StoredTopic::Inbox);
     assert!(matches!(c.tail(Topic::Inbox(0), all.next, Duration::ZERO).await, Err(StoreError::RecordsGone)));
     assert_eq!(c.latest(Topic::Inbox(0)).await.expect("the newest stay").records.len(), 9);
 }
@@ -49,7 +49,7 @@
     let second = b.append(Topic::Lease, vec![rec("holder", "b")], Guard::EndsAt(0)).await;
     assert!(matches!(first, Ok(0)), "{first:?}");
     assert!(matches!(second, Err(StoreError::GuardFailed)), "{second:?}");
-    assert_eq!(store.newest(Kept::Lease, "holder").as_deref(), Some("a"));
+    assert_eq!(store.newest(StoredTopic::Lease, "holder").as_deref(), Some("a"));
 }
 
 #[tokio::test]
@@ -61,7 +61,7 @@
     c.append(Topic::State, vec![], Guard::Term(9, 0)).await.expect("a later term begins");
     let late = c.append(Topic::State, vec![rec("x", "2")], Guard::Term(3, 2)).await;
     assert!(matches!(late, Err(StoreError::GuardFailed)), "{late:?}");
-    assert_eq!(store.newest(Kept::State, "x").as_deref(), Some("1"));
+    assert_eq!(store.newest(StoredTopic::State, "x").as_deref(), Some("1"));
 }
 
 #[tokio::test]
@@ -87,7 +87,7 @@
     let down = c.append(Topic::Inbox(0), vec![rec("x", "1")], Guard::None).await;
     assert!(matches!(down, Err(StoreError::NotDone { .. })), "{down:?}");
     store.faults(|f| f.down = false);
-    assert_eq!(store.newest(Kept::Inbox, "x"), None);
+    assert_eq!(store.newest(StoredTopic::Inbox, "x"), None);
 }
 
 #[tokio::test]
--- a/tests/testsuite/workspace_keys.rs
+++ b/tests/testsuite/workspace_keys.rs
@@ -39,7 +39,7 @@
         let store = StoreStandin::start().await;
         store.declare(&keyed_config(SERVICE, 1, &[NORTH, SOUTH]));
         let ledger: Arc<Ledger> = Arc::default();
-        let worker = WorkerStandin::start_seen("i-0", TAKES, ledger.clone()).await;
+        let worker = WorkerStandin::start_with_ledger("i-0", TAKES, ledger.clone()).await;
         store.enter_worker("i-0", &worker.entry(SERVICE, "m-0"));
         let pid = std::process::id();
         let address = format!("127.{net}.{}.{}", pid >> 8 & 255, pid & 255);
@@ -100,7 +100,7 @@
     stage.until_state(OTHER, "key-of-south", "running").await;
     assert_eq!(stage.call(1, "DELETE", OTHER, Some("key-of-south")).await.0, 200);
     stage.until_state(OTHER, "key-of-south", "canceled").await;
-    assert_eq!(stage.ledger.broken(), Vec::<String>::new());
+    assert_eq!(stage.ledger.violations(), Vec::<String>::new());
     for n in 0..ENTRIES {
         let log = std::fs::read_to_string(stage.folder.join(format!("entry-{n}.log"))).expect("a log");
         assert!(log.contains("event=key_refused"), "refusals are told");
