--- a/tests/testsuite/advice_protocol.rs
+++ b/tests/testsuite/advice_protocol.rs
@@ -96,7 +96,7 @@
 async fn workers_need_tickets() {
     let (a, c) = adviser().await;
     let w = WorkerStandin::start("i-1", LONG).await;
-    w.require(&a.tickets);
+    w.require_tickets(&a.tickets);
     let value = Some(w.entry("desk", "m-1").into());
     let info = c
         .parse_worker_info(&KeyedRecord { key: "i-1".to_string(), value })
--- a/tests/testsuite/advised_queue.rs
+++ b/tests/testsuite/advised_queue.rs
@@ -58,7 +58,7 @@
         for n in 0..4 {
             let id = format!("i-{n}");
             let w = WorkerStandin::start_with_ledger(&id, TAKES, ledger.clone()).await;
-            w.require(&adviser.tickets);
+            w.require_tickets(&adviser.tickets);
             store.enter_worker(&id, &w.entry(SERVICE, &format!("m-{n}")));
             workers.push(w);
         }
--- a/tests/testsuite/fault_soak.rs
+++ b/tests/testsuite/fault_soak.rs
@@ -249,7 +249,7 @@
         self.world.store.faults(|f| match which {
             0 => f.down = true,
             1 => f.slow = slow,
-            _ => f.lose += 3,
+            _ => f.lose_appends += 3,
         });
         if which == 3 {
             self.world.store.forget(StoredTopic::Inbox);
--- a/tests/testsuite/store_protocol.rs
+++ b/tests/testsuite/store_protocol.rs
@@ -69,7 +69,7 @@
     let store = StoreStandin::start().await;
     let c = client(&store);
     c.append(Topic::State, vec![], Guard::Term(1, 0)).await.expect("the term begins");
-    store.faults(|f| f.lose = 1);
+    store.faults(|f| f.lose_appends = 1);
     let one = vec![rec("x", "1")];
     let lost = c.append(Topic::State, one.clone(), Guard::Term(1, 1)).await;
     assert!(lost.is_err(), "{lost:?}");
--- a/tests/testsuite/workspace_keys.rs
+++ b/tests/testsuite/workspace_keys.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use workswood_adapter_standin::caller::{Declared, keyed_config, with_key};
+use workswood_adapter_standin::caller::{WorkspaceConfig, keyed_config, request_with_key};
 use workswood_adapter_standin::{Ledger, StoreStandin, WorkerStandin};
 use workswood_core::jobs::workspace::ApiKeys;
 use workswood_test_support::job_entry::{PORTS, start_entry};
@@ -21,8 +21,8 @@
 const IN_FORCE: Duration = Duration::from_secs(2);
 const PAUSE: Duration = Duration::from_millis(50);
 
-const NORTH: Declared<'static> = ("north", &["key-of-north-1", "key-of-north-2"], 0);
-const SOUTH: Declared<'static> = ("south", &["key-of-south"], 0);
+const NORTH: WorkspaceConfig<'static> = ("north", &["key-of-north-1", "key-of-north-2"], 0);
+const SOUTH: WorkspaceConfig<'static> = ("south", &["key-of-south"], 0);
 
 struct Stage {
     store: StoreStandin,
@@ -56,7 +56,7 @@
     async fn call(&self, at: usize, method: &str, job: &str, key: Option<&str>) -> (u16, Option<String>) {
         let until = Instant::now() + WITHIN;
         loop {
-            match with_key(self.entries[at].0, method, job, key).await {
+            match request_with_key(self.entries[at].0, method, job, key).await {
                 Some((status, state)) if status != 503 && status != 504 => return (status, state),
                 other => assert!(Instant::now() < until, "{method} {job}: {other:?}"),
             }
