--- a/tests/testsuite/workspace_keys.rs
+++ b/tests/testsuite/workspace_keys.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use workswood_adapter_standin::caller::{Declared, keyed_config, with_key};
+use workswood_adapter_standin::caller::{WorkspaceConfig, keyed_config, request_with_key};
 use workswood_adapter_standin::{Ledger, StoreStandin, WorkerStandin};
 use workswood_core::jobs::workspace::ApiKeys;
 use workswood_test_support::job_entry::{PORTS, start_entry};
@@ -21,8 +21,8 @@
 const IN_FORCE: Duration = Duration::from_secs(2);
 const PAUSE: Duration = Duration::from_millis(50);
 
-const NORTH: Declared<'static> = ("north", &["key-of-north-1", "key-of-north-2"], 0);
-const SOUTH: Declared<'static> = ("south", &["key-of-south"], 0);
+const NORTH: WorkspaceConfig<'static> = ("north", &["key-of-north-1", "key-of-north-2"], 0);
+const SOUTH: WorkspaceConfig<'static> = ("south", &["key-of-south"], 0);
 
 struct Stage {
     store: StoreStandin,
@@ -39,7 +39,7 @@
         let store = StoreStandin::start().await;
         store.declare(&keyed_config(SERVICE, 1, &[NORTH, SOUTH]));
         let ledger: Arc<Ledger> = Arc::default();
-        let worker = WorkerStandin::start_seen("i-0", TAKES, ledger.clone()).await;
+        let worker = WorkerStandin::start_with_ledger("i-0", TAKES, ledger.clone()).await;
         store.enter_worker("i-0", &worker.entry(SERVICE, "m-0"));
         let pid = std::process::id();
         let address = format!("127.{net}.{}.{}", pid >> 8 & 255, pid & 255);
@@ -56,7 +56,7 @@
     async fn call(&self, at: usize, method: &str, job: &str, key: Option<&str>) -> (u16, Option<String>) {
         let until = Instant::now() + WITHIN;
         loop {
-            match with_key(self.entries[at].0, method, job, key).await {
+            match request_with_key(self.entries[at].0, method, job, key).await {
                 Some((status, state)) if status != 503 && status != 504 => return (status, state),
                 other => assert!(Instant::now() < until, "{method} {job}: {other:?}"),
             }
@@ -100,7 +100,7 @@
     stage.until_state(OTHER, "key-of-south", "running").await;
     assert_eq!(stage.call(1, "DELETE", OTHER, Some("key-of-south")).await.0, 200);
     stage.until_state(OTHER, "key-of-south", "canceled").await;
-    assert_eq!(stage.ledger.broken(), Vec::<String>::new());
+    assert_eq!(stage.ledger.violations(), Vec::<String>::new());
     for n in 0..ENTRIES {
         let log = std::fs::read_to_string(stage.folder.join(format!("entry-{n}.log"))).expect("a log");
         assert!(log.contains("event=key_refused"), "refusals are told");
