--- a/crates/workswood-standin/src/endpoint.rs
+++ b/crates/workswood-standin/src/endpoint.rs
@@ -31,7 +31,7 @@
 pub enum Behaviour {
     /// Answers.
     #[default]
-    Well,
+    Healthy,
     /// Answers 500 at once.
     FailsAll,
     /// Never answers.
@@ -65,7 +65,7 @@
     }
 
     /// Keys that ran more than once.
-    pub fn doubled(&self) -> Vec<String> {
+    pub fn repeated_keys(&self) -> Vec<String> {
         self.runs.lock().iter().filter(|(_, n)| **n > 1).map(|(k, _)| k.clone()).collect()
     }
 }
@@ -117,7 +117,7 @@
     }
 
     /// Sets how it behaves from now on.
-    pub fn behave(&self, b: Behaviour) {
+    pub fn set_behaviour(&self, b: Behaviour) {
         *self.inner.behaviour.lock() = b;
     }
 
--- a/crates/workswood-standin/src/hosts.rs
+++ b/crates/workswood-standin/src/hosts.rs
@@ -21,7 +21,7 @@
 /// A host.
 pub struct HostSim {
     /// What the list says of it, apart from tasks.
-    pub seen: ObservedHost,
+    pub observed: ObservedHost,
     /// Tasks by name.
     pub tasks: BTreeMap<String, TaskSim>,
     /// Counts boots.
@@ -36,21 +36,25 @@
         let tasks = self.tasks.iter().map(|(id, t)| ObservedTask {
             id: id.clone(),
             address: t.endpoint.as_ref().map(|e| e.address.to_string()).unwrap_or_default(),
-            ready: t.endpoint.is_some() && self.seen.state == HostState::Live,
+            ready: t.endpoint.is_some() && self.observed.state == HostState::Live,
             used_millicores: 0,
             ended: t.ended,
             token: t.token,
         });
         let idle = self.tasks.values().all(|t| t.endpoint.as_ref().is_none_or(|e| e.in_flight() == 0));
-        ObservedHost { tasks: tasks.collect(), drained: self.seen.draining && idle, ..self.seen.clone() }
+        ObservedHost {
+            tasks: tasks.collect(),
+            drained: self.observed.draining && idle,
+            ..self.observed.clone()
+        }
     }
 }
 
 /// All hosts that files name, live and in no pool.
 pub fn hosts_of(files: &[FleetFile]) -> BTreeMap<String, HostSim> {
     let all = files.iter().flat_map(|f| &f.hosts).map(|h| {
-        let seen = ObservedHost::newly_declared(h);
-        (h.name.clone(), HostSim { seen, tasks: BTreeMap::new(), boots: 1, rebooting: false })
+        let observed = ObservedHost::newly_declared(h);
+        (h.name.clone(), HostSim { observed, tasks: BTreeMap::new(), boots: 1, rebooting: false })
     });
     all.collect()
 }
--- a/crates/workswood-standin/src/platform.rs
+++ b/crates/workswood-standin/src/platform.rs
@@ -152,7 +152,7 @@
     /// Fails a host with everything on it.
     pub fn fail_host(&self, host: &str) {
         self.change_host(host, |h| {
-            h.seen.state = HostState::Down;
+            h.observed.state = HostState::Down;
             h.tasks.values_mut().for_each(|t| t.endpoint = None);
         });
     }
@@ -165,7 +165,7 @@
             .lock()
             .hosts
             .get(host)
-            .is_some_and(|h| h.seen.state == HostState::Down && !h.rebooting);
+            .is_some_and(|h| h.observed.state == HostState::Down && !h.rebooting);
         if failed {
             bring_up(&self.inner, host, &self.ledger).await;
         }
@@ -177,7 +177,7 @@
     }
 
     /// The list without lag.
-    pub fn truth(&self) -> ObservedFleet {
+    pub fn current_fleet(&self) -> ObservedFleet {
         self.inner.lock().seen()
     }
 
@@ -333,10 +333,10 @@
 async fn carry_out(act: &HostAction, inner: &Arc<Mutex<Inner>>, ledger: &Arc<Ledger>) -> bool {
     match act {
         HostAction::SetPool { host, pool, token } => {
-            on_host(inner, host, *token, |h| h.seen.pool = Some(pool.clone()))
+            on_host(inner, host, *token, |h| h.observed.pool = Some(pool.clone()))
         }
-        HostAction::Drain { host, token } => on_host(inner, host, *token, |h| h.seen.draining = true),
-        HostAction::Undrain { host, token } => on_host(inner, host, *token, |h| h.seen.draining = false),
+        HostAction::Drain { host, token } => on_host(inner, host, *token, |h| h.observed.draining = true),
+        HostAction::Undrain { host, token } => on_host(inner, host, *token, |h| h.observed.draining = false),
         HostAction::Reboot { host, boot, token } => reboot(inner, host, boot, *token, ledger),
         HostAction::Start { host, task, token } => start(inner, host, task, *token, ledger).await,
         HostAction::Stop { host, task, token } => stop(inner, host, task, *token),
@@ -345,23 +345,26 @@
 
 fn on_host(inner: &Mutex<Inner>, host: &str, token: u64, change: impl FnOnce(&mut HostSim)) -> bool {
     let mut inner = inner.lock();
-    let Some(h) = inner.hosts.get_mut(host).filter(|h| h.seen.token <= token) else { return false };
-    h.seen.token = token;
+    let Some(h) = inner.hosts.get_mut(host).filter(|h| h.observed.token <= token) else { return false };
+    h.observed.token = token;
     change(h);
     true
 }
 
 fn reboot(inner: &Arc<Mutex<Inner>>, host: &str, boot: &str, token: u64, ledger: &Arc<Ledger>) -> bool {
-    let same =
-        inner.lock().hosts.get(host).is_some_and(|h| h.seen.boot == boot && h.seen.state == HostState::Live);
+    let same = inner
+        .lock()
+        .hosts
+        .get(host)
+        .is_some_and(|h| h.observed.boot == boot && h.observed.state == HostState::Live);
     if !same {
         return false;
     }
     let down = |h: &mut HostSim| {
-        h.seen.state = HostState::Down;
+        h.observed.state = HostState::Down;
         h.boots += 1;
         h.rebooting = true;
-        h.seen.boot = format!("{host}#{}", h.boots);
+        h.observed.boot = format!("{host}#{}", h.boots);
         h.tasks.values_mut().for_each(|t| t.endpoint = None);
     };
     if !on_host(inner, host, token, down) {
@@ -394,7 +397,7 @@
     }
     if let Some(h) = inner.lock().hosts.get_mut(host) {
         h.rebooting = false;
-        h.seen.state = HostState::Live;
+        h.observed.state = HostState::Live;
     }
 }
 
--- a/crates/workswood-test-support/src/live.rs
+++ b/crates/workswood-test-support/src/live.rs
@@ -195,7 +195,7 @@
 }
 
 fn available(platform: &PlatformStandin, prefix: &str) -> u64 {
-    let truth = platform.truth();
+    let truth = platform.current_fleet();
     let takes = truth.hosts.values().filter(|h| h.state == HostState::Live && !h.draining);
     takes.flat_map(|h| &h.tasks).filter(|t| t.ready && t.id.starts_with(prefix)).count() as u64
 }
--- a/src/workswood/ops/bench/live.rs
+++ b/src/workswood/ops/bench/live.rs
@@ -105,7 +105,7 @@
             keyed.1
         );
     }
-    let doubled = dev.platform.ledger.doubled().len();
+    let doubled = dev.platform.ledger.repeated_keys().len();
     crate::outln!("keys that ran twice: {doubled}");
     Ok(())
 }
--- a/src/workswood/ops/soak.rs
+++ b/src/workswood/ops/soak.rs
@@ -225,7 +225,7 @@
 
     /// Fails a host, or all hosts of its rack, for some seconds.
     fn fail_hosts(&self, rng: &mut StdRng, rack: bool) -> &'static str {
-        let truth = self.platform.truth();
+        let truth = self.platform.current_fleet();
         let names: Vec<&String> = truth.hosts.keys().collect();
         let Some(first) = names.choose(rng).copied() else { return "host_failed" };
         let rack_name = &truth.hosts[first].place.rack;
@@ -247,7 +247,7 @@
 
     /// Makes an endpoint misbehave for some seconds.
     fn break_endpoint(&self, rng: &mut StdRng) -> &'static str {
-        let truth = self.platform.truth();
+        let truth = self.platform.current_fleet();
         let tasks = truth.hosts.values().filter(|h| h.state == HostState::Live).flat_map(|h| &h.tasks);
         let ids: Vec<&String> = tasks.map(|t| &t.id).collect();
         let Some(endpoint) = ids.choose(rng).and_then(|id| self.platform.endpoint(id)) else {
@@ -260,11 +260,11 @@
             Behaviour::CutsBody,
             Behaviour::Resets,
         ];
-        endpoint.behave(*behaviours.choose(rng).unwrap_or(&Behaviour::FailsAll));
+        endpoint.set_behaviour(*behaviours.choose(rng).unwrap_or(&Behaviour::FailsAll));
         let duration = Duration::from_millis(rng.random_range(500..5_000));
         tokio::spawn(async move {
             tokio::time::sleep(duration).await;
-            endpoint.behave(Behaviour::Well);
+            endpoint.set_behaviour(Behaviour::Healthy);
         });
         "endpoint_bad"
     }
@@ -410,7 +410,7 @@
 
     /// Checks the ledger and the invariants, and prints the result.
     async fn check_results(&self, dev: &DevCluster) -> Result<()> {
-        for key in self.platform.ledger.doubled() {
+        for key in self.platform.ledger.repeated_keys() {
             // Keys of requests that are not repeatable start with `o`.
             if key.starts_with('o') {
                 self.tally.violation(format!("request {key} ran twice"));
--- a/tests/testsuite/bad_endpoints.rs
+++ b/tests/testsuite/bad_endpoints.rs
@@ -13,7 +13,7 @@
     let callers = (0..2).map(|i| dev.caller(i)).collect();
     let mut load = Load::start(callers, 6, "/shop/get?ms=5");
     until("there is load", || load.good.load(Ordering::Relaxed) > 200).await;
-    dev.platform.endpoint("shop/3").expect("it is up").behave(behaviour);
+    dev.platform.endpoint("shop/3").expect("it is up").set_behaviour(behaviour);
     tokio::time::sleep(Duration::from_secs(2)).await;
     let (good, bad) = (load.good.load(Ordering::Relaxed), load.bad().len());
     until("more load", || load.good.load(Ordering::Relaxed) > good + 1_000).await;
--- a/tests/testsuite/entry_stop.rs
+++ b/tests/testsuite/entry_stop.rs
@@ -51,7 +51,7 @@
     load.stop().await;
     assert_eq!(load.bad(), Vec::<String>::new());
     assert_eq!(load.refused(), Vec::<String>::new(), "requests were refused");
-    assert_eq!(dev.platform.ledger.doubled(), Vec::<String>::new());
+    assert_eq!(dev.platform.ledger.repeated_keys(), Vec::<String>::new());
     assert!(dev.platform.ledger.most_connections.load(Ordering::Relaxed) <= 64);
     assert_eq!(invariant::failed_checks(), 0, "{:?}", invariant::first_failure());
 }
--- a/tests/testsuite/keyed_requests.rs
+++ b/tests/testsuite/keyed_requests.rs
@@ -70,7 +70,7 @@
     let dev = fleet(&small(6, 2, 1), 2).await;
     let last = dev.entries[0].node.wall() + 60_000;
     for i in 0..2 {
-        dev.platform.endpoint(&format!("shop/{i}")).expect("it is up").behave(Behaviour::CutsBody);
+        dev.platform.endpoint(&format!("shop/{i}")).expect("it is up").set_behaviour(Behaviour::CutsBody);
     }
     let req = CallerRequest::to("/shop/once").with_body("pay me").with_key("breaks", last);
     let res = dev.call(0, req.clone()).await.expect("an answer");
--- a/tests/testsuite/maintenance_waves.rs
+++ b/tests/testsuite/maintenance_waves.rs
@@ -158,7 +158,7 @@
         let address = endpoint.address;
         async move { reach(address).await }
     });
-    dev.platform.change_host(&host, |h| h.seen.state = workswood_core::plan::HostState::Leaving);
+    dev.platform.change_host(&host, |h| h.observed.state = workswood_core::plan::HostState::Leaving);
     let told = Instant::now();
     tokio::time::sleep(Duration::from_secs(4)).await;
     let last = endpoint.last_start().expect("it had requests");
--- a/tests/testsuite/whole_path.rs
+++ b/tests/testsuite/whole_path.rs
@@ -52,13 +52,13 @@
         let idle = state.hosts.keys().find(|h| !state.by_host.contains_key(*h)).cloned();
         idle.expect("a host without instances")
     };
-    dev.platform.change_host(&idle, |h| h.seen.pool = Some("others".to_string()));
+    dev.platform.change_host(&idle, |h| h.observed.pool = Some("others".to_string()));
     let foreign = idle.clone();
     dev.wait_for(0, "the move is reported", |s| s.hosts.iter().any(|p| p.foreign.contains(&foreign)))
         .await
         .expect("status");
     let acts = dev.platform.counters().acts;
-    dev.platform.change_host(&idle, |h| h.seen.pool = Some("main".to_string()));
+    dev.platform.change_host(&idle, |h| h.observed.pool = Some("main".to_string()));
     dev.wait_for(0, "it is ours again", |s| s.hosts.iter().all(|p| p.foreign.is_empty()))
         .await
         .expect("status");
