--- a/crates/workswood-standin/src/endpoint.rs
+++ b/crates/workswood-standin/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that answers with what it was sent, and keeps a ledger.
+//! An HTTP endpoint that echoes request bodies and counts requests.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -20,51 +20,51 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinHandle;
 
-/// Time that a request takes when its path names none.
-const DEFAULT_MS: u64 = 5;
+/// Duration of a request whose query has no `ms` parameter.
+const DEFAULT_DURATION_MS: u64 = 5;
 
-/// Time between the first half of a cut body and the end of its connection.
-const CUT_AFTER: Duration = Duration::from_millis(20);
+/// Delay between sending the first half of a truncated body and closing the connection.
+const TRUNCATION_DELAY: Duration = Duration::from_millis(20);
 
 /// How an endpoint behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Behaviour {
-    /// Answers.
+    /// Answers normally.
     #[default]
     Healthy,
-    /// Answers 500 at once.
+    /// Answers every request with status 500 immediately.
     FailsAll,
-    /// Never answers.
+    /// Accepts requests and never answers them.
     Frozen,
-    /// Takes this many times as long.
+    /// Takes this many times the normal duration.
     Slow(u32),
-    /// Breaks off in the middle of the body.
+    /// Closes the connection in the middle of the response body.
     CutsBody,
-    /// Closes every connection at once.
+    /// Closes every new connection immediately.
     Resets,
 }
 
-/// What all endpoints of one stand-in platform saw.
+/// Request counts of all endpoints of one stand-in platform.
 #[derive(Default)]
 pub struct Ledger {
     runs: Mutex<BTreeMap<String, u32>>,
-    /// Requests that began to run.
+    /// Requests that endpoints began to process.
     pub total: AtomicU64,
-    /// Requests that found all slots of an endpoint in use.
+    /// Requests that arrived while all slots of their endpoint were in use.
     pub over_slots: AtomicU64,
-    /// Most connections that any endpoint had at a time.
+    /// Highest number of concurrent connections to a single endpoint.
     pub most_connections: AtomicU32,
-    /// Requests in progress when their host was rebooted.
+    /// Requests in progress when their endpoint was stopped, for instance by a reboot of its host.
     pub cut_off: AtomicU64,
 }
 
 impl Ledger {
-    /// How often a key ran.
+    /// Returns how often requests with this key were processed.
     pub fn runs(&self, key: &str) -> u32 {
         self.runs.lock().get(key).copied().unwrap_or(0)
     }
 
-    /// Keys that ran more than once.
+    /// Returns the keys of requests that were processed more than once.
     pub fn repeated_keys(&self) -> Vec<String> {
         self.runs.lock().iter().filter(|(_, n)| **n > 1).map(|(k, _)| k.clone()).collect()
     }
@@ -83,7 +83,7 @@
 
 /// A running endpoint; stops when dropped.
 pub struct EndpointStandin {
-    /// Its address.
+    /// Address on which the endpoint listens.
     pub address: SocketAddr,
     inner: Arc<Inner>,
     server: JoinHandle<()>,
@@ -91,14 +91,14 @@
 
 impl Drop for EndpointStandin {
     fn drop(&mut self) {
-        let cut = u64::from(self.in_flight());
-        self.inner.ledger.cut_off.fetch_add(cut, Ordering::Relaxed);
+        let interrupted = u64::from(self.in_flight());
+        self.inner.ledger.cut_off.fetch_add(interrupted, Ordering::Relaxed);
         self.server.abort();
     }
 }
 
 impl EndpointStandin {
-    /// Starts an endpoint on a free port of the loopback.
+    /// Starts an endpoint on a free port of the loopback interface.
     pub async fn start(id: &str, slots: u32, ledger: Arc<Ledger>) -> std::io::Result<EndpointStandin> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -112,27 +112,27 @@
             ledger,
             last_start: Mutex::default(),
         });
-        let server = tokio::spawn(accept(listener, inner.clone()));
+        let server = tokio::spawn(accept_connections(listener, inner.clone()));
         Ok(EndpointStandin { address, inner, server })
     }
 
-    /// Sets how it behaves from now on.
-    pub fn set_behaviour(&self, b: Behaviour) {
-        *self.inner.behaviour.lock() = b;
+    /// Sets how the endpoint treats requests and connections from now on.
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        *self.inner.behaviour.lock() = behaviour;
     }
 
-    /// Requests in progress.
+    /// Returns the number of requests in progress.
     pub fn in_flight(&self) -> u32 {
         self.inner.in_flight.load(Ordering::Relaxed)
     }
 
-    /// When the last request began.
+    /// Returns when the last request arrived.
     pub fn last_start(&self) -> Option<std::time::Instant> {
         *self.inner.last_start.lock()
     }
 }
 
-async fn accept(listener: TcpListener, inner: Arc<Inner>) {
+async fn accept_connections(listener: TcpListener, inner: Arc<Inner>) {
     let mut connections = tokio::task::JoinSet::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
@@ -145,32 +145,34 @@
         connections.spawn(async move {
             let n = inner.connections.fetch_add(1, Ordering::Relaxed) + 1;
             inner.ledger.most_connections.fetch_max(n, Ordering::Relaxed);
-            let svc = service_fn(|req| answer(inner.clone(), req));
-            let _ =
-                hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), svc).await;
+            let service = service_fn(|req| answer(inner.clone(), req));
+            let _ = hyper::server::conn::http1::Builder::new()
+                .serve_connection(TokioIo::new(stream), service)
+                .await;
             inner.connections.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
-struct InFlight(Arc<Inner>);
+/// Decrements the number of requests in progress when dropped.
+struct InFlightGuard(Arc<Inner>);
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-type Reply = Result<Response<BoxBody<Bytes, std::io::Error>>, Infallible>;
+type ResponseResult = Result<Response<BoxBody<Bytes, std::io::Error>>, Infallible>;
 
-async fn answer(inner: Arc<Inner>, req: Request<Incoming>) -> Reply {
-    let n = inner.in_flight.fetch_add(1, Ordering::Relaxed) + 1;
-    let _guard = InFlight(inner.clone());
-    if n > inner.slots {
+async fn answer(inner: Arc<Inner>, req: Request<Incoming>) -> ResponseResult {
+    let in_flight = inner.in_flight.fetch_add(1, Ordering::Relaxed) + 1;
+    let _guard = InFlightGuard(inner.clone());
+    if in_flight > inner.slots {
         inner.ledger.over_slots.fetch_add(1, Ordering::Relaxed);
     }
     let behaviour = *inner.behaviour.lock();
-    let ms = duration_of(req.uri().query().unwrap_or_default());
+    let duration_ms = parse_duration_ms(req.uri().query().unwrap_or_default());
     let path = req.uri().to_string();
     let key = req.headers().get("x-workswood-key").and_then(|v| v.to_str().ok()).map(str::to_string);
     *inner.last_start.lock() = Some(std::time::Instant::now());
@@ -188,19 +190,22 @@
     let _slot = inner.semaphore.acquire().await;
     match behaviour {
         Behaviour::Frozen => std::future::pending::<()>().await,
-        Behaviour::Slow(times) => tokio::time::sleep(Duration::from_millis(ms * u64::from(times))).await,
-        _ => tokio::time::sleep(Duration::from_millis(ms)).await,
+        Behaviour::Slow(factor) => {
+            tokio::time::sleep(Duration::from_millis(duration_ms * u64::from(factor))).await
+        }
+        _ => tokio::time::sleep(Duration::from_millis(duration_ms)).await,
     }
-    let out = if body.is_empty() { Bytes::from(path) } else { body };
+    let content = if body.is_empty() { Bytes::from(path) } else { body };
     if behaviour == Behaviour::CutsBody {
-        return Ok(cut(&out));
+        return Ok(truncated_reply(&content));
     }
-    Ok(reply(200, &inner.id, out))
+    Ok(reply(200, &inner.id, content))
 }
 
-fn duration_of(query: &str) -> u64 {
+/// Reads the query parameter `ms`.
+fn parse_duration_ms(query: &str) -> u64 {
     let ms = query.split('&').find_map(|p| p.strip_prefix("ms="));
-    ms.and_then(|v| v.parse().ok()).unwrap_or(DEFAULT_MS)
+    ms.and_then(|v| v.parse().ok()).unwrap_or(DEFAULT_DURATION_MS)
 }
 
 fn reply(status: u16, id: &str, body: Bytes) -> Response<BoxBody<Bytes, std::io::Error>> {
@@ -213,14 +218,14 @@
     res
 }
 
-/// An answer that says it is longer than what comes.
-fn cut(body: &Bytes) -> Response<BoxBody<Bytes, std::io::Error>> {
+/// Builds a response whose `content-length` exceeds the bytes that are sent.
+fn truncated_reply(body: &Bytes) -> Response<BoxBody<Bytes, std::io::Error>> {
     let half = body.slice(..body.len() / 2);
     let first = stream::once(async { Ok(Frame::data(half)) });
-    // The first half must have left before the connection breaks.
+    // The first half must have been sent before the error closes the connection.
     let broken = stream::once(async {
-        tokio::time::sleep(CUT_AFTER).await;
-        Err(std::io::Error::other("cut off"))
+        tokio::time::sleep(TRUNCATION_DELAY).await;
+        Err(std::io::Error::other("response body truncated"))
     });
     let mut res = Response::new(BodyExt::boxed(StreamBody::new(first.chain(broken))));
     res.headers_mut().insert("content-length", (body.len() as u64).into());
--- a/crates/workswood-standin/src/hosts.rs
+++ b/crates/workswood-standin/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The hosts of the stand-in platform and what acts do to them.
+//! State of the simulated hosts and their tasks.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,30 +8,30 @@
 
 use crate::endpoint::EndpointStandin;
 
-/// A task on a host.
+/// A simulated task on a host.
 pub struct TaskSim {
-    /// Token it was started with.
+    /// Fencing token that the task was started with.
     pub token: u64,
-    /// The endpoint, for instances that are up.
+    /// Endpoint of an instance that is running; `None` for jobs.
     pub endpoint: Option<Arc<EndpointStandin>>,
-    /// How it ended.
+    /// Whether the task succeeded; `None` while it has not ended.
     pub ended: Option<bool>,
 }
 
-/// A host.
+/// A simulated host.
 pub struct HostSim {
-    /// What the list says of it, apart from tasks.
+    /// State that the host list shows; its `tasks` and `drained` are computed by [`HostSim::list`].
     pub observed: ObservedHost,
     /// Tasks by name.
     pub tasks: BTreeMap<String, TaskSim>,
-    /// Counts boots.
+    /// Number of boots, used to form the boot identifier.
     pub boots: u64,
-    /// Whether it is on its way through a reboot.
+    /// Whether a reboot is in progress.
     pub rebooting: bool,
 }
 
 impl HostSim {
-    /// The host as the list shows it.
+    /// Returns the host as the host list shows it.
     pub fn list(&self) -> ObservedHost {
         let tasks = self.tasks.iter().map(|(id, t)| ObservedTask {
             id: id.clone(),
@@ -50,7 +50,7 @@
     }
 }
 
-/// All hosts that files name, live and in no pool.
+/// Creates all hosts that fleet files declare, live and in no pool.
 pub fn hosts_of(files: &[FleetFile]) -> BTreeMap<String, HostSim> {
     let all = files.iter().flat_map(|f| &f.hosts).map(|h| {
         let observed = ObservedHost::newly_declared(h);
--- a/crates/workswood-standin/src/lib.rs
+++ b/crates/workswood-standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what surrounds workswood: the platform and the endpoints of
-//! services. `workswood dev` and the test suite run against them; both can
-//! inject the failures that the real ones have.
+//! Simulated platform and service endpoints, with fault injection.
+//!
+//! `workswood dev` and the test suite run against them.
 
 mod endpoint;
 mod hosts;
