--- a/crates/workswood-test-support/src/job_world/crashes.rs
+++ b/crates/workswood-test-support/src/job_world/crashes.rs
@@ -60,7 +60,7 @@
             *self.crashes.under.entry(*task).or_default() += 1;
         }
         self.note_lost(n);
-        let away = Duration::from_millis(AWAY.0 + self.luck.below(AWAY.1 - AWAY.0));
+        let away = Duration::from_millis(AWAY.0 + self.rng.below(AWAY.1 - AWAY.0));
         self.take_down(n, away);
     }
 
--- a/crates/workswood-test-support/src/job_world/evacuations.rs
+++ b/crates/workswood-test-support/src/job_world/evacuations.rs
@@ -44,7 +44,7 @@
             self.evacuations.since.remove(data_centre);
         }
         let evacuated = self.evacuated();
-        let at = self.now + Duration::from_millis(self.luck.below(HEARD_WITHIN.as_millis() as u64));
+        let at = self.now + Duration::from_millis(self.rng.below(HEARD_WITHIN.as_millis() as u64));
         self.holders.iter_mut().for_each(|h| h.hears_evacuated(at, evacuated.clone()));
     }
 
@@ -62,7 +62,7 @@
         let still = self.holders.iter().map(|h| h.paused_until).max().unwrap_or_default();
         let in_touch = still + IN_TOUCH < self.now;
         if in_touch && since.saturating_add(HEARD_WITHIN + IN_FORCE_WITHIN) < self.now {
-            self.seen.broken.push(format!("EVAC: {task} begins where nothing may, at {:?}", self.now));
+            self.seen.violations.push(format!("EVAC: {task} begins where nothing may, at {:?}", self.now));
         }
     }
 }
--- a/crates/workswood-test-support/src/job_world/luck.rs
+++ b/crates/workswood-test-support/src/job_world/fault_rng.rs
@@ -17,16 +17,16 @@
 
 /// A small generator of numbers, seeded by the test.
 #[derive(Clone, Debug)]
-pub struct Luck {
+pub struct FaultRng {
     state: u64,
     /// Messages that are not fine, of 1,000.
-    pub trouble: u64,
+    pub faults_per_mille: u64,
 }
 
-impl Luck {
+impl FaultRng {
     /// A generator.
-    pub fn new(seed: u64, trouble: u64) -> Luck {
-        Luck { state: seed | 1, trouble }
+    pub fn new(seed: u64, faults_per_mille: u64) -> FaultRng {
+        FaultRng { state: seed | 1, faults_per_mille }
     }
 
     /// A number below `n`.
@@ -39,7 +39,7 @@
 
     /// What happens to the next message.
     pub(super) fn fate(&mut self) -> Fate {
-        if self.below(1000) >= self.trouble {
+        if self.below(1000) >= self.faults_per_mille {
             return Fate::Fine;
         }
         match self.below(3) {
--- a/crates/workswood-test-support/src/job_world/holder.rs
+++ b/crates/workswood-test-support/src/job_world/holder.rs
@@ -14,7 +14,7 @@
 
 use super::adviser::{self, ADVICE, may_run};
 use super::evacuations::is_evacuated;
-use super::luck::Fate;
+use super::fault_rng::Fate;
 use super::relay::{Session, ToHolder, ToRelay};
 use super::{GRACE, LEASE, STEP, World, limits};
 
@@ -108,7 +108,7 @@
             if batch.records.is_empty() {
                 self.act(n, batch);
             } else {
-                let at = now + Duration::from_millis(20 * (1 + self.luck.below(3)));
+                let at = now + Duration::from_millis(20 * (1 + self.rng.below(3)));
                 self.holders[n].writing = Some((at, batch));
             }
         }
@@ -346,7 +346,7 @@
         let good: Vec<(WorkerId, Arc<str>)> =
             good.map(|id| (id.clone(), adviser::ticket(&step, id, made))).collect();
         let answer = AdviceReply::Answered(Advice { tickets: good, valid_for: Some(ADVICE.ticket_lifetime) });
-        let (reply, wait) = match (self.luck.fate(), self.luck.below(8)) {
+        let (reply, wait) = match (self.rng.fate(), self.rng.below(8)) {
             (Fate::Fine, _) => (answer, takes),
             (_, 0 | 1) => (AdviceReply::Busy, STEP),
             (_, 2 | 3) => (AdviceReply::NotSent, STEP),
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -9,8 +9,8 @@
 mod adviser;
 mod crashes;
 mod evacuations;
+mod fault_rng;
 mod holder;
-mod luck;
 mod oracle;
 mod relay;
 mod restarts;
@@ -28,7 +28,7 @@
     SchedConfig, Scheduler, ServiceConfig, StepSpec, TaskId, WorkerInfo, WorkerRecord, Workspace, Workspaces,
 };
 
-pub use self::luck::{Fate, Luck};
+pub use self::fault_rng::{Fate, FaultRng};
 
 use self::adviser::ADVICE;
 use self::crashes::Crashes;
@@ -71,7 +71,7 @@
     /// Starts that were refused for want of a ticket.
     pub without_ticket: u64,
     /// Rules that were broken.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Takeovers.
     pub takeovers: u64,
     /// Sessions with relays that were opened.
@@ -128,7 +128,7 @@
     /// What the oracle saw.
     pub seen: Seen,
     /// Draws the fate of a message, and how a run goes.
-    pub luck: Luck,
+    pub rng: FaultRng,
 }
 
 pub(super) fn limits() -> Limits {
@@ -196,39 +196,39 @@
 
 impl World {
     /// A world with some workers of four cores each, and one holder.
-    pub fn new(workers: usize, luck: Luck) -> World {
-        World::build(workers, 0, luck, false)
+    pub fn new(workers: usize, rng: FaultRng) -> World {
+        World::build(workers, 0, rng, false)
     }
 
     /// Likewise; only some workers may run a step, and the adviser tells which.
-    pub fn advised(workers: usize, luck: Luck) -> World {
-        World::build(workers, 0, luck, true)
+    pub fn advised(workers: usize, rng: FaultRng) -> World {
+        World::build(workers, 0, rng, true)
     }
 
     /// Likewise without an adviser; four entries attend the workers for the holder, each two
     /// of them at most.
-    pub fn relayed(workers: usize, luck: Luck) -> World {
-        World::build(workers, 4, luck, false)
+    pub fn relayed(workers: usize, rng: FaultRng) -> World {
+        World::build(workers, 4, rng, false)
     }
 
     /// Likewise without an adviser; all jobs are of one workspace, which may have a few tasks
     /// at work.
-    pub fn limited(workers: usize, luck: Luck) -> World {
-        let mut w = World::build(workers, 0, luck, false);
+    pub fn limited(workers: usize, rng: FaultRng) -> World {
+        let mut w = World::build(workers, 0, rng, false);
         w.limited = true;
         w.take_over();
         w
     }
 
     /// Likewise without an adviser or a limit; every other worker stands in a second data centre.
-    pub fn two_centres(workers: usize, luck: Luck) -> World {
-        let mut w = World::build(workers, 0, luck, false);
+    pub fn two_centres(workers: usize, rng: FaultRng) -> World {
+        let mut w = World::build(workers, 0, rng, false);
         w.evacuations.two_centres = true;
         w.take_over();
         w
     }
 
-    fn build(workers: usize, relays: usize, luck: Luck, advised: bool) -> World {
+    fn build(workers: usize, relays: usize, rng: FaultRng, advised: bool) -> World {
         let mut w = World {
             now: Duration::from_secs(1),
             workers: Vec::new(),
@@ -255,7 +255,7 @@
             limited: false,
             restarts: false,
             seen: Seen::default(),
-            luck,
+            rng,
         };
         for _ in 0..workers {
             let sim = w.new_life();
@@ -400,7 +400,7 @@
     /// Hands any job in again, as a caller does that had no answer.
     pub fn submit_again(&mut self) {
         let Some(most) = self.jobs.len().checked_sub(1) else { return };
-        let at = self.luck.below(most as u64 + 1) as usize;
+        let at = self.rng.below(most as u64 + 1) as usize;
         if let Some((key, spec)) = self.jobs.iter().nth(at) {
             self.submit(*key, JobSpec::clone(spec));
         }
@@ -448,7 +448,7 @@
 
     /// Heals everything.
     pub fn heal(&mut self) {
-        self.luck.trouble = 0;
+        self.rng.faults_per_mille = 0;
         self.way = STEP;
         self.workers.iter_mut().for_each(|w| w.cut = false);
         self.take_back();
@@ -463,7 +463,7 @@
     }
 
     /// Whether a job is over for its caller.
-    pub fn over(&self, key: JobKey) -> bool {
+    pub fn is_over(&self, key: JobKey) -> bool {
         matches!(self.shown(key), Some(JobStatus::Ended(_)))
     }
 
@@ -473,7 +473,7 @@
     }
 
     /// Plays for some time.
-    pub fn play(&mut self, long: Duration) {
+    pub fn run_for(&mut self, long: Duration) {
         let end = self.now + long;
         while self.now < end {
             self.step();
@@ -526,7 +526,7 @@
 
     /// Sends an order; returns the answer, if one comes.
     fn deliver(&mut self, id: &WorkerId, order: Order) -> Option<Answer> {
-        match self.luck.fate() {
+        match self.rng.fate() {
             Fate::Fine => self.carry_out(id, &order, false),
             Fate::Lost => None,
             Fate::AnswerLost => {
--- a/crates/workswood-test-support/src/job_world/oracle.rs
+++ b/crates/workswood-test-support/src/job_world/oracle.rs
@@ -77,16 +77,16 @@
             wrong.push("BUDGET: started three times more after three workers had crashed under it");
         }
         for text in wrong {
-            self.seen.broken.push(format!("{text}: {task} attempt {attempt} at {now:?}"));
+            self.seen.violations.push(format!("{text}: {task} attempt {attempt} at {now:?}"));
         }
         let lasting = spec.is_some_and(|s| s.steps[usize::from(task.step)].long_running);
         let took = if lasting {
             Duration::from_secs(3600)
         } else {
-            Duration::from_millis(200 + self.luck.below(900))
+            Duration::from_millis(200 + self.rng.below(900))
         };
         let fails = if task.job.is_multiple_of(POOR_JOBS) { POOR_FAILS } else { FAILS };
-        let kind = if self.luck.below(100) < fails { EndKind::Failed } else { EndKind::Done };
+        let kind = if self.rng.below(100) < fails { EndKind::Failed } else { EndKind::Done };
         // A task that crashes its workers does so before it ends.
         let took = took.max(self.crash_delay(&task) + Duration::from_millis(1));
         let w = &mut self.workers[at];
@@ -99,29 +99,29 @@
     }
 
     /// Whether some task of a job has failed too often.
-    pub fn fails_by_itself(&self, key: JobKey) -> bool {
+    pub fn exhausted_attempts(&self, key: JobKey) -> bool {
         self.fails.iter().any(|(t, n)| t.job == key && *n >= ATTEMPTS)
     }
 
     /// A job that is shown as failed has a task that failed too often, or under which two
     /// workers have crashed.
     pub(super) fn check_failed(&mut self, key: JobKey) {
-        let failed = self.fails_by_itself(key);
+        let failed = self.exhausted_attempts(key);
         if !failed && !self.lost_twice(key) {
-            self.seen.broken.push(format!("LOST: job {key} failed without a cause at {:?}", self.now));
+            self.seen.violations.push(format!("LOST: job {key} failed without a cause at {:?}", self.now));
         }
     }
 
     pub(super) fn check_completed(&mut self, key: JobKey) {
         let Some(spec) = self.jobs.get(&key).cloned() else {
-            self.seen.broken.push(format!("MIXED: unknown job {key} completed"));
+            self.seen.violations.push(format!("MIXED: unknown job {key} completed"));
             return;
         };
         for (step, s) in spec.steps.iter().enumerate() {
             for index in 0..s.count {
                 let id = TaskId { job: key, round: 0, step: step as u16, index };
                 if !self.is_done(&id) {
-                    self.seen.broken.push(format!("MIXED: {id} is open in a completed job"));
+                    self.seen.violations.push(format!("MIXED: {id} is open in a completed job"));
                 }
             }
         }
--- a/crates/workswood-test-support/src/job_world/relay.rs
+++ b/crates/workswood-test-support/src/job_world/relay.rs
@@ -289,7 +289,7 @@
     ) {
         let Some(token) = served.watched.get(&id).map(|w| w.token) else { return };
         let mut reply = StartReply::NotSent;
-        for _ in 0..1 + self.luck.below(3) {
+        for _ in 0..1 + self.rng.below(3) {
             let lease = self.lease_from(served);
             let Some(w) = served.watched.get_mut(&id) else { return };
             let Some(lease_end) = lease.filter(|_| !w.silent) else { break };
@@ -325,10 +325,10 @@
     /// How long the answer to a look is on its way; it tells what was so when the
     /// worker gave it.
     fn look_takes(&mut self) -> Duration {
-        if self.luck.below(LOOKS_A_LATE_ONE) > 0 {
+        if self.rng.below(LOOKS_A_LATE_ONE) > 0 {
             return STEP;
         }
-        Duration::from_millis(self.luck.below(LATE_LOOK.as_millis() as u64)).max(STEP)
+        Duration::from_millis(self.rng.below(LATE_LOOK.as_millis() as u64)).max(STEP)
     }
 
     fn look_at(&mut self, served: &mut Served, id: WorkerId) {
@@ -350,7 +350,7 @@
                 None => (Coming::Listed { listing, asked: now, forget }, self.look_takes()),
             },
             Some(Answer::Reply(_) | Answer::Begin(..)) => (Coming::Fenced, STEP),
-            None if gone && self.luck.below(4) == 0 => (Coming::LookLost { gone: true }, STEP),
+            None if gone && self.rng.below(4) == 0 => (Coming::LookLost { gone: true }, STEP),
             None => (Coming::LookLost { gone: false }, PATIENCE),
         };
         if let Some(w) = served.watched.get_mut(&id) {
--- a/crates/workswood-test-support/src/job_world/restarts.rs
+++ b/crates/workswood-test-support/src/job_world/restarts.rs
@@ -4,7 +4,7 @@
 
 use workswood_core::jobs::job::WorkerId;
 
-use super::luck::Luck;
+use super::fault_rng::FaultRng;
 use super::worker::Order;
 use super::{LONGEST_LEASE, World};
 
@@ -16,13 +16,13 @@
 impl World {
     /// A world without an adviser, relays or a limit, whose workers tell when they started, and start
     /// again under their names.
-    pub fn restarting(workers: usize, luck: Luck) -> World {
-        World::begin_restarts(World::new(workers, luck))
+    pub fn restarting(workers: usize, rng: FaultRng) -> World {
+        World::begin_restarts(World::new(workers, rng))
     }
 
     /// Likewise; hosts attend the workers for the holder.
-    pub fn restarting_relayed(workers: usize, luck: Luck) -> World {
-        World::begin_restarts(World::relayed(workers, luck))
+    pub fn restarting_relayed(workers: usize, rng: FaultRng) -> World {
+        World::begin_restarts(World::relayed(workers, rng))
     }
 
     fn begin_restarts(mut w: World) -> World {
@@ -36,13 +36,13 @@
 
     /// A worker's process ends, and is started again.
     pub(super) fn stop_worker(&mut self, n: usize) {
-        let takes = RESTART_TAKES.0 + self.luck.below(RESTART_TAKES.1 - RESTART_TAKES.0);
+        let takes = RESTART_TAKES.0 + self.rng.below(RESTART_TAKES.1 - RESTART_TAKES.0);
         self.take_down(n, Duration::from_millis(takes));
     }
 
     /// How long after its start a worker's entry is heard of.
     pub(super) fn told_after(&mut self) -> Duration {
-        if self.restarts { Duration::from_millis(self.luck.below(TOLD_WITHIN)) } else { Duration::ZERO }
+        if self.restarts { Duration::from_millis(self.rng.below(TOLD_WITHIN)) } else { Duration::ZERO }
     }
 
     /// An order as the worker at a place reads it, which was meant for a life of it. The clock of a
--- a/tests/testsuite/crashing_tasks.rs
+++ b/tests/testsuite/crashing_tasks.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use workswood_core::jobs::{JobStatus, Outcome, TaskId};
-use workswood_test_support::job_world::{Luck, World, job, step};
+use workswood_test_support::job_world::{FaultRng, World, job, step};
 
 /// Time from the start of a task to the crash of its worker.
 const AT_ONCE: Duration = Duration::from_millis(10);
@@ -43,11 +43,11 @@
 
 #[test]
 fn given_up() {
-    let mut w = World::new(6, Luck::new(11, 0));
-    w.play(Duration::from_millis(500));
+    let mut w = World::new(6, FaultRng::new(11, 0));
+    w.run_for(Duration::from_millis(500));
     hand_in(&mut w, 5, 1, AT_ONCE);
-    w.play(Duration::from_secs(30));
-    assert_eq!(w.seen.broken, Vec::<String>::new());
+    w.run_for(Duration::from_secs(30));
+    assert_eq!(w.seen.violations, Vec::<String>::new());
     assert_eq!(ended(&w, 1), Some(Outcome::Failed));
     for key in 2..=5 {
         assert_eq!(ended(&w, key), Some(Outcome::Completed), "job {key} only ran beside it");
@@ -56,29 +56,29 @@
 
 #[test]
 fn counted_by_next_holder() {
-    let mut w = World::new(6, Luck::new(12, 0));
-    w.play(Duration::from_millis(500));
+    let mut w = World::new(6, FaultRng::new(12, 0));
+    w.run_for(Duration::from_millis(500));
     hand_in(&mut w, 3, 1, AT_ONCE);
     let mut crashes = 0;
     for _ in 0..400 {
-        w.play(Duration::from_millis(100));
+        w.run_for(Duration::from_millis(100));
         if w.crashed() > crashes {
             crashes = w.crashed();
             w.take_over();
         }
     }
-    assert_eq!(w.seen.broken, Vec::<String>::new());
+    assert_eq!(w.seen.violations, Vec::<String>::new());
     assert_eq!(ended(&w, 1), Some(Outcome::Failed), "after {crashes} crashes");
     assert_eq!(ended(&w, 2), Some(Outcome::Completed));
 }
 
 #[test]
 fn counted_when_crash_is_slow() {
-    let mut w = World::new(6, Luck::new(13, 0));
-    w.play(Duration::from_millis(500));
+    let mut w = World::new(6, FaultRng::new(13, 0));
+    w.run_for(Duration::from_millis(500));
     hand_in(&mut w, 5, 1, Duration::from_millis(900));
-    w.play(Duration::from_secs(60));
-    assert_eq!(w.seen.broken, Vec::<String>::new());
+    w.run_for(Duration::from_secs(60));
+    assert_eq!(w.seen.violations, Vec::<String>::new());
     assert_eq!(ended(&w, 1), Some(Outcome::Failed));
     for key in 2..=5 {
         assert_eq!(ended(&w, key), Some(Outcome::Completed), "job {key} only ran beside it");
@@ -91,8 +91,8 @@
 
 #[test]
 fn storm_passes() {
-    let mut w = World::new(12, Luck::new(14, 0));
-    w.play(Duration::from_millis(500));
+    let mut w = World::new(12, FaultRng::new(14, 0));
+    w.run_for(Duration::from_millis(500));
     // Jobs of the world whose number is a multiple of six fail by themselves.
     let keys: Vec<u64> = (1..=120).filter(|key| key % 6 != 0).collect();
     for key in &keys {
@@ -100,13 +100,13 @@
             w.crashes(task(*key), AT_ONCE);
         }
         w.submit(*key, job(vec![step(4, vec![])], w.now.as_millis() as u64));
-        w.play(Duration::from_millis(40));
+        w.run_for(Duration::from_millis(40));
     }
-    w.play(Duration::from_secs(40));
-    assert_eq!(w.seen.broken, Vec::<String>::new());
+    w.run_for(Duration::from_secs(40));
+    assert_eq!(w.seen.violations, Vec::<String>::new());
     for key in keys {
         // Some tasks of the world fail by themselves, now and then one too often.
-        let fails = key % 10 == 1 || w.fails_by_itself(key);
+        let fails = key % 10 == 1 || w.exhausted_attempts(key);
         let wanted = if fails { Outcome::Failed } else { Outcome::Completed };
         assert_eq!(ended(&w, key), Some(wanted), "job {key}");
         assert!(w.crashed_under(&task(key)) <= CRASHES_EACH || key % 10 != 1, "job {key}");
@@ -115,20 +115,20 @@
 
 #[test]
 fn chance_fails_nothing() {
-    let mut w = World::new(6, Luck::new(15, 0));
-    w.play(Duration::from_millis(500));
+    let mut w = World::new(6, FaultRng::new(15, 0));
+    w.run_for(Duration::from_millis(500));
     for key in [1, 2, 3, 4, 5, 7, 8] {
         w.submit(key, job(vec![step(4, vec![])], w.now.as_millis() as u64));
     }
     // All workers crash, and come back, again and again.
     for round in 0..12 {
-        w.play(Duration::from_millis(300));
+        w.run_for(Duration::from_millis(300));
         w.crash(round);
-        w.play(Duration::from_millis(300));
+        w.run_for(Duration::from_millis(300));
         w.crash(round + 1);
     }
-    w.play(Duration::from_secs(40));
-    assert_eq!(w.seen.broken, Vec::<String>::new());
+    w.run_for(Duration::from_secs(40));
+    assert_eq!(w.seen.violations, Vec::<String>::new());
     for key in [1, 2, 3, 4, 5, 7, 8] {
         assert_eq!(ended(&w, key), Some(Outcome::Completed), "job {key}");
     }
@@ -136,16 +136,16 @@
 
 #[test]
 fn cut_off_is_no_crash() {
-    let mut w = World::new(3, Luck::new(16, 0));
-    w.play(Duration::from_millis(500));
+    let mut w = World::new(3, FaultRng::new(16, 0));
+    w.run_for(Duration::from_millis(500));
     w.submit(1, job(vec![step(4, vec![]), step(4, vec![0])], w.now.as_millis() as u64));
     for n in 0..5 {
-        w.play(Duration::from_millis(100));
+        w.run_for(Duration::from_millis(100));
         w.cut(n, true);
-        w.play(Duration::from_secs(8));
+        w.run_for(Duration::from_secs(8));
         w.cut(n, false);
     }
-    w.play(Duration::from_secs(20));
-    assert_eq!(w.seen.broken, Vec::<String>::new());
+    w.run_for(Duration::from_secs(20));
+    assert_eq!(w.seen.violations, Vec::<String>::new());
     assert_eq!(ended(&w, 1), Some(Outcome::Completed));
 }
--- a/tests/testsuite/fault_soak.rs
+++ b/tests/testsuite/fault_soak.rs
@@ -18,7 +18,7 @@
 use workswood_adapter_standin::caller::{HandedIn, Told, ask, config, hand_in};
 use workswood_adapter_standin::{Kept, Ledger, StoreStandin, WorkerStandin};
 use workswood_test_support::cut::{Cut, Fault};
-use workswood_test_support::job_world::Luck;
+use workswood_test_support::job_world::FaultRng;
 use workswood_test_support::program::{Program, free_ports};
 
 const SERVICE: &str = "desk";
@@ -181,7 +181,7 @@
 ];
 
 struct Soak {
-    luck: Luck,
+    luck: FaultRng,
     world: World,
     entries: Vec<Entry>,
     standing: Vec<(Instant, Standing)>,
@@ -313,7 +313,7 @@
         entries.push(Entry::new(&folder, n, &store, own).await);
     }
     let mut soak = Soak {
-        luck: Luck::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1, 0),
+        luck: FaultRng::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1, 0),
         world,
         entries,
         standing: Vec::new(),
--- a/tests/testsuite/random_jobs.rs
+++ b/tests/testsuite/random_jobs.rs
@@ -5,7 +5,7 @@
 
 use workswood_core::invariant;
 use workswood_core::jobs::{JobStatus, TaskId};
-use workswood_test_support::job_world::{Luck, Seen, World, job, step};
+use workswood_test_support::job_world::{FaultRng, Seen, World, job, step};
 
 /// Histories in one run of the suite.
 const HISTORIES: u64 = 250;
@@ -23,10 +23,10 @@
 
 /// Something happens to a relay, or to the links between them and the holder.
 fn trouble_relays(w: &mut World) {
-    let at = w.luck.below(RELAYS) as usize;
-    match w.luck.below(9) {
+    let at = w.rng.below(RELAYS) as usize;
+    match w.rng.below(9) {
         0 | 1 => {
-            let long = Duration::from_millis(300 + w.luck.below(9000));
+            let long = Duration::from_millis(300 + w.rng.below(9000));
             w.pause_relay(at, long);
         }
         2 => w.cut_relay(at, true),
@@ -49,7 +49,7 @@
 
 /// Has the first task of a job crash its workers.
 fn make_crashing(w: &mut World, job: u64) {
-    let after = if w.luck.below(2) == 0 { 10 } else { w.luck.below(CRASH_WITHIN) };
+    let after = if w.rng.below(2) == 0 { 10 } else { w.rng.below(CRASH_WITHIN) };
     w.crashes(TaskId { job, round: 0, step: 0, index: 0 }, Duration::from_millis(after));
 }
 
@@ -66,40 +66,40 @@
 }
 
 /// Plays one history in a world, in which nothing may be broken.
-fn play(seed: u64, world: fn(usize, Luck) -> World, with: With) -> Seen {
+fn play(seed: u64, world: fn(usize, FaultRng) -> World, with: With) -> Seen {
     try_play(seed, world, with).unwrap_or_else(|wrong| panic!("seed {seed}: {wrong}"))
 }
 
 /// Plays one history in a world; tells what was broken.
-fn try_play(seed: u64, world: fn(usize, Luck) -> World, with: With) -> Result<Seen, String> {
-    let mut luck = Luck::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1, 0);
+fn try_play(seed: u64, world: fn(usize, FaultRng) -> World, with: With) -> Result<Seen, String> {
+    let mut luck = FaultRng::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1, 0);
     for _ in 0..8 {
         luck.below(2);
     }
     let mut w = world(4, luck);
-    w.play(Duration::from_millis(600));
-    w.luck.trouble = 60;
+    w.run_for(Duration::from_millis(600));
+    w.rng.faults_per_mille = 60;
     let mut keys = Vec::new();
     for n in 0..EVENTS {
-        if with == With::Relays && w.luck.below(3) == 0 {
+        if with == With::Relays && w.rng.below(3) == 0 {
             trouble_relays(&mut w);
         }
-        if with == With::Crashes && w.luck.below(6) == 0 {
-            let at = w.luck.below(4) as usize;
+        if with == With::Crashes && w.rng.below(6) == 0 {
+            let at = w.rng.below(4) as usize;
             w.crash(at);
         }
-        if with == With::Evacuations && w.luck.below(4) == 0 {
-            let (south, wanted) = (w.luck.below(2) == 0, w.luck.below(3) > 0);
+        if with == With::Evacuations && w.rng.below(4) == 0 {
+            let (south, wanted) = (w.rng.below(2) == 0, w.rng.below(3) > 0);
             w.evacuate(if south { "south" } else { "north" }, wanted);
         }
-        match w.luck.below(12) {
+        match w.rng.below(12) {
             0..=4 => {
-                let mut steps = vec![step(1 + w.luck.below(3) as u32, vec![])];
-                if w.luck.below(2) == 0 {
-                    steps.push(step(1 + w.luck.below(3) as u32, vec![0]));
+                let mut steps = vec![step(1 + w.rng.below(3) as u32, vec![])];
+                if w.rng.below(2) == 0 {
+                    steps.push(step(1 + w.rng.below(3) as u32, vec![0]));
                 }
-                steps[0].speculative = w.luck.below(6) == 0;
-                if with == With::Crashes && w.luck.below(JOBS_A_CRASHING_ONE) == 0 {
+                steps[0].speculative = w.rng.below(6) == 0;
+                if with == With::Crashes && w.rng.below(JOBS_A_CRASHING_ONE) == 0 {
                     make_crashing(&mut w, n + 1);
                 }
                 w.submit(n + 1, job(steps, w.now.as_millis() as u64));
@@ -112,32 +112,32 @@
             }
             6 => w.take_over(),
             7 => {
-                let long = Duration::from_millis(500 + w.luck.below(9000));
+                let long = Duration::from_millis(500 + w.rng.below(9000));
                 w.pause(long);
-                if w.luck.below(2) == 0 {
+                if w.rng.below(2) == 0 {
                     w.take_over();
                 }
             }
             8 => {
-                let at = w.luck.below(4) as usize;
+                let at = w.rng.below(4) as usize;
                 w.replace(at);
             }
             9 => {
-                let at = w.luck.below(4) as usize;
+                let at = w.rng.below(4) as usize;
                 w.cut(at, true);
             }
             10 => (0..4).for_each(|at| w.cut(at, false)),
             _ => w.submit_again(),
         }
-        let long = Duration::from_millis(100 + w.luck.below(900));
-        w.play(long);
+        let long = Duration::from_millis(100 + w.rng.below(900));
+        w.run_for(long);
     }
     w.heal();
-    w.play(if with == With::Crashes { SETTLED_AFTER_CRASHES } else { SETTLED_AFTER });
-    if !w.seen.broken.is_empty() {
-        return Err(format!("{:?}", w.seen.broken));
+    w.run_for(if with == With::Crashes { SETTLED_AFTER_CRASHES } else { SETTLED_AFTER });
+    if !w.seen.violations.is_empty() {
+        return Err(format!("{:?}", w.seen.violations));
     }
-    match keys.into_iter().find(|key| !w.over(*key)) {
+    match keys.into_iter().find(|key| !w.is_over(*key)) {
         Some(key) => Err(format!("job {key} is still {:?}", w.shown(key))),
         None => Ok(w.seen),
     }
@@ -281,11 +281,11 @@
 
 #[test]
 fn quiet_history() {
-    let mut w = World::new(3, Luck::new(7, 0));
-    w.play(Duration::from_millis(500));
+    let mut w = World::new(3, FaultRng::new(7, 0));
+    w.run_for(Duration::from_millis(500));
     w.submit(1, job(vec![step(3, vec![]), step(2, vec![0])], 1));
-    w.play(Duration::from_secs(12));
-    assert!(w.over(1), "{:?}", w.shown(1));
-    assert_eq!(w.seen.broken, Vec::<String>::new());
+    w.run_for(Duration::from_secs(12));
+    assert!(w.is_over(1), "{:?}", w.shown(1));
+    assert_eq!(w.seen.violations, Vec::<String>::new());
     assert!(matches!(w.shown(1), Some(JobStatus::Ended(_))));
 }
