--- a/crates/workswood-test-support/src/job_world/adviser.rs
+++ b/crates/workswood-test-support/src/job_world/adviser.rs
@@ -1,5 +1,5 @@
-//! The adviser of a [`World`](super::World): which workers may run a
-//! step, and tickets that tell what they hold for.
+//! The simulated adviser: which workers may run a step, and tickets that name step, worker and
+//! expiry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,29 +7,29 @@
 use workswood_core::jobs::job::WorkerId;
 use workswood_core::jobs::{AdviceConfig, StepId};
 
-/// How it works.
+/// Timing of the adviser.
 pub const ADVICE: AdviceConfig = AdviceConfig {
     base_call_time: Duration::from_millis(200),
     time_per_worker: Duration::from_millis(5),
     ticket_lifetime: Duration::from_millis(1500),
 };
-/// One of so many places may not run a step.
-const ONE_BAD_OF: u64 = 3;
+/// One in this many workers may not run a given step.
+const UNSUITABLE_INTERVAL: u64 = 3;
 
-/// Whether the worker at a place may run a step.
-pub fn may_run(step: &StepId, place: usize) -> bool {
-    let mixed = step.job.wrapping_mul(7) + u64::from(step.step) * 5 + u64::from(step.round);
-    !(mixed + place as u64).is_multiple_of(ONE_BAD_OF)
+/// Returns whether worker `n` may run a step.
+pub fn may_run(step: &StepId, n: usize) -> bool {
+    let hash = step.job.wrapping_mul(7) + u64::from(step.step) * 5 + u64::from(step.round);
+    !(hash + n as u64).is_multiple_of(UNSUITABLE_INTERVAL)
 }
 
-/// A ticket that is made now.
+/// Creates a ticket that is valid from now for [`AdviceConfig::ticket_lifetime`].
 pub fn ticket(step: &StepId, worker: &WorkerId, now: Duration) -> Arc<str> {
     format!("{step}|{worker}|{}", (now + ADVICE.ticket_lifetime).as_millis()).as_str().into()
 }
 
-/// Whether a ticket lets a life of a worker start a task of a step now.
-pub fn holds(ticket: Option<&str>, step: &StepId, worker: &WorkerId, now: Duration) -> bool {
-    let Some((names, until)) = ticket.and_then(|t| t.rsplit_once('|')) else { return false };
-    let until = until.parse().map(Duration::from_millis).unwrap_or_default();
-    names == format!("{step}|{worker}") && now < until
+/// Returns whether a ticket allows this life of a worker to start a task of a step now.
+pub fn is_valid(ticket: Option<&str>, step: &StepId, worker: &WorkerId, now: Duration) -> bool {
+    let Some((subject, expiry)) = ticket.and_then(|t| t.rsplit_once('|')) else { return false };
+    let expiry = expiry.parse().map(Duration::from_millis).unwrap_or_default();
+    subject == format!("{step}|{worker}") && now < expiry
 }
--- a/crates/workswood-test-support/src/job_world/crashes.rs
+++ b/crates/workswood-test-support/src/job_world/crashes.rs
@@ -1,4 +1,4 @@
-//! Workers that crash, by themselves or under a task.
+//! Workers that crash, at random or because of a task.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,91 +7,93 @@
 
 use super::World;
 
-/// Crashes of workers under one task after which it may be given up.
-const MAY_GIVE_UP: u32 = 2;
-/// Crashes after which it may be started this often at most, counted from then on.
-const MUST_GIVE_UP: u32 = 3;
-const STARTS_BEYOND: u32 = 3;
-/// A holder is in touch that has held the lease, and not been paused, for so long.
-const IN_TOUCH: Duration = Duration::from_secs(3);
-/// How long a worker is away that has crashed: at least, and at most.
-const AWAY: (u64, u64) = (1500, 4000);
-
-/// What crashes, and what was lost with it.
+/// Number of workers lost while running a task after which the task may be failed.
+const MAY_FAIL_AFTER: u32 = 2;
+/// Number of worker crashes while running a task after which the scheduler must fail it.
+const MUST_FAIL_AFTER: u32 = 3;
+/// Number of further starts that the oracle reports as a violation.
+const EXCESS_STARTS: u32 = 3;
+/// A holder counts as up to date once it has held the lease without a pause for this long.
+const HOLDER_SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Minimum and maximum downtime of a crashed worker, in milliseconds.
+const DOWNTIME_MS: (u64, u64) = (1500, 4000);
+
+/// Scheduled crashes and the runs that were lost.
 #[derive(Default)]
 pub(super) struct Crashes {
-    /// Tasks that crash their workers, and how long after their start.
-    tasks: BTreeMap<TaskId, Duration>,
-    /// Workers that are to crash, by their places.
+    /// Tasks that crash their workers, with the delay after their start.
+    crashing_tasks: BTreeMap<TaskId, Duration>,
+    /// Scheduled crashes: time, index of the worker, and the task that causes it.
     due: Vec<(Duration, usize, TaskId)>,
-    /// Workers that are to come back, by their places.
-    back: Vec<(Duration, usize)>,
-    /// How many workers have crashed while they ran a task, and come back later.
-    under: BTreeMap<TaskId, u32>,
-    /// How many have crashed or been replaced.
+    /// Workers that are down, by index, with the time of their replacement.
+    returns: Vec<(Duration, usize)>,
+    /// Number of workers that crashed while running a task.
+    crashed_under: BTreeMap<TaskId, u32>,
+    /// Number of workers that crashed or were replaced while running a task.
     lost_under: BTreeMap<TaskId, u32>,
-    /// Starts of a task after it must have been given up.
-    beyond: BTreeMap<TaskId, u32>,
+    /// Starts of a task after the scheduler must have failed it.
+    excess_starts: BTreeMap<TaskId, u32>,
 }
 
 impl World {
-    /// From now on a task crashes each worker that starts it, some time after the start.
+    /// Makes a task crash each worker that starts it, `after` the start.
     pub fn crashes(&mut self, task: TaskId, after: Duration) {
-        self.crashes.tasks.insert(task, after);
+        self.crashes.crashing_tasks.insert(task, after);
     }
 
-    /// How many workers have crashed while they ran a task.
+    /// Returns the number of workers that crashed while running a task.
     pub fn crashed_under(&self, task: &TaskId) -> u32 {
-        self.crashes.under.get(task).copied().unwrap_or(0)
+        self.crashes.crashed_under.get(task).copied().unwrap_or(0)
     }
 
-    /// How many workers have crashed under tasks that crash them.
+    /// Returns the number of worker crashes while running tasks made to crash with
+    /// [`World::crashes`].
     pub fn crashed(&self) -> u32 {
-        self.crashes.tasks.keys().map(|t| self.crashed_under(t)).sum()
+        self.crashes.crashing_tasks.keys().map(|t| self.crashed_under(t)).sum()
     }
 
-    /// A worker crashes, and comes back later.
+    /// Crashes a worker; it is replaced after a random downtime.
     pub fn crash(&mut self, n: usize) {
         let n = n % self.workers.len();
         if !self.workers[n].up {
             return;
         }
         for task in self.workers[n].running.keys() {
-            *self.crashes.under.entry(*task).or_default() += 1;
+            *self.crashes.crashed_under.entry(*task).or_default() += 1;
         }
-        self.note_lost(n);
-        let away = Duration::from_millis(AWAY.0 + self.rng.below(AWAY.1 - AWAY.0));
-        self.take_down(n, away);
+        self.record_lost_runs(n);
+        let downtime = Duration::from_millis(DOWNTIME_MS.0 + self.rng.below(DOWNTIME_MS.1 - DOWNTIME_MS.0));
+        self.take_down(n, downtime);
     }
 
-    /// A worker is away for some time, and has lost what it ran.
-    pub(super) fn take_down(&mut self, n: usize, away: Duration) {
+    /// Takes a worker down for some time; its runs are lost.
+    pub(super) fn take_down(&mut self, n: usize, downtime: Duration) {
         self.workers[n].up = false;
         self.workers[n].running.clear();
-        self.crashes.back.push((self.now + away, n));
+        self.crashes.returns.push((self.now + downtime, n));
     }
 
-    /// Notes what a worker runs whose life ends.
-    pub(super) fn note_lost(&mut self, n: usize) {
+    /// Counts the runs that are lost because a worker's life ends.
+    pub(super) fn record_lost_runs(&mut self, n: usize) {
         for task in self.workers[n].running.keys() {
             *self.crashes.lost_under.entry(*task).or_default() += 1;
         }
     }
 
-    /// How long after its start a task crashes its worker; zero if it doesn't.
+    /// Returns the delay from a task's start to the crash of its worker; zero if it causes none.
     pub(super) fn crash_delay(&self, task: &TaskId) -> Duration {
-        self.crashes.tasks.get(task).copied().unwrap_or_default()
+        self.crashes.crashing_tasks.get(task).copied().unwrap_or_default()
     }
 
-    /// A worker has begun a task.
-    pub(super) fn crash_under(&mut self, at: usize, task: &TaskId) {
-        if let Some(after) = self.crashes.tasks.get(task) {
+    /// Schedules the crash of a worker that has begun a crashing task.
+    pub(super) fn schedule_crash(&mut self, at: usize, task: &TaskId) {
+        if let Some(after) = self.crashes.crashing_tasks.get(task) {
             self.crashes.due.push((self.now + *after, at, *task));
         }
     }
 
-    /// Lets workers crash and come back whose time has come.
-    pub(super) fn crash_due(&mut self) {
+    /// Carries out the crashes and replacements that are due.
+    pub(super) fn run_due_crashes(&mut self) {
         let now = self.now;
         let (due, later) = std::mem::take(&mut self.crashes.due).into_iter().partition(|d| d.0 <= now);
         self.crashes.due = later;
@@ -101,32 +103,33 @@
                 self.crash(at);
             }
         }
-        let (back, later) = std::mem::take(&mut self.crashes.back).into_iter().partition(|b| b.0 <= now);
-        self.crashes.back = later;
-        let back: Vec<(Duration, usize)> = back;
-        back.into_iter().for_each(|(_, n)| self.replace(n));
+        let (returns, later) =
+            std::mem::take(&mut self.crashes.returns).into_iter().partition(|b| b.0 <= now);
+        self.crashes.returns = later;
+        let returns: Vec<(Duration, usize)> = returns;
+        returns.into_iter().for_each(|(_, n)| self.replace(n));
     }
 
-    /// Since when the newest holder has held the lease and not been paused.
-    fn calm_since(&self) -> Duration {
+    /// Returns since when the newest holder has held the lease without a pause.
+    fn holder_settled_since(&self) -> Duration {
         self.holders.last().map_or(self.now, |h| h.paused_until.max(h.sched.claimed_at))
     }
 
-    /// A task is started; whether that is beyond what its crashes allow.
+    /// Records a start of a task; returns whether its crashes should have prevented it.
     pub(super) fn started_beyond_crashes(&mut self, task: &TaskId) -> bool {
-        if !self.crashes.tasks.contains_key(task) || self.crashed_under(task) < MUST_GIVE_UP {
+        if !self.crashes.crashing_tasks.contains_key(task) || self.crashed_under(task) < MUST_FAIL_AFTER {
             return false;
         }
-        if self.now < self.calm_since() + IN_TOUCH {
+        if self.now < self.holder_settled_since() + HOLDER_SETTLE_TIME {
             return false;
         }
-        let beyond = self.crashes.beyond.entry(*task).or_default();
-        *beyond += 1;
-        *beyond >= STARTS_BEYOND
+        let starts = self.crashes.excess_starts.entry(*task).or_default();
+        *starts += 1;
+        *starts >= EXCESS_STARTS
     }
 
-    /// Whether two workers have crashed, or been replaced, while they ran some task of a job.
-    pub(super) fn lost_twice(&self, key: JobKey) -> bool {
-        self.crashes.lost_under.iter().any(|(t, n)| t.job == key && *n >= MAY_GIVE_UP)
+    /// Returns whether two workers crashed or were replaced while running the same task of a job.
+    pub(super) fn workers_lost_twice(&self, key: JobKey) -> bool {
+        self.crashes.lost_under.iter().any(|(t, n)| t.job == key && *n >= MAY_FAIL_AFTER)
     }
 }
--- a/crates/workswood-test-support/src/job_world/fault_rng.rs
+++ b/crates/workswood-test-support/src/job_world/fault_rng.rs
@@ -1,35 +1,35 @@
-//! Draws what happens to messages.
+//! A seeded random generator for message faults and other choices.
 
 use std::time::Duration;
 
 /// What happens to a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// It is carried out and answered.
+    /// It is delivered and answered.
     Fine,
     /// It is lost.
     Lost,
-    /// It is carried out, and its answer is lost.
+    /// It is delivered, and its answer is lost.
     AnswerLost,
-    /// It is carried out after this time, and never answered.
+    /// It is delivered after this time, and its answer is lost.
     Late(Duration),
 }
 
-/// A small generator of numbers, seeded by the test.
+/// A xorshift generator, seeded by the test.
 #[derive(Clone, Debug)]
 pub struct FaultRng {
     state: u64,
-    /// Messages that are not fine, of 1,000.
+    /// Number of messages in 1,000 that are lost, delayed or not answered.
     pub faults_per_mille: u64,
 }
 
 impl FaultRng {
-    /// A generator.
+    /// Creates a generator from a seed.
     pub fn new(seed: u64, faults_per_mille: u64) -> FaultRng {
         FaultRng { state: seed | 1, faults_per_mille }
     }
 
-    /// A number below `n`.
+    /// Draws a number below `n`; zero if `n` is zero.
     pub fn below(&mut self, n: u64) -> u64 {
         self.state ^= self.state << 13;
         self.state ^= self.state >> 7;
@@ -37,7 +37,7 @@
         self.state % n.max(1)
     }
 
-    /// What happens to the next message.
+    /// Draws the fate of the next message.
     pub(super) fn fate(&mut self) -> Fate {
         if self.below(1000) >= self.faults_per_mille {
             return Fate::Fine;
--- a/crates/workswood-test-support/src/job_world/holder.rs
+++ b/crates/workswood-test-support/src/job_world/holder.rs
@@ -1,4 +1,4 @@
-//! Lease holders: what they decide, store and have done.
+//! Simulated lease holders: each runs a scheduler, writes to the store and sends orders to relays.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -16,35 +16,38 @@
 use super::evacuations::is_evacuated;
 use super::fault_rng::Fate;
 use super::relay::{Session, ToHolder, ToRelay};
-use super::{GRACE, LEASE, STEP, World, limits};
+use super::{EXTENSION_GRACE, LEASE, STEP, World, limits};
 
-/// Time between two ticks.
-const TICK: Duration = Duration::from_millis(160);
-/// A holder gives a relay up that it has not heard of for so long.
-const RELAY_SILENT: Duration = Duration::from_millis(1000);
+/// Interval between ticks of the scheduler.
+const TICK_INTERVAL: Duration = Duration::from_millis(160);
+/// Silence after which a holder closes the session with a relay.
+const RELAY_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// A session as its holder knows it.
-struct Talk {
+/// The holder's state of a session with a relay.
+struct RelaySession {
     number: u64,
     up: bool,
-    heard: Duration,
+    /// When the last heartbeat of the relay arrived.
+    last_heartbeat: Duration,
     /// Until when the relay may extend leases.
-    granted: Duration,
+    extends_until: Duration,
 }
 
 /// A lease holder.
 pub(super) struct Holder {
     pub sched: Scheduler,
-    /// When it last renewed.
+    /// When the holder last renewed its own lease.
     pub renewed: Duration,
     pub paused_until: Duration,
+    /// A batch that is being written to the store, and when the write finishes.
     writing: Option<(Duration, Batch)>,
     next_tick: Duration,
-    talks: BTreeMap<HostId, Talk>,
-    /// Who attends each worker, and with which token.
-    attended: BTreeMap<WorkerId, (HostId, Term)>,
-    /// Events that wait: when to take them, and what they are.
+    sessions: BTreeMap<HostId, RelaySession>,
+    /// Relay and fencing token of each watched worker.
+    watched: BTreeMap<WorkerId, (HostId, Term)>,
+    /// Events that have not arrived yet, with the time of their arrival.
     inbox: Vec<(Duration, Event)>,
+    /// The last published state of each job.
     pub shown: HashMap<JobKey, JobStatusUpdate>,
 }
 
@@ -56,27 +59,27 @@
             paused_until: Duration::ZERO,
             writing: None,
             next_tick: now,
-            talks: BTreeMap::new(),
-            attended: BTreeMap::new(),
+            sessions: BTreeMap::new(),
+            watched: BTreeMap::new(),
             inbox: Vec::new(),
             shown: HashMap::new(),
         }
     }
 
-    /// Tells it what is evacuated, not before what it was told earlier.
-    pub(super) fn hears_evacuated(&mut self, at: Duration, evacuated: BTreeSet<DataCentre>) {
+    /// Enqueues the set of evacuated data centres; it does not overtake an earlier one.
+    pub(super) fn enqueue_evacuations(&mut self, at: Duration, evacuated: BTreeSet<DataCentre>) {
         let earlier = self.inbox.iter().filter(|(_, ev)| is_evacuated(ev)).map(|(at, _)| *at).max();
-        self.hears(at.max(earlier.unwrap_or_default()), Event::Evacuated(evacuated));
+        self.enqueue_event(at.max(earlier.unwrap_or_default()), Event::Evacuated(evacuated));
     }
 
-    /// Tells it of something that it hears of at a time.
-    pub(super) fn hears(&mut self, at: Duration, ev: Event) {
+    /// Enqueues an event that arrives at a time.
+    pub(super) fn enqueue_event(&mut self, at: Duration, ev: Event) {
         self.inbox.push((at, ev));
     }
 }
 
 impl World {
-    /// Lets a holder work for a step.
+    /// Runs a holder for one step.
     pub(super) fn run_holder(&mut self, n: usize) {
         let now = self.now;
         let newest = n + 1 == self.holders.len();
@@ -90,23 +93,23 @@
             std::mem::take(&mut h.inbox).into_iter().partition(|(at, _)| *at <= now);
         h.inbox = waiting;
         due.into_iter().for_each(|(_, ev)| h.sched.handle(ev));
-        self.hear_relays(n);
+        self.receive_from_relays(n);
         let h = &mut self.holders[n];
         if h.next_tick <= now {
-            h.next_tick = now + TICK;
+            h.next_tick = now + TICK_INTERVAL;
             h.sched.handle(Event::Tick);
         }
-        self.attend(n);
+        self.assign_relays(n);
         self.finish_write(n, newest);
         if self.holders[n].sched.deposed {
-            self.show_notes(n);
+            self.print_notes(n);
             return;
         }
         if self.holders[n].writing.is_none() {
             let batch = self.holders[n].sched.take_batch();
-            self.show_notes(n);
+            self.print_notes(n);
             if batch.records.is_empty() {
-                self.act(n, batch);
+                self.publish(n, batch);
             } else {
                 let at = now + Duration::from_millis(20 * (1 + self.rng.below(3)));
                 self.holders[n].writing = Some((at, batch));
@@ -114,8 +117,8 @@
         }
     }
 
-    /// Prints what a holder has decided, if that is asked for.
-    fn show_notes(&mut self, n: usize) {
+    /// Prints the scheduler's notes if `WORKSWOOD_TEST_LOG` is set.
+    fn print_notes(&mut self, n: usize) {
         let sched = &mut self.holders[n].sched;
         if std::env::var_os("WORKSWOOD_TEST_LOG").is_some() {
             let (now, term) = (self.now.as_millis(), sched.token);
@@ -124,59 +127,62 @@
         sched.notes.clear();
     }
 
-    /// Has workers attended.
-    fn attend(&mut self, n: usize) {
+    /// Sends the orders that assign workers to relays.
+    fn assign_relays(&mut self, n: usize) {
         for action in self.holders[n].sched.assign_relays() {
             self.send(n, action);
         }
     }
 
-    /// Takes what its relays told, and gives those up that are silent.
-    fn hear_relays(&mut self, n: usize) {
+    /// Handles messages from relays, and closes sessions that are broken or silent.
+    fn receive_from_relays(&mut self, n: usize) {
         let now = self.now;
-        let talks: Vec<(HostId, u64)> =
-            self.holders[n].talks.iter().map(|(entry, t)| (entry.clone(), t.number)).collect();
-        for (entry, number) in talks {
-            for msg in self.take_for_holder(number) {
-                self.hear(n, &entry, msg);
+        let sessions: Vec<(HostId, u64)> =
+            self.holders[n].sessions.iter().map(|(entry, t)| (entry.clone(), t.number)).collect();
+        for (entry, number) in sessions {
+            for msg in self.receive_from_relay(number) {
+                self.handle_relay_message(n, &entry, msg);
             }
-            let Some(t) = self.holders[n].talks.get(&entry).filter(|t| t.number == number) else { continue };
-            let broken = self.sessions.get(&number).is_none_or(|s| !s.kept_by_relay && !self.is_cut(&entry));
-            // A holder does not give itself up.
-            let silent = entry != self.holders[n].sched.holder && t.heard + RELAY_SILENT < now;
+            let Some(t) = self.holders[n].sessions.get(&entry).filter(|t| t.number == number) else {
+                continue;
+            };
+            let broken =
+                self.sessions.get(&number).is_none_or(|s| !s.kept_by_relay && !self.is_partitioned(&entry));
+            // The holder's own relay shares its pauses and never times out.
+            let silent = entry != self.holders[n].sched.holder && t.last_heartbeat + RELAY_TIMEOUT < now;
             if broken || silent {
-                self.give_up(n, &entry, broken && t.up);
+                self.close_session(n, &entry, broken && t.up);
             }
         }
     }
 
-    fn take_for_holder(&mut self, number: u64) -> Vec<ToHolder> {
+    fn receive_from_relay(&mut self, number: u64) -> Vec<ToHolder> {
         let now = self.now;
-        let cut = self.sessions.get(&number).is_some_and(|s| self.is_cut(&s.relay));
+        let partitioned = self.sessions.get(&number).is_some_and(|s| self.is_partitioned(&s.relay));
         let Some(s) = self.sessions.get_mut(&number) else { return Vec::new() };
-        let mut taken = Vec::new();
-        while !cut && s.to_holder.front().is_some_and(|(t, _)| *t <= now) {
-            taken.extend(s.to_holder.pop_front().map(|(_, msg)| msg));
+        let mut messages = Vec::new();
+        while !partitioned && s.to_holder.front().is_some_and(|(t, _)| *t <= now) {
+            messages.extend(s.to_holder.pop_front().map(|(_, msg)| msg));
         }
-        taken
+        messages
     }
 
-    fn hear(&mut self, n: usize, entry: &HostId, msg: ToHolder) {
+    fn handle_relay_message(&mut self, n: usize, entry: &HostId, msg: ToHolder) {
         let now = self.now;
         let h = &mut self.holders[n];
-        let Some(t) = h.talks.get_mut(entry) else { return };
+        let Some(t) = h.sessions.get_mut(entry) else { return };
         match msg {
             ToHolder::Ready => {
                 t.up = true;
-                t.heard = now;
+                t.last_heartbeat = now;
                 h.sched.handle(Event::RelayUp(entry.clone()));
             }
-            ToHolder::Beat(sent) => {
-                t.heard = now;
-                t.granted = h.renewed + GRACE;
-                let (number, left) = (t.number, t.granted.saturating_sub(now));
+            ToHolder::Heartbeat(sent) => {
+                t.last_heartbeat = now;
+                t.extends_until = h.renewed + EXTENSION_GRACE;
+                let (number, left) = (t.number, t.extends_until.saturating_sub(now));
                 h.sched.handle(Event::RelayHeard(entry.clone()));
-                self.tell_relay(number, ToRelay::Grant { sent, left });
+                self.send_to_relay(number, ToRelay::Grant { sent, left });
             }
             ToHolder::LifeOver(id, silent) => {
                 h.sched.handle(Event::LifeOver(id, now.saturating_sub(silent)));
@@ -185,31 +191,31 @@
                 h.sched.handle(Event::WorkerRestarted(id, started, now.saturating_sub(silent)));
             }
             ToHolder::Leaving => h.sched.handle(Event::RelayLeaving(entry.clone())),
-            ToHolder::News(id, token, news) => {
-                let news = match news {
+            ToHolder::Update(id, token, update) => {
+                let update = match update {
                     WorkerUpdate::Unanswered { lease_end, heard } => WorkerUpdate::Unanswered {
                         lease_end: now + lease_end,
                         heard: now.saturating_sub(heard),
                     },
                     other => other,
                 };
-                h.sched.handle(Event::WorkerUpdate(id, token, news));
+                h.sched.handle(Event::WorkerUpdate(id, token, update));
             }
         }
     }
 
-    fn give_up(&mut self, n: usize, entry: &HostId, may_return: bool) {
+    fn close_session(&mut self, n: usize, entry: &HostId, may_return: bool) {
         let h = &mut self.holders[n];
-        let Some(t) = h.talks.remove(entry) else { return };
+        let Some(t) = h.sessions.remove(entry) else { return };
         if let Some(s) = self.sessions.get_mut(&t.number) {
             s.kept_by_holder = false;
         }
-        let end = t.granted + lease_with_drift(LEASE, limits().clock_drift);
+        let end = t.extends_until + lease_with_drift(LEASE, limits().clock_drift);
         h.sched.handle(Event::RelayDown(entry.clone(), end, may_return));
     }
 
-    fn tell_relay(&mut self, number: u64, msg: ToRelay) {
-        let at = self.now + self.way;
+    fn send_to_relay(&mut self, number: u64, msg: ToRelay) {
+        let at = self.now + self.link_latency;
         if let Some(s) = self.sessions.get_mut(&number) {
             s.to_relay.push_back((at, msg));
         }
@@ -221,7 +227,7 @@
             return;
         }
         let Some((_, batch)) = self.holders[n].writing.take() else { return };
-        // The store refuses earlier terms.
+        // The store rejects writes of earlier terms.
         if !newest {
             self.holders[n].sched.deposed = true;
             return;
@@ -237,14 +243,15 @@
                 Record::DropWorker(id) => {
                     self.stored_workers.remove(id);
                 }
-                // The model has no hosts and no waves.
+                // The simulation has no host orders and no waves.
                 Record::DropJob(_) | Record::Wave(..) | Record::HostOrderMark(..) => {}
             }
         }
-        self.act(n, batch);
+        self.publish(n, batch);
     }
 
-    fn act(&mut self, n: usize, batch: Batch) {
+    /// Publishes a stored batch: job states, acknowledgements and actions.
+    fn publish(&mut self, n: usize, batch: Batch) {
         self.trimmed.extend(batch.finished_jobs);
         for s in batch.status_updates {
             match s.state {
@@ -262,12 +269,12 @@
         }
     }
 
-    /// Sends an action to the relay that it concerns.
+    /// Carries out an action, mostly by an order to a relay.
     fn send(&mut self, n: usize, action: Action) {
         match action {
             Action::OpenRelay(entry) => self.open(n, entry),
             Action::CloseRelay(entry) => {
-                if let Some(t) = self.holders[n].talks.remove(&entry)
+                if let Some(t) = self.holders[n].sessions.remove(&entry)
                     && let Some(s) = self.sessions.get_mut(&t.number)
                 {
                     s.kept_by_holder = false;
@@ -275,21 +282,21 @@
             }
             Action::Watch { relay, info, token } => {
                 let id = info.id;
-                self.holders[n].attended.insert(id.clone(), (relay, token));
-                self.order(n, &id.clone(), ToRelay::Attend { id, token });
+                self.holders[n].watched.insert(id.clone(), (relay, token));
+                self.order(n, &id.clone(), ToRelay::Watch { id, token });
             }
             Action::Unwatch(id) => {
-                self.order(n, &id, ToRelay::Leave(id.clone()));
-                self.holders[n].attended.remove(&id);
+                self.order(n, &id, ToRelay::Unwatch(id.clone()));
+                self.holders[n].watched.remove(&id);
             }
             Action::Start { worker, token, task, attempt, ticket, .. } => {
-                if self.holders[n].attended.get(&worker).is_some_and(|(_, t)| *t == token) {
+                if self.holders[n].watched.get(&worker).is_some_and(|(_, t)| *t == token) {
                     let id = worker.clone();
                     self.order(n, &worker, ToRelay::Start { id, task, attempt, ticket });
                 }
             }
-            Action::Advise { channel: lane, step, workers, timeout: patience } => {
-                self.advise(n, lane, step, workers, patience)
+            Action::Advise { channel, step, workers, timeout } => {
+                self.advise(n, channel, step, workers, timeout)
             }
             Action::Stop(worker, task, attempt) => {
                 self.order(n, &worker.clone(), ToRelay::Stop(worker, task, attempt));
@@ -301,25 +308,25 @@
         }
     }
 
-    /// Sends an order to the relay of a worker.
+    /// Sends an order to the relay that watches a worker.
     fn order(&mut self, n: usize, id: &WorkerId, msg: ToRelay) {
         let h = &self.holders[n];
-        let Some((relay, _)) = h.attended.get(id) else { return };
-        let Some(number) = h.talks.get(relay).map(|t| t.number) else { return };
-        self.tell_relay(number, msg);
+        let Some((relay, _)) = h.watched.get(id) else { return };
+        let Some(number) = h.sessions.get(relay).map(|t| t.number) else { return };
+        self.send_to_relay(number, msg);
     }
 
     /// Opens a session with a relay.
     pub(super) fn open(&mut self, n: usize, entry: HostId) {
         let (now, term) = (self.now, self.holders[n].sched.token);
-        self.session += 1;
-        let number = self.session;
+        self.last_session += 1;
+        let number = self.last_session;
         let own = entry == self.holders[n].sched.holder;
         let at = self.relays.iter().position(|r| r.name == entry);
-        let reached = at.is_some_and(|at| {
+        let connected = at.is_some_and(|at| {
             let r = &mut self.relays[at];
-            let there = !r.cut && !r.leaving && r.paused_until <= now;
-            there && r.serve(number, term, now)
+            let reachable = !r.partitioned && !r.leaving && r.paused_until <= now;
+            reachable && r.serve(number, term, now)
         });
         let mut session = Session {
             term,
@@ -327,34 +334,34 @@
             to_relay: Default::default(),
             to_holder: Default::default(),
             kept_by_holder: true,
-            kept_by_relay: reached,
+            kept_by_relay: connected,
         };
-        if reached && !own {
+        if connected && !own {
             session.to_holder.push_back((now + STEP, ToHolder::Ready));
         }
         self.sessions.insert(number, session);
-        let talk = Talk { number, up: own, heard: now, granted: Duration::ZERO };
-        self.holders[n].talks.insert(entry, talk);
+        let session = RelaySession { number, up: own, last_heartbeat: now, extends_until: Duration::ZERO };
+        self.holders[n].sessions.insert(entry, session);
     }
 
-    /// Carries a call to the adviser out, unless it is lost.
-    fn advise(&mut self, n: usize, lane: usize, step: StepId, asked: Vec<WorkerId>, patience: Duration) {
-        let takes = ADVICE.base_call_time + ADVICE.time_per_worker * asked.len() as u32;
-        let place = |id: &&WorkerId| self.workers.iter().position(|w| w.id == **id);
-        let good = asked.iter().filter(|id| place(id).is_some_and(|at| may_run(&step, at)));
-        let made = self.now + takes;
-        let good: Vec<(WorkerId, Arc<str>)> =
-            good.map(|id| (id.clone(), adviser::ticket(&step, id, made))).collect();
-        let answer = AdviceReply::Answered(Advice { tickets: good, valid_for: Some(ADVICE.ticket_lifetime) });
+    /// Simulates a call to the adviser, which may fail or time out.
+    fn advise(&mut self, n: usize, channel: usize, step: StepId, workers: Vec<WorkerId>, timeout: Duration) {
+        let duration = ADVICE.base_call_time + ADVICE.time_per_worker * workers.len() as u32;
+        let index_of = |id: &&WorkerId| self.workers.iter().position(|w| w.id == **id);
+        let suitable = workers.iter().filter(|id| index_of(id).is_some_and(|at| may_run(&step, at)));
+        let issued_at = self.now + duration;
+        let tickets: Vec<(WorkerId, Arc<str>)> =
+            suitable.map(|id| (id.clone(), adviser::ticket(&step, id, issued_at))).collect();
+        let answer = AdviceReply::Answered(Advice { tickets, valid_for: Some(ADVICE.ticket_lifetime) });
         let (reply, wait) = match (self.rng.fate(), self.rng.below(8)) {
-            (Fate::Fine, _) => (answer, takes),
+            (Fate::Fine, _) => (answer, duration),
             (_, 0 | 1) => (AdviceReply::Busy, STEP),
             (_, 2 | 3) => (AdviceReply::NotSent, STEP),
-            // Late, as long as it is waited for; the ticket is as old.
-            (_, 4 | 5) => (answer, patience),
-            _ => (AdviceReply::NoAnswer, patience),
+            // The answer arrives just before the timeout, with a ticket issued earlier.
+            (_, 4 | 5) => (answer, timeout),
+            _ => (AdviceReply::NoAnswer, timeout),
         };
-        let advised = Event::AdviceReceived(AdviceResult { channel: lane, step, workers: asked, reply });
-        self.holders[n].hears(self.now + wait, advised);
+        let advised = Event::AdviceReceived(AdviceResult { channel, step, workers, reply });
+        self.holders[n].enqueue_event(self.now + wait, advised);
     }
 }
--- a/crates/workswood-test-support/src/job_world/mod.rs
+++ b/crates/workswood-test-support/src/job_world/mod.rs
@@ -1,10 +1,10 @@
-//! Workers, relays, a store and lease holders on injected time, without sockets.
+//! A deterministic simulation of workers, relays, a store and lease holders on injected time.
 //!
-//! The real [`Scheduler`] decides; this module plays what is around it:
-//! workers with leases, fences and lists of ends; relays that speak with them, and are
-//! paused, cut off, replaced or late; a store that fences earlier terms; messages that
-//! are lost, or carried out seconds later; holders that are paused or replaced. After
-//! each step an oracle looks at what workers did.
+//! Decisions are made by the real [`Scheduler`]. The simulation provides workers with leases,
+//! fencing tokens and reports of ended runs; relays that are paused, partitioned, replaced or
+//! slow; a store that rejects writes of earlier terms; messages that are lost or delayed by
+//! seconds; and holders that are paused or replaced. An oracle checks each start of a task and
+//! each final job state that a holder publishes.
 
 mod adviser;
 mod crashes;
@@ -37,105 +37,108 @@
 use self::relay::{Session, SimRelay};
 use self::worker::{Answer, Order, SimWorker};
 
-/// Length of one step.
+/// Simulated time of one step.
 pub const STEP: Duration = Duration::from_millis(20);
-/// Length of a worker's lease.
+/// Duration of a worker's lease.
 const LEASE: Duration = Duration::from_millis(5000);
-/// Longest lease that a worker takes.
-const LONGEST_LEASE: Duration = Duration::from_secs(10);
-/// How long a holder extends leases after its last renewal.
-const GRACE: Duration = Duration::from_millis(4000);
-/// Longest time that a message is on its way between holder and relay where links are slow:
-/// somewhat less than the time after which one is given up.
-const SLOW_WAY: Duration = Duration::from_millis(900);
-/// Service and queue of the world.
+/// Longest lease that a worker accepts.
+const MAX_LEASE: Duration = Duration::from_secs(10);
+/// How long a holder may extend workers' leases after its last renewal of its own lease.
+const EXTENSION_GRACE: Duration = Duration::from_millis(4000);
+/// Latency between holder and relay on slow links; less than the silence after which a holder
+/// closes a session.
+const SLOW_LINK_LATENCY: Duration = Duration::from_millis(900);
+/// Name of the service that runs the tasks.
 pub const SERVICE: &str = "desk";
-/// Name of the queue.
+/// Name of the job queue.
 pub const QUEUE: &str = "desk-queue";
-/// The workspace of all jobs, where there is one,
+/// Workspace of all jobs in a world with a workspace limit.
 const WORKSPACE: &str = "north";
-/// and tasks of one core that it may have at work.
-const LIMIT: usize = 3;
-/// Most failed runs of a task.
+/// Number of one-core tasks that the workspace may run at once.
+const WORKSPACE_TASK_LIMIT: usize = 3;
+/// Number of failed runs after which a task is not retried.
 pub const ATTEMPTS: u32 = 3;
-/// Workers that a relay of the world attends.
-const RELAY_ROOM: usize = 2;
+/// Maximum number of workers per relay.
+const MAX_WORKERS_PER_RELAY: usize = 2;
 
-/// What the oracle saw.
+/// Counts and violations that the oracle has recorded.
 #[derive(Debug, Default)]
 pub struct Seen {
-    /// Starts that a worker took.
+    /// Starts that workers accepted.
     pub starts: u64,
-    /// Ends listed as done.
+    /// Runs reported as done.
     pub done: u64,
-    /// Starts that were refused for want of a ticket.
+    /// Starts that workers refused because the ticket was missing or invalid.
     pub without_ticket: u64,
-    /// Rules that were broken.
+    /// Descriptions of violated invariants.
     pub violations: Vec<String>,
-    /// Takeovers.
+    /// Takeovers of the holder's lease.
     pub takeovers: u64,
-    /// Sessions with relays that were opened.
+    /// Relay sessions that holders opened.
     pub sessions: u64,
 }
 
-/// An order that a worker has received and carries out later, unless its life ends before.
+/// An order whose delivery is delayed; it is dropped if the worker's life ends before.
 #[derive(Clone)]
-struct Late {
+struct DelayedOrder {
     due: Duration,
-    /// The life that it was meant for,
-    meant: WorkerId,
-    /// and the one that received it.
-    at: WorkerId,
+    /// Life of the worker that the order was addressed to.
+    addressee: WorkerId,
+    /// Life that the worker had when the order was sent.
+    recipient: WorkerId,
     order: Order,
 }
 
-/// The world.
+/// The simulated job system.
 pub struct World {
-    /// Time.
+    /// Simulated time.
     pub now: Duration,
     workers: Vec<SimWorker>,
     relays: Vec<SimRelay>,
     /// Sessions between holders and relays.
     sessions: BTreeMap<u64, Session>,
-    session: u64,
-    /// How long a message is on its way between holder and relay.
-    way: Duration,
+    /// Number of the session opened last.
+    last_session: u64,
+    /// Latency between holder and relays.
+    link_latency: Duration,
     holders: Vec<Holder>,
-    late: Vec<Late>,
+    delayed_orders: Vec<DelayedOrder>,
     jobs: BTreeMap<JobKey, Arc<JobSpec>>,
-    /// Jobs that the inbox holds no longer.
+    /// Jobs that have been removed from the inbox.
     trimmed: BTreeSet<JobKey>,
     cancelled: BTreeSet<JobKey>,
     stored_jobs: HashMap<JobKey, JobRecord>,
     stored_workers: HashMap<WorkerId, WorkerRecord>,
-    /// Tasks that some worker has done.
+    /// Tasks that some worker has run successfully.
     done: BTreeSet<TaskId>,
-    /// Runs of tasks that have failed.
-    fails: HashMap<TaskId, u32>,
+    /// Failed runs per task.
+    failed_runs: HashMap<TaskId, u32>,
     term: Term,
+    /// Number of worker lives created; used to name them.
     lives: u64,
-    /// Tasks whose `done` end was acknowledged.
-    noted: BTreeSet<TaskId>,
-    failed: HashMap<TaskId, u32>,
+    /// Tasks whose successful end a holder has acknowledged.
+    acked_done: BTreeSet<TaskId>,
+    /// Acknowledged failed runs per task.
+    acked_failures: HashMap<TaskId, u32>,
     crashes: Crashes,
     evacuations: Evacuations,
-    /// Whether the queue has advice.
+    /// Whether the queue has an adviser.
     advised: bool,
-    /// Whether all jobs are of one workspace, which has a limit.
+    /// Whether all jobs belong to one workspace that has a limit.
     limited: bool,
-    /// Whether workers tell when they started, and start again under their names.
+    /// Whether workers report when they started and restart under the same name.
     restarts: bool,
-    /// What the oracle saw.
+    /// What the oracle has recorded.
     pub seen: Seen,
-    /// Draws the fate of a message, and how a run goes.
+    /// Draws the fate of messages and the duration and outcome of runs.
     pub rng: FaultRng,
 }
 
 pub(super) fn limits() -> Limits {
     Limits {
         lease: LEASE,
-        max_lease: LONGEST_LEASE,
-        extension_grace: GRACE,
+        max_lease: MAX_LEASE,
+        extension_grace: EXTENSION_GRACE,
         clock_drift: 0.02,
         host_order_delay: Duration::from_secs(3),
         host_orders_per_s: 64.0,
@@ -144,7 +147,7 @@
     }
 }
 
-/// What is in force in the world.
+/// Returns the scheduler configuration of the simulation.
 pub fn config() -> SchedConfig {
     let queue = QueueConfig {
         name: QUEUE.to_string(),
@@ -168,8 +171,8 @@
     }
 }
 
-/// A job of the world's queue.
-pub fn job(steps: Vec<StepSpec>, accepted: u64) -> JobSpec {
+/// Creates a job for [`QUEUE`], accepted at this time in milliseconds.
+pub fn job(steps: Vec<StepSpec>, accepted_at: u64) -> JobSpec {
     JobSpec {
         queue: QUEUE.to_string(),
         service: SERVICE.to_string(),
@@ -179,15 +182,15 @@
         task_input: "text".into(),
         steps,
         repeat: None,
-        accepted_at: accepted,
+        accepted_at,
     }
 }
 
-/// A step of `count` tasks of one core.
-pub fn step(count: u32, after: Vec<u16>) -> StepSpec {
+/// Creates a step of `count` one-core tasks that depends on the given steps.
+pub fn step(count: u32, depends_on: Vec<u16>) -> StepSpec {
     StepSpec {
         count,
-        depends_on: after,
+        depends_on,
         resources: Resources { cpu_millis: 1000, mem_mb: 100, gpus: 0 },
         estimate: Duration::from_millis(500),
         ..StepSpec::default()
@@ -195,24 +198,22 @@
 }
 
 impl World {
-    /// A world with some workers of four cores each, and one holder.
+    /// Creates a world with `workers` four-core workers and one holder.
     pub fn new(workers: usize, rng: FaultRng) -> World {
         World::build(workers, 0, rng, false)
     }
 
-    /// Likewise; only some workers may run a step, and the adviser tells which.
+    /// Creates a world whose adviser allows only some workers to run a step.
     pub fn advised(workers: usize, rng: FaultRng) -> World {
         World::build(workers, 0, rng, true)
     }
 
-    /// Likewise without an adviser; four entries attend the workers for the holder, each two
-    /// of them at most.
+    /// Creates a world in which four entries relay for the holder, each to at most two workers.
     pub fn relayed(workers: usize, rng: FaultRng) -> World {
         World::build(workers, 4, rng, false)
     }
 
-    /// Likewise without an adviser; all jobs are of one workspace, which may have a few tasks
-    /// at work.
+    /// Creates a world in which all jobs belong to one workspace with a low limit of running tasks.
     pub fn limited(workers: usize, rng: FaultRng) -> World {
         let mut w = World::build(workers, 0, rng, false);
         w.limited = true;
@@ -220,7 +221,7 @@
         w
     }
 
-    /// Likewise without an adviser or a limit; every other worker stands in a second data centre.
+    /// Creates a world with every other worker in a second data centre.
     pub fn two_centres(workers: usize, rng: FaultRng) -> World {
         let mut w = World::build(workers, 0, rng, false);
         w.evacuations.two_centres = true;
@@ -234,21 +235,21 @@
             workers: Vec::new(),
             relays: (0..relays).map(|n| SimRelay::new(format!("relay-{n}"), None)).collect(),
             sessions: BTreeMap::new(),
-            session: 0,
-            way: STEP,
+            last_session: 0,
+            link_latency: STEP,
             holders: Vec::new(),
-            late: Vec::new(),
+            delayed_orders: Vec::new(),
             jobs: BTreeMap::new(),
             cancelled: BTreeSet::new(),
             trimmed: BTreeSet::new(),
             stored_jobs: HashMap::new(),
             stored_workers: HashMap::new(),
             done: BTreeSet::new(),
-            fails: HashMap::new(),
+            failed_runs: HashMap::new(),
             term: 0,
             lives: 0,
-            noted: BTreeSet::new(),
-            failed: HashMap::new(),
+            acked_done: BTreeSet::new(),
+            acked_failures: HashMap::new(),
             crashes: Crashes::default(),
             evacuations: Evacuations::default(),
             advised,
@@ -258,8 +259,8 @@
             rng,
         };
         for _ in 0..workers {
-            let sim = w.new_life();
-            w.workers.push(sim);
+            let worker = w.new_life();
+            w.workers.push(worker);
         }
         w.take_over();
         w
@@ -270,7 +271,7 @@
         SimWorker::new(WorkerId::from(format!("w-{}", self.lives)))
     }
 
-    /// The life that comes after one of the worker at a place: of its name, or of another.
+    /// Creates the next life of worker `n`: under the same name if workers restart, else a new one.
     fn next_life(&mut self, n: usize) -> SimWorker {
         if !self.restarts {
             return self.new_life();
@@ -292,7 +293,7 @@
         }
     }
 
-    /// Another holder claims the lease; earlier ones do not know yet.
+    /// Lets a new holder claim the lease; earlier holders do not know of it yet.
     pub fn take_over(&mut self) {
         self.term += 1;
         self.seen.takeovers += 1;
@@ -305,7 +306,7 @@
             cfg.queues.values_mut().for_each(|q| q.advice = Some(ADVICE));
         }
         if self.limited {
-            let room = Resources { cpu_millis: 1000 * LIMIT as u64, ..Resources::default() };
+            let room = Resources { cpu_millis: 1000 * WORKSPACE_TASK_LIMIT as u64, ..Resources::default() };
             let workspace = Workspace { name: WORKSPACE.to_string(), jobs_per_s: 1.0, limit: room };
             cfg.workspaces.add(workspace, []);
         }
@@ -329,7 +330,7 @@
         self.open(self.holders.len() - 1, own);
     }
 
-    /// Tells a scheduler of the entries that may be relays.
+    /// Sets the entries that a scheduler may use as relays.
     fn set_relays(&self, sched: &mut Scheduler) {
         let others = self.relays.iter().filter(|r| r.own.is_none());
         let entry = |r: &SimRelay| RelayEntry {
@@ -337,35 +338,36 @@
             data_centre: "north".to_string(),
             strength: 100,
         };
-        sched.policy.relays.max_workers = if self.relays.is_empty() { usize::MAX } else { RELAY_ROOM };
+        sched.policy.relays.max_workers =
+            if self.relays.is_empty() { usize::MAX } else { MAX_WORKERS_PER_RELAY };
         sched.set_relay_entries(others.map(entry).collect());
     }
 
-    /// Pauses the present holder.
-    pub fn pause(&mut self, long: Duration) {
-        let until = self.now + long;
+    /// Pauses the current holder.
+    pub fn pause(&mut self, duration: Duration) {
+        let until = self.now + duration;
         if let Some(h) = self.holders.last_mut() {
             h.paused_until = until;
         }
     }
 
     /// Pauses a relay.
-    pub fn pause_relay(&mut self, n: usize, long: Duration) {
-        let until = self.now + long;
+    pub fn pause_relay(&mut self, n: usize, duration: Duration) {
+        let until = self.now + duration;
         if let Some(r) = self.relays.get_mut(n) {
             r.paused_until = until;
         }
     }
 
-    /// Cuts a relay off from holders, or heals the cut.
-    pub fn cut_relay(&mut self, n: usize, cut: bool) {
+    /// Partitions a relay from the holders, or heals the partition.
+    pub fn cut_relay(&mut self, n: usize, partitioned: bool) {
         if let Some(r) = self.relays.get_mut(n) {
-            r.cut = cut;
+            r.partitioned = partitioned;
         }
     }
 
-    /// A relay says that it will stop, or comes back from that; or it just ends, and
-    /// another process begins at its place.
+    /// Lets a relay announce its shutdown if `planned` and not announced yet; otherwise replaces
+    /// its process by a new one.
     pub fn stop_relay(&mut self, n: usize, planned: bool) {
         let Some(r) = self.relays.get_mut(n) else { return };
         if planned && !r.leaving {
@@ -378,35 +380,35 @@
         }
     }
 
-    /// Whether messages between holder and relays are slow.
+    /// Sets whether messages between holder and relays are slow.
     pub fn slow_links(&mut self, slow: bool) {
-        self.way = if slow { SLOW_WAY } else { STEP };
+        self.link_latency = if slow { SLOW_LINK_LATENCY } else { STEP };
     }
 
-    fn is_cut(&self, relay: &HostId) -> bool {
-        self.relays.iter().any(|r| r.name == *relay && r.cut)
+    fn is_partitioned(&self, relay: &HostId) -> bool {
+        self.relays.iter().any(|r| r.name == *relay && r.partitioned)
     }
 
-    /// Hands a job in.
+    /// Submits a job.
     pub fn submit(&mut self, key: JobKey, mut spec: JobSpec) {
         spec.workspace = self.limited.then(|| WORKSPACE.to_string());
         let spec = Arc::new(spec);
         self.jobs.insert(key, spec.clone());
         self.trimmed.remove(&key);
         let now = self.now;
-        self.holders.iter_mut().for_each(|h| h.hears(now, Event::Submitted(key, spec.clone())));
+        self.holders.iter_mut().for_each(|h| h.enqueue_event(now, Event::Submitted(key, spec.clone())));
     }
 
-    /// Hands any job in again, as a caller does that had no answer.
+    /// Submits a random known job again, as a caller does that received no answer.
     pub fn submit_again(&mut self) {
-        let Some(most) = self.jobs.len().checked_sub(1) else { return };
-        let at = self.rng.below(most as u64 + 1) as usize;
+        let Some(last) = self.jobs.len().checked_sub(1) else { return };
+        let at = self.rng.below(last as u64 + 1) as usize;
         if let Some((key, spec)) = self.jobs.iter().nth(at) {
             self.submit(*key, JobSpec::clone(spec));
         }
     }
 
-    /// Whose all jobs are.
+    /// Returns the owner of all jobs.
     fn owner(&self) -> Owner {
         Owner::of_workspace(self.limited.then_some(WORKSPACE))
     }
@@ -415,66 +417,66 @@
     pub fn cancel(&mut self, key: JobKey) {
         self.cancelled.insert(key);
         let (now, owner) = (self.now, self.owner());
-        self.holders.iter_mut().for_each(|h| h.hears(now, Event::Cancelled(key, owner)));
+        self.holders.iter_mut().for_each(|h| h.enqueue_event(now, Event::Cancelled(key, owner)));
     }
 
-    /// Ends a worker's life; another one comes at the same place.
+    /// Ends the life of worker `n` and starts another one in its place.
     pub fn replace(&mut self, n: usize) {
         let n = n % self.workers.len();
-        self.note_lost(n);
+        self.record_lost_runs(n);
         if self.restarts && self.workers[n].up {
-            self.stop_worker(n);
+            self.restart_worker(n);
             return;
         }
         let fresh = self.next_life(n);
         let old = std::mem::replace(&mut self.workers[n], fresh);
         let info = self.info(n, &self.workers[n].id);
         let now = self.now;
-        let told = self.told_after();
+        let listing_delay = self.listing_delay();
         for h in &mut self.holders {
-            // An entry that changes tells of the later life only.
+            // With restarts the listed entry changes in place, so the old life is not unlisted.
             if !self.restarts {
-                h.hears(now, Event::WorkerUnlisted(old.id.clone()));
+                h.enqueue_event(now, Event::WorkerUnlisted(old.id.clone()));
             }
-            h.hears(now + told, Event::WorkerListed(info.clone()));
+            h.enqueue_event(now + listing_delay, Event::WorkerListed(info.clone()));
         }
     }
 
-    /// Cuts a worker off, or heals the cut.
-    pub fn cut(&mut self, n: usize, cut: bool) {
+    /// Partitions a worker from the relays, or heals the partition.
+    pub fn cut(&mut self, n: usize, partitioned: bool) {
         let n = n % self.workers.len();
-        self.workers[n].cut = cut;
+        self.workers[n].partitioned = partitioned;
     }
 
-    /// Heals everything.
+    /// Ends all injected faults, partitions and evacuations.
     pub fn heal(&mut self) {
         self.rng.faults_per_mille = 0;
-        self.way = STEP;
-        self.workers.iter_mut().for_each(|w| w.cut = false);
-        self.take_back();
+        self.link_latency = STEP;
+        self.workers.iter_mut().for_each(|w| w.partitioned = false);
+        self.end_evacuations();
         for r in &mut self.relays {
-            (r.cut, r.leaving) = (false, false);
+            (r.partitioned, r.leaving) = (false, false);
         }
     }
 
-    /// State that the present holder shows of a job.
+    /// Returns the state of a job that the current holder publishes.
     pub fn shown(&self, key: JobKey) -> Option<JobStatus> {
         self.holders.last().and_then(|h| h.shown.get(&key)).and_then(|s| s.state)
     }
 
-    /// Whether a job is over for its caller.
+    /// Returns whether a job has ended for its caller.
     pub fn is_over(&self, key: JobKey) -> bool {
         matches!(self.shown(key), Some(JobStatus::Ended(_)))
     }
 
-    /// Starts of one task that workers took so far.
+    /// Returns the number of workers that are running a task.
     pub fn running(&self, id: &TaskId) -> usize {
         self.workers.iter().filter(|w| w.up && w.running.contains_key(id)).count()
     }
 
-    /// Plays for some time.
-    pub fn run_for(&mut self, long: Duration) {
-        let end = self.now + long;
+    /// Advances the simulation by a duration.
+    pub fn run_for(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.step();
         }
@@ -482,17 +484,18 @@
 
     fn step(&mut self) {
         self.now += STEP;
-        let due: Vec<Late> = self.late.iter().filter(|l| l.due <= self.now).cloned().collect();
-        self.late.retain(|l| l.due > self.now);
+        let due: Vec<DelayedOrder> =
+            self.delayed_orders.iter().filter(|l| l.due <= self.now).cloned().collect();
+        self.delayed_orders.retain(|l| l.due > self.now);
         for l in due {
-            if self.workers.iter().any(|w| w.id == l.at) {
-                self.carry_out(&l.meant, &l.order, true);
+            if self.workers.iter().any(|w| w.id == l.recipient) {
+                self.carry_out(&l.addressee, &l.order, true);
             }
         }
-        self.crash_due();
+        self.run_due_crashes();
         let now = self.now;
-        let ended: Vec<(TaskId, EndKind)> = self.workers.iter_mut().flat_map(|w| w.run(now)).collect();
-        self.note_ends(&ended);
+        let ended: Vec<(TaskId, EndKind)> = self.workers.iter_mut().flat_map(|w| w.end_runs(now)).collect();
+        self.record_ends(&ended);
         for at in 0..self.relays.len() {
             if !self.is_paused(at) {
                 self.run_relay(at);
@@ -504,27 +507,27 @@
             }
         }
         self.end_deposed();
-        self.seen.sessions = self.session;
+        self.seen.sessions = self.last_session;
     }
 
-    /// Whether a relay stands still, by itself or with the holder that it is.
+    /// Returns whether a relay is paused, either itself or together with its holder.
     fn is_paused(&self, at: usize) -> bool {
         let r = &self.relays[at];
         let holder = self.holders.iter().find(|h| r.own == Some(h.sched.token));
         r.paused_until > self.now || holder.is_some_and(|h| h.paused_until > self.now)
     }
 
-    /// Holders that know of a successor end, and so does what they opened.
+    /// Removes holders that know of a successor, with their relays and sessions.
     fn end_deposed(&mut self) {
-        let over: Vec<Term> =
+        let ended: Vec<Term> =
             self.holders.iter().filter(|h| h.sched.deposed).map(|h| h.sched.token).collect();
         self.holders.retain(|h| !h.sched.deposed);
-        self.relays.retain(|r| r.own.is_none_or(|term| !over.contains(&term)));
-        self.sessions.values_mut().filter(|s| over.contains(&s.term)).for_each(|s| s.kept_by_holder = false);
+        self.relays.retain(|r| r.own.is_none_or(|term| !ended.contains(&term)));
+        self.sessions.values_mut().filter(|s| ended.contains(&s.term)).for_each(|s| s.kept_by_holder = false);
         self.sessions.retain(|_, s| s.kept_by_holder || s.kept_by_relay);
     }
 
-    /// Sends an order; returns the answer, if one comes.
+    /// Sends an order to a worker; returns the answer unless the order or the answer is lost.
     fn deliver(&mut self, id: &WorkerId, order: Order) -> Option<Answer> {
         match self.rng.fate() {
             Fate::Fine => self.carry_out(id, &order, false),
@@ -534,32 +537,37 @@
                 None
             }
             Fate::Late(after) => {
-                let at = self.workers.iter().find(|w| w.id.name() == id.name()).map(|w| w.id.clone());
-                let (due, meant) = (self.now + after, id.clone());
-                self.late.extend(at.map(|at| Late { due, meant, at, order }));
+                let recipient = self.workers.iter().find(|w| w.id.name() == id.name()).map(|w| w.id.clone());
+                let (due, addressee) = (self.now + after, id.clone());
+                self.delayed_orders.extend(recipient.map(|recipient| DelayedOrder {
+                    due,
+                    addressee,
+                    recipient,
+                    order,
+                }));
                 None
             }
         }
     }
 
-    /// Carries an order out at a worker, maybe long after it was sent; `None` if there is no
-    /// such life.
+    /// Delivers an order to the worker of this name, possibly long after it was sent; returns
+    /// `None` if that worker is down, partitioned or unknown.
     fn carry_out(&mut self, id: &WorkerId, order: &Order, late: bool) -> Option<Answer> {
-        // Calls name the worker only: what was meant for one life reaches the next one.
-        let at = self.workers.iter().position(|w| w.id.name() == id.name() && w.up && !w.cut)?;
-        let order = &self.on_its_clock(at, id, order);
-        if let Order::Look { token, forget, .. } = order
+        // Calls are addressed by worker name, so an order for one life can reach the next one.
+        let at = self.workers.iter().position(|w| w.id.name() == id.name() && w.up && !w.partitioned)?;
+        let order = &self.order_as_received(at, id, order);
+        if let Order::Probe { token, forget, .. } = order
             && *token >= self.workers[at].fence
         {
-            self.note_forgotten(at, *forget);
+            self.record_acked_ends(at, *forget);
         }
-        let answer = self.workers[at].take(order, self.advised, self.now);
+        let answer = self.workers[at].handle(order, self.advised, self.now);
         match &answer {
-            Answer::Begin(task, attempt) => {
+            Answer::Accepted(task, attempt) => {
                 if !late {
                     self.check_evacuated(at, task);
                 }
-                self.begin(at, *task, *attempt);
+                self.begin_task(at, *task, *attempt);
             }
             Answer::Reply(workswood_core::jobs::StartReply::Ticket) => self.seen.without_ticket += 1,
             Answer::Reply(_) | Answer::Listing(_) => {}
--- a/crates/workswood-test-support/src/job_world/relay.rs
+++ b/crates/workswood-test-support/src/job_world/relay.rs
@@ -1,8 +1,8 @@
-//! Relays: who speaks with workers, for the holder that opened a session with them.
+//! Simulated relays: they call workers for the holder that opened a session with them.
 //!
-//! What goes over a session comes in order, a step after it was sent, unless the relay
-//! is cut off: then it waits. Each side gives a session up that it hears nothing of.
-//! The relay of a holder itself shares its pauses and its right to extend leases.
+//! The messages of a session arrive in order after the latency of the links; they are held back
+//! while the relay is partitioned. Each side closes a session on which it receives nothing.
+//! A holder's own relay shares its pauses and its right to extend leases.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -16,34 +16,35 @@
 use super::worker::{Answer, Order};
 use super::{LEASE, STEP, World, limits};
 
-/// Time between two looks at a worker.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// Of so many answers to looks one is on its way for up to [`LATE_LOOK`], while
-/// orders to the same worker are answered.
-const LOOKS_A_LATE_ONE: u64 = 8;
-/// Longest way of an answer to a look: most of what it is waited for.
-const LATE_LOOK: Duration = Duration::from_millis(500);
-/// How long an answer is waited for.
-const PATIENCE: Duration = Duration::from_millis(600);
-/// A worker is told what to forget within this time after a look was sent that it has answered.
-const FORGETS_WITHIN: Duration = Duration::from_millis(600);
-/// Time between two heartbeats.
-const BEAT_EVERY: Duration = Duration::from_millis(200);
-/// A relay gives a session up whose holder has said nothing for so long.
-const HOLDER_SILENT: Duration = Duration::from_secs(3);
+/// Interval between probes of a worker.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
+/// One in this many answers to probes is delayed by up to [`MAX_PROBE_DELAY`], while orders to
+/// the same worker are answered.
+const PROBE_DELAY_INTERVAL: u64 = 8;
+/// Longest delay of an answer to a probe; less than [`ANSWER_TIMEOUT`].
+const MAX_PROBE_DELAY: Duration = Duration::from_millis(500);
+/// How long a relay waits for an answer of a worker.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
+/// A probe acknowledges ends only within this time after the last answered probe was sent.
+const ACK_WINDOW: Duration = Duration::from_millis(600);
+/// Interval between heartbeats to the holder.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+/// Silence after which a relay closes the session with a holder.
+const HOLDER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a holder tells a relay.
+/// A message from a holder to a relay.
 pub(super) enum ToRelay {
-    /// Answers the heartbeat that was sent at a time.
+    /// Answers the heartbeat that was sent at `sent`: leases may be extended for `left` from then.
     Grant {
         sent: Duration,
         left: Duration,
     },
-    Attend {
+    Watch {
         id: WorkerId,
         token: Term,
     },
-    Leave(WorkerId),
+    Unwatch(WorkerId),
+    /// Acknowledges a worker's ends up to a sequence number.
     Forget(WorkerId, u64),
     Start {
         id: WorkerId,
@@ -54,17 +55,20 @@
     Stop(WorkerId, TaskId, u32),
 }
 
-/// What a relay tells a holder.
+/// A message from a relay to a holder.
 pub(super) enum ToHolder {
     Ready,
-    Beat(Duration),
+    /// A heartbeat, with the time at which it was sent.
+    Heartbeat(Duration),
+    /// The relay will shut down.
     Leaving,
-    /// The life of a worker is over, which last answered so long ago.
+    /// The life of a worker has ended; its last answer is this long ago.
     LifeOver(WorkerId, Duration),
-    /// Likewise; the worker has started again under its name, at this time of day.
+    /// The worker has restarted under the same name at this Unix time; the last answer of its
+    /// earlier life is this long ago.
     Restarted(WorkerId, UnixMs, Duration),
-    /// News of a worker that was given this token. Times are counted from when it is told.
-    News(WorkerId, Term, WorkerUpdate),
+    /// An update of a worker that is watched with this token. Times are relative to the sending.
+    Update(WorkerId, Term, WorkerUpdate),
 }
 
 /// A session between a holder and a relay.
@@ -74,35 +78,40 @@
     pub relay: HostId,
     pub to_relay: VecDeque<(Duration, ToRelay)>,
     pub to_holder: VecDeque<(Duration, ToHolder)>,
-    /// Whether each side still keeps it.
+    /// Whether the holder has not closed the session.
     pub kept_by_holder: bool,
+    /// Whether the relay has not closed the session.
     pub kept_by_relay: bool,
 }
 
-/// A worker that a relay attends.
+/// A relay's state of a worker that it watches.
 struct Watched {
     token: Term,
-    forget: u64,
-    /// Highest end that the worker is known to have forgotten.
+    /// Ends up to this sequence number are to be acknowledged.
+    acked: u64,
+    /// Highest acknowledged end that the worker is known to have removed.
     forgotten: u64,
-    /// When the last look was sent, if it was answered.
+    /// When the last probe was sent, if it was answered.
     answered: Option<Duration>,
-    next_look: Duration,
+    next_probe: Duration,
+    /// Whether the last probe was not answered; the worker's lease is then not extended.
     silent: bool,
-    doubted: bool,
+    /// Whether the holder was told that the worker did not answer, and no report has followed.
+    reported_silent: bool,
     leased_until: Duration,
-    heard: Duration,
-    follow: RunTracker,
+    last_answer: Duration,
+    runs: RunTracker,
 }
 
-/// An answer of a worker that is on its way to a relay.
-enum Coming {
+/// An answer of a worker, or a timeout, that a relay has not received yet.
+enum PendingAnswer {
     Listed {
         listing: Listing,
-        asked: Duration,
+        sent: Duration,
         forget: u64,
     },
-    LookLost {
+    /// A probe was not answered; `gone` if the relay knows that no such worker exists.
+    ProbeLost {
         gone: bool,
     },
     /// A later life of the worker has answered.
@@ -120,184 +129,193 @@
     },
 }
 
-/// What a relay keeps of one session.
-pub(super) struct Served {
-    session: u64,
+/// The relay's state of a session with a holder.
+pub(super) struct HolderSession {
+    number: u64,
     term: Term,
     watched: BTreeMap<WorkerId, Watched>,
-    coming: Vec<(Duration, WorkerId, Term, Coming)>,
+    pending: Vec<(Duration, WorkerId, Term, PendingAnswer)>,
     /// Until when leases may be extended.
-    granted: Duration,
-    heard: Duration,
-    next_beat: Duration,
+    extends_until: Duration,
+    /// When the last message of the holder arrived.
+    last_message: Duration,
+    next_heartbeat: Duration,
 }
 
-/// A relay.
+/// A simulated relay.
 pub(super) struct SimRelay {
     pub name: HostId,
-    /// Whether it is the holder of this term.
+    /// Term of the holder whose own relay this is; `None` for other entries.
     pub own: Option<Term>,
     pub paused_until: Duration,
-    /// Whether nothing passes between it and holders.
-    pub cut: bool,
+    /// Whether no message passes between the relay and the holders.
+    pub partitioned: bool,
     pub leaving: bool,
-    served: Option<Served>,
+    session: Option<HolderSession>,
 }
 
 impl SimRelay {
     pub(super) fn new(name: HostId, own: Option<Term>) -> SimRelay {
-        SimRelay { name, own, paused_until: Duration::ZERO, cut: false, leaving: false, served: None }
+        SimRelay {
+            name,
+            own,
+            paused_until: Duration::ZERO,
+            partitioned: false,
+            leaving: false,
+            session: None,
+        }
     }
 
-    /// Begins a session; an earlier one ends.
-    pub(super) fn serve(&mut self, session: u64, term: Term, now: Duration) -> bool {
-        if self.served.as_ref().is_some_and(|s| (s.term, s.session) > (term, session)) {
+    /// Begins a session and ends the current one; returns false if the current one is newer.
+    pub(super) fn serve(&mut self, number: u64, term: Term, now: Duration) -> bool {
+        if self.session.as_ref().is_some_and(|s| (s.term, s.number) > (term, number)) {
             return false;
         }
-        self.served = Some(Served {
-            session,
+        self.session = Some(HolderSession {
+            number,
             term,
             watched: BTreeMap::new(),
-            coming: Vec::new(),
-            granted: Duration::ZERO,
-            heard: now,
-            next_beat: now,
+            pending: Vec::new(),
+            extends_until: Duration::ZERO,
+            last_message: now,
+            next_heartbeat: now,
         });
         true
     }
 
-    /// Its process ends, and another begins.
+    /// Replaces the relay's process by a new one without sessions.
     pub(super) fn restart(&mut self) {
-        self.served = None;
+        self.session = None;
         self.leaving = false;
     }
 }
 
 impl World {
-    /// Lets a relay work for a step.
+    /// Runs a relay for one step.
     pub(super) fn run_relay(&mut self, at: usize) {
         let now = self.now;
-        let Some(mut served) = self.relays[at].served.take() else { return };
-        let number = served.session;
-        let kept = self.sessions.get(&number).is_some_and(|s| s.kept_by_holder || self.relays[at].cut);
-        let silent = self.relays[at].own.is_none() && served.heard + HOLDER_SILENT < now;
+        let Some(mut session) = self.relays[at].session.take() else { return };
+        let number = session.number;
+        let kept =
+            self.sessions.get(&number).is_some_and(|s| s.kept_by_holder || self.relays[at].partitioned);
+        let silent = self.relays[at].own.is_none() && session.last_message + HOLDER_TIMEOUT < now;
         if !kept || silent {
             if let Some(s) = self.sessions.get_mut(&number) {
                 s.kept_by_relay = false;
             }
             return;
         }
-        for msg in self.take_for_relay(at, number) {
-            served.heard = now;
-            self.take_order(&mut served, msg);
+        for msg in self.receive_from_holder(at, number) {
+            session.last_message = now;
+            self.handle_holder_message(&mut session, msg);
         }
-        self.beat(at, &mut served);
-        let (due, coming): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut served.coming).into_iter().partition(|(t, ..)| *t <= now);
-        served.coming = coming;
-        for (_, id, token, what) in due {
-            self.comes(&mut served, id, token, what);
+        self.send_heartbeat(at, &mut session);
+        let (due, pending): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut session.pending).into_iter().partition(|(t, ..)| *t <= now);
+        session.pending = pending;
+        for (_, id, token, answer) in due {
+            self.handle_answer(&mut session, id, token, answer);
         }
-        let looks: Vec<WorkerId> =
-            served.watched.iter().filter(|(_, w)| w.next_look <= now).map(|(id, _)| id.clone()).collect();
-        for id in looks {
-            self.look_at(&mut served, id);
+        let due: Vec<WorkerId> =
+            session.watched.iter().filter(|(_, w)| w.next_probe <= now).map(|(id, _)| id.clone()).collect();
+        for id in due {
+            self.probe(&mut session, id);
         }
-        self.relays[at].served = Some(served);
+        self.relays[at].session = Some(session);
     }
 
-    fn take_for_relay(&mut self, at: usize, number: u64) -> Vec<ToRelay> {
-        let (now, cut) = (self.now, self.relays[at].cut);
+    fn receive_from_holder(&mut self, at: usize, number: u64) -> Vec<ToRelay> {
+        let (now, partitioned) = (self.now, self.relays[at].partitioned);
         let Some(s) = self.sessions.get_mut(&number) else { return Vec::new() };
-        let mut taken = Vec::new();
-        while !cut && s.to_relay.front().is_some_and(|(t, _)| *t <= now) {
-            taken.extend(s.to_relay.pop_front().map(|(_, msg)| msg));
+        let mut messages = Vec::new();
+        while !partitioned && s.to_relay.front().is_some_and(|(t, _)| *t <= now) {
+            messages.extend(s.to_relay.pop_front().map(|(_, msg)| msg));
         }
-        taken
+        messages
     }
 
-    fn tell_holder(&mut self, number: u64, msg: ToHolder) {
-        let at = self.now + self.way;
+    fn send_to_holder(&mut self, number: u64, msg: ToHolder) {
+        let at = self.now + self.link_latency;
         if let Some(s) = self.sessions.get_mut(&number) {
             s.to_holder.push_back((at, msg));
         }
     }
 
-    fn beat(&mut self, at: usize, served: &mut Served) {
+    fn send_heartbeat(&mut self, at: usize, session: &mut HolderSession) {
         let now = self.now;
         if let Some(term) = self.relays[at].own {
             let renewed = self.holders.iter().find(|h| h.sched.token == term).map(|h| h.renewed);
-            served.granted = renewed.unwrap_or_default() + super::GRACE;
+            session.extends_until = renewed.unwrap_or_default() + super::EXTENSION_GRACE;
         }
-        if served.next_beat > now {
+        if session.next_heartbeat > now {
             return;
         }
-        served.next_beat = now + BEAT_EVERY;
-        self.tell_holder(served.session, ToHolder::Beat(now));
+        session.next_heartbeat = now + HEARTBEAT_INTERVAL;
+        self.send_to_holder(session.number, ToHolder::Heartbeat(now));
         if self.relays[at].leaving {
-            self.tell_holder(served.session, ToHolder::Leaving);
+            self.send_to_holder(session.number, ToHolder::Leaving);
         }
     }
 
-    fn take_order(&mut self, served: &mut Served, msg: ToRelay) {
+    fn handle_holder_message(&mut self, session: &mut HolderSession, msg: ToRelay) {
         let now = self.now;
         match msg {
-            ToRelay::Grant { sent, left } => served.granted = served.granted.max(sent + left),
-            ToRelay::Attend { id, token } => {
-                let fresh = Watched {
+            ToRelay::Grant { sent, left } => session.extends_until = session.extends_until.max(sent + left),
+            ToRelay::Watch { id, token } => {
+                let worker = Watched {
                     token,
-                    forget: 0,
+                    acked: 0,
                     forgotten: 0,
                     answered: None,
-                    next_look: now,
+                    next_probe: now,
                     silent: false,
-                    doubted: false,
+                    reported_silent: false,
                     leased_until: Duration::ZERO,
-                    heard: Duration::ZERO,
-                    follow: RunTracker::default(),
+                    last_answer: Duration::ZERO,
+                    runs: RunTracker::default(),
                 };
-                served.watched.insert(id, fresh);
+                session.watched.insert(id, worker);
             }
-            ToRelay::Leave(id) => {
-                served.watched.remove(&id);
+            ToRelay::Unwatch(id) => {
+                session.watched.remove(&id);
             }
             ToRelay::Forget(id, number) => {
-                if let Some(w) = served.watched.get_mut(&id) {
-                    w.forget = number;
-                    w.next_look = now;
+                if let Some(w) = session.watched.get_mut(&id) {
+                    w.acked = number;
+                    w.next_probe = now;
                 }
             }
             ToRelay::Start { id, task, attempt, ticket } => {
-                self.send_start(served, id, task, attempt, &ticket);
+                self.send_start(session, id, task, attempt, &ticket);
             }
-            ToRelay::Stop(id, task, attempt) => self.send_stop(served, id, task, attempt),
+            ToRelay::Stop(id, task, attempt) => self.send_stop(session, id, task, attempt),
         }
     }
 
-    /// When a lease that is sent now ends, if it may be extended.
-    fn lease_from(&self, served: &Served) -> Option<Duration> {
-        (self.now < served.granted).then(|| self.now + LEASE)
+    /// Returns the end of a lease that is sent now; `None` if leases may not be extended.
+    fn lease_from(&self, session: &HolderSession) -> Option<Duration> {
+        (self.now < session.extends_until).then(|| self.now + LEASE)
     }
 
     fn send_start(
         &mut self,
-        served: &mut Served,
+        session: &mut HolderSession,
         id: WorkerId,
         task: TaskId,
         attempt: u32,
         ticket: &Option<Arc<str>>,
     ) {
-        let Some(token) = served.watched.get(&id).map(|w| w.token) else { return };
+        let Some(token) = session.watched.get(&id).map(|w| w.token) else { return };
         let mut reply = StartReply::NotSent;
         for _ in 0..1 + self.rng.below(3) {
-            let lease = self.lease_from(served);
-            let Some(w) = served.watched.get_mut(&id) else { return };
+            let lease = self.lease_from(session);
+            let Some(w) = session.watched.get_mut(&id) else { return };
             let Some(lease_end) = lease.filter(|_| !w.silent) else { break };
             w.leased_until = self.now + lease_with_drift(LEASE, limits().clock_drift);
             let order = Order::Start { token, task, attempt, lease_end, ticket: ticket.clone() };
             let answer = self.deliver(&id, order).map(|a| match a {
                 Answer::Reply(reply) => reply,
-                Answer::Begin(..) | Answer::Listing(_) => StartReply::Taken,
+                Answer::Accepted(..) | Answer::Listing(_) => StartReply::Taken,
             });
             reply = match (answer, reply) {
                 (Some(StartReply::Refused | StartReply::Ticket), StartReply::NoAnswer) => StartReply::Unsure,
@@ -308,109 +326,114 @@
                 break;
             }
         }
-        let wait = if reply == StartReply::NoAnswer { PATIENCE * 3 } else { STEP };
-        served.coming.push((self.now + wait, id, token, Coming::Started { task, attempt, reply }));
+        let wait = if reply == StartReply::NoAnswer { ANSWER_TIMEOUT * 3 } else { STEP };
+        session.pending.push((self.now + wait, id, token, PendingAnswer::Started { task, attempt, reply }));
     }
 
-    fn send_stop(&mut self, served: &mut Served, id: WorkerId, task: TaskId, attempt: u32) {
-        let Some(token) = served.watched.get(&id).map(|w| w.token) else { return };
+    fn send_stop(&mut self, session: &mut HolderSession, id: WorkerId, task: TaskId, attempt: u32) {
+        let Some(token) = session.watched.get(&id).map(|w| w.token) else { return };
         let reply = match self.deliver(&id, Order::Stop { token, task, attempt }) {
             Some(Answer::Reply(StartReply::Deposed)) => StopReply::Deposed,
             Some(_) => StopReply::Taken,
             None => StopReply::NoAnswer,
         };
-        served.coming.push((self.now + STEP, id, token, Coming::Stopped { task, attempt, reply }));
+        session.pending.push((self.now + STEP, id, token, PendingAnswer::Stopped { task, attempt, reply }));
     }
 
-    /// How long the answer to a look is on its way; it tells what was so when the
-    /// worker gave it.
-    fn look_takes(&mut self) -> Duration {
-        if self.rng.below(LOOKS_A_LATE_ONE) > 0 {
+    /// Draws the latency of an answer to a probe; the answer has the worker's state when it was sent.
+    fn probe_latency(&mut self) -> Duration {
+        if self.rng.below(PROBE_DELAY_INTERVAL) > 0 {
             return STEP;
         }
-        Duration::from_millis(self.rng.below(LATE_LOOK.as_millis() as u64)).max(STEP)
+        Duration::from_millis(self.rng.below(MAX_PROBE_DELAY.as_millis() as u64)).max(STEP)
     }
 
-    fn look_at(&mut self, served: &mut Served, id: WorkerId) {
+    fn probe(&mut self, session: &mut HolderSession, id: WorkerId) {
         let now = self.now;
-        let lease = self.lease_from(served);
-        let Some(w) = served.watched.get_mut(&id) else { return };
+        let lease = self.lease_from(session);
+        let Some(w) = session.watched.get_mut(&id) else { return };
         let lease_end = if w.silent { None } else { lease };
         if lease_end.is_some() {
             w.leased_until = now + lease_with_drift(LEASE, limits().clock_drift);
         }
-        let there = w.answered.take().is_some_and(|at| now < at + FORGETS_WITHIN);
-        let forget = if there && w.forget > w.forgotten { w.forget } else { 0 };
+        let may_ack = w.answered.take().is_some_and(|at| now < at + ACK_WINDOW);
+        let forget = if may_ack && w.acked > w.forgotten { w.acked } else { 0 };
         let token = w.token;
         let gone = !self.workers.iter().any(|s| s.id.name() == id.name());
         let later = self.workers.iter().map(|s| &s.id).find(|life| life.supersedes(&id)).cloned();
-        let (what, wait) = match self.deliver(&id, Order::Look { token, forget, lease_end }) {
+        let (answer, wait) = match self.deliver(&id, Order::Probe { token, forget, lease_end }) {
             Some(Answer::Listing(listing)) => match later {
-                Some(later) => (Coming::Restarted(later), self.look_takes()),
-                None => (Coming::Listed { listing, asked: now, forget }, self.look_takes()),
+                Some(later) => (PendingAnswer::Restarted(later), self.probe_latency()),
+                None => (PendingAnswer::Listed { listing, sent: now, forget }, self.probe_latency()),
             },
-            Some(Answer::Reply(_) | Answer::Begin(..)) => (Coming::Fenced, STEP),
-            None if gone && self.rng.below(4) == 0 => (Coming::LookLost { gone: true }, STEP),
-            None => (Coming::LookLost { gone: false }, PATIENCE),
+            Some(Answer::Reply(_) | Answer::Accepted(..)) => (PendingAnswer::Fenced, STEP),
+            None if gone && self.rng.below(4) == 0 => (PendingAnswer::ProbeLost { gone: true }, STEP),
+            None => (PendingAnswer::ProbeLost { gone: false }, ANSWER_TIMEOUT),
         };
-        if let Some(w) = served.watched.get_mut(&id) {
-            w.next_look = now + wait + LOOK_EVERY;
+        if let Some(w) = session.watched.get_mut(&id) {
+            w.next_probe = now + wait + PROBE_INTERVAL;
         }
-        served.coming.push((now + wait, id, token, what));
+        session.pending.push((now + wait, id, token, answer));
     }
 
-    /// An answer of a worker comes.
-    fn comes(&mut self, served: &mut Served, id: WorkerId, token: Term, what: Coming) {
+    /// Handles an answer of a worker and reports it to the holder.
+    fn handle_answer(
+        &mut self,
+        session: &mut HolderSession,
+        id: WorkerId,
+        token: Term,
+        answer: PendingAnswer,
+    ) {
         let now = self.now;
-        let Some(w) = served.watched.get_mut(&id).filter(|w| w.token == token) else { return };
-        let news = match what {
-            Coming::Listed { listing, asked, forget } => {
-                w.answered = Some(asked);
+        let Some(w) = session.watched.get_mut(&id).filter(|w| w.token == token) else { return };
+        let update = match answer {
+            PendingAnswer::Listed { listing, sent, forget } => {
+                w.answered = Some(sent);
                 w.forgotten = w.forgotten.max(forget);
                 w.silent = false;
-                w.heard = now;
-                let report = w.follow.diff_listing(listing, asked, now);
-                let quiet = report.is_empty() && !std::mem::take(&mut w.doubted);
-                if quiet {
+                w.last_answer = now;
+                let report = w.runs.diff_listing(listing, sent, now);
+                let nothing_new = report.is_empty() && !std::mem::take(&mut w.reported_silent);
+                if nothing_new {
                     return;
                 }
                 WorkerUpdate::Reported(report)
             }
-            Coming::Restarted(later) => {
-                let silent = now.saturating_sub(w.heard);
+            PendingAnswer::Restarted(later) => {
+                let silent = now.saturating_sub(w.last_answer);
                 let started = later.started_at().unwrap_or_default();
-                self.tell_holder(served.session, ToHolder::Restarted(id.clone(), started, silent));
-                served.watched.remove(&id);
+                self.send_to_holder(session.number, ToHolder::Restarted(id.clone(), started, silent));
+                session.watched.remove(&id);
                 return;
             }
-            Coming::LookLost { gone: true } => {
-                let silent = now.saturating_sub(w.heard);
-                self.tell_holder(served.session, ToHolder::LifeOver(id, silent));
+            PendingAnswer::ProbeLost { gone: true } => {
+                let silent = now.saturating_sub(w.last_answer);
+                self.send_to_holder(session.number, ToHolder::LifeOver(id, silent));
                 return;
             }
-            Coming::LookLost { gone: false } => {
+            PendingAnswer::ProbeLost { gone: false } => {
                 w.silent = true;
-                w.doubted = true;
+                w.reported_silent = true;
                 WorkerUpdate::Unanswered {
                     lease_end: w.leased_until.saturating_sub(now),
-                    heard: now.saturating_sub(w.heard),
+                    heard: now.saturating_sub(w.last_answer),
                 }
             }
-            Coming::Fenced => WorkerUpdate::Fenced,
-            Coming::Started { task, attempt, reply } => {
-                w.follow.start_answered(task, attempt, reply, now);
+            PendingAnswer::Fenced => WorkerUpdate::Fenced,
+            PendingAnswer::Started { task, attempt, reply } => {
+                w.runs.start_answered(task, attempt, reply, now);
                 if reply.is_answer() {
-                    w.heard = now;
+                    w.last_answer = now;
                 }
                 WorkerUpdate::Started(task, attempt, reply)
             }
-            Coming::Stopped { task, attempt, reply } => {
+            PendingAnswer::Stopped { task, attempt, reply } => {
                 if reply == StopReply::Taken {
-                    w.follow.stop_accepted(task, attempt, now);
+                    w.runs.stop_accepted(task, attempt, now);
                 }
                 WorkerUpdate::Stopped(task, attempt, reply)
             }
         };
-        self.tell_holder(served.session, ToHolder::News(id, token, news));
+        self.send_to_holder(session.number, ToHolder::Update(id, token, update));
     }
 }
--- a/crates/workswood-test-support/src/job_world/restarts.rs
+++ b/crates/workswood-test-support/src/job_world/restarts.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under their names.
+//! Workers that restart under the same name.
 
 use std::time::Duration;
 
@@ -6,26 +6,25 @@
 
 use super::fault_rng::FaultRng;
 use super::worker::Order;
-use super::{LONGEST_LEASE, World};
+use super::{MAX_LEASE, World};
 
-/// How long a worker takes to start again: at least, and at most.
-const RESTART_TAKES: (u64, u64) = (500, 1200);
-/// Longest time from a worker's start to when holders hear of its entry.
-const TOLD_WITHIN: u64 = 1500;
+/// Minimum and maximum duration of a restart, in milliseconds.
+const RESTART_MS: (u64, u64) = (500, 1200);
+/// Longest time in milliseconds from a worker's start until holders see it listed.
+const MAX_LISTING_DELAY_MS: u64 = 1500;
 
 impl World {
-    /// A world without an adviser, relays or a limit, whose workers tell when they started, and start
-    /// again under their names.
+    /// Creates a world whose workers report when they started and restart under the same name.
     pub fn restarting(workers: usize, rng: FaultRng) -> World {
-        World::begin_restarts(World::new(workers, rng))
+        World::enable_restarts(World::new(workers, rng))
     }
 
-    /// Likewise; hosts attend the workers for the holder.
+    /// Creates such a world in which entries relay for the holder; see [`World::relayed`].
     pub fn restarting_relayed(workers: usize, rng: FaultRng) -> World {
-        World::begin_restarts(World::relayed(workers, rng))
+        World::enable_restarts(World::relayed(workers, rng))
     }
 
-    fn begin_restarts(mut w: World) -> World {
+    fn enable_restarts(mut w: World) -> World {
         w.restarts = true;
         for n in 0..w.workers.len() {
             w.replace(n);
@@ -34,28 +33,33 @@
         w
     }
 
-    /// A worker's process ends, and is started again.
-    pub(super) fn stop_worker(&mut self, n: usize) {
-        let takes = RESTART_TAKES.0 + self.rng.below(RESTART_TAKES.1 - RESTART_TAKES.0);
-        self.take_down(n, Duration::from_millis(takes));
+    /// Restarts a worker's process.
+    pub(super) fn restart_worker(&mut self, n: usize) {
+        let duration = RESTART_MS.0 + self.rng.below(RESTART_MS.1 - RESTART_MS.0);
+        self.take_down(n, Duration::from_millis(duration));
     }
 
-    /// How long after its start a worker's entry is heard of.
-    pub(super) fn told_after(&mut self) -> Duration {
-        if self.restarts { Duration::from_millis(self.rng.below(TOLD_WITHIN)) } else { Duration::ZERO }
+    /// Draws the time from a worker's start until holders see it listed.
+    pub(super) fn listing_delay(&mut self) -> Duration {
+        if self.restarts {
+            Duration::from_millis(self.rng.below(MAX_LISTING_DELAY_MS))
+        } else {
+            Duration::ZERO
+        }
     }
 
-    /// An order as the worker at a place reads it, which was meant for a life of it. The clock of a
-    /// later life has started anew: on it, the end of a lease is far ahead.
-    pub(super) fn on_its_clock(&self, at: usize, meant: &WorkerId, order: &Order) -> Order {
+    /// Returns an order as the current life of a worker reads it. A lease end that was computed for
+    /// an earlier life is far in the future on the clock of a later one, so it becomes the longest
+    /// lease that a worker accepts.
+    pub(super) fn order_as_received(&self, at: usize, addressee: &WorkerId, order: &Order) -> Order {
         let mut order = order.clone();
-        if self.workers[at].id == *meant {
+        if self.workers[at].id == *addressee {
             return order;
         }
-        let longest = self.now + LONGEST_LEASE;
+        let max_end = self.now + MAX_LEASE;
         match &mut order {
-            Order::Look { lease_end: Some(end), .. } | Order::Start { lease_end: end, .. } => *end = longest,
-            Order::Look { lease_end: None, .. } | Order::Stop { .. } => {}
+            Order::Probe { lease_end: Some(end), .. } | Order::Start { lease_end: end, .. } => *end = max_end,
+            Order::Probe { lease_end: None, .. } | Order::Stop { .. } => {}
         }
         order
     }
--- a/crates/workswood-test-support/src/job_world/worker.rs
+++ b/crates/workswood-test-support/src/job_world/worker.rs
@@ -1,4 +1,4 @@
-//! Workers: what they run, and how they take orders.
+//! Simulated workers: the runs on them and their answers to orders.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -10,50 +10,56 @@
 
 use super::adviser;
 
-/// Most tasks that run on a worker at once.
-const CORES: usize = 4;
-/// How long a stop takes.
-const STOP_TAKES: Duration = Duration::from_millis(300);
+/// Maximum number of tasks that run on a worker at once.
+const MAX_RUNS: usize = 4;
+/// Time that a task takes to stop.
+const STOP_DURATION: Duration = Duration::from_millis(300);
 
-/// How a task goes on a worker.
+/// A run of a task on a worker.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Running {
     pub attempt: u32,
-    pub began: Duration,
-    pub ends: Duration,
+    pub started_at: Duration,
+    pub ends_at: Duration,
+    /// How the run ends unless it is stopped or the lease expires.
     pub kind: EndKind,
-    pub stopping: Option<Duration>,
+    /// When the run ends because of a stop order.
+    pub stops_at: Option<Duration>,
 }
 
-/// A worker.
+/// A life of a simulated worker.
 pub(super) struct SimWorker {
     pub id: WorkerId,
     pub up: bool,
+    /// Highest fencing token that the worker has received.
     pub fence: Term,
     pub lease_end: Duration,
     pub running: BTreeMap<TaskId, Running>,
+    /// Ends that no holder has acknowledged yet.
     pub ended: Vec<ReportedEnd>,
-    pub numbers: u64,
-    /// Highest attempt of a task that was stopped or has ended here.
-    pub over: HashMap<TaskId, u32>,
-    pub cut: bool,
+    /// Sequence number of the last end.
+    pub last_end: u64,
+    /// Highest attempt of each task that was stopped or has ended on this worker.
+    pub finished_attempts: HashMap<TaskId, u32>,
+    /// Whether no order reaches the worker.
+    pub partitioned: bool,
 }
 
-/// An order on its way.
+/// An order to a worker.
 #[derive(Clone, Debug)]
 pub(super) enum Order {
-    Look { token: Term, forget: u64, lease_end: Option<Duration> },
+    Probe { token: Term, forget: u64, lease_end: Option<Duration> },
     Start { token: Term, task: TaskId, attempt: u32, lease_end: Duration, ticket: Option<Arc<str>> },
     Stop { token: Term, task: TaskId, attempt: u32 },
 }
 
-/// What a worker answers.
+/// A worker's answer to an order.
 pub(super) enum Answer {
-    /// To a look.
+    /// The answer to a probe.
     Listing(Listing),
-    /// A start that is to begin: the world does that.
-    Begin(TaskId, u32),
-    /// To any other order.
+    /// A start was accepted; the caller must begin the run.
+    Accepted(TaskId, u32),
+    /// The answer to any other order, or to one with a stale token.
     Reply(StartReply),
 }
 
@@ -66,33 +72,32 @@
             lease_end: Duration::ZERO,
             running: BTreeMap::new(),
             ended: Vec::new(),
-            numbers: 0,
-            over: HashMap::new(),
-            cut: false,
+            last_end: 0,
+            finished_attempts: HashMap::new(),
+            partitioned: false,
         }
     }
 
-    /// Lets time pass: runs end, and with a lease that lapsed all of them. Returns how
-    /// tasks ended.
-    pub(super) fn run(&mut self, now: Duration) -> Vec<(TaskId, EndKind)> {
-        let lapsed = self.lease_end < now;
-        let over = |r: &Running| lapsed || r.ends <= now || r.stopping.is_some_and(|at| at <= now);
-        let over: Vec<TaskId> = self.running.iter().filter(|(_, r)| over(r)).map(|(t, _)| *t).collect();
+    /// Ends the runs that are due, or all of them if the lease has expired; returns how they ended.
+    pub(super) fn end_runs(&mut self, now: Duration) -> Vec<(TaskId, EndKind)> {
+        let expired = self.lease_end < now;
+        let is_over = |r: &Running| expired || r.ends_at <= now || r.stops_at.is_some_and(|at| at <= now);
+        let over: Vec<TaskId> = self.running.iter().filter(|(_, r)| is_over(r)).map(|(t, _)| *t).collect();
         let first = self.ended.len();
         for task in over {
             let Some(r) = self.running.remove(&task) else { continue };
-            let kind = if lapsed {
+            let kind = if expired {
                 EndKind::Lapsed
-            } else if r.ends <= now {
+            } else if r.ends_at <= now {
                 r.kind
             } else {
                 EndKind::Stopped
             };
-            self.numbers += 1;
-            self.over.insert(task, r.attempt);
+            self.last_end += 1;
+            self.finished_attempts.insert(task, r.attempt);
             let checkpoint = String::new();
             self.ended.push(ReportedEnd {
-                sequence_number: self.numbers,
+                sequence_number: self.last_end,
                 task,
                 attempt: r.attempt,
                 kind,
@@ -102,15 +107,15 @@
         self.ended[first..].iter().map(|e| (e.task, e.kind)).collect()
     }
 
-    /// Takes an order whose token is known to be the highest.
-    pub(super) fn take(&mut self, order: &Order, advised: bool, now: Duration) -> Answer {
+    /// Handles an order; answers `Deposed` if its token is lower than one received before.
+    pub(super) fn handle(&mut self, order: &Order, advised: bool, now: Duration) -> Answer {
         let token = order.token();
         if token < self.fence {
             return Answer::Reply(StartReply::Deposed);
         }
         self.fence = token;
         match order {
-            Order::Look { lease_end, .. } => {
+            Order::Probe { lease_end, .. } => {
                 if let Some(end) = lease_end {
                     self.lease_end = self.lease_end.max(*end);
                 }
@@ -118,18 +123,19 @@
             }
             Order::Start { task, attempt, lease_end, ticket, .. } => {
                 self.lease_end = self.lease_end.max(*lease_end);
-                let old = self.over.get(task).is_some_and(|a| a >= attempt);
-                let holds = !advised || adviser::holds(ticket.as_deref(), &task.step_id(), &self.id, now);
-                if *lease_end < now || old {
+                let finished = self.finished_attempts.get(task).is_some_and(|a| a >= attempt);
+                let ticket_valid =
+                    !advised || adviser::is_valid(ticket.as_deref(), &task.step_id(), &self.id, now);
+                if *lease_end < now || finished {
                     Answer::Reply(StartReply::Refused)
                 } else if self.running.contains_key(task) {
                     Answer::Reply(StartReply::Taken)
-                } else if !holds {
+                } else if !ticket_valid {
                     Answer::Reply(StartReply::Ticket)
-                } else if self.running.len() >= CORES {
+                } else if self.running.len() >= MAX_RUNS {
                     Answer::Reply(StartReply::Refused)
                 } else {
-                    Answer::Begin(*task, *attempt)
+                    Answer::Accepted(*task, *attempt)
                 }
             }
             Order::Stop { task, attempt, .. } => {
@@ -141,23 +147,23 @@
 
     fn stop(&mut self, task: TaskId, attempt: u32, now: Duration) {
         match self.running.get_mut(&task) {
-            Some(r) if r.attempt <= attempt => r.stopping = Some(now + STOP_TAKES),
+            Some(r) if r.attempt <= attempt => r.stops_at = Some(now + STOP_DURATION),
             _ => {
-                let over = self.over.entry(task).or_default();
-                *over = (*over).max(attempt);
+                let finished = self.finished_attempts.entry(task).or_default();
+                *finished = (*finished).max(attempt);
             }
         }
     }
 
     fn listing(&self, now: Duration) -> Listing {
         let running = self.running.iter().map(|(task, r)| {
-            let passed = (now - r.began).as_millis() as u64 * 100;
-            let whole = (r.ends - r.began).as_millis().max(1) as u64;
+            let elapsed = (now - r.started_at).as_millis() as u64 * 100;
+            let total = (r.ends_at - r.started_at).as_millis().max(1) as u64;
             ReportedRun {
                 task: *task,
                 attempt: r.attempt,
                 checkpoint: String::new(),
-                percent: (passed / whole).min(100) as u32,
+                percent: (elapsed / total).min(100) as u32,
                 load: 0,
                 stalled_for: Duration::ZERO,
             }
@@ -169,7 +175,7 @@
 impl Order {
     fn token(&self) -> Term {
         match self {
-            Order::Look { token, .. } | Order::Start { token, .. } | Order::Stop { token, .. } => *token,
+            Order::Probe { token, .. } | Order::Start { token, .. } | Order::Stop { token, .. } => *token,
         }
     }
 }
