--- a/crates/workswood-test-support/src/cut.rs
+++ b/crates/workswood-test-support/src/cut.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that can be cut, silenced, delayed or broken off.
+//! A TCP proxy that can close, stall or delay connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,33 +9,32 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Bytes that are relayed at a time.
-const CHUNK: usize = 16 * 1024;
+/// Size of the copy buffer.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What a relay does with bytes and connections.
+/// A fault that the proxy injects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Lets all pass.
+    /// Forwards everything.
     #[default]
     None,
-    /// Closes all connections and new ones.
+    /// Closes all open connections and every new one.
     Closed,
-    /// Closes all connections once; new ones pass.
+    /// Closes all open connections; new ones work.
     Broken,
-    /// Holds bytes back in both directions until the fault ends.
+    /// Holds bytes back in both directions while the fault is set.
     Silent,
-    /// Holds back only what the far side answers.
+    /// Holds back only bytes from the server to the client.
     AnswersHeld,
-    /// Passes nothing more on the connections that are open now, and never closes
-    /// them; new ones pass.
+    /// Forwards nothing more on the open connections and never closes them; new ones work.
     HalfOpen,
-    /// Lets each chunk pass after this time.
+    /// Delays each chunk by this time.
     Slow(Duration),
 }
 
-/// A relay to one address.
+/// A proxy to one address; stops when dropped.
 pub struct Cut {
-    /// Where to connect.
+    /// Address on which the proxy listens.
     pub address: String,
     fault: Arc<watch::Sender<Fault>>,
     task: JoinHandle<()>,
@@ -48,7 +47,7 @@
 }
 
 impl Cut {
-    /// Starts a relay on a free port of the loopback.
+    /// Starts a proxy to `to` on a free port of the loopback interface.
     pub async fn start(to: &str) -> Cut {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
@@ -56,49 +55,50 @@
         let (to, rx) = (to.to_string(), fault.subscribe());
         let task = tokio::spawn(async move {
             loop {
-                let Ok((a, _)) = listener.accept().await else { continue };
-                tokio::spawn(relay(a, to.clone(), rx.clone()));
+                let Ok((client, _)) = listener.accept().await else { continue };
+                tokio::spawn(forward(client, to.clone(), rx.clone()));
             }
         });
         Cut { address, fault, task }
     }
 
-    /// Cuts all connections and refuses new ones, or lets them pass again.
+    /// Closes all connections and every new one, or ends that fault.
     pub fn cut(&self, cut: bool) {
         self.set(if cut { Fault::Closed } else { Fault::None });
     }
 
-    /// Changes what it does.
+    /// Sets the injected fault.
     pub fn set(&self, fault: Fault) {
         self.fault.send_replace(fault);
     }
 }
 
-async fn relay(a: TcpStream, to: String, mut fault: watch::Receiver<Fault>) {
+async fn forward(client: TcpStream, to: String, mut fault: watch::Receiver<Fault>) {
     if *fault.borrow_and_update() == Fault::Closed {
         return;
     }
-    let Ok(b) = TcpStream::connect(to).await else { return };
-    let (a_in, a_out) = a.into_split();
-    let (b_in, b_out) = b.into_split();
-    let there = pump(a_in, b_out, fault.clone(), |f| f == Fault::Silent);
-    let back = pump(b_in, a_out, fault.clone(), |f| matches!(f, Fault::Silent | Fault::AnswersHeld));
-    let mut pumps = std::pin::pin!(async { tokio::join!(there, back) });
+    let Ok(server) = TcpStream::connect(to).await else { return };
+    let (client_in, client_out) = client.into_split();
+    let (server_in, server_out) = server.into_split();
+    let requests = pump(client_in, server_out, fault.clone(), |f| f == Fault::Silent);
+    let answers =
+        pump(server_in, client_out, fault.clone(), |f| matches!(f, Fault::Silent | Fault::AnswersHeld));
+    let mut pumps = std::pin::pin!(async { tokio::join!(requests, answers) });
     let stays_open = tokio::select! {
-        // A change goes before bytes that came at the same moment.
+        // A change of the fault takes effect before bytes that arrive at the same time.
         biased;
-        stays_open = ended(&mut fault) => stays_open,
+        stays_open = wait_for_end(&mut fault) => stays_open,
         _ = &mut pumps => false,
     };
     if stays_open {
-        // The sockets stay open as long as the pumps are there, until the relay ends.
+        // The pumps own the sockets; keeping them alive keeps the connection open until the proxy stops.
         while fault.changed().await.is_ok() {}
     }
 }
 
-/// Waits until an open connection passes nothing more; returns whether it stays
-/// open. What counts is a change to such a fault, not that it stands.
-async fn ended(fault: &mut watch::Receiver<Fault>) -> bool {
+/// Waits for a change to a fault that ends an open connection; returns whether its sockets stay
+/// open. A fault that was set before the connection was opened does not count.
+async fn wait_for_end(fault: &mut watch::Receiver<Fault>) -> bool {
     while fault.changed().await.is_ok() {
         match *fault.borrow_and_update() {
             Fault::HalfOpen => return true,
@@ -109,26 +109,26 @@
     false
 }
 
-/// Copies one direction until its end, holding bytes back while `held` says so.
+/// Copies one direction until its end; holds bytes back while `held` is true of the fault.
 async fn pump(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut fault: watch::Receiver<Fault>,
     held: fn(Fault) -> bool,
 ) {
-    let mut buf = vec![0; CHUNK];
+    let mut buf = vec![0; CHUNK_BYTES];
     while let Ok(n @ 1..) = from.read(&mut buf).await {
         if fault.wait_for(|f| !held(*f)).await.is_err() {
             break;
         }
-        let now = *fault.borrow();
-        if let Fault::Slow(by) = now {
-            tokio::time::sleep(by).await;
+        let current = *fault.borrow();
+        if let Fault::Slow(delay) = current {
+            tokio::time::sleep(delay).await;
         }
         if to.write_all(&buf[..n]).await.is_err() {
             break;
         }
     }
-    // The other direction may go on after this one has ended.
+    // The other direction may continue after this one has ended.
     let _ = to.shutdown().await;
 }
