--- a/crates/workswood-test-support/src/log.rs
+++ b/crates/workswood-test-support/src/log.rs
@@ -1,32 +1,32 @@
-//! A log in memory, and processes that fold it at their own pace.
+//! An in-memory log and processes that fold it at their own pace.
 
 use workswood_core::fold::{RecordResult, State};
 use workswood_core::ids::UnixMs;
 use workswood_core::record::{Envelope, FORMAT_VERSION, Record};
 
-/// The log.
+/// An in-memory log.
 #[derive(Default)]
 pub struct Log {
-    /// All envelopes.
+    /// All envelopes, by offset.
     pub all: Vec<Envelope>,
 }
 
 /// A process that writes to the log and folds it.
 pub struct Process {
-    /// Its incarnation.
+    /// Incarnation of the process.
     pub id: String,
-    /// What it has folded.
+    /// State from the envelopes that the process has folded.
     pub state: State,
     seq: u64,
 }
 
 impl Process {
-    /// A process that has folded nothing.
+    /// Creates a process that has folded nothing.
     pub fn new(id: &str) -> Process {
         Process { id: id.to_string(), state: State::default(), seq: 0 }
     }
 
-    /// The next envelope of the process; it is not in the log yet.
+    /// Creates the next envelope of the process without appending it.
     pub fn envelope(&mut self, at: UnixMs, records: Vec<Record>) -> Envelope {
         self.seq += 1;
         Envelope {
@@ -38,15 +38,15 @@
         }
     }
 
-    /// Folds up to `most` further envelopes.
-    pub fn follow(&mut self, log: &Log, most: usize) {
+    /// Folds up to `max` further envelopes.
+    pub fn follow(&mut self, log: &Log, max: usize) {
         let from = self.state.next_offset as usize;
-        for (i, env) in log.all.iter().enumerate().skip(from).take(most) {
+        for (i, env) in log.all.iter().enumerate().skip(from).take(max) {
             self.state.fold(i as u64, env);
         }
     }
 
-    /// Appends records and folds everything; returns their verdicts.
+    /// Appends records and folds the whole log; returns the result of each record.
     pub fn append(&mut self, log: &mut Log, at: UnixMs, records: Vec<Record>) -> Vec<RecordResult> {
         let env = self.envelope(at, records);
         self.follow(log, usize::MAX);
--- a/crates/workswood-test-support/src/one.rs
+++ b/crates/workswood-test-support/src/one.rs
@@ -1,4 +1,4 @@
-//! One planner on a platform without sockets, round by round.
+//! One planner on the simulated platform, driven round by round.
 
 use workswood_core::fleet::FleetFile;
 use workswood_core::plan::{EntryReports, HostAction, ObservedFleet, decide, missing_actions};
@@ -7,7 +7,7 @@
 use crate::log::{Log, Process};
 use crate::platform::Platform;
 
-/// A planner, its log and its platform.
+/// A planner with its log and its platform.
 pub struct Fleet {
     /// The log.
     pub log: Log,
@@ -15,12 +15,12 @@
     pub p: Process,
     /// The platform.
     pub platform: Platform,
-    /// The time.
+    /// Simulated Unix time in milliseconds.
     pub now: u64,
 }
 
 impl Fleet {
-    /// A planner with a file in force.
+    /// Creates a planner and applies a file.
     pub fn new(file: &FleetFile) -> Fleet {
         let mut f = Fleet {
             log: Log::default(),
@@ -34,36 +34,36 @@
         f
     }
 
-    /// Puts a file in force.
+    /// Applies a file on top of version `base`.
     pub fn apply(&mut self, file: &FleetFile, base: u64) {
         let file = Box::new(file.clone());
         let record = Record::Apply { id: format!("{base}"), base, author: "a".into(), file };
         assert_eq!(self.p.append(&mut self.log, self.now, vec![record]), [Ok(())]);
     }
 
-    /// Decides on a list; returns the acts that follow, not carried out.
-    pub fn decide(&mut self, seen: &ObservedFleet) -> Vec<HostAction> {
-        let facts = EntryReports { folded_by_all: u64::MAX, ..EntryReports::default() };
-        let records = decide(&self.p.state, seen, &facts, self.now, 1);
+    /// Lets the planner decide on an observed fleet; returns the host actions to carry out.
+    pub fn decide(&mut self, observed: &ObservedFleet) -> Vec<HostAction> {
+        let reports = EntryReports { folded_by_all: u64::MAX, ..EntryReports::default() };
+        let records = decide(&self.p.state, observed, &reports, self.now, 1);
         if !records.is_empty() {
             self.p.append(&mut self.log, self.now, records);
         }
-        missing_actions(&self.p.state, seen)
+        missing_actions(&self.p.state, observed)
     }
 
-    /// Lets a second pass; returns the list as it is then.
+    /// Advances time by a second; returns the observed fleet.
     pub fn tick(&mut self) -> ObservedFleet {
         self.now += 1_000;
         self.platform.tick(self.now);
         self.platform.list(0)
     }
 
-    /// Decides and acts for some rounds.
+    /// Runs rounds of a tick, a decision and its host actions.
     pub fn rounds(&mut self, n: usize) {
         for _ in 0..n {
-            let seen = self.tick();
-            for a in self.decide(&seen) {
-                self.platform.act(&a, self.now);
+            let observed = self.tick();
+            for action in self.decide(&observed) {
+                self.platform.act(&action, self.now);
             }
         }
     }
