--- a/crates/workswood-test-support/src/advised_world.rs
+++ b/crates/workswood-test-support/src/advised_world.rs
@@ -1,4 +1,4 @@
-//! A scheduler whose queue has advice, event by event.
+//! A scheduler whose queue has an adviser, driven event by event.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use crate::host_world::HostWorld;
 use crate::job_world::{QUEUE, config};
 
-/// A queue of the same service without advice.
+/// Name of a queue of the same service without an adviser.
 pub const PLAIN: &str = "plain";
 
-/// What is in force: one queue with advice, and one without.
+/// Returns a configuration with one queue that has an adviser and one that has none.
 pub fn advised_config(cfg: AdviceConfig, version: u64) -> SchedConfig {
     let mut all = config();
     all.version = version;
@@ -26,28 +26,28 @@
     all
 }
 
-/// A scheduler that knows this many idle workers, and a queue with advice.
+/// Creates a scheduler with this many idle workers and a queue that has an adviser.
 pub fn advised(workers: usize, cfg: AdviceConfig) -> HostWorld {
     let mut world = HostWorld::new(workers);
     world.sched.handle(Event::ConfigChanged(Arc::new(advised_config(cfg, 2))));
     world
 }
 
-/// The first call to the adviser among actions.
+/// Returns the step and the workers of the first call to the adviser.
 pub fn asked(actions: &[Action]) -> Option<(StepId, Vec<WorkerId>)> {
     calls(actions).into_iter().next().map(|(_, step, ids)| (step, ids))
 }
 
-/// All calls to the adviser among actions, with their lanes.
+/// Returns channel, step and workers of all calls to the adviser.
 pub fn calls(actions: &[Action]) -> Vec<(usize, StepId, Vec<WorkerId>)> {
     let call = |a: &Action| match a {
-        Action::Advise { channel: lane, step, workers, .. } => Some((*lane, *step, workers.clone())),
+        Action::Advise { channel, step, workers, .. } => Some((*channel, *step, workers.clone())),
         _ => None,
     };
     actions.iter().filter_map(call).collect()
 }
 
-/// Workers that tasks are started on, each with its ticket.
+/// Returns the workers on which tasks are started, each with its ticket.
 pub fn started(actions: &[Action]) -> Vec<(WorkerId, Option<Arc<str>>)> {
     let start = |a: &Action| match a {
         Action::Start { worker, ticket, .. } => Some((worker.clone(), ticket.clone())),
@@ -56,14 +56,14 @@
     actions.iter().filter_map(start).collect()
 }
 
-/// An answer to this entry's call: some of the workers are good.
-pub fn advice(step: StepId, asked: &[WorkerId], good: &[WorkerId], valid: Duration) -> Event {
+/// Returns the answer to a call on channel 0 that has a ticket for each suitable worker.
+pub fn advice(step: StepId, asked: &[WorkerId], suitable: &[WorkerId], valid_for: Duration) -> Event {
     let ticket = |id: &WorkerId| (id.clone(), format!("for-{id}").as_str().into());
-    let answer = Advice { tickets: good.iter().map(ticket).collect(), valid_for: Some(valid) };
+    let answer = Advice { tickets: suitable.iter().map(ticket).collect(), valid_for: Some(valid_for) };
     failed(0, step, asked, AdviceReply::Answered(answer))
 }
 
-/// The outcome of a call.
-pub fn failed(lane: usize, step: StepId, asked: &[WorkerId], reply: AdviceReply) -> Event {
-    Event::AdviceReceived(AdviceResult { channel: lane, step, workers: asked.to_vec(), reply })
+/// Returns the event of a call that ended with this reply.
+pub fn failed(channel: usize, step: StepId, asked: &[WorkerId], reply: AdviceReply) -> Event {
+    Event::AdviceReceived(AdviceResult { channel, step, workers: asked.to_vec(), reply })
 }
--- a/crates/workswood-test-support/src/files.rs
+++ b/crates/workswood-test-support/src/files.rs
@@ -1,4 +1,4 @@
-//! Small fleet files.
+//! Builders for small fleet files.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
     Budget, FleetFile, Host, Job, Maintenance, Objective, Pool, PriorityClass, Route, Service, Team,
 };
 
-/// Hosts `h0`, `h1`, … in racks of two, racks in turn over two data centres.
+/// Creates hosts `h0`, `h1`, … in racks of two; racks alternate between two data centres.
 pub fn hosts(n: usize) -> Vec<Host> {
     let host = |i: usize| Host {
         name: format!("h{i}"),
@@ -19,12 +19,13 @@
     (0..n).map(host).collect()
 }
 
-/// A pool.
+/// Creates a pool without requirements on its hosts.
 pub fn pool(name: &str, size: u32) -> Pool {
     Pool { name: name.to_string(), size, min_cpus: 0, min_memory_gib: 0, min_accelerators: 0 }
 }
 
-/// A service with an urgent, a keyed and a deferred route.
+/// Creates a service with an urgent, a long and a deferred route, and two routes that must not be
+/// repeated.
 pub fn service(name: &str, pool: &str, instances: u32, min_available: u32) -> Service {
     let route = |path: &str, class, repeatable| Route {
         path: format!("/{name}/{path}"),
@@ -52,7 +53,7 @@
     }
 }
 
-/// Maintenance of a pool, at any time.
+/// Creates a maintenance of a pool that may run at any time.
 pub fn maintenance(name: &str, pool: &str) -> Maintenance {
     Maintenance {
         name: name.to_string(),
@@ -66,7 +67,7 @@
     }
 }
 
-/// A job.
+/// Creates a job.
 pub fn job(name: &str, pool: &str, class: PriorityClass, repeatable: bool) -> Job {
     Job {
         name: name.to_string(),
@@ -79,12 +80,12 @@
     }
 }
 
-/// A team that may use as much as it wants.
+/// Creates a team with a large quota.
 pub fn team() -> Team {
     Team { name: "team".to_string(), quota_cpus: 10_000 }
 }
 
-/// A file named `small` with one pool of all hosts and one service.
+/// Creates a file named `small` with one pool of `n` hosts and one service.
 pub fn small(n: usize, instances: u32, min_available: u32) -> FleetFile {
     FleetFile {
         file: "small".to_string(),
--- a/crates/workswood-test-support/src/job_entry.rs
+++ b/crates/workswood-test-support/src/job_entry.rs
@@ -1,4 +1,4 @@
-//! Entries that run jobs, as processes of their own.
+//! Starts entries that run jobs as separate processes.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,11 +8,11 @@
 
 use crate::program::Program;
 
-/// Listeners of an entry.
+/// Number of ports on which an entry listens.
 pub const PORTS: usize = 4;
 
-/// Starts an entry of the built program; the first of its ports is for callers. Its settings and
-/// its log are in a folder, named `entry-N`.
+/// Starts an entry from the built program. `ports` are for callers, readiness, peers and metrics.
+/// The settings and the log are written to `folder` as `entry-N.json` and `entry-N.log`.
 pub fn start_entry(
     program: &str,
     folder: &Path,
--- a/crates/workswood-test-support/src/job_node.rs
+++ b/crates/workswood-test-support/src/job_node.rs
@@ -1,8 +1,8 @@
-//! Settings of a process that runs jobs, for tests within one process.
+//! Settings of an entry that runs jobs within the test process.
 
 use workswood::util::job_settings::JobSettings;
 
-/// Good settings for an entry of this name.
+/// Returns valid settings for an entry of this name.
 pub fn settings(name: &str) -> JobSettings {
     let text = serde_json::json!({
         "name": name, "data_centre": "north", "callers": "127.0.0.1:0", "readiness": "127.0.0.1:0",
--- a/crates/workswood-test-support/src/lib.rs
+++ b/crates/workswood-test-support/src/lib.rs
@@ -1,18 +1,20 @@
-//! Small fakes for the test suite.
+//! Simulations and helpers for the test suite.
 //!
-//! * [`advised_world`] is one scheduler whose queue has advice, event by event.
-//! * [`cut`] is a relay that can be cut.
-//! * [`files`] makes small fleet files.
-//! * [`log`] is a log in memory with readers that lag.
-//! * [`one`] is one planner, round by round.
-//! * [`platform`] is a platform on injected time, without sockets.
-//! * [`history`] draws random histories of planners against that platform.
-//! * [`job_node`] is settings of a process that runs jobs.
-//! * [`job_world`] is workers, a store and lease holders on injected time.
-//! * [`keys`] draws random schedules of requests that may not be repeated.
-//! * [`live`] starts entries over sockets.
-//! * [`host_world`] is one scheduler with hosts, event by event.
-//! * [`turn_store`] is a store that takes appends in turn, on the test's clock.
+//! * [`advised_world`] drives one scheduler whose queue has an adviser, event by event.
+//! * [`cut`] is a TCP proxy that injects faults.
+//! * [`files`] builds small fleet files.
+//! * [`log`] is an in-memory log with processes that fold it at their own pace.
+//! * [`one`] drives one planner, round by round.
+//! * [`platform`] simulates the platform on injected time, without sockets.
+//! * [`history`] runs random histories of planners against that platform.
+//! * [`job_entry`] starts entries that run jobs as separate processes.
+//! * [`job_node`] has settings of an entry that runs jobs within the test process.
+//! * [`job_world`] simulates workers, relays, a store and lease holders on injected time.
+//! * [`keys`] runs random schedules of requests that must not be repeated.
+//! * [`live`] starts entries that communicate over sockets.
+//! * [`host_world`] drives one scheduler with hosts, event by event.
+//! * [`program`] runs a program as a child process.
+//! * [`turn_store`] is a store that processes appends one at a time, on the test's clock.
 
 pub mod advised_world;
 pub mod cut;
--- a/crates/workswood-test-support/src/program.rs
+++ b/crates/workswood-test-support/src/program.rs
@@ -1,11 +1,11 @@
-//! A program that a test runs as a process of its own, and signals to it.
+//! Child processes that a test starts and signals.
 
 use std::fs::File;
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-/// A process that this test started; it is killed when this is dropped.
+/// A child process; it is killed when dropped.
 pub struct Program {
     child: Child,
 }
@@ -18,34 +18,35 @@
 }
 
 impl Program {
-    /// Starts a command.
+    /// Starts a command and discards its standard error.
     pub fn start(mut command: Command) -> Program {
-        Program { child: command.stderr(Stdio::null()).spawn().expect("it starts") }
+        Program { child: command.stderr(Stdio::null()).spawn().expect("the process starts") }
     }
 
-    /// Starts a command that writes its log to the end of a file.
+    /// Starts a command whose output is appended to a file.
     pub fn start_logged(mut command: Command, log: &Path) -> Program {
         let file = File::options().create(true).append(true).open(log).expect("a log file");
         let errors = file.try_clone().expect("a second handle");
-        Program { child: command.stdout(file).stderr(errors).spawn().expect("it starts") }
+        Program { child: command.stdout(file).stderr(errors).spawn().expect("the process starts") }
     }
 
-    /// Sends a signal, named as for `kill`.
+    /// Sends a signal; `name` is an option of `kill`, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         let sent = Command::new("kill").args([name, &pid]).status().expect("kill runs");
         assert!(sent.success());
     }
 
-    /// Waits until it has ended.
+    /// Waits until the process has ended.
     pub fn wait(&mut self) -> ExitStatus {
-        self.child.wait().expect("it ends")
+        self.child.wait().expect("the process ends")
     }
 }
 
-/// Ports that were free a moment ago, on an address that no other test uses.
+/// Returns ports of an address that are currently free. They are released again, so no other test
+/// may use the address.
 pub fn free_ports(address: &str, n: usize) -> Vec<SocketAddr> {
     let bind = |_| TcpListener::bind((address, 0)).expect("a port");
-    let held: Vec<TcpListener> = (0..n).map(bind).collect();
-    held.iter().map(|l| l.local_addr().expect("an address")).collect()
+    let listeners: Vec<TcpListener> = (0..n).map(bind).collect();
+    listeners.iter().map(|l| l.local_addr().expect("an address")).collect()
 }
