--- a/crates/workswood-test-support/src/host_world.rs
+++ b/crates/workswood-test-support/src/host_world.rs
@@ -1,7 +1,7 @@
-//! A scheduler with hosts and their workers, event by event.
+//! A scheduler with hosts and their workers, driven event by event.
 //!
-//! The real [`Scheduler`] decides; a test hands it lists, reports and ticks at
-//! times of its choice, and looks at the orders to hosts that come out.
+//! A test passes host lists, worker reports and ticks to the real [`Scheduler`] at times of its
+//! choice and checks the resulting actions.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,32 +16,32 @@
 
 use crate::job_world::{SERVICE, config};
 
-/// Service whose hosts are off.
+/// Name of a service whose hosts are spare.
 pub const SPARE: &str = "spare";
-/// A second service whose hosts are on.
+/// Name of a second service whose hosts are in use.
 pub const OTHER: &str = "other-desk";
 
-/// A scheduler, and what came out of it.
+/// A scheduler and its recorded actions.
 pub struct HostWorld {
     /// The scheduler.
     pub sched: Scheduler,
-    /// All actions that ticks told.
+    /// All actions that ticks returned.
     pub actions: Vec<Action>,
-    /// Hosts on record as ordered about lately.
+    /// Hosts with a stored mark of a recent order.
     pub ordered: Vec<String>,
-    /// What whoever attends a worker has told of it, and when it last answered.
-    attended: BTreeMap<WorkerId, (RunTracker, Duration)>,
+    /// Reported runs of each watched worker, and when it last answered.
+    watched: BTreeMap<WorkerId, (RunTracker, Duration)>,
 }
 
-/// An answer to a look is late after this time; that is told.
-const LATE: Duration = Duration::from_millis(1100);
+/// Time without an answer after which a worker's probe is reported as late.
+const PROBE_LATE_AFTER: Duration = Duration::from_millis(1100);
 
-/// Room of each host and its worker.
-fn room() -> Resources {
+/// Returns the capacity of each host and its worker.
+fn capacity() -> Resources {
     Resources { cpu_millis: 4000, mem_mb: 8000, gpus: 0 }
 }
 
-/// Limits with which a new holder waits for no host.
+/// Returns limits with which a new holder sends host orders without delay.
 pub fn limits() -> Limits {
     Limits {
         lease: Duration::from_secs(5),
@@ -55,7 +55,7 @@
     }
 }
 
-/// A life of the worker on host `m-n`.
+/// Returns the description of a life of the worker on host `m-n`.
 pub fn worker(n: usize, life: usize) -> WorkerInfo {
     WorkerInfo {
         id: format!("w-{n}-{life}").as_str().into(),
@@ -63,13 +63,13 @@
         address: format!("10.0.0.{n}:80"),
         data_centre: "north".to_string(),
         host: format!("m-{n}"),
-        capacity: room(),
+        capacity: capacity(),
         labels: Vec::new(),
         draining: false,
     }
 }
 
-/// Host `m-n`, up in a pool, with a life of its worker if it has one.
+/// Returns host `m-n`, up in a pool, with the given life of its worker.
 pub fn host(n: usize, pool: &str, life: Option<usize>) -> Host {
     Host {
         name: format!("m-{n}"),
@@ -77,12 +77,12 @@
         state: HostState::Up,
         data_centre: "north".to_string(),
         labels: Vec::new(),
-        capacity: room(),
+        capacity: capacity(),
         worker: life.map(|l| worker(n, l).id),
     }
 }
 
-/// How a worker lists a run that it was told to start.
+/// Returns the listing entry of a run that a worker was told to start.
 pub fn listed(start: &Action) -> Option<ReportedRun> {
     let Action::Start { task, attempt, .. } = start else { return None };
     Some(ReportedRun {
@@ -96,7 +96,7 @@
 }
 
 impl HostWorld {
-    /// A scheduler that knows this many workers, each idle in its first life.
+    /// Creates a scheduler with this many workers, each idle in its first life.
     pub fn new(workers: usize) -> HostWorld {
         let mut cfg = config();
         let spare = ServiceConfig { name: SPARE.to_string(), enforces_capacity: true, spare: true };
@@ -107,7 +107,7 @@
             sched: Scheduler::new(1, limits(), Duration::ZERO, 0),
             actions: Vec::new(),
             ordered: Vec::new(),
-            attended: BTreeMap::new(),
+            watched: BTreeMap::new(),
         };
         world.sched.handle(Event::ConfigChanged(Arc::new(cfg)));
         for n in 0..workers {
@@ -117,66 +117,65 @@
         world
     }
 
-    /// Sets the time, in milliseconds. Of workers that have not answered for long it is
-    /// told that they are late.
+    /// Sets the time in milliseconds, and reports late probes of workers that have not answered.
     pub fn at(&mut self, ms: u64) {
         self.sched.now = Duration::from_millis(ms);
         self.sched.wall = ms;
         let now = self.sched.now;
         let own = self.sched.holder.clone();
         self.sched.handle(Event::RelayHeard(own));
-        let late = self.attended.iter().filter(|(_, (_, heard))| *heard + LATE < now);
+        let late = self.watched.iter().filter(|(_, (_, last_answer))| *last_answer + PROBE_LATE_AFTER < now);
         let late: Vec<WorkerId> = late.map(|(id, _)| id.clone()).collect();
         late.into_iter().for_each(|id| self.tells(&id, WorkerUpdate::ProbeLate));
     }
 
-    /// The workers are attended from now on: their next answers list all.
+    /// Resets the run trackers, so that the next reports contain all runs.
     pub fn attend_anew(&mut self) {
-        self.attended.values_mut().for_each(|(follow, _)| *follow = RunTracker::default());
+        self.watched.values_mut().for_each(|(runs, _)| *runs = RunTracker::default());
     }
 
-    /// Whoever attends a worker tells something of it.
-    pub fn tells(&mut self, id: &WorkerId, news: WorkerUpdate) {
+    /// Passes an update of a worker to the scheduler.
+    pub fn tells(&mut self, id: &WorkerId, update: WorkerUpdate) {
         let token = self.sched.token_of(id).unwrap_or(0);
-        self.sched.handle(Event::WorkerUpdate(id.clone(), token, news));
+        self.sched.handle(Event::WorkerUpdate(id.clone(), token, update));
     }
 
-    /// A worker took a start.
+    /// Reports that a worker accepted a start.
     pub fn taken(&mut self, id: &WorkerId, task: TaskId, attempt: u32) {
         let now = self.sched.now;
-        let (follow, _) = self.attended.entry(id.clone()).or_default();
-        follow.start_answered(task, attempt, StartReply::Taken, now);
+        let (runs, _) = self.watched.entry(id.clone()).or_default();
+        runs.start_answered(task, attempt, StartReply::Taken, now);
         self.tells(id, WorkerUpdate::Started(task, attempt, StartReply::Taken));
     }
 
-    /// A worker answers a look that is sent now.
+    /// Reports a worker's listing as the answer to a probe that is sent now.
     pub fn answers(&mut self, id: &WorkerId, listing: Listing) {
         for action in self.sched.assign_relays() {
             if let Action::Watch { info, .. } = action {
-                self.attended.insert(info.id, (RunTracker::default(), self.sched.now));
+                self.watched.insert(info.id, (RunTracker::default(), self.sched.now));
             }
         }
         let now = self.sched.now;
-        let (follow, heard) = self.attended.entry(id.clone()).or_default();
-        *heard = now;
-        let report = follow.diff_listing(listing, now, now);
+        let (runs, last_answer) = self.watched.entry(id.clone()).or_default();
+        *last_answer = now;
+        let report = runs.diff_listing(listing, now, now);
         self.tells(id, WorkerUpdate::Reported(report));
     }
 
-    /// A worker answers a look and lists what it was told to start.
+    /// Reports a worker's listing with the runs that it was told to start.
     pub fn report(&mut self, n: usize, life: usize, runs: &[Action]) {
         let running = runs.iter().filter_map(listed).collect();
         self.answers(&worker(n, life).id, Listing { running, ended: Vec::new() });
     }
 
-    /// What a worker lists of all that was started anywhere, but for tasks that have ended.
+    /// Returns a worker's listing of the runs started on it, without tasks that have ended.
     pub fn listing(&self, id: &WorkerId, started: &[Action], ended: &[TaskId]) -> Listing {
         let here = started.iter().filter(|a| matches!(a, Action::Start { worker, .. } if worker == id));
         let running = here.filter_map(listed).filter(|r| !ended.contains(&r.task)).collect();
         Listing { running, ended: Vec::new() }
     }
 
-    /// Ticks once; returns what the scheduler told to do.
+    /// Ticks once; returns the scheduler's actions.
     pub fn tick(&mut self) -> Vec<Action> {
         self.sched.handle(Event::Tick);
         let batch = self.sched.take_batch();
@@ -191,14 +190,14 @@
         batch.actions
     }
 
-    /// The list of hosts is asked for and read at this time.
+    /// Passes a list of hosts that was requested and received now.
     pub fn list(&mut self, hosts: Vec<Host>) {
         let now = self.sched.now;
         self.sched.handle(Event::HostsListed(hosts, now));
     }
 }
 
-/// Hosts that are ordered down.
+/// Returns the hosts that are ordered into maintenance.
 pub fn upkeeps(actions: &[Action]) -> Vec<String> {
     let name = |a: &Action| match a {
         Action::MaintainHost(m, _) => Some(m.clone()),
@@ -207,7 +206,7 @@
     actions.iter().filter_map(name).collect()
 }
 
-/// Hosts that are ordered to move, each with the pool that gets it.
+/// Returns the hosts that are ordered to move, each with its new pool.
 pub fn moves(actions: &[Action]) -> Vec<(String, String)> {
     let of = |a: &Action| match a {
         Action::MoveHost(m, pool) => Some((m.clone(), pool.clone())),
@@ -216,8 +215,8 @@
     actions.iter().filter_map(of).collect()
 }
 
-/// Wave 1, of hosts by their numbers, within 20 s.
-pub fn wave(hosts: &[usize], most_at_once: usize) -> Wave {
+/// Returns wave 1 of the hosts with these numbers, with 20 s for all of them.
+pub fn wave(hosts: &[usize], max_down: usize) -> Wave {
     let hosts = hosts.iter().map(|n| format!("m-{n}")).collect();
-    Wave { number: 1, hosts, time_allowed: Duration::from_secs(20), max_down: most_at_once }
+    Wave { number: 1, hosts, time_allowed: Duration::from_secs(20), max_down }
 }
