--- a/crates/workswood-test-support/src/live.rs
+++ b/crates/workswood-test-support/src/live.rs
@@ -1,4 +1,4 @@
-//! Entries over sockets, on a stand-in platform.
+//! Entries that communicate over sockets, on a stand-in platform.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -11,15 +11,15 @@
 use workswood_operators::ApplyReply;
 use workswood_standin::PlatformStandin;
 
-/// Longest wait for anything that must happen.
+/// Timeout of [`until`].
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
-/// Set to a level to see the log lines of a test.
-const LOG: &str = "WORKSWOOD_TEST_LOG";
+/// Environment variable with the level at which a test prints log lines.
+const LOG_LEVEL_VAR: &str = "WORKSWOOD_TEST_LOG";
 
-/// Starts entries and puts a file in force.
+/// Starts entries, applies a file and waits until the fleet has settled.
 pub async fn fleet(file: &FleetFile, entries: usize) -> DevCluster {
-    if let Some(level) = std::env::var(LOG).ok().and_then(|l| l.parse().ok()) {
+    if let Some(level) = std::env::var(LOG_LEVEL_VAR).ok().and_then(|l| l.parse().ok()) {
         workswood::util::logs::start(level);
     }
     let dev = DevCluster::start(std::slice::from_ref(file), entries).await.expect("entries start");
@@ -39,8 +39,8 @@
     dev
 }
 
-/// Sends so many requests over all entries and waits until these endpoints of the
-/// service `shop` work on enough of them; returns the requests.
+/// Sends `requests` requests spread over all entries and waits until the first `endpoints`
+/// endpoints of the service `shop` process at least `least` of them; returns their tasks.
 pub async fn take_slots(
     dev: &DevCluster,
     requests: usize,
@@ -51,7 +51,7 @@
     let mut busy = Vec::new();
     for n in 0..requests {
         let (caller, req) = (dev.caller(n % dev.entries.len()), CallerRequest::to(path));
-        // What becomes of them is not looked at: they only keep others waiting.
+        // The answers are ignored: these requests only occupy slots.
         busy.push(tokio::spawn(async move { drop(caller.call(req).await) }));
     }
     until("slots are taken", || {
@@ -62,7 +62,7 @@
     busy
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds; panics after [`PATIENCE`].
 pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !holds() {
@@ -71,31 +71,31 @@
     }
 }
 
-/// The `x-workswood-ran` of an answer.
+/// Returns the header `x-workswood-ran` of a response; `-` if there is none.
 pub fn ran(res: &hyper::Response<bytes::Bytes>) -> &str {
     res.headers().get("x-workswood-ran").and_then(|v| v.to_str().ok()).unwrap_or("-")
 }
 
-/// The numbered code of an answer; 0 for none.
+/// Returns the numbered code of a response; 0 if there is none.
 pub fn code(res: &hyper::Response<bytes::Bytes>) -> u16 {
     let v = res.headers().get("x-workswood-code").and_then(|v| v.to_str().ok());
     v.and_then(|v| v.parse().ok()).unwrap_or(0)
 }
 
-/// Callers that send without pause.
+/// Callers that send one request after another.
 pub struct Load {
     stop: Arc<AtomicBool>,
     /// Requests answered with status 200 and their own body.
     pub good: Arc<AtomicU64>,
-    /// Requests refused as not run.
+    /// Responses to requests that were refused without being run.
     pub refusals: Arc<std::sync::Mutex<Vec<String>>>,
-    /// Answers that were cut, wrong or of unknown outcome, in words.
+    /// Descriptions of responses that were truncated, wrong or of unknown outcome.
     pub bad: Arc<std::sync::Mutex<Vec<String>>>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Load {
-    /// Starts `n` callers on each of some entries.
+    /// Starts `n` tasks for each caller.
     pub fn start(callers: Vec<Caller>, n: usize, path: &str) -> Load {
         let mut load = Load {
             stop: Arc::default(),
@@ -110,13 +110,13 @@
         load
     }
 
-    /// Adds callers of one entry.
+    /// Adds `n` tasks for a caller.
     pub fn add(&mut self, caller: Caller, n: usize, path: &str) {
         self.add_until(caller, n, path, Arc::default());
     }
 
-    /// Adds callers of one entry that stop when told so, as when a balancer
-    /// sends them elsewhere.
+    /// Adds `n` tasks for a caller that also stop when `gone` is set, as when a load balancer
+    /// removes the entry.
     pub fn add_until(&mut self, caller: Caller, n: usize, path: &str, gone: Arc<AtomicBool>) {
         for i in 0..n {
             let (stop, good, refused, bad) =
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Ends all callers and waits for their last answers.
+    /// Stops all tasks and waits for their last responses.
     pub async fn stop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         for t in self.tasks.drain(..) {
@@ -151,18 +151,18 @@
         }
     }
 
-    /// Refusals so far.
+    /// Returns the refusals so far.
     pub fn refused(&self) -> Vec<String> {
         self.refusals.lock().expect("no poison").clone()
     }
 
-    /// What went wrong so far.
+    /// Returns the descriptions of bad responses so far.
     pub fn bad(&self) -> Vec<String> {
         self.bad.lock().expect("no poison").clone()
     }
 }
 
-/// Watches a service's availability on the platform itself.
+/// Samples a service's availability on the platform; stops when dropped.
 pub struct Watch {
     least: Arc<AtomicU64>,
     task: JoinHandle<()>,
@@ -175,7 +175,7 @@
 }
 
 impl Watch {
-    /// Watches until dropped.
+    /// Starts sampling.
     pub fn start(platform: Arc<PlatformStandin>, service: &str) -> Watch {
         let least = Arc::new(AtomicU64::new(u64::MAX));
         let (low, prefix) = (least.clone(), format!("{service}/"));
@@ -188,14 +188,14 @@
         Watch { least, task }
     }
 
-    /// The least that was seen.
+    /// Returns the lowest number of available instances so far.
     pub fn least(&self) -> u64 {
         self.least.load(Ordering::Relaxed)
     }
 }
 
 fn available(platform: &PlatformStandin, prefix: &str) -> u64 {
-    let truth = platform.current_fleet();
-    let takes = truth.hosts.values().filter(|h| h.state == HostState::Live && !h.draining);
-    takes.flat_map(|h| &h.tasks).filter(|t| t.ready && t.id.starts_with(prefix)).count() as u64
+    let fleet = platform.current_fleet();
+    let accepting = fleet.hosts.values().filter(|h| h.state == HostState::Live && !h.draining);
+    accepting.flat_map(|h| &h.tasks).filter(|t| t.ready && t.id.starts_with(prefix)).count() as u64
 }
