--- a/src/workswood/ops/bench/loopback.rs
+++ b/src/workswood/ops/bench/loopback.rs
@@ -114,7 +114,7 @@
             keyed.1
         );
     }
-    let run_twice = dev.platform.ledger.doubled().len();
+    let run_twice = dev.platform.ledger.repeated_keys().len();
     crate::outln!("keys that ran twice: {run_twice}");
     Ok(())
 }
